--- a/benches/switches_limits.py
+++ b/benches/switches_limits.py
@@ -34,14 +34,14 @@
     ),
     Switch(
         'limited endpoints offered to other regions',
-        SERVING + 'choice.py',
+        SERVING + 'endpoint_selector.py',
         'found = unlimited or found',
         'pass',
         f'{INCIDENT}::test_offers_leave_out_what_names_a_limit',
     ),
     Switch(
         'callers come back together',
-        SERVING + 'choice.py',
+        SERVING + 'endpoint_selector.py',
         'return max(min(waits_ms), line.join(urgency, sum(shares)))',
         'return min(waits_ms)',
         f'{INCIDENT}::test_what_no_engine_takes_is_refused_at_once',
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -18,7 +18,7 @@
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.quarantine import guard as guards
 from wrenspoke.coordination.serving import access
-from wrenspoke.coordination.serving import choice
+from wrenspoke.coordination.serving import endpoint_selector
 from wrenspoke.coordination.serving import placing
 from wrenspoke.coordination.serving import return_line
 from wrenspoke.coordination.serving import spending
@@ -70,7 +70,7 @@
         self,
         held: replica.Replica,
         attended: attendance.Attendance,
-        chosen: choice.Choice,
+        chosen: endpoint_selector.Choice,
         placed: placing.Placing,
         tried: tries.Tries,
         budget: spending.Spending,
--- a/wrenspoke/coordination/serving/placing.py
+++ b/wrenspoke/coordination/serving/placing.py
@@ -14,7 +14,7 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.membership import replica
-from wrenspoke.coordination.serving import choice
+from wrenspoke.coordination.serving import endpoint_selector
 from wrenspoke.coordination.serving import costs
 from wrenspoke.coordination.serving import regions
 from wrenspoke.coordination.serving import return_line
@@ -62,7 +62,7 @@
         host: ids.HostId,
         region: ids.RegionId,
         held: replica.Replica,
-        chosen: choice.Choice,
+        chosen: endpoint_selector.Choice,
         elsewhere: regions.Regions,
         switched_off: collections.abc.Set[mechanisms.Mechanism],
         clock: clocks.Clock,
@@ -143,7 +143,7 @@
         )
 
     def _refuse_if_slower(
-        self, work: works.Work, local: choice.Chosen | None
+        self, work: works.Work, local: endpoint_selector.Chosen | None
     ) -> None:
         limit_ms = work.hop.limit_ms
         if limit_ms is None or work.sent or local is None:
@@ -153,7 +153,7 @@
 
     def _local(
         self, work: works.Work, bounds: costs.Bounds
-    ) -> choice.Chosen | None:
+    ) -> endpoint_selector.Chosen | None:
         if not work.route.allows(self._region):
             return None
         return self._choice.choose(
@@ -163,7 +163,7 @@
     def _endpoint_place(
         self,
         work: works.Work,
-        chosen: choice.Chosen | None,
+        chosen: endpoint_selector.Chosen | None,
     ) -> sending.Place | None:
         if chosen is None:
             return None
@@ -266,7 +266,7 @@
         self,
         work: works.Work,
         found: regions.Offered,
-        local: choice.Chosen | None,
+        local: endpoint_selector.Chosen | None,
     ) -> sending.Place:
         # Where it is turned back, the way there and back is lost as well.
         limit_ms = work.deadline_ms - self._clock.mono_ms()
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -22,7 +22,7 @@
 from wrenspoke.coordination.quarantine import guard as guards
 from wrenspoke.coordination.serving import access
 from wrenspoke.coordination.serving import bodies
-from wrenspoke.coordination.serving import choice
+from wrenspoke.coordination.serving import endpoint_selector
 from wrenspoke import ids
 from wrenspoke.protocol import advertised
 from wrenspoke.protocol import dialect as dialects
@@ -62,7 +62,7 @@
     host: ids.HostId | None = None
     region: ids.RegionId | None = None
     hop: passing.Hop | None = None
-    chosen: choice.Chosen | None = None
+    chosen: endpoint_selector.Chosen | None = None
     sent_ms: int = 0
     answered: bool = False
     reading: int | None = None
--- a/wrenspoke/coordination/serving/tries.py
+++ b/wrenspoke/coordination/serving/tries.py
@@ -16,7 +16,7 @@
 from wrenspoke.coordination.limiting import endpoint_limits
 from wrenspoke.coordination.membership import attendance
 from wrenspoke.coordination.membership import reach
-from wrenspoke.coordination.serving import choice
+from wrenspoke.coordination.serving import endpoint_selector
 from wrenspoke.coordination.serving import estimate
 from wrenspoke.coordination.serving import events
 from wrenspoke.coordination.serving import health
@@ -47,7 +47,7 @@
         self,
         sender: sending.Sender,
         attended: attendance.Attendance,
-        chosen: choice.Choice,
+        chosen: endpoint_selector.Choice,
         noted: health.Health,
         reached: reach.Reach,
         estimator: estimate.Estimator,
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -26,7 +26,7 @@
 from wrenspoke.coordination.quarantine import reporter
 from wrenspoke.coordination.serving import access
 from wrenspoke.coordination.serving import availability
-from wrenspoke.coordination.serving import choice
+from wrenspoke.coordination.serving import endpoint_selector
 from wrenspoke.coordination.serving import estimate
 from wrenspoke.coordination.serving import health
 from wrenspoke.coordination.serving import passthrough
@@ -295,7 +295,7 @@
             node.switched_off,
             self.clock,
         )
-        self._choice = choice.Choice(
+        self._choice = endpoint_selector.Choice(
             node.region,
             node.regions,
             self.attendance,
