--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -395,7 +395,7 @@
     ),
     Switch(
         'slower host keeps a call',
-        DECISIONS + 'serving/placing.py',
+        DECISIONS + 'serving/destinations.py',
         ('            raise BusyError(local.first_ms)\n'),
         ('            return\n'),
         (
@@ -542,7 +542,7 @@
     ),
     Switch(
         'calls served away from home',
-        DECISIONS + 'serving/placing.py',
+        DECISIONS + 'serving/destinations.py',
         (
             '        if not work.route.allows(self._region):\n            return None\n'
         ),
@@ -615,14 +615,14 @@
     ),
     Switch(
         'hopeless calls are sent',
-        DECISIONS + 'serving/placing.py',
+        DECISIONS + 'serving/destinations.py',
         ('        if work.sent or lost <= HOPELESS:\n'),
         ('        if True:\n'),
         ('tests/test_far.py'),
     ),
     Switch(
         'no way by a third region',
-        DECISIONS + 'serving/placing.py',
+        DECISIONS + 'serving/destinations.py',
         ('                host = self._relay_to(work, region)\n'),
         ('                pass\n'),
         ('tests/test_far.py'),
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -19,7 +19,7 @@
 from wrenspoke.coordination.quarantine import guard as guards
 from wrenspoke.coordination.serving import access
 from wrenspoke.coordination.serving import endpoint_selector
-from wrenspoke.coordination.serving import placing
+from wrenspoke.coordination.serving import destinations
 from wrenspoke.coordination.serving import return_line
 from wrenspoke.coordination.serving import spending
 from wrenspoke.coordination.serving import tries
@@ -71,7 +71,7 @@
         held: replica.Replica,
         attended: attendance.Attendance,
         chosen: endpoint_selector.Choice,
-        placed: placing.Placing,
+        placed: destinations.Placing,
         tried: tries.Tries,
         budget: spending.Spending,
         permitted: access.Access,
@@ -316,7 +316,7 @@
             work.cause = work.cause or 'timeout'
             await self._give_up(work, GATEWAY_TIMEOUT)
             return
-        except placing.BusyError as error:
+        except destinations.BusyError as error:
             logger.info(
                 'passed_back',
                 request=work.call.request,
@@ -332,7 +332,7 @@
                 await self._refuse_held(work, error)
                 return
             work.cause = f'{work.cause} ({error})'
-        except placing.HopelessError as error:
+        except destinations.HopelessError as error:
             work.cause = work.cause or 'hopeless'
             work.retry_after_ms = error.retry_after_ms
         except errors.DeniedError as error:
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -30,7 +30,7 @@
 from wrenspoke.coordination.serving import estimate
 from wrenspoke.coordination.serving import health
 from wrenspoke.coordination.serving import passthrough
-from wrenspoke.coordination.serving import placing
+from wrenspoke.coordination.serving import destinations
 from wrenspoke.coordination.serving import regions
 from wrenspoke.coordination.serving import sending
 from wrenspoke.coordination.serving import sent_calls
@@ -311,7 +311,7 @@
             self.replica,
             self.attendance,
             self._choice,
-            placing.Placing(
+            destinations.Placing(
                 node.host,
                 node.region,
                 self.replica,
