--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -569,7 +569,7 @@
     ),
     Switch(
         'runs elsewhere not counted',
-        DECISIONS + 'serving/tries.py',
+        DECISIONS + 'serving/attempts.py',
         ('            work.count_runs(answer.runs - 1)\n'),
         ('            pass\n'),
         ('tests/test_far.py::test_runs_elsewhere_count_against_the_attempts'),
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -22,7 +22,7 @@
 from wrenspoke.coordination.serving import destinations
 from wrenspoke.coordination.serving import return_line
 from wrenspoke.coordination.serving import spending
-from wrenspoke.coordination.serving import tries
+from wrenspoke.coordination.serving import attempts
 from wrenspoke.coordination.serving import work as works
 from wrenspoke import ids
 from wrenspoke import mechanisms
@@ -72,7 +72,7 @@
         attended: attendance.Attendance,
         chosen: endpoint_selector.Choice,
         placed: destinations.Placing,
-        tried: tries.Tries,
+        tried: attempts.Tries,
         budget: spending.Spending,
         permitted: access.Access,
         limiter: limiters.Limiter,
@@ -368,7 +368,7 @@
 
         :raises QuarantinedError: no endpoint is sent it now
         """
-        while self._left_ms(work) > tries.LEAST_LEFT_MS:
+        while self._left_ms(work) > attempts.LEAST_LEFT_MS:
             held_ms = self._guard.refuse(work.call.digest)
             if held_ms is not None:
                 raise errors.QuarantinedError(held_ms)
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -35,7 +35,7 @@
 from wrenspoke.coordination.serving import sending
 from wrenspoke.coordination.serving import sent_calls
 from wrenspoke.coordination.serving import spending
-from wrenspoke.coordination.serving import tries
+from wrenspoke.coordination.serving import attempts
 from wrenspoke.coordination.serving import warmth
 from wrenspoke import ids
 from wrenspoke import mechanisms
@@ -320,7 +320,7 @@
                 node.switched_off,
                 self.clock,
             ),
-            tries.Tries(
+            attempts.Tries(
                 sending.Sender(
                     dialect,
                     self._client,
