--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -25,7 +25,7 @@
 from wrenspoke.coordination.serving import repeats
 from wrenspoke.coordination.serving import sending
 from wrenspoke.coordination.serving import sent_calls
-from wrenspoke.coordination.serving import work as works
+from wrenspoke.coordination.serving import call_context as works
 from wrenspoke.protocol import passing
 from wrenspoke.state import routes
 
--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -19,7 +19,7 @@
 from wrenspoke.coordination.serving import regions
 from wrenspoke.coordination.serving import return_line
 from wrenspoke.coordination.serving import sending
-from wrenspoke.coordination.serving import work as works
+from wrenspoke.coordination.serving import call_context as works
 from wrenspoke import ids
 from wrenspoke import mechanisms
 from wrenspoke.protocol import attending
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -23,7 +23,7 @@
 from wrenspoke.coordination.serving import return_line
 from wrenspoke.coordination.serving import spending
 from wrenspoke.coordination.serving import attempts
-from wrenspoke.coordination.serving import work as works
+from wrenspoke.coordination.serving import call_context as works
 from wrenspoke import ids
 from wrenspoke import mechanisms
 from wrenspoke.protocol import dialect as dialects
