--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies
 import pytest
 
-from wrenspoke.coordination.serving import events
+from wrenspoke.coordination.serving import event_tracker
 
 STREAM = b'id: 1\ndata: one\n\nid: 2\r\ndata: two\r\n\r\nid: 3\ndata: x\n\n'
 
@@ -14,7 +14,7 @@
     whole_only=strategies.booleans(),
 )
 def test_nothing_is_lost_or_changed_by_cuts(cuts, whole_only):
-    tracker = events.EventTracker(whole_only)
+    tracker = event_tracker.EventTracker(whole_only)
     passed = b''
     start = 0
     for cut in [*sorted(cuts), len(STREAM)]:
@@ -31,7 +31,7 @@
 def test_part_of_an_event_is_held_back_where_it_may_be_resumed(
     whole_only, passed
 ):
-    tracker = events.EventTracker(whole_only)
+    tracker = event_tracker.EventTracker(whole_only)
     assert tracker.feed(b'id: 1\ndata: a\n\nid: 2\nda') == passed
     assert tracker.last_id == '1'
     tracker.begin_again()
--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -18,7 +18,7 @@
 from wrenspoke.coordination.membership import reach
 from wrenspoke.coordination.serving import endpoint_selector
 from wrenspoke.coordination.serving import estimate
-from wrenspoke.coordination.serving import events
+from wrenspoke.coordination.serving import event_tracker
 from wrenspoke.coordination.serving import health
 from wrenspoke.coordination.serving import pace as paces
 from wrenspoke.coordination.serving import regions
@@ -307,7 +307,7 @@
         self, work: works.Work, place: sending.Place, answer: sending.Answer
     ) -> None:
         """Pass a stream on; the head is sent with the first piece."""
-        tracker = events.EventTracker(whole_only=work.route.resumable)
+        tracker = event_tracker.EventTracker(whole_only=work.route.resumable)
         await self._pass_events(work, place, answer, tracker)
         await self._end_stream(work, place, answer, tracker)
 
@@ -316,7 +316,7 @@
         work: works.Work,
         place: sending.Place,
         answer: sending.Answer,
-        tracker: events.EventTracker,
+        tracker: event_tracker.EventTracker,
     ) -> None:
         """Pass events on, and record the engine's pace."""
         with self._paced(work, place) as paced:
@@ -350,7 +350,7 @@
         work: works.Work,
         place: sending.Place,
         answer: sending.Answer,
-        tracker: events.EventTracker,
+        tracker: event_tracker.EventTracker,
     ) -> None:
         if not work.reply.started:
             await work.reply.open(answer.status, answer.fields)
--- a/wrenspoke/coordination/serving/call_context.py
+++ b/wrenspoke/coordination/serving/call_context.py
@@ -4,7 +4,7 @@
 
 from wrenspoke.coordination.limiting import limiter
 from wrenspoke.coordination.serving import access
-from wrenspoke.coordination.serving import events
+from wrenspoke.coordination.serving import event_tracker
 from wrenspoke import ids
 from wrenspoke.protocol import dialect as dialects
 from wrenspoke.protocol import passing
@@ -46,7 +46,7 @@
     last_piece_ms: int | None = None
     longest_pause_ms: int = 0
     kept: KeptAnswer | None = None
-    tracker: events.EventTracker | None = None
+    tracker: event_tracker.EventTracker | None = None
 
     @property
     def route(self) -> routes.Route:
