--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -6,7 +6,7 @@
 from wrenspoke.coordination.membership import reach
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.membership import views
-from wrenspoke.coordination.serving import regions
+from wrenspoke.coordination.serving import remote_regions
 from wrenspoke.protocol import attending
 from wrenspoke.protocol import dialect as dialects
 from wrenspoke.protocol import messages
@@ -70,7 +70,7 @@
     )
     found = Known(said)
     viewed = views.RegionViews(clock)
-    made = regions.Regions(found, found, viewed, held, clock, told)
+    made = remote_regions.Regions(found, found, viewed, held, clock, told)
     return made, found, clock
 
 
@@ -100,7 +100,7 @@
 def test_host_that_lags_for_long_offers_nothing():
     made, found, clock = known(pong(index=0))
     assert made.offer('south', SERVICE, CALL, HOST) is not None
-    clock.now_ms += regions.LAG_MS + 1
+    clock.now_ms += remote_regions.LAG_MS + 1
     found.told.answered_ms = clock.now_ms
     assert made.offer('south', SERVICE, CALL, HOST) is None
 
@@ -108,7 +108,9 @@
 def test_offer_holds_travel_waiting_reading_and_what_was_passed_on():
     made, _found, _clock = known(pong())
     first_ms = made.offer('south', SERVICE, CALL, HOST).first_ms
-    assert first_ms == pytest.approx(50 + regions.HANDLING_MS + 100 + 100)
+    assert first_ms == pytest.approx(
+        50 + remote_regions.HANDLING_MS + 100 + 100
+    )
     made.note_passed('south', SERVICE, CALL)
     again = made.offer('south', SERVICE, CALL, HOST)
     # Its prompt is kept there now, and waits at one of two engines.
@@ -140,7 +142,7 @@
     before = made.offer('south', SERVICE, CALL, HOST).first_ms
     made.note_told('south', 's', 700.0)
     assert made.offer('south', SERVICE, CALL, HOST).first_ms == before + 600
-    clock.now_ms += regions.TOLD_MS
+    clock.now_ms += remote_regions.TOLD_MS
     assert made.offer('south', SERVICE, CALL, HOST).first_ms == before
 
 
@@ -148,12 +150,15 @@
     made, _found, _clock = known(pong())
     told = made.relayed(['south', 'nowhere'])
     assert list(told) == ['south']
-    assert told['south'][0].wait_ms == 100 + 50 + regions.HANDLING_MS
+    assert told['south'][0].wait_ms == 100 + 50 + remote_regions.HANDLING_MS
 
 
 @pytest.mark.parametrize(
     'later_ms, first_ms',
-    [(0, 40 + 100 + 100), (views.FRESH_MS + 1, regions.UNKNOWN_FIRST_MS)],
+    [
+        (0, 40 + 100 + 100),
+        (views.FRESH_MS + 1, remote_regions.UNKNOWN_FIRST_MS),
+    ],
     ids=['fresh', 'old'],
 )
 def test_region_offers_what_another_host_of_this_one_heard(later_ms, first_ms):
@@ -162,5 +167,5 @@
     made._views.note(status)
     clock.now_ms += later_ms and later_ms - 200
     offered = made.offer('south', SERVICE, CALL, HOST)
-    handling_ms = 0 if later_ms else regions.HANDLING_MS
+    handling_ms = 0 if later_ms else remote_regions.HANDLING_MS
     assert offered.first_ms == pytest.approx(first_ms + handling_ms)
--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -21,7 +21,7 @@
 from wrenspoke.coordination.serving import event_tracker
 from wrenspoke.coordination.serving import health
 from wrenspoke.coordination.serving import pace as paces
-from wrenspoke.coordination.serving import regions
+from wrenspoke.coordination.serving import remote_regions
 from wrenspoke.coordination.serving import repeats
 from wrenspoke.coordination.serving import sending
 from wrenspoke.coordination.serving import sent_calls
@@ -51,7 +51,7 @@
         noted: health.Health,
         reached: reach.Reach,
         estimator: estimate.Estimator,
-        elsewhere: regions.Regions,
+        elsewhere: remote_regions.Regions,
         clock: clocks.Clock,
         told: sent_calls.SentCalls | None = None,
     ):
@@ -212,7 +212,7 @@
             request=work.call.request,
             route=work.route.name,
             place=place.name,
-            regions=list(place.regions),
+            remote_regions=list(place.regions),
             homes_before=list(work.route.homes),
         )
 
--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -16,7 +16,7 @@
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.serving import endpoint_selector
 from wrenspoke.coordination.serving import costs
-from wrenspoke.coordination.serving import regions
+from wrenspoke.coordination.serving import remote_regions
 from wrenspoke.coordination.serving import return_line
 from wrenspoke.coordination.serving import sending
 from wrenspoke.coordination.serving import call_context as works
@@ -63,7 +63,7 @@
         region: ids.RegionId,
         held: replica.Replica,
         chosen: endpoint_selector.Choice,
-        elsewhere: regions.Regions,
+        elsewhere: remote_regions.Regions,
         switched_off: collections.abc.Set[mechanisms.Mechanism],
         clock: clocks.Clock,
     ):
@@ -196,7 +196,7 @@
 
     def _best_elsewhere(
         self, work: works.Work, bounds: costs.Bounds
-    ) -> tuple[regions.Offered | None, float]:
+    ) -> tuple[remote_regions.Offered | None, float]:
         """Return the best other region and what it costs."""
         best, best_ms = None, 0.0
         spread = self._choice.spread(work.service.service)
@@ -265,7 +265,7 @@
     def _host_place(
         self,
         work: works.Work,
-        found: regions.Offered,
+        found: remote_regions.Offered,
         local: endpoint_selector.Chosen | None,
     ) -> sending.Place:
         # Where it is turned back, the way there and back is lost as well.
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -31,7 +31,7 @@
 from wrenspoke.coordination.serving import health
 from wrenspoke.coordination.serving import passthrough
 from wrenspoke.coordination.serving import destinations
-from wrenspoke.coordination.serving import regions
+from wrenspoke.coordination.serving import remote_regions
 from wrenspoke.coordination.serving import sending
 from wrenspoke.coordination.serving import sent_calls
 from wrenspoke.coordination.serving import spending
@@ -274,7 +274,7 @@
             self._gate,
             self.clock,
         )
-        self._regions = regions.Regions(
+        self._regions = remote_regions.Regions(
             self._reach,
             self._partners,
             self._views,
