--- a/tests/test_gauges.py
+++ b/tests/test_gauges.py
@@ -13,7 +13,7 @@
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.membership import roster
 from wrenspoke.coordination.serving import availability
-from wrenspoke.coordination.serving import health
+from wrenspoke.coordination.serving import outlier_detection
 from wrenspoke.protocol import attending
 from wrenspoke.protocol import dialect as dialects
 from wrenspoke.state import configuration
@@ -195,7 +195,7 @@
         REGIONS,
         gauged._attended,
         gauged._replica,
-        health.Health(clock),
+        outlier_detection.Health(clock),
         None,
         gauged,
         stated_fleet.unlimited(clock),
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from wrenspoke.coordination.serving import health
+from wrenspoke.coordination.serving import outlier_detection
 
 
 class FakeClock:
@@ -30,7 +30,7 @@
     ],
 )
 def test_failures_in_a_row_set_a_place_aside(outcomes, aside):
-    noted = health.Health(FakeClock())
+    noted = outlier_detection.Health(FakeClock())
     for outcome in outcomes:
         if outcome == 's':
             noted.succeeded('p')
@@ -41,7 +41,7 @@
 
 def test_pause_doubles_and_ends():
     clock = FakeClock()
-    noted = health.Health(clock)
+    noted = outlier_detection.Health(clock)
     pauses = []
     for _number in range(8):
         noted.failed('p', 'test', clock.now_ms, certain=True)
@@ -50,7 +50,7 @@
             clock.now_ms += 100
         pauses.append(clock.now_ms - start_ms)
     assert pauses[:3] == [500, 1000, 2000]
-    assert pauses[-1] == health.LONGEST_PAUSE_MS
+    assert pauses[-1] == outlier_detection.LONGEST_PAUSE_MS
 
 
 @pytest.mark.parametrize(
@@ -58,7 +58,7 @@
 )
 def test_what_was_under_way_belongs_to_the_same_episode(sent_ms, pause_ms):
     clock = FakeClock()
-    noted = health.Health(clock)
+    noted = outlier_detection.Health(clock)
     clock.now_ms = 1_000
     noted.failed('p', 'test', 800, certain=True)
     clock.now_ms = 1_500
@@ -75,9 +75,9 @@
 )
 def test_place_that_is_heard_of_can_be_reached_again(certain, asked_ms, aside):
     clock = FakeClock()
-    noted = health.Health(clock)
+    noted = outlier_detection.Health(clock)
     clock.now_ms = 1_000
-    for _number in range(1 if certain else health.FAILURES_LIMIT):
+    for _number in range(1 if certain else outlier_detection.FAILURES_LIMIT):
         noted.failed('p', 'test', 1_000, certain)
     noted.heard('p', asked_ms)
     assert noted.set_aside('p') is aside
--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -19,7 +19,7 @@
 from wrenspoke.coordination.serving import endpoint_selector
 from wrenspoke.coordination.serving import estimate
 from wrenspoke.coordination.serving import event_tracker
-from wrenspoke.coordination.serving import health
+from wrenspoke.coordination.serving import outlier_detection
 from wrenspoke.coordination.serving import pace as paces
 from wrenspoke.coordination.serving import remote_regions
 from wrenspoke.coordination.serving import repeats
@@ -48,7 +48,7 @@
         sender: sending.Sender,
         attended: attendance.Attendance,
         chosen: endpoint_selector.Choice,
-        noted: health.Health,
+        noted: outlier_detection.Health,
         reached: reach.Reach,
         estimator: estimate.Estimator,
         elsewhere: remote_regions.Regions,
--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -13,7 +13,7 @@
 from wrenspoke.coordination.membership import attendance
 from wrenspoke.coordination.membership import gauges
 from wrenspoke.coordination.membership import replica
-from wrenspoke.coordination.serving import health
+from wrenspoke.coordination.serving import outlier_detection
 from wrenspoke.coordination.serving import warmth as warmths
 from wrenspoke import ids
 from wrenspoke import mechanisms
@@ -37,7 +37,7 @@
         regions: collections.abc.Mapping[ids.DataCentreId, ids.RegionId],
         attended: attendance.Attendance,
         held: replica.Replica,
-        noted: health.Health,
+        noted: outlier_detection.Health,
         warmth: warmths.Warmth,
         known: gauges.Gauges,
         gate: endpoint_gate.EndpointGate,
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -16,7 +16,7 @@
 from wrenspoke.coordination.serving import availability
 from wrenspoke.coordination.serving import costs
 from wrenspoke.coordination.serving import estimate
-from wrenspoke.coordination.serving import health
+from wrenspoke.coordination.serving import outlier_detection
 from wrenspoke.coordination.serving import prefixes
 from wrenspoke.coordination.serving import return_line
 from wrenspoke.coordination.serving import samples
@@ -71,7 +71,7 @@
         regions: collections.abc.Mapping[ids.DataCentreId, ids.RegionId],
         attended: attendance.Attendance,
         held: replica.Replica,
-        noted: health.Health,
+        noted: outlier_detection.Health,
         estimator: estimate.Estimator,
         near: partners.Partners,
         available: availability.Availability,
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -28,7 +28,7 @@
 from wrenspoke.coordination.serving import availability
 from wrenspoke.coordination.serving import endpoint_selector
 from wrenspoke.coordination.serving import estimate
-from wrenspoke.coordination.serving import health
+from wrenspoke.coordination.serving import outlier_detection
 from wrenspoke.coordination.serving import passthrough
 from wrenspoke.coordination.serving import destinations
 from wrenspoke.coordination.serving import remote_regions
@@ -161,7 +161,7 @@
     ) -> None:
         """Build what knows how loaded engines are."""
         node = self.node
-        self._health = health.Health(self.clock)
+        self._health = outlier_detection.Health(self.clock)
         self._reach.tell_heard(self._host_heard)
         self._gauges = gauges.Gauges(
             node.region,
