--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -20,7 +20,7 @@
 from wrenspoke.coordination.serving import estimate
 from wrenspoke.coordination.serving import event_tracker
 from wrenspoke.coordination.serving import outlier_detection
-from wrenspoke.coordination.serving import pace as paces
+from wrenspoke.coordination.serving import engine_pace as paces
 from wrenspoke.coordination.serving import remote_regions
 from wrenspoke.coordination.serving import repeats
 from wrenspoke.coordination.serving import sending
@@ -339,7 +339,7 @@
         if work.service.batch is not None:
             tokens = work.service.batch.event_tokens
         return paces.PacedStream(
-            self._estimator.pace,
+            self._estimator.engine_pace,
             place.endpoint,
             tokens,
             work.route.pause_target_ms,
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -329,7 +329,7 @@
         token_ms = usual_ms = present_ms = 0.0
         if service.batch is not None:
             token_ms = self._estimator.model(service.service).token_ms
-            usual_ms, present_ms = self._estimator.pace.ahead(
+            usual_ms, present_ms = self._estimator.engine_pace.ahead(
                 name, service.batch.event_tokens
             )
         return messages.Offer(
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -12,7 +12,7 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.membership import gauges
 from wrenspoke.coordination.serving import backlog
-from wrenspoke.coordination.serving import pace
+from wrenspoke.coordination.serving import engine_pace
 from wrenspoke.coordination.serving import prefixes
 from wrenspoke.coordination.serving import reading
 from wrenspoke.coordination.serving import sent_calls
@@ -62,7 +62,7 @@
         self._gauges = known
         self.prefixes = prefixes.Prefixes()
         self.backlog = backlog.Backlog(clock)
-        self.pace = pace.Pace(clock)
+        self.pace = engine_pace.Pace(clock)
         self._models: dict[ids.ServiceId, reading.ReadingModel] = {}
         self._hold_ms: dict[ids.ServiceId, float] = {}
 
--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -16,7 +16,7 @@
 from wrenspoke.coordination.membership import reach
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.membership import views
-from wrenspoke.coordination.serving import pace
+from wrenspoke.coordination.serving import engine_pace
 from wrenspoke.coordination.serving import prefixes
 from wrenspoke.coordination.serving import sent_calls
 from wrenspoke import ids
@@ -115,7 +115,7 @@
         end_ms = first_ms
         if service.batch is not None:
             events = call.tokens_expected / service.batch.event_tokens
-            paced = pace.Ahead(found.usual_ms, found.present_ms)
+            paced = engine_pace.Ahead(found.usual_ms, found.present_ms)
             end_ms += paced.stream_ms(events)
         return Offered(region, host, first_ms, end_ms, unread_ms)
 
