--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -17,7 +17,7 @@
 from wrenspoke.coordination.serving import costs
 from wrenspoke.coordination.serving import estimate
 from wrenspoke.coordination.serving import outlier_detection
-from wrenspoke.coordination.serving import prefixes
+from wrenspoke.coordination.serving import prefix_index
 from wrenspoke.coordination.serving import return_line
 from wrenspoke.coordination.serving import samples
 from wrenspoke import ids
@@ -171,7 +171,7 @@
         names = [found.said.endpoint for found in candidates]
         usual = None
         if self._on(mechanisms.Mechanism.USUAL_ENGINES):
-            usual = prefixes.usual_endpoint(call.parts, names)
+            usual = prefix_index.usual_endpoint(call.parts, names)
         holder = self._holder(service, call, candidates)
         keeping = {usual, None if holder is None else holder.endpoint}
         if not self._moves(service):
@@ -205,7 +205,7 @@
         service: routes.RoutedService,
         call: dialects.Call,
         candidates: list[registry.Registered],
-    ) -> prefixes.Holder | None:
+    ) -> prefix_index.Holder | None:
         """Return the engine that keeps the most of a prompt.
 
         Only what this host sent there counts: where every host trusted
@@ -216,7 +216,7 @@
         names = [
             found.said.endpoint for found in candidates if not found.silent
         ]
-        return self._estimator.prefixes.holder(call.parts, names)
+        return self._estimator.prefix_index.holder(call.parts, names)
 
     def _moves(self, service: routes.RoutedService) -> bool:
         """Tell whether engines can take prompts over from each other."""
@@ -228,16 +228,16 @@
         self,
         item: Chosen,
         call: dialects.Call,
-        holder: prefixes.Holder | None,
+        holder: prefix_index.Holder | None,
     ) -> None:
         """Let an engine take from the holder what it lacks of a prompt."""
         name = item.found.said.endpoint
         if holder is None or holder.endpoint == name:
             return
-        kept = self._estimator.prefixes.kept_tokens(
+        kept = self._estimator.prefix_index.kept_tokens(
             name, call.parts, item.usual
         )
-        if holder.tokens - kept < prefixes.LEAST_MOVED_TOKENS:
+        if holder.tokens - kept < prefix_index.LEAST_MOVED_TOKENS:
             return
         item.source = self._attended.registry.held.get(holder.endpoint)
         item.moved_tokens = holder.tokens - kept
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -13,7 +13,7 @@
 from wrenspoke.coordination.membership import gauges
 from wrenspoke.coordination.serving import backlog
 from wrenspoke.coordination.serving import engine_pace
-from wrenspoke.coordination.serving import prefixes
+from wrenspoke.coordination.serving import prefix_index
 from wrenspoke.coordination.serving import reading
 from wrenspoke.coordination.serving import sent_calls
 from wrenspoke import ids
@@ -60,7 +60,7 @@
 
     def __init__(self, known: gauges.Gauges, clock: clocks.Clock):
         self._gauges = known
-        self.prefixes = prefixes.Prefixes()
+        self.prefixes = prefix_index.Prefixes()
         self.backlog = backlog.Backlog(clock)
         self.pace = engine_pace.Pace(clock)
         self._models: dict[ids.ServiceId, reading.ReadingModel] = {}
--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -17,7 +17,7 @@
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.membership import views
 from wrenspoke.coordination.serving import engine_pace
-from wrenspoke.coordination.serving import prefixes
+from wrenspoke.coordination.serving import prefix_index
 from wrenspoke.coordination.serving import sent_calls
 from wrenspoke import ids
 from wrenspoke.protocol import attending
@@ -81,7 +81,7 @@
         self._told: dict[
             tuple[ids.RegionId, ids.ServiceId], tuple[float, int]
         ] = {}
-        self._kept = prefixes.Prefixes()
+        self._kept = prefix_index.Prefixes()
 
     def offer(
         self,
