--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from wrenspoke.coordination.serving import reading
+from wrenspoke.coordination.serving import prefill_model
 
 BASE_MS, TOKEN_MS = 18.0, 1 / 52
 ENGINES = {'a': 1.0, 'b': 1.0, 'c': 1.3}
@@ -47,9 +47,11 @@
 @pytest.mark.parametrize('start', [0.1, 1.0, 10.0])
 def test_model_converges_from_wrong_starts(monkeypatch, start, seed):
     for name in ('FIRST_BASE_MS', 'FIRST_TOKEN_MS'):
-        monkeypatch.setattr(reading, name, getattr(reading, name) * start)
-    monkeypatch.setattr(reading, 'LEAST_SHARE', 0.005)
-    model = reading.ReadingModel()
+        monkeypatch.setattr(
+            prefill_model, name, getattr(prefill_model, name) * start
+        )
+    monkeypatch.setattr(prefill_model, 'LEAST_SHARE', 0.005)
+    model = prefill_model.ReadingModel()
     engine = SimulatedEngine(seed)
     play(model, engine, 100)
     ratios = play(model, engine, 200)
@@ -62,7 +64,7 @@
 
 @pytest.mark.parametrize('slowed', [3.0, 0.4])
 def test_model_follows_engines_that_change(slowed):
-    model = reading.ReadingModel()
+    model = prefill_model.ReadingModel()
     engine = SimulatedEngine(1)
     play(model, engine, 200)
     engine.slowed = slowed
@@ -73,7 +75,7 @@
 
 def test_what_waits_is_told_from_what_the_call_reads_itself():
     """Waiting tokens cost half here, as other hosts' calls drain too."""
-    model = reading.ReadingModel()
+    model = prefill_model.ReadingModel()
     chance = random.Random(1)
     for _number in range(300):
         unread = chance.uniform(100, 9_000)
@@ -85,7 +87,7 @@
 
 
 def test_call_that_hung_teaches_little():
-    model = reading.ReadingModel()
+    model = prefill_model.ReadingModel()
     play(model, SimulatedEngine(1), 300)
     before_ms = model.first_ms('a', 3_000, 0)
     model.note('a', 3_000, 0, 60_000)
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -14,7 +14,7 @@
 from wrenspoke.coordination.serving import backlog
 from wrenspoke.coordination.serving import engine_pace
 from wrenspoke.coordination.serving import prefix_index
-from wrenspoke.coordination.serving import reading
+from wrenspoke.coordination.serving import prefill_model
 from wrenspoke.coordination.serving import sent_calls
 from wrenspoke import ids
 from wrenspoke.protocol import attending
@@ -51,7 +51,7 @@
     moving_ms: float = 0.0
     pause_ms: float = 0.0
     harmed: int = 0
-    spread: float = reading.FIRST_SPREAD
+    spread: float = prefill_model.FIRST_SPREAD
     room: bool = True
 
 
@@ -63,14 +63,14 @@
         self.prefixes = prefix_index.Prefixes()
         self.backlog = backlog.Backlog(clock)
         self.pace = engine_pace.Pace(clock)
-        self._models: dict[ids.ServiceId, reading.ReadingModel] = {}
+        self._models: dict[ids.ServiceId, prefill_model.ReadingModel] = {}
         self._hold_ms: dict[ids.ServiceId, float] = {}
 
-    def model(self, service: ids.ServiceId) -> reading.ReadingModel:
+    def model(self, service: ids.ServiceId) -> prefill_model.ReadingModel:
         """Return what was learned of a service's engines."""
         found = self._models.get(service)
         if found is None:
-            found = self._models[service] = reading.ReadingModel()
+            found = self._models[service] = prefill_model.ReadingModel()
         return found
 
     def prospect(
