--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -15,7 +15,7 @@
 
 from tests import test_gauges
 from wrenspoke.coordination.serving import backlog
-from wrenspoke.coordination.serving import samples
+from wrenspoke.coordination.serving import sampling
 from wrenspoke.state import loads
 
 TOKEN_MS = 1 / 38.7
@@ -149,8 +149,8 @@
     hosts, engines, share, most
 ):
     """Each hears of the others' calls when they are a moment old."""
-    unheard_ms = waits_ms(hosts, engines, share, samples.sample)
-    told_ms = waits_ms(hosts, engines, share, samples.sample, TOLD_MS)
+    unheard_ms = waits_ms(hosts, engines, share, sampling.sample)
+    told_ms = waits_ms(hosts, engines, share, sampling.sample, TOLD_MS)
     assert told_ms < most * unheard_ms
 
 
@@ -175,14 +175,14 @@
 def test_calls_wait_no_longer_where_each_weighs_some(hosts, engines):
     """Reports are too old for the best of all to be much better."""
     weighing_all_ms = waits_ms(hosts, engines, BUSY_SHARE, every)
-    weighing_some_ms = waits_ms(hosts, engines, BUSY_SHARE, samples.sample)
+    weighing_some_ms = waits_ms(hosts, engines, BUSY_SHARE, sampling.sample)
     assert weighing_some_ms <= (1 + NOISE) * weighing_all_ms
 
 
 @pytest.mark.parametrize('engines', [1, 2, 16])
 def test_few_endpoints_are_all_weighed(engines):
     candidates = [test_gauges.registered(n) for n in range(engines)]
-    assert samples.sample(candidates, (), random.Random(1)) == candidates
+    assert sampling.sample(candidates, (), random.Random(1)) == candidates
 
 
 @pytest.mark.parametrize('engines', [20, 60, 200, 3_300])
@@ -190,7 +190,7 @@
     candidates = [test_gauges.registered(n) for n in range(engines)]
     always = {'e0', f'e{engines - 1}'}
     for seed in range(20):
-        drawn = samples.sample(candidates, always, random.Random(seed))
+        drawn = sampling.sample(candidates, always, random.Random(seed))
         names = [found.said.endpoint for found in drawn]
-        assert len(set(names)) == len(names) <= samples.SAMPLED_COUNT + 2
+        assert len(set(names)) == len(names) <= sampling.SAMPLED_COUNT + 2
         assert always <= set(names)
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -19,7 +19,7 @@
 from wrenspoke.coordination.serving import outlier_detection
 from wrenspoke.coordination.serving import prefix_index
 from wrenspoke.coordination.serving import return_line
-from wrenspoke.coordination.serving import samples
+from wrenspoke.coordination.serving import sampling
 from wrenspoke import ids
 from wrenspoke import mechanisms
 from wrenspoke.protocol import attending
@@ -177,7 +177,7 @@
         if not self._moves(service):
             holder = None
         estimated = []
-        for found in samples.sample(candidates, keeping, self._random):
+        for found in sampling.sample(candidates, keeping, self._random):
             name = found.said.endpoint
             item = Chosen(
                 found, estimate.Prospect(0.0), 0.0, True, name == usual, count
@@ -321,7 +321,7 @@
                         one, service, NO_PROMPT, self._in_flight_at(one), False
                     ),
                 )
-                for one in samples.sample(found, (), self._random)
+                for one in sampling.sample(found, (), self._random)
             ),
             key=lambda item: (not item[1].room, item[1].first_ms),
         )
