--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -742,7 +742,7 @@
     ),
     Switch(
         'parts of a repeat are rounded away',
-        DECISIONS + 'serving/spending.py',
+        DECISIONS + 'serving/shared_retry_budget.py',
         ('            part += order.index(self._host) < rest\n'),
         ('            pass\n'),
         ('tests/test_spending.py'),
--- a/tests/test_spending.py
+++ b/tests/test_spending.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from wrenspoke.coordination.serving import spending
+from wrenspoke.coordination.serving import shared_retry_budget
 
 WINDOW_MS = 10_000
 
@@ -20,7 +20,9 @@
 def sharing(count, bounds, clock):
     """Return the budgets of hosts that share them."""
     names = [f'10.0.{number // 250}.{number % 250}' for number in range(count)]
-    every = [spending.Spending(name, bounds, clock) for name in names]
+    every = [
+        shared_retry_budget.Spending(name, bounds, clock) for name in names
+    ]
     for budget in every:
         budget.share_with(names)
     return every
@@ -31,7 +33,7 @@
 @pytest.mark.parametrize('firsts', [0, 40, 1000])
 def test_all_hosts_together_keep_the_bound(hosts, firsts, fixed):
     clock = FakeClock()
-    bounds = spending.RetryBounds(0.2, fixed, WINDOW_MS)
+    bounds = shared_retry_budget.RetryBounds(0.2, fixed, WINDOW_MS)
     every = sharing(hosts, bounds, clock)
     for number in range(firsts):
         every[number % hosts].first('s')
@@ -45,16 +47,16 @@
 @pytest.mark.parametrize('hosts', [20, 60, 200, 710])
 def test_fixed_part_is_used_at_every_size(hosts):
     """Parts below one are no budget that nobody can use."""
-    bounds = spending.RetryBounds(0.2, 56, WINDOW_MS)
+    bounds = shared_retry_budget.RetryBounds(0.2, 56, WINDOW_MS)
     spent = 0
     for budget in sharing(hosts, bounds, FakeClock()):
         while budget.spend('s'):
             spent += 1
-    assert spent == int(spending.SPENT_SHARE * 56)
+    assert spent == int(shared_retry_budget.SPENT_SHARE * 56)
 
 
 def test_hosts_that_have_a_repeat_differ_by_service():
-    bounds = spending.RetryBounds(0.0, 56, WINDOW_MS)
+    bounds = shared_retry_budget.RetryBounds(0.0, 56, WINDOW_MS)
     every = sharing(200, bounds, FakeClock())
     having = [
         {number for number, one in enumerate(every) if one.spend(service)}
@@ -65,7 +67,7 @@
 
 def test_window_slides():
     clock = FakeClock()
-    bounds = spending.RetryBounds(0.0, 3, 1_000)
+    bounds = shared_retry_budget.RetryBounds(0.0, 3, 1_000)
     [budget] = sharing(1, bounds, clock)
     assert budget.spend('s') and budget.spend('s')
     assert not budget.spend('s')
@@ -74,7 +76,7 @@
 
 
 def test_services_do_not_share_a_budget():
-    bounds = spending.RetryBounds(0.0, 2, 1_000)
+    bounds = shared_retry_budget.RetryBounds(0.0, 2, 1_000)
     [budget] = sharing(1, bounds, FakeClock())
     assert budget.spend('a') and not budget.spend('a')
     assert budget.spend('b')
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -23,7 +23,7 @@
 from wrenspoke.coordination.quarantine import ended_runs
 from wrenspoke.coordination.quarantine import good_ends
 from wrenspoke.coordination.serving import shares
-from wrenspoke.coordination.serving import spending
+from wrenspoke.coordination.serving import shared_retry_budget
 from wrenspoke.protocol import attending
 from wrenspoke.protocol import limiting
 from wrenspoke.state import registry
@@ -242,7 +242,9 @@
 
 
 def spent_repeat(clock):
-    made = spending.Spending('h', spending.RetryBounds(0.0, 2, 10_000), clock)
+    made = shared_retry_budget.Spending(
+        'h', shared_retry_budget.RetryBounds(0.0, 2, 10_000), clock
+    )
     made.spend('s')
     return lambda: not made.spend('s')
 
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -21,7 +21,7 @@
 from wrenspoke.coordination.serving import endpoint_selector
 from wrenspoke.coordination.serving import destinations
 from wrenspoke.coordination.serving import return_line
-from wrenspoke.coordination.serving import spending
+from wrenspoke.coordination.serving import shared_retry_budget
 from wrenspoke.coordination.serving import attempts
 from wrenspoke.coordination.serving import call_context as works
 from wrenspoke import ids
@@ -73,7 +73,7 @@
         chosen: endpoint_selector.Choice,
         placed: destinations.Placing,
         tried: attempts.Tries,
-        budget: spending.Spending,
+        budget: shared_retry_budget.Spending,
         permitted: access.Access,
         limiter: limiters.Limiter,
         guard: guards.Guard,
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -34,7 +34,7 @@
 from wrenspoke.coordination.serving import remote_regions
 from wrenspoke.coordination.serving import sending
 from wrenspoke.coordination.serving import sent_calls
-from wrenspoke.coordination.serving import spending
+from wrenspoke.coordination.serving import shared_retry_budget
 from wrenspoke.coordination.serving import attempts
 from wrenspoke.coordination.serving import warmth
 from wrenspoke import ids
@@ -91,9 +91,9 @@
         self._hosts_client = web.HttpClient(
             node.entry.far_connect_timeout_ms, node.entry.host_idle_ms
         )
-        self.spending = spending.Spending(
+        self.spending = shared_retry_budget.Spending(
             node.host,
-            spending.RetryBounds(
+            shared_retry_budget.RetryBounds(
                 node.retries.ratio, node.retries.fixed, node.retries.window_ms
             ),
             self.clock,
