--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from wrenspoke.coordination.serving import repeats
+from wrenspoke.coordination.serving import retry_outcomes
 
 
 @pytest.mark.parametrize(
@@ -14,7 +14,7 @@
 )
 def test_repeats_are_made_where_they_pay(success, least, most):
     chance = random.Random(1)
-    known = repeats.Repeats(chance)
+    known = retry_outcomes.Repeats(chance)
     made = []
     for _number in range(500):
         pays = known.pays('r')
@@ -26,7 +26,7 @@
 
 
 def test_repeats_are_made_again_after_a_change():
-    known = repeats.Repeats(random.Random(1))
+    known = retry_outcomes.Repeats(random.Random(1))
     for _number in range(50):
         known.note('r', False)
     for _number in range(20):
--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -22,7 +22,7 @@
 from wrenspoke.coordination.serving import outlier_detection
 from wrenspoke.coordination.serving import engine_pace as paces
 from wrenspoke.coordination.serving import remote_regions
-from wrenspoke.coordination.serving import repeats
+from wrenspoke.coordination.serving import retry_outcomes
 from wrenspoke.coordination.serving import sending
 from wrenspoke.coordination.serving import sent_calls
 from wrenspoke.coordination.serving import call_context as works
@@ -63,7 +63,7 @@
         self._reach = reached
         self._estimator = estimator
         self._regions = elsewhere
-        self._repeats = repeats.Repeats()
+        self._repeats = retry_outcomes.Repeats()
         self._clock = clock
 
     async def make(self, work: works.Work, place: sending.Place) -> bool:
