--- a/tests/test_sent_calls.py
+++ b/tests/test_sent_calls.py
@@ -13,7 +13,7 @@
 from tests import test_registry
 from wrenspoke.coordination.membership import askers
 from wrenspoke.coordination.membership import roster
-from wrenspoke.coordination.serving import sent_calls
+from wrenspoke.coordination.serving import sent_call_broadcast
 from wrenspoke.protocol import dialect as dialects
 
 CALLS_PER_S = 4
@@ -49,7 +49,9 @@
             known.take(test_registry.record(other, data_centre='hall'))
         asking = askers.Askers('north', name, known, self.peers)
         asking.engines = len(fleet.names) // 2
-        self.told = sent_calls.SentCalls(name, asking, self.peers, clock)
+        self.told = sent_call_broadcast.SentCalls(
+            name, asking, self.peers, clock
+        )
         self.heard = []
         self.told.listen(self.heard.append)
         self.told.start()
@@ -91,9 +93,9 @@
             assert abs(len(host.heard) - (calls - own)) <= 1
             ages_ms = [sent.age_ms for sent in host.heard]
             interval_ms = min(
-                sent_calls.TELL_INTERVAL_MS
+                sent_call_broadcast.TELL_INTERVAL_MS
                 * host.told._askers.collectors_count,
-                sent_calls.LONGEST_INTERVAL_MS,
+                sent_call_broadcast.LONGEST_INTERVAL_MS,
             )
             assert max(ages_ms) <= interval_ms + 20
             assert host.heard[0].parts == [('a1b2c3d4', 6_300)]
--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -24,7 +24,7 @@
 from wrenspoke.coordination.serving import remote_regions
 from wrenspoke.coordination.serving import retry_outcomes
 from wrenspoke.coordination.serving import sending
-from wrenspoke.coordination.serving import sent_calls
+from wrenspoke.coordination.serving import sent_call_broadcast
 from wrenspoke.coordination.serving import call_context as works
 from wrenspoke.protocol import passing
 from wrenspoke.state import routes
@@ -53,7 +53,7 @@
         estimator: estimate.Estimator,
         elsewhere: remote_regions.Regions,
         clock: clocks.Clock,
-        told: sent_calls.SentCalls | None = None,
+        told: sent_call_broadcast.SentCalls | None = None,
     ):
         self._sent_calls = told
         self._sender = sender
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -15,7 +15,7 @@
 from wrenspoke.coordination.serving import engine_pace
 from wrenspoke.coordination.serving import prefix_index
 from wrenspoke.coordination.serving import prefill_model
-from wrenspoke.coordination.serving import sent_calls
+from wrenspoke.coordination.serving import sent_call_broadcast
 from wrenspoke import ids
 from wrenspoke.protocol import attending
 from wrenspoke.protocol import dialect as dialects
@@ -173,7 +173,7 @@
         """Note a call that another host of the region sent to an engine."""
         if service.batch is None:
             return
-        parts = sent_calls.prompt_parts(sent)
+        parts = sent_call_broadcast.prompt_parts(sent)
         self.prefixes.note(
             sent.endpoint, service.batch.cache_tokens, parts, sent.own_tokens
         )
--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -18,7 +18,7 @@
 from wrenspoke.coordination.membership import views
 from wrenspoke.coordination.serving import engine_pace
 from wrenspoke.coordination.serving import prefix_index
-from wrenspoke.coordination.serving import sent_calls
+from wrenspoke.coordination.serving import sent_call_broadcast
 from wrenspoke import ids
 from wrenspoke.protocol import attending
 from wrenspoke.protocol import dialect as dialects
@@ -65,7 +65,7 @@
         viewed: views.RegionViews,
         held: replica.Replica,
         clock: clocks.Clock,
-        told: sent_calls.SentCalls | None = None,
+        told: sent_call_broadcast.SentCalls | None = None,
     ):
         self._sent_calls = told
         if told is not None:
@@ -239,7 +239,7 @@
             ids.RegionId(region), collections.deque()
         )
         passed.append((self._clock.mono_ms() - sent.age_ms, sent.tokens))
-        parts = sent_calls.prompt_parts(sent)
+        parts = sent_call_broadcast.prompt_parts(sent)
         self._kept.note(sent.endpoint, service.batch.cache_tokens, parts)
 
     def note_told(
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -33,7 +33,7 @@
 from wrenspoke.coordination.serving import destinations
 from wrenspoke.coordination.serving import remote_regions
 from wrenspoke.coordination.serving import sending
-from wrenspoke.coordination.serving import sent_calls
+from wrenspoke.coordination.serving import sent_call_broadcast
 from wrenspoke.coordination.serving import shared_retry_budget
 from wrenspoke.coordination.serving import attempts
 from wrenspoke.coordination.serving import warmth
@@ -183,7 +183,7 @@
         self._estimator = estimate.Estimator(self._gauges, self.clock)
         self._sent_calls = None
         if mechanisms.Mechanism.TELLING_SENT not in node.switched_off:
-            self._sent_calls = sent_calls.SentCalls(
+            self._sent_calls = sent_call_broadcast.SentCalls(
                 node.host, self._askers, self.peers, self.clock
             )
             self._sent_calls.listen(self._note_sent_by_another)
