--- a/tests/test_warmth.py
+++ b/tests/test_warmth.py
@@ -7,13 +7,13 @@
 from tests import test_registry
 from wrenspoke.coordination.membership import askers
 from wrenspoke.coordination.membership import roster
-from wrenspoke.coordination.serving import warmth
+from wrenspoke.coordination.serving import warmup_probe
 from wrenspoke.protocol import attending
 
 
 @pytest.mark.parametrize(
     'before_ms, known',
-    [(warmth.EARLY_MS, True), (warmth.EARLY_MS + 1, False)],
+    [(warmup_probe.EARLY_MS, True), (warmup_probe.EARLY_MS + 1, False)],
     ids=['of this time', 'of an earlier time'],
 )
 def test_answer_to_another_host_may_come_before_the_change(before_ms, known):
@@ -25,7 +25,7 @@
     # One that two other hosts ask.
     number = next(n for n in range(99) if not asking.asks_of(f'e{n}'))
     endpoint = test_gauges.registered(number)
-    made = warmth.Warmth(
+    made = warmup_probe.Warmth(
         asking, None, None, None, stated_fleet.unlimited(clock), clock
     )
     status = attending.WarmupStatus(endpoint.said.endpoint, 500)
--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -14,7 +14,7 @@
 from wrenspoke.coordination.membership import gauges
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.serving import outlier_detection
-from wrenspoke.coordination.serving import warmth as warmths
+from wrenspoke.coordination.serving import warmup_probe as warmths
 from wrenspoke import ids
 from wrenspoke import mechanisms
 from wrenspoke.protocol import limiting
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -36,7 +36,7 @@
 from wrenspoke.coordination.serving import sent_call_broadcast
 from wrenspoke.coordination.serving import shared_retry_budget
 from wrenspoke.coordination.serving import attempts
-from wrenspoke.coordination.serving import warmth
+from wrenspoke.coordination.serving import warmup_probe
 from wrenspoke import ids
 from wrenspoke import mechanisms
 from wrenspoke import node as nodes
@@ -266,7 +266,7 @@
     def _build_serving(self, dialect: dialects.Dialect) -> None:
         """Build what serves requests and what listens for them."""
         node = self.node
-        self._warmth = warmth.Warmth(
+        self._warmth = warmup_probe.Warmth(
             self._askers,
             self.replica,
             dialect,
