--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -66,7 +66,9 @@
         self._repeats = retry_outcomes.Repeats()
         self._clock = clock
 
-    async def make(self, work: works.Work, place: sending.Place) -> bool:
+    async def make(
+        self, work: works.CallContext, place: sending.Place
+    ) -> bool:
         """Send once; return whether the caller has its answer."""
         counts = self._choice.in_flight
         counts[place.name] = counts.get(place.name, 0) + 1
@@ -104,7 +106,9 @@
                 del counts[place.name]
         return False
 
-    async def admit(self, work: works.Work, place: sending.Place) -> bool:
+    async def admit(
+        self, work: works.CallContext, place: sending.Place
+    ) -> bool:
         """Acquire a permit to send; False where the endpoint takes no more."""
         try:
             await self._sender.admit(place, _rank(work, place))
@@ -121,10 +125,12 @@
             return False
         return True
 
-    def _left_ms(self, work: works.Work) -> int:
+    def _left_ms(self, work: works.CallContext) -> int:
         return work.deadline_ms - self._clock.mono_ms()
 
-    def _note_sent(self, work: works.Work, place: sending.Place) -> None:
+    def _note_sent(
+        self, work: works.CallContext, place: sending.Place
+    ) -> None:
         place.sent_ms = self._clock.mono_ms()
         if place.chosen is None:
             return
@@ -139,7 +145,9 @@
                 work.call.tokens_expected,
             )
 
-    def _note_first(self, work: works.Work, place: sending.Place) -> None:
+    def _note_first(
+        self, work: works.CallContext, place: sending.Place
+    ) -> None:
         """Record the time to the first piece of a response."""
         work.first_at_ms = self._clock.mono_ms()
         took_ms = work.first_at_ms - place.sent_ms
@@ -152,7 +160,7 @@
 
     @contextlib.asynccontextmanager
     async def _watched(
-        self, work: works.Work, place: sending.Place
+        self, work: works.CallContext, place: sending.Place
     ) -> collections.abc.AsyncIterator[None]:
         """Give up on a host that falls silent, if the call may be retried.
 
@@ -179,7 +187,7 @@
 
     def _failed(
         self,
-        work: works.Work,
+        work: works.CallContext,
         place: sending.Place,
         cause: str,
         certain: bool = False,
@@ -198,7 +206,9 @@
             left_ms=self._left_ms(work),
         )
 
-    def _held_back(self, work: works.Work, place: sending.Place) -> None:
+    def _held_back(
+        self, work: works.CallContext, place: sending.Place
+    ) -> None:
         """Record that a send was rejected by a check at send time.
 
         Where another team holds its key now, the place may be tried again;
@@ -217,7 +227,10 @@
         )
 
     async def _take(
-        self, work: works.Work, place: sending.Place, answer: sending.Answer
+        self,
+        work: works.CallContext,
+        place: sending.Place,
+        answer: sending.Answer,
     ) -> bool:
         """Pass a response on, or hold it back where another attempt is due."""
         place.answered = True
@@ -267,7 +280,10 @@
         return True
 
     async def _take_refusal(
-        self, work: works.Work, place: sending.Place, answer: sending.Answer
+        self,
+        work: works.CallContext,
+        place: sending.Place,
+        answer: sending.Answer,
     ) -> bool:
         """Take the refusal of a host of another region.
 
@@ -293,7 +309,7 @@
             )
         return False
 
-    def _may_repeat(self, work: works.Work) -> bool:
+    def _may_repeat(self, work: works.CallContext) -> bool:
         return (
             work.route.repeatable
             and not work.reply.started
@@ -304,7 +320,10 @@
     # Streams.
 
     async def _stream(
-        self, work: works.Work, place: sending.Place, answer: sending.Answer
+        self,
+        work: works.CallContext,
+        place: sending.Place,
+        answer: sending.Answer,
     ) -> None:
         """Pass a stream on; the head is sent with the first piece."""
         tracker = event_tracker.EventTracker(whole_only=work.route.resumable)
@@ -313,7 +332,7 @@
 
     async def _pass_events(
         self,
-        work: works.Work,
+        work: works.CallContext,
         place: sending.Place,
         answer: sending.Answer,
         tracker: event_tracker.EventTracker,
@@ -333,7 +352,7 @@
                 await work.reply.write(data)
 
     def _paced(
-        self, work: works.Work, place: sending.Place
+        self, work: works.CallContext, place: sending.Place
     ) -> paces.PacedStream:
         tokens = 1
         if work.service.batch is not None:
@@ -347,7 +366,7 @@
 
     async def _end_stream(
         self,
-        work: works.Work,
+        work: works.CallContext,
         place: sending.Place,
         answer: sending.Answer,
         tracker: event_tracker.EventTracker,
@@ -361,7 +380,10 @@
         self._log_end(work, place, answer.status, tracker.count)
 
     async def _go_on(
-        self, work: works.Work, place: sending.Place, answer: sending.Answer
+        self,
+        work: works.CallContext,
+        place: sending.Place,
+        answer: sending.Answer,
     ) -> bool:
         """Continue a stream that another endpoint began."""
         if answer.status not in OK_STATUSES:
@@ -379,7 +401,7 @@
 
     def _log_end(
         self,
-        work: works.Work,
+        work: works.CallContext,
         place: sending.Place,
         status: int,
         pieces: int = 1,
@@ -405,7 +427,7 @@
         )
 
     @staticmethod
-    def _took_ms(work: works.Work, place: sending.Place) -> int | None:
+    def _took_ms(work: works.CallContext, place: sending.Place) -> int | None:
         """Return how long the first piece took after the call was sent.
 
         None where another endpoint gave it.
@@ -415,7 +437,7 @@
         return work.first_at_ms - place.sent_ms
 
 
-def _rank(work: works.Work, place: sending.Place) -> int:
+def _rank(work: works.CallContext, place: sending.Place) -> int:
     """Return a call's rank among those that want the same endpoint.
 
     A stream that another endpoint began goes first.
--- a/wrenspoke/coordination/serving/call_context.py
+++ b/wrenspoke/coordination/serving/call_context.py
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass
-class Work:
+class CallContext:
     """Hold how far serving one call has come."""
 
     call: dialects.Call
--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -75,7 +75,7 @@
         self._switched_off = switched_off
         self._clock = clock
 
-    def next_place(self, work: works.Work) -> sending.Place | None:
+    def next_place(self, work: works.CallContext) -> sending.Place | None:
         """Return where to send a call, None where nothing takes it.
 
         :raises BusyError: who passed it on can do better
@@ -102,7 +102,7 @@
     def _on(self, mechanism: mechanisms.Mechanism) -> bool:
         return mechanism not in self._switched_off
 
-    def _bounds(self, work: works.Work) -> costs.Bounds:
+    def _bounds(self, work: works.CallContext) -> costs.Bounds:
         now_ms = self._clock.mono_ms()
         target_ms = work.route.target_ms
         return costs.Bounds(
@@ -114,7 +114,7 @@
 
     def _refuse_hopeless(
         self,
-        work: works.Work,
+        work: works.CallContext,
         bounds: costs.Bounds,
         first_ms: float,
         end_ms: float,
@@ -143,7 +143,7 @@
         )
 
     def _refuse_if_slower(
-        self, work: works.Work, local: endpoint_selector.Chosen | None
+        self, work: works.CallContext, local: endpoint_selector.Chosen | None
     ) -> None:
         limit_ms = work.hop.limit_ms
         if limit_ms is None or work.sent or local is None:
@@ -152,7 +152,7 @@
             raise BusyError(local.first_ms)
 
     def _local(
-        self, work: works.Work, bounds: costs.Bounds
+        self, work: works.CallContext, bounds: costs.Bounds
     ) -> endpoint_selector.Chosen | None:
         if not work.route.allows(self._region):
             return None
@@ -162,7 +162,7 @@
 
     def _endpoint_place(
         self,
-        work: works.Work,
+        work: works.CallContext,
         chosen: endpoint_selector.Chosen | None,
     ) -> sending.Place | None:
         if chosen is None:
@@ -195,7 +195,7 @@
         )
 
     def _best_elsewhere(
-        self, work: works.Work, bounds: costs.Bounds
+        self, work: works.CallContext, bounds: costs.Bounds
     ) -> tuple[remote_regions.Offered | None, float]:
         """Return the best other region and what it costs."""
         best, best_ms = None, 0.0
@@ -222,7 +222,7 @@
         return best, best_ms
 
     def _relay_to(
-        self, work: works.Work, region: ids.RegionId
+        self, work: works.CallContext, region: ids.RegionId
     ) -> attending.HostRecord | None:
         """Return a host by way of which a region can be reached."""
         allowed = self._choice.other_regions(work.route)
@@ -232,7 +232,7 @@
         return None
 
     def _relay(
-        self, work: works.Work, region: ids.RegionId
+        self, work: works.CallContext, region: ids.RegionId
     ) -> sending.Place | None:
         """Return the host that a call for a third region goes on to."""
         if region in work.regions_out or not work.route.allows(region):
@@ -264,7 +264,7 @@
 
     def _host_place(
         self,
-        work: works.Work,
+        work: works.CallContext,
         found: remote_regions.Offered,
         local: endpoint_selector.Chosen | None,
     ) -> sending.Place:
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -127,7 +127,7 @@
         finally:
             self.in_flight -= 1
 
-    async def _serve_counted(self, work: works.Work) -> None:
+    async def _serve_counted(self, work: works.CallContext) -> None:
         """Serve a call; what it took and did not use is given back."""
         try:
             await self._serve(work)
@@ -140,7 +140,7 @@
         call: dialects.Call,
         reply: passing.Reply,
         hop: passing.Hop | None,
-    ) -> works.Work | None:
+    ) -> works.CallContext | None:
         """Find the call's route; answer it where there is none."""
         if self.closed:
             await self._refuse(call, reply, passing.Refusal.LEAVING)
@@ -173,7 +173,7 @@
             await self._refuse_over_limit(call, reply, error)
             return None
         left_ms = min(call.left_ms, permit.route.timeout_ms)
-        return works.Work(
+        return works.CallContext(
             call,
             permit,
             service,
@@ -301,10 +301,10 @@
             return hop.service
         return self._choice.draw(route.targets)
 
-    def _left_ms(self, work: works.Work) -> int:
+    def _left_ms(self, work: works.CallContext) -> int:
         return work.deadline_ms - self._clock.mono_ms()
 
-    async def _serve(self, work: works.Work) -> None:
+    async def _serve(self, work: works.CallContext) -> None:
         if work.hop is None:
             # Counted where the caller sent it, and nowhere else.
             self._spending.first(work.service.service)
@@ -346,7 +346,7 @@
         await self._give_up(work, BAD_GATEWAY)
 
     async def _refuse_held(
-        self, work: works.Work, error: errors.QuarantinedError
+        self, work: works.CallContext, error: errors.QuarantinedError
     ) -> None:
         """Turn away at once what no endpoint is sent.
 
@@ -363,7 +363,7 @@
             UNAVAILABLE, passing.Refusal.QUARANTINED, error.held_ms
         )
 
-    async def _try_all(self, work: works.Work) -> bool:
+    async def _try_all(self, work: works.CallContext) -> bool:
         """Try until it is answered; False when it is given up.
 
         :raises QuarantinedError: no endpoint is sent it now
@@ -394,7 +394,7 @@
         work.cause = work.cause or 'timeout'
         return False
 
-    def _may_go_on(self, work: works.Work) -> bool:
+    def _may_go_on(self, work: works.CallContext) -> bool:
         if work.unrun >= UNRUN_LIMIT:
             return False
         if not work.may_have_run:
@@ -403,7 +403,7 @@
             return False
         return work.runs < work.runs_limit
 
-    async def _give_up(self, work: works.Work, status: int) -> None:
+    async def _give_up(self, work: works.CallContext, status: int) -> None:
         """Give the final answer, at once, and say whether it has run."""
         if not work.may_have_run:
             status = UNAVAILABLE
@@ -435,7 +435,7 @@
         )
         await work.reply.refuse(status, reason, retry_after_ms)
 
-    def _return_in_ms(self, work: works.Work) -> int:
+    def _return_in_ms(self, work: works.CallContext) -> int:
         """Return when a caller that found no endpoint should come back.
 
         Callers that are sent away together are spread.
