--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -259,7 +259,7 @@
             if self._may_repeat(work) and self._repeats.pays(work.route.name):
                 work.cause = f'status {answer.status}'
                 body = await answer.whole(WHOLE_LIMIT_BYTES)
-                work.kept = works.KeptAnswer(
+                work.kept = works.RetainedResponse(
                     answer.status, answer.fields, body
                 )
                 return False
--- a/wrenspoke/coordination/serving/call_context.py
+++ b/wrenspoke/coordination/serving/call_context.py
@@ -12,7 +12,7 @@
 
 
 @dataclasses.dataclass
-class KeptAnswer:
+class RetainedResponse:
     """Hold an endpoint's failure while another try is made."""
 
     status: int
@@ -45,7 +45,7 @@
     first_at_ms: int | None = None
     last_piece_ms: int | None = None
     longest_pause_ms: int = 0
-    kept: KeptAnswer | None = None
+    kept: RetainedResponse | None = None
     tracker: event_tracker.EventTracker | None = None
 
     @property
