--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -292,7 +292,7 @@
         """
         work.cause = f'{place.name}: {answer.refused}'
         if answer.status == UNAVAILABLE:
-            work.unrun += 1
+            work.unexecuted_sends += 1
         if answer.refused in passing.NOTHING_SENT:
             work.sent -= 1
         if answer.refused is passing.Refusal.UNSENT:
@@ -423,7 +423,7 @@
             expected_ms=place.expected_ms,
             took_ms=self._took_ms(work, place),
             runs=work.runs,
-            unrun=work.unrun,
+            unexecuted_sends=work.unexecuted_sends,
         )
 
     @staticmethod
--- a/wrenspoke/coordination/serving/call_context.py
+++ b/wrenspoke/coordination/serving/call_context.py
@@ -32,7 +32,7 @@
     hop: passing.Hop | None = None
     taken: limiter.Taken | None = None
     runs: int = 0
-    unrun: int = 0
+    unexecuted_sends: int = 0
     sent: int = 0
     regions_out: set[ids.RegionId] = dataclasses.field(default_factory=set)
     tried: set[str] = dataclasses.field(default_factory=set)
@@ -63,7 +63,7 @@
     def was_not_run(self) -> None:
         """Take back that the last send may have run."""
         self.count_runs(-1)
-        self.unrun += 1
+        self.unexecuted_sends += 1
 
     def count_runs(self, more: int) -> None:
         """Count runs, and tell them to a host that passed the call on."""
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -395,7 +395,7 @@
         return False
 
     def _may_go_on(self, work: works.CallContext) -> bool:
-        if work.unrun >= UNRUN_LIMIT:
+        if work.unexecuted_sends >= UNRUN_LIMIT:
             return False
         if not work.may_have_run:
             return True
@@ -414,7 +414,7 @@
             status=status,
             cause=work.cause,
             runs=work.runs,
-            unrun=work.unrun,
+            unexecuted_sends=work.unexecuted_sends,
             left_ms=self._left_ms(work),
             held_ms=self._clock.mono_ms() - work.call.arrived_ms,
             free_places=self._choice.free_places(work.service),
