--- a/wrenspoke/coordination/serving/call_context.py
+++ b/wrenspoke/coordination/serving/call_context.py
@@ -33,7 +33,7 @@
     taken: limiter.Taken | None = None
     runs: int = 0
     unexecuted_sends: int = 0
-    sent: int = 0
+    send_count: int = 0
     regions_out: set[ids.RegionId] = dataclasses.field(default_factory=set)
     tried: set[str] = dataclasses.field(default_factory=set)
     cause: str = ''
