--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -298,7 +298,7 @@
         if answer.refused is passing.Refusal.UNSENT:
             work.told_return_ms = int(answer.retry_after_ms) or None
         if answer.refused in (passing.Refusal.UNSENT, passing.Refusal.BUSY):
-            work.regions_out.add(place.region)
+            work.refusing_regions.add(place.region)
         if answer.refused == passing.Refusal.UNKNOWN_KEY:
             raise errors.UnknownKeyError(work.cause)
         if answer.refused == passing.Refusal.QUARANTINED:
--- a/wrenspoke/coordination/serving/call_context.py
+++ b/wrenspoke/coordination/serving/call_context.py
@@ -34,7 +34,9 @@
     runs: int = 0
     unexecuted_sends: int = 0
     send_count: int = 0
-    regions_out: set[ids.RegionId] = dataclasses.field(default_factory=set)
+    refusing_regions: set[ids.RegionId] = dataclasses.field(
+        default_factory=set
+    )
     tried: set[str] = dataclasses.field(default_factory=set)
     cause: str = ''
     retry_after_ms: int | None = None
--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -201,7 +201,7 @@
         best, best_ms = None, 0.0
         spread = self._choice.spread(work.service.service)
         for region in self._choice.other_regions(work.route):
-            if region in work.regions_out:
+            if region in work.refusing_regions:
                 continue
             host = self._choice.host_in(region, work.tried)
             if host is None and self._on(mechanisms.Mechanism.RELAYS):
@@ -235,7 +235,7 @@
         self, work: works.CallContext, region: ids.RegionId
     ) -> sending.Place | None:
         """Return the host that a call for a third region goes on to."""
-        if region in work.regions_out or not work.route.allows(region):
+        if region in work.refusing_regions or not work.route.allows(region):
             return None
         host = self._choice.host_in(region, work.tried)
         if host is None:
