--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -296,7 +296,7 @@
         if answer.refused in passing.NOTHING_SENT:
             work.sent -= 1
         if answer.refused is passing.Refusal.UNSENT:
-            work.told_return_ms = int(answer.retry_after_ms) or None
+            work.remote_retry_after_ms = int(answer.retry_after_ms) or None
         if answer.refused in (passing.Refusal.UNSENT, passing.Refusal.BUSY):
             work.refusing_regions.add(place.region)
         if answer.refused == passing.Refusal.UNKNOWN_KEY:
--- a/wrenspoke/coordination/serving/call_context.py
+++ b/wrenspoke/coordination/serving/call_context.py
@@ -41,7 +41,7 @@
     cause: str = ''
     retry_after_ms: int | None = None
     # When a host elsewhere that could not send it said to come back.
-    told_return_ms: int | None = None
+    remote_retry_after_ms: int | None = None
     # Endpoints that took no more when it was about to be sent.
     over_limit: int = 0
     first_at_ms: int | None = None
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -442,7 +442,7 @@
         """
         known_ms = self._choice.return_in_ms(work.service, work.permit.urgency)
         if known_ms is None:
-            known_ms = work.told_return_ms or RETRY_AFTER_MS
+            known_ms = work.remote_retry_after_ms or RETRY_AFTER_MS
         urgency = 0
         if self._choice.backs_off(work.service):
             urgency = work.permit.urgency
