--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -113,7 +113,7 @@
         try:
             await self._sender.admit(place, _rank(work, place))
         except errors.EndpointBusyError as error:
-            work.over_limit += 1
+            work.permit_rejections += 1
             work.cause = str(error)
             logger.info(
                 'over_endpoint_limit',
--- a/wrenspoke/coordination/serving/call_context.py
+++ b/wrenspoke/coordination/serving/call_context.py
@@ -43,7 +43,7 @@
     # When a host elsewhere that could not send it said to come back.
     remote_retry_after_ms: int | None = None
     # Endpoints that took no more when it was about to be sent.
-    over_limit: int = 0
+    permit_rejections: int = 0
     first_at_ms: int | None = None
     last_piece_ms: int | None = None
     longest_pause_ms: int = 0
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -380,7 +380,7 @@
             # Before the budget of repeats, which a call that is not sent
             # leaves as it is.
             if not await self._tries.admit(work, place):
-                if work.over_limit >= OVER_LIMIT_TRIES:
+                if work.permit_rejections >= OVER_LIMIT_TRIES:
                     return False
                 continue
             if work.sent and not self._spending.spend(work.service.service):
