--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -149,8 +149,8 @@
         self, work: works.CallContext, place: sending.Place
     ) -> None:
         """Record the time to the first piece of a response."""
-        work.first_at_ms = self._clock.mono_ms()
-        took_ms = work.first_at_ms - place.sent_ms
+        work.first_piece_at_ms = self._clock.mono_ms()
+        took_ms = work.first_piece_at_ms - place.sent_ms
         if place.region is not None:
             return
         self._estimator.note_read(place.endpoint, place.prefill_model)
@@ -407,7 +407,7 @@
         pieces: int = 1,
     ) -> None:
         now_ms = self._clock.mono_ms()
-        first_ms = (work.first_at_ms or now_ms) - work.call.arrived_ms
+        first_ms = (work.first_piece_at_ms or now_ms) - work.call.arrived_ms
         logger.info(
             'answered',
             request=work.call.request,
@@ -432,9 +432,12 @@
 
         None where another endpoint gave it.
         """
-        if work.first_at_ms is None or work.first_at_ms < place.sent_ms:
+        if (
+            work.first_piece_at_ms is None
+            or work.first_piece_at_ms < place.sent_ms
+        ):
             return None
-        return work.first_at_ms - place.sent_ms
+        return work.first_piece_at_ms - place.sent_ms
 
 
 def _rank(work: works.CallContext, place: sending.Place) -> int:
--- a/wrenspoke/coordination/serving/call_context.py
+++ b/wrenspoke/coordination/serving/call_context.py
@@ -44,7 +44,7 @@
     remote_retry_after_ms: int | None = None
     # Endpoints that took no more when it was about to be sent.
     permit_rejections: int = 0
-    first_at_ms: int | None = None
+    first_piece_at_ms: int | None = None
     last_piece_ms: int | None = None
     longest_pause_ms: int = 0
     kept: RetainedResponse | None = None
