--- a/wrenspoke/coordination/serving/call_context.py
+++ b/wrenspoke/coordination/serving/call_context.py
@@ -45,7 +45,7 @@
     # Endpoints that took no more when it was about to be sent.
     permit_rejections: int = 0
     first_piece_at_ms: int | None = None
-    last_piece_ms: int | None = None
+    last_piece_at_ms: int | None = None
     longest_pause_ms: int = 0
     kept: RetainedResponse | None = None
     tracker: event_tracker.EventTracker | None = None
@@ -57,10 +57,10 @@
 
     def note_piece(self, now_ms: int) -> None:
         """Note that a piece of the answer goes to the caller."""
-        if self.last_piece_ms is not None:
-            pause_ms = now_ms - self.last_piece_ms
+        if self.last_piece_at_ms is not None:
+            pause_ms = now_ms - self.last_piece_at_ms
             self.longest_pause_ms = max(self.longest_pause_ms, pause_ms)
-        self.last_piece_ms = now_ms
+        self.last_piece_at_ms = now_ms
 
     def was_not_run(self) -> None:
         """Take back that the last send may have run."""
