--- a/wrenspoke/coordination/serving/call_context.py
+++ b/wrenspoke/coordination/serving/call_context.py
@@ -47,7 +47,7 @@
     first_piece_at_ms: int | None = None
     last_piece_at_ms: int | None = None
     longest_pause_ms: int = 0
-    kept: RetainedResponse | None = None
+    retained_response: RetainedResponse | None = None
     tracker: event_tracker.EventTracker | None = None
 
     @property
