--- a/wrenspoke/coordination/serving/call_context.py
+++ b/wrenspoke/coordination/serving/call_context.py
@@ -55,7 +55,7 @@
         """Return the call's route, with the homes that its team allows."""
         return self.permit.route
 
-    def note_piece(self, now_ms: int) -> None:
+    def record_piece(self, now_ms: int) -> None:
         """Note that a piece of the answer goes to the caller."""
         if self.last_piece_at_ms is not None:
             pause_ms = now_ms - self.last_piece_at_ms
