--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -91,11 +91,11 @@
                     return await self._take(work, place, answer)
         except errors.HeldBackError:
             work.sent -= 1
-            work.was_not_run()
+            work.mark_not_run()
             self._held_back(work, place)
         except errors.NotSentError as error:
             work.sent -= 1
-            work.was_not_run()
+            work.mark_not_run()
             self._failed(work, place, f'not sent: {error}', certain=True)
         except errors.MaybeSentError as error:
             self._failed(work, place, str(error))
@@ -239,7 +239,7 @@
         if place.host is not None:
             work.count_runs(answer.runs - 1)
         if answer.verdict is sending.Verdict.NOT_HERE:
-            work.was_not_run()
+            work.mark_not_run()
             work.cause = 'not here any more'
             # Nothing of this life of it will come back.
             self._attended.withdraw(
@@ -247,7 +247,7 @@
             )
             return False
         if answer.verdict is sending.Verdict.NOT_RUN:
-            work.was_not_run()
+            work.mark_not_run()
             work.cause = f'endpoint refused with {answer.status}'
             return False
         if answer.refused is not None:
--- a/wrenspoke/coordination/serving/call_context.py
+++ b/wrenspoke/coordination/serving/call_context.py
@@ -62,7 +62,7 @@
             self.longest_pause_ms = max(self.longest_pause_ms, pause_ms)
         self.last_piece_at_ms = now_ms
 
-    def was_not_run(self) -> None:
+    def mark_not_run(self) -> None:
         """Take back that the last send may have run."""
         self.count_runs(-1)
         self.unexecuted_sends += 1
