--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -215,7 +215,7 @@
         not where the permit expired on the way.
         """
         if place.send_permit is None or place.send_permit.is_valid():
-            work.tried.discard(place.name)
+            work.attempted.discard(place.name)
         work.cause = f'{place.name}: may not go there any more'
         logger.warning(
             'held_back',
--- a/wrenspoke/coordination/serving/call_context.py
+++ b/wrenspoke/coordination/serving/call_context.py
@@ -37,7 +37,7 @@
     refusing_regions: set[ids.RegionId] = dataclasses.field(
         default_factory=set
     )
-    tried: set[str] = dataclasses.field(default_factory=set)
+    attempted: set[str] = dataclasses.field(default_factory=set)
     cause: str = ''
     retry_after_ms: int | None = None
     # When a host elsewhere that could not send it said to come back.
--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -157,7 +157,7 @@
         if not work.route.allows(self._region):
             return None
         return self._choice.choose(
-            work.service, work.route, work.call, work.tried, bounds
+            work.service, work.route, work.call, work.attempted, bounds
         )
 
     def _endpoint_place(
@@ -203,7 +203,7 @@
         for region in self._choice.other_regions(work.route):
             if region in work.refusing_regions:
                 continue
-            host = self._choice.host_in(region, work.tried)
+            host = self._choice.host_in(region, work.attempted)
             if host is None and self._on(mechanisms.Mechanism.RELAYS):
                 host = self._relay_to(work, region)
             if host is None:
@@ -227,7 +227,7 @@
         """Return a host by way of which a region can be reached."""
         allowed = self._choice.other_regions(work.route)
         for host in self._regions.relays(region, allowed):
-            if host.host not in work.tried:
+            if host.host not in work.attempted:
                 return host
         return None
 
@@ -237,7 +237,7 @@
         """Return the host that a call for a third region goes on to."""
         if region in work.refusing_regions or not work.route.allows(region):
             return None
-        host = self._choice.host_in(region, work.tried)
+        host = self._choice.host_in(region, work.attempted)
         if host is None:
             return None
         logger.info(
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -386,7 +386,7 @@
             if work.sent and not self._spending.spend(work.service.service):
                 work.cause = f'{work.cause} (no retry left)'
                 return False
-            work.tried.add(place.name)
+            work.attempted.add(place.name)
             if await self._tries.make(work, place):
                 return True
             if not self._may_go_on(work):
