--- a/wrenspoke/coordination/serving/call_context.py
+++ b/wrenspoke/coordination/serving/call_context.py
@@ -67,9 +67,9 @@
         self.count_runs(-1)
         self.unexecuted_sends += 1
 
-    def count_runs(self, more: int) -> None:
+    def count_runs(self, delta: int) -> None:
         """Count runs, and tell them to a host that passed the call on."""
-        self.runs += more
+        self.runs += delta
         if self.hop is not None:
             self.reply.runs = self.runs
 
