--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -47,7 +47,7 @@
         self,
         sender: sending.Sender,
         attended: attendance.Attendance,
-        chosen: endpoint_selector.Choice,
+        chosen: endpoint_selector.EndpointSelector,
         noted: outlier_detection.Health,
         reached: reach.Reach,
         estimator: estimate.Estimator,
--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -62,7 +62,7 @@
         host: ids.HostId,
         region: ids.RegionId,
         held: replica.Replica,
-        chosen: endpoint_selector.Choice,
+        chosen: endpoint_selector.EndpointSelector,
         elsewhere: remote_regions.Regions,
         switched_off: collections.abc.Set[mechanisms.Mechanism],
         clock: clocks.Clock,
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -62,7 +62,7 @@
     moved_tokens: float = 0.0
 
 
-class Choice:
+class EndpointSelector:
     """Choose among registered endpoints and other regions."""
 
     def __init__(
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -70,7 +70,7 @@
         self,
         held: replica.Replica,
         attended: attendance.Attendance,
-        chosen: endpoint_selector.Choice,
+        chosen: endpoint_selector.EndpointSelector,
         placed: destinations.Placing,
         tried: attempts.Tries,
         budget: shared_retry_budget.Spending,
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -295,7 +295,7 @@
             node.switched_off,
             self.clock,
         )
-        self._choice = endpoint_selector.Choice(
+        self._choice = endpoint_selector.EndpointSelector(
             node.region,
             node.regions,
             self.attendance,
