--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -143,7 +143,9 @@
         )
 
     def _refuse_if_slower(
-        self, work: works.CallContext, local: endpoint_selector.Chosen | None
+        self,
+        work: works.CallContext,
+        local: endpoint_selector.EndpointSelection | None,
     ) -> None:
         limit_ms = work.hop.limit_ms
         if limit_ms is None or work.sent or local is None:
@@ -153,7 +155,7 @@
 
     def _local(
         self, work: works.CallContext, bounds: costs.Bounds
-    ) -> endpoint_selector.Chosen | None:
+    ) -> endpoint_selector.EndpointSelection | None:
         if not work.route.allows(self._region):
             return None
         return self._choice.choose(
@@ -163,7 +165,7 @@
     def _endpoint_place(
         self,
         work: works.CallContext,
-        chosen: endpoint_selector.Chosen | None,
+        chosen: endpoint_selector.EndpointSelection | None,
     ) -> sending.Place | None:
         if chosen is None:
             return None
@@ -266,7 +268,7 @@
         self,
         work: works.CallContext,
         found: remote_regions.Offered,
-        local: endpoint_selector.Chosen | None,
+        local: endpoint_selector.EndpointSelection | None,
     ) -> sending.Place:
         # Where it is turned back, the way there and back is lost as well.
         limit_ms = work.deadline_ms - self._clock.mono_ms()
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -40,7 +40,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Chosen:
+class EndpointSelection:
     """Name the endpoint that a call goes to, and how it was found.
 
     ``first_ms`` is when its first piece is expected, with what speaks
@@ -111,7 +111,7 @@
         call: dialects.Call,
         excluded: collections.abc.Container[ids.EndpointId],
         bounds: costs.Bounds,
-    ) -> Chosen | None:
+    ) -> EndpointSelection | None:
         """Return the best endpoint of this region, None without one."""
         every = [
             found
@@ -123,7 +123,7 @@
         sound = [found for found in warm if not self._available.doubted(found)]
         warming = self._available.warming_turn(service, every)
         if warming is not None:
-            return Chosen(
+            return EndpointSelection(
                 warming, estimate.Prospect(0.0), 0.0, True, False, len(every)
             )
         candidates = sound or warm
@@ -167,7 +167,7 @@
         call: dialects.Call,
         candidates: list[registry.Registered],
         count: int,
-    ) -> list[Chosen]:
+    ) -> list[EndpointSelection]:
         names = [found.said.endpoint for found in candidates]
         usual = None
         if self._on(mechanisms.Mechanism.USUAL_ENGINES):
@@ -179,7 +179,7 @@
         estimated = []
         for found in sampling.sample(candidates, keeping, self._random):
             name = found.said.endpoint
-            item = Chosen(
+            item = EndpointSelection(
                 found, estimate.Prospect(0.0), 0.0, True, name == usual, count
             )
             self._take_over(item, call, holder)
@@ -226,7 +226,7 @@
 
     def _take_over(
         self,
-        item: Chosen,
+        item: EndpointSelection,
         call: dialects.Call,
         holder: prefix_index.Holder | None,
     ) -> None:
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -62,7 +62,7 @@
     host: ids.HostId | None = None
     region: ids.RegionId | None = None
     hop: passing.Hop | None = None
-    chosen: endpoint_selector.Chosen | None = None
+    chosen: endpoint_selector.EndpointSelection | None = None
     sent_ms: int = 0
     answered: bool = False
     reading: int | None = None
