--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -51,7 +51,7 @@
     over, instead of reading them.
     """
 
-    found: registry.Registered
+    registered: registry.Registered
     prospect: estimate.Prospect
     first_ms: float
     room: bool
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -72,7 +72,7 @@
     def life(self) -> limiting.EndpointLife:
         """Return which life of the endpoint was chosen."""
         return limiting.EndpointLife(
-            self.endpoint, self.chosen.found.said.born_ms
+            self.endpoint, self.chosen.registered.said.born_ms
         )
 
     @property
