--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -54,7 +54,7 @@
     registered: registry.Registered
     prospect: estimate.Prospect
     first_ms: float
-    room: bool
+    can_start_now: bool
     usual: bool
     candidates: int
     cost_ms: float = 0.0
@@ -192,8 +192,8 @@
                 item.moved_tokens,
             )
             item.first_ms = item.prospect.first_ms
-            item.room = item.prospect.room
-            if not item.room:
+            item.can_start_now = item.prospect.room
+            if not item.can_start_now:
                 item.first_ms += NO_ROOM_MS
             if self._attended.registry.silent(name):
                 item.first_ms += SILENT_PENALTY_MS
