--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -55,7 +55,7 @@
     prospect: estimate.Prospect
     first_ms: float
     can_start_now: bool
-    usual: bool
+    has_affinity: bool
     candidates: int
     cost_ms: float = 0.0
     source: registry.Registered | None = None
@@ -188,7 +188,7 @@
                 service,
                 call,
                 self._in_flight_at(found),
-                item.usual,
+                item.has_affinity,
                 item.moved_tokens,
             )
             item.first_ms = item.prospect.first_ms
