--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -92,7 +92,7 @@
         self._lines: dict[ids.ServiceId, return_line.ReturnLine] = {}
         self.in_flight: dict[ids.EndpointId, int] = {}
 
-    def regions_for(self, route: routes.Route) -> list[ids.RegionId]:
+    def serving_regions(self, route: routes.Route) -> list[ids.RegionId]:
         """Return the regions that may serve a route, this one first."""
         allowed = {
             region for region in self._regions.values() if route.allows(region)
@@ -250,7 +250,7 @@
         """Return the other regions that may serve a route, in any order."""
         regions = [
             region
-            for region in self.regions_for(route)
+            for region in self.serving_regions(route)
             if region != self._region
         ]
         self._random.shuffle(regions)
