--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -99,7 +99,9 @@
         }
         return sorted(allowed, key=lambda region: region != self._region)
 
-    def draw(self, targets: tuple[routes.Target, ...]) -> ids.ServiceId:
+    def draw_service(
+        self, targets: tuple[routes.Target, ...]
+    ) -> ids.ServiceId:
         """Draw one of a route's services by their weights."""
         weights = [target.weight for target in targets]
         return self._random.choices(targets, weights)[0].service
