--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -158,7 +158,7 @@
     ) -> endpoint_selector.EndpointSelection | None:
         if not work.route.allows(self._region):
             return None
-        return self._choice.choose(
+        return self._choice.select_endpoint(
             work.service, work.route, work.call, work.attempted, bounds
         )
 
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -106,7 +106,7 @@
         weights = [target.weight for target in targets]
         return self._random.choices(targets, weights)[0].service
 
-    def choose(
+    def select_endpoint(
         self,
         service: routes.RoutedService,
         route: routes.Route,
