--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -145,7 +145,7 @@
             key=lambda item: (item.cost_ms, self._random.random()),
         )
 
-    def _on(self, mechanism: mechanisms.Mechanism) -> bool:
+    def _is_enabled(self, mechanism: mechanisms.Mechanism) -> bool:
         return mechanism not in self._switched_off
 
     def _cost(self, bounds: costs.Bounds, item: 'Chosen') -> float:
@@ -156,9 +156,9 @@
             bounds, item.first_ms, end_ms, found.spread
         )
         cost_ms = waiting_ms
-        if self._on(mechanisms.Mechanism.WEIGHING_PAUSES):
+        if self._is_enabled(mechanisms.Mechanism.WEIGHING_PAUSES):
             cost_ms += costs.pausing_ms(bounds, found.pause_ms, found.harmed)
-        if self._on(mechanisms.Mechanism.WEIGHING_READING):
+        if self._is_enabled(mechanisms.Mechanism.WEIGHING_READING):
             cost_ms += found.reading_ms
         return cost_ms
 
@@ -172,7 +172,7 @@
     ) -> list[EndpointSelection]:
         names = [found.said.endpoint for found in candidates]
         usual = None
-        if self._on(mechanisms.Mechanism.USUAL_ENGINES):
+        if self._is_enabled(mechanisms.Mechanism.USUAL_ENGINES):
             usual = prefix_index.usual_endpoint(call.parts, names)
         holder = self._holder(service, call, candidates)
         keeping = {usual, None if holder is None else holder.endpoint}
@@ -224,7 +224,7 @@
         """Tell whether engines can take prompts over from each other."""
         if service.batch is None or not service.batch.moves:
             return False
-        return self._on(mechanisms.Mechanism.TAKING_OVER)
+        return self._is_enabled(mechanisms.Mechanism.TAKING_OVER)
 
     def _take_over(
         self,
