--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -139,7 +139,7 @@
                 item.first_ms += ASIDE_PENALTY_MS
                 item.room = False
         for item in estimated:
-            item.cost_ms = self._cost(bounds, item)
+            item.cost_ms = self._cost_ms(bounds, item)
         return min(
             estimated,
             key=lambda item: (item.cost_ms, self._random.random()),
@@ -148,7 +148,7 @@
     def _is_enabled(self, mechanism: mechanisms.Mechanism) -> bool:
         return mechanism not in self._switched_off
 
-    def _cost(self, bounds: costs.Bounds, item: 'Chosen') -> float:
+    def _cost_ms(self, bounds: costs.Bounds, item: 'Chosen') -> float:
         """Return what an endpoint would cost the call and others."""
         found = item.prospect
         end_ms = found.end_ms + item.first_ms - found.first_ms
