--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -131,7 +131,7 @@
         candidates = sound or warm
         if not candidates:
             return None
-        estimated = self._estimated(
+        estimated = self._estimate_candidates(
             service, route, call, candidates, len(every)
         )
         if not sound:
@@ -162,7 +162,7 @@
             cost_ms += found.reading_ms
         return cost_ms
 
-    def _estimated(
+    def _estimate_candidates(
         self,
         service: routes.RoutedService,
         route: routes.Route,
