--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -174,7 +174,7 @@
         usual = None
         if self._is_enabled(mechanisms.Mechanism.USUAL_ENGINES):
             usual = prefix_index.usual_endpoint(call.parts, names)
-        holder = self._holder(service, call, candidates)
+        holder = self._find_cache_holder(service, call, candidates)
         keeping = {usual, None if holder is None else holder.endpoint}
         if not self._moves(service):
             holder = None
@@ -202,7 +202,7 @@
             estimated.append(item)
         return estimated
 
-    def _holder(
+    def _find_cache_holder(
         self,
         service: routes.RoutedService,
         call: dialects.Call,
