--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -176,7 +176,7 @@
             usual = prefix_index.usual_endpoint(call.parts, names)
         holder = self._find_cache_holder(service, call, candidates)
         keeping = {usual, None if holder is None else holder.endpoint}
-        if not self._moves(service):
+        if not self._supports_transfer(service):
             holder = None
         estimated = []
         for found in sampling.sample(candidates, keeping, self._random):
@@ -220,7 +220,7 @@
         ]
         return self._estimator.prefix_index.holder(call.parts, names)
 
-    def _moves(self, service: routes.RoutedService) -> bool:
+    def _supports_transfer(self, service: routes.RoutedService) -> bool:
         """Tell whether engines can take prompts over from each other."""
         if service.batch is None or not service.batch.moves:
             return False
