--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -184,7 +184,7 @@
             item = EndpointSelection(
                 found, estimate.Prospect(0.0), 0.0, True, name == usual, count
             )
-            self._take_over(item, call, holder)
+            self._plan_transfer(item, call, holder)
             item.prospect = self._estimator.prospect(
                 found,
                 service,
@@ -226,7 +226,7 @@
             return False
         return self._is_enabled(mechanisms.Mechanism.TAKING_OVER)
 
-    def _take_over(
+    def _plan_transfer(
         self,
         item: EndpointSelection,
         call: dialects.Call,
