--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -244,7 +244,7 @@
         item.source = self._attended.registry.held.get(holder.endpoint)
         item.moved_tokens = holder.tokens - kept
 
-    def spread(self, service: ids.ServiceId) -> float:
+    def estimate_spread(self, service: ids.ServiceId) -> float:
         """Return how far estimates of a service are off, in the mean."""
         return self._estimator.model(service).spread
 
