--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -202,7 +202,7 @@
         """Return the best other region and what it costs."""
         best, best_ms = None, 0.0
         spread = self._choice.spread(work.service.service)
-        for region in self._choice.other_regions(work.route):
+        for region in self._choice.allowed_remote_regions(work.route):
             if region in work.refusing_regions:
                 continue
             host = self._choice.host_in(region, work.attempted)
@@ -227,7 +227,7 @@
         self, work: works.CallContext, region: ids.RegionId
     ) -> attending.HostRecord | None:
         """Return a host by way of which a region can be reached."""
-        allowed = self._choice.other_regions(work.route)
+        allowed = self._choice.allowed_remote_regions(work.route)
         for host in self._regions.relays(region, allowed):
             if host.host not in work.attempted:
                 return host
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -248,7 +248,9 @@
         """Return how far estimates of a service are off, in the mean."""
         return self._estimator.model(service).spread
 
-    def other_regions(self, route: routes.Route) -> list[ids.RegionId]:
+    def allowed_remote_regions(
+        self, route: routes.Route
+    ) -> list[ids.RegionId]:
         """Return the other regions that may serve a route, in any order."""
         regions = [
             region
