--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -260,7 +260,7 @@
         self._random.shuffle(regions)
         return regions
 
-    def return_in_ms(
+    def endpoint_retry_after_ms(
         self, service: routes.RoutedService, urgency: int
     ) -> float | None:
         """Return when a call that was turned away should come back.
