--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -290,7 +290,7 @@
         )
         return max(min(waits_ms), line.join(urgency, sum(shares)))
 
-    def backs_off(self, service: routes.RoutedService) -> bool:
+    def all_in_backoff(self, service: routes.RoutedService) -> bool:
         """Return whether every endpoint of a service asked for backoff."""
         usable = self._available.usable(service.service, self._region)
         return bool(usable) and all(map(self._available.backs_off, usable))
