--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -295,7 +295,7 @@
         usable = self._available.usable(service.service, self._region)
         return bool(usable) and all(map(self._available.backs_off, usable))
 
-    def free_places(self, service: routes.RoutedService) -> int:
+    def free_slots(self, service: routes.RoutedService) -> int:
         """Return the places of a service here that are known to be free."""
         return sum(
             self._estimator.free_places(found, service)
