--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -302,7 +302,7 @@
             for found in self._available.sound(service.service, self._region)
         )
 
-    def offers(self) -> list[messages.Offer]:
+    def build_offers(self) -> list[messages.Offer]:
         """Return what calls to each service would find in this region."""
         services = self._replica.current.routes.services.values()
         made = [self._offer(service) for service in services]
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -146,7 +146,7 @@
             self.attendance.draining,
             serving,
             self.replica.current.index,
-            self._choice.offers() if serving else [],
+            self._choice.build_offers() if serving else [],
             self._regions.relayed(ping.cut_off) if serving else {},
         )
 
