--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -305,10 +305,12 @@
     def build_offers(self) -> list[messages.Offer]:
         """Return what calls to each service would find in this region."""
         services = self._replica.current.routes.services.values()
-        made = [self._offer(service) for service in services]
+        made = [self._build_offer(service) for service in services]
         return [offer for offer in made if offer is not None]
 
-    def _offer(self, service: routes.RoutedService) -> messages.Offer | None:
+    def _build_offer(
+        self, service: routes.RoutedService
+    ) -> messages.Offer | None:
         found = self._available.sound(service.service, self._region)
         if not found:
             return None
