--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -205,7 +205,7 @@
         for region in self._choice.allowed_remote_regions(work.route):
             if region in work.refusing_regions:
                 continue
-            host = self._choice.host_in(region, work.attempted)
+            host = self._choice.select_host(region, work.attempted)
             if host is None and self._on(mechanisms.Mechanism.RELAYS):
                 host = self._relay_to(work, region)
             if host is None:
@@ -239,7 +239,7 @@
         """Return the host that a call for a third region goes on to."""
         if region in work.refusing_regions or not work.route.allows(region):
             return None
-        host = self._choice.host_in(region, work.attempted)
+        host = self._choice.select_host(region, work.attempted)
         if host is None:
             return None
         logger.info(
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -350,7 +350,7 @@
     def _in_flight_at(self, found: registry.Registered) -> int:
         return self.in_flight.get(found.said.endpoint, 0)
 
-    def host_in(
+    def select_host(
         self,
         region: ids.RegionId,
         excluded: collections.abc.Container[ids.HostId],
