--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -85,7 +85,7 @@
         self._health = noted
         self._estimator = estimator
         self._partners = near
-        self._available = available
+        self._availability = available
         self._switched_off = switched_off
         self._clock = clock
         self._random = random.Random()
@@ -117,13 +117,17 @@
         """Return the best endpoint of this region, None without one."""
         every = [
             found
-            for found in self._available.usable(service.service, self._region)
+            for found in self._availability.usable(
+                service.service, self._region
+            )
             if found.said.endpoint not in excluded
-            and not self._available.spent_ms(found)
+            and not self._availability.spent_ms(found)
+        ]
+        warm = [found for found in every if not self._availability.cold(found)]
+        sound = [
+            found for found in warm if not self._availability.doubted(found)
         ]
-        warm = [found for found in every if not self._available.cold(found)]
-        sound = [found for found in warm if not self._available.doubted(found)]
-        warming = self._available.warming_turn(service, every)
+        warming = self._availability.warming_turn(service, every)
         if warming is not None:
             return EndpointSelection(
                 warming, estimate.Prospect(0.0), 0.0, True, False, len(every)
@@ -271,18 +275,18 @@
         away come one behind the other. None if nothing tells.
         """
         now_ms = self._clock.mono_ms()
-        usable = self._available.usable(service.service, self._region)
+        usable = self._availability.usable(service.service, self._region)
         waits_ms = []
         for found in usable:
             until_ms = self._health.aside_until_ms(found.said.address)
             wait_ms = max(
                 found.warm_ms - now_ms,
                 until_ms - now_ms,
-                self._available.spent_ms(found),
+                self._availability.spent_ms(found),
             )
             if wait_ms > 0:
                 waits_ms.append(wait_ms)
-        shares = [self._available.share_per_s(found) for found in usable]
+        shares = [self._availability.share_per_s(found) for found in usable]
         if not waits_ms or None in shares:
             return min(waits_ms, default=None)
         line = self._lines.setdefault(
@@ -292,14 +296,16 @@
 
     def all_in_backoff(self, service: routes.RoutedService) -> bool:
         """Return whether every endpoint of a service asked for backoff."""
-        usable = self._available.usable(service.service, self._region)
-        return bool(usable) and all(map(self._available.backs_off, usable))
+        usable = self._availability.usable(service.service, self._region)
+        return bool(usable) and all(map(self._availability.backs_off, usable))
 
     def free_slots(self, service: routes.RoutedService) -> int:
         """Return the places of a service here that are known to be free."""
         return sum(
             self._estimator.free_places(found, service)
-            for found in self._available.sound(service.service, self._region)
+            for found in self._availability.sound(
+                service.service, self._region
+            )
         )
 
     def build_offers(self) -> list[messages.Offer]:
@@ -311,12 +317,12 @@
     def _build_offer(
         self, service: routes.RoutedService
     ) -> messages.Offer | None:
-        found = self._available.sound(service.service, self._region)
+        found = self._availability.sound(service.service, self._region)
         if not found:
             return None
         # Endpoints with a limit are reserved for their own region.
         unlimited = [
-            one for one in found if not self._available.is_limited(one)
+            one for one in found if not self._availability.is_limited(one)
         ]
         found = unlimited or found
         name, best = min(
@@ -363,7 +369,7 @@
             record
             for record in self._partners.reachable(region)
             if record.host not in excluded
-            and not self._available.set_aside(record.passing_address)
+            and not self._availability.set_aside(record.passing_address)
         ]
         if not hosts:
             return None
