--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -82,7 +82,7 @@
         self._regions = regions
         self._attended = attended
         self._replica = held
-        self._health = noted
+        self._outlier_detector = noted
         self._estimator = estimator
         self._partners = near
         self._availability = available
@@ -278,7 +278,9 @@
         usable = self._availability.usable(service.service, self._region)
         waits_ms = []
         for found in usable:
-            until_ms = self._health.aside_until_ms(found.said.address)
+            until_ms = self._outlier_detector.aside_until_ms(
+                found.said.address
+            )
             wait_ms = max(
                 found.warm_ms - now_ms,
                 until_ms - now_ms,
