--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -80,7 +80,7 @@
     ):
         self._region = region
         self._regions = regions
-        self._attended = attended
+        self._discovery = attended
         self._replica = held
         self._outlier_detector = noted
         self._estimator = estimator
@@ -201,7 +201,7 @@
             item.can_start_now = item.prospect.room
             if not item.can_start_now:
                 item.first_ms += NO_ROOM_MS
-            if self._attended.registry.silent(name):
+            if self._discovery.registry.silent(name):
                 item.first_ms += SILENT_PENALTY_MS
             estimated.append(item)
         return estimated
@@ -245,7 +245,7 @@
         )
         if holder.tokens - kept < prefix_index.LEAST_MOVED_TOKENS:
             return
-        item.source = self._attended.registry.held.get(holder.endpoint)
+        item.source = self._discovery.registry.held.get(holder.endpoint)
         item.moved_tokens = holder.tokens - kept
 
     def estimate_spread(self, service: ids.ServiceId) -> float:
