--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -30,7 +30,7 @@
 
 # Added for an endpoint that has not renewed its registration for long:
 # more than any wait elsewhere, less than having none.
-SILENT_PENALTY_MS = 5_000
+STALE_REGISTRATION_PENALTY_MS = 5_000
 # Added where every endpoint is set aside: other regions go before them.
 ASIDE_PENALTY_MS = 3_000
 # Added where an engine's memory or batch is full: about the time in which
@@ -202,7 +202,7 @@
             if not item.can_start_now:
                 item.first_ms += NO_ROOM_MS
             if self._discovery.registry.silent(name):
-                item.first_ms += SILENT_PENALTY_MS
+                item.first_ms += STALE_REGISTRATION_PENALTY_MS
             estimated.append(item)
         return estimated
 
