--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -32,7 +32,7 @@
 # more than any wait elsewhere, less than having none.
 STALE_REGISTRATION_PENALTY_MS = 5_000
 # Added where every endpoint is set aside: other regions go before them.
-ASIDE_PENALTY_MS = 3_000
+DEGRADED_PENALTY_MS = 3_000
 # Added where an engine's memory or batch is full: about the time in which
 # one of its streams ends.
 NO_ROOM_MS = 500.0
@@ -140,7 +140,7 @@
         )
         if not sound:
             for item in estimated:
-                item.first_ms += ASIDE_PENALTY_MS
+                item.first_ms += DEGRADED_PENALTY_MS
                 item.room = False
         for item in estimated:
             item.cost_ms = self._cost_ms(bounds, item)
