--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -35,7 +35,7 @@
 DEGRADED_PENALTY_MS = 3_000
 # Added where an engine's memory or batch is full: about the time in which
 # one of its streams ends.
-NO_ROOM_MS = 500.0
+NO_CAPACITY_PENALTY_MS = 500.0
 NO_PROMPT = dialects.Call(ids.RequestId(''), '', '', '', [], 0, 0)
 
 
@@ -200,7 +200,7 @@
             item.first_ms = item.prospect.first_ms
             item.can_start_now = item.prospect.room
             if not item.can_start_now:
-                item.first_ms += NO_ROOM_MS
+                item.first_ms += NO_CAPACITY_PENALTY_MS
             if self._discovery.registry.silent(name):
                 item.first_ms += STALE_REGISTRATION_PENALTY_MS
             estimated.append(item)
@@ -339,7 +339,9 @@
             ),
             key=lambda item: (not item[1].room, item[1].first_ms),
         )
-        wait_ms = best.first_ms + (0.0 if best.room else NO_ROOM_MS)
+        wait_ms = best.first_ms + (
+            0.0 if best.room else NO_CAPACITY_PENALTY_MS
+        )
         token_ms = usual_ms = present_ms = 0.0
         if service.batch is not None:
             token_ms = self._estimator.model(service.service).token_ms
