--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -36,7 +36,7 @@
 # Added where an engine's memory or batch is full: about the time in which
 # one of its streams ends.
 NO_CAPACITY_PENALTY_MS = 500.0
-NO_PROMPT = dialects.Call(ids.RequestId(''), '', '', '', [], 0, 0)
+EMPTY_CALL = dialects.Call(ids.RequestId(''), '', '', '', [], 0, 0)
 
 
 @dataclasses.dataclass(slots=True)
@@ -332,7 +332,11 @@
                 (
                     one.said.endpoint,
                     self._estimator.prospect(
-                        one, service, NO_PROMPT, self._in_flight_at(one), False
+                        one,
+                        service,
+                        EMPTY_CALL,
+                        self._in_flight_at(one),
+                        False,
                     ),
                 )
                 for one in sampling.sample(found, (), self._random)
