--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -54,7 +54,7 @@
         self.retry_after_ms = retry_after_ms
 
 
-class Placing:
+class DestinationSelector:
     """Find the place for a call's next try."""
 
     def __init__(
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -71,7 +71,7 @@
         held: replica.Replica,
         attended: attendance.Attendance,
         chosen: endpoint_selector.EndpointSelector,
-        placed: destinations.Placing,
+        placed: destinations.DestinationSelector,
         tried: attempts.Tries,
         budget: shared_retry_budget.Spending,
         permitted: access.Access,
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -311,7 +311,7 @@
             self.replica,
             self.attendance,
             self._choice,
-            destinations.Placing(
+            destinations.DestinationSelector(
                 node.host,
                 node.region,
                 self.replica,
