--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -75,7 +75,9 @@
         self._switched_off = switched_off
         self._clock = clock
 
-    def next_place(self, work: works.CallContext) -> sending.Place | None:
+    def next_destination(
+        self, work: works.CallContext
+    ) -> sending.Place | None:
         """Return where to send a call, None where nothing takes it.
 
         :raises BusyError: who passed it on can do better
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -373,7 +373,7 @@
             if held_ms is not None:
                 raise errors.QuarantinedError(held_ms)
             work.permit = self._access.renewed(work.call, work.permit)
-            place = self._placing.next_place(work)
+            place = self._placing.next_destination(work)
             if place is None:
                 work.cause = work.cause or 'no_endpoint'
                 return False
