--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -623,7 +623,7 @@
     Switch(
         'no way by a third region',
         DECISIONS + 'serving/destinations.py',
-        ('                host = self._relay_to(work, region)\n'),
+        ('                host = self._find_relay_host(work, region)\n'),
         ('                pass\n'),
         ('tests/test_far.py'),
     ),
--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -209,7 +209,7 @@
                 continue
             host = self._choice.select_host(region, work.attempted)
             if host is None and self._on(mechanisms.Mechanism.RELAYS):
-                host = self._relay_to(work, region)
+                host = self._find_relay_host(work, region)
             if host is None:
                 continue
             found = self._regions.offer(region, work.service, work.call, host)
@@ -225,7 +225,7 @@
                 best, best_ms = found, cost_ms
         return best, best_ms
 
-    def _relay_to(
+    def _find_relay_host(
         self, work: works.CallContext, region: ids.RegionId
     ) -> attending.HostRecord | None:
         """Return a host by way of which a region can be reached."""
