--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -85,7 +85,7 @@
         """
         hop = work.hop
         if hop is not None and hop.region not in (None, self._region):
-            return self._relay(work, hop.region)
+            return self._relay_destination(work, hop.region)
         bounds = self._bounds(work)
         local = self._local(work, bounds)
         if hop is not None:
@@ -235,7 +235,7 @@
                 return host
         return None
 
-    def _relay(
+    def _relay_destination(
         self, work: works.CallContext, region: ids.RegionId
     ) -> sending.Place | None:
         """Return the host that a call for a third region goes on to."""
