--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -94,7 +94,7 @@
         far, far_ms = self._best_elsewhere(work, bounds)
         if far is not None and (local is None or far_ms < local.cost_ms):
             self._refuse_hopeless(work, bounds, far.first_ms, far.end_ms)
-            return self._host_place(work, far, local)
+            return self._host_destination(work, far, local)
         if local is not None:
             self._refuse_hopeless(
                 work, bounds, local.first_ms, local.prospect.end_ms
@@ -266,7 +266,7 @@
             hop=hop,
         )
 
-    def _host_place(
+    def _host_destination(
         self,
         work: works.CallContext,
         found: remote_regions.Offered,
