--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -90,7 +90,7 @@
         local = self._local(work, bounds)
         if hop is not None:
             self._refuse_if_slower(work, local)
-            return self._endpoint_place(work, local)
+            return self._endpoint_destination(work, local)
         far, far_ms = self._best_elsewhere(work, bounds)
         if far is not None and (local is None or far_ms < local.cost_ms):
             self._refuse_hopeless(work, bounds, far.first_ms, far.end_ms)
@@ -99,7 +99,7 @@
             self._refuse_hopeless(
                 work, bounds, local.first_ms, local.prospect.end_ms
             )
-        return self._endpoint_place(work, local)
+        return self._endpoint_destination(work, local)
 
     def _on(self, mechanism: mechanisms.Mechanism) -> bool:
         return mechanism not in self._switched_off
@@ -164,7 +164,7 @@
             work.service, work.route, work.call, work.attempted, bounds
         )
 
-    def _endpoint_place(
+    def _endpoint_destination(
         self,
         work: works.CallContext,
         chosen: endpoint_selector.EndpointSelection | None,
