--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -87,7 +87,7 @@
         if hop is not None and hop.region not in (None, self._region):
             return self._relay_destination(work, hop.region)
         bounds = self._bounds(work)
-        local = self._local(work, bounds)
+        local = self._select_local(work, bounds)
         if hop is not None:
             self._refuse_if_slower(work, local)
             return self._endpoint_destination(work, local)
@@ -155,7 +155,7 @@
         if local.first_ms > limit_ms:
             raise BusyError(local.first_ms)
 
-    def _local(
+    def _select_local(
         self, work: works.CallContext, bounds: costs.Bounds
     ) -> endpoint_selector.EndpointSelection | None:
         if not work.route.allows(self._region):
