--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -91,7 +91,7 @@
         if hop is not None:
             self._refuse_if_slower(work, local)
             return self._endpoint_destination(work, local)
-        far, far_ms = self._best_elsewhere(work, bounds)
+        far, far_ms = self._best_remote_offer(work, bounds)
         if far is not None and (local is None or far_ms < local.cost_ms):
             self._refuse_hopeless(work, bounds, far.first_ms, far.end_ms)
             return self._host_destination(work, far, local)
@@ -198,7 +198,7 @@
             chosen=chosen,
         )
 
-    def _best_elsewhere(
+    def _best_remote_offer(
         self, work: works.CallContext, bounds: costs.Bounds
     ) -> tuple[remote_regions.Offered | None, float]:
         """Return the best other region and what it costs."""
