--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -93,10 +93,12 @@
             return self._endpoint_destination(work, local)
         far, far_ms = self._best_remote_offer(work, bounds)
         if far is not None and (local is None or far_ms < local.cost_ms):
-            self._refuse_hopeless(work, bounds, far.first_ms, far.end_ms)
+            self._refuse_unmeetable_deadline(
+                work, bounds, far.first_ms, far.end_ms
+            )
             return self._host_destination(work, far, local)
         if local is not None:
-            self._refuse_hopeless(
+            self._refuse_unmeetable_deadline(
                 work, bounds, local.first_ms, local.prospect.end_ms
             )
         return self._endpoint_destination(work, local)
@@ -114,7 +116,7 @@
             work.route.pause_target_ms,
         )
 
-    def _refuse_hopeless(
+    def _refuse_unmeetable_deadline(
         self,
         work: works.CallContext,
         bounds: costs.Bounds,
