--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -103,7 +103,7 @@
             )
         return self._endpoint_destination(work, local)
 
-    def _on(self, mechanism: mechanisms.Mechanism) -> bool:
+    def _is_enabled(self, mechanism: mechanisms.Mechanism) -> bool:
         return mechanism not in self._switched_off
 
     def _bounds(self, work: works.CallContext) -> costs.Bounds:
@@ -131,7 +131,7 @@
         lost = costs.lost(bounds, first_ms, end_ms, spread)
         if work.sent or lost <= HOPELESS:
             return
-        if not self._on(mechanisms.Mechanism.REFUSING_HOPELESS):
+        if not self._is_enabled(mechanisms.Mechanism.REFUSING_HOPELESS):
             return
         logger.info(
             'hopeless',
@@ -210,7 +210,7 @@
             if region in work.refusing_regions:
                 continue
             host = self._choice.select_host(region, work.attempted)
-            if host is None and self._on(mechanisms.Mechanism.RELAYS):
+            if host is None and self._is_enabled(mechanisms.Mechanism.RELAYS):
                 host = self._find_relay_host(work, region)
             if host is None:
                 continue
