--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -70,7 +70,7 @@
         self._host = host
         self._region = region
         self._replica = held
-        self._choice = chosen
+        self._selector = chosen
         self._regions = elsewhere
         self._switched_off = switched_off
         self._clock = clock
@@ -127,7 +127,7 @@
 
         What was sent before, and may go on, is not turned away.
         """
-        spread = self._choice.spread(work.service.service)
+        spread = self._selector.spread(work.service.service)
         lost = costs.lost(bounds, first_ms, end_ms, spread)
         if work.sent or lost <= HOPELESS:
             return
@@ -162,7 +162,7 @@
     ) -> endpoint_selector.EndpointSelection | None:
         if not work.route.allows(self._region):
             return None
-        return self._choice.select_endpoint(
+        return self._selector.select_endpoint(
             work.service, work.route, work.call, work.attempted, bounds
         )
 
@@ -205,11 +205,11 @@
     ) -> tuple[remote_regions.Offered | None, float]:
         """Return the best other region and what it costs."""
         best, best_ms = None, 0.0
-        spread = self._choice.spread(work.service.service)
-        for region in self._choice.allowed_remote_regions(work.route):
+        spread = self._selector.spread(work.service.service)
+        for region in self._selector.allowed_remote_regions(work.route):
             if region in work.refusing_regions:
                 continue
-            host = self._choice.select_host(region, work.attempted)
+            host = self._selector.select_host(region, work.attempted)
             if host is None and self._is_enabled(mechanisms.Mechanism.RELAYS):
                 host = self._find_relay_host(work, region)
             if host is None:
@@ -231,7 +231,7 @@
         self, work: works.CallContext, region: ids.RegionId
     ) -> attending.HostRecord | None:
         """Return a host by way of which a region can be reached."""
-        allowed = self._choice.allowed_remote_regions(work.route)
+        allowed = self._selector.allowed_remote_regions(work.route)
         for host in self._regions.relays(region, allowed):
             if host.host not in work.attempted:
                 return host
@@ -243,7 +243,7 @@
         """Return the host that a call for a third region goes on to."""
         if region in work.refusing_regions or not work.route.allows(region):
             return None
-        host = self._choice.select_host(region, work.attempted)
+        host = self._selector.select_host(region, work.attempted)
         if host is None:
             return None
         logger.info(
