--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -71,7 +71,7 @@
         self._region = region
         self._replica = held
         self._selector = chosen
-        self._regions = elsewhere
+        self._remote_regions = elsewhere
         self._switched_off = switched_off
         self._clock = clock
 
@@ -214,7 +214,9 @@
                 host = self._find_relay_host(work, region)
             if host is None:
                 continue
-            found = self._regions.offer(region, work.service, work.call, host)
+            found = self._remote_regions.offer(
+                region, work.service, work.call, host
+            )
             if found is None:
                 continue
             cost_ms = costs.waiting_ms(
@@ -232,7 +234,7 @@
     ) -> attending.HostRecord | None:
         """Return a host by way of which a region can be reached."""
         allowed = self._selector.allowed_remote_regions(work.route)
-        for host in self._regions.relays(region, allowed):
+        for host in self._remote_regions.relays(region, allowed):
             if host.host not in work.attempted:
                 return host
         return None
@@ -292,7 +294,7 @@
             here_ms=None if local is None else round(local.first_ms),
             limit_ms=int(limit_ms),
         )
-        self._regions.note_passed(found.region, work.service, work.call)
+        self._remote_regions.note_passed(found.region, work.service, work.call)
         hop = passing.Hop(
             self._host,
             work.route.name,
