--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -45,7 +45,7 @@
         self.first_ms = first_ms
 
 
-class HopelessError(errors.CoordinationError):
+class UnmeetableDeadlineError(errors.CoordinationError):
     """Say that a call can't be served before its deadline."""
 
     def __init__(self, first_ms: float, retry_after_ms: int):
@@ -142,7 +142,7 @@
             left_ms=round(bounds.deadline_left_ms),
         )
         retry_after_ms = return_line.spread_ms(first_ms - work.route.target_ms)
-        raise HopelessError(
+        raise UnmeetableDeadlineError(
             first_ms, max(retry_after_ms, LEAST_RETRY_AFTER_MS)
         )
 
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -332,7 +332,7 @@
                 await self._refuse_held(work, error)
                 return
             work.cause = f'{work.cause} ({error})'
-        except destinations.HopelessError as error:
+        except destinations.UnmeetableDeadlineError as error:
             work.cause = work.cause or 'hopeless'
             work.retry_after_ms = error.retry_after_ms
         except errors.DeniedError as error:
