--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -616,7 +616,7 @@
     Switch(
         'hopeless calls are sent',
         DECISIONS + 'serving/destinations.py',
-        ('        if work.sent or lost <= HOPELESS:\n'),
+        ('        if work.sent or lost <= DEADLINE_MISS_LIMIT:\n'),
         ('        if True:\n'),
         ('tests/test_far.py'),
     ),
--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -28,7 +28,7 @@
 logger = structlog.get_logger(__name__)
 
 # A call that misses its deadline four times in five is not sent.
-HOPELESS = 0.8
+DEADLINE_MISS_LIMIT = 0.8
 # What a KB that goes to another region is worth, in ms of first piece: of
 # a prompt of 20 KB about the round trip that it travels.
 FAR_KB_MS = 3.0
@@ -129,7 +129,7 @@
         """
         spread = self._selector.spread(work.service.service)
         lost = costs.lost(bounds, first_ms, end_ms, spread)
-        if work.sent or lost <= HOPELESS:
+        if work.sent or lost <= DEADLINE_MISS_LIMIT:
             return
         if not self._is_enabled(mechanisms.Mechanism.REFUSING_HOPELESS):
             return
