--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -31,7 +31,7 @@
 DEADLINE_MISS_LIMIT = 0.8
 # What a KB that goes to another region is worth, in ms of first piece: of
 # a prompt of 20 KB about the round trip that it travels.
-FAR_KB_MS = 3.0
+REMOTE_KB_COST_MS = 3.0
 # What any call is worth that stays: a host more that may fail on its way.
 FAR_MS = 20.0
 LEAST_RETRY_AFTER_MS = 100
@@ -224,7 +224,7 @@
             )
             cost_ms += found.unread_ms + FAR_MS
             kb = len(work.call.body) / costs.BYTES_PER_KB
-            cost_ms += kb * FAR_KB_MS
+            cost_ms += kb * REMOTE_KB_COST_MS
             if best is None or cost_ms < best_ms:
                 best, best_ms = found, cost_ms
         return best, best_ms
