--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -33,7 +33,7 @@
 # a prompt of 20 KB about the round trip that it travels.
 REMOTE_KB_COST_MS = 3.0
 # What any call is worth that stays: a host more that may fail on its way.
-FAR_MS = 20.0
+REMOTE_CALL_COST_MS = 20.0
 LEAST_RETRY_AFTER_MS = 100
 
 
@@ -222,7 +222,7 @@
             cost_ms = costs.waiting_ms(
                 bounds, found.first_ms, found.end_ms, spread
             )
-            cost_ms += found.unread_ms + FAR_MS
+            cost_ms += found.unread_ms + REMOTE_CALL_COST_MS
             kb = len(work.call.body) / costs.BYTES_PER_KB
             cost_ms += kb * REMOTE_KB_COST_MS
             if best is None or cost_ms < best_ms:
