--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -34,7 +34,7 @@
 REMOTE_KB_COST_MS = 3.0
 # What any call is worth that stays: a host more that may fail on its way.
 REMOTE_CALL_COST_MS = 20.0
-LEAST_RETRY_AFTER_MS = 100
+MIN_RETRY_AFTER_MS = 100
 
 
 class BusyError(errors.CoordinationError):
@@ -143,7 +143,7 @@
         )
         retry_after_ms = return_line.spread_ms(first_ms - work.route.target_ms)
         raise UnmeetableDeadlineError(
-            first_ms, max(retry_after_ms, LEAST_RETRY_AFTER_MS)
+            first_ms, max(retry_after_ms, MIN_RETRY_AFTER_MS)
         )
 
     def _refuse_if_slower(
