--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -123,11 +123,11 @@
         try:
             work = await self._begin(call, reply, hop)
             if work is not None:
-                await self._serve_counted(work)
+                await self._serve_and_refund(work)
         finally:
             self.in_flight -= 1
 
-    async def _serve_counted(self, work: works.CallContext) -> None:
+    async def _serve_and_refund(self, work: works.CallContext) -> None:
         """Serve a call; what it took and did not use is given back."""
         try:
             await self._serve(work)
