--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -121,7 +121,7 @@
         if hop is not None:
             reply.runs = 0
         try:
-            work = await self._begin(call, reply, hop)
+            work = await self._prepare_call(call, reply, hop)
             if work is not None:
                 await self._serve_and_refund(work)
         finally:
@@ -135,7 +135,7 @@
             if not work.may_have_run:
                 self._limiter.give_back(work.taken)
 
-    async def _begin(
+    async def _prepare_call(
         self,
         call: dialects.Call,
         reply: passing.Reply,
