--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -168,7 +168,7 @@
         table = self._replica.current.routes
         service = table.service(self._service_of(permit.route, hop))
         try:
-            taken = await self._take(call, permit, hop)
+            taken = await self._charge_team_limit(call, permit, hop)
         except limiters.OverLimitError as error:
             await self._refuse_over_limit(call, reply, error)
             return None
@@ -183,7 +183,7 @@
             taken,
         )
 
-    async def _take(
+    async def _charge_team_limit(
         self,
         call: dialects.Call,
         permit: access.Permit,
