--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -147,9 +147,9 @@
             return None
         if hop is not None:
             await self._catch_up(hop.index)
-        elif self._waits and not self._sure:
+        elif self._waits and not self._has_current_configuration:
             await self._wait_until_sure(call)
-        if not self._sure:
+        if not self._has_current_configuration:
             await self._refuse(call, reply, passing.Refusal.NO_CONFIGURATION)
             return None
         table = self._replica.current.routes
@@ -272,7 +272,7 @@
         await reply.refuse(UNAVAILABLE, reason, START_RETRY_AFTER_MS)
 
     @property
-    def _sure(self) -> bool:
+    def _has_current_configuration(self) -> bool:
         """Tell whether what this host holds may be served by."""
         return self._replica.serving and self._attended.awake
 
@@ -280,7 +280,7 @@
         """Let a caller's call wait for what a host needs that starts."""
         try:
             async with clocks.timeout_ms(min(START_WAIT_MS, call.left_ms)):
-                while not self._sure:
+                while not self._has_current_configuration:
                     await self._replica.changed.wait()
         except TimeoutError:
             return
