--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -148,7 +148,7 @@
         if hop is not None:
             await self._catch_up(hop.index)
         elif self._waits and not self._has_current_configuration:
-            await self._wait_until_sure(call)
+            await self._wait_for_current_configuration(call)
         if not self._has_current_configuration:
             await self._refuse(call, reply, passing.Refusal.NO_CONFIGURATION)
             return None
@@ -276,7 +276,9 @@
         """Tell whether what this host holds may be served by."""
         return self._replica.serving and self._attended.awake
 
-    async def _wait_until_sure(self, call: dialects.Call) -> None:
+    async def _wait_for_current_configuration(
+        self, call: dialects.Call
+    ) -> None:
         """Let a caller's call wait for what a host needs that starts."""
         try:
             async with clocks.timeout_ms(min(START_WAIT_MS, call.left_ms)):
