--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -146,7 +146,7 @@
             await self._refuse(call, reply, passing.Refusal.LEAVING)
             return None
         if hop is not None:
-            await self._catch_up(hop.index)
+            await self._wait_for_index(hop.index)
         elif self._waits and not self._has_current_configuration:
             await self._wait_for_current_configuration(call)
         if not self._has_current_configuration:
@@ -287,7 +287,7 @@
         except TimeoutError:
             return
 
-    async def _catch_up(self, index: int) -> None:
+    async def _wait_for_index(self, index: int) -> None:
         try:
             async with clocks.timeout_ms(CATCH_UP_MS):
                 while self._replica.current.index < index:
