--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -166,7 +166,7 @@
         call.digest = _digest_of(call, permit)
         # Of the table that the permit is by, which may be a newer one.
         table = self._replica.current.routes
-        service = table.service(self._service_of(permit.route, hop))
+        service = table.service(self._select_service(permit.route, hop))
         try:
             taken = await self._charge_team_limit(call, permit, hop)
         except limiters.OverLimitError as error:
@@ -295,7 +295,7 @@
         except TimeoutError:
             return
 
-    def _service_of(
+    def _select_service(
         self, route: routes.Route, hop: passing.Hop | None
     ) -> ids.ServiceId:
         names = [target.service for target in route.targets]
