--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -312,7 +312,7 @@
             self._spending.first(work.service.service)
         try:
             async with clocks.timeout_ms(self._left_ms(work)):
-                if await self._try_all(work):
+                if await self._run_attempts(work):
                     return
         except TimeoutError:
             work.cause = work.cause or 'timeout'
@@ -365,7 +365,7 @@
             UNAVAILABLE, passing.Refusal.QUARANTINED, error.held_ms
         )
 
-    async def _try_all(self, work: works.CallContext) -> bool:
+    async def _run_attempts(self, work: works.CallContext) -> bool:
         """Try until it is answered; False when it is given up.
 
         :raises QuarantinedError: no endpoint is sent it now
