--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -391,12 +391,12 @@
             work.attempted.add(place.name)
             if await self._tries.make(work, place):
                 return True
-            if not self._may_go_on(work):
+            if not self._may_retry(work):
                 return False
         work.cause = work.cause or 'timeout'
         return False
 
-    def _may_go_on(self, work: works.CallContext) -> bool:
+    def _may_retry(self, work: works.CallContext) -> bool:
         if work.unexecuted_sends >= UNRUN_LIMIT:
             return False
         if not work.may_have_run:
