--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -331,7 +331,7 @@
             return
         except errors.QuarantinedError as error:
             if not work.may_have_run:
-                await self._refuse_held(work, error)
+                await self._refuse_quarantined(work, error)
                 return
             work.cause = f'{work.cause} ({error})'
         except destinations.UnmeetableDeadlineError as error:
@@ -347,7 +347,7 @@
             raise
         await self._give_up(work, BAD_GATEWAY)
 
-    async def _refuse_held(
+    async def _refuse_quarantined(
         self, work: works.CallContext, error: errors.QuarantinedError
     ) -> None:
         """Turn away at once what no endpoint is sent.
