--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -431,13 +431,13 @@
             return
         retry_after_ms = None
         if status == UNAVAILABLE:
-            retry_after_ms = work.retry_after_ms or self._return_in_ms(work)
+            retry_after_ms = work.retry_after_ms or self._retry_hint_ms(work)
         reason = (
             passing.Refusal.GAVE_UP if work.sent else passing.Refusal.UNSENT
         )
         await work.reply.refuse(status, reason, retry_after_ms)
 
-    def _return_in_ms(self, work: works.CallContext) -> int:
+    def _retry_hint_ms(self, work: works.CallContext) -> int:
         """Return when a caller that found no endpoint should come back.
 
         Callers that are sent away together are spread.
