--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -92,7 +92,7 @@
         self._waits = mechanisms.Mechanism.WAITING_AT_START not in switched_off
         self._clock = clock
         self.in_flight = 0
-        self.leaving = False
+        self.draining = False
         self.closed = False
 
     @property
@@ -104,7 +104,7 @@
     def ready(self) -> bool:
         """Tell whether this host should be given requests."""
         return (
-            not self.leaving
+            not self.draining
             and self._replica.serving
             and self._attended.awake
             and self._replica.current.routes.version > 0
@@ -452,7 +452,7 @@
 
     async def drain(self, timeout_ms: int) -> bool:
         """Take nothing new and wait; True if all of it ended."""
-        self.leaving = True
+        self.draining = True
         self.closed = True
         end_ms = self._clock.mono_ms() + timeout_ms
         while self.in_flight and self._clock.mono_ms() < end_ms:
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -414,7 +414,7 @@
     async def drain(self) -> None:
         """Let callers go elsewhere, then wait for what is in flight."""
         self.attendance.draining = True
-        self.passthrough.leaving = True
+        self.passthrough.draining = True
         logger.info('draining', in_flight=self.passthrough.in_flight)
         await self.attendance.tell_now()
         await self.clock.sleep_ms(self.node.entry.leave_delay_ms)
