--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -82,7 +82,7 @@
     ):
         self._replica = held
         self._attended = attended
-        self._choice = chosen
+        self._selector = chosen
         self._placing = placed
         self._tries = tried
         self._spending = budget
@@ -301,7 +301,7 @@
         names = [target.service for target in route.targets]
         if hop is not None and hop.service in names:
             return hop.service
-        return self._choice.draw(route.targets)
+        return self._selector.draw(route.targets)
 
     def _left_ms(self, work: works.CallContext) -> int:
         return work.deadline_ms - self._clock.mono_ms()
@@ -419,7 +419,7 @@
             unexecuted_sends=work.unexecuted_sends,
             left_ms=self._left_ms(work),
             held_ms=self._clock.mono_ms() - work.call.arrived_ms,
-            free_places=self._choice.free_places(work.service),
+            free_places=self._selector.free_places(work.service),
             pieces=0 if work.tracker is None else work.tracker.count,
         )
         if work.reply.started:
@@ -442,11 +442,13 @@
 
         Callers that are sent away together are spread.
         """
-        known_ms = self._choice.return_in_ms(work.service, work.permit.urgency)
+        known_ms = self._selector.return_in_ms(
+            work.service, work.permit.urgency
+        )
         if known_ms is None:
             known_ms = work.remote_retry_after_ms or RETRY_AFTER_MS
         urgency = 0
-        if self._choice.backs_off(work.service):
+        if self._selector.backs_off(work.service):
             urgency = work.permit.urgency
         return return_line.spread_ms(known_ms, urgency)
 
