--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -83,7 +83,7 @@
         self._replica = held
         self._attended = attended
         self._selector = chosen
-        self._placing = placed
+        self._destinations = placed
         self._tries = tried
         self._spending = budget
         self._access = permitted
@@ -375,7 +375,7 @@
             if held_ms is not None:
                 raise errors.QuarantinedError(held_ms)
             work.permit = self._access.renewed(work.call, work.permit)
-            place = self._placing.next_destination(work)
+            place = self._destinations.next_destination(work)
             if place is None:
                 work.cause = work.cause or 'no_endpoint'
                 return False
