--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -84,7 +84,7 @@
         self._attended = attended
         self._selector = chosen
         self._destinations = placed
-        self._tries = tried
+        self._attempts = tried
         self._spending = budget
         self._access = permitted
         self._limiter = limiter
@@ -381,7 +381,7 @@
                 return False
             # Before the budget of repeats, which a call that is not sent
             # leaves as it is.
-            if not await self._tries.admit(work, place):
+            if not await self._attempts.admit(work, place):
                 if work.permit_rejections >= OVER_LIMIT_TRIES:
                     return False
                 continue
@@ -389,7 +389,7 @@
                 work.cause = f'{work.cause} (no retry left)'
                 return False
             work.attempted.add(place.name)
-            if await self._tries.make(work, place):
+            if await self._attempts.make(work, place):
                 return True
             if not self._may_retry(work):
                 return False
