--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -85,7 +85,7 @@
         self._selector = chosen
         self._destinations = placed
         self._attempts = tried
-        self._spending = budget
+        self._retry_budget = budget
         self._access = permitted
         self._limiter = limiter
         self._guard = guard
@@ -309,7 +309,7 @@
     async def _serve(self, work: works.CallContext) -> None:
         if work.hop is None:
             # Counted where the caller sent it, and nowhere else.
-            self._spending.first(work.service.service)
+            self._retry_budget.first(work.service.service)
         try:
             async with clocks.timeout_ms(self._left_ms(work)):
                 if await self._run_attempts(work):
@@ -385,7 +385,9 @@
                 if work.permit_rejections >= OVER_LIMIT_TRIES:
                     return False
                 continue
-            if work.sent and not self._spending.spend(work.service.service):
+            if work.sent and not self._retry_budget.spend(
+                work.service.service
+            ):
                 work.cause = f'{work.cause} (no retry left)'
                 return False
             work.attempted.add(place.name)
