--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -41,7 +41,7 @@
 UNAVAILABLE = 503
 GATEWAY_TIMEOUT = 504
 # Sends that reached no endpoint, or that it refused unrun.
-UNRUN_LIMIT = 4
+UNEXECUTED_SENDS_LIMIT = 4
 # Permits that one call asks for, where each is denied. Each denial starts a
 # backoff, so that later calls do not ask the same endpoint.
 OVER_LIMIT_TRIES = 8
@@ -399,7 +399,7 @@
         return False
 
     def _may_retry(self, work: works.CallContext) -> bool:
-        if work.unexecuted_sends >= UNRUN_LIMIT:
+        if work.unexecuted_sends >= UNEXECUTED_SENDS_LIMIT:
             return False
         if not work.may_have_run:
             return True
