--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -44,7 +44,7 @@
 UNEXECUTED_SENDS_LIMIT = 4
 # Permits that one call asks for, where each is denied. Each denial starts a
 # backoff, so that later calls do not ask the same endpoint.
-OVER_LIMIT_TRIES = 8
+PERMIT_REJECTIONS_LIMIT = 8
 # A host that lags waits for the configuration that the first went by.
 CATCH_UP_MS = 600
 # Where nothing tells when an endpoint is back: some pings of other regions.
@@ -382,7 +382,7 @@
             # Before the budget of repeats, which a call that is not sent
             # leaves as it is.
             if not await self._attempts.admit(work, place):
-                if work.permit_rejections >= OVER_LIMIT_TRIES:
+                if work.permit_rejections >= PERMIT_REJECTIONS_LIMIT:
                     return False
                 continue
             if work.sent and not self._retry_budget.spend(
