--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -40,7 +40,7 @@
 LEAST_LEFT_MS = 20
 
 
-class Tries:
+class AttemptRunner:
     """Send calls, and pass responses on or hold them back."""
 
     def __init__(
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -72,7 +72,7 @@
         attended: attendance.Attendance,
         chosen: endpoint_selector.EndpointSelector,
         placed: destinations.DestinationSelector,
-        tried: attempts.Tries,
+        tried: attempts.AttemptRunner,
         budget: shared_retry_budget.Spending,
         permitted: access.Access,
         limiter: limiters.Limiter,
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -320,7 +320,7 @@
                 node.switched_off,
                 self.clock,
             ),
-            attempts.Tries(
+            attempts.AttemptRunner(
                 sending.Sender(
                     dialect,
                     self._client,
