--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -66,7 +66,7 @@
         self._repeats = retry_outcomes.Repeats()
         self._clock = clock
 
-    async def make(
+    async def run_attempt(
         self, work: works.CallContext, place: sending.Place
     ) -> bool:
         """Send once; return whether the caller has its answer."""
