--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -106,7 +106,7 @@
                 del counts[place.name]
         return False
 
-    async def admit(
+    async def acquire_permit(
         self, work: works.CallContext, place: sending.Place
     ) -> bool:
         """Acquire a permit to send; False where the endpoint takes no more."""
