--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -75,7 +75,7 @@
         last_event = work.call.last_event
         if work.tracker is not None and work.tracker.last_id is not None:
             last_event = work.tracker.last_id
-        self._note_sent(work, place)
+        self._record_send(work, place)
         # Counts as run until a response or error proves otherwise.
         work.sent += 1
         work.count_runs(1)
@@ -128,7 +128,7 @@
     def _left_ms(self, work: works.CallContext) -> int:
         return work.deadline_ms - self._clock.mono_ms()
 
-    def _note_sent(
+    def _record_send(
         self, work: works.CallContext, place: sending.Place
     ) -> None:
         place.sent_ms = self._clock.mono_ms()
