--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -145,7 +145,7 @@
                 work.call.tokens_expected,
             )
 
-    def _note_first(
+    def _record_first_piece(
         self, work: works.CallContext, place: sending.Place
     ) -> None:
         """Record the time to the first piece of a response."""
@@ -274,7 +274,7 @@
             return True
         body = await answer.whole(WHOLE_LIMIT_BYTES)
         if answer.status in OK_STATUSES:
-            self._note_first(work, place)
+            self._record_first_piece(work, place)
         await work.reply.whole(answer.status, answer.fields, body)
         self._log_end(work, place, answer.status)
         return True
@@ -344,7 +344,7 @@
                 if not data:
                     continue
                 if not work.reply.started:
-                    self._note_first(work, place)
+                    self._record_first_piece(work, place)
                     await work.reply.open(answer.status, answer.fields)
                     work.tracker = tracker
                 work.note_piece(self._clock.mono_ms())
