--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -80,7 +80,7 @@
         work.sent += 1
         work.count_runs(1)
         try:
-            async with self._watched(work, place):
+            async with self._abort_if_host_unreachable(work, place):
                 async with self._sender.send(
                     work.call,
                     work.permit,
@@ -159,7 +159,7 @@
         )
 
     @contextlib.asynccontextmanager
-    async def _watched(
+    async def _abort_if_host_unreachable(
         self, work: works.CallContext, place: sending.Place
     ) -> collections.abc.AsyncIterator[None]:
         """Give up on a host that falls silent, if the call may be retried.
