--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -96,9 +96,9 @@
         except errors.NotSentError as error:
             work.sent -= 1
             work.mark_not_run()
-            self._failed(work, place, f'not sent: {error}', certain=True)
+            self._on_failure(work, place, f'not sent: {error}', certain=True)
         except errors.MaybeSentError as error:
-            self._failed(work, place, str(error))
+            self._on_failure(work, place, str(error))
         finally:
             self._estimator.note_read(place.endpoint, place.prefill_model)
             counts[place.name] -= 1
@@ -185,7 +185,7 @@
                 raise
             raise errors.MaybeSentError('host fell silent') from error
 
-    def _failed(
+    def _on_failure(
         self,
         work: works.CallContext,
         place: sending.Place,
