--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -92,7 +92,7 @@
         except errors.HeldBackError:
             work.sent -= 1
             work.mark_not_run()
-            self._held_back(work, place)
+            self._on_send_aborted(work, place)
         except errors.NotSentError as error:
             work.sent -= 1
             work.mark_not_run()
@@ -206,7 +206,7 @@
             left_ms=self._left_ms(work),
         )
 
-    def _held_back(
+    def _on_send_aborted(
         self, work: works.CallContext, place: sending.Place
     ) -> None:
         """Record that a send was rejected by a check at send time.
