--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -88,7 +88,7 @@
                     self._left_ms(work),
                     last_event,
                 ) as answer:
-                    return await self._take(work, place, answer)
+                    return await self._handle_response(work, place, answer)
         except errors.HeldBackError:
             work.sent -= 1
             work.mark_not_run()
@@ -226,7 +226,7 @@
             homes_before=list(work.route.homes),
         )
 
-    async def _take(
+    async def _handle_response(
         self,
         work: works.CallContext,
         place: sending.Place,
