--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -251,7 +251,7 @@
             work.cause = f'endpoint refused with {answer.status}'
             return False
         if answer.refused is not None:
-            return await self._take_refusal(work, place, answer)
+            return await self._handle_refusal(work, place, answer)
         if answer.status in SERVER_ERRORS:
             self._health.failed(
                 place.address, f'status {answer.status}', place.sent_ms
@@ -279,7 +279,7 @@
         self._log_end(work, place, answer.status)
         return True
 
-    async def _take_refusal(
+    async def _handle_refusal(
         self,
         work: works.CallContext,
         place: sending.Place,
