--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -256,7 +256,7 @@
             self._health.failed(
                 place.address, f'status {answer.status}', place.sent_ms
             )
-            if self._may_repeat(work) and self._repeats.pays(work.route.name):
+            if self._can_resend(work) and self._repeats.pays(work.route.name):
                 work.cause = f'status {answer.status}'
                 body = await answer.whole(WHOLE_LIMIT_BYTES)
                 work.kept = works.RetainedResponse(
@@ -309,7 +309,7 @@
             )
         return False
 
-    def _may_repeat(self, work: works.CallContext) -> bool:
+    def _can_resend(self, work: works.CallContext) -> bool:
         return (
             work.route.repeatable
             and not work.reply.started
