--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -270,7 +270,7 @@
         if work.route.kind is routes.RouteKind.STREAM and (
             answer.status in OK_STATUSES
         ):
-            await self._stream(work, place, answer)
+            await self._forward_stream(work, place, answer)
             return True
         body = await answer.whole(WHOLE_LIMIT_BYTES)
         if answer.status in OK_STATUSES:
@@ -319,7 +319,7 @@
 
     # Streams.
 
-    async def _stream(
+    async def _forward_stream(
         self,
         work: works.CallContext,
         place: sending.Place,
