--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -327,10 +327,10 @@
     ) -> None:
         """Pass a stream on; the head is sent with the first piece."""
         tracker = event_tracker.EventTracker(whole_only=work.route.resumable)
-        await self._pass_events(work, place, answer, tracker)
+        await self._forward_events(work, place, answer, tracker)
         await self._end_stream(work, place, answer, tracker)
 
-    async def _pass_events(
+    async def _forward_events(
         self,
         work: works.CallContext,
         place: sending.Place,
@@ -395,7 +395,7 @@
             last_event=work.tracker.last_id,
         )
         work.tracker.begin_again()
-        await self._pass_events(work, place, answer, work.tracker)
+        await self._forward_events(work, place, answer, work.tracker)
         await self._end_stream(work, place, answer, work.tracker)
         return True
 
