--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -338,7 +338,7 @@
         tracker: event_tracker.EventTracker,
     ) -> None:
         """Pass events on, and record the engine's pace."""
-        with self._paced(work, place) as paced:
+        with self._gap_recorder(work, place) as paced:
             async for chunk in answer.chunks():
                 data = tracker.feed(chunk)
                 if not data:
@@ -351,7 +351,7 @@
                 paced.note_piece()
                 await work.reply.write(data)
 
-    def _paced(
+    def _gap_recorder(
         self, work: works.CallContext, place: sending.Place
     ) -> paces.PacedStream:
         tokens = 1
