--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -266,7 +266,7 @@
         else:
             self._health.succeeded(place.address)
         if work.tracker is not None:
-            return await self._go_on(work, place, answer)
+            return await self._resume_stream(work, place, answer)
         if work.route.kind is routes.RouteKind.STREAM and (
             answer.status in OK_STATUSES
         ):
@@ -379,7 +379,7 @@
         await work.reply.end()
         self._log_end(work, place, answer.status, tracker.count)
 
-    async def _go_on(
+    async def _resume_stream(
         self,
         work: works.CallContext,
         place: sending.Place,
