--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -276,7 +276,7 @@
         if answer.status in OK_STATUSES:
             self._record_first_piece(work, place)
         await work.reply.whole(answer.status, answer.fields, body)
-        self._log_end(work, place, answer.status)
+        self._log_answered(work, place, answer.status)
         return True
 
     async def _handle_refusal(
@@ -377,7 +377,7 @@
         if rest:
             await work.reply.write(rest)
         await work.reply.end()
-        self._log_end(work, place, answer.status, tracker.count)
+        self._log_answered(work, place, answer.status, tracker.count)
 
     async def _resume_stream(
         self,
@@ -399,7 +399,7 @@
         await self._end_stream(work, place, answer, work.tracker)
         return True
 
-    def _log_end(
+    def _log_answered(
         self,
         work: works.CallContext,
         place: sending.Place,
