--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -421,13 +421,15 @@
             longest_pause_ms=work.longest_pause_ms,
             pause_target_ms=work.route.pause_target_ms,
             expected_ms=place.expected_ms,
-            took_ms=self._took_ms(work, place),
+            took_ms=self._time_to_first_ms(work, place),
             runs=work.runs,
             unexecuted_sends=work.unexecuted_sends,
         )
 
     @staticmethod
-    def _took_ms(work: works.CallContext, place: sending.Place) -> int | None:
+    def _time_to_first_ms(
+        work: works.CallContext, place: sending.Place
+    ) -> int | None:
         """Return how long the first piece took after the call was sent.
 
         None where another endpoint gave it.
