--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -63,7 +63,7 @@
         self._reach = reached
         self._estimator = estimator
         self._regions = elsewhere
-        self._repeats = retry_outcomes.Repeats()
+        self._retry_outcomes = retry_outcomes.Repeats()
         self._clock = clock
 
     async def run_attempt(
@@ -235,7 +235,9 @@
         """Pass a response on, or hold it back where another attempt is due."""
         place.answered = True
         if work.kept is not None and answer.refused is None:
-            self._repeats.note(work.route.name, answer.status in OK_STATUSES)
+            self._retry_outcomes.note(
+                work.route.name, answer.status in OK_STATUSES
+            )
         if place.host is not None:
             work.count_runs(answer.runs - 1)
         if answer.verdict is sending.Verdict.NOT_HERE:
@@ -256,7 +258,9 @@
             self._health.failed(
                 place.address, f'status {answer.status}', place.sent_ms
             )
-            if self._can_resend(work) and self._repeats.pays(work.route.name):
+            if self._can_resend(work) and self._retry_outcomes.pays(
+                work.route.name
+            ):
                 work.cause = f'status {answer.status}'
                 body = await answer.whole(WHOLE_LIMIT_BYTES)
                 work.kept = works.RetainedResponse(
