--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -58,7 +58,7 @@
         self._sent_calls = told
         self._sender = sender
         self._attended = attended
-        self._choice = chosen
+        self._selector = chosen
         self._health = noted
         self._reach = reached
         self._estimator = estimator
@@ -70,7 +70,7 @@
         self, work: works.CallContext, place: sending.Place
     ) -> bool:
         """Send once; return whether the caller has its answer."""
-        counts = self._choice.in_flight
+        counts = self._selector.in_flight
         counts[place.name] = counts.get(place.name, 0) + 1
         last_event = work.call.last_event
         if work.tracker is not None and work.tracker.last_id is not None:
