--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -59,7 +59,7 @@
         self._sender = sender
         self._attended = attended
         self._selector = chosen
-        self._health = noted
+        self._outlier_detector = noted
         self._reach = reached
         self._estimator = estimator
         self._regions = elsewhere
@@ -195,7 +195,9 @@
         work.cause = cause
         if place.host is None or not place.answered:
             # A host that answers and breaks off lost its endpoint.
-            self._health.failed(place.address, cause, place.sent_ms, certain)
+            self._outlier_detector.failed(
+                place.address, cause, place.sent_ms, certain
+            )
         logger.warning(
             'try_failed',
             request=work.call.request,
@@ -255,7 +257,7 @@
         if answer.refused is not None:
             return await self._handle_refusal(work, place, answer)
         if answer.status in SERVER_ERRORS:
-            self._health.failed(
+            self._outlier_detector.failed(
                 place.address, f'status {answer.status}', place.sent_ms
             )
             if self._can_resend(work) and self._retry_outcomes.pays(
@@ -268,7 +270,7 @@
                 )
                 return False
         else:
-            self._health.succeeded(place.address)
+            self._outlier_detector.succeeded(place.address)
         if work.tracker is not None:
             return await self._resume_stream(work, place, answer)
         if work.route.kind is routes.RouteKind.STREAM and (
