--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -62,7 +62,7 @@
         self._outlier_detector = noted
         self._reach = reached
         self._estimator = estimator
-        self._regions = elsewhere
+        self._remote_regions = elsewhere
         self._retry_outcomes = retry_outcomes.Repeats()
         self._clock = clock
 
@@ -310,7 +310,7 @@
         if answer.refused == passing.Refusal.QUARANTINED:
             raise errors.QuarantinedError(int(answer.retry_after_ms))
         if answer.refused == passing.Refusal.BUSY:
-            self._regions.note_told(
+            self._remote_regions.note_told(
                 place.region, work.service.service, answer.retry_after_ms
             )
         return False
