--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -55,7 +55,7 @@
         clock: clocks.Clock,
         told: sent_call_broadcast.SentCalls | None = None,
     ):
-        self._sent_calls = told
+        self._broadcaster = told
         self._sender = sender
         self._attended = attended
         self._selector = chosen
@@ -137,8 +137,8 @@
         place.prefill_model = self._estimator.note_sent(
             place.endpoint, work.service, work.call, place.chosen.prospect
         )
-        if self._sent_calls is not None and place.prefill_model is not None:
-            self._sent_calls.note(
+        if self._broadcaster is not None and place.prefill_model is not None:
+            self._broadcaster.note(
                 place.endpoint,
                 place.chosen.prospect.unread_tokens,
                 work.call.parts,
