--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -111,7 +111,7 @@
     ) -> bool:
         """Acquire a permit to send; False where the endpoint takes no more."""
         try:
-            await self._sender.admit(place, _rank(work, place))
+            await self._sender.admit(place, _permit_rank(work, place))
         except errors.EndpointBusyError as error:
             work.permit_rejections += 1
             work.cause = str(error)
@@ -448,7 +448,7 @@
         return work.first_piece_at_ms - place.sent_ms
 
 
-def _rank(work: works.CallContext, place: sending.Place) -> int:
+def _permit_rank(work: works.CallContext, place: sending.Place) -> int:
     """Return a call's rank among those that want the same endpoint.
 
     A stream that another endpoint began goes first.
