--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -35,7 +35,7 @@
 UNAVAILABLE = 503
 SERVER_ERRORS = range(500, 600)
 # Responses up to this size are buffered, so that one cut short can be retried.
-WHOLE_LIMIT_BYTES = 8 * 1024 * 1024
+BUFFERED_BODY_LIMIT_BYTES = 8 * 1024 * 1024
 # With less time left an attempt is not worth making.
 LEAST_LEFT_MS = 20
 
@@ -264,7 +264,7 @@
                 work.route.name
             ):
                 work.cause = f'status {answer.status}'
-                body = await answer.whole(WHOLE_LIMIT_BYTES)
+                body = await answer.whole(BUFFERED_BODY_LIMIT_BYTES)
                 work.kept = works.RetainedResponse(
                     answer.status, answer.fields, body
                 )
@@ -278,7 +278,7 @@
         ):
             await self._forward_stream(work, place, answer)
             return True
-        body = await answer.whole(WHOLE_LIMIT_BYTES)
+        body = await answer.whole(BUFFERED_BODY_LIMIT_BYTES)
         if answer.status in OK_STATUSES:
             self._record_first_piece(work, place)
         await work.reply.whole(answer.status, answer.fields, body)
