--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -37,7 +37,7 @@
 # Responses up to this size are buffered, so that one cut short can be retried.
 BUFFERED_BODY_LIMIT_BYTES = 8 * 1024 * 1024
 # With less time left an attempt is not worth making.
-LEAST_LEFT_MS = 20
+MIN_TIME_LEFT_MS = 20
 
 
 class AttemptRunner:
@@ -320,7 +320,7 @@
             work.route.repeatable
             and not work.reply.started
             and work.runs < work.runs_limit
-            and self._left_ms(work) > LEAST_LEFT_MS
+            and self._left_ms(work) > MIN_TIME_LEFT_MS
         )
 
     # Streams.
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -370,7 +370,7 @@
 
         :raises QuarantinedError: no endpoint is sent it now
         """
-        while self._left_ms(work) > attempts.LEAST_LEFT_MS:
+        while self._left_ms(work) > attempts.MIN_TIME_LEFT_MS:
             held_ms = self._guard.refuse(work.call.digest)
             if held_ms is not None:
                 raise errors.QuarantinedError(held_ms)
