--- a/wrenspoke/coordination/serving/event_tracker.py
+++ b/wrenspoke/coordination/serving/event_tracker.py
@@ -7,7 +7,7 @@
 
 import re
 
-END = re.compile(rb'\r\n\r\n|\n\n|\r\r')
+EVENT_END = re.compile(rb'\r\n\r\n|\n\n|\r\r')
 ID_LINE = re.compile(rb'^id: ?([^\r\n]*)', re.MULTILINE)
 # No event of text is larger; a stream without ends is passed on as it is.
 HELD_LIMIT_BYTES = 1024 * 1024
@@ -26,7 +26,7 @@
         """Take bytes and return those that may be passed on."""
         self._held += data
         end = 0
-        for found in END.finditer(self._held):
+        for found in EVENT_END.finditer(self._held):
             self._note(self._held[end : found.end()])
             end = found.end()
         whole, self._held = self._held[:end], self._held[end:]
