--- a/wrenspoke/coordination/serving/event_tracker.py
+++ b/wrenspoke/coordination/serving/event_tracker.py
@@ -10,7 +10,7 @@
 EVENT_END = re.compile(rb'\r\n\r\n|\n\n|\r\r')
 ID_LINE = re.compile(rb'^id: ?([^\r\n]*)', re.MULTILINE)
 # No event of text is larger; a stream without ends is passed on as it is.
-HELD_LIMIT_BYTES = 1024 * 1024
+EVENT_BUFFER_LIMIT_BYTES = 1024 * 1024
 
 
 class EventTracker:
@@ -30,12 +30,12 @@
             self._note(self._held[end : found.end()])
             end = found.end()
         whole, self._held = self._held[:end], self._held[end:]
-        if self._whole_only and len(self._held) <= HELD_LIMIT_BYTES:
+        if self._whole_only and len(self._held) <= EVENT_BUFFER_LIMIT_BYTES:
             return whole
         if self._whole_only:
             return whole + self._take_rest()
         # What is passed on piece by piece is still looked at whole.
-        self._held = self._held[-HELD_LIMIT_BYTES:]
+        self._held = self._held[-EVENT_BUFFER_LIMIT_BYTES:]
         return data
 
     def _note(self, event: bytes) -> None:
