--- a/wrenspoke/coordination/serving/event_tracker.py
+++ b/wrenspoke/coordination/serving/event_tracker.py
@@ -18,24 +18,24 @@
 
     def __init__(self, whole_only: bool):
         self._whole_only = whole_only
-        self._held = b''
+        self._buffer = b''
         self.last_id: str | None = None
         self.count = 0
 
     def feed(self, data: bytes) -> bytes:
         """Take bytes and return those that may be passed on."""
-        self._held += data
+        self._buffer += data
         end = 0
-        for found in EVENT_END.finditer(self._held):
-            self._note(self._held[end : found.end()])
+        for found in EVENT_END.finditer(self._buffer):
+            self._note(self._buffer[end : found.end()])
             end = found.end()
-        whole, self._held = self._held[:end], self._held[end:]
-        if self._whole_only and len(self._held) <= EVENT_BUFFER_LIMIT_BYTES:
+        whole, self._buffer = self._buffer[:end], self._buffer[end:]
+        if self._whole_only and len(self._buffer) <= EVENT_BUFFER_LIMIT_BYTES:
             return whole
         if self._whole_only:
             return whole + self._take_rest()
         # What is passed on piece by piece is still looked at whole.
-        self._held = self._held[-EVENT_BUFFER_LIMIT_BYTES:]
+        self._buffer = self._buffer[-EVENT_BUFFER_LIMIT_BYTES:]
         return data
 
     def _note(self, event: bytes) -> None:
@@ -45,7 +45,7 @@
             self.last_id = found.group(1).decode('utf-8', 'replace')
 
     def _take_rest(self) -> bytes:
-        rest, self._held = self._held, b''
+        rest, self._buffer = self._buffer, b''
         return rest
 
     def rest(self) -> bytes:
@@ -54,4 +54,4 @@
 
     def begin_again(self) -> None:
         """Drop a part of an event; the next stream sends it whole."""
-        self._held = b''
+        self._buffer = b''
