--- a/wrenspoke/coordination/serving/event_tracker.py
+++ b/wrenspoke/coordination/serving/event_tracker.py
@@ -27,7 +27,7 @@
         self._buffer += data
         end = 0
         for found in EVENT_END.finditer(self._buffer):
-            self._note(self._buffer[end : found.end()])
+            self._record_event(self._buffer[end : found.end()])
             end = found.end()
         whole, self._buffer = self._buffer[:end], self._buffer[end:]
         if self._whole_only and len(self._buffer) <= EVENT_BUFFER_LIMIT_BYTES:
@@ -38,7 +38,7 @@
         self._buffer = self._buffer[-EVENT_BUFFER_LIMIT_BYTES:]
         return data
 
-    def _note(self, event: bytes) -> None:
+    def _record_event(self, event: bytes) -> None:
         self.count += 1
         found = ID_LINE.search(event)
         if found is not None:
