--- a/wrenspoke/coordination/serving/event_tracker.py
+++ b/wrenspoke/coordination/serving/event_tracker.py
@@ -33,7 +33,7 @@
         if self._whole_only and len(self._buffer) <= EVENT_BUFFER_LIMIT_BYTES:
             return whole
         if self._whole_only:
-            return whole + self._take_rest()
+            return whole + self._flush_buffer()
         # What is passed on piece by piece is still looked at whole.
         self._buffer = self._buffer[-EVENT_BUFFER_LIMIT_BYTES:]
         return data
@@ -44,13 +44,13 @@
         if found is not None:
             self.last_id = found.group(1).decode('utf-8', 'replace')
 
-    def _take_rest(self) -> bytes:
+    def _flush_buffer(self) -> bytes:
         rest, self._buffer = self._buffer, b''
         return rest
 
     def rest(self) -> bytes:
         """Return what is held back behind the last whole event."""
-        return self._take_rest() if self._whole_only else b''
+        return self._flush_buffer() if self._whole_only else b''
 
     def begin_again(self) -> None:
         """Drop a part of an event; the next stream sends it whole."""
