--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -20,7 +20,7 @@
     for cut in [*sorted(cuts), len(STREAM)]:
         passed += tracker.feed(STREAM[start:cut])
         start = cut
-    assert passed + tracker.rest() == STREAM
+    assert passed + tracker.take_remainder() == STREAM
     assert tracker.last_id == '3'
 
 
--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -379,7 +379,7 @@
     ) -> None:
         if not work.reply.started:
             await work.reply.open(answer.status, answer.fields)
-        rest = tracker.rest()
+        rest = tracker.take_remainder()
         if rest:
             await work.reply.write(rest)
         await work.reply.end()
--- a/wrenspoke/coordination/serving/event_tracker.py
+++ b/wrenspoke/coordination/serving/event_tracker.py
@@ -48,7 +48,7 @@
         rest, self._buffer = self._buffer, b''
         return rest
 
-    def rest(self) -> bytes:
+    def take_remainder(self) -> bytes:
         """Return what is held back behind the last whole event."""
         return self._flush_buffer() if self._whole_only else b''
 
