--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -34,5 +34,5 @@
     tracker = event_tracker.EventTracker(whole_only)
     assert tracker.feed(b'id: 1\ndata: a\n\nid: 2\nda') == passed
     assert tracker.last_id == '1'
-    tracker.begin_again()
+    tracker.discard_partial()
     assert tracker.feed(b'id: 2\ndata: b\n\n') == b'id: 2\ndata: b\n\n'
--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -400,7 +400,7 @@
             request=work.call.request,
             last_event=work.tracker.last_id,
         )
-        work.tracker.begin_again()
+        work.tracker.discard_partial()
         await self._forward_events(work, place, answer, work.tracker)
         await self._end_stream(work, place, answer, work.tracker)
         return True
--- a/wrenspoke/coordination/serving/event_tracker.py
+++ b/wrenspoke/coordination/serving/event_tracker.py
@@ -52,6 +52,6 @@
         """Return what is held back behind the last whole event."""
         return self._flush_buffer() if self._whole_only else b''
 
-    def begin_again(self) -> None:
+    def discard_partial(self) -> None:
         """Drop a part of an event; the next stream sends it whole."""
         self._buffer = b''
