--- a/wrenspoke/coordination/serving/event_tracker.py
+++ b/wrenspoke/coordination/serving/event_tracker.py
@@ -20,7 +20,7 @@
         self._whole_only = whole_only
         self._buffer = b''
         self.last_id: str | None = None
-        self.count = 0
+        self.event_count = 0
 
     def feed(self, data: bytes) -> bytes:
         """Take bytes and return those that may be passed on."""
@@ -39,7 +39,7 @@
         return data
 
     def _record_event(self, event: bytes) -> None:
-        self.count += 1
+        self.event_count += 1
         found = ID_LINE.search(event)
         if found is not None:
             self.last_id = found.group(1).decode('utf-8', 'replace')
