--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -70,7 +70,9 @@
     )
     found = Known(said)
     viewed = views.RegionViews(clock)
-    made = remote_regions.Regions(found, found, viewed, held, clock, told)
+    made = remote_regions.RemoteRegions(
+        found, found, viewed, held, clock, told
+    )
     return made, found, clock
 
 
--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -51,7 +51,7 @@
         noted: outlier_detection.Health,
         reached: reach.Reach,
         estimator: estimate.Estimator,
-        elsewhere: remote_regions.Regions,
+        elsewhere: remote_regions.RemoteRegions,
         clock: clocks.Clock,
         told: sent_call_broadcast.SentCalls | None = None,
     ):
--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -63,7 +63,7 @@
         region: ids.RegionId,
         held: replica.Replica,
         chosen: endpoint_selector.EndpointSelector,
-        elsewhere: remote_regions.Regions,
+        elsewhere: remote_regions.RemoteRegions,
         switched_off: collections.abc.Set[mechanisms.Mechanism],
         clock: clocks.Clock,
     ):
--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -55,7 +55,7 @@
     unread_ms: float
 
 
-class Regions:
+class RemoteRegions:
     """Hold what is known of other regions."""
 
     def __init__(
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -274,7 +274,7 @@
             self._gate,
             self.clock,
         )
-        self._regions = remote_regions.Regions(
+        self._regions = remote_regions.RemoteRegions(
             self._reach,
             self._partners,
             self._views,
