--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -202,7 +202,7 @@
 
     def _best_remote_offer(
         self, work: works.CallContext, bounds: costs.Bounds
-    ) -> tuple[remote_regions.Offered | None, float]:
+    ) -> tuple[remote_regions.RegionOffer | None, float]:
         """Return the best other region and what it costs."""
         best, best_ms = None, 0.0
         spread = self._selector.spread(work.service.service)
@@ -273,7 +273,7 @@
     def _host_destination(
         self,
         work: works.CallContext,
-        found: remote_regions.Offered,
+        found: remote_regions.RegionOffer,
         local: endpoint_selector.EndpointSelection | None,
     ) -> sending.Place:
         # Where it is turned back, the way there and back is lost as well.
--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -42,7 +42,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Offered:
+class RegionOffer:
     """Hold what one region offers for one call, through which host.
 
     The host is of another region where this one is cut off from it.
@@ -89,7 +89,7 @@
         service: routes.RoutedService,
         call: dialects.Call,
         host: attending.HostRecord,
-    ) -> Offered | None:
+    ) -> RegionOffer | None:
         """Return what a region offers through a host; None if nothing."""
         remote = self._heard(host)
         if remote is None:
@@ -117,7 +117,7 @@
             events = call.tokens_expected / service.batch.event_tokens
             paced = engine_pace.Ahead(found.usual_ms, found.present_ms)
             end_ms += paced.stream_ms(events)
-        return Offered(region, host, first_ms, end_ms, unread_ms)
+        return RegionOffer(region, host, first_ms, end_ms, unread_ms)
 
     def relayed(
         self, cut_off: list[ids.RegionId]
@@ -249,8 +249,8 @@
         self._told[region, service] = (wait_ms, self._clock.mono_ms())
 
 
-def _unknown(region: ids.RegionId, host: attending.HostRecord) -> Offered:
-    return Offered(region, host, UNKNOWN_FIRST_MS, UNKNOWN_FIRST_MS, 0.0)
+def _unknown(region: ids.RegionId, host: attending.HostRecord) -> RegionOffer:
+    return RegionOffer(region, host, UNKNOWN_FIRST_MS, UNKNOWN_FIRST_MS, 0.0)
 
 
 def _of_service(
