--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -222,7 +222,7 @@
             cost_ms = costs.waiting_ms(
                 bounds, found.first_ms, found.end_ms, spread
             )
-            cost_ms += found.unread_ms + REMOTE_CALL_COST_MS
+            cost_ms += found.remote_prefill_ms + REMOTE_CALL_COST_MS
             kb = len(work.call.body) / costs.BYTES_PER_KB
             cost_ms += kb * REMOTE_KB_COST_MS
             if best is None or cost_ms < best_ms:
--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -52,7 +52,7 @@
     host: attending.HostRecord
     first_ms: float
     end_ms: float
-    unread_ms: float
+    remote_prefill_ms: float
 
 
 class RemoteRegions:
