--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -96,25 +96,27 @@
 )
 def test_region_offers_what_its_host_said(said, offered):
     made, _found, _clock = known(said)
-    assert (made.offer('south', SERVICE, CALL, HOST) is not None) is offered
+    assert (
+        made.offer_for_call('south', SERVICE, CALL, HOST) is not None
+    ) is offered
 
 
 def test_host_that_lags_for_long_offers_nothing():
     made, found, clock = known(pong(index=0))
-    assert made.offer('south', SERVICE, CALL, HOST) is not None
+    assert made.offer_for_call('south', SERVICE, CALL, HOST) is not None
     clock.now_ms += remote_regions.LAG_MS + 1
     found.told.answered_ms = clock.now_ms
-    assert made.offer('south', SERVICE, CALL, HOST) is None
+    assert made.offer_for_call('south', SERVICE, CALL, HOST) is None
 
 
 def test_offer_holds_travel_waiting_reading_and_what_was_passed_on():
     made, _found, _clock = known(pong())
-    first_ms = made.offer('south', SERVICE, CALL, HOST).first_ms
+    first_ms = made.offer_for_call('south', SERVICE, CALL, HOST).first_ms
     assert first_ms == pytest.approx(
         50 + remote_regions.HANDLING_MS + 100 + 100
     )
     made.note_passed('south', SERVICE, CALL)
-    again = made.offer('south', SERVICE, CALL, HOST)
+    again = made.offer_for_call('south', SERVICE, CALL, HOST)
     # Its prompt is kept there now, and waits at one of two engines.
     assert again.first_ms == pytest.approx(first_ms - 100 + 50)
 
@@ -124,28 +126,31 @@
     told = Told()
     made, _found, _clock = known(pong(), told=told)
     other, _other_found, _other_clock = known(pong(), told=Told())
-    first_ms = made.offer('south', SERVICE, CALL, HOST).first_ms
+    first_ms = made.offer_for_call('south', SERVICE, CALL, HOST).first_ms
     other.note_passed('south', SERVICE, CALL)
     [(name, tokens, parts)] = other._sent_calls.noted
     shared = [(part.part, part.tokens) for part in parts[:-1]]
     told.listener(attending.SentCall(1, name, tokens, 0, shared))
-    again = made.offer('south', SERVICE, CALL, HOST)
+    again = made.offer_for_call('south', SERVICE, CALL, HOST)
     # Its shared part is kept there now, and waits at one of two engines.
     assert again.first_ms == pytest.approx(first_ms - 80 + 50)
     # What is sent to this region's engines says nothing of others.
     told.listener(attending.SentCall(1, 'i-engine', 10**6, 0))
-    assert made.offer('south', SERVICE, CALL, HOST).first_ms == (
+    assert made.offer_for_call('south', SERVICE, CALL, HOST).first_ms == (
         again.first_ms
     )
 
 
 def test_what_a_region_said_when_it_turned_a_call_back_is_believed():
     made, _found, clock = known(pong())
-    before = made.offer('south', SERVICE, CALL, HOST).first_ms
+    before = made.offer_for_call('south', SERVICE, CALL, HOST).first_ms
     made.note_told('south', 's', 700.0)
-    assert made.offer('south', SERVICE, CALL, HOST).first_ms == before + 600
+    assert (
+        made.offer_for_call('south', SERVICE, CALL, HOST).first_ms
+        == before + 600
+    )
     clock.now_ms += remote_regions.TOLD_MS
-    assert made.offer('south', SERVICE, CALL, HOST).first_ms == before
+    assert made.offer_for_call('south', SERVICE, CALL, HOST).first_ms == before
 
 
 def test_offers_are_told_on_to_who_is_cut_off():
@@ -168,6 +173,6 @@
     status = attending.RegionStatus('south', pong(), 40.0, 200)
     made._views.note(status)
     clock.now_ms += later_ms and later_ms - 200
-    offered = made.offer('south', SERVICE, CALL, HOST)
+    offered = made.offer_for_call('south', SERVICE, CALL, HOST)
     handling_ms = 0 if later_ms else remote_regions.HANDLING_MS
     assert offered.first_ms == pytest.approx(first_ms + handling_ms)
--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -214,7 +214,7 @@
                 host = self._find_relay_host(work, region)
             if host is None:
                 continue
-            found = self._remote_regions.offer(
+            found = self._remote_regions.offer_for_call(
                 region, work.service, work.call, host
             )
             if found is None:
--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -83,7 +83,7 @@
         ] = {}
         self._kept = prefix_index.Prefixes()
 
-    def offer(
+    def offer_for_call(
         self,
         region: ids.RegionId,
         service: routes.RoutedService,
