--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -155,7 +155,7 @@
 
 def test_offers_are_told_on_to_who_is_cut_off():
     made, _found, _clock = known(pong())
-    told = made.relayed(['south', 'nowhere'])
+    told = made.relay_offers(['south', 'nowhere'])
     assert list(told) == ['south']
     assert told['south'][0].wait_ms == 100 + 50 + remote_regions.HANDLING_MS
 
--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -119,7 +119,7 @@
             end_ms += paced.stream_ms(events)
         return RegionOffer(region, host, first_ms, end_ms, unread_ms)
 
-    def relayed(
+    def relay_offers(
         self, cut_off: list[ids.RegionId]
     ) -> dict[ids.RegionId, list[messages.Offer]]:
         """Return what a host that some regions are cut off from is told.
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -147,7 +147,7 @@
             serving,
             self.replica.current.index,
             self._choice.build_offers() if serving else [],
-            self._regions.relayed(ping.cut_off) if serving else {},
+            self._regions.relay_offers(ping.cut_off) if serving else {},
         )
 
     def _host_heard(self, host: ids.HostId, asked_ms: int) -> None:
