--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -144,7 +144,7 @@
                 break
         return found
 
-    def relays(
+    def relay_hosts(
         self, region: ids.RegionId, allowed: list[ids.RegionId]
     ) -> list[attending.HostRecord]:
         """Return hosts of other regions that reach a region for this one.
