--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -91,7 +91,7 @@
         host: attending.HostRecord,
     ) -> RegionOffer | None:
         """Return what a region offers through a host; None if nothing."""
-        remote = self._heard(host)
+        remote = self._latest_status(host)
         if remote is None:
             return _unknown(region, host)
         said = remote.said
@@ -129,7 +129,7 @@
         found: dict[ids.RegionId, list[messages.Offer]] = {}
         for region in cut_off:
             for host in self._partners.reachable(region):
-                remote = self._heard(host)
+                remote = self._latest_status(host)
                 if remote is None:
                     continue
                 if not remote.said.serving or not remote.said.offers:
@@ -156,14 +156,14 @@
             if between == region:
                 continue
             for host in self._partners.reachable(between):
-                remote = self._heard(host)
+                remote = self._latest_status(host)
                 if remote is None:
                     continue
                 if region in remote.said.relayed:
                     hosts.append(host)
         return hosts
 
-    def _heard(
+    def _latest_status(
         self, host: attending.HostRecord
     ) -> reach.Remote | views.Heard | None:
         """Return what a host last said, or else another of its region."""
