--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -95,7 +95,7 @@
         if remote is None:
             return _unknown(region, host)
         said = remote.said
-        if not said.serving or self._lags(remote):
+        if not said.serving or self._has_stale_configuration(remote):
             return None
         travel_ms = (remote.travel_ms or 0.0) + HANDLING_MS
         offers = said.offers
@@ -175,7 +175,9 @@
         remote = self._reach.remote(host.host)
         return None if remote is None or remote.said is None else remote
 
-    def _lags(self, remote: reach.Remote | views.Heard) -> bool:
+    def _has_stale_configuration(
+        self, remote: reach.Remote | views.Heard
+    ) -> bool:
         """Tell whether a host goes by an older configuration for long."""
         if self._replica.current.index != self._index:
             self._index = self._replica.current.index
