--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -106,7 +106,9 @@
         found = _of_service(offers, service.service)
         if found is None:
             return None
-        unread_ms = found.token_ms * self._unread(region, service, call)
+        unread_ms = found.token_ms * self._uncached_tokens(
+            region, service, call
+        )
         waiting_ms = found.wait_ms + self._passed_ms(region, remote, found)
         told_ms, at_ms = self._told.get((region, service.service), (0.0, 0))
         if self._clock.mono_ms() - at_ms < TOLD_MS:
@@ -186,7 +188,7 @@
             return False
         return remote.answered_ms - self._index_ms > LAG_MS
 
-    def _unread(
+    def _uncached_tokens(
         self,
         region: ids.RegionId,
         service: routes.RoutedService,
@@ -221,7 +223,7 @@
         call: dialects.Call,
     ) -> None:
         """Note that a call goes to a region, and tell this one's hosts."""
-        unread = self._unread(region, service, call)
+        unread = self._uncached_tokens(region, service, call)
         passed = self._passed.setdefault(region, collections.deque())
         passed.append((self._clock.mono_ms(), unread))
         if service.batch is None:
