--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -109,7 +109,9 @@
         unread_ms = found.token_ms * self._uncached_tokens(
             region, service, call
         )
-        waiting_ms = found.wait_ms + self._passed_ms(region, remote, found)
+        waiting_ms = found.wait_ms + self._unreported_wait_ms(
+            region, remote, found
+        )
         told_ms, at_ms = self._told.get((region, service.service), (0.0, 0))
         if self._clock.mono_ms() - at_ms < TOLD_MS:
             waiting_ms = max(waiting_ms, told_ms)
@@ -200,7 +202,7 @@
         kept = self._kept.kept_tokens(name, call.parts, usual=False)
         return max(call.tokens_in - kept, 0.0)
 
-    def _passed_ms(
+    def _unreported_wait_ms(
         self,
         region: ids.RegionId,
         remote: reach.Remote | views.Heard,
