--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -115,7 +115,7 @@
     assert first_ms == pytest.approx(
         50 + remote_regions.HANDLING_MS + 100 + 100
     )
-    made.note_passed('south', SERVICE, CALL)
+    made.record_forwarded('south', SERVICE, CALL)
     again = made.offer_for_call('south', SERVICE, CALL, HOST)
     # Its prompt is kept there now, and waits at one of two engines.
     assert again.first_ms == pytest.approx(first_ms - 100 + 50)
@@ -127,7 +127,7 @@
     made, _found, _clock = known(pong(), told=told)
     other, _other_found, _other_clock = known(pong(), told=Told())
     first_ms = made.offer_for_call('south', SERVICE, CALL, HOST).first_ms
-    other.note_passed('south', SERVICE, CALL)
+    other.record_forwarded('south', SERVICE, CALL)
     [(name, tokens, parts)] = other._sent_calls.noted
     shared = [(part.part, part.tokens) for part in parts[:-1]]
     told.listener(attending.SentCall(1, name, tokens, 0, shared))
--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -294,7 +294,9 @@
             here_ms=None if local is None else round(local.first_ms),
             limit_ms=int(limit_ms),
         )
-        self._remote_regions.note_passed(found.region, work.service, work.call)
+        self._remote_regions.record_forwarded(
+            found.region, work.service, work.call
+        )
         hop = passing.Hop(
             self._host,
             work.route.name,
--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -218,7 +218,7 @@
         tokens = sum(item[1] for item in passed)
         return tokens * found.token_ms / max(found.endpoints, 1)
 
-    def note_passed(
+    def record_forwarded(
         self,
         region: ids.RegionId,
         service: routes.RoutedService,
