--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -69,7 +69,7 @@
     ):
         self._sent_calls = told
         if told is not None:
-            told.listen(self._note_passed_by_another)
+            told.listen(self._on_peer_forwarded)
         self._reach = reached
         self._partners = near
         self._views = viewed
@@ -235,7 +235,7 @@
         if self._sent_calls is not None:
             self._sent_calls.note(name, unread, call.parts)
 
-    def _note_passed_by_another(self, sent: attending.SentCall) -> None:
+    def _on_peer_forwarded(self, sent: attending.SentCall) -> None:
         """Note that another host of this region passed a call on."""
         region, found, name = sent.endpoint.partition(MEMORY_SEPARATOR)
         service = self._replica.current.routes.service(ids.ServiceId(name))
