--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -144,7 +144,7 @@
 def test_what_a_region_said_when_it_turned_a_call_back_is_believed():
     made, _found, clock = known(pong())
     before = made.offer_for_call('south', SERVICE, CALL, HOST).first_ms
-    made.note_told('south', 's', 700.0)
+    made.record_busy('south', 's', 700.0)
     assert (
         made.offer_for_call('south', SERVICE, CALL, HOST).first_ms
         == before + 600
--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -310,7 +310,7 @@
         if answer.refused == passing.Refusal.QUARANTINED:
             raise errors.QuarantinedError(int(answer.retry_after_ms))
         if answer.refused == passing.Refusal.BUSY:
-            self._remote_regions.note_told(
+            self._remote_regions.record_busy(
                 place.region, work.service.service, answer.retry_after_ms
             )
         return False
--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -248,7 +248,7 @@
         parts = sent_call_broadcast.prompt_parts(sent)
         self._kept.note(sent.endpoint, service.batch.cache_tokens, parts)
 
-    def note_told(
+    def record_busy(
         self, region: ids.RegionId, service: ids.ServiceId, wait_ms: float
     ) -> None:
         """Note what a region said when it turned a call back."""
