--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -78,7 +78,7 @@
         self._index_ms = clock.mono_ms()
         self._clock = clock
         self._passed: dict[ids.RegionId, collections.deque] = {}
-        self._told: dict[
+        self._busy_waits: dict[
             tuple[ids.RegionId, ids.ServiceId], tuple[float, int]
         ] = {}
         self._kept = prefix_index.Prefixes()
@@ -112,7 +112,9 @@
         waiting_ms = found.wait_ms + self._unreported_wait_ms(
             region, remote, found
         )
-        told_ms, at_ms = self._told.get((region, service.service), (0.0, 0))
+        told_ms, at_ms = self._busy_waits.get(
+            (region, service.service), (0.0, 0)
+        )
         if self._clock.mono_ms() - at_ms < TOLD_MS:
             waiting_ms = max(waiting_ms, told_ms)
         first_ms = travel_ms + waiting_ms + unread_ms
@@ -252,7 +254,7 @@
         self, region: ids.RegionId, service: ids.ServiceId, wait_ms: float
     ) -> None:
         """Note what a region said when it turned a call back."""
-        self._told[region, service] = (wait_ms, self._clock.mono_ms())
+        self._busy_waits[region, service] = (wait_ms, self._clock.mono_ms())
 
 
 def _unknown(region: ids.RegionId, host: attending.HostRecord) -> RegionOffer:
