--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -77,7 +77,7 @@
         self._index = 0
         self._index_ms = clock.mono_ms()
         self._clock = clock
-        self._passed: dict[ids.RegionId, collections.deque] = {}
+        self._forwarded: dict[ids.RegionId, collections.deque] = {}
         self._busy_waits: dict[
             tuple[ids.RegionId, ids.ServiceId], tuple[float, int]
         ] = {}
@@ -211,7 +211,7 @@
         found: messages.Offer,
     ) -> float:
         """Return what was passed on and is not in the offer yet."""
-        passed = self._passed.get(region)
+        passed = self._forwarded.get(region)
         if not passed:
             return 0.0
         since_ms = remote.answered_ms - (remote.travel_ms or 0.0) / 2
@@ -228,7 +228,7 @@
     ) -> None:
         """Note that a call goes to a region, and tell this one's hosts."""
         unread = self._uncached_tokens(region, service, call)
-        passed = self._passed.setdefault(region, collections.deque())
+        passed = self._forwarded.setdefault(region, collections.deque())
         passed.append((self._clock.mono_ms(), unread))
         if service.batch is None:
             return
@@ -243,7 +243,7 @@
         service = self._replica.current.routes.service(ids.ServiceId(name))
         if not found or service is None or service.batch is None:
             return
-        passed = self._passed.setdefault(
+        passed = self._forwarded.setdefault(
             ids.RegionId(region), collections.deque()
         )
         passed.append((self._clock.mono_ms() - sent.age_ms, sent.tokens))
