--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -81,7 +81,7 @@
         self._busy_waits: dict[
             tuple[ids.RegionId, ids.ServiceId], tuple[float, int]
         ] = {}
-        self._kept = prefix_index.Prefixes()
+        self._prefix_index = prefix_index.Prefixes()
 
     def offer_for_call(
         self,
@@ -201,7 +201,7 @@
         if service.batch is None:
             return 0.0
         name = _memory_name(region, service.service)
-        kept = self._kept.kept_tokens(name, call.parts, usual=False)
+        kept = self._prefix_index.kept_tokens(name, call.parts, usual=False)
         return max(call.tokens_in - kept, 0.0)
 
     def _unreported_wait_ms(
@@ -233,7 +233,7 @@
         if service.batch is None:
             return
         name = _memory_name(region, service.service)
-        self._kept.note(name, service.batch.cache_tokens, call.parts)
+        self._prefix_index.note(name, service.batch.cache_tokens, call.parts)
         if self._sent_calls is not None:
             self._sent_calls.note(name, unread, call.parts)
 
@@ -248,7 +248,9 @@
         )
         passed.append((self._clock.mono_ms() - sent.age_ms, sent.tokens))
         parts = sent_call_broadcast.prompt_parts(sent)
-        self._kept.note(sent.endpoint, service.batch.cache_tokens, parts)
+        self._prefix_index.note(
+            sent.endpoint, service.batch.cache_tokens, parts
+        )
 
     def record_busy(
         self, region: ids.RegionId, service: ids.ServiceId, wait_ms: float
