--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -67,7 +67,7 @@
         clock: clocks.Clock,
         told: sent_call_broadcast.SentCalls | None = None,
     ):
-        self._sent_calls = told
+        self._broadcaster = told
         if told is not None:
             told.listen(self._on_peer_forwarded)
         self._reach = reached
@@ -234,8 +234,8 @@
             return
         name = _memory_name(region, service.service)
         self._prefix_index.note(name, service.batch.cache_tokens, call.parts)
-        if self._sent_calls is not None:
-            self._sent_calls.note(name, unread, call.parts)
+        if self._broadcaster is not None:
+            self._broadcaster.note(name, unread, call.parts)
 
     def _on_peer_forwarded(self, sent: attending.SentCall) -> None:
         """Note that another host of this region passed a call on."""
