--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -93,7 +93,7 @@
         """Return what a region offers through a host; None if nothing."""
         remote = self._latest_status(host)
         if remote is None:
-            return _unknown(region, host)
+            return _default_offer(region, host)
         said = remote.said
         if not said.serving or self._has_stale_configuration(remote):
             return None
@@ -102,7 +102,7 @@
         if host.region != region:
             offers = said.relayed.get(region, [])
         if offers is None:
-            return _unknown(region, host)
+            return _default_offer(region, host)
         found = _of_service(offers, service.service)
         if found is None:
             return None
@@ -259,7 +259,9 @@
         self._busy_waits[region, service] = (wait_ms, self._clock.mono_ms())
 
 
-def _unknown(region: ids.RegionId, host: attending.HostRecord) -> RegionOffer:
+def _default_offer(
+    region: ids.RegionId, host: attending.HostRecord
+) -> RegionOffer:
     return RegionOffer(region, host, UNKNOWN_FIRST_MS, UNKNOWN_FIRST_MS, 0.0)
 
 
