--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -103,7 +103,7 @@
             offers = said.relayed.get(region, [])
         if offers is None:
             return _default_offer(region, host)
-        found = _of_service(offers, service.service)
+        found = _offer_of(offers, service.service)
         if found is None:
             return None
         unread_ms = found.token_ms * self._uncached_tokens(
@@ -265,7 +265,7 @@
     return RegionOffer(region, host, UNKNOWN_FIRST_MS, UNKNOWN_FIRST_MS, 0.0)
 
 
-def _of_service(
+def _offer_of(
     offers: list[messages.Offer] | None, service: ids.ServiceId
 ) -> messages.Offer | None:
     for found in offers or ():
