--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -200,7 +200,7 @@
     ) -> float:
         if service.batch is None:
             return 0.0
-        name = _memory_name(region, service.service)
+        name = _cache_key(region, service.service)
         kept = self._prefix_index.kept_tokens(name, call.parts, usual=False)
         return max(call.tokens_in - kept, 0.0)
 
@@ -232,7 +232,7 @@
         passed.append((self._clock.mono_ms(), unread))
         if service.batch is None:
             return
-        name = _memory_name(region, service.service)
+        name = _cache_key(region, service.service)
         self._prefix_index.note(name, service.batch.cache_tokens, call.parts)
         if self._broadcaster is not None:
             self._broadcaster.note(name, unread, call.parts)
@@ -274,7 +274,5 @@
     return None
 
 
-def _memory_name(
-    region: ids.RegionId, service: ids.ServiceId
-) -> ids.EndpointId:
+def _cache_key(region: ids.RegionId, service: ids.ServiceId) -> ids.EndpointId:
     return ids.EndpointId(f'{region}{MEMORY_SEPARATOR}{service}')
