--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -38,7 +38,7 @@
 HANDLING_MS = 6.0
 # Between a region and a service in the name of what is kept there; no
 # endpoint's name holds it, as it would end a path.
-MEMORY_SEPARATOR = '/'
+CACHE_KEY_SEPARATOR = '/'
 
 
 @dataclasses.dataclass(slots=True)
@@ -239,7 +239,7 @@
 
     def _on_peer_forwarded(self, sent: attending.SentCall) -> None:
         """Note that another host of this region passed a call on."""
-        region, found, name = sent.endpoint.partition(MEMORY_SEPARATOR)
+        region, found, name = sent.endpoint.partition(CACHE_KEY_SEPARATOR)
         service = self._replica.current.routes.service(ids.ServiceId(name))
         if not found or service is None or service.batch is None:
             return
@@ -275,4 +275,4 @@
 
 
 def _cache_key(region: ids.RegionId, service: ids.ServiceId) -> ids.EndpointId:
-    return ids.EndpointId(f'{region}{MEMORY_SEPARATOR}{service}')
+    return ids.EndpointId(f'{region}{CACHE_KEY_SEPARATOR}{service}')
