--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -164,7 +164,7 @@
     'later_ms, first_ms',
     [
         (0, 40 + 100 + 100),
-        (views.FRESH_MS + 1, remote_regions.UNKNOWN_FIRST_MS),
+        (views.FRESH_MS + 1, remote_regions.DEFAULT_FIRST_MS),
     ],
     ids=['fresh', 'old'],
 )
--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -27,7 +27,7 @@
 
 # First piece through a region whose hosts have not said what they offer: a
 # round trip of 160 ms between far regions and some work there.
-UNKNOWN_FIRST_MS = 250.0
+DEFAULT_FIRST_MS = 250.0
 # What a region said when it turned a call back is believed for so long,
 # some pings; the next ones tell anew.
 TOLD_MS = 800
@@ -262,7 +262,7 @@
 def _default_offer(
     region: ids.RegionId, host: attending.HostRecord
 ) -> RegionOffer:
-    return RegionOffer(region, host, UNKNOWN_FIRST_MS, UNKNOWN_FIRST_MS, 0.0)
+    return RegionOffer(region, host, DEFAULT_FIRST_MS, DEFAULT_FIRST_MS, 0.0)
 
 
 def _offer_of(
