--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -149,7 +149,7 @@
         made.offer_for_call('south', SERVICE, CALL, HOST).first_ms
         == before + 600
     )
-    clock.now_ms += remote_regions.TOLD_MS
+    clock.now_ms += remote_regions.BUSY_WAIT_TTL_MS
     assert made.offer_for_call('south', SERVICE, CALL, HOST).first_ms == before
 
 
--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -30,7 +30,7 @@
 DEFAULT_FIRST_MS = 250.0
 # What a region said when it turned a call back is believed for so long,
 # some pings; the next ones tell anew.
-TOLD_MS = 800
+BUSY_WAIT_TTL_MS = 800
 # A host that has not got this host's configuration after so long would
 # turn calls back: two pings, and the time a change takes to every host.
 LAG_MS = 800
@@ -115,7 +115,7 @@
         told_ms, at_ms = self._busy_waits.get(
             (region, service.service), (0.0, 0)
         )
-        if self._clock.mono_ms() - at_ms < TOLD_MS:
+        if self._clock.mono_ms() - at_ms < BUSY_WAIT_TTL_MS:
             waiting_ms = max(waiting_ms, told_ms)
         first_ms = travel_ms + waiting_ms + unread_ms
         end_ms = first_ms
