--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -104,7 +104,7 @@
 def test_host_that_lags_for_long_offers_nothing():
     made, found, clock = known(pong(index=0))
     assert made.offer_for_call('south', SERVICE, CALL, HOST) is not None
-    clock.now_ms += remote_regions.LAG_MS + 1
+    clock.now_ms += remote_regions.CONFIGURATION_LAG_LIMIT_MS + 1
     found.told.answered_ms = clock.now_ms
     assert made.offer_for_call('south', SERVICE, CALL, HOST) is None
 
--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -33,7 +33,7 @@
 BUSY_WAIT_TTL_MS = 800
 # A host that has not got this host's configuration after so long would
 # turn calls back: two pings, and the time a change takes to every host.
-LAG_MS = 800
+CONFIGURATION_LAG_LIMIT_MS = 800
 # Host time in which a call is taken over there, on both ways.
 HANDLING_MS = 6.0
 # Between a region and a service in the name of what is kept there; no
@@ -190,7 +190,7 @@
             self._index_ms = self._clock.mono_ms()
         if remote.said.index >= self._index:
             return False
-        return remote.answered_ms - self._index_ms > LAG_MS
+        return remote.answered_ms - self._index_ms > CONFIGURATION_LAG_LIMIT_MS
 
     def _uncached_tokens(
         self,
