--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -113,7 +113,7 @@
     made, _found, _clock = known(pong())
     first_ms = made.offer_for_call('south', SERVICE, CALL, HOST).first_ms
     assert first_ms == pytest.approx(
-        50 + remote_regions.HANDLING_MS + 100 + 100
+        50 + remote_regions.FORWARDING_OVERHEAD_MS + 100 + 100
     )
     made.record_forwarded('south', SERVICE, CALL)
     again = made.offer_for_call('south', SERVICE, CALL, HOST)
@@ -157,7 +157,10 @@
     made, _found, _clock = known(pong())
     told = made.relay_offers(['south', 'nowhere'])
     assert list(told) == ['south']
-    assert told['south'][0].wait_ms == 100 + 50 + remote_regions.HANDLING_MS
+    assert (
+        told['south'][0].wait_ms
+        == 100 + 50 + remote_regions.FORWARDING_OVERHEAD_MS
+    )
 
 
 @pytest.mark.parametrize(
@@ -174,5 +177,5 @@
     made._views.note(status)
     clock.now_ms += later_ms and later_ms - 200
     offered = made.offer_for_call('south', SERVICE, CALL, HOST)
-    handling_ms = 0 if later_ms else remote_regions.HANDLING_MS
+    handling_ms = 0 if later_ms else remote_regions.FORWARDING_OVERHEAD_MS
     assert offered.first_ms == pytest.approx(first_ms + handling_ms)
--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -35,7 +35,7 @@
 # turn calls back: two pings, and the time a change takes to every host.
 CONFIGURATION_LAG_LIMIT_MS = 800
 # Host time in which a call is taken over there, on both ways.
-HANDLING_MS = 6.0
+FORWARDING_OVERHEAD_MS = 6.0
 # Between a region and a service in the name of what is kept there; no
 # endpoint's name holds it, as it would end a path.
 CACHE_KEY_SEPARATOR = '/'
@@ -97,7 +97,7 @@
         said = remote.said
         if not said.serving or self._has_stale_configuration(remote):
             return None
-        travel_ms = (remote.travel_ms or 0.0) + HANDLING_MS
+        travel_ms = (remote.travel_ms or 0.0) + FORWARDING_OVERHEAD_MS
         offers = said.offers
         if host.region != region:
             offers = said.relayed.get(region, [])
@@ -140,7 +140,7 @@
                     continue
                 if not remote.said.serving or not remote.said.offers:
                     continue
-                travel_ms = (remote.travel_ms or 0.0) + HANDLING_MS
+                travel_ms = (remote.travel_ms or 0.0) + FORWARDING_OVERHEAD_MS
                 found[region] = [
                     msgspec.structs.replace(
                         offer, wait_ms=offer.wait_ms + travel_ms
