--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -59,7 +59,7 @@
         self._taken_back_ms: dict[ids.DataCentreId, int] = {}
         self._next_warm_ms: dict[ids.EndpointId, float] = {}
 
-    def usable(
+    def usable_endpoints(
         self, service: ids.ServiceId, region: ids.RegionId
     ) -> list[registry.Registered]:
         """Return the endpoints of a service that may get new work."""
@@ -80,7 +80,7 @@
         """Return the usable endpoints that bear more than a few requests."""
         return [
             found
-            for found in self.usable(service, region)
+            for found in self.usable_endpoints(service, region)
             if not self.cold(found)
         ]
 
