--- a/tests/test_gauges.py
+++ b/tests/test_gauges.py
@@ -204,4 +204,4 @@
     )
     sound = [found.said.endpoint for found in available.sound('s', 'north')]
     assert sound == (['e1'] if silent else ['e0', 'e1'])
-    assert len(available.warm('s', 'north')) == 2
+    assert len(available.warm_endpoints('s', 'north')) == 2
--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -74,7 +74,7 @@
             and not self._leaves(found)
         ]
 
-    def warm(
+    def warm_endpoints(
         self, service: ids.ServiceId, region: ids.RegionId
     ) -> list[registry.Registered]:
         """Return the usable endpoints that bear more than a few requests."""
@@ -117,7 +117,7 @@
         """Return the warm endpoints that take work now."""
         return [
             found
-            for found in self.warm(service, region)
+            for found in self.warm_endpoints(service, region)
             if not self.doubted(found) and not self.spent_ms(found)
         ]
 
