--- a/tests/test_gauges.py
+++ b/tests/test_gauges.py
@@ -202,6 +202,9 @@
         frozenset(),
         clock,
     )
-    sound = [found.said.endpoint for found in available.sound('s', 'north')]
+    sound = [
+        found.said.endpoint
+        for found in available.healthy_endpoints('s', 'north')
+    ]
     assert sound == (['e1'] if silent else ['e0', 'e1'])
     assert len(available.warm_endpoints('s', 'north')) == 2
--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -111,7 +111,7 @@
             and services[found.said.service].warmup_per_s > 0
         )
 
-    def sound(
+    def healthy_endpoints(
         self, service: ids.ServiceId, region: ids.RegionId
     ) -> list[registry.Registered]:
         """Return the warm endpoints that take work now."""
