--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -63,7 +63,7 @@
         self, service: ids.ServiceId, region: ids.RegionId
     ) -> list[registry.Registered]:
         """Return the endpoints of a service that may get new work."""
-        self.note_evacuations()
+        self.update_evacuations()
         return [
             found
             for found in self._attended.registry.held.values()
@@ -84,7 +84,7 @@
             if not self.cold(found)
         ]
 
-    def note_evacuations(self) -> None:
+    def update_evacuations(self) -> None:
         """Take endpoints that were just taken back for cold.
 
         They may have turned cold unseen; they are asked, and their next
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -409,7 +409,7 @@
         """Look at once at what was taken back, also where no call comes."""
         while True:
             await self.replica.changed.wait()
-            self._available.note_evacuations()
+            self._available.update_evacuations()
 
     async def drain(self) -> None:
         """Let callers go elsewhere, then wait for what is in flight."""
