--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -121,7 +121,7 @@
             if not self.doubted(found) and not self.spent_ms(found)
         ]
 
-    def is_limited(self, found: registry.Registered) -> bool:
+    def advertises_limit(self, found: registry.Registered) -> bool:
         """Tell whether an endpoint names a limit."""
         return self._gate.limits.rate_per_s(_life_of(found)) is not None
 
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -328,7 +328,9 @@
             return None
         # Endpoints with a limit are reserved for their own region.
         unlimited = [
-            one for one in found if not self._availability.is_limited(one)
+            one
+            for one in found
+            if not self._availability.advertises_limit(one)
         ]
         found = unlimited or found
         name, best = min(
