--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -118,7 +118,7 @@
         return [
             found
             for found in self.warm_endpoints(service, region)
-            if not self.doubted(found) and not self.spent_ms(found)
+            if not self.doubted(found) and not self.limit_wait_ms(found)
         ]
 
     def advertises_limit(self, found: registry.Registered) -> bool:
@@ -129,7 +129,7 @@
         """Return this host's part of an endpoint's limit, None without."""
         return self._gate.limits.share_per_s(_life_of(found))
 
-    def spent_ms(self, found: registry.Registered) -> int:
+    def limit_wait_ms(self, found: registry.Registered) -> int:
         """Return for how long an endpoint is sent nothing more, in ms."""
         if self._gate.is_idle:
             return 0
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -121,7 +121,7 @@
                 service.service, self._region
             )
             if found.said.endpoint not in excluded
-            and not self._availability.spent_ms(found)
+            and not self._availability.limit_wait_ms(found)
         ]
         warm = [found for found in every if not self._availability.cold(found)]
         sound = [
@@ -284,7 +284,7 @@
             wait_ms = max(
                 found.warm_ms - now_ms,
                 until_ms - now_ms,
-                self._availability.spent_ms(found),
+                self._availability.limit_wait_ms(found),
             )
             if wait_ms > 0:
                 waits_ms.append(wait_ms)
