--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -71,7 +71,7 @@
             and found.said.service == service
             and self._regions.get(found.said.data_centre) == region
             and found.said.data_centre not in self._evacuated
-            and not self._leaves(found)
+            and not self._announced_leaving(found)
         ]
 
     def warm_endpoints(
@@ -135,7 +135,7 @@
             return 0
         return self._gate.remaining_ms(_life_of(found))
 
-    def _leaves(self, found: registry.Registered) -> bool:
+    def _announced_leaving(self, found: registry.Registered) -> bool:
         """Return whether an endpoint said in an answer that it leaves."""
         leaving = self._gate.leaving
         return not leaving.is_idle and leaving.is_leaving(_life_of(found))
