--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -140,7 +140,7 @@
         leaving = self._gate.leaving
         return not leaving.is_idle and leaving.is_leaving(_life_of(found))
 
-    def backs_off(self, found: registry.Registered) -> bool:
+    def in_backoff(self, found: registry.Registered) -> bool:
         """Return whether this host backs off from an endpoint."""
         return self._gate.backoffs.remaining_ms(_life_of(found)) > 0
 
