--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -81,7 +81,7 @@
         return [
             found
             for found in self.usable_endpoints(service, region)
-            if not self.cold(found)
+            if not self.is_cold(found)
         ]
 
     def update_evacuations(self) -> None:
@@ -144,7 +144,7 @@
         """Return whether this host backs off from an endpoint."""
         return self._gate.backoffs.remaining_ms(_life_of(found)) > 0
 
-    def cold(self, found: registry.Registered) -> bool:
+    def is_cold(self, found: registry.Registered) -> bool:
         """Tell whether an endpoint bears a few requests only."""
         if found.warm_ms > self._clock.mono_ms():
             return True
@@ -171,7 +171,7 @@
         now_ms = self._clock.mono_ms()
         for found in every:
             name = found.said.endpoint
-            if not self.cold(found) or not self._askers.is_first(name):
+            if not self.is_cold(found) or not self._askers.is_first(name):
                 continue
             if self.set_aside(found.said.address):
                 continue
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -123,7 +123,9 @@
             if found.said.endpoint not in excluded
             and not self._availability.limit_wait_ms(found)
         ]
-        warm = [found for found in every if not self._availability.cold(found)]
+        warm = [
+            found for found in every if not self._availability.is_cold(found)
+        ]
         sound = [
             found for found in warm if not self._availability.doubted(found)
         ]
