--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -160,7 +160,7 @@
         since_ms = self._clock.mono_ms() - taken_back_ms
         return since_ms < TAKEN_BACK_DOUBT_MS
 
-    def warming_turn(
+    def next_warmup_endpoint(
         self,
         service: routes.RoutedService,
         every: list[registry.Registered],
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -129,7 +129,7 @@
         sound = [
             found for found in warm if not self._availability.doubted(found)
         ]
-        warming = self._availability.warming_turn(service, every)
+        warming = self._availability.next_warmup_endpoint(service, every)
         if warming is not None:
             return EndpointSelection(
                 warming, estimate.Prospect(0.0), 0.0, True, False, len(every)
