--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -118,7 +118,7 @@
         return [
             found
             for found in self.warm_endpoints(service, region)
-            if not self.doubted(found) and not self.limit_wait_ms(found)
+            if not self.is_degraded(found) and not self.limit_wait_ms(found)
         ]
 
     def advertises_limit(self, found: registry.Registered) -> bool:
@@ -182,7 +182,7 @@
             return found
         return None
 
-    def doubted(self, found: registry.Registered) -> bool:
+    def is_degraded(self, found: registry.Registered) -> bool:
         """Tell whether others should be used before an endpoint.
 
         Its calls failed here, or it is silent to all hosts of the region.
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -127,7 +127,9 @@
             found for found in every if not self._availability.is_cold(found)
         ]
         sound = [
-            found for found in warm if not self._availability.doubted(found)
+            found
+            for found in warm
+            if not self._availability.is_degraded(found)
         ]
         warming = self._availability.next_warmup_endpoint(service, every)
         if warming is not None:
