--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -173,7 +173,7 @@
             name = found.said.endpoint
             if not self.is_cold(found) or not self._askers.is_first(name):
                 continue
-            if self.set_aside(found.said.address):
+            if self.is_ejected(found.said.address):
                 continue
             if now_ms < self._next_warm_ms.get(name, 0):
                 continue
@@ -187,13 +187,13 @@
 
         Its calls failed here, or it is silent to all hosts of the region.
         """
-        if self.set_aside(found.said.address):
+        if self.is_ejected(found.said.address):
             return True
         if not self._on(mechanisms.Mechanism.SETTING_ASIDE):
             return False
         return self._gauges.silent(found.said.endpoint)
 
-    def set_aside(self, place: str) -> bool:
+    def is_ejected(self, place: str) -> bool:
         """Tell whether a place is to be left alone for now."""
         if not self._on(mechanisms.Mechanism.SETTING_ASIDE):
             return False
