--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -98,7 +98,7 @@
             return
         for data_centre in taken_back:
             self._taken_back_ms[data_centre] = self._clock.mono_ms()
-        if not self._on(mechanisms.Mechanism.ASKING_WARMTH):
+        if not self._is_enabled(mechanisms.Mechanism.ASKING_WARMTH):
             return
         services = self._replica.current.routes.services
         self._warmth.ask(
@@ -189,17 +189,17 @@
         """
         if self.is_ejected(found.said.address):
             return True
-        if not self._on(mechanisms.Mechanism.SETTING_ASIDE):
+        if not self._is_enabled(mechanisms.Mechanism.SETTING_ASIDE):
             return False
         return self._gauges.silent(found.said.endpoint)
 
     def is_ejected(self, place: str) -> bool:
         """Tell whether a place is to be left alone for now."""
-        if not self._on(mechanisms.Mechanism.SETTING_ASIDE):
+        if not self._is_enabled(mechanisms.Mechanism.SETTING_ASIDE):
             return False
         return self._health.set_aside(place)
 
-    def _on(self, mechanism: mechanisms.Mechanism) -> bool:
+    def _is_enabled(self, mechanism: mechanisms.Mechanism) -> bool:
         return mechanism not in self._switched_off
 
 
