--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -56,7 +56,7 @@
         self._switched_off = switched_off
         self._clock = clock
         self._evacuated: set[ids.DataCentreId] = set()
-        self._taken_back_ms: dict[ids.DataCentreId, int] = {}
+        self._restored_at_ms: dict[ids.DataCentreId, int] = {}
         self._next_warm_ms: dict[ids.EndpointId, float] = {}
 
     def usable_endpoints(
@@ -97,7 +97,7 @@
         if not taken_back:
             return
         for data_centre in taken_back:
-            self._taken_back_ms[data_centre] = self._clock.mono_ms()
+            self._restored_at_ms[data_centre] = self._clock.mono_ms()
         if not self._is_enabled(mechanisms.Mechanism.ASKING_WARMTH):
             return
         services = self._replica.current.routes.services
@@ -148,7 +148,7 @@
         """Tell whether an endpoint bears a few requests only."""
         if found.warm_ms > self._clock.mono_ms():
             return True
-        taken_back_ms = self._taken_back_ms.get(found.said.data_centre)
+        taken_back_ms = self._restored_at_ms.get(found.said.data_centre)
         if taken_back_ms is None or found.heard_ms >= taken_back_ms:
             return False
         service = self._replica.current.routes.service(found.said.service)
