--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -57,7 +57,7 @@
         self._clock = clock
         self._evacuated: set[ids.DataCentreId] = set()
         self._restored_at_ms: dict[ids.DataCentreId, int] = {}
-        self._next_warm_ms: dict[ids.EndpointId, float] = {}
+        self._next_warmup_ms: dict[ids.EndpointId, float] = {}
 
     def usable_endpoints(
         self, service: ids.ServiceId, region: ids.RegionId
@@ -175,10 +175,10 @@
                 continue
             if self.is_ejected(found.said.address):
                 continue
-            if now_ms < self._next_warm_ms.get(name, 0):
+            if now_ms < self._next_warmup_ms.get(name, 0):
                 continue
             interval_ms = MS_PER_S / service.warmup_per_s
-            self._next_warm_ms[name] = now_ms + interval_ms
+            self._next_warmup_ms[name] = now_ms + interval_ms
             return found
         return None
 
