--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -50,7 +50,7 @@
         self._attended = attended
         self._replica = held
         self._health = noted
-        self._warmth = warmth
+        self._warmup_probe = warmth
         self._gauges = known
         self._gate = gate
         self._switched_off = switched_off
@@ -101,7 +101,7 @@
         if not self._is_enabled(mechanisms.Mechanism.ASKING_WARMTH):
             return
         services = self._replica.current.routes.services
-        self._warmth.ask(
+        self._warmup_probe.ask(
             found
             for found in self._attended.registry.held.values()
             if found.takes_work
@@ -154,7 +154,7 @@
         service = self._replica.current.routes.service(found.said.service)
         if service is None or service.warmup_per_s <= 0:
             return False
-        warm_ms = self._warmth.warm_ms(found.said.endpoint)
+        warm_ms = self._warmup_probe.warm_ms(found.said.endpoint)
         if warm_ms is not None:
             return warm_ms > self._clock.mono_ms()
         since_ms = self._clock.mono_ms() - taken_back_ms
