--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -49,7 +49,7 @@
         self._regions = regions
         self._attended = attended
         self._replica = held
-        self._health = noted
+        self._outlier_detector = noted
         self._warmup_probe = warmth
         self._gauges = known
         self._gate = gate
@@ -197,7 +197,7 @@
         """Tell whether a place is to be left alone for now."""
         if not self._is_enabled(mechanisms.Mechanism.SETTING_ASIDE):
             return False
-        return self._health.set_aside(place)
+        return self._outlier_detector.set_aside(place)
 
     def _is_enabled(self, mechanism: mechanisms.Mechanism) -> bool:
         return mechanism not in self._switched_off
