--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -47,7 +47,7 @@
         self._region = region
         self._askers = asking
         self._regions = regions
-        self._attended = attended
+        self._discovery = attended
         self._replica = held
         self._outlier_detector = noted
         self._warmup_probe = warmth
@@ -66,7 +66,7 @@
         self.update_evacuations()
         return [
             found
-            for found in self._attended.registry.held.values()
+            for found in self._discovery.registry.held.values()
             if found.takes_work
             and found.said.service == service
             and self._regions.get(found.said.data_centre) == region
@@ -103,7 +103,7 @@
         services = self._replica.current.routes.services
         self._warmup_probe.ask(
             found
-            for found in self._attended.registry.held.values()
+            for found in self._discovery.registry.held.values()
             if found.takes_work
             and found.said.data_centre in taken_back
             and self._regions.get(found.said.data_centre) == self._region
