--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -24,7 +24,7 @@
 MS_PER_S = 1000
 # An endpoint renews about every 1.2 s, sometimes a second late, and half a
 # second more brings what changed here.
-TAKEN_BACK_DOUBT_MS = 3_000
+RESTORED_UNCERTAIN_MS = 3_000
 
 
 class Availability:
@@ -158,7 +158,7 @@
         if warm_ms is not None:
             return warm_ms > self._clock.mono_ms()
         since_ms = self._clock.mono_ms() - taken_back_ms
-        return since_ms < TAKEN_BACK_DOUBT_MS
+        return since_ms < RESTORED_UNCERTAIN_MS
 
     def next_warmup_endpoint(
         self,
