--- a/wrenspoke/coordination/serving/backlog.py
+++ b/wrenspoke/coordination/serving/backlog.py
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Reading:
+class PendingPrompt:
     """Be one call that an engine was sent and has not answered yet."""
 
     sent_ms: int
@@ -44,9 +44,9 @@
     """Hold this host's calls at one engine."""
 
     def __init__(self):
-        self.waiting: dict[int, Reading] = {}
-        self.sent: collections.deque[Reading] = collections.deque()
-        self.others: collections.deque[Reading] = collections.deque()
+        self.waiting: dict[int, PendingPrompt] = {}
+        self.sent: collections.deque[PendingPrompt] = collections.deque()
+        self.others: collections.deque[PendingPrompt] = collections.deque()
         # When all that was sent is read.
         self.read_ms = 0.0
         # Since when the engine has read nothing but what waits now.
@@ -75,7 +75,7 @@
         engine = self._engines.setdefault(endpoint, _Engine())
         now_ms = self._clock.mono_ms()
         engine.read_ms = max(engine.read_ms, now_ms) + tokens * token_ms
-        reading = Reading(now_ms, tokens)
+        reading = PendingPrompt(now_ms, tokens)
         if not engine.waiting:
             engine.began_ms = now_ms
         self._number += 1
@@ -96,7 +96,7 @@
         now_ms = self._clock.mono_ms()
         self._heard_ms = now_ms
         sent_ms = now_ms - age_ms
-        engine.others.append(Reading(sent_ms, tokens))
+        engine.others.append(PendingPrompt(sent_ms, tokens))
         while engine.others[0].sent_ms < now_ms - OTHERS_KEPT_MS:
             engine.others.popleft()
         engine.read_ms = max(engine.read_ms, sent_ms) + tokens * token_ms
