--- a/wrenspoke/coordination/serving/backlog.py
+++ b/wrenspoke/coordination/serving/backlog.py
@@ -40,7 +40,7 @@
     tokens: float
 
 
-class _Engine:
+class _EngineBacklog:
     """Hold this host's calls at one engine."""
 
     def __init__(self):
@@ -58,7 +58,7 @@
 
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
-        self._engines: dict[ids.EndpointId, _Engine] = {}
+        self._engines: dict[ids.EndpointId, _EngineBacklog] = {}
         self._length_tokens = FIRST_LENGTH_TOKENS
         self._number = 0
         # Entry hosts of this region, this one among them.
@@ -72,7 +72,7 @@
 
         ``token_ms`` is what the engine takes to read a token.
         """
-        engine = self._engines.setdefault(endpoint, _Engine())
+        engine = self._engines.setdefault(endpoint, _EngineBacklog())
         now_ms = self._clock.mono_ms()
         engine.read_ms = max(engine.read_ms, now_ms) + tokens * token_ms
         reading = PendingPrompt(now_ms, tokens)
@@ -92,7 +92,7 @@
         age_ms: int,
     ) -> None:
         """Note a call that another host of the region sent a while ago."""
-        engine = self._engines.setdefault(endpoint, _Engine())
+        engine = self._engines.setdefault(endpoint, _EngineBacklog())
         now_ms = self._clock.mono_ms()
         self._heard_ms = now_ms
         sent_ms = now_ms - age_ms
@@ -138,7 +138,7 @@
         joined = left + REPORTED_WEIGHT * (reported - left)
         return max(own, joined)
 
-    def _own(self, engine: _Engine, token_ms: float) -> float:
+    def _own(self, engine: _EngineBacklog, token_ms: float) -> float:
         """Return what waits of this host's calls."""
         if not engine.waiting:
             return 0.0
@@ -150,7 +150,7 @@
 
     def _reported(
         self,
-        engine: _Engine | None,
+        engine: _EngineBacklog | None,
         load: loads.EngineLoad,
         token_ms: float,
     ) -> float:
@@ -168,7 +168,7 @@
         return max(waiting - age_ms / token_ms, 0.0)
 
     def _sent_by_others(
-        self, engine: _Engine, since_ms: int, age_ms: int
+        self, engine: _EngineBacklog, since_ms: int, age_ms: int
     ) -> float:
         """Return the tokens that other hosts have sent since a time."""
         unknown_ms = age_ms
@@ -182,7 +182,7 @@
             )
         return told + self._pace(engine) * (self.hosts - 1) * unknown_ms
 
-    def _pace(self, engine: _Engine) -> float:
+    def _pace(self, engine: _EngineBacklog) -> float:
         """Return the tokens a ms that this host sent an engine lately."""
         since_ms = self._clock.mono_ms() - PACE_MS
         while engine.sent and engine.sent[0].sent_ms < since_ms:
