--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -28,7 +28,7 @@
     made = backlog.Backlog(clock)
     numbers = []
     for tokens, later_ms in calls:
-        numbers.append(made.sent('e', tokens))
+        numbers.append(made.add_prompt('e', tokens))
         clock.now_ms += later_ms
     return made, numbers
 
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -160,7 +160,7 @@
     made = backlog.Backlog(clock)
     made.hosts = 3
     load = loads.EngineLoad('e', 0, 0, 0, 1, 0)
-    made.sent('e', 100, TOKEN_MS)
+    made.add_prompt('e', 100, TOKEN_MS)
     clock.now_ms = 100.0
     alone = made.ahead('e', load, TOKEN_MS)
     made.sent_by_another('e', 50_000, TOKEN_MS, 10)
--- a/wrenspoke/coordination/serving/backlog.py
+++ b/wrenspoke/coordination/serving/backlog.py
@@ -65,7 +65,7 @@
         self.hosts = 1
         self._heard_ms: int | None = None
 
-    def sent(
+    def add_prompt(
         self, endpoint: ids.EndpointId, tokens: float, token_ms: float = 0.0
     ) -> int:
         """Note a call; return the number by which its end is told.
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -154,7 +154,7 @@
             call.parts,
             call.tokens_expected,
         )
-        return self.backlog.sent(
+        return self.backlog.add_prompt(
             endpoint,
             prospect.unread_tokens,
             self._token_ms(endpoint, service.service),
