--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -99,7 +99,7 @@
             self._clock.now_ms = due_ms
             for host in self._backlogs:
                 if host is not sender:
-                    host.sent_by_another(name, tokens, TOKEN_MS, self._told_ms)
+                    host.add_peer_prompt(name, tokens, TOKEN_MS, self._told_ms)
 
     def _send(self, now_ms):
         host = self._random.choice(self._backlogs)
@@ -163,7 +163,7 @@
     made.add_prompt('e', 100, TOKEN_MS)
     clock.now_ms = 100.0
     alone = made.ahead('e', load, TOKEN_MS)
-    made.sent_by_another('e', 50_000, TOKEN_MS, 10)
+    made.add_peer_prompt('e', 50_000, TOKEN_MS, 10)
     assert made.ahead('e', load, TOKEN_MS) > alone
     clock.now_ms += backlog.HEARD_LATELY_MS
     assert not made.hears_others
--- a/wrenspoke/coordination/serving/backlog.py
+++ b/wrenspoke/coordination/serving/backlog.py
@@ -84,7 +84,7 @@
         self._length_tokens += LENGTH_WEIGHT * (tokens - self._length_tokens)
         return self._number
 
-    def sent_by_another(
+    def add_peer_prompt(
         self,
         endpoint: ids.EndpointId,
         tokens: float,
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -177,7 +177,7 @@
         self.prefixes.note(
             sent.endpoint, service.batch.cache_tokens, parts, sent.own_tokens
         )
-        self.backlog.sent_by_another(
+        self.backlog.add_peer_prompt(
             sent.endpoint,
             sent.tokens,
             self._token_ms(sent.endpoint, service.service),
