--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -186,7 +186,7 @@
     Switch(
         'calls of others are not heard',
         DECISIONS + 'serving/backlog.py',
-        ('        if not self.hears_others:\n'),
+        ('        if not self.has_peer_reports:\n'),
         ('        if True:\n'),
         ('tests/test_crowds.py'),
     ),
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -166,7 +166,7 @@
     made.add_peer_prompt('e', 50_000, TOKEN_MS, 10)
     assert made.ahead('e', load, TOKEN_MS) > alone
     clock.now_ms += backlog.HEARD_LATELY_MS
-    assert not made.hears_others
+    assert not made.has_peer_reports
 
 
 @pytest.mark.parametrize(
--- a/wrenspoke/coordination/serving/backlog.py
+++ b/wrenspoke/coordination/serving/backlog.py
@@ -102,7 +102,7 @@
         engine.read_ms = max(engine.read_ms, sent_ms) + tokens * token_ms
 
     @property
-    def hears_others(self) -> bool:
+    def has_peer_reports(self) -> bool:
         """Tell whether other hosts tell this one of their calls."""
         if self._heard_ms is None:
             return False
@@ -124,7 +124,7 @@
         """Return the tokens that a call sent now has before it."""
         engine = self._engines.get(endpoint)
         own = 0.0 if engine is None else self._own(engine, token_ms)
-        if not self.hears_others:
+        if not self.has_peer_reports:
             if load is None:
                 return own
             return max(own, self._reported(engine, load, token_ms))
@@ -173,7 +173,7 @@
         """Return the tokens that other hosts have sent since a time."""
         unknown_ms = age_ms
         told = 0.0
-        if self.hears_others:
+        if self.has_peer_reports:
             unknown_ms = min(TOLD_LAG_MS, age_ms)
             told = sum(
                 found.tokens
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -96,7 +96,7 @@
         model = self.model(said.service)
         load = self._gauges.load(said.endpoint)
         # Where others tell what they send, nothing needs to be supposed.
-        usual = usual and not self.backlog.hears_others
+        usual = usual and not self.backlog.has_peer_reports
         kept = self.prefixes.kept_tokens(said.endpoint, call.parts, usual)
         unread = max(call.tokens_in - kept - moved_tokens, 0.0)
         token_ms = self._token_ms(said.endpoint, said.service)
