--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -57,7 +57,7 @@
     clock = FakeClock()
     made, numbers = known(clock, *calls)
     for place in answered:
-        made.read('e', numbers[place])
+        made.remove_prompt('e', numbers[place])
     assert made.ahead('e', None, TOKEN_MS) == pytest.approx(ahead)
 
 
@@ -81,7 +81,7 @@
     clock = FakeClock()
     made, numbers = known(clock, *[(1_000.0, 100)] * 10)
     for number in numbers:
-        made.read('e', number)
+        made.remove_prompt('e', number)
     alone = made.ahead('e', load(40), TOKEN_MS)
     made.hosts = 3
     # 10 tokens a ms from each of two others, while the report is old.
@@ -91,6 +91,6 @@
 
 def test_call_that_ended_unread_waits_no_more():
     made, [number] = known(FakeClock(), (5_000, 0))
-    made.read('e', number)
-    made.read('e', number)
+    made.remove_prompt('e', number)
+    made.remove_prompt('e', number)
     assert made.ahead('e', None, TOKEN_MS) == 0
--- a/wrenspoke/coordination/serving/backlog.py
+++ b/wrenspoke/coordination/serving/backlog.py
@@ -108,7 +108,7 @@
             return False
         return self._clock.mono_ms() - self._heard_ms < HEARD_LATELY_MS
 
-    def read(self, endpoint: ids.EndpointId, number: int) -> None:
+    def remove_prompt(self, endpoint: ids.EndpointId, number: int) -> None:
         """Note that a call gave its first piece, or ended without one."""
         engine = self._engines.get(endpoint)
         if engine is None or engine.waiting.pop(number, None) is None:
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -187,7 +187,7 @@
     def note_read(self, endpoint: ids.EndpointId, number: int | None) -> None:
         """Note that a call gave its first piece, or ended without one."""
         if number is not None:
-            self.backlog.read(endpoint, number)
+            self.backlog.remove_prompt(endpoint, number)
 
     def note_first(
         self,
