--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -58,7 +58,7 @@
     made, numbers = known(clock, *calls)
     for place in answered:
         made.remove_prompt('e', numbers[place])
-    assert made.ahead('e', None, TOKEN_MS) == pytest.approx(ahead)
+    assert made.tokens_ahead('e', None, TOKEN_MS) == pytest.approx(ahead)
 
 
 @pytest.mark.parametrize(
@@ -74,7 +74,7 @@
 def test_report_is_brought_up_to_now(report, hosts, ahead):
     made = backlog.Backlog(FakeClock())
     made.hosts = hosts
-    assert made.ahead('e', report, TOKEN_MS) == pytest.approx(ahead)
+    assert made.tokens_ahead('e', report, TOKEN_MS) == pytest.approx(ahead)
 
 
 def test_other_hosts_are_taken_to_send_as_much():
@@ -82,10 +82,10 @@
     made, numbers = known(clock, *[(1_000.0, 100)] * 10)
     for number in numbers:
         made.remove_prompt('e', number)
-    alone = made.ahead('e', load(40), TOKEN_MS)
+    alone = made.tokens_ahead('e', load(40), TOKEN_MS)
     made.hosts = 3
     # 10 tokens a ms from each of two others, while the report is old.
-    more = made.ahead('e', load(40), TOKEN_MS) - alone
+    more = made.tokens_ahead('e', load(40), TOKEN_MS) - alone
     assert more == pytest.approx(2 * 10 * backlog.REPORT_LAG_MS, rel=0.01)
 
 
@@ -93,4 +93,4 @@
     made, [number] = known(FakeClock(), (5_000, 0))
     made.remove_prompt('e', number)
     made.remove_prompt('e', number)
-    assert made.ahead('e', None, TOKEN_MS) == 0
+    assert made.tokens_ahead('e', None, TOKEN_MS) == 0
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -162,9 +162,9 @@
     load = loads.EngineLoad('e', 0, 0, 0, 1, 0)
     made.add_prompt('e', 100, TOKEN_MS)
     clock.now_ms = 100.0
-    alone = made.ahead('e', load, TOKEN_MS)
+    alone = made.tokens_ahead('e', load, TOKEN_MS)
     made.add_peer_prompt('e', 50_000, TOKEN_MS, 10)
-    assert made.ahead('e', load, TOKEN_MS) > alone
+    assert made.tokens_ahead('e', load, TOKEN_MS) > alone
     clock.now_ms += backlog.HEARD_LATELY_MS
     assert not made.has_peer_reports
 
--- a/wrenspoke/coordination/serving/backlog.py
+++ b/wrenspoke/coordination/serving/backlog.py
@@ -115,7 +115,7 @@
             return
         engine.began_ms = self._clock.mono_ms()
 
-    def ahead(
+    def tokens_ahead(
         self,
         endpoint: ids.EndpointId,
         load: loads.EngineLoad | None,
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -100,7 +100,7 @@
         kept = self.prefixes.kept_tokens(said.endpoint, call.parts, usual)
         unread = max(call.tokens_in - kept - moved_tokens, 0.0)
         token_ms = self._token_ms(said.endpoint, said.service)
-        ahead = self.backlog.ahead(said.endpoint, load, token_ms)
+        ahead = self.backlog.tokens_ahead(said.endpoint, load, token_ms)
         moving_ms = MOVE_WAIT * service.batch.move_ms(moved_tokens)
         first_ms = model.first_ms(said.endpoint, unread, ahead) + moving_ms
         room = True
