--- a/wrenspoke/coordination/serving/backlog.py
+++ b/wrenspoke/coordination/serving/backlog.py
@@ -123,7 +123,7 @@
     ) -> float:
         """Return the tokens that a call sent now has before it."""
         engine = self._engines.get(endpoint)
-        own = 0.0 if engine is None else self._own(engine, token_ms)
+        own = 0.0 if engine is None else self._own_tokens(engine, token_ms)
         if not self.has_peer_reports:
             if load is None:
                 return own
@@ -138,7 +138,7 @@
         joined = left + REPORTED_WEIGHT * (reported - left)
         return max(own, joined)
 
-    def _own(self, engine: _EngineBacklog, token_ms: float) -> float:
+    def _own_tokens(self, engine: _EngineBacklog, token_ms: float) -> float:
         """Return what waits of this host's calls."""
         if not engine.waiting:
             return 0.0
