--- a/wrenspoke/coordination/serving/backlog.py
+++ b/wrenspoke/coordination/serving/backlog.py
@@ -127,14 +127,14 @@
         if not self.has_peer_reports:
             if load is None:
                 return own
-            return max(own, self._reported(engine, load, token_ms))
+            return max(own, self._reported_tokens(engine, load, token_ms))
         left = 0.0
         if engine is not None:
             left_ms = engine.read_ms - self._clock.mono_ms()
             left = max(left_ms, 0.0) / token_ms
         if load is None:
             return max(own, left)
-        reported = self._reported(engine, load, token_ms)
+        reported = self._reported_tokens(engine, load, token_ms)
         joined = left + REPORTED_WEIGHT * (reported - left)
         return max(own, joined)
 
@@ -148,7 +148,7 @@
         newest = next(reversed(engine.waiting.values()))
         return max(waiting - read, min(newest.tokens, waiting))
 
-    def _reported(
+    def _reported_tokens(
         self,
         engine: _EngineBacklog | None,
         load: loads.EngineLoad,
