--- a/wrenspoke/coordination/serving/backlog.py
+++ b/wrenspoke/coordination/serving/backlog.py
@@ -164,10 +164,10 @@
                 for found in engine.sent
                 if found.sent_ms >= since_ms
             )
-            waiting += self._sent_by_others(engine, since_ms, age_ms)
+            waiting += self._peer_tokens(engine, since_ms, age_ms)
         return max(waiting - age_ms / token_ms, 0.0)
 
-    def _sent_by_others(
+    def _peer_tokens(
         self, engine: _EngineBacklog, since_ms: int, age_ms: int
     ) -> float:
         """Return the tokens that other hosts have sent since a time."""
