--- a/wrenspoke/coordination/serving/backlog.py
+++ b/wrenspoke/coordination/serving/backlog.py
@@ -180,9 +180,9 @@
                 for found in engine.others
                 if found.sent_ms >= since_ms
             )
-        return told + self._pace(engine) * (self.hosts - 1) * unknown_ms
+        return told + self._send_rate(engine) * (self.hosts - 1) * unknown_ms
 
-    def _pace(self, engine: _EngineBacklog) -> float:
+    def _send_rate(self, engine: _EngineBacklog) -> float:
         """Return the tokens a ms that this host sent an engine lately."""
         since_ms = self._clock.mono_ms() - PACE_MS
         while engine.sent and engine.sent[0].sent_ms < since_ms:
