--- a/wrenspoke/coordination/serving/backlog.py
+++ b/wrenspoke/coordination/serving/backlog.py
@@ -59,7 +59,7 @@
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
         self._engines: dict[ids.EndpointId, _EngineBacklog] = {}
-        self._length_tokens = FIRST_LENGTH_TOKENS
+        self._mean_prompt_tokens = FIRST_LENGTH_TOKENS
         self._number = 0
         # Entry hosts of this region, this one among them.
         self.hosts = 1
@@ -81,7 +81,9 @@
         self._number += 1
         engine.waiting[self._number] = reading
         engine.sent.append(reading)
-        self._length_tokens += LENGTH_WEIGHT * (tokens - self._length_tokens)
+        self._mean_prompt_tokens += LENGTH_WEIGHT * (
+            tokens - self._mean_prompt_tokens
+        )
         return self._number
 
     def add_peer_prompt(
@@ -156,7 +158,7 @@
     ) -> float:
         """Return what a report says that waits, brought up to now."""
         age_ms = load.age_ms + REPORT_LAG_MS
-        waiting = load.queued * self._length_tokens
+        waiting = load.queued * self._mean_prompt_tokens
         if engine is not None:
             since_ms = self._clock.mono_ms() - age_ms
             waiting += sum(
