--- a/wrenspoke/coordination/serving/backlog.py
+++ b/wrenspoke/coordination/serving/backlog.py
@@ -60,7 +60,7 @@
         self._clock = clock
         self._engines: dict[ids.EndpointId, _EngineBacklog] = {}
         self._mean_prompt_tokens = FIRST_LENGTH_TOKENS
-        self._number = 0
+        self._last_number = 0
         # Entry hosts of this region, this one among them.
         self.hosts = 1
         self._heard_ms: int | None = None
@@ -78,13 +78,13 @@
         reading = PendingPrompt(now_ms, tokens)
         if not engine.waiting:
             engine.began_ms = now_ms
-        self._number += 1
-        engine.waiting[self._number] = reading
+        self._last_number += 1
+        engine.waiting[self._last_number] = reading
         engine.sent.append(reading)
         self._mean_prompt_tokens += LENGTH_WEIGHT * (
             tokens - self._mean_prompt_tokens
         )
-        return self._number
+        return self._last_number
 
     def add_peer_prompt(
         self,
