--- a/wrenspoke/coordination/serving/backlog.py
+++ b/wrenspoke/coordination/serving/backlog.py
@@ -63,7 +63,7 @@
         self._last_number = 0
         # Entry hosts of this region, this one among them.
         self.hosts = 1
-        self._heard_ms: int | None = None
+        self._last_peer_report_ms: int | None = None
 
     def add_prompt(
         self, endpoint: ids.EndpointId, tokens: float, token_ms: float = 0.0
@@ -96,7 +96,7 @@
         """Note a call that another host of the region sent a while ago."""
         engine = self._engines.setdefault(endpoint, _EngineBacklog())
         now_ms = self._clock.mono_ms()
-        self._heard_ms = now_ms
+        self._last_peer_report_ms = now_ms
         sent_ms = now_ms - age_ms
         engine.others.append(PendingPrompt(sent_ms, tokens))
         while engine.others[0].sent_ms < now_ms - OTHERS_KEPT_MS:
@@ -106,9 +106,11 @@
     @property
     def has_peer_reports(self) -> bool:
         """Tell whether other hosts tell this one of their calls."""
-        if self._heard_ms is None:
+        if self._last_peer_report_ms is None:
             return False
-        return self._clock.mono_ms() - self._heard_ms < HEARD_LATELY_MS
+        return (
+            self._clock.mono_ms() - self._last_peer_report_ms < HEARD_LATELY_MS
+        )
 
     def remove_prompt(self, endpoint: ids.EndpointId, number: int) -> None:
         """Note that a call gave its first piece, or ended without one."""
