--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -73,7 +73,7 @@
 )
 def test_report_is_brought_up_to_now(report, hosts, ahead):
     made = backlog.Backlog(FakeClock())
-    made.hosts = hosts
+    made.host_count = hosts
     assert made.tokens_ahead('e', report, TOKEN_MS) == pytest.approx(ahead)
 
 
@@ -83,7 +83,7 @@
     for number in numbers:
         made.remove_prompt('e', number)
     alone = made.tokens_ahead('e', load(40), TOKEN_MS)
-    made.hosts = 3
+    made.host_count = 3
     # 10 tokens a ms from each of two others, while the report is old.
     more = made.tokens_ahead('e', load(40), TOKEN_MS) - alone
     assert more == pytest.approx(2 * 10 * backlog.REPORT_LAG_MS, rel=0.01)
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -53,7 +53,7 @@
         self._backlogs = []
         for _host in range(hosts):
             made = backlog.Backlog(self._clock)
-            made.hosts = hosts
+            made.host_count = hosts
             self._backlogs.append(made)
         self._engines = [test_gauges.registered(n) for n in range(engines)]
         names = [found.said.endpoint for found in self._engines]
@@ -158,7 +158,7 @@
     """Who hears nothing takes others to send as much as itself."""
     clock = Clock()
     made = backlog.Backlog(clock)
-    made.hosts = 3
+    made.host_count = 3
     load = loads.EngineLoad('e', 0, 0, 0, 1, 0)
     made.add_prompt('e', 100, TOKEN_MS)
     clock.now_ms = 100.0
--- a/wrenspoke/coordination/serving/backlog.py
+++ b/wrenspoke/coordination/serving/backlog.py
@@ -62,7 +62,7 @@
         self._mean_prompt_tokens = FIRST_LENGTH_TOKENS
         self._last_number = 0
         # Entry hosts of this region, this one among them.
-        self.hosts = 1
+        self.host_count = 1
         self._last_peer_report_ms: int | None = None
 
     def add_prompt(
@@ -184,7 +184,9 @@
                 for found in engine.others
                 if found.sent_ms >= since_ms
             )
-        return told + self._send_rate(engine) * (self.hosts - 1) * unknown_ms
+        return (
+            told + self._send_rate(engine) * (self.host_count - 1) * unknown_ms
+        )
 
     def _send_rate(self, engine: _EngineBacklog) -> float:
         """Return the tokens a ms that this host sent an engine lately."""
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -395,7 +395,7 @@
             hosts = self.attendance.roster.usable()
             self.spending.share_with(record.host for record in hosts)
             near = self.attendance.roster.usable(self.node.region)
-            self._estimator.backlog.hosts = max(len(near), 1)
+            self._estimator.backlog.host_count = max(len(near), 1)
             held = self.attendance.registry.held
             self._estimator.keep_only(set(held))
             self._warmth.keep_only(set(held))
