--- a/wrenspoke/coordination/serving/backlog.py
+++ b/wrenspoke/coordination/serving/backlog.py
@@ -46,7 +46,9 @@
     def __init__(self):
         self.waiting: dict[int, PendingPrompt] = {}
         self.sent: collections.deque[PendingPrompt] = collections.deque()
-        self.others: collections.deque[PendingPrompt] = collections.deque()
+        self.peer_prompts: collections.deque[PendingPrompt] = (
+            collections.deque()
+        )
         # When all that was sent is read.
         self.read_ms = 0.0
         # Since when the engine has read nothing but what waits now.
