--- a/wrenspoke/coordination/serving/backlog.py
+++ b/wrenspoke/coordination/serving/backlog.py
@@ -50,7 +50,7 @@
             collections.deque()
         )
         # When all that was sent is read.
-        self.read_ms = 0.0
+        self.drained_at_ms = 0.0
         # Since when the engine has read nothing but what waits now.
         self.began_ms = 0
 
