--- a/wrenspoke/coordination/serving/backlog.py
+++ b/wrenspoke/coordination/serving/backlog.py
@@ -52,7 +52,7 @@
         # When all that was sent is read.
         self.drained_at_ms = 0.0
         # Since when the engine has read nothing but what waits now.
-        self.began_ms = 0
+        self.progress_since_ms = 0
 
 
 class Backlog:
