--- a/wrenspoke/coordination/serving/backlog.py
+++ b/wrenspoke/coordination/serving/backlog.py
@@ -17,7 +17,7 @@
 # Reports show an engine as it was some hundred ms before.
 REPORT_LAG_MS = 200
 # Own sends are counted over so long to tell what others send meanwhile.
-PACE_MS = 1_000
+SEND_RATE_WINDOW_MS = 1_000
 # Longer than the oldest report that is gone by.
 OTHERS_KEPT_MS = 4_000
 # Weight of a new call in the mean length that a waiting call has.
@@ -192,10 +192,10 @@
 
     def _send_rate(self, engine: _EngineBacklog) -> float:
         """Return the tokens a ms that this host sent an engine lately."""
-        since_ms = self._clock.mono_ms() - PACE_MS
+        since_ms = self._clock.mono_ms() - SEND_RATE_WINDOW_MS
         while engine.sent and engine.sent[0].sent_ms < since_ms:
             engine.sent.popleft()
-        return sum(found.tokens for found in engine.sent) / PACE_MS
+        return sum(found.tokens for found in engine.sent) / SEND_RATE_WINDOW_MS
 
     def keep_only(self, endpoints: set[ids.EndpointId]) -> None:
         """Forget engines that are gone."""
