--- a/wrenspoke/coordination/serving/backlog.py
+++ b/wrenspoke/coordination/serving/backlog.py
@@ -19,7 +19,7 @@
 # Own sends are counted over so long to tell what others send meanwhile.
 SEND_RATE_WINDOW_MS = 1_000
 # Longer than the oldest report that is gone by.
-OTHERS_KEPT_MS = 4_000
+PEER_PROMPTS_TTL_MS = 4_000
 # Weight of a new call in the mean length that a waiting call has.
 LENGTH_WEIGHT = 0.05
 # Other hosts of the region are heard while they tell of their calls; one
@@ -101,7 +101,7 @@
         self._last_peer_report_ms = now_ms
         sent_ms = now_ms - age_ms
         engine.others.append(PendingPrompt(sent_ms, tokens))
-        while engine.others[0].sent_ms < now_ms - OTHERS_KEPT_MS:
+        while engine.others[0].sent_ms < now_ms - PEER_PROMPTS_TTL_MS:
             engine.others.popleft()
         engine.read_ms = max(engine.read_ms, sent_ms) + tokens * token_ms
 
