--- a/wrenspoke/coordination/serving/backlog.py
+++ b/wrenspoke/coordination/serving/backlog.py
@@ -21,7 +21,7 @@
 # Longer than the oldest report that is gone by.
 PEER_PROMPTS_TTL_MS = 4_000
 # Weight of a new call in the mean length that a waiting call has.
-LENGTH_WEIGHT = 0.05
+PROMPT_LENGTH_SMOOTHING = 0.05
 # Other hosts of the region are heard while they tell of their calls; one
 # that is cut off from them soon is not.
 HEARD_LATELY_MS = 500
@@ -83,7 +83,7 @@
         self._last_number += 1
         engine.waiting[self._last_number] = reading
         engine.sent.append(reading)
-        self._mean_prompt_tokens += LENGTH_WEIGHT * (
+        self._mean_prompt_tokens += PROMPT_LENGTH_SMOOTHING * (
             tokens - self._mean_prompt_tokens
         )
         return self._last_number
