--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -165,7 +165,7 @@
     alone = made.tokens_ahead('e', load, TOKEN_MS)
     made.add_peer_prompt('e', 50_000, TOKEN_MS, 10)
     assert made.tokens_ahead('e', load, TOKEN_MS) > alone
-    clock.now_ms += backlog.HEARD_LATELY_MS
+    clock.now_ms += backlog.PEER_REPORT_TIMEOUT_MS
     assert not made.has_peer_reports
 
 
--- a/wrenspoke/coordination/serving/backlog.py
+++ b/wrenspoke/coordination/serving/backlog.py
@@ -24,7 +24,7 @@
 PROMPT_LENGTH_SMOOTHING = 0.05
 # Other hosts of the region are heard while they tell of their calls; one
 # that is cut off from them soon is not.
-HEARD_LATELY_MS = 500
+PEER_REPORT_TIMEOUT_MS = 500
 # What was sent so lately others have not told yet.
 TOLD_LAG_MS = 25
 # Reports count calls, and what was sent tells their tokens; either errs.
@@ -111,7 +111,8 @@
         if self._last_peer_report_ms is None:
             return False
         return (
-            self._clock.mono_ms() - self._last_peer_report_ms < HEARD_LATELY_MS
+            self._clock.mono_ms() - self._last_peer_report_ms
+            < PEER_REPORT_TIMEOUT_MS
         )
 
     def remove_prompt(self, endpoint: ids.EndpointId, number: int) -> None:
