--- a/wrenspoke/coordination/serving/backlog.py
+++ b/wrenspoke/coordination/serving/backlog.py
@@ -26,7 +26,7 @@
 # that is cut off from them soon is not.
 PEER_REPORT_TIMEOUT_MS = 500
 # What was sent so lately others have not told yet.
-TOLD_LAG_MS = 25
+PEER_REPORT_LAG_MS = 25
 # Reports count calls, and what was sent tells their tokens; either errs.
 REPORTED_WEIGHT = 0.25
 FIRST_LENGTH_TOKENS = 1_000.0
@@ -181,7 +181,7 @@
         unknown_ms = age_ms
         told = 0.0
         if self.has_peer_reports:
-            unknown_ms = min(TOLD_LAG_MS, age_ms)
+            unknown_ms = min(PEER_REPORT_LAG_MS, age_ms)
             told = sum(
                 found.tokens
                 for found in engine.others
