--- a/wrenspoke/coordination/serving/backlog.py
+++ b/wrenspoke/coordination/serving/backlog.py
@@ -29,7 +29,7 @@
 PEER_REPORT_LAG_MS = 25
 # Reports count calls, and what was sent tells their tokens; either errs.
 REPORTED_WEIGHT = 0.25
-FIRST_LENGTH_TOKENS = 1_000.0
+INITIAL_PROMPT_TOKENS = 1_000.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -61,7 +61,7 @@
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
         self._engines: dict[ids.EndpointId, _EngineBacklog] = {}
-        self._mean_prompt_tokens = FIRST_LENGTH_TOKENS
+        self._mean_prompt_tokens = INITIAL_PROMPT_TOKENS
         self._last_number = 0
         # Entry hosts of this region, this one among them.
         self.host_count = 1
