--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -33,7 +33,7 @@
 def test_chance_to_miss_goes_by_the_spread(
     first_ms, left_ms, spread, least, most
 ):
-    assert least <= costs.missed(first_ms, left_ms, spread) <= most
+    assert least <= costs.miss_probability(first_ms, left_ms, spread) <= most
 
 
 @pytest.mark.parametrize(
--- a/wrenspoke/coordination/serving/costs.py
+++ b/wrenspoke/coordination/serving/costs.py
@@ -27,7 +27,7 @@
 PAUSE_SPREAD = 0.08
 
 
-def missed(first_ms: float, left_ms: float, spread: float) -> float:
+def miss_probability(first_ms: float, left_ms: float, spread: float) -> float:
     """Return the chance that a first piece comes after ``left_ms``."""
     if left_ms <= LEAST_MS:
         return 1.0
@@ -52,8 +52,8 @@
     """Return the chance that an answer is not whole by its deadline."""
     left_ms = bounds.deadline_left_ms
     return max(
-        missed(first_ms, left_ms, spread),
-        missed(end_ms, left_ms, math.hypot(spread, LENGTH_SPREAD)),
+        miss_probability(first_ms, left_ms, spread),
+        miss_probability(end_ms, left_ms, math.hypot(spread, LENGTH_SPREAD)),
     )
 
 
@@ -61,7 +61,7 @@
     bounds: Bounds, first_ms: float, end_ms: float, spread: float
 ) -> float:
     """Return what a first piece and an end at such times cost a caller."""
-    late = missed(first_ms, bounds.target_left_ms, spread)
+    late = miss_probability(first_ms, bounds.target_left_ms, spread)
     gone = lost(bounds, first_ms, end_ms, spread)
     return bounds.target_ms * (late + gone) + SOONER_SHARE * end_ms
 
@@ -70,5 +70,5 @@
     """Return what a pause costs the streams that run beside a call."""
     if bounds.pause_target_ms is None or not harmed:
         return 0.0
-    late = missed(pause_ms, bounds.pause_target_ms, PAUSE_SPREAD)
+    late = miss_probability(pause_ms, bounds.pause_target_ms, PAUSE_SPREAD)
     return bounds.target_ms * late * harmed
