--- a/wrenspoke/coordination/serving/costs.py
+++ b/wrenspoke/coordination/serving/costs.py
@@ -46,7 +46,7 @@
     pause_target_ms: float | None = None
 
 
-def lost(
+def deadline_miss_probability(
     bounds: Bounds, first_ms: float, end_ms: float, spread: float
 ) -> float:
     """Return the chance that an answer is not whole by its deadline."""
@@ -62,7 +62,7 @@
 ) -> float:
     """Return what a first piece and an end at such times cost a caller."""
     late = miss_probability(first_ms, bounds.target_left_ms, spread)
-    gone = lost(bounds, first_ms, end_ms, spread)
+    gone = deadline_miss_probability(bounds, first_ms, end_ms, spread)
     return bounds.target_ms * (late + gone) + SOONER_SHARE * end_ms
 
 
--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -128,7 +128,9 @@
         What was sent before, and may go on, is not turned away.
         """
         spread = self._selector.spread(work.service.service)
-        lost = costs.lost(bounds, first_ms, end_ms, spread)
+        lost = costs.deadline_miss_probability(
+            bounds, first_ms, end_ms, spread
+        )
         if work.sent or lost <= DEADLINE_MISS_LIMIT:
             return
         if not self._is_enabled(mechanisms.Mechanism.REFUSING_HOPELESS):
