--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -54,7 +54,7 @@
     ],
 )
 def test_callers_loss_grows_with_first_piece_and_end(better, worse):
-    assert costs.waiting_ms(BOUNDS, *better, 0.3) < costs.waiting_ms(
+    assert costs.latency_cost_ms(BOUNDS, *better, 0.3) < costs.latency_cost_ms(
         BOUNDS, *worse, 0.3
     )
 
--- a/wrenspoke/coordination/serving/costs.py
+++ b/wrenspoke/coordination/serving/costs.py
@@ -57,7 +57,7 @@
     )
 
 
-def waiting_ms(
+def latency_cost_ms(
     bounds: Bounds, first_ms: float, end_ms: float, spread: float
 ) -> float:
     """Return what a first piece and an end at such times cost a caller."""
--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -221,7 +221,7 @@
             )
             if found is None:
                 continue
-            cost_ms = costs.waiting_ms(
+            cost_ms = costs.latency_cost_ms(
                 bounds, found.first_ms, found.end_ms, spread
             )
             cost_ms += found.remote_prefill_ms + REMOTE_CALL_COST_MS
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -160,7 +160,7 @@
         """Return what an endpoint would cost the call and others."""
         found = item.prospect
         end_ms = found.end_ms + item.first_ms - found.first_ms
-        waiting_ms = costs.waiting_ms(
+        waiting_ms = costs.latency_cost_ms(
             bounds, item.first_ms, end_ms, found.spread
         )
         cost_ms = waiting_ms
