--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -65,10 +65,10 @@
     ids=['too long', 'nobody there', 'short enough'],
 )
 def test_streams_beside_a_long_prompt_count(pause_ms, harmed, costly):
-    cost_ms = costs.pausing_ms(BOUNDS, pause_ms, harmed)
+    cost_ms = costs.pause_cost_ms(BOUNDS, pause_ms, harmed)
     assert (cost_ms > 0.1 * BOUNDS.target_ms) is costly
     unbound = costs.Bounds(800, 800, 5_000, None)
-    assert costs.pausing_ms(unbound, pause_ms, harmed) == 0
+    assert costs.pause_cost_ms(unbound, pause_ms, harmed) == 0
 
 
 def test_pace_is_the_mean_of_gaps_and_comes_back():
--- a/wrenspoke/coordination/serving/costs.py
+++ b/wrenspoke/coordination/serving/costs.py
@@ -66,7 +66,7 @@
     return bounds.target_ms * (late + gone) + SOONER_SHARE * end_ms
 
 
-def pausing_ms(bounds: Bounds, pause_ms: float, harmed: int) -> float:
+def pause_cost_ms(bounds: Bounds, pause_ms: float, harmed: int) -> float:
     """Return what a pause costs the streams that run beside a call."""
     if bounds.pause_target_ms is None or not harmed:
         return 0.0
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -165,7 +165,9 @@
         )
         cost_ms = waiting_ms
         if self._is_enabled(mechanisms.Mechanism.WEIGHING_PAUSES):
-            cost_ms += costs.pausing_ms(bounds, found.pause_ms, found.harmed)
+            cost_ms += costs.pause_cost_ms(
+                bounds, found.pause_ms, found.harmed
+            )
         if self._is_enabled(mechanisms.Mechanism.WEIGHING_READING):
             cost_ms += found.reading_ms
         return cost_ms
