--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -5,7 +5,7 @@
 from wrenspoke.coordination.serving import costs
 from wrenspoke.coordination.serving import engine_pace
 
-BOUNDS = costs.Bounds(800, 800, 5_000, 600)
+BOUNDS = costs.LatencyBounds(800, 800, 5_000, 600)
 
 
 class FakeClock:
@@ -67,7 +67,7 @@
 def test_streams_beside_a_long_prompt_count(pause_ms, harmed, costly):
     cost_ms = costs.pause_cost_ms(BOUNDS, pause_ms, harmed)
     assert (cost_ms > 0.1 * BOUNDS.target_ms) is costly
-    unbound = costs.Bounds(800, 800, 5_000, None)
+    unbound = costs.LatencyBounds(800, 800, 5_000, None)
     assert costs.pause_cost_ms(unbound, pause_ms, harmed) == 0
 
 
--- a/wrenspoke/coordination/serving/costs.py
+++ b/wrenspoke/coordination/serving/costs.py
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Bounds:
+class LatencyBounds:
     """Hold what a call has left: to its target, and to its deadline."""
 
     target_ms: float
@@ -47,7 +47,7 @@
 
 
 def deadline_miss_probability(
-    bounds: Bounds, first_ms: float, end_ms: float, spread: float
+    bounds: LatencyBounds, first_ms: float, end_ms: float, spread: float
 ) -> float:
     """Return the chance that an answer is not whole by its deadline."""
     left_ms = bounds.deadline_left_ms
@@ -58,7 +58,7 @@
 
 
 def latency_cost_ms(
-    bounds: Bounds, first_ms: float, end_ms: float, spread: float
+    bounds: LatencyBounds, first_ms: float, end_ms: float, spread: float
 ) -> float:
     """Return what a first piece and an end at such times cost a caller."""
     late = miss_probability(first_ms, bounds.target_left_ms, spread)
@@ -66,7 +66,9 @@
     return bounds.target_ms * (late + gone) + SOONER_SHARE * end_ms
 
 
-def pause_cost_ms(bounds: Bounds, pause_ms: float, harmed: int) -> float:
+def pause_cost_ms(
+    bounds: LatencyBounds, pause_ms: float, harmed: int
+) -> float:
     """Return what a pause costs the streams that run beside a call."""
     if bounds.pause_target_ms is None or not harmed:
         return 0.0
--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -106,10 +106,10 @@
     def _is_enabled(self, mechanism: mechanisms.Mechanism) -> bool:
         return mechanism not in self._switched_off
 
-    def _bounds(self, work: works.CallContext) -> costs.Bounds:
+    def _bounds(self, work: works.CallContext) -> costs.LatencyBounds:
         now_ms = self._clock.mono_ms()
         target_ms = work.route.target_ms
-        return costs.Bounds(
+        return costs.LatencyBounds(
             target_ms,
             work.call.arrived_ms + target_ms - now_ms,
             work.deadline_ms - now_ms,
@@ -119,7 +119,7 @@
     def _refuse_unmeetable_deadline(
         self,
         work: works.CallContext,
-        bounds: costs.Bounds,
+        bounds: costs.LatencyBounds,
         first_ms: float,
         end_ms: float,
     ) -> None:
@@ -160,7 +160,7 @@
             raise BusyError(local.first_ms)
 
     def _select_local(
-        self, work: works.CallContext, bounds: costs.Bounds
+        self, work: works.CallContext, bounds: costs.LatencyBounds
     ) -> endpoint_selector.EndpointSelection | None:
         if not work.route.allows(self._region):
             return None
@@ -203,7 +203,7 @@
         )
 
     def _best_remote_offer(
-        self, work: works.CallContext, bounds: costs.Bounds
+        self, work: works.CallContext, bounds: costs.LatencyBounds
     ) -> tuple[remote_regions.RegionOffer | None, float]:
         """Return the best other region and what it costs."""
         best, best_ms = None, 0.0
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -112,7 +112,7 @@
         route: routes.Route,
         call: dialects.Call,
         excluded: collections.abc.Container[ids.EndpointId],
-        bounds: costs.Bounds,
+        bounds: costs.LatencyBounds,
     ) -> EndpointSelection | None:
         """Return the best endpoint of this region, None without one."""
         every = [
@@ -156,7 +156,7 @@
     def _is_enabled(self, mechanism: mechanisms.Mechanism) -> bool:
         return mechanism not in self._switched_off
 
-    def _cost_ms(self, bounds: costs.Bounds, item: 'Chosen') -> float:
+    def _cost_ms(self, bounds: costs.LatencyBounds, item: 'Chosen') -> float:
         """Return what an endpoint would cost the call and others."""
         found = item.prospect
         end_ms = found.end_ms + item.first_ms - found.first_ms
