--- a/wrenspoke/coordination/serving/costs.py
+++ b/wrenspoke/coordination/serving/costs.py
@@ -12,7 +12,7 @@
 # The error of an estimate is taken to be log-normal; the spread that is
 # learned is a mean of absolute errors, of which a standard deviation is
 # this many times as much.
-DEVIATIONS = 1.2533
+DEVIATION_PER_MEAN_ERROR = 1.2533
 LEAST_DEVIATION = 0.1
 LEAST_MS = 1.0
 # What is expected sooner is better, if only a little, where both are in
@@ -31,7 +31,7 @@
     """Return the chance that a first piece comes after ``left_ms``."""
     if left_ms <= LEAST_MS:
         return 1.0
-    deviation = max(DEVIATIONS * spread, LEAST_DEVIATION)
+    deviation = max(DEVIATION_PER_MEAN_ERROR * spread, LEAST_DEVIATION)
     off = math.log(max(first_ms, LEAST_MS) / left_ms) / deviation
     return 0.5 * (1.0 + math.erf(off / math.sqrt(2.0)))
 
