--- a/wrenspoke/coordination/serving/costs.py
+++ b/wrenspoke/coordination/serving/costs.py
@@ -13,7 +13,7 @@
 # learned is a mean of absolute errors, of which a standard deviation is
 # this many times as much.
 DEVIATION_PER_MEAN_ERROR = 1.2533
-LEAST_DEVIATION = 0.1
+MIN_DEVIATION = 0.1
 LEAST_MS = 1.0
 # What is expected sooner is better, if only a little, where both are in
 # time.
@@ -31,7 +31,7 @@
     """Return the chance that a first piece comes after ``left_ms``."""
     if left_ms <= LEAST_MS:
         return 1.0
-    deviation = max(DEVIATION_PER_MEAN_ERROR * spread, LEAST_DEVIATION)
+    deviation = max(DEVIATION_PER_MEAN_ERROR * spread, MIN_DEVIATION)
     off = math.log(max(first_ms, LEAST_MS) / left_ms) / deviation
     return 0.5 * (1.0 + math.erf(off / math.sqrt(2.0)))
 
