--- a/wrenspoke/coordination/serving/costs.py
+++ b/wrenspoke/coordination/serving/costs.py
@@ -14,7 +14,7 @@
 # this many times as much.
 DEVIATION_PER_MEAN_ERROR = 1.2533
 MIN_DEVIATION = 0.1
-LEAST_MS = 1.0
+MIN_MS = 1.0
 # What is expected sooner is better, if only a little, where both are in
 # time.
 SOONER_SHARE = 0.1
@@ -29,10 +29,10 @@
 
 def miss_probability(first_ms: float, left_ms: float, spread: float) -> float:
     """Return the chance that a first piece comes after ``left_ms``."""
-    if left_ms <= LEAST_MS:
+    if left_ms <= MIN_MS:
         return 1.0
     deviation = max(DEVIATION_PER_MEAN_ERROR * spread, MIN_DEVIATION)
-    off = math.log(max(first_ms, LEAST_MS) / left_ms) / deviation
+    off = math.log(max(first_ms, MIN_MS) / left_ms) / deviation
     return 0.5 * (1.0 + math.erf(off / math.sqrt(2.0)))
 
 
