--- a/wrenspoke/coordination/serving/costs.py
+++ b/wrenspoke/coordination/serving/costs.py
@@ -17,7 +17,7 @@
 MIN_MS = 1.0
 # What is expected sooner is better, if only a little, where both are in
 # time.
-SOONER_SHARE = 0.1
+COMPLETION_WEIGHT = 0.1
 BYTES_PER_KB = 1_000
 # How far a caller is off in what it expects an answer's length to be, in the
 # mean, as a logarithm: right at the median, often by half or twice.
@@ -63,7 +63,7 @@
     """Return what a first piece and an end at such times cost a caller."""
     late = miss_probability(first_ms, bounds.target_left_ms, spread)
     gone = deadline_miss_probability(bounds, first_ms, end_ms, spread)
-    return bounds.target_ms * (late + gone) + SOONER_SHARE * end_ms
+    return bounds.target_ms * (late + gone) + COMPLETION_WEIGHT * end_ms
 
 
 def pause_cost_ms(
