--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -52,7 +52,7 @@
     """
 
     registered: registry.Registered
-    prospect: estimate.Prospect
+    prospect: estimate.Estimate
     first_ms: float
     can_start_now: bool
     has_affinity: bool
@@ -134,7 +134,7 @@
         warming = self._availability.next_warmup_endpoint(service, every)
         if warming is not None:
             return EndpointSelection(
-                warming, estimate.Prospect(0.0), 0.0, True, False, len(every)
+                warming, estimate.Estimate(0.0), 0.0, True, False, len(every)
             )
         candidates = sound or warm
         if not candidates:
@@ -192,7 +192,7 @@
         for found in sampling.sample(candidates, keeping, self._random):
             name = found.said.endpoint
             item = EndpointSelection(
-                found, estimate.Prospect(0.0), 0.0, True, name == usual, count
+                found, estimate.Estimate(0.0), 0.0, True, name == usual, count
             )
             self._plan_transfer(item, call, holder)
             item.prospect = self._estimator.prospect(
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -30,7 +30,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Prospect:
+class Estimate:
     """Say what a call would find at an endpoint.
 
     ``unread_tokens`` of its prompt are still to be read there, with
@@ -81,7 +81,7 @@
         in_flight: int,
         usual: bool,
         moved_tokens: float = 0.0,
-    ) -> Prospect:
+    ) -> Estimate:
         """Return what a call would find at an endpoint.
 
         ``moved_tokens`` is what it takes over from another engine, and
@@ -92,7 +92,7 @@
             hold_ms = self._hold_ms.get(said.service, FIRST_HOLD_MS)
             waves = (in_flight + 1) / said.slots
             first_ms = hold_ms * max(waves, 1.0)
-            return Prospect(first_ms, first_ms)
+            return Estimate(first_ms, first_ms)
         model = self.model(said.service)
         load = self._gauges.load(said.endpoint)
         # Where others tell what they send, nothing needs to be supposed.
@@ -113,7 +113,7 @@
         pace_ahead = self.pace.ahead(said.endpoint, event_tokens)
         reading_ms = unread * token_ms
         busy_ms = ahead * token_ms + reading_ms
-        return Prospect(
+        return Estimate(
             first_ms,
             first_ms + pace_ahead.stream_ms(events),
             unread,
@@ -140,7 +140,7 @@
         endpoint: ids.EndpointId,
         service: routes.RoutedService,
         call: dialects.Call,
-        prospect: Prospect,
+        prospect: Estimate,
     ) -> int | None:
         """Note that a call goes to an endpoint.
 
@@ -193,7 +193,7 @@
         self,
         endpoint: ids.EndpointId,
         service: routes.RoutedService,
-        prospect: Prospect,
+        prospect: Estimate,
         took_ms: float,
     ) -> None:
         """Learn from the time to a first piece or a whole answer."""
