--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -140,7 +140,7 @@
         if self._broadcaster is not None and place.prefill_model is not None:
             self._broadcaster.note(
                 place.endpoint,
-                place.chosen.prospect.unread_tokens,
+                place.chosen.prospect.uncached_tokens,
                 work.call.parts,
                 work.call.tokens_expected,
             )
@@ -455,5 +455,5 @@
     """
     if work.tracker is not None or place.chosen is None:
         return endpoint_limits.FIRST_RANK
-    kept = place.chosen.prospect.unread_tokens < work.call.tokens_in
+    kept = place.chosen.prospect.uncached_tokens < work.call.tokens_in
     return endpoint_limits.rank_of(work.permit.urgency, kept)
--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -186,7 +186,7 @@
             end_ms=round(chosen.prospect.end_ms),
             pause_ms=round(chosen.prospect.pause_ms),
             harmed=chosen.prospect.harmed,
-            unread_tokens=round(chosen.prospect.unread_tokens),
+            uncached_tokens=round(chosen.prospect.uncached_tokens),
             ahead_tokens=round(chosen.prospect.ahead_tokens),
             room=chosen.room,
             usual=chosen.usual,
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -45,7 +45,7 @@
 
     first_ms: float
     end_ms: float = 0.0
-    unread_tokens: float = 0.0
+    uncached_tokens: float = 0.0
     ahead_tokens: float = 0.0
     reading_ms: float = 0.0
     moving_ms: float = 0.0
@@ -156,7 +156,7 @@
         )
         return self.backlog.add_prompt(
             endpoint,
-            prospect.unread_tokens,
+            prospect.uncached_tokens,
             self._token_ms(endpoint, service.service),
         )
 
@@ -204,7 +204,7 @@
             return
         self.model(service.service).note(
             endpoint,
-            prospect.unread_tokens,
+            prospect.uncached_tokens,
             prospect.ahead_tokens,
             took_ms - prospect.moving_ms,
         )
