--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -187,7 +187,7 @@
             pause_ms=round(chosen.prospect.pause_ms),
             harmed=chosen.prospect.harmed,
             uncached_tokens=round(chosen.prospect.uncached_tokens),
-            ahead_tokens=round(chosen.prospect.ahead_tokens),
+            queued_tokens=round(chosen.prospect.queued_tokens),
             room=chosen.room,
             usual=chosen.usual,
             tokens_in=work.call.tokens_in,
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -46,7 +46,7 @@
     first_ms: float
     end_ms: float = 0.0
     uncached_tokens: float = 0.0
-    ahead_tokens: float = 0.0
+    queued_tokens: float = 0.0
     reading_ms: float = 0.0
     moving_ms: float = 0.0
     pause_ms: float = 0.0
@@ -205,7 +205,7 @@
         self.model(service.service).note(
             endpoint,
             prospect.uncached_tokens,
-            prospect.ahead_tokens,
+            prospect.queued_tokens,
             took_ms - prospect.moving_ms,
         )
 
