--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -169,7 +169,7 @@
                 bounds, found.pause_ms, found.harmed
             )
         if self._is_enabled(mechanisms.Mechanism.WEIGHING_READING):
-            cost_ms += found.reading_ms
+            cost_ms += found.prefill_ms
         return cost_ms
 
     def _estimate_candidates(
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -47,7 +47,7 @@
     end_ms: float = 0.0
     uncached_tokens: float = 0.0
     queued_tokens: float = 0.0
-    reading_ms: float = 0.0
+    prefill_ms: float = 0.0
     moving_ms: float = 0.0
     pause_ms: float = 0.0
     harmed: int = 0
