--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -48,7 +48,7 @@
     uncached_tokens: float = 0.0
     queued_tokens: float = 0.0
     prefill_ms: float = 0.0
-    moving_ms: float = 0.0
+    transfer_ms: float = 0.0
     pause_ms: float = 0.0
     harmed: int = 0
     spread: float = prefill_model.FIRST_SPREAD
@@ -206,7 +206,7 @@
             endpoint,
             prospect.uncached_tokens,
             prospect.queued_tokens,
-            took_ms - prospect.moving_ms,
+            took_ms - prospect.transfer_ms,
         )
 
     def keep_only(self, endpoints: set[ids.EndpointId]) -> None:
