--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -185,7 +185,7 @@
             expected_ms=round(chosen.prospect.first_ms),
             end_ms=round(chosen.prospect.end_ms),
             pause_ms=round(chosen.prospect.pause_ms),
-            harmed=chosen.prospect.harmed,
+            delayed_streams=chosen.prospect.delayed_streams,
             uncached_tokens=round(chosen.prospect.uncached_tokens),
             queued_tokens=round(chosen.prospect.queued_tokens),
             room=chosen.room,
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -166,7 +166,7 @@
         cost_ms = waiting_ms
         if self._is_enabled(mechanisms.Mechanism.WEIGHING_PAUSES):
             cost_ms += costs.pause_cost_ms(
-                bounds, found.pause_ms, found.harmed
+                bounds, found.pause_ms, found.delayed_streams
             )
         if self._is_enabled(mechanisms.Mechanism.WEIGHING_READING):
             cost_ms += found.prefill_ms
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -50,7 +50,7 @@
     prefill_ms: float = 0.0
     transfer_ms: float = 0.0
     pause_ms: float = 0.0
-    harmed: int = 0
+    delayed_streams: int = 0
     spread: float = prefill_model.FIRST_SPREAD
     room: bool = True
 
