--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -188,7 +188,7 @@
             delayed_streams=chosen.prospect.delayed_streams,
             uncached_tokens=round(chosen.prospect.uncached_tokens),
             queued_tokens=round(chosen.prospect.queued_tokens),
-            room=chosen.room,
+            can_start_now=chosen.can_start_now,
             usual=chosen.usual,
             tokens_in=work.call.tokens_in,
             moved_tokens=round(chosen.moved_tokens),
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -145,7 +145,7 @@
         if not sound:
             for item in estimated:
                 item.first_ms += DEGRADED_PENALTY_MS
-                item.room = False
+                item.can_start_now = False
         for item in estimated:
             item.cost_ms = self._cost_ms(bounds, item)
         return min(
@@ -204,7 +204,7 @@
                 item.moved_tokens,
             )
             item.first_ms = item.prospect.first_ms
-            item.can_start_now = item.prospect.room
+            item.can_start_now = item.prospect.can_start_now
             if not item.can_start_now:
                 item.first_ms += NO_CAPACITY_PENALTY_MS
             if self._discovery.registry.silent(name):
@@ -353,10 +353,10 @@
                 )
                 for one in sampling.sample(found, (), self._random)
             ),
-            key=lambda item: (not item[1].room, item[1].first_ms),
+            key=lambda item: (not item[1].can_start_now, item[1].first_ms),
         )
         wait_ms = best.first_ms + (
-            0.0 if best.room else NO_CAPACITY_PENALTY_MS
+            0.0 if best.can_start_now else NO_CAPACITY_PENALTY_MS
         )
         token_ms = usual_ms = present_ms = 0.0
         if service.batch is not None:
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -52,7 +52,7 @@
     pause_ms: float = 0.0
     delayed_streams: int = 0
     spread: float = prefill_model.FIRST_SPREAD
-    room: bool = True
+    can_start_now: bool = True
 
 
 class Estimator:
