--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -73,7 +73,7 @@
             found = self._models[service] = prefill_model.ReadingModel()
         return found
 
-    def prospect(
+    def estimate(
         self,
         found: registry.Registered,
         service: routes.RoutedService,
