--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -135,12 +135,12 @@
         if place.chosen is None:
             return
         place.prefill_model = self._estimator.note_sent(
-            place.endpoint, work.service, work.call, place.chosen.prospect
+            place.endpoint, work.service, work.call, place.chosen.estimate
         )
         if self._broadcaster is not None and place.prefill_model is not None:
             self._broadcaster.note(
                 place.endpoint,
-                place.chosen.prospect.uncached_tokens,
+                place.chosen.estimate.uncached_tokens,
                 work.call.parts,
                 work.call.tokens_expected,
             )
@@ -155,7 +155,7 @@
             return
         self._estimator.note_read(place.endpoint, place.prefill_model)
         self._estimator.note_first(
-            place.endpoint, work.service, place.chosen.prospect, took_ms
+            place.endpoint, work.service, place.chosen.estimate, took_ms
         )
 
     @contextlib.asynccontextmanager
@@ -455,5 +455,5 @@
     """
     if work.tracker is not None or place.chosen is None:
         return endpoint_limits.FIRST_RANK
-    kept = place.chosen.prospect.uncached_tokens < work.call.tokens_in
+    kept = place.chosen.estimate.uncached_tokens < work.call.tokens_in
     return endpoint_limits.rank_of(work.permit.urgency, kept)
--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -99,7 +99,7 @@
             return self._host_destination(work, far, local)
         if local is not None:
             self._refuse_unmeetable_deadline(
-                work, bounds, local.first_ms, local.prospect.end_ms
+                work, bounds, local.first_ms, local.estimate.end_ms
             )
         return self._endpoint_destination(work, local)
 
@@ -182,12 +182,12 @@
             route=work.route.name,
             endpoint=said.endpoint,
             first_ms=round(chosen.first_ms),
-            expected_ms=round(chosen.prospect.first_ms),
-            end_ms=round(chosen.prospect.end_ms),
-            pause_ms=round(chosen.prospect.pause_ms),
-            delayed_streams=chosen.prospect.delayed_streams,
-            uncached_tokens=round(chosen.prospect.uncached_tokens),
-            queued_tokens=round(chosen.prospect.queued_tokens),
+            expected_ms=round(chosen.estimate.first_ms),
+            end_ms=round(chosen.estimate.end_ms),
+            pause_ms=round(chosen.estimate.pause_ms),
+            delayed_streams=chosen.estimate.delayed_streams,
+            uncached_tokens=round(chosen.estimate.uncached_tokens),
+            queued_tokens=round(chosen.estimate.queued_tokens),
             can_start_now=chosen.can_start_now,
             usual=chosen.usual,
             tokens_in=work.call.tokens_in,
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -52,7 +52,7 @@
     """
 
     registered: registry.Registered
-    prospect: estimate.Estimate
+    estimate: estimate.Estimate
     first_ms: float
     can_start_now: bool
     has_affinity: bool
@@ -158,7 +158,7 @@
 
     def _cost_ms(self, bounds: costs.LatencyBounds, item: 'Chosen') -> float:
         """Return what an endpoint would cost the call and others."""
-        found = item.prospect
+        found = item.estimate
         end_ms = found.end_ms + item.first_ms - found.first_ms
         waiting_ms = costs.latency_cost_ms(
             bounds, item.first_ms, end_ms, found.spread
@@ -195,7 +195,7 @@
                 found, estimate.Estimate(0.0), 0.0, True, name == usual, count
             )
             self._plan_transfer(item, call, holder)
-            item.prospect = self._estimator.prospect(
+            item.estimate = self._estimator.estimate(
                 found,
                 service,
                 call,
@@ -203,8 +203,8 @@
                 item.has_affinity,
                 item.moved_tokens,
             )
-            item.first_ms = item.prospect.first_ms
-            item.can_start_now = item.prospect.can_start_now
+            item.first_ms = item.estimate.first_ms
+            item.can_start_now = item.estimate.can_start_now
             if not item.can_start_now:
                 item.first_ms += NO_CAPACITY_PENALTY_MS
             if self._discovery.registry.silent(name):
@@ -343,7 +343,7 @@
             (
                 (
                     one.said.endpoint,
-                    self._estimator.prospect(
+                    self._estimator.estimate(
                         one,
                         service,
                         EMPTY_CALL,
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -80,7 +80,7 @@
         """Return when a first piece was expected of an endpoint."""
         if self.chosen is None:
             return None
-        return round(self.chosen.prospect.first_ms)
+        return round(self.chosen.estimate.first_ms)
 
     @property
     def regions(self) -> tuple[ids.RegionId, ...]:
