--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -66,7 +66,7 @@
         self._models: dict[ids.ServiceId, prefill_model.ReadingModel] = {}
         self._hold_ms: dict[ids.ServiceId, float] = {}
 
-    def model(self, service: ids.ServiceId) -> prefill_model.ReadingModel:
+    def model_for(self, service: ids.ServiceId) -> prefill_model.ReadingModel:
         """Return what was learned of a service's engines."""
         found = self._models.get(service)
         if found is None:
@@ -93,7 +93,7 @@
             waves = (in_flight + 1) / said.slots
             first_ms = hold_ms * max(waves, 1.0)
             return Estimate(first_ms, first_ms)
-        model = self.model(said.service)
+        model = self.model_for(said.service)
         load = self._gauges.load(said.endpoint)
         # Where others tell what they send, nothing needs to be supposed.
         usual = usual and not self.backlog.has_peer_reports
@@ -164,7 +164,7 @@
         self, endpoint: ids.EndpointId, service: ids.ServiceId
     ) -> float:
         """Return what an engine takes to read a token."""
-        model = self.model(service)
+        model = self.model_for(service)
         return model.token_ms * model.factor(endpoint)
 
     def note_sent_by_another(
@@ -202,7 +202,7 @@
             moved = HOLD_WEIGHT * (took_ms - old)
             self._hold_ms[service.service] = old + moved
             return
-        self.model(service.service).note(
+        self.model_for(service.service).note(
             endpoint,
             prospect.uncached_tokens,
             prospect.queued_tokens,
