--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -310,7 +310,7 @@
     def free_slots(self, service: routes.RoutedService) -> int:
         """Return the places of a service here that are known to be free."""
         return sum(
-            self._estimator.free_places(found, service)
+            self._estimator.free_slots(found, service)
             for found in self._availability.sound(
                 service.service, self._region
             )
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -126,7 +126,7 @@
             room,
         )
 
-    def free_places(
+    def free_slots(
         self, found: registry.Registered, service: routes.RoutedService
     ) -> int:
         """Return the places of an engine that its last report left free."""
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -421,7 +421,7 @@
             unexecuted_sends=work.unexecuted_sends,
             left_ms=self._left_ms(work),
             held_ms=self._clock.mono_ms() - work.call.arrived_ms,
-            free_places=self._selector.free_places(work.service),
+            free_slots=self._selector.free_slots(work.service),
             pieces=0 if work.tracker is None else work.tracker.count,
         )
         if work.reply.started:
