--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -134,7 +134,7 @@
         place.sent_ms = self._clock.mono_ms()
         if place.chosen is None:
             return
-        place.prefill_model = self._estimator.note_sent(
+        place.prefill_model = self._estimator.record_sent(
             place.endpoint, work.service, work.call, place.chosen.estimate
         )
         if self._broadcaster is not None and place.prefill_model is not None:
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -135,7 +135,7 @@
             return 0
         return max(service.batch.slots - load.running - load.queued, 0)
 
-    def note_sent(
+    def record_sent(
         self,
         endpoint: ids.EndpointId,
         service: routes.RoutedService,
