--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -167,7 +167,7 @@
         model = self.model_for(service)
         return model.token_ms * model.factor(endpoint)
 
-    def note_sent_by_another(
+    def record_peer_sent(
         self, sent: attending.SentCall, service: routes.RoutedService
     ) -> None:
         """Note a call that another host of the region sent to an engine."""
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -195,7 +195,7 @@
             return
         service = self.replica.current.routes.service(found.said.service)
         if service is not None:
-            self._estimator.note_sent_by_another(sent, service)
+            self._estimator.record_peer_sent(sent, service)
 
     def _build_limits(self) -> None:
         """Build what keeps teams to their limits."""
