--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -100,7 +100,9 @@
         except errors.MaybeSentError as error:
             self._on_failure(work, place, str(error))
         finally:
-            self._estimator.note_read(place.endpoint, place.prefill_model)
+            self._estimator.record_prefilled(
+                place.endpoint, place.prefill_model
+            )
             counts[place.name] -= 1
             if not counts[place.name]:
                 del counts[place.name]
@@ -153,7 +155,7 @@
         took_ms = work.first_piece_at_ms - place.sent_ms
         if place.region is not None:
             return
-        self._estimator.note_read(place.endpoint, place.prefill_model)
+        self._estimator.record_prefilled(place.endpoint, place.prefill_model)
         self._estimator.note_first(
             place.endpoint, work.service, place.chosen.estimate, took_ms
         )
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -184,7 +184,9 @@
             sent.age_ms,
         )
 
-    def note_read(self, endpoint: ids.EndpointId, number: int | None) -> None:
+    def record_prefilled(
+        self, endpoint: ids.EndpointId, number: int | None
+    ) -> None:
         """Note that a call gave its first piece, or ended without one."""
         if number is not None:
             self.backlog.remove_prompt(endpoint, number)
