--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -156,7 +156,7 @@
         if place.region is not None:
             return
         self._estimator.record_prefilled(place.endpoint, place.prefill_model)
-        self._estimator.note_first(
+        self._estimator.record_first_piece(
             place.endpoint, work.service, place.chosen.estimate, took_ms
         )
 
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -191,7 +191,7 @@
         if number is not None:
             self.backlog.remove_prompt(endpoint, number)
 
-    def note_first(
+    def record_first_piece(
         self,
         endpoint: ids.EndpointId,
         service: routes.RoutedService,
