--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -23,7 +23,7 @@
 from wrenspoke.state import routes
 
 # Of a plain endpoint, how long a request holds its place.
-FIRST_HOLD_MS = 30.0
+INITIAL_HOLD_MS = 30.0
 HOLD_WEIGHT = 0.1
 # Moves go one after the other, and take twice as long between data centres.
 MOVE_WAIT = 2.0
@@ -89,7 +89,7 @@
         """
         said = found.said
         if service.batch is None:
-            hold_ms = self._hold_ms.get(said.service, FIRST_HOLD_MS)
+            hold_ms = self._hold_ms.get(said.service, INITIAL_HOLD_MS)
             waves = (in_flight + 1) / said.slots
             first_ms = hold_ms * max(waves, 1.0)
             return Estimate(first_ms, first_ms)
@@ -200,7 +200,7 @@
     ) -> None:
         """Learn from the time to a first piece or a whole answer."""
         if service.batch is None:
-            old = self._hold_ms.get(service.service, FIRST_HOLD_MS)
+            old = self._hold_ms.get(service.service, INITIAL_HOLD_MS)
             moved = HOLD_WEIGHT * (took_ms - old)
             self._hold_ms[service.service] = old + moved
             return
