--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -26,7 +26,7 @@
 INITIAL_HOLD_MS = 30.0
 HOLD_WEIGHT = 0.1
 # Moves go one after the other, and take twice as long between data centres.
-MOVE_WAIT = 2.0
+TRANSFER_WAIT_FACTOR = 2.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -101,7 +101,7 @@
         unread = max(call.tokens_in - kept - moved_tokens, 0.0)
         token_ms = self._token_ms(said.endpoint, said.service)
         ahead = self.backlog.tokens_ahead(said.endpoint, load, token_ms)
-        moving_ms = MOVE_WAIT * service.batch.move_ms(moved_tokens)
+        moving_ms = TRANSFER_WAIT_FACTOR * service.batch.move_ms(moved_tokens)
         first_ms = model.first_ms(said.endpoint, unread, ahead) + moving_ms
         room = True
         if load is not None:
