--- a/tests/test_gauges.py
+++ b/tests/test_gauges.py
@@ -195,7 +195,7 @@
         REGIONS,
         gauged._attended,
         gauged._replica,
-        outlier_detection.Health(clock),
+        outlier_detection.OutlierDetector(clock),
         None,
         gauged,
         stated_fleet.unlimited(clock),
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -30,7 +30,7 @@
     ],
 )
 def test_failures_in_a_row_set_a_place_aside(outcomes, aside):
-    noted = outlier_detection.Health(FakeClock())
+    noted = outlier_detection.OutlierDetector(FakeClock())
     for outcome in outcomes:
         if outcome == 's':
             noted.succeeded('p')
@@ -41,7 +41,7 @@
 
 def test_pause_doubles_and_ends():
     clock = FakeClock()
-    noted = outlier_detection.Health(clock)
+    noted = outlier_detection.OutlierDetector(clock)
     pauses = []
     for _number in range(8):
         noted.failed('p', 'test', clock.now_ms, certain=True)
@@ -58,7 +58,7 @@
 )
 def test_what_was_under_way_belongs_to_the_same_episode(sent_ms, pause_ms):
     clock = FakeClock()
-    noted = outlier_detection.Health(clock)
+    noted = outlier_detection.OutlierDetector(clock)
     clock.now_ms = 1_000
     noted.failed('p', 'test', 800, certain=True)
     clock.now_ms = 1_500
@@ -75,7 +75,7 @@
 )
 def test_place_that_is_heard_of_can_be_reached_again(certain, asked_ms, aside):
     clock = FakeClock()
-    noted = outlier_detection.Health(clock)
+    noted = outlier_detection.OutlierDetector(clock)
     clock.now_ms = 1_000
     for _number in range(1 if certain else outlier_detection.FAILURES_LIMIT):
         noted.failed('p', 'test', 1_000, certain)
--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -48,7 +48,7 @@
         sender: sending.Sender,
         attended: attendance.Attendance,
         chosen: endpoint_selector.EndpointSelector,
-        noted: outlier_detection.Health,
+        noted: outlier_detection.OutlierDetector,
         reached: reach.Reach,
         estimator: estimate.Estimator,
         elsewhere: remote_regions.RemoteRegions,
--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -37,7 +37,7 @@
         regions: collections.abc.Mapping[ids.DataCentreId, ids.RegionId],
         attended: attendance.Attendance,
         held: replica.Replica,
-        noted: outlier_detection.Health,
+        noted: outlier_detection.OutlierDetector,
         warmth: warmths.Warmth,
         known: gauges.Gauges,
         gate: endpoint_gate.EndpointGate,
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -71,7 +71,7 @@
         regions: collections.abc.Mapping[ids.DataCentreId, ids.RegionId],
         attended: attendance.Attendance,
         held: replica.Replica,
-        noted: outlier_detection.Health,
+        noted: outlier_detection.OutlierDetector,
         estimator: estimate.Estimator,
         near: partners.Partners,
         available: availability.Availability,
--- a/wrenspoke/coordination/serving/outlier_detection.py
+++ b/wrenspoke/coordination/serving/outlier_detection.py
@@ -32,7 +32,7 @@
     unreachable: bool = False
 
 
-class Health:
+class OutlierDetector:
     """Track outcomes of requests by address."""
 
     def __init__(self, clock: clocks.Clock):
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -161,7 +161,7 @@
     ) -> None:
         """Build what knows how loaded engines are."""
         node = self.node
-        self._health = outlier_detection.Health(self.clock)
+        self._health = outlier_detection.OutlierDetector(self.clock)
         self._reach.tell_heard(self._host_heard)
         self._gauges = gauges.Gauges(
             node.region,
