--- a/wrenspoke/coordination/serving/outlier_detection.py
+++ b/wrenspoke/coordination/serving/outlier_detection.py
@@ -22,7 +22,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Standing:
+class EjectionState:
     """The health of one address."""
 
     failures: int = 0
@@ -37,7 +37,7 @@
 
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
-        self._standings: dict[str, Standing] = {}
+        self._standings: dict[str, EjectionState] = {}
 
     def set_aside(self, place: str) -> bool:
         """Return whether an address is ejected."""
@@ -53,7 +53,7 @@
 
     def succeeded(self, place: str) -> None:
         """Record a successful request."""
-        if self._standings.pop(place, Standing()).pause_ms:
+        if self._standings.pop(place, EjectionState()).pause_ms:
             logger.info('place_recovered', place=place)
 
     def failed(
@@ -64,7 +64,7 @@
         ``certain`` says that the address can't be reached, for which one
         failure is enough.
         """
-        found = self._standings.setdefault(place, Standing())
+        found = self._standings.setdefault(place, EjectionState())
         if sent_ms < found.aside_since_ms:
             # In flight at the last ejection, which it was part of.
             return
