--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -36,7 +36,7 @@
             noted.succeeded('p')
         else:
             noted.failed('p', 'test', 0, certain=outcome == 'c')
-    assert noted.set_aside('p') is aside
+    assert noted.is_ejected('p') is aside
 
 
 def test_pause_doubles_and_ends():
@@ -46,7 +46,7 @@
     for _number in range(8):
         noted.failed('p', 'test', clock.now_ms, certain=True)
         start_ms = clock.now_ms
-        while noted.set_aside('p'):
+        while noted.is_ejected('p'):
             clock.now_ms += 100
         pauses.append(clock.now_ms - start_ms)
     assert pauses[:3] == [500, 1000, 2000]
@@ -62,10 +62,10 @@
     clock.now_ms = 1_000
     noted.failed('p', 'test', 800, certain=True)
     clock.now_ms = 1_500
-    assert not noted.set_aside('p')
+    assert not noted.is_ejected('p')
     noted.failed('p', 'test', sent_ms, certain=True)
     clock.now_ms += pause_ms - 1
-    assert noted.set_aside('p') is (sent_ms > 1_000)
+    assert noted.is_ejected('p') is (sent_ms > 1_000)
 
 
 @pytest.mark.parametrize(
@@ -80,4 +80,4 @@
     for _number in range(1 if certain else outlier_detection.FAILURES_LIMIT):
         noted.failed('p', 'test', 1_000, certain)
     noted.heard('p', asked_ms)
-    assert noted.set_aside('p') is aside
+    assert noted.is_ejected('p') is aside
--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -197,7 +197,7 @@
         """Tell whether a place is to be left alone for now."""
         if not self._is_enabled(mechanisms.Mechanism.SETTING_ASIDE):
             return False
-        return self._outlier_detector.set_aside(place)
+        return self._outlier_detector.is_ejected(place)
 
     def _is_enabled(self, mechanism: mechanisms.Mechanism) -> bool:
         return mechanism not in self._switched_off
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -389,7 +389,7 @@
             record
             for record in self._partners.reachable(region)
             if record.host not in excluded
-            and not self._availability.set_aside(record.passing_address)
+            and not self._availability.is_ejected(record.passing_address)
         ]
         if not hosts:
             return None
--- a/wrenspoke/coordination/serving/outlier_detection.py
+++ b/wrenspoke/coordination/serving/outlier_detection.py
@@ -39,7 +39,7 @@
         self._clock = clock
         self._standings: dict[str, EjectionState] = {}
 
-    def set_aside(self, place: str) -> bool:
+    def is_ejected(self, place: str) -> bool:
         """Return whether an address is ejected."""
         found = self._standings.get(place)
         if found is None:
