--- a/wrenspoke/coordination/serving/outlier_detection.py
+++ b/wrenspoke/coordination/serving/outlier_detection.py
@@ -46,7 +46,7 @@
             return False
         return self._clock.mono_ms() < found.aside_until_ms
 
-    def aside_until_ms(self, place: str) -> int:
+    def ejected_until_ms(self, place: str) -> int:
         """Return until when an address is ejected, 0 if it never was."""
         found = self._standings.get(place)
         return 0 if found is None else found.aside_until_ms
