--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -284,7 +284,7 @@
         usable = self._availability.usable(service.service, self._region)
         waits_ms = []
         for found in usable:
-            until_ms = self._outlier_detector.aside_until_ms(
+            until_ms = self._outlier_detector.ejected_until_ms(
                 found.said.address
             )
             wait_ms = max(
--- a/wrenspoke/coordination/serving/outlier_detection.py
+++ b/wrenspoke/coordination/serving/outlier_detection.py
@@ -28,7 +28,7 @@
     failures: int = 0
     pause_ms: int = 0
     aside_since_ms: int = 0
-    aside_until_ms: int = 0
+    ejected_until_ms: int = 0
     unreachable: bool = False
 
 
@@ -44,12 +44,12 @@
         found = self._standings.get(place)
         if found is None:
             return False
-        return self._clock.mono_ms() < found.aside_until_ms
+        return self._clock.mono_ms() < found.ejected_until_ms
 
     def ejected_until_ms(self, place: str) -> int:
         """Return until when an address is ejected, 0 if it never was."""
         found = self._standings.get(place)
-        return 0 if found is None else found.aside_until_ms
+        return 0 if found is None else found.ejected_until_ms
 
     def succeeded(self, place: str) -> None:
         """Record a successful request."""
@@ -75,7 +75,7 @@
         doubled_ms = max(2 * found.pause_ms, FIRST_PAUSE_MS)
         found.pause_ms = min(doubled_ms, LONGEST_PAUSE_MS)
         found.aside_since_ms = now_ms
-        found.aside_until_ms = now_ms + found.pause_ms
+        found.ejected_until_ms = now_ms + found.pause_ms
         found.unreachable = certain
         logger.warning(
             'place_set_aside',
