--- a/wrenspoke/coordination/serving/outlier_detection.py
+++ b/wrenspoke/coordination/serving/outlier_detection.py
@@ -27,7 +27,7 @@
 
     failures: int = 0
     pause_ms: int = 0
-    aside_since_ms: int = 0
+    ejected_since_ms: int = 0
     ejected_until_ms: int = 0
     unreachable: bool = False
 
@@ -65,7 +65,7 @@
         failure is enough.
         """
         found = self._standings.setdefault(place, EjectionState())
-        if sent_ms < found.aside_since_ms:
+        if sent_ms < found.ejected_since_ms:
             # In flight at the last ejection, which it was part of.
             return
         found.failures += 1
@@ -74,7 +74,7 @@
         now_ms = self._clock.mono_ms()
         doubled_ms = max(2 * found.pause_ms, FIRST_PAUSE_MS)
         found.pause_ms = min(doubled_ms, LONGEST_PAUSE_MS)
-        found.aside_since_ms = now_ms
+        found.ejected_since_ms = now_ms
         found.ejected_until_ms = now_ms + found.pause_ms
         found.unreachable = certain
         logger.warning(
@@ -94,7 +94,7 @@
         found = self._standings.get(place)
         if found is None or not found.unreachable:
             return
-        if asked_ms >= found.aside_since_ms:
+        if asked_ms >= found.ejected_since_ms:
             self.succeeded(place)
 
     def forget(self, place: str) -> None:
