--- a/wrenspoke/coordination/serving/outlier_detection.py
+++ b/wrenspoke/coordination/serving/outlier_detection.py
@@ -26,7 +26,7 @@
     """The health of one address."""
 
     failures: int = 0
-    pause_ms: int = 0
+    ejection_ms: int = 0
     ejected_since_ms: int = 0
     ejected_until_ms: int = 0
     unreachable: bool = False
