--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -33,7 +33,7 @@
     noted = outlier_detection.OutlierDetector(FakeClock())
     for outcome in outcomes:
         if outcome == 's':
-            noted.succeeded('p')
+            noted.record_success('p')
         else:
             noted.failed('p', 'test', 0, certain=outcome == 'c')
     assert noted.is_ejected('p') is aside
--- a/wrenspoke/coordination/serving/outlier_detection.py
+++ b/wrenspoke/coordination/serving/outlier_detection.py
@@ -51,7 +51,7 @@
         found = self._standings.get(place)
         return 0 if found is None else found.ejected_until_ms
 
-    def succeeded(self, place: str) -> None:
+    def record_success(self, place: str) -> None:
         """Record a successful request."""
         if self._standings.pop(place, EjectionState()).pause_ms:
             logger.info('place_recovered', place=place)
@@ -95,7 +95,7 @@
         if found is None or not found.unreachable:
             return
         if asked_ms >= found.ejected_since_ms:
-            self.succeeded(place)
+            self.record_success(place)
 
     def forget(self, place: str) -> None:
         """Drop an address's state, as another process runs there now."""
