--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -35,7 +35,7 @@
         if outcome == 's':
             noted.record_success('p')
         else:
-            noted.failed('p', 'test', 0, certain=outcome == 'c')
+            noted.record_failure('p', 'test', 0, certain=outcome == 'c')
     assert noted.is_ejected('p') is aside
 
 
@@ -44,7 +44,7 @@
     noted = outlier_detection.OutlierDetector(clock)
     pauses = []
     for _number in range(8):
-        noted.failed('p', 'test', clock.now_ms, certain=True)
+        noted.record_failure('p', 'test', clock.now_ms, certain=True)
         start_ms = clock.now_ms
         while noted.is_ejected('p'):
             clock.now_ms += 100
@@ -60,10 +60,10 @@
     clock = FakeClock()
     noted = outlier_detection.OutlierDetector(clock)
     clock.now_ms = 1_000
-    noted.failed('p', 'test', 800, certain=True)
+    noted.record_failure('p', 'test', 800, certain=True)
     clock.now_ms = 1_500
     assert not noted.is_ejected('p')
-    noted.failed('p', 'test', sent_ms, certain=True)
+    noted.record_failure('p', 'test', sent_ms, certain=True)
     clock.now_ms += pause_ms - 1
     assert noted.is_ejected('p') is (sent_ms > 1_000)
 
@@ -78,6 +78,6 @@
     noted = outlier_detection.OutlierDetector(clock)
     clock.now_ms = 1_000
     for _number in range(1 if certain else outlier_detection.FAILURES_LIMIT):
-        noted.failed('p', 'test', 1_000, certain)
+        noted.record_failure('p', 'test', 1_000, certain)
     noted.heard('p', asked_ms)
     assert noted.is_ejected('p') is aside
--- a/wrenspoke/coordination/serving/outlier_detection.py
+++ b/wrenspoke/coordination/serving/outlier_detection.py
@@ -56,7 +56,7 @@
         if self._standings.pop(place, EjectionState()).pause_ms:
             logger.info('place_recovered', place=place)
 
-    def failed(
+    def record_failure(
         self, place: str, cause: str, sent_ms: int, certain: bool = False
     ) -> None:
         """Record the failure of a request that was sent at some time.
