--- a/wrenspoke/coordination/serving/outlier_detection.py
+++ b/wrenspoke/coordination/serving/outlier_detection.py
@@ -85,7 +85,7 @@
             pause_ms=found.pause_ms,
         )
 
-    def heard(self, place: str, asked_ms: int) -> None:
+    def record_reachable(self, place: str, asked_ms: int) -> None:
         """Record a response to a check that was sent at some time.
 
         It ends the ejection of an unreachable address, and not one for bad
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -154,7 +154,7 @@
         """Note that a host elsewhere can be reached."""
         record = self.attendance.roster.record(host)
         if record is not None:
-            self._health.heard(record.passing_address, asked_ms)
+            self._health.record_reachable(record.passing_address, asked_ms)
 
     def _build_gauges(
         self, reports: gauges.ReportReader, dialect: dialects.Dialect
@@ -175,7 +175,7 @@
             self._askers,
             self._partners,
             self._views,
-            self._health.heard,
+            self._health.record_reachable,
             self._gate,
             dialect,
             self.clock,
