--- a/wrenspoke/coordination/serving/outlier_detection.py
+++ b/wrenspoke/coordination/serving/outlier_detection.py
@@ -97,7 +97,7 @@
         if asked_ms >= found.ejected_since_ms:
             self.record_success(place)
 
-    def forget(self, place: str) -> None:
+    def reset_address(self, place: str) -> None:
         """Drop an address's state, as another process runs there now."""
         self._standings.pop(place, None)
 
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -261,7 +261,7 @@
         self._estimator.keep_only(others)
         self._warmth.keep_only(others)
         self._gauges.forget(before.endpoint)
-        self._health.forget(before.address)
+        self._health.reset_address(before.address)
 
     def _build_serving(self, dialect: dialects.Dialect) -> None:
         """Build what serves requests and what listens for them."""
