--- a/wrenspoke/coordination/serving/outlier_detection.py
+++ b/wrenspoke/coordination/serving/outlier_detection.py
@@ -37,23 +37,23 @@
 
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
-        self._standings: dict[str, EjectionState] = {}
+        self._states: dict[str, EjectionState] = {}
 
     def is_ejected(self, place: str) -> bool:
         """Return whether an address is ejected."""
-        found = self._standings.get(place)
+        found = self._states.get(place)
         if found is None:
             return False
         return self._clock.mono_ms() < found.ejected_until_ms
 
     def ejected_until_ms(self, place: str) -> int:
         """Return until when an address is ejected, 0 if it never was."""
-        found = self._standings.get(place)
+        found = self._states.get(place)
         return 0 if found is None else found.ejected_until_ms
 
     def record_success(self, place: str) -> None:
         """Record a successful request."""
-        if self._standings.pop(place, EjectionState()).pause_ms:
+        if self._states.pop(place, EjectionState()).pause_ms:
             logger.info('place_recovered', place=place)
 
     def record_failure(
@@ -64,7 +64,7 @@
         ``certain`` says that the address can't be reached, for which one
         failure is enough.
         """
-        found = self._standings.setdefault(place, EjectionState())
+        found = self._states.setdefault(place, EjectionState())
         if sent_ms < found.ejected_since_ms:
             # In flight at the last ejection, which it was part of.
             return
@@ -91,7 +91,7 @@
         It ends the ejection of an unreachable address, and not one for bad
         responses, which may go on.
         """
-        found = self._standings.get(place)
+        found = self._states.get(place)
         if found is None or not found.unreachable:
             return
         if asked_ms >= found.ejected_since_ms:
@@ -99,10 +99,10 @@
 
     def reset_address(self, place: str) -> None:
         """Drop an address's state, as another process runs there now."""
-        self._standings.pop(place, None)
+        self._states.pop(place, None)
 
     def keep_only(self, places: set[str]) -> None:
         """Drop addresses that are not in use any more."""
-        for place in list(self._standings):
+        for place in list(self._states):
             if place not in places:
-                del self._standings[place]
+                del self._states[place]
