--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -77,7 +77,9 @@
     clock = FakeClock()
     noted = outlier_detection.OutlierDetector(clock)
     clock.now_ms = 1_000
-    for _number in range(1 if certain else outlier_detection.FAILURES_LIMIT):
+    for _number in range(
+        1 if certain else outlier_detection.CONSECUTIVE_FAILURES_LIMIT
+    ):
         noted.record_failure('p', 'test', 1_000, certain)
     noted.record_reachable('p', asked_ms)
     assert noted.is_ejected('p') is aside
--- a/wrenspoke/coordination/serving/outlier_detection.py
+++ b/wrenspoke/coordination/serving/outlier_detection.py
@@ -16,7 +16,7 @@
 logger = structlog.get_logger(__name__)
 
 # A failed connection ejects at once.
-FAILURES_LIMIT = 3
+CONSECUTIVE_FAILURES_LIMIT = 3
 FIRST_PAUSE_MS = 500
 LONGEST_PAUSE_MS = 8_000
 
@@ -69,7 +69,7 @@
             # In flight at the last ejection, which it was part of.
             return
         found.failures += 1
-        if not certain and found.failures < FAILURES_LIMIT:
+        if not certain and found.failures < CONSECUTIVE_FAILURES_LIMIT:
             return
         now_ms = self._clock.mono_ms()
         doubled_ms = max(2 * found.pause_ms, FIRST_PAUSE_MS)
