--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -50,7 +50,7 @@
             clock.now_ms += 100
         pauses.append(clock.now_ms - start_ms)
     assert pauses[:3] == [500, 1000, 2000]
-    assert pauses[-1] == outlier_detection.LONGEST_PAUSE_MS
+    assert pauses[-1] == outlier_detection.MAX_EJECTION_MS
 
 
 @pytest.mark.parametrize(
--- a/wrenspoke/coordination/serving/outlier_detection.py
+++ b/wrenspoke/coordination/serving/outlier_detection.py
@@ -18,7 +18,7 @@
 # A failed connection ejects at once.
 CONSECUTIVE_FAILURES_LIMIT = 3
 INITIAL_EJECTION_MS = 500
-LONGEST_PAUSE_MS = 8_000
+MAX_EJECTION_MS = 8_000
 
 
 @dataclasses.dataclass(slots=True)
@@ -73,7 +73,7 @@
             return
         now_ms = self._clock.mono_ms()
         doubled_ms = max(2 * found.pause_ms, INITIAL_EJECTION_MS)
-        found.pause_ms = min(doubled_ms, LONGEST_PAUSE_MS)
+        found.pause_ms = min(doubled_ms, MAX_EJECTION_MS)
         found.ejected_since_ms = now_ms
         found.ejected_until_ms = now_ms + found.pause_ms
         found.unreachable = certain
