--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -73,7 +73,7 @@
 
 def test_pace_is_the_mean_of_gaps_and_comes_back():
     clock = FakeClock()
-    known = engine_pace.Pace(clock)
+    known = engine_pace.PaceTracker(clock)
     for _number in range(200):
         clock.now_ms += 40
         known.note_gap('e', 6, 40)
@@ -97,7 +97,7 @@
 )
 def test_streams_that_a_pause_would_make_late_are_counted(gaps_ms, sound):
     clock = FakeClock()
-    known = engine_pace.Pace(clock)
+    known = engine_pace.PaceTracker(clock)
     with engine_pace.PacedStream(known, 'e', 6, 600) as stream:
         stream.note_piece()
         for gap_ms in gaps_ms:
--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -88,7 +88,7 @@
         self.sound = 0
 
 
-class Pace:
+class PaceTracker:
     """Hold the pace of every engine that streams come from."""
 
     def __init__(self, clock: clocks.Clock):
@@ -164,7 +164,7 @@
 
     def __init__(
         self,
-        known: Pace,
+        known: PaceTracker,
         endpoint: ids.EndpointId | None,
         event_tokens: int,
         pause_target_ms: float | None,
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -62,7 +62,7 @@
         self._gauges = known
         self.prefixes = prefix_index.Prefixes()
         self.backlog = backlog.Backlog(clock)
-        self.pace = engine_pace.Pace(clock)
+        self.pace = engine_pace.PaceTracker(clock)
         self._models: dict[ids.ServiceId, prefill_model.ReadingModel] = {}
         self._hold_ms: dict[ids.ServiceId, float] = {}
 
