--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -24,7 +24,7 @@
 LONGEST_HALF_MS = 30_000.0
 
 
-class Ahead(typing.NamedTuple):
+class PaceForecast(typing.NamedTuple):
     """State how long events are expected to take.
 
     ``usual_ms`` lies between two of a stream as a rule, ``present_ms`` in
@@ -121,13 +121,15 @@
         found.longest_ms = max(faded_ms, gap_ms)
         found.seen_ms = now_ms
 
-    def ahead(self, endpoint: ids.EndpointId, event_tokens: int) -> Ahead:
+    def ahead(
+        self, endpoint: ids.EndpointId, event_tokens: int
+    ) -> PaceForecast:
         """Return the pace that is to be expected of an engine."""
         found = self._of(endpoint, event_tokens)
         now_ms = self._clock.mono_ms()
         usual_ms = found.usual.value(found.first_ms, now_ms)
         present_ms = found.present.value(usual_ms, now_ms)
-        return Ahead(usual_ms, max(usual_ms, present_ms))
+        return PaceForecast(usual_ms, max(usual_ms, present_ms))
 
     def longest_ms(self, endpoint: ids.EndpointId) -> float:
         """Return how long an engine's events take while it reads."""
