--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -40,7 +40,7 @@
         return slowed * self.present_ms + (events - slowed) * self.usual_ms
 
 
-class _FadingMean:
+class _DecayingMean:
     """Be the mean of what was seen; older values fade with time."""
 
     __slots__ = ('_memory_ms', '_total', '_weight', '_at_ms')
@@ -80,8 +80,8 @@
 
     def __init__(self, first_ms: float, now_ms: int):
         self.first_ms = first_ms
-        self.present = _FadingMean(MEMORY_MS, first_ms, now_ms)
-        self.usual = _FadingMean(USUAL_MEMORY_MS, first_ms, now_ms)
+        self.present = _DecayingMean(MEMORY_MS, first_ms, now_ms)
+        self.usual = _DecayingMean(USUAL_MEMORY_MS, first_ms, now_ms)
         self.longest_ms = 0.0
         self.seen_ms = now_ms
         # Streams from here that have not paused for too long yet.
