--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -66,7 +66,7 @@
         return math.exp(-(now_ms - self._at_ms) / self._memory_ms)
 
 
-class _Engine:
+class _EnginePace:
     """Hold the pace of one engine."""
 
     __slots__ = (
@@ -93,16 +93,16 @@
 
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
-        self._engines: dict[ids.EndpointId, _Engine] = {}
+        self._engines: dict[ids.EndpointId, _EnginePace] = {}
 
     def now_ms(self) -> int:
         """Return the time by which gaps are measured."""
         return self._clock.mono_ms()
 
-    def _of(self, endpoint: ids.EndpointId, event_tokens: int) -> _Engine:
+    def _of(self, endpoint: ids.EndpointId, event_tokens: int) -> _EnginePace:
         found = self._engines.get(endpoint)
         if found is None:
-            found = _Engine(
+            found = _EnginePace(
                 FIRST_TOKEN_MS * event_tokens, self._clock.mono_ms()
             )
             self._engines[endpoint] = found
