--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -98,7 +98,7 @@
 def test_streams_that_a_pause_would_make_late_are_counted(gaps_ms, sound):
     clock = FakeClock()
     known = engine_pace.PaceTracker(clock)
-    with engine_pace.PacedStream(known, 'e', 6, 600) as stream:
+    with engine_pace.StreamGapRecorder(known, 'e', 6, 600) as stream:
         stream.note_piece()
         for gap_ms in gaps_ms:
             clock.now_ms += gap_ms
--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -361,11 +361,11 @@
 
     def _gap_recorder(
         self, work: works.CallContext, place: sending.Place
-    ) -> paces.PacedStream:
+    ) -> paces.StreamGapRecorder:
         tokens = 1
         if work.service.batch is not None:
             tokens = work.service.batch.event_tokens
-        return paces.PacedStream(
+        return paces.StreamGapRecorder(
             self._estimator.engine_pace,
             place.endpoint,
             tokens,
--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -158,7 +158,7 @@
                 del self._engines[endpoint]
 
 
-class PacedStream:
+class StreamGapRecorder:
     """Follow one stream of an engine, and let its pace be learned.
 
     A stream that comes by way of another host tells nothing of an engine.
