--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -51,7 +51,7 @@
         self._weight = 1.0
         self._at_ms = now_ms
 
-    def note(self, value: float, now_ms: int) -> None:
+    def add_sample(self, value: float, now_ms: int) -> None:
         kept = self._kept(now_ms)
         self._total = kept * self._total + value
         self._weight = kept * self._weight + 1.0
@@ -114,8 +114,8 @@
         """Learn from the time between two events of a stream."""
         found = self._of(endpoint, event_tokens)
         now_ms = self._clock.mono_ms()
-        found.present.note(gap_ms, now_ms)
-        found.usual.note(gap_ms, now_ms)
+        found.present.add_sample(gap_ms, now_ms)
+        found.usual.add_sample(gap_ms, now_ms)
         age_ms = now_ms - found.seen_ms
         faded_ms = found.longest_ms * 0.5 ** (age_ms / LONGEST_HALF_MS)
         found.longest_ms = max(faded_ms, gap_ms)
