--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -52,17 +52,17 @@
         self._at_ms = now_ms
 
     def add_sample(self, value: float, now_ms: int) -> None:
-        kept = self._kept(now_ms)
+        kept = self._decay_factor(now_ms)
         self._total = kept * self._total + value
         self._weight = kept * self._weight + 1.0
         self._at_ms = now_ms
 
     def value(self, usual: float, now_ms: int) -> float:
         """Return the mean, joined by ``usual`` as one more value."""
-        kept = self._kept(now_ms)
+        kept = self._decay_factor(now_ms)
         return (kept * self._total + usual) / (kept * self._weight + 1.0)
 
-    def _kept(self, now_ms: int) -> float:
+    def _decay_factor(self, now_ms: int) -> float:
         return math.exp(-(now_ms - self._at_ms) / self._memory_ms)
 
 
