--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -46,7 +46,7 @@
     __slots__ = ('_memory_ms', '_total', '_weight', '_at_ms')
 
     def __init__(self, memory_ms: float, value: float, now_ms: int):
-        self._memory_ms = memory_ms
+        self._time_constant_ms = memory_ms
         self._total = value
         self._weight = 1.0
         self._at_ms = now_ms
@@ -63,7 +63,7 @@
         return (kept * self._total + usual) / (kept * self._weight + 1.0)
 
     def _decay_factor(self, now_ms: int) -> float:
-        return math.exp(-(now_ms - self._at_ms) / self._memory_ms)
+        return math.exp(-(now_ms - self._at_ms) / self._time_constant_ms)
 
 
 class _EnginePace:
