--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -80,7 +80,7 @@
 
     def __init__(self, first_ms: float, now_ms: int):
         self.first_ms = first_ms
-        self.present = _DecayingMean(MEMORY_MS, first_ms, now_ms)
+        self.short_term = _DecayingMean(MEMORY_MS, first_ms, now_ms)
         self.usual = _DecayingMean(USUAL_MEMORY_MS, first_ms, now_ms)
         self.longest_ms = 0.0
         self.seen_ms = now_ms
@@ -114,7 +114,7 @@
         """Learn from the time between two events of a stream."""
         found = self._of(endpoint, event_tokens)
         now_ms = self._clock.mono_ms()
-        found.present.add_sample(gap_ms, now_ms)
+        found.short_term.add_sample(gap_ms, now_ms)
         found.usual.add_sample(gap_ms, now_ms)
         age_ms = now_ms - found.seen_ms
         faded_ms = found.longest_ms * 0.5 ** (age_ms / LONGEST_HALF_MS)
@@ -128,7 +128,7 @@
         found = self._of(endpoint, event_tokens)
         now_ms = self._clock.mono_ms()
         usual_ms = found.usual.value(found.first_ms, now_ms)
-        present_ms = found.present.value(usual_ms, now_ms)
+        present_ms = found.short_term.value(usual_ms, now_ms)
         return PaceForecast(usual_ms, max(usual_ms, present_ms))
 
     def longest_ms(self, endpoint: ids.EndpointId) -> float:
