--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -189,7 +189,7 @@
             uncached_tokens=round(chosen.estimate.uncached_tokens),
             queued_tokens=round(chosen.estimate.queued_tokens),
             can_start_now=chosen.can_start_now,
-            usual=chosen.usual,
+            long_term=chosen.long_term,
             tokens_in=work.call.tokens_in,
             moved_tokens=round(chosen.moved_tokens),
             candidates=chosen.candidates,
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -247,7 +247,7 @@
         if holder is None or holder.endpoint == name:
             return
         kept = self._estimator.prefix_index.kept_tokens(
-            name, call.parts, item.usual
+            name, call.parts, item.long_term
         )
         if holder.tokens - kept < prefix_index.LEAST_MOVED_TOKENS:
             return
--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -81,7 +81,7 @@
     def __init__(self, first_ms: float, now_ms: int):
         self.first_ms = first_ms
         self.short_term = _DecayingMean(MEMORY_MS, first_ms, now_ms)
-        self.usual = _DecayingMean(USUAL_MEMORY_MS, first_ms, now_ms)
+        self.long_term = _DecayingMean(USUAL_MEMORY_MS, first_ms, now_ms)
         self.longest_ms = 0.0
         self.seen_ms = now_ms
         # Streams from here that have not paused for too long yet.
@@ -115,7 +115,7 @@
         found = self._of(endpoint, event_tokens)
         now_ms = self._clock.mono_ms()
         found.short_term.add_sample(gap_ms, now_ms)
-        found.usual.add_sample(gap_ms, now_ms)
+        found.long_term.add_sample(gap_ms, now_ms)
         age_ms = now_ms - found.seen_ms
         faded_ms = found.longest_ms * 0.5 ** (age_ms / LONGEST_HALF_MS)
         found.longest_ms = max(faded_ms, gap_ms)
@@ -127,7 +127,7 @@
         """Return the pace that is to be expected of an engine."""
         found = self._of(endpoint, event_tokens)
         now_ms = self._clock.mono_ms()
-        usual_ms = found.usual.value(found.first_ms, now_ms)
+        usual_ms = found.long_term.value(found.first_ms, now_ms)
         present_ms = found.short_term.value(usual_ms, now_ms)
         return PaceForecast(usual_ms, max(usual_ms, present_ms))
 
