--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -82,7 +82,7 @@
         self.first_ms = first_ms
         self.short_term = _DecayingMean(MEMORY_MS, first_ms, now_ms)
         self.long_term = _DecayingMean(USUAL_MEMORY_MS, first_ms, now_ms)
-        self.longest_ms = 0.0
+        self.longest_gap_ms = 0.0
         self.seen_ms = now_ms
         # Streams from here that have not paused for too long yet.
         self.sound = 0
@@ -117,8 +117,8 @@
         found.short_term.add_sample(gap_ms, now_ms)
         found.long_term.add_sample(gap_ms, now_ms)
         age_ms = now_ms - found.seen_ms
-        faded_ms = found.longest_ms * 0.5 ** (age_ms / LONGEST_HALF_MS)
-        found.longest_ms = max(faded_ms, gap_ms)
+        faded_ms = found.longest_gap_ms * 0.5 ** (age_ms / LONGEST_HALF_MS)
+        found.longest_gap_ms = max(faded_ms, gap_ms)
         found.seen_ms = now_ms
 
     def ahead(
