--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -79,7 +79,7 @@
     )
 
     def __init__(self, first_ms: float, now_ms: int):
-        self.first_ms = first_ms
+        self.initial_gap_ms = first_ms
         self.short_term = _DecayingMean(MEMORY_MS, first_ms, now_ms)
         self.long_term = _DecayingMean(USUAL_MEMORY_MS, first_ms, now_ms)
         self.longest_gap_ms = 0.0
@@ -127,7 +127,7 @@
         """Return the pace that is to be expected of an engine."""
         found = self._of(endpoint, event_tokens)
         now_ms = self._clock.mono_ms()
-        usual_ms = found.long_term.value(found.first_ms, now_ms)
+        usual_ms = found.long_term.value(found.initial_gap_ms, now_ms)
         present_ms = found.short_term.value(usual_ms, now_ms)
         return PaceForecast(usual_ms, max(usual_ms, present_ms))
 
