--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -85,7 +85,7 @@
         self.longest_gap_ms = 0.0
         self.longest_gap_at_ms = now_ms
         # Streams from here that have not paused for too long yet.
-        self.sound = 0
+        self.on_time_streams = 0
 
 
 class PaceTracker:
@@ -138,7 +138,7 @@
 
     def begin(self, endpoint: ids.EndpointId, event_tokens: int) -> None:
         """Count a stream that begins."""
-        self._of(endpoint, event_tokens).sound += 1
+        self._of(endpoint, event_tokens).on_time_streams += 1
 
     def spoilt(self, endpoint: ids.EndpointId) -> None:
         """Count a stream no more, as it has ended or paused too long."""
