--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -99,7 +99,9 @@
         """Return the time by which gaps are measured."""
         return self._clock.mono_ms()
 
-    def _of(self, endpoint: ids.EndpointId, event_tokens: int) -> _EnginePace:
+    def _engine_pace(
+        self, endpoint: ids.EndpointId, event_tokens: int
+    ) -> _EnginePace:
         found = self._engines.get(endpoint)
         if found is None:
             found = _EnginePace(
@@ -112,7 +114,7 @@
         self, endpoint: ids.EndpointId, event_tokens: int, gap_ms: float
     ) -> None:
         """Learn from the time between two events of a stream."""
-        found = self._of(endpoint, event_tokens)
+        found = self._engine_pace(endpoint, event_tokens)
         now_ms = self._clock.mono_ms()
         found.short_term.add_sample(gap_ms, now_ms)
         found.long_term.add_sample(gap_ms, now_ms)
@@ -125,7 +127,7 @@
         self, endpoint: ids.EndpointId, event_tokens: int
     ) -> PaceForecast:
         """Return the pace that is to be expected of an engine."""
-        found = self._of(endpoint, event_tokens)
+        found = self._engine_pace(endpoint, event_tokens)
         now_ms = self._clock.mono_ms()
         usual_ms = found.long_term.value(found.initial_gap_ms, now_ms)
         present_ms = found.short_term.value(usual_ms, now_ms)
@@ -138,7 +140,7 @@
 
     def begin(self, endpoint: ids.EndpointId, event_tokens: int) -> None:
         """Count a stream that begins."""
-        self._of(endpoint, event_tokens).on_time_streams += 1
+        self._engine_pace(endpoint, event_tokens).on_time_streams += 1
 
     def spoilt(self, endpoint: ids.EndpointId) -> None:
         """Count a stream no more, as it has ended or paused too long."""
