--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -76,11 +76,11 @@
     known = engine_pace.PaceTracker(clock)
     for _number in range(200):
         clock.now_ms += 40
-        known.note_gap('e', 6, 40)
+        known.record_gap('e', 6, 40)
     assert known.ahead('e', 6).usual_ms == pytest.approx(40, rel=0.05)
     for _number in range(6):
         clock.now_ms += 500
-        known.note_gap('e', 6, 500)
+        known.record_gap('e', 6, 500)
     slowed = known.ahead('e', 6)
     assert slowed.present_ms > 200 and slowed.usual_ms < 80
     # Two seconds of it, then as usual.
--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -110,7 +110,7 @@
             self._engines[endpoint] = found
         return found
 
-    def note_gap(
+    def record_gap(
         self, endpoint: ids.EndpointId, event_tokens: int, gap_ms: float
     ) -> None:
         """Learn from the time between two events of a stream."""
@@ -196,7 +196,7 @@
             self._pace.begin(self._endpoint, self._event_tokens)
         else:
             gap_ms = now_ms - self._piece_ms
-            self._pace.note_gap(self._endpoint, self._event_tokens, gap_ms)
+            self._pace.record_gap(self._endpoint, self._event_tokens, gap_ms)
             late = self._pause_target_ms is not None
             if late and gap_ms > self._pause_target_ms:
                 self._spoil()
