--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -77,16 +77,16 @@
     for _number in range(200):
         clock.now_ms += 40
         known.record_gap('e', 6, 40)
-    assert known.ahead('e', 6).usual_ms == pytest.approx(40, rel=0.05)
+    assert known.forecast('e', 6).usual_ms == pytest.approx(40, rel=0.05)
     for _number in range(6):
         clock.now_ms += 500
         known.record_gap('e', 6, 500)
-    slowed = known.ahead('e', 6)
+    slowed = known.forecast('e', 6)
     assert slowed.present_ms > 200 and slowed.usual_ms < 80
     # Two seconds of it, then as usual.
     assert slowed.stream_ms(100) < 2_000 + 100 * slowed.usual_ms
     clock.now_ms += 10_000
-    assert known.ahead('e', 6).present_ms < 1.2 * slowed.usual_ms
+    assert known.forecast('e', 6).present_ms < 1.2 * slowed.usual_ms
     assert known.longest_ms('e') == 500
 
 
--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -123,7 +123,7 @@
         found.longest_gap_ms = max(faded_ms, gap_ms)
         found.longest_gap_at_ms = now_ms
 
-    def ahead(
+    def forecast(
         self, endpoint: ids.EndpointId, event_tokens: int
     ) -> PaceForecast:
         """Return the pace that is to be expected of an engine."""
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -110,7 +110,7 @@
             room = fits and load.running < service.batch.slots
         event_tokens = service.batch.event_tokens
         events = math.ceil(call.tokens_expected / event_tokens)
-        pace_ahead = self.pace.ahead(said.endpoint, event_tokens)
+        pace_ahead = self.pace.forecast(said.endpoint, event_tokens)
         reading_ms = unread * token_ms
         busy_ms = ahead * token_ms + reading_ms
         return Estimate(
