--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -87,7 +87,7 @@
     assert slowed.stream_ms(100) < 2_000 + 100 * slowed.usual_ms
     clock.now_ms += 10_000
     assert known.forecast('e', 6).present_ms < 1.2 * slowed.usual_ms
-    assert known.longest_ms('e') == 500
+    assert known.longest_gap_ms('e') == 500
 
 
 @pytest.mark.parametrize(
--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -133,10 +133,10 @@
         present_ms = found.short_term.value(usual_ms, now_ms)
         return PaceForecast(usual_ms, max(usual_ms, present_ms))
 
-    def longest_ms(self, endpoint: ids.EndpointId) -> float:
+    def longest_gap_ms(self, endpoint: ids.EndpointId) -> float:
         """Return how long an engine's events take while it reads."""
         found = self._engines.get(endpoint)
-        return 0.0 if found is None else found.longest_ms
+        return 0.0 if found is None else found.longest_gap_ms
 
     def begin(self, endpoint: ids.EndpointId, event_tokens: int) -> None:
         """Count a stream that begins."""
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -120,7 +120,7 @@
             ahead,
             reading_ms,
             moving_ms,
-            min(busy_ms, self.pace.longest_ms(said.endpoint)),
+            min(busy_ms, self.pace.longest_gap_ms(said.endpoint)),
             self.pace.sound(said.endpoint),
             model.spread,
             room,
