--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -138,7 +138,7 @@
         found = self._engines.get(endpoint)
         return 0.0 if found is None else found.longest_gap_ms
 
-    def begin(self, endpoint: ids.EndpointId, event_tokens: int) -> None:
+    def add_stream(self, endpoint: ids.EndpointId, event_tokens: int) -> None:
         """Count a stream that begins."""
         self._engine_pace(endpoint, event_tokens).on_time_streams += 1
 
