--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -142,7 +142,7 @@
         """Count a stream that begins."""
         self._engine_pace(endpoint, event_tokens).on_time_streams += 1
 
-    def spoilt(self, endpoint: ids.EndpointId) -> None:
+    def remove_stream(self, endpoint: ids.EndpointId) -> None:
         """Count a stream no more, as it has ended or paused too long."""
         found = self._engines.get(endpoint)
         if found is not None:
@@ -205,4 +205,4 @@
     def _spoil(self) -> None:
         if self._sound:
             self._sound = False
-            self._pace.spoilt(self._endpoint)
+            self._pace.remove_stream(self._endpoint)
