--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -103,5 +103,5 @@
         for gap_ms in gaps_ms:
             clock.now_ms += gap_ms
             stream.note_piece()
-        assert known.sound('e') == sound
-    assert known.sound('e') == 0
+        assert known.on_time_streams('e') == sound
+    assert known.on_time_streams('e') == 0
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -311,7 +311,7 @@
         """Return the places of a service here that are known to be free."""
         return sum(
             self._estimator.free_slots(found, service)
-            for found in self._availability.sound(
+            for found in self._availability.on_time_streams(
                 service.service, self._region
             )
         )
@@ -329,7 +329,9 @@
     def _build_offer(
         self, service: routes.RoutedService
     ) -> messages.Offer | None:
-        found = self._availability.sound(service.service, self._region)
+        found = self._availability.on_time_streams(
+            service.service, self._region
+        )
         if not found:
             return None
         # Endpoints with a limit are reserved for their own region.
--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -146,12 +146,12 @@
         """Count a stream no more, as it has ended or paused too long."""
         found = self._engines.get(endpoint)
         if found is not None:
-            found.sound = max(found.sound - 1, 0)
+            found.on_time_streams = max(found.on_time_streams - 1, 0)
 
-    def sound(self, endpoint: ids.EndpointId) -> int:
+    def on_time_streams(self, endpoint: ids.EndpointId) -> int:
         """Return the streams that a long pause would make late."""
         found = self._engines.get(endpoint)
-        return 0 if found is None else found.sound
+        return 0 if found is None else found.on_time_streams
 
     def keep_only(self, endpoints: set[ids.EndpointId]) -> None:
         """Forget engines that are gone."""
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -121,7 +121,7 @@
             reading_ms,
             moving_ms,
             min(busy_ms, self.pace.longest_gap_ms(said.endpoint)),
-            self.pace.sound(said.endpoint),
+            self.pace.on_time_streams(said.endpoint),
             model.spread,
             room,
         )
