--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -178,7 +178,7 @@
         self._event_tokens = event_tokens
         self._pause_target_ms = pause_target_ms
         self._piece_ms: int | None = None
-        self._sound = False
+        self._is_counted = False
 
     def __enter__(self) -> 'PacedStream':
         return self
@@ -192,7 +192,7 @@
             return
         now_ms = self._pace.now_ms()
         if self._piece_ms is None:
-            self._sound = True
+            self._is_counted = True
             self._pace.begin(self._endpoint, self._event_tokens)
         else:
             gap_ms = now_ms - self._piece_ms
@@ -203,6 +203,6 @@
         self._piece_ms = now_ms
 
     def _spoil(self) -> None:
-        if self._sound:
-            self._sound = False
+        if self._is_counted:
+            self._is_counted = False
             self._pace.remove_stream(self._endpoint)
