--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -184,7 +184,7 @@
         return self
 
     def __exit__(self, *_error: object) -> None:
-        self._spoil()
+        self._stop_counting()
 
     def note_piece(self) -> None:
         """Note that a piece has come."""
@@ -199,10 +199,10 @@
             self._pace.record_gap(self._endpoint, self._event_tokens, gap_ms)
             late = self._pause_target_ms is not None
             if late and gap_ms > self._pause_target_ms:
-                self._spoil()
+                self._stop_counting()
         self._piece_ms = now_ms
 
-    def _spoil(self) -> None:
+    def _stop_counting(self) -> None:
         if self._is_counted:
             self._is_counted = False
             self._pace.remove_stream(self._endpoint)
