--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -99,9 +99,9 @@
     clock = FakeClock()
     known = engine_pace.PaceTracker(clock)
     with engine_pace.StreamGapRecorder(known, 'e', 6, 600) as stream:
-        stream.note_piece()
+        stream.record_piece()
         for gap_ms in gaps_ms:
             clock.now_ms += gap_ms
-            stream.note_piece()
+            stream.record_piece()
         assert known.on_time_streams('e') == sound
     assert known.on_time_streams('e') == 0
--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -355,8 +355,8 @@
                     self._record_first_piece(work, place)
                     await work.reply.open(answer.status, answer.fields)
                     work.tracker = tracker
-                work.note_piece(self._clock.mono_ms())
-                paced.note_piece()
+                work.record_piece(self._clock.mono_ms())
+                paced.record_piece()
                 await work.reply.write(data)
 
     def _gap_recorder(
--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -186,7 +186,7 @@
     def __exit__(self, *_error: object) -> None:
         self._stop_counting()
 
-    def note_piece(self) -> None:
+    def record_piece(self) -> None:
         """Note that a piece has come."""
         if self._endpoint is None:
             return
