--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -177,7 +177,7 @@
         self._endpoint = endpoint
         self._event_tokens = event_tokens
         self._pause_target_ms = pause_target_ms
-        self._piece_ms: int | None = None
+        self._last_piece_at_ms: int | None = None
         self._is_counted = False
 
     def __enter__(self) -> 'PacedStream':
@@ -191,16 +191,16 @@
         if self._endpoint is None:
             return
         now_ms = self._pace.now_ms()
-        if self._piece_ms is None:
+        if self._last_piece_at_ms is None:
             self._is_counted = True
             self._pace.begin(self._endpoint, self._event_tokens)
         else:
-            gap_ms = now_ms - self._piece_ms
+            gap_ms = now_ms - self._last_piece_at_ms
             self._pace.record_gap(self._endpoint, self._event_tokens, gap_ms)
             late = self._pause_target_ms is not None
             if late and gap_ms > self._pause_target_ms:
                 self._stop_counting()
-        self._piece_ms = now_ms
+        self._last_piece_at_ms = now_ms
 
     def _stop_counting(self) -> None:
         if self._is_counted:
