--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -13,7 +13,7 @@
 from wrenspoke import ids
 
 # Until it was seen: a few ms for each token of an event.
-FIRST_TOKEN_MS = 8.0
+INITIAL_TOKEN_MS = 8.0
 # What was seen this long ago counts a third for the present pace.
 MEMORY_MS = 1_000.0
 # What was usual over this time is expected where nothing was seen lately.
@@ -105,7 +105,7 @@
         found = self._engines.get(endpoint)
         if found is None:
             found = _EnginePace(
-                FIRST_TOKEN_MS * event_tokens, self._clock.mono_ms()
+                INITIAL_TOKEN_MS * event_tokens, self._clock.mono_ms()
             )
             self._engines[endpoint] = found
         return found
