--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -17,7 +17,7 @@
 # What was seen this long ago counts a third for the present pace.
 SHORT_TERM_MS = 1_000.0
 # What was usual over this time is expected where nothing was seen lately.
-USUAL_MEMORY_MS = 20_000.0
+LONG_TERM_MS = 20_000.0
 # What slows an engine down at present is taken to last so long.
 PERSISTS_MS = 2_000.0
 # The longest gap seen is forgotten to a half over this time.
@@ -81,7 +81,7 @@
     def __init__(self, first_ms: float, now_ms: int):
         self.initial_gap_ms = first_ms
         self.short_term = _DecayingMean(SHORT_TERM_MS, first_ms, now_ms)
-        self.long_term = _DecayingMean(USUAL_MEMORY_MS, first_ms, now_ms)
+        self.long_term = _DecayingMean(LONG_TERM_MS, first_ms, now_ms)
         self.longest_gap_ms = 0.0
         self.longest_gap_at_ms = now_ms
         # Streams from here that have not paused for too long yet.
