--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -19,7 +19,7 @@
 # What was usual over this time is expected where nothing was seen lately.
 LONG_TERM_MS = 20_000.0
 # What slows an engine down at present is taken to last so long.
-PERSISTS_MS = 2_000.0
+SLOWDOWN_MS = 2_000.0
 # The longest gap seen is forgotten to a half over this time.
 LONGEST_HALF_MS = 30_000.0
 
@@ -36,7 +36,7 @@
 
     def stream_ms(self, events: float) -> float:
         """Return how long so many events take."""
-        slowed = min(events, PERSISTS_MS / self.present_ms)
+        slowed = min(events, SLOWDOWN_MS / self.present_ms)
         return slowed * self.present_ms + (events - slowed) * self.usual_ms
 
 
