--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -21,7 +21,7 @@
 # What slows an engine down at present is taken to last so long.
 SLOWDOWN_MS = 2_000.0
 # The longest gap seen is forgotten to a half over this time.
-LONGEST_HALF_MS = 30_000.0
+LONGEST_GAP_HALF_LIFE_MS = 30_000.0
 
 
 class PaceForecast(typing.NamedTuple):
@@ -119,7 +119,9 @@
         found.short_term.add_sample(gap_ms, now_ms)
         found.long_term.add_sample(gap_ms, now_ms)
         age_ms = now_ms - found.longest_gap_at_ms
-        faded_ms = found.longest_gap_ms * 0.5 ** (age_ms / LONGEST_HALF_MS)
+        faded_ms = found.longest_gap_ms * 0.5 ** (
+            age_ms / LONGEST_GAP_HALF_LIFE_MS
+        )
         found.longest_gap_ms = max(faded_ms, gap_ms)
         found.longest_gap_at_ms = now_ms
 
