--- a/tests/test_prefixes.py
+++ b/tests/test_prefixes.py
@@ -39,7 +39,7 @@
     ],
 )
 def test_holder_keeps_the_most(sent, asked, found):
-    known = prefix_index.Prefixes()
+    known = prefix_index.PrefixIndex()
     for endpoint, its_parts in sent:
         known.note(endpoint, 10_000, its_parts)
     holder = known.holder(asked, ['e1', 'e2'])
@@ -47,7 +47,7 @@
 
 
 def test_oldest_parts_give_way():
-    known = prefix_index.Prefixes()
+    known = prefix_index.PrefixIndex()
     for name in ('a', 'b', 'c'):
         known.note('e1', 2_700, (dialects.PromptPart(name, 1_000),))
     kept = [
@@ -61,13 +61,13 @@
     'usual, kept', [(False, 0), (True, 1_600)], ids=['another', 'usual']
 )
 def test_usual_engine_is_taken_to_keep_the_shared_parts(usual, kept):
-    known = prefix_index.Prefixes()
+    known = prefix_index.PrefixIndex()
     assert known.kept_tokens('e1', parts('a', 'b'), usual) == kept
 
 
 def test_what_is_made_takes_room_from_what_is_kept():
     """Chats that nobody asks for again push prefixes out."""
-    known = prefix_index.Prefixes()
+    known = prefix_index.PrefixIndex()
     known.note('e1', 5_000, parts('a'))
     for _number in range(3):
         known.note('e1', 5_000, (), own_tokens=1_200)
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -60,7 +60,7 @@
 
     def __init__(self, known: gauges.Gauges, clock: clocks.Clock):
         self._gauges = known
-        self.prefixes = prefix_index.Prefixes()
+        self.prefixes = prefix_index.PrefixIndex()
         self.backlog = backlog.Backlog(clock)
         self.pace = engine_pace.PaceTracker(clock)
         self._models: dict[ids.ServiceId, prefill_model.ReadingModel] = {}
--- a/wrenspoke/coordination/serving/prefix_index.py
+++ b/wrenspoke/coordination/serving/prefix_index.py
@@ -77,7 +77,7 @@
         self._tokens += tokens - old
 
 
-class Prefixes:
+class PrefixIndex:
     """Hold what is known of every engine's kept parts."""
 
     def __init__(self):
--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -81,7 +81,7 @@
         self._busy_waits: dict[
             tuple[ids.RegionId, ids.ServiceId], tuple[float, int]
         ] = {}
-        self._prefix_index = prefix_index.Prefixes()
+        self._prefix_index = prefix_index.PrefixIndex()
 
     def offer_for_call(
         self,
