--- a/wrenspoke/coordination/serving/prefix_index.py
+++ b/wrenspoke/coordination/serving/prefix_index.py
@@ -34,7 +34,7 @@
     tokens: float
 
 
-class PrefixMemory:
+class PrefixCacheModel:
     """Remember the parts of prompts that were sent to one engine."""
 
     def __init__(self, capacity_tokens: int):
@@ -81,7 +81,7 @@
     """Hold what is known of every engine's kept parts."""
 
     def __init__(self):
-        self._memories: dict[ids.EndpointId, PrefixMemory] = {}
+        self._memories: dict[ids.EndpointId, PrefixCacheModel] = {}
 
     def kept_tokens(
         self, endpoint: ids.EndpointId, parts: Parts, usual: bool
@@ -118,7 +118,7 @@
         """
         memory = self._memories.get(endpoint)
         if memory is None:
-            memory = PrefixMemory(capacity_tokens)
+            memory = PrefixCacheModel(capacity_tokens)
             self._memories[endpoint] = memory
         memory.note(parts, own_tokens)
 
