--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -217,7 +217,7 @@
         service: routes.RoutedService,
         call: dialects.Call,
         candidates: list[registry.Registered],
-    ) -> prefix_index.Holder | None:
+    ) -> prefix_index.CacheHolder | None:
         """Return the engine that keeps the most of a prompt.
 
         Only what this host sent there counts: where every host trusted
@@ -240,7 +240,7 @@
         self,
         item: EndpointSelection,
         call: dialects.Call,
-        holder: prefix_index.Holder | None,
+        holder: prefix_index.CacheHolder | None,
     ) -> None:
         """Let an engine take from the holder what it lacks of a prompt."""
         name = item.found.said.endpoint
--- a/wrenspoke/coordination/serving/prefix_index.py
+++ b/wrenspoke/coordination/serving/prefix_index.py
@@ -27,7 +27,7 @@
 LEAST_MOVED_TOKENS = 256
 
 
-class Holder(msgspec.Struct, frozen=True):
+class CacheHolder(msgspec.Struct, frozen=True):
     """Name an engine that keeps the first tokens of a prompt."""
 
     endpoint: ids.EndpointId
@@ -95,13 +95,13 @@
 
     def holder(
         self, parts: Parts, names: list[ids.EndpointId]
-    ) -> Holder | None:
+    ) -> CacheHolder | None:
         """Return which of some engines is known to keep the most."""
         best = None
         for name in names:
             kept = self.kept_tokens(name, parts, usual=False)
             if kept and (best is None or kept > best.tokens):
-                best = Holder(name, kept)
+                best = CacheHolder(name, kept)
         return best
 
     def note(
