--- a/tests/test_prefixes.py
+++ b/tests/test_prefixes.py
@@ -51,7 +51,7 @@
     for name in ('a', 'b', 'c'):
         known.note('e1', 2_700, (dialects.PromptPart(name, 1_000),))
     kept = [
-        known.kept_tokens('e1', (dialects.PromptPart(name, 1_000),), False)
+        known.cached_tokens('e1', (dialects.PromptPart(name, 1_000),), False)
         for name in ('a', 'b', 'c')
     ]
     assert kept == [0, 1_000, 1_000]
@@ -62,7 +62,7 @@
 )
 def test_usual_engine_is_taken_to_keep_the_shared_parts(usual, kept):
     known = prefix_index.PrefixIndex()
-    assert known.kept_tokens('e1', parts('a', 'b'), usual) == kept
+    assert known.cached_tokens('e1', parts('a', 'b'), usual) == kept
 
 
 def test_what_is_made_takes_room_from_what_is_kept():
@@ -71,6 +71,6 @@
     known.note('e1', 5_000, parts('a'))
     for _number in range(3):
         known.note('e1', 5_000, (), own_tokens=1_200)
-    assert known.kept_tokens('e1', parts('a'), False) == 1_300
+    assert known.cached_tokens('e1', parts('a'), False) == 1_300
     known.note('e1', 5_000, (), own_tokens=1_200)
-    assert known.kept_tokens('e1', parts('a'), False) == 0
+    assert known.cached_tokens('e1', parts('a'), False) == 0
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -97,7 +97,7 @@
         load = self._gauges.load(said.endpoint)
         # Where others tell what they send, nothing needs to be supposed.
         usual = usual and not self.backlog.has_peer_reports
-        kept = self.prefixes.kept_tokens(said.endpoint, call.parts, usual)
+        kept = self.prefixes.cached_tokens(said.endpoint, call.parts, usual)
         unread = max(call.tokens_in - kept - moved_tokens, 0.0)
         token_ms = self._token_ms(said.endpoint, said.service)
         ahead = self.backlog.tokens_ahead(said.endpoint, load, token_ms)
--- a/wrenspoke/coordination/serving/prefix_index.py
+++ b/wrenspoke/coordination/serving/prefix_index.py
@@ -83,7 +83,7 @@
     def __init__(self):
         self._memories: dict[ids.EndpointId, PrefixCacheModel] = {}
 
-    def kept_tokens(
+    def cached_tokens(
         self, endpoint: ids.EndpointId, parts: Parts, usual: bool
     ) -> float:
         """Return how much of a prompt an engine should keep."""
@@ -99,7 +99,7 @@
         """Return which of some engines is known to keep the most."""
         best = None
         for name in names:
-            kept = self.kept_tokens(name, parts, usual=False)
+            kept = self.cached_tokens(name, parts, usual=False)
             if kept and (best is None or kept > best.tokens):
                 best = CacheHolder(name, kept)
         return best
--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -201,7 +201,7 @@
         if service.batch is None:
             return 0.0
         name = _cache_key(region, service.service)
-        kept = self._prefix_index.kept_tokens(name, call.parts, usual=False)
+        kept = self._prefix_index.cached_tokens(name, call.parts, usual=False)
         return max(call.tokens_in - kept, 0.0)
 
     def _unreported_wait_ms(
