--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -246,7 +246,7 @@
         name = item.found.said.endpoint
         if holder is None or holder.endpoint == name:
             return
-        kept = self._estimator.prefix_index.kept_tokens(
+        kept = self._estimator.prefix_index.cached_tokens(
             name, call.parts, item.long_term
         )
         if holder.tokens - kept < prefix_index.LEAST_MOVED_TOKENS:
--- a/wrenspoke/coordination/serving/prefix_index.py
+++ b/wrenspoke/coordination/serving/prefix_index.py
@@ -45,7 +45,7 @@
         self._tokens = 0
         self._own_count = 0
 
-    def kept_tokens(self, parts: Parts) -> int:
+    def cached_tokens(self, parts: Parts) -> int:
         """Return how many tokens from the start on are kept."""
         kept = 0
         for part in parts:
@@ -88,7 +88,7 @@
     ) -> float:
         """Return how much of a prompt an engine should keep."""
         memory = self._memories.get(endpoint)
-        kept = memory.kept_tokens(parts) if memory else 0
+        kept = memory.cached_tokens(parts) if memory else 0
         if usual:
             kept = max(kept, USUAL_SHARE * shared_tokens(parts))
         return kept
