--- a/tests/test_prefixes.py
+++ b/tests/test_prefixes.py
@@ -42,7 +42,7 @@
     known = prefix_index.PrefixIndex()
     for endpoint, its_parts in sent:
         known.note(endpoint, 10_000, its_parts)
-    holder = known.holder(asked, ['e1', 'e2'])
+    holder = known.best_cache_holder(asked, ['e1', 'e2'])
     assert (holder and (holder.endpoint, holder.tokens)) == found
 
 
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -228,7 +228,9 @@
         names = [
             found.said.endpoint for found in candidates if not found.silent
         ]
-        return self._estimator.prefix_index.holder(call.parts, names)
+        return self._estimator.prefix_index.best_cache_holder(
+            call.parts, names
+        )
 
     def _supports_transfer(self, service: routes.RoutedService) -> bool:
         """Tell whether engines can take prompts over from each other."""
--- a/wrenspoke/coordination/serving/prefix_index.py
+++ b/wrenspoke/coordination/serving/prefix_index.py
@@ -93,7 +93,7 @@
             kept = max(kept, USUAL_SHARE * shared_tokens(parts))
         return kept
 
-    def holder(
+    def best_cache_holder(
         self, parts: Parts, names: list[ids.EndpointId]
     ) -> CacheHolder | None:
         """Return which of some engines is known to keep the most."""
