--- a/tests/test_prefixes.py
+++ b/tests/test_prefixes.py
@@ -41,7 +41,7 @@
 def test_holder_keeps_the_most(sent, asked, found):
     known = prefix_index.PrefixIndex()
     for endpoint, its_parts in sent:
-        known.note(endpoint, 10_000, its_parts)
+        known.record_prompt(endpoint, 10_000, its_parts)
     holder = known.best_cache_holder(asked, ['e1', 'e2'])
     assert (holder and (holder.endpoint, holder.tokens)) == found
 
@@ -49,7 +49,7 @@
 def test_oldest_parts_give_way():
     known = prefix_index.PrefixIndex()
     for name in ('a', 'b', 'c'):
-        known.note('e1', 2_700, (dialects.PromptPart(name, 1_000),))
+        known.record_prompt('e1', 2_700, (dialects.PromptPart(name, 1_000),))
     kept = [
         known.cached_tokens('e1', (dialects.PromptPart(name, 1_000),), False)
         for name in ('a', 'b', 'c')
@@ -68,9 +68,9 @@
 def test_what_is_made_takes_room_from_what_is_kept():
     """Chats that nobody asks for again push prefixes out."""
     known = prefix_index.PrefixIndex()
-    known.note('e1', 5_000, parts('a'))
+    known.record_prompt('e1', 5_000, parts('a'))
     for _number in range(3):
-        known.note('e1', 5_000, (), own_tokens=1_200)
+        known.record_prompt('e1', 5_000, (), own_tokens=1_200)
     assert known.cached_tokens('e1', parts('a'), False) == 1_300
-    known.note('e1', 5_000, (), own_tokens=1_200)
+    known.record_prompt('e1', 5_000, (), own_tokens=1_200)
     assert known.cached_tokens('e1', parts('a'), False) == 0
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -148,7 +148,7 @@
         """
         if service.batch is None:
             return None
-        self.prefixes.note(
+        self.prefixes.record_prompt(
             endpoint,
             service.batch.cache_tokens,
             call.parts,
@@ -174,7 +174,7 @@
         if service.batch is None:
             return
         parts = sent_call_broadcast.prompt_parts(sent)
-        self.prefixes.note(
+        self.prefixes.record_prompt(
             sent.endpoint, service.batch.cache_tokens, parts, sent.own_tokens
         )
         self.backlog.add_peer_prompt(
--- a/wrenspoke/coordination/serving/prefix_index.py
+++ b/wrenspoke/coordination/serving/prefix_index.py
@@ -104,7 +104,7 @@
                 best = CacheHolder(name, kept)
         return best
 
-    def note(
+    def record_prompt(
         self,
         endpoint: ids.EndpointId,
         capacity_tokens: int,
--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -233,7 +233,9 @@
         if service.batch is None:
             return
         name = _cache_key(region, service.service)
-        self._prefix_index.note(name, service.batch.cache_tokens, call.parts)
+        self._prefix_index.record_prompt(
+            name, service.batch.cache_tokens, call.parts
+        )
         if self._broadcaster is not None:
             self._broadcaster.note(name, unread, call.parts)
 
@@ -248,7 +250,7 @@
         )
         passed.append((self._clock.mono_ms() - sent.age_ms, sent.tokens))
         parts = sent_call_broadcast.prompt_parts(sent)
-        self._prefix_index.note(
+        self._prefix_index.record_prompt(
             sent.endpoint, service.batch.cache_tokens, parts
         )
 
