--- a/wrenspoke/coordination/serving/prefix_index.py
+++ b/wrenspoke/coordination/serving/prefix_index.py
@@ -54,7 +54,7 @@
             kept += part.tokens
         return kept
 
-    def note(self, parts: Parts, own_tokens: int = 0) -> None:
+    def record_prompt(self, parts: Parts, own_tokens: int = 0) -> None:
         """Note that a prompt was read, and forget the oldest for it.
 
         ``own_tokens`` are of nobody else's use, but take room.
@@ -120,7 +120,7 @@
         if memory is None:
             memory = PrefixCacheModel(capacity_tokens)
             self._memories[endpoint] = memory
-        memory.note(parts, own_tokens)
+        memory.record_prompt(parts, own_tokens)
 
     def keep_only(self, endpoints: set[ids.EndpointId]) -> None:
         """Forget engines that are gone."""
