--- a/wrenspoke/coordination/serving/prefix_index.py
+++ b/wrenspoke/coordination/serving/prefix_index.py
@@ -60,10 +60,10 @@
         ``own_tokens`` are of nobody else's use, but take room.
         """
         for part in parts:
-            self._keep(part.part, part.tokens)
+            self._insert_part(part.part, part.tokens)
         if own_tokens:
             self._own_count += 1
-            self._keep(f'{OWN}{self._own_count}', own_tokens)
+            self._insert_part(f'{OWN}{self._own_count}', own_tokens)
         while self._parts and (
             self._tokens > self._capacity_tokens
             or len(self._parts) > KEPT_PARTS
@@ -71,7 +71,7 @@
             _part, tokens = self._parts.popitem(last=False)
             self._tokens -= tokens
 
-    def _keep(self, part: str, tokens: int) -> None:
+    def _insert_part(self, part: str, tokens: int) -> None:
         old = self._parts.pop(part, 0)
         self._parts[part] = tokens
         self._tokens += tokens - old
