--- a/wrenspoke/coordination/serving/prefix_index.py
+++ b/wrenspoke/coordination/serving/prefix_index.py
@@ -43,7 +43,7 @@
             collections.OrderedDict()
         )
         self._tokens = 0
-        self._own_count = 0
+        self._private_count = 0
 
     def cached_tokens(self, parts: Parts) -> int:
         """Return how many tokens from the start on are kept."""
@@ -62,8 +62,8 @@
         for part in parts:
             self._insert_part(part.part, part.tokens)
         if own_tokens:
-            self._own_count += 1
-            self._insert_part(f'{OWN}{self._own_count}', own_tokens)
+            self._private_count += 1
+            self._insert_part(f'{OWN}{self._private_count}', own_tokens)
         while self._parts and (
             self._tokens > self._capacity_tokens
             or len(self._parts) > KEPT_PARTS
