--- a/wrenspoke/coordination/serving/prefix_index.py
+++ b/wrenspoke/coordination/serving/prefix_index.py
@@ -81,13 +81,13 @@
     """Hold what is known of every engine's kept parts."""
 
     def __init__(self):
-        self._memories: dict[ids.EndpointId, PrefixCacheModel] = {}
+        self._caches: dict[ids.EndpointId, PrefixCacheModel] = {}
 
     def cached_tokens(
         self, endpoint: ids.EndpointId, parts: Parts, usual: bool
     ) -> float:
         """Return how much of a prompt an engine should keep."""
-        memory = self._memories.get(endpoint)
+        memory = self._caches.get(endpoint)
         kept = memory.cached_tokens(parts) if memory else 0
         if usual:
             kept = max(kept, USUAL_SHARE * shared_tokens(parts))
@@ -116,17 +116,17 @@
         ``own_tokens`` are what it keeps besides: what it makes, and what of
         a prompt was not named.
         """
-        memory = self._memories.get(endpoint)
+        memory = self._caches.get(endpoint)
         if memory is None:
             memory = PrefixCacheModel(capacity_tokens)
-            self._memories[endpoint] = memory
+            self._caches[endpoint] = memory
         memory.record_prompt(parts, own_tokens)
 
     def keep_only(self, endpoints: set[ids.EndpointId]) -> None:
         """Forget engines that are gone."""
-        for endpoint in list(self._memories):
+        for endpoint in list(self._caches):
             if endpoint not in endpoints:
-                del self._memories[endpoint]
+                del self._caches[endpoint]
 
 
 def shared_tokens(parts: Parts) -> int:
