--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -183,7 +183,7 @@
         names = [found.said.endpoint for found in candidates]
         usual = None
         if self._is_enabled(mechanisms.Mechanism.USUAL_ENGINES):
-            usual = prefix_index.usual_endpoint(call.parts, names)
+            usual = prefix_index.affinity_endpoint(call.parts, names)
         holder = self._find_cache_holder(service, call, candidates)
         keeping = {usual, None if holder is None else holder.endpoint}
         if not self._supports_transfer(service):
--- a/wrenspoke/coordination/serving/prefix_index.py
+++ b/wrenspoke/coordination/serving/prefix_index.py
@@ -137,7 +137,7 @@
     return sum(part.tokens for part in parts[:-1])
 
 
-def usual_endpoint(
+def affinity_endpoint(
     parts: Parts, names: list[ids.EndpointId]
 ) -> ids.EndpointId | None:
     """Return the endpoint that all hosts agree on for a prefix."""
