--- a/wrenspoke/coordination/serving/prefix_index.py
+++ b/wrenspoke/coordination/serving/prefix_index.py
@@ -18,7 +18,7 @@
 
 # Of the shared parts of a prompt, what the engine that hosts agree on
 # should hold: some were never read there, some gave way.
-USUAL_SHARE = 0.8
+AFFINITY_CACHED_SHARE = 0.8
 KEPT_PARTS = 20_000
 # Begins the names of what is kept and asked for by nobody.
 OWN = ' '
@@ -90,7 +90,7 @@
         memory = self._caches.get(endpoint)
         kept = memory.cached_tokens(parts) if memory else 0
         if usual:
-            kept = max(kept, USUAL_SHARE * shared_tokens(parts))
+            kept = max(kept, AFFINITY_CACHED_SHARE * shared_tokens(parts))
         return kept
 
     def best_cache_holder(
