--- a/wrenspoke/coordination/serving/prefix_index.py
+++ b/wrenspoke/coordination/serving/prefix_index.py
@@ -19,7 +19,7 @@
 # Of the shared parts of a prompt, what the engine that hosts agree on
 # should hold: some were never read there, some gave way.
 AFFINITY_CACHED_SHARE = 0.8
-KEPT_PARTS = 20_000
+MAX_CACHED_PARTS = 20_000
 # Begins the names of what is kept and asked for by nobody.
 OWN = ' '
 # Fewer tokens are read again sooner than a move of them begins: about the
@@ -66,7 +66,7 @@
             self._insert_part(f'{OWN}{self._private_count}', own_tokens)
         while self._parts and (
             self._tokens > self._capacity_tokens
-            or len(self._parts) > KEPT_PARTS
+            or len(self._parts) > MAX_CACHED_PARTS
         ):
             _part, tokens = self._parts.popitem(last=False)
             self._tokens -= tokens
