--- a/wrenspoke/coordination/serving/prefix_index.py
+++ b/wrenspoke/coordination/serving/prefix_index.py
@@ -21,7 +21,7 @@
 AFFINITY_CACHED_SHARE = 0.8
 MAX_CACHED_PARTS = 20_000
 # Begins the names of what is kept and asked for by nobody.
-OWN = ' '
+PRIVATE_PART_PREFIX = ' '
 # Fewer tokens are read again sooner than a move of them begins: about the
 # time of one step of an engine.
 LEAST_MOVED_TOKENS = 256
@@ -63,7 +63,9 @@
             self._insert_part(part.part, part.tokens)
         if own_tokens:
             self._private_count += 1
-            self._insert_part(f'{OWN}{self._private_count}', own_tokens)
+            self._insert_part(
+                f'{PRIVATE_PART_PREFIX}{self._private_count}', own_tokens
+            )
         while self._parts and (
             self._tokens > self._capacity_tokens
             or len(self._parts) > MAX_CACHED_PARTS
