--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -251,7 +251,7 @@
         kept = self._estimator.prefix_index.cached_tokens(
             name, call.parts, item.long_term
         )
-        if holder.tokens - kept < prefix_index.LEAST_MOVED_TOKENS:
+        if holder.tokens - kept < prefix_index.MIN_TRANSFER_TOKENS:
             return
         item.source = self._discovery.registry.held.get(holder.endpoint)
         item.moved_tokens = holder.tokens - kept
--- a/wrenspoke/coordination/serving/prefix_index.py
+++ b/wrenspoke/coordination/serving/prefix_index.py
@@ -24,7 +24,7 @@
 PRIVATE_PART_PREFIX = ' '
 # Fewer tokens are read again sooner than a move of them begins: about the
 # time of one step of an engine.
-LEAST_MOVED_TOKENS = 256
+MIN_TRANSFER_TOKENS = 256
 
 
 class CacheHolder(msgspec.Struct, frozen=True):
