--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -51,7 +51,7 @@
             prefill_model, name, getattr(prefill_model, name) * start
         )
     monkeypatch.setattr(prefill_model, 'LEAST_SHARE', 0.005)
-    model = prefill_model.ReadingModel()
+    model = prefill_model.PrefillModel()
     engine = SimulatedEngine(seed)
     play(model, engine, 100)
     ratios = play(model, engine, 200)
@@ -64,7 +64,7 @@
 
 @pytest.mark.parametrize('slowed', [3.0, 0.4])
 def test_model_follows_engines_that_change(slowed):
-    model = prefill_model.ReadingModel()
+    model = prefill_model.PrefillModel()
     engine = SimulatedEngine(1)
     play(model, engine, 200)
     engine.slowed = slowed
@@ -75,7 +75,7 @@
 
 def test_what_waits_is_told_from_what_the_call_reads_itself():
     """Waiting tokens cost half here, as other hosts' calls drain too."""
-    model = prefill_model.ReadingModel()
+    model = prefill_model.PrefillModel()
     chance = random.Random(1)
     for _number in range(300):
         unread = chance.uniform(100, 9_000)
@@ -87,7 +87,7 @@
 
 
 def test_call_that_hung_teaches_little():
-    model = prefill_model.ReadingModel()
+    model = prefill_model.PrefillModel()
     play(model, SimulatedEngine(1), 300)
     before_ms = model.first_ms('a', 3_000, 0)
     model.note('a', 3_000, 0, 60_000)
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -63,14 +63,14 @@
         self.prefixes = prefix_index.PrefixIndex()
         self.backlog = backlog.Backlog(clock)
         self.pace = engine_pace.PaceTracker(clock)
-        self._models: dict[ids.ServiceId, prefill_model.ReadingModel] = {}
+        self._models: dict[ids.ServiceId, prefill_model.PrefillModel] = {}
         self._hold_ms: dict[ids.ServiceId, float] = {}
 
-    def model_for(self, service: ids.ServiceId) -> prefill_model.ReadingModel:
+    def model_for(self, service: ids.ServiceId) -> prefill_model.PrefillModel:
         """Return what was learned of a service's engines."""
         found = self._models.get(service)
         if found is None:
-            found = self._models[service] = prefill_model.ReadingModel()
+            found = self._models[service] = prefill_model.PrefillModel()
         return found
 
     def estimate(
--- a/wrenspoke/coordination/serving/prefill_model.py
+++ b/wrenspoke/coordination/serving/prefill_model.py
@@ -39,7 +39,7 @@
 LEAST_MS = 5.0
 
 
-class ReadingModel:
+class PrefillModel:
     """Hold what was learned of the engines of one service."""
 
     def __init__(self):
