--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -80,7 +80,7 @@
     for _number in range(300):
         unread = chance.uniform(100, 9_000)
         ahead = chance.choice([0.0, chance.uniform(0, 20_000)])
-        model.note('a', unread, ahead, 20 + unread / 50 + ahead / 100)
+        model.add_sample('a', unread, ahead, 20 + unread / 50 + ahead / 100)
     alone = model.first_ms('a', 5_000, 0)
     assert alone == pytest.approx(120, rel=0.1)
     assert model.first_ms('a', 5_000, 10_000) == pytest.approx(220, rel=0.1)
@@ -90,5 +90,5 @@
     model = prefill_model.PrefillModel()
     play(model, SimulatedEngine(1), 300)
     before_ms = model.first_ms('a', 3_000, 0)
-    model.note('a', 3_000, 0, 60_000)
+    model.add_sample('a', 3_000, 0, 60_000)
     assert model.first_ms('a', 3_000, 0) < 1.2 * before_ms
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -204,7 +204,7 @@
             moved = HOLD_WEIGHT * (took_ms - old)
             self._hold_ms[service.service] = old + moved
             return
-        self.model_for(service.service).note(
+        self.model_for(service.service).add_sample(
             endpoint,
             prospect.uncached_tokens,
             prospect.queued_tokens,
--- a/wrenspoke/coordination/serving/prefill_model.py
+++ b/wrenspoke/coordination/serving/prefill_model.py
@@ -83,7 +83,7 @@
         """
         return self._pooled_ms(_inputs(unread, ahead)) * self.factor(endpoint)
 
-    def note(
+    def add_sample(
         self,
         endpoint: ids.EndpointId,
         unread: float,
