--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -59,7 +59,7 @@
     within = [ratio for ratio in ratios if 0.5 <= ratio <= 2.0]
     assert len(within) >= 0.9 * len(ratios)
     assert model.token_ms == pytest.approx(TOKEN_MS * 1.09, rel=0.25)
-    assert model.factor('c') > 1.1 * model.factor('a')
+    assert model.speed_factor('c') > 1.1 * model.speed_factor('a')
 
 
 @pytest.mark.parametrize('slowed', [3.0, 0.4])
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -165,7 +165,7 @@
     ) -> float:
         """Return what an engine takes to read a token."""
         model = self.model_for(service)
-        return model.token_ms * model.factor(endpoint)
+        return model.token_ms * model.speed_factor(endpoint)
 
     def record_peer_sent(
         self, sent: attending.SentCall, service: routes.RoutedService
--- a/wrenspoke/coordination/serving/prefill_model.py
+++ b/wrenspoke/coordination/serving/prefill_model.py
@@ -69,7 +69,7 @@
         """Return how long an ordinary engine reads at a token."""
         return self._figures[1] / SCALE_TOKENS
 
-    def factor(self, endpoint: ids.EndpointId) -> float:
+    def speed_factor(self, endpoint: ids.EndpointId) -> float:
         """Return how many times as long as an ordinary engine one takes."""
         return math.exp(self._factors.get(endpoint, 0.0))
 
@@ -81,7 +81,9 @@
         ``unread`` tokens of its prompt are still to be read there, and
         ``ahead`` tokens of others before it.
         """
-        return self._pooled_ms(_inputs(unread, ahead)) * self.factor(endpoint)
+        return self._pooled_ms(_inputs(unread, ahead)) * self.speed_factor(
+            endpoint
+        )
 
     def add_sample(
         self,
@@ -94,9 +96,9 @@
         inputs = _inputs(unread, ahead)
         expected_ms = max(self._pooled_ms(inputs), LEAST_MS)
         ratio = max(took_ms, LEAST_MS) / expected_ms
-        off = math.log(ratio / self.factor(endpoint))
+        off = math.log(ratio / self.speed_factor(endpoint))
         self.spread += SPREAD_WEIGHT * (abs(off) - self.spread)
-        self._learn(inputs, expected_ms, ratio / self.factor(endpoint))
+        self._learn(inputs, expected_ms, ratio / self.speed_factor(endpoint))
         self._move_factor(endpoint, off)
 
     def _move_factor(self, endpoint: ids.EndpointId, off: float) -> None:
