--- a/wrenspoke/coordination/serving/prefill_model.py
+++ b/wrenspoke/coordination/serving/prefill_model.py
@@ -98,7 +98,9 @@
         ratio = max(took_ms, LEAST_MS) / expected_ms
         off = math.log(ratio / self.speed_factor(endpoint))
         self.spread += SPREAD_WEIGHT * (abs(off) - self.spread)
-        self._learn(inputs, expected_ms, ratio / self.speed_factor(endpoint))
+        self._update_coefficients(
+            inputs, expected_ms, ratio / self.speed_factor(endpoint)
+        )
         self._move_factor(endpoint, off)
 
     def _move_factor(self, endpoint: ids.EndpointId, off: float) -> None:
@@ -117,7 +119,7 @@
             figure * value for figure, value in zip(self._figures, inputs)
         )
 
-    def _learn(
+    def _update_coefficients(
         self,
         inputs: tuple[float, float, float],
         expected_ms: float,
