--- a/wrenspoke/coordination/serving/prefill_model.py
+++ b/wrenspoke/coordination/serving/prefill_model.py
@@ -101,9 +101,9 @@
         self._update_coefficients(
             inputs, expected_ms, ratio / self.speed_factor(endpoint)
         )
-        self._move_factor(endpoint, off)
+        self._update_factor(endpoint, off)
 
-    def _move_factor(self, endpoint: ids.EndpointId, off: float) -> None:
+    def _update_factor(self, endpoint: ids.EndpointId, off: float) -> None:
         """Move an engine's factor; what all have in common is pooled."""
         bounded = min(max(off, -ERROR_BOUND), ERROR_BOUND)
         known = self._factors.get(endpoint, 0.0) + FACTOR_WEIGHT * bounded
