--- a/wrenspoke/coordination/serving/prefill_model.py
+++ b/wrenspoke/coordination/serving/prefill_model.py
@@ -43,15 +43,15 @@
     """Hold what was learned of the engines of one service."""
 
     def __init__(self):
-        self._figures = [
+        self._coefficients = [
             FIRST_BASE_MS,
             FIRST_TOKEN_MS * SCALE_TOKENS,
             FIRST_TOKEN_MS * SCALE_TOKENS,
         ]
-        self._least = [LEAST_SHARE * figure for figure in self._figures]
+        self._least = [LEAST_SHARE * figure for figure in self._coefficients]
         self._variance = [
             [
-                START_VARIANCE * self._figures[row] ** 2
+                START_VARIANCE * self._coefficients[row] ** 2
                 if row == column
                 else 0.0
                 for column in range(3)
@@ -59,7 +59,7 @@
             for row in range(3)
         ]
         self._largest = [
-            LARGEST_VARIANCE * figure**2 for figure in self._figures
+            LARGEST_VARIANCE * figure**2 for figure in self._coefficients
         ]
         self._factors: dict[ids.EndpointId, float] = {}
         self.spread = FIRST_SPREAD
@@ -67,7 +67,7 @@
     @property
     def token_ms(self) -> float:
         """Return how long an ordinary engine reads at a token."""
-        return self._figures[1] / SCALE_TOKENS
+        return self._coefficients[1] / SCALE_TOKENS
 
     def speed_factor(self, endpoint: ids.EndpointId) -> float:
         """Return how many times as long as an ordinary engine one takes."""
@@ -112,11 +112,11 @@
         for name in self._factors:
             self._factors[name] -= common
         grown = math.exp(common)
-        self._figures = [figure * grown for figure in self._figures]
+        self._coefficients = [figure * grown for figure in self._coefficients]
 
     def _pooled_ms(self, inputs: tuple[float, float, float]) -> float:
         return sum(
-            figure * value for figure, value in zip(self._figures, inputs)
+            figure * value for figure, value in zip(self._coefficients, inputs)
         )
 
     def _update_coefficients(
@@ -135,8 +135,8 @@
         total = FORGETTING + sum(scaled[row] * spread[row] for row in range(3))
         gains = [value / total for value in spread]
         for row in range(3):
-            moved = self._figures[row] + gains[row] * error
-            self._figures[row] = max(moved, self._least[row])
+            moved = self._coefficients[row] + gains[row] * error
+            self._coefficients[row] = max(moved, self._least[row])
             for column in range(3):
                 left = self._variance[row][column]
                 left -= gains[row] * spread[column]
