--- a/wrenspoke/coordination/serving/prefill_model.py
+++ b/wrenspoke/coordination/serving/prefill_model.py
@@ -48,7 +48,9 @@
             FIRST_TOKEN_MS * SCALE_TOKENS,
             FIRST_TOKEN_MS * SCALE_TOKENS,
         ]
-        self._least = [LEAST_SHARE * figure for figure in self._coefficients]
+        self._min_coefficients = [
+            LEAST_SHARE * figure for figure in self._coefficients
+        ]
         self._variance = [
             [
                 START_VARIANCE * self._coefficients[row] ** 2
@@ -136,7 +138,7 @@
         gains = [value / total for value in spread]
         for row in range(3):
             moved = self._coefficients[row] + gains[row] * error
-            self._coefficients[row] = max(moved, self._least[row])
+            self._coefficients[row] = max(moved, self._min_coefficients[row])
             for column in range(3):
                 left = self._variance[row][column]
                 left -= gains[row] * spread[column]
