--- a/wrenspoke/coordination/serving/prefill_model.py
+++ b/wrenspoke/coordination/serving/prefill_model.py
@@ -60,7 +60,7 @@
             ]
             for row in range(3)
         ]
-        self._largest = [
+        self._max_variance = [
             LARGEST_VARIANCE * figure**2 for figure in self._coefficients
         ]
         self._factors: dict[ids.EndpointId, float] = {}
@@ -148,9 +148,11 @@
     def _bound_variance(self) -> None:
         """Forget no figure that nothing has told of for long."""
         for row in range(3):
-            if self._variance[row][row] <= self._largest[row]:
+            if self._variance[row][row] <= self._max_variance[row]:
                 continue
-            shrink = math.sqrt(self._largest[row] / self._variance[row][row])
+            shrink = math.sqrt(
+                self._max_variance[row] / self._variance[row][row]
+            )
             for column in range(3):
                 self._variance[row][column] *= shrink
                 self._variance[column][row] *= shrink
