--- a/wrenspoke/coordination/serving/prefill_model.py
+++ b/wrenspoke/coordination/serving/prefill_model.py
@@ -15,7 +15,7 @@
 
 # Until it is learned: a few steps of an engine, and 20 tokens a ms, which
 # is on the slow side, so that a first crowd is spread rather than piled up.
-FIRST_BASE_MS = 30.0
+INITIAL_BASE_MS = 30.0
 FIRST_TOKEN_MS = 0.05
 # About how many samples are remembered is the inverse of what is missing
 # to 1: some seconds of one host's calls.
@@ -44,7 +44,7 @@
 
     def __init__(self):
         self._coefficients = [
-            FIRST_BASE_MS,
+            INITIAL_BASE_MS,
             FIRST_TOKEN_MS * SCALE_TOKENS,
             FIRST_TOKEN_MS * SCALE_TOKENS,
         ]
