--- a/wrenspoke/coordination/serving/prefill_model.py
+++ b/wrenspoke/coordination/serving/prefill_model.py
@@ -16,7 +16,7 @@
 # Until it is learned: a few steps of an engine, and 20 tokens a ms, which
 # is on the slow side, so that a first crowd is spread rather than piled up.
 INITIAL_BASE_MS = 30.0
-FIRST_TOKEN_MS = 0.05
+INITIAL_TOKEN_MS = 0.05
 # About how many samples are remembered is the inverse of what is missing
 # to 1: some seconds of one host's calls.
 FORGETTING = 0.98
@@ -45,8 +45,8 @@
     def __init__(self):
         self._coefficients = [
             INITIAL_BASE_MS,
-            FIRST_TOKEN_MS * SCALE_TOKENS,
-            FIRST_TOKEN_MS * SCALE_TOKENS,
+            INITIAL_TOKEN_MS * SCALE_TOKENS,
+            INITIAL_TOKEN_MS * SCALE_TOKENS,
         ]
         self._min_coefficients = [
             LEAST_SHARE * figure for figure in self._coefficients
