--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -51,7 +51,7 @@
     transfer_ms: float = 0.0
     pause_ms: float = 0.0
     delayed_streams: int = 0
-    spread: float = prefill_model.FIRST_SPREAD
+    spread: float = prefill_model.INITIAL_SPREAD
     can_start_now: bool = True
 
 
--- a/wrenspoke/coordination/serving/prefill_model.py
+++ b/wrenspoke/coordination/serving/prefill_model.py
@@ -34,7 +34,7 @@
 # An engine is not taken for more than this much quicker or slower.
 FACTOR_BOUND = math.log(8.0)
 SPREAD_WEIGHT = 0.05
-FIRST_SPREAD = 0.5
+INITIAL_SPREAD = 0.5
 # The least time that errors are compared with: clocks tell whole ms.
 LEAST_MS = 5.0
 
@@ -64,7 +64,7 @@
             LARGEST_VARIANCE * figure**2 for figure in self._coefficients
         ]
         self._factors: dict[ids.EndpointId, float] = {}
-        self.spread = FIRST_SPREAD
+        self.spread = INITIAL_SPREAD
 
     @property
     def token_ms(self) -> float:
