--- a/wrenspoke/coordination/serving/prefill_model.py
+++ b/wrenspoke/coordination/serving/prefill_model.py
@@ -21,7 +21,7 @@
 # to 1: some seconds of one host's calls.
 FORGETTING = 0.98
 # How sure the start values are, as a variance of figures scaled to one.
-START_VARIANCE = 4.0
+INITIAL_VARIANCE = 4.0
 LARGEST_VARIANCE = 50.0
 # Prompt lengths are counted in thousands, which keeps figures near one.
 SCALE_TOKENS = 1_000.0
@@ -53,7 +53,7 @@
         ]
         self._variance = [
             [
-                START_VARIANCE * self._coefficients[row] ** 2
+                INITIAL_VARIANCE * self._coefficients[row] ** 2
                 if row == column
                 else 0.0
                 for column in range(3)
