--- a/wrenspoke/coordination/serving/prefill_model.py
+++ b/wrenspoke/coordination/serving/prefill_model.py
@@ -22,7 +22,7 @@
 FORGETTING = 0.98
 # How sure the start values are, as a variance of figures scaled to one.
 INITIAL_VARIANCE = 4.0
-LARGEST_VARIANCE = 50.0
+MAX_VARIANCE = 50.0
 # Prompt lengths are counted in thousands, which keeps figures near one.
 SCALE_TOKENS = 1_000.0
 # An error beyond this share of what was expected counts as this much.
@@ -61,7 +61,7 @@
             for row in range(3)
         ]
         self._max_variance = [
-            LARGEST_VARIANCE * figure**2 for figure in self._coefficients
+            MAX_VARIANCE * figure**2 for figure in self._coefficients
         ]
         self._factors: dict[ids.EndpointId, float] = {}
         self.spread = INITIAL_SPREAD
