--- a/wrenspoke/coordination/serving/prefill_model.py
+++ b/wrenspoke/coordination/serving/prefill_model.py
@@ -29,7 +29,7 @@
 ERROR_BOUND = 0.5
 # Nothing is quicker than this share of the pooled start value; keeps a row
 # of odd samples from making a figure zero or negative.
-LEAST_SHARE = 0.05
+MIN_COEFFICIENT_SHARE = 0.05
 FACTOR_WEIGHT = 0.1
 # An engine is not taken for more than this much quicker or slower.
 FACTOR_BOUND = math.log(8.0)
@@ -49,7 +49,7 @@
             INITIAL_TOKEN_MS * SCALE_TOKENS,
         ]
         self._min_coefficients = [
-            LEAST_SHARE * figure for figure in self._coefficients
+            MIN_COEFFICIENT_SHARE * figure for figure in self._coefficients
         ]
         self._variance = [
             [
