--- a/wrenspoke/coordination/serving/prefill_model.py
+++ b/wrenspoke/coordination/serving/prefill_model.py
@@ -36,7 +36,7 @@
 SPREAD_WEIGHT = 0.05
 INITIAL_SPREAD = 0.5
 # The least time that errors are compared with: clocks tell whole ms.
-LEAST_MS = 5.0
+MIN_MS = 5.0
 
 
 class PrefillModel:
@@ -96,8 +96,8 @@
     ) -> None:
         """Learn from a first piece that took ``took_ms``."""
         inputs = _inputs(unread, ahead)
-        expected_ms = max(self._pooled_ms(inputs), LEAST_MS)
-        ratio = max(took_ms, LEAST_MS) / expected_ms
+        expected_ms = max(self._pooled_ms(inputs), MIN_MS)
+        ratio = max(took_ms, MIN_MS) / expected_ms
         off = math.log(ratio / self.speed_factor(endpoint))
         self.spread += SPREAD_WEIGHT * (abs(off) - self.spread)
         self._update_coefficients(
