--- a/wrenspoke/coordination/serving/prefill_model.py
+++ b/wrenspoke/coordination/serving/prefill_model.py
@@ -19,7 +19,7 @@
 INITIAL_TOKEN_MS = 0.05
 # About how many samples are remembered is the inverse of what is missing
 # to 1: some seconds of one host's calls.
-FORGETTING = 0.98
+FORGETTING_FACTOR = 0.98
 # How sure the start values are, as a variance of figures scaled to one.
 INITIAL_VARIANCE = 4.0
 MAX_VARIANCE = 50.0
@@ -134,7 +134,9 @@
             sum(row[column] * scaled[column] for column in range(3))
             for row in self._variance
         ]
-        total = FORGETTING + sum(scaled[row] * spread[row] for row in range(3))
+        total = FORGETTING_FACTOR + sum(
+            scaled[row] * spread[row] for row in range(3)
+        )
         gains = [value / total for value in spread]
         for row in range(3):
             moved = self._coefficients[row] + gains[row] * error
@@ -142,7 +144,7 @@
             for column in range(3):
                 left = self._variance[row][column]
                 left -= gains[row] * spread[column]
-                self._variance[row][column] = left / FORGETTING
+                self._variance[row][column] = left / FORGETTING_FACTOR
         self._bound_variance()
 
     def _bound_variance(self) -> None:
