--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -192,5 +192,5 @@
     for seed in range(20):
         drawn = sampling.sample(candidates, always, random.Random(seed))
         names = [found.said.endpoint for found in drawn]
-        assert len(set(names)) == len(names) <= sampling.SAMPLED_COUNT + 2
+        assert len(set(names)) == len(names) <= sampling.SAMPLE_SIZE + 2
         assert always <= set(names)
--- a/wrenspoke/coordination/serving/sampling.py
+++ b/wrenspoke/coordination/serving/sampling.py
@@ -13,7 +13,7 @@
 # Few enough to weigh for each call, however many there are: reports are some
 # hundred ms old, so the best of many is little better than the best of these.
 # Fewer make calls wait in small regions, where hosts know engines better.
-SAMPLED_COUNT = 16
+SAMPLE_SIZE = 16
 
 
 def sample(
@@ -22,9 +22,9 @@
     chance: random.Random,
 ) -> list[registry.Registered]:
     """Return some endpoints by chance, and those that are always weighed."""
-    if len(candidates) <= SAMPLED_COUNT:
+    if len(candidates) <= SAMPLE_SIZE:
         return candidates
-    drawn = chance.sample(candidates, SAMPLED_COUNT)
+    drawn = chance.sample(candidates, SAMPLE_SIZE)
     names = {found.said.endpoint for found in drawn}
     drawn.extend(
         found
