--- a/tests/test_spending.py
+++ b/tests/test_spending.py
@@ -21,7 +21,8 @@
     """Return the budgets of hosts that share them."""
     names = [f'10.0.{number // 250}.{number % 250}' for number in range(count)]
     every = [
-        shared_retry_budget.Spending(name, bounds, clock) for name in names
+        shared_retry_budget.SharedRetryBudget(name, bounds, clock)
+        for name in names
     ]
     for budget in every:
         budget.share_with(names)
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -242,7 +242,7 @@
 
 
 def spent_repeat(clock):
-    made = shared_retry_budget.Spending(
+    made = shared_retry_budget.SharedRetryBudget(
         'h', shared_retry_budget.RetryBounds(0.0, 2, 10_000), clock
     )
     made.spend('s')
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -73,7 +73,7 @@
         chosen: endpoint_selector.EndpointSelector,
         placed: destinations.DestinationSelector,
         tried: attempts.AttemptRunner,
-        budget: shared_retry_budget.Spending,
+        budget: shared_retry_budget.SharedRetryBudget,
         permitted: access.Access,
         limiter: limiters.Limiter,
         guard: guards.Guard,
--- a/wrenspoke/coordination/serving/shared_retry_budget.py
+++ b/wrenspoke/coordination/serving/shared_retry_budget.py
@@ -51,7 +51,7 @@
         return len(self._times_ms)
 
 
-class Spending:
+class SharedRetryBudget:
     """Keep this host's part of the retry budgets, by service."""
 
     def __init__(
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -91,7 +91,7 @@
         self._hosts_client = web.HttpClient(
             node.entry.far_connect_timeout_ms, node.entry.host_idle_ms
         )
-        self.spending = shared_retry_budget.Spending(
+        self.spending = shared_retry_budget.SharedRetryBudget(
             node.host,
             shared_retry_budget.RetryBounds(
                 node.retries.ratio, node.retries.fixed, node.retries.window_ms
