--- a/wrenspoke/coordination/serving/shared_retry_budget.py
+++ b/wrenspoke/coordination/serving/shared_retry_budget.py
@@ -31,7 +31,7 @@
     window_ms: int = 10_000
 
 
-class Window:
+class SlidingWindow:
     """Count events of the last while."""
 
     def __init__(self, window_ms: int):
@@ -60,8 +60,8 @@
         self._host = host
         self._bounds = bounds
         self._clock = clock
-        self._firsts: dict[ids.ServiceId, Window] = {}
-        self._repeats: dict[ids.ServiceId, Window] = {}
+        self._firsts: dict[ids.ServiceId, SlidingWindow] = {}
+        self._repeats: dict[ids.ServiceId, SlidingWindow] = {}
         self._hosts: set[ids.HostId] = {host}
         self._parts: dict[ids.ServiceId, int] = {}
         self.denied = 0
@@ -104,9 +104,11 @@
         return part
 
     def _window(
-        self, windows: dict[ids.ServiceId, Window], service: ids.ServiceId
-    ) -> Window:
+        self,
+        windows: dict[ids.ServiceId, SlidingWindow],
+        service: ids.ServiceId,
+    ) -> SlidingWindow:
         found = windows.get(service)
         if found is None:
-            found = windows[service] = Window(self._bounds.window_ms)
+            found = windows[service] = SlidingWindow(self._bounds.window_ms)
         return found
