--- a/tests/test_spending.py
+++ b/tests/test_spending.py
@@ -37,7 +37,7 @@
     bounds = shared_retry_budget.RetryBounds(0.2, fixed, WINDOW_MS)
     every = sharing(hosts, bounds, clock)
     for number in range(firsts):
-        every[number % hosts].first('s')
+        every[number % hosts].record_request('s')
     spent = 0
     for budget in every:
         while budget.spend('s'):
--- a/wrenspoke/coordination/serving/shared_retry_budget.py
+++ b/wrenspoke/coordination/serving/shared_retry_budget.py
@@ -73,7 +73,7 @@
             self._hosts = hosts
             self._parts.clear()
 
-    def first(self, service: ids.ServiceId) -> None:
+    def record_request(self, service: ids.ServiceId) -> None:
         """Count a request that callers sent for a service."""
         self._window(self._firsts, service).add(self._clock.mono_ms())
 
