--- a/tests/test_spending.py
+++ b/tests/test_spending.py
@@ -25,7 +25,7 @@
         for name in names
     ]
     for budget in every:
-        budget.share_with(names)
+        budget.set_hosts(names)
     return every
 
 
--- a/wrenspoke/coordination/serving/shared_retry_budget.py
+++ b/wrenspoke/coordination/serving/shared_retry_budget.py
@@ -66,7 +66,7 @@
         self._parts: dict[ids.ServiceId, int] = {}
         self.denied = 0
 
-    def share_with(self, hosts: collections.abc.Iterable[ids.HostId]) -> None:
+    def set_hosts(self, hosts: collections.abc.Iterable[ids.HostId]) -> None:
         """Take over who else shares the budgets."""
         hosts = {*hosts, self._host}
         if hosts != self._hosts:
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -393,7 +393,7 @@
         """Count who shares the budgets, and forget what is gone."""
         while True:
             hosts = self.attendance.roster.usable()
-            self.spending.share_with(record.host for record in hosts)
+            self.spending.set_hosts(record.host for record in hosts)
             near = self.attendance.roster.usable(self.node.region)
             self._estimator.backlog.host_count = max(len(near), 1)
             held = self.attendance.registry.held
