--- a/wrenspoke/coordination/serving/shared_retry_budget.py
+++ b/wrenspoke/coordination/serving/shared_retry_budget.py
@@ -60,7 +60,7 @@
         self._host = host
         self._bounds = bounds
         self._clock = clock
-        self._firsts: dict[ids.ServiceId, SlidingWindow] = {}
+        self._requests: dict[ids.ServiceId, SlidingWindow] = {}
         self._repeats: dict[ids.ServiceId, SlidingWindow] = {}
         self._hosts: set[ids.HostId] = {host}
         self._parts: dict[ids.ServiceId, int] = {}
@@ -75,7 +75,7 @@
 
     def record_request(self, service: ids.ServiceId) -> None:
         """Count a request that callers sent for a service."""
-        self._window(self._firsts, service).add(self._clock.mono_ms())
+        self._window(self._requests, service).add(self._clock.mono_ms())
 
     def spend(self, service: ids.ServiceId) -> bool:
         """Take a repeat from the budget; False when there is none."""
@@ -88,7 +88,7 @@
         return True
 
     def _allowed(self, service: ids.ServiceId, now_ms: int) -> int:
-        firsts = self._window(self._firsts, service).count(now_ms)
+        firsts = self._window(self._requests, service).count(now_ms)
         earned = SPENT_SHARE * self._bounds.ratio * firsts
         return math.floor(earned) + self._part(service)
 
