--- a/wrenspoke/coordination/serving/shared_retry_budget.py
+++ b/wrenspoke/coordination/serving/shared_retry_budget.py
@@ -61,7 +61,7 @@
         self._bounds = bounds
         self._clock = clock
         self._requests: dict[ids.ServiceId, SlidingWindow] = {}
-        self._repeats: dict[ids.ServiceId, SlidingWindow] = {}
+        self._retries: dict[ids.ServiceId, SlidingWindow] = {}
         self._hosts: set[ids.HostId] = {host}
         self._parts: dict[ids.ServiceId, int] = {}
         self.denied = 0
@@ -80,7 +80,7 @@
     def spend(self, service: ids.ServiceId) -> bool:
         """Take a repeat from the budget; False when there is none."""
         now_ms = self._clock.mono_ms()
-        repeats = self._window(self._repeats, service)
+        repeats = self._window(self._retries, service)
         if repeats.count(now_ms) + 1 > self._allowed(service, now_ms):
             self.denied += 1
             return False
