--- a/wrenspoke/coordination/serving/shared_retry_budget.py
+++ b/wrenspoke/coordination/serving/shared_retry_budget.py
@@ -63,7 +63,7 @@
         self._requests: dict[ids.ServiceId, SlidingWindow] = {}
         self._retries: dict[ids.ServiceId, SlidingWindow] = {}
         self._hosts: set[ids.HostId] = {host}
-        self._parts: dict[ids.ServiceId, int] = {}
+        self._fixed_shares: dict[ids.ServiceId, int] = {}
         self.denied = 0
 
     def set_hosts(self, hosts: collections.abc.Iterable[ids.HostId]) -> None:
@@ -71,7 +71,7 @@
         hosts = {*hosts, self._host}
         if hosts != self._hosts:
             self._hosts = hosts
-            self._parts.clear()
+            self._fixed_shares.clear()
 
     def record_request(self, service: ids.ServiceId) -> None:
         """Count a request that callers sent for a service."""
@@ -94,13 +94,13 @@
 
     def _part(self, service: ids.ServiceId) -> int:
         """Return this host's part of the fixed number, in whole repeats."""
-        part = self._parts.get(service)
+        part = self._fixed_shares.get(service)
         if part is None:
             whole = math.floor(SPENT_SHARE * self._bounds.fixed)
             part, rest = divmod(whole, len(self._hosts))
             order = routing.rendezvous(service, self._hosts)
             part += order.index(self._host) < rest
-            self._parts[service] = part
+            self._fixed_shares[service] = part
         return part
 
     def _window(
