--- a/wrenspoke/coordination/serving/shared_retry_budget.py
+++ b/wrenspoke/coordination/serving/shared_retry_budget.py
@@ -90,9 +90,9 @@
     def _allowed(self, service: ids.ServiceId, now_ms: int) -> int:
         firsts = self._window(self._requests, service).count(now_ms)
         earned = SPENT_SHARE * self._bounds.ratio * firsts
-        return math.floor(earned) + self._part(service)
+        return math.floor(earned) + self._fixed_share(service)
 
-    def _part(self, service: ids.ServiceId) -> int:
+    def _fixed_share(self, service: ids.ServiceId) -> int:
         """Return this host's part of the fixed number, in whole repeats."""
         part = self._fixed_shares.get(service)
         if part is None:
