--- a/wrenspoke/coordination/serving/shared_retry_budget.py
+++ b/wrenspoke/coordination/serving/shared_retry_budget.py
@@ -81,13 +81,13 @@
         """Take a repeat from the budget; False when there is none."""
         now_ms = self._clock.mono_ms()
         repeats = self._window(self._retries, service)
-        if repeats.count(now_ms) + 1 > self._allowed(service, now_ms):
+        if repeats.count(now_ms) + 1 > self._allowance(service, now_ms):
             self.denied += 1
             return False
         repeats.add(now_ms)
         return True
 
-    def _allowed(self, service: ids.ServiceId, now_ms: int) -> int:
+    def _allowance(self, service: ids.ServiceId, now_ms: int) -> int:
         firsts = self._window(self._requests, service).count(now_ms)
         earned = SPENT_SHARE * self._bounds.ratio * firsts
         return math.floor(earned) + self._fixed_share(service)
