--- a/tests/test_spending.py
+++ b/tests/test_spending.py
@@ -53,7 +53,7 @@
     for budget in sharing(hosts, bounds, FakeClock()):
         while budget.spend('s'):
             spent += 1
-    assert spent == int(shared_retry_budget.SPENT_SHARE * 56)
+    assert spent == int(shared_retry_budget.USABLE_SHARE * 56)
 
 
 def test_hosts_that_have_a_repeat_differ_by_service():
--- a/wrenspoke/coordination/serving/shared_retry_budget.py
+++ b/wrenspoke/coordination/serving/shared_retry_budget.py
@@ -20,7 +20,7 @@
 
 # Requests and repeats do not fall into the same window; a part of the
 # allowance is left unspent for that.
-SPENT_SHARE = 0.7
+USABLE_SHARE = 0.7
 
 
 class RetryBounds(msgspec.Struct, frozen=True):
@@ -89,14 +89,14 @@
 
     def _allowance(self, service: ids.ServiceId, now_ms: int) -> int:
         firsts = self._window(self._requests, service).count(now_ms)
-        earned = SPENT_SHARE * self._bounds.ratio * firsts
+        earned = USABLE_SHARE * self._bounds.ratio * firsts
         return math.floor(earned) + self._fixed_share(service)
 
     def _fixed_share(self, service: ids.ServiceId) -> int:
         """Return this host's part of the fixed number, in whole repeats."""
         part = self._fixed_shares.get(service)
         if part is None:
-            whole = math.floor(SPENT_SHARE * self._bounds.fixed)
+            whole = math.floor(USABLE_SHARE * self._bounds.fixed)
             part, rest = divmod(whole, len(self._hosts))
             order = routing.rendezvous(service, self._hosts)
             part += order.index(self._host) < rest
