--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -14,7 +14,7 @@
 )
 def test_repeats_are_made_where_they_pay(success, least, most):
     chance = random.Random(1)
-    known = retry_outcomes.Repeats(chance)
+    known = retry_outcomes.RetryOutcomes(chance)
     made = []
     for _number in range(500):
         pays = known.pays('r')
@@ -26,7 +26,7 @@
 
 
 def test_repeats_are_made_again_after_a_change():
-    known = retry_outcomes.Repeats(random.Random(1))
+    known = retry_outcomes.RetryOutcomes(random.Random(1))
     for _number in range(50):
         known.note('r', False)
     for _number in range(20):
--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -63,7 +63,7 @@
         self._reach = reached
         self._estimator = estimator
         self._remote_regions = elsewhere
-        self._retry_outcomes = retry_outcomes.Repeats()
+        self._retry_outcomes = retry_outcomes.RetryOutcomes()
         self._clock = clock
 
     async def run_attempt(
--- a/wrenspoke/coordination/serving/retry_outcomes.py
+++ b/wrenspoke/coordination/serving/retry_outcomes.py
@@ -19,7 +19,7 @@
 EXPLORED_SHARE = 0.1
 
 
-class Repeats:
+class RetryOutcomes:
     """Hold how often repeats succeed, by route."""
 
     def __init__(self, chance: random.Random | None = None):
