--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -20,7 +20,7 @@
         pays = known.pays('r')
         made.append(pays)
         if pays:
-            known.note('r', chance.random() < success)
+            known.record_outcome('r', chance.random() < success)
     share = sum(made[100:]) / len(made[100:])
     assert least <= share <= most
 
@@ -28,8 +28,8 @@
 def test_repeats_are_made_again_after_a_change():
     known = retry_outcomes.RetryOutcomes(random.Random(1))
     for _number in range(50):
-        known.note('r', False)
+        known.record_outcome('r', False)
     for _number in range(20):
-        known.note('r', True)
+        known.record_outcome('r', True)
     assert known.pays('r')
     assert known.pays('another')
--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -239,7 +239,7 @@
         """Pass a response on, or hold it back where another attempt is due."""
         place.answered = True
         if work.kept is not None and answer.refused is None:
-            self._retry_outcomes.note(
+            self._retry_outcomes.record_outcome(
                 work.route.name, answer.status in OK_STATUSES
             )
         if place.host is not None:
--- a/wrenspoke/coordination/serving/retry_outcomes.py
+++ b/wrenspoke/coordination/serving/retry_outcomes.py
@@ -26,7 +26,7 @@
         self._success: dict[str, float] = {}
         self._random = chance or random.Random()
 
-    def note(self, route: str, succeeded: bool) -> None:
+    def record_outcome(self, route: str, succeeded: bool) -> None:
         """Note what came of a repeat."""
         known = self._success.get(route, FIRST_SUCCESS)
         self._success[route] = known + WEIGHT * (succeeded - known)
