--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -17,7 +17,7 @@
     known = retry_outcomes.RetryOutcomes(chance)
     made = []
     for _number in range(500):
-        pays = known.pays('r')
+        pays = known.is_worthwhile('r')
         made.append(pays)
         if pays:
             known.record_outcome('r', chance.random() < success)
@@ -31,5 +31,5 @@
         known.record_outcome('r', False)
     for _number in range(20):
         known.record_outcome('r', True)
-    assert known.pays('r')
-    assert known.pays('another')
+    assert known.is_worthwhile('r')
+    assert known.is_worthwhile('another')
--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -262,7 +262,7 @@
             self._outlier_detector.failed(
                 place.address, f'status {answer.status}', place.sent_ms
             )
-            if self._can_resend(work) and self._retry_outcomes.pays(
+            if self._can_resend(work) and self._retry_outcomes.is_worthwhile(
                 work.route.name
             ):
                 work.cause = f'status {answer.status}'
--- a/wrenspoke/coordination/serving/retry_outcomes.py
+++ b/wrenspoke/coordination/serving/retry_outcomes.py
@@ -31,7 +31,7 @@
         known = self._success.get(route, FIRST_SUCCESS)
         self._success[route] = known + WEIGHT * (succeeded - known)
 
-    def pays(self, route: str) -> bool:
+    def is_worthwhile(self, route: str) -> bool:
         """Tell whether a failed call of a route should be repeated."""
         if self._success.get(route, FIRST_SUCCESS) >= LEAST_SUCCESS:
             return True
