--- a/wrenspoke/coordination/serving/retry_outcomes.py
+++ b/wrenspoke/coordination/serving/retry_outcomes.py
@@ -23,16 +23,16 @@
     """Hold how often repeats succeed, by route."""
 
     def __init__(self, chance: random.Random | None = None):
-        self._success: dict[str, float] = {}
+        self._success_rates: dict[str, float] = {}
         self._random = chance or random.Random()
 
     def record_outcome(self, route: str, succeeded: bool) -> None:
         """Note what came of a repeat."""
-        known = self._success.get(route, FIRST_SUCCESS)
-        self._success[route] = known + WEIGHT * (succeeded - known)
+        known = self._success_rates.get(route, FIRST_SUCCESS)
+        self._success_rates[route] = known + WEIGHT * (succeeded - known)
 
     def is_worthwhile(self, route: str) -> bool:
         """Tell whether a failed call of a route should be repeated."""
-        if self._success.get(route, FIRST_SUCCESS) >= LEAST_SUCCESS:
+        if self._success_rates.get(route, FIRST_SUCCESS) >= LEAST_SUCCESS:
             return True
         return self._random.random() < EXPLORED_SHARE
