--- a/wrenspoke/coordination/serving/retry_outcomes.py
+++ b/wrenspoke/coordination/serving/retry_outcomes.py
@@ -10,7 +10,7 @@
 
 # A repeat that succeeds less often than this is worth less than the place
 # that it takes, which a first try would use.
-LEAST_SUCCESS = 0.1
+MIN_SUCCESS_RATE = 0.1
 # Until something was learned, repeats are taken to succeed.
 FIRST_SUCCESS = 0.8
 # A dozen repeats tell; as many undo it.
@@ -33,6 +33,6 @@
 
     def is_worthwhile(self, route: str) -> bool:
         """Tell whether a failed call of a route should be repeated."""
-        if self._success_rates.get(route, FIRST_SUCCESS) >= LEAST_SUCCESS:
+        if self._success_rates.get(route, FIRST_SUCCESS) >= MIN_SUCCESS_RATE:
             return True
         return self._random.random() < EXPLORED_SHARE
