--- a/wrenspoke/coordination/serving/retry_outcomes.py
+++ b/wrenspoke/coordination/serving/retry_outcomes.py
@@ -12,7 +12,7 @@
 # that it takes, which a first try would use.
 MIN_SUCCESS_RATE = 0.1
 # Until something was learned, repeats are taken to succeed.
-FIRST_SUCCESS = 0.8
+INITIAL_SUCCESS_RATE = 0.8
 # A dozen repeats tell; as many undo it.
 WEIGHT = 0.15
 # Of those that would not pay, so many are made to learn of a change.
@@ -28,11 +28,14 @@
 
     def record_outcome(self, route: str, succeeded: bool) -> None:
         """Note what came of a repeat."""
-        known = self._success_rates.get(route, FIRST_SUCCESS)
+        known = self._success_rates.get(route, INITIAL_SUCCESS_RATE)
         self._success_rates[route] = known + WEIGHT * (succeeded - known)
 
     def is_worthwhile(self, route: str) -> bool:
         """Tell whether a failed call of a route should be repeated."""
-        if self._success_rates.get(route, FIRST_SUCCESS) >= MIN_SUCCESS_RATE:
+        if (
+            self._success_rates.get(route, INITIAL_SUCCESS_RATE)
+            >= MIN_SUCCESS_RATE
+        ):
             return True
         return self._random.random() < EXPLORED_SHARE
