--- a/wrenspoke/coordination/serving/retry_outcomes.py
+++ b/wrenspoke/coordination/serving/retry_outcomes.py
@@ -14,7 +14,7 @@
 # Until something was learned, repeats are taken to succeed.
 INITIAL_SUCCESS_RATE = 0.8
 # A dozen repeats tell; as many undo it.
-WEIGHT = 0.15
+SMOOTHING_WEIGHT = 0.15
 # Of those that would not pay, so many are made to learn of a change.
 EXPLORED_SHARE = 0.1
 
@@ -29,7 +29,9 @@
     def record_outcome(self, route: str, succeeded: bool) -> None:
         """Note what came of a repeat."""
         known = self._success_rates.get(route, INITIAL_SUCCESS_RATE)
-        self._success_rates[route] = known + WEIGHT * (succeeded - known)
+        self._success_rates[route] = known + SMOOTHING_WEIGHT * (
+            succeeded - known
+        )
 
     def is_worthwhile(self, route: str) -> bool:
         """Tell whether a failed call of a route should be repeated."""
