--- a/wrenspoke/coordination/serving/retry_outcomes.py
+++ b/wrenspoke/coordination/serving/retry_outcomes.py
@@ -16,7 +16,7 @@
 # A dozen repeats tell; as many undo it.
 SMOOTHING_WEIGHT = 0.15
 # Of those that would not pay, so many are made to learn of a change.
-EXPLORED_SHARE = 0.1
+EXPLORATION_SHARE = 0.1
 
 
 class RetryOutcomes:
@@ -40,4 +40,4 @@
             >= MIN_SUCCESS_RATE
         ):
             return True
-        return self._random.random() < EXPLORED_SHARE
+        return self._random.random() < EXPLORATION_SHARE
