--- a/tests/test_sent_calls.py
+++ b/tests/test_sent_calls.py
@@ -49,7 +49,7 @@
             known.take(test_registry.record(other, data_centre='hall'))
         asking = askers.Askers('north', name, known, self.peers)
         asking.engines = len(fleet.names) // 2
-        self.told = sent_call_broadcast.SentCalls(
+        self.told = sent_call_broadcast.SentCallBroadcaster(
             name, asking, self.peers, clock
         )
         self.heard = []
--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -53,7 +53,7 @@
         estimator: estimate.Estimator,
         elsewhere: remote_regions.RemoteRegions,
         clock: clocks.Clock,
-        told: sent_call_broadcast.SentCalls | None = None,
+        told: sent_call_broadcast.SentCallBroadcaster | None = None,
     ):
         self._broadcaster = told
         self._sender = sender
--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -65,7 +65,7 @@
         viewed: views.RegionViews,
         held: replica.Replica,
         clock: clocks.Clock,
-        told: sent_call_broadcast.SentCalls | None = None,
+        told: sent_call_broadcast.SentCallBroadcaster | None = None,
     ):
         self._broadcaster = told
         if told is not None:
--- a/wrenspoke/coordination/serving/sent_call_broadcast.py
+++ b/wrenspoke/coordination/serving/sent_call_broadcast.py
@@ -39,7 +39,7 @@
 Listener = collections.abc.Callable[[attending.SentCall], None]
 
 
-class SentCalls:
+class SentCallBroadcaster:
     """Tell the region's other hosts of sent calls, and hear of theirs."""
 
     def __init__(
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -183,7 +183,7 @@
         self._estimator = estimate.Estimator(self._gauges, self.clock)
         self._sent_calls = None
         if mechanisms.Mechanism.TELLING_SENT not in node.switched_off:
-            self._sent_calls = sent_call_broadcast.SentCalls(
+            self._sent_calls = sent_call_broadcast.SentCallBroadcaster(
                 node.host, self._askers, self.peers, self.clock
             )
             self._sent_calls.listen(self._note_sent_by_another)
