--- a/tests/test_sent_calls.py
+++ b/tests/test_sent_calls.py
@@ -53,7 +53,7 @@
             name, asking, self.peers, clock
         )
         self.heard = []
-        self.told.listen(self.heard.append)
+        self.told.subscribe(self.heard.append)
         self.told.start()
 
 
--- a/wrenspoke/coordination/serving/sent_call_broadcast.py
+++ b/wrenspoke/coordination/serving/sent_call_broadcast.py
@@ -64,7 +64,7 @@
         asking.listen(self._hear)
         peers.answers(attending.TellSent)(self._collect)
 
-    def listen(self, listener: Listener) -> None:
+    def subscribe(self, listener: Listener) -> None:
         """Have every call that another host sent told to ``listener``."""
         self._listeners.append(listener)
 
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -186,7 +186,7 @@
             self._sent_calls = sent_call_broadcast.SentCallBroadcaster(
                 node.host, self._askers, self.peers, self.clock
             )
-            self._sent_calls.listen(self._note_sent_by_another)
+            self._sent_calls.subscribe(self._note_sent_by_another)
 
     def _note_sent_by_another(self, sent: attending.SentCall) -> None:
         """Note what another host of this region sends to an engine."""
