--- a/tests/test_sent_calls.py
+++ b/tests/test_sent_calls.py
@@ -72,7 +72,7 @@
         while calls * interval_ms < PLAYED_MS:
             host = self.hosts[calls % len(self.hosts)]
             engine = f'e{calls % (len(self.hosts) // 2)}'
-            host.told.note(engine, 100, PARTS)
+            host.told.publish(engine, 100, PARTS)
             calls += 1
             await asyncio.sleep(interval_ms / 1_000)
         await asyncio.sleep(1)
--- a/wrenspoke/coordination/serving/sent_call_broadcast.py
+++ b/wrenspoke/coordination/serving/sent_call_broadcast.py
@@ -77,7 +77,7 @@
         """End every task."""
         await self._tasks.close()
 
-    def note(
+    def publish(
         self,
         endpoint: ids.EndpointId,
         tokens: float,
