--- a/wrenspoke/coordination/serving/sent_call_broadcast.py
+++ b/wrenspoke/coordination/serving/sent_call_broadcast.py
@@ -70,7 +70,7 @@
 
     def start(self) -> None:
         """Begin to tell."""
-        self._tasks.start(self._tell_own())
+        self._tasks.start(self._send_own())
         self._tasks.start(self._tell_collected())
 
     async def close(self) -> None:
@@ -102,7 +102,7 @@
         self._own.append((self._clock.mono_ms(), sent))
         self._more.set()
 
-    async def _tell_own(self) -> None:
+    async def _send_own(self) -> None:
         while True:
             await self._more.wait()
             await self._clock.sleep_ms(GATHER_MS)
