--- a/wrenspoke/coordination/serving/sent_call_broadcast.py
+++ b/wrenspoke/coordination/serving/sent_call_broadcast.py
@@ -62,7 +62,7 @@
         self._more = asyncio.Event()
         self._tasks = runtime.Tasks()
         asking.listen(self._hear)
-        peers.answers(attending.TellSent)(self._collect)
+        peers.answers(attending.TellSent)(self._on_sent_calls)
 
     def subscribe(self, listener: Listener) -> None:
         """Have every call that another host sent told to ``listener``."""
@@ -119,7 +119,7 @@
                 message = attending.TellSent(self._aged(items))
                 await self._peers.tell(ids.HostId(collector), message)
 
-    async def _collect(
+    async def _on_sent_calls(
         self, _sender: ids.HostId, message: attending.TellSent
     ) -> None:
         now_ms = self._clock.mono_ms()
