--- a/wrenspoke/coordination/serving/sent_call_broadcast.py
+++ b/wrenspoke/coordination/serving/sent_call_broadcast.py
@@ -114,7 +114,7 @@
                 by_collector.setdefault(collector, []).append(item)
             for collector, items in by_collector.items():
                 if collector == self._host:
-                    self._keep(items)
+                    self._enqueue_collected(items)
                     continue
                 message = attending.TellSent(self._aged(items))
                 await self._peers.tell(ids.HostId(collector), message)
@@ -124,9 +124,13 @@
     ) -> None:
         now_ms = self._clock.mono_ms()
         self._tell_listeners(message.calls)
-        self._keep([(now_ms - sent.age_ms, sent) for sent in message.calls])
+        self._enqueue_collected(
+            [(now_ms - sent.age_ms, sent) for sent in message.calls]
+        )
 
-    def _keep(self, items: list[tuple[int, attending.SentCall]]) -> None:
+    def _enqueue_collected(
+        self, items: list[tuple[int, attending.SentCall]]
+    ) -> None:
         room = BATCH_LIMIT - len(self._collected)
         self._collected.extend(items[:room])
 
