--- a/wrenspoke/coordination/serving/sent_call_broadcast.py
+++ b/wrenspoke/coordination/serving/sent_call_broadcast.py
@@ -71,7 +71,7 @@
     def start(self) -> None:
         """Begin to tell."""
         self._tasks.start(self._send_own())
-        self._tasks.start(self._tell_collected())
+        self._tasks.start(self._broadcast_collected())
 
     async def close(self) -> None:
         """End every task."""
@@ -134,7 +134,7 @@
         room = BATCH_LIMIT - len(self._collected)
         self._collected.extend(items[:room])
 
-    async def _tell_collected(self) -> None:
+    async def _broadcast_collected(self) -> None:
         while True:
             count = max(self._askers.collectors_count, 1)
             interval_ms = min(TELL_INTERVAL_MS * count, LONGEST_INTERVAL_MS)
