--- a/wrenspoke/coordination/serving/sent_call_broadcast.py
+++ b/wrenspoke/coordination/serving/sent_call_broadcast.py
@@ -116,7 +116,7 @@
                 if collector == self._host:
                     self._enqueue_collected(items)
                     continue
-                message = attending.TellSent(self._aged(items))
+                message = attending.TellSent(self._with_ages(items))
                 await self._peers.tell(ids.HostId(collector), message)
 
     async def _on_sent_calls(
@@ -143,10 +143,10 @@
                 continue
             items, self._collected = self._collected, []
             await self._askers.tell(
-                attending.TellRegion(sent=self._aged(items))
+                attending.TellRegion(sent=self._with_ages(items))
             )
 
-    def _aged(
+    def _with_ages(
         self, items: list[tuple[int, attending.SentCall]]
     ) -> list[attending.SentCall]:
         now_ms = self._clock.mono_ms()
