--- a/wrenspoke/coordination/serving/sent_call_broadcast.py
+++ b/wrenspoke/coordination/serving/sent_call_broadcast.py
@@ -61,7 +61,7 @@
         self._collected: list[tuple[int, attending.SentCall]] = []
         self._more = asyncio.Event()
         self._tasks = runtime.Tasks()
-        asking.listen(self._hear)
+        asking.listen(self._on_region_message)
         peers.answers(attending.TellSent)(self._on_sent_calls)
 
     def subscribe(self, listener: Listener) -> None:
@@ -155,7 +155,7 @@
             for sent_ms, sent in items
         ]
 
-    def _hear(self, message: attending.TellRegion) -> None:
+    def _on_region_message(self, message: attending.TellRegion) -> None:
         self._tell_listeners(message.sent)
 
     def _tell_listeners(self, calls: list[attending.SentCall]) -> None:
