--- a/wrenspoke/coordination/serving/sent_call_broadcast.py
+++ b/wrenspoke/coordination/serving/sent_call_broadcast.py
@@ -123,7 +123,7 @@
         self, _sender: ids.HostId, message: attending.TellSent
     ) -> None:
         now_ms = self._clock.mono_ms()
-        self._tell_listeners(message.calls)
+        self._notify_listeners(message.calls)
         self._enqueue_collected(
             [(now_ms - sent.age_ms, sent) for sent in message.calls]
         )
@@ -156,9 +156,9 @@
         ]
 
     def _on_region_message(self, message: attending.TellRegion) -> None:
-        self._tell_listeners(message.sent)
+        self._notify_listeners(message.sent)
 
-    def _tell_listeners(self, calls: list[attending.SentCall]) -> None:
+    def _notify_listeners(self, calls: list[attending.SentCall]) -> None:
         for sent in calls:
             if sent.host == self._name:
                 continue
