--- a/wrenspoke/coordination/serving/sent_call_broadcast.py
+++ b/wrenspoke/coordination/serving/sent_call_broadcast.py
@@ -59,7 +59,7 @@
         self._own: list[tuple[int, attending.SentCall]] = []
         # What others told this host that it has not told the rest.
         self._collected: list[tuple[int, attending.SentCall]] = []
-        self._more = asyncio.Event()
+        self._own_added = asyncio.Event()
         self._tasks = runtime.Tasks()
         asking.listen(self._on_region_message)
         peers.answers(attending.TellSent)(self._on_sent_calls)
@@ -100,13 +100,13 @@
             made_tokens + (parts[-1].tokens if parts else 0),
         )
         self._own.append((self._clock.mono_ms(), sent))
-        self._more.set()
+        self._own_added.set()
 
     async def _send_own(self) -> None:
         while True:
-            await self._more.wait()
+            await self._own_added.wait()
             await self._clock.sleep_ms(GATHER_MS)
-            self._more.clear()
+            self._own_added.clear()
             own, self._own = self._own, []
             by_collector: dict[str, list] = {}
             for item in own:
