--- a/wrenspoke/coordination/serving/sent_call_broadcast.py
+++ b/wrenspoke/coordination/serving/sent_call_broadcast.py
@@ -50,7 +50,7 @@
         clock: clocks.Clock,
     ):
         self._host = host
-        self._name = short_name(host)
+        self._name = host_checksum(host)
         self._askers = asking
         self._peers = peers
         self._clock = clock
@@ -175,6 +175,6 @@
     )
 
 
-def short_name(host: ids.HostId) -> int:
+def host_checksum(host: ids.HostId) -> int:
     """Return a short number by which a host knows its own calls again."""
     return zlib.crc32(host.encode())
