--- a/wrenspoke/coordination/serving/sent_call_broadcast.py
+++ b/wrenspoke/coordination/serving/sent_call_broadcast.py
@@ -50,7 +50,7 @@
         clock: clocks.Clock,
     ):
         self._host = host
-        self._name = host_checksum(host)
+        self._checksum = host_checksum(host)
         self._askers = asking
         self._peers = peers
         self._clock = clock
@@ -92,7 +92,7 @@
         if len(self._own) >= BATCH_LIMIT:
             return
         sent = attending.SentCall(
-            self._name,
+            self._checksum,
             endpoint,
             round(tokens),
             0,
@@ -160,7 +160,7 @@
 
     def _notify_listeners(self, calls: list[attending.SentCall]) -> None:
         for sent in calls:
-            if sent.host == self._name:
+            if sent.host == self._checksum:
                 continue
             for listener in self._listeners:
                 listener(sent)
