--- a/wrenspoke/coordination/serving/sent_call_broadcast.py
+++ b/wrenspoke/coordination/serving/sent_call_broadcast.py
@@ -27,7 +27,7 @@
 logger = structlog.get_logger(__name__)
 
 # Calls sent within a moment go in one message.
-GATHER_MS = 4
+BATCH_DELAY_MS = 4
 # A collecting host tells the others so often, times the number of collecting
 # hosts: each host hears 40 messages a second at the most, 1% of a core.
 TELL_INTERVAL_MS = 25
@@ -105,7 +105,7 @@
     async def _send_own(self) -> None:
         while True:
             await self._own_added.wait()
-            await self._clock.sleep_ms(GATHER_MS)
+            await self._clock.sleep_ms(BATCH_DELAY_MS)
             self._own_added.clear()
             own, self._own = self._own, []
             by_collector: dict[str, list] = {}
