--- a/tests/test_sent_calls.py
+++ b/tests/test_sent_calls.py
@@ -93,7 +93,7 @@
             assert abs(len(host.heard) - (calls - own)) <= 1
             ages_ms = [sent.age_ms for sent in host.heard]
             interval_ms = min(
-                sent_call_broadcast.TELL_INTERVAL_MS
+                sent_call_broadcast.BROADCAST_INTERVAL_MS
                 * host.told._askers.collectors_count,
                 sent_call_broadcast.LONGEST_INTERVAL_MS,
             )
--- a/wrenspoke/coordination/serving/sent_call_broadcast.py
+++ b/wrenspoke/coordination/serving/sent_call_broadcast.py
@@ -30,7 +30,7 @@
 BATCH_DELAY_MS = 4
 # A collecting host tells the others so often, times the number of collecting
 # hosts: each host hears 40 messages a second at the most, 1% of a core.
-TELL_INTERVAL_MS = 25
+BROADCAST_INTERVAL_MS = 25
 # However many collect, what is told later is of little use.
 LONGEST_INTERVAL_MS = 200
 # What waits to be told beyond this is dropped: it is late already.
@@ -137,7 +137,9 @@
     async def _broadcast_collected(self) -> None:
         while True:
             count = max(self._askers.collectors_count, 1)
-            interval_ms = min(TELL_INTERVAL_MS * count, LONGEST_INTERVAL_MS)
+            interval_ms = min(
+                BROADCAST_INTERVAL_MS * count, LONGEST_INTERVAL_MS
+            )
             await self._clock.sleep_ms(interval_ms)
             if not self._collected:
                 continue
