--- a/tests/test_sent_calls.py
+++ b/tests/test_sent_calls.py
@@ -95,7 +95,7 @@
             interval_ms = min(
                 sent_call_broadcast.BROADCAST_INTERVAL_MS
                 * host.told._askers.collectors_count,
-                sent_call_broadcast.LONGEST_INTERVAL_MS,
+                sent_call_broadcast.MAX_BROADCAST_INTERVAL_MS,
             )
             assert max(ages_ms) <= interval_ms + 20
             assert host.heard[0].parts == [('a1b2c3d4', 6_300)]
--- a/wrenspoke/coordination/serving/sent_call_broadcast.py
+++ b/wrenspoke/coordination/serving/sent_call_broadcast.py
@@ -32,7 +32,7 @@
 # hosts: each host hears 40 messages a second at the most, 1% of a core.
 BROADCAST_INTERVAL_MS = 25
 # However many collect, what is told later is of little use.
-LONGEST_INTERVAL_MS = 200
+MAX_BROADCAST_INTERVAL_MS = 200
 # What waits to be told beyond this is dropped: it is late already.
 BATCH_LIMIT = 2_000
 
@@ -138,7 +138,7 @@
         while True:
             count = max(self._askers.collectors_count, 1)
             interval_ms = min(
-                BROADCAST_INTERVAL_MS * count, LONGEST_INTERVAL_MS
+                BROADCAST_INTERVAL_MS * count, MAX_BROADCAST_INTERVAL_MS
             )
             await self._clock.sleep_ms(interval_ms)
             if not self._collected:
