--- a/tests/test_warmth.py
+++ b/tests/test_warmth.py
@@ -25,7 +25,7 @@
     # One that two other hosts ask.
     number = next(n for n in range(99) if not asking.asks_of(f'e{n}'))
     endpoint = test_gauges.registered(number)
-    made = warmup_probe.Warmth(
+    made = warmup_probe.WarmupProbe(
         asking, None, None, None, stated_fleet.unlimited(clock), clock
     )
     status = attending.WarmupStatus(endpoint.said.endpoint, 500)
--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -38,7 +38,7 @@
         attended: attendance.Attendance,
         held: replica.Replica,
         noted: outlier_detection.OutlierDetector,
-        warmth: warmths.Warmth,
+        warmth: warmths.WarmupProbe,
         known: gauges.Gauges,
         gate: endpoint_gate.EndpointGate,
         switched_off: collections.abc.Set[mechanisms.Mechanism],
--- a/wrenspoke/coordination/serving/warmup_probe.py
+++ b/wrenspoke/coordination/serving/warmup_probe.py
@@ -40,7 +40,7 @@
 BODY_LIMIT_BYTES = 64 * 1024
 
 
-class Warmth:
+class WarmupProbe:
     """Know for how long endpoints that were taken back stay cold."""
 
     def __init__(
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -266,7 +266,7 @@
     def _build_serving(self, dialect: dialects.Dialect) -> None:
         """Build what serves requests and what listens for them."""
         node = self.node
-        self._warmth = warmup_probe.Warmth(
+        self._warmth = warmup_probe.WarmupProbe(
             self._askers,
             self.replica,
             dialect,
