--- a/tests/test_warmth.py
+++ b/tests/test_warmth.py
@@ -33,6 +33,6 @@
     listener(attending.TellRegion(warm=[status]))
     warm_ms = clock.now_ms + 500
     clock.now_ms += before_ms
-    made.ask([endpoint])
+    made.start_probes([endpoint])
     found = made.warm_ms(endpoint.said.endpoint)
     assert found == (warm_ms if known else None)
--- a/wrenspoke/coordination/serving/warmup_probe.py
+++ b/wrenspoke/coordination/serving/warmup_probe.py
@@ -72,7 +72,7 @@
         warm_ms, _heard_ms = self._warm_ms.get(endpoint, (None, 0))
         return warm_ms
 
-    def ask(
+    def start_probes(
         self, taken_back: collections.abc.Iterable[registry.Registered]
     ) -> None:
         """Begin to ask endpoints that were taken back."""
