--- a/wrenspoke/coordination/serving/warmup_probe.py
+++ b/wrenspoke/coordination/serving/warmup_probe.py
@@ -86,9 +86,11 @@
             if self._askers.asks_of(endpoint):
                 chosen.append(one)
         if chosen:
-            self._tasks.start(self._ask_all(chosen))
+            self._tasks.start(self._probe_endpoints(chosen))
 
-    async def _ask_all(self, chosen: list[registry.Registered]) -> None:
+    async def _probe_endpoints(
+        self, chosen: list[registry.Registered]
+    ) -> None:
         answers = await asyncio.gather(
             *(self._ask(one.said) for one in chosen)
         )
