--- a/wrenspoke/coordination/serving/warmup_probe.py
+++ b/wrenspoke/coordination/serving/warmup_probe.py
@@ -92,7 +92,7 @@
         self, chosen: list[registry.Registered]
     ) -> None:
         answers = await asyncio.gather(
-            *(self._ask(one.said) for one in chosen)
+            *(self._probe_endpoint(one.said) for one in chosen)
         )
         warm = [answer for answer in answers if answer is not None]
         if warm:
@@ -106,7 +106,7 @@
         now_ms = self._clock.mono_ms()
         self._warm_ms[status.endpoint] = (now_ms + status.left_ms, now_ms)
 
-    async def _ask(
+    async def _probe_endpoint(
         self, said: registry.Registration
     ) -> attending.WarmupStatus | None:
         service = self._replica.current.routes.service(said.service)
