--- a/wrenspoke/coordination/serving/warmup_probe.py
+++ b/wrenspoke/coordination/serving/warmup_probe.py
@@ -61,7 +61,7 @@
         # From when on an endpoint is warm, and when that was heard.
         self._warm_ms: dict[ids.EndpointId, tuple[int, int]] = {}
         self._tasks = runtime.Tasks()
-        asking.listen(self._hear)
+        asking.listen(self._on_region_message)
 
     async def close(self) -> None:
         """End every question."""
@@ -98,7 +98,7 @@
         if warm:
             await self._askers.tell(attending.TellRegion(warm=warm))
 
-    def _hear(self, message: attending.TellRegion) -> None:
+    def _on_region_message(self, message: attending.TellRegion) -> None:
         for status in message.warm:
             self._note(status)
 
