--- a/wrenspoke/coordination/serving/warmup_probe.py
+++ b/wrenspoke/coordination/serving/warmup_probe.py
@@ -100,9 +100,9 @@
 
     def _on_region_message(self, message: attending.TellRegion) -> None:
         for status in message.warm:
-            self._note(status)
+            self._record_status(status)
 
-    def _note(self, status: attending.WarmupStatus) -> None:
+    def _record_status(self, status: attending.WarmupStatus) -> None:
         now_ms = self._clock.mono_ms()
         self._warm_ms[status.endpoint] = (now_ms + status.left_ms, now_ms)
 
@@ -150,7 +150,7 @@
         text = response.headers.get(self._dialect.warmup_ms, '0')
         left_ms = numerals.decimal(text) or 0.0
         status = attending.WarmupStatus(said.endpoint, int(left_ms))
-        self._note(status)
+        self._record_status(status)
         logger.info(
             'warmth_known', endpoint=said.endpoint, warmup_left_ms=left_ms
         )
