--- a/tests/test_warmth.py
+++ b/tests/test_warmth.py
@@ -13,7 +13,10 @@
 
 @pytest.mark.parametrize(
     'before_ms, known',
-    [(warmup_probe.EARLY_MS, True), (warmup_probe.EARLY_MS + 1, False)],
+    [
+        (warmup_probe.EARLY_STATUS_MS, True),
+        (warmup_probe.EARLY_STATUS_MS + 1, False),
+    ],
     ids=['of this time', 'of an earlier time'],
 )
 def test_answer_to_another_host_may_come_before_the_change(before_ms, known):
--- a/wrenspoke/coordination/serving/warmup_probe.py
+++ b/wrenspoke/coordination/serving/warmup_probe.py
@@ -34,7 +34,7 @@
 OK = 200
 # What was told before this host learned that the data centre was taken
 # back counts: the change takes a second at most from host to host.
-EARLY_MS = 1_000
+EARLY_STATUS_MS = 1_000
 # A near endpoint that takes longer is busy enough.
 ANSWER_TIMEOUT_MS = 400
 BODY_LIMIT_BYTES = 64 * 1024
@@ -76,7 +76,7 @@
         self, taken_back: collections.abc.Iterable[registry.Registered]
     ) -> None:
         """Begin to ask endpoints that were taken back."""
-        early_ms = self._clock.mono_ms() - EARLY_MS
+        early_ms = self._clock.mono_ms() - EARLY_STATUS_MS
         chosen = []
         for one in taken_back:
             endpoint = one.said.endpoint
