--- a/wrenspoke/coordination/serving/warmup_probe.py
+++ b/wrenspoke/coordination/serving/warmup_probe.py
@@ -36,7 +36,7 @@
 # back counts: the change takes a second at most from host to host.
 EARLY_STATUS_MS = 1_000
 # A near endpoint that takes longer is busy enough.
-ANSWER_TIMEOUT_MS = 400
+PROBE_TIMEOUT_MS = 400
 BODY_LIMIT_BYTES = 64 * 1024
 
 
@@ -114,7 +114,7 @@
             return None
         life = limiting.EndpointLife(said.endpoint, said.born_ms)
         try:
-            async with clocks.timeout_ms(ANSWER_TIMEOUT_MS):
+            async with clocks.timeout_ms(PROBE_TIMEOUT_MS):
                 # A look takes a slot, as a request does.
                 send_permit = await self._gate.acquire(
                     life, endpoint_limits.LAST_RANK
