--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -69,7 +69,7 @@
         self,
         region: ids.RegionId,
         regions: collections.abc.Mapping[ids.DataCentreId, ids.RegionId],
-        attended: attendance.Attendance,
+        discovery: attendance.Attendance,
         held: replica.Replica,
         noted: outlier_detection.OutlierDetector,
         estimator: estimate.Estimator,
@@ -80,7 +80,7 @@
     ):
         self._region = region
         self._regions = regions
-        self._discovery = attended
+        self._discovery = discovery
         self._replica = held
         self._outlier_detector = noted
         self._estimator = estimator
