--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -71,7 +71,7 @@
         regions: collections.abc.Mapping[ids.DataCentreId, ids.RegionId],
         discovery: attendance.Attendance,
         held: replica.Replica,
-        noted: outlier_detection.OutlierDetector,
+        outlier_detector: outlier_detection.OutlierDetector,
         estimator: estimate.Estimator,
         near: partners.Partners,
         available: availability.Availability,
@@ -82,7 +82,7 @@
         self._regions = regions
         self._discovery = discovery
         self._replica = held
-        self._outlier_detector = noted
+        self._outlier_detector = outlier_detector
         self._estimator = estimator
         self._partners = near
         self._availability = available
