--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -73,7 +73,7 @@
         held: replica.Replica,
         outlier_detector: outlier_detection.OutlierDetector,
         estimator: estimate.Estimator,
-        near: partners.Partners,
+        remotes: partners.Partners,
         available: availability.Availability,
         switched_off: collections.abc.Set[mechanisms.Mechanism],
         clock: clocks.Clock,
@@ -84,7 +84,7 @@
         self._replica = held
         self._outlier_detector = outlier_detector
         self._estimator = estimator
-        self._partners = near
+        self._partners = remotes
         self._availability = available
         self._switched_off = switched_off
         self._clock = clock
