--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -74,7 +74,7 @@
         outlier_detector: outlier_detection.OutlierDetector,
         estimator: estimate.Estimator,
         remotes: partners.Partners,
-        available: availability.Availability,
+        endpoint_availability: availability.Availability,
         switched_off: collections.abc.Set[mechanisms.Mechanism],
         clock: clocks.Clock,
     ):
@@ -85,7 +85,7 @@
         self._outlier_detector = outlier_detector
         self._estimator = estimator
         self._partners = remotes
-        self._availability = available
+        self._availability = endpoint_availability
         self._switched_off = switched_off
         self._clock = clock
         self._random = random.Random()
