--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -115,7 +115,7 @@
         bounds: costs.LatencyBounds,
     ) -> EndpointSelection | None:
         """Return the best endpoint of this region, None without one."""
-        every = [
+        admissible = [
             found
             for found in self._availability.usable(
                 service.service, self._region
@@ -124,23 +124,30 @@
             and not self._availability.limit_wait_ms(found)
         ]
         warm = [
-            found for found in every if not self._availability.is_cold(found)
+            found
+            for found in admissible
+            if not self._availability.is_cold(found)
         ]
         sound = [
             found
             for found in warm
             if not self._availability.is_degraded(found)
         ]
-        warming = self._availability.next_warmup_endpoint(service, every)
+        warming = self._availability.next_warmup_endpoint(service, admissible)
         if warming is not None:
             return EndpointSelection(
-                warming, estimate.Estimate(0.0), 0.0, True, False, len(every)
+                warming,
+                estimate.Estimate(0.0),
+                0.0,
+                True,
+                False,
+                len(admissible),
             )
         candidates = sound or warm
         if not candidates:
             return None
         estimated = self._estimate_candidates(
-            service, route, call, candidates, len(every)
+            service, route, call, candidates, len(admissible)
         )
         if not sound:
             for item in estimated:
