--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -128,7 +128,7 @@
             for found in admissible
             if not self._availability.is_cold(found)
         ]
-        sound = [
+        healthy = [
             found
             for found in warm
             if not self._availability.is_degraded(found)
@@ -143,13 +143,13 @@
                 False,
                 len(admissible),
             )
-        candidates = sound or warm
+        candidates = healthy or warm
         if not candidates:
             return None
         estimated = self._estimate_candidates(
             service, route, call, candidates, len(admissible)
         )
-        if not sound:
+        if not healthy:
             for item in estimated:
                 item.first_ms += DEGRADED_PENALTY_MS
                 item.can_start_now = False
