--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -133,10 +133,12 @@
             for found in warm
             if not self._availability.is_degraded(found)
         ]
-        warming = self._availability.next_warmup_endpoint(service, admissible)
-        if warming is not None:
+        warmup_endpoint = self._availability.next_warmup_endpoint(
+            service, admissible
+        )
+        if warmup_endpoint is not None:
             return EndpointSelection(
-                warming,
+                warmup_endpoint,
                 estimate.Estimate(0.0),
                 0.0,
                 True,
