--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -62,7 +62,7 @@
         host: ids.HostId,
         region: ids.RegionId,
         held: replica.Replica,
-        chosen: endpoint_selector.EndpointSelector,
+        selector: endpoint_selector.EndpointSelector,
         elsewhere: remote_regions.RemoteRegions,
         switched_off: collections.abc.Set[mechanisms.Mechanism],
         clock: clocks.Clock,
@@ -70,7 +70,7 @@
         self._host = host
         self._region = region
         self._replica = held
-        self._selector = chosen
+        self._selector = selector
         self._remote_regions = elsewhere
         self._switched_off = switched_off
         self._clock = clock
