--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -63,7 +63,7 @@
         region: ids.RegionId,
         held: replica.Replica,
         selector: endpoint_selector.EndpointSelector,
-        elsewhere: remote_regions.RemoteRegions,
+        region_offers: remote_regions.RemoteRegions,
         switched_off: collections.abc.Set[mechanisms.Mechanism],
         clock: clocks.Clock,
     ):
@@ -71,7 +71,7 @@
         self._region = region
         self._replica = held
         self._selector = selector
-        self._remote_regions = elsewhere
+        self._remote_regions = region_offers
         self._switched_off = switched_off
         self._clock = clock
 
