--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -69,7 +69,7 @@
     def __init__(
         self,
         held: replica.Replica,
-        attended: attendance.Attendance,
+        discovery: attendance.Attendance,
         chosen: endpoint_selector.EndpointSelector,
         placed: destinations.DestinationSelector,
         tried: attempts.AttemptRunner,
@@ -81,7 +81,7 @@
         clock: clocks.Clock,
     ):
         self._replica = held
-        self._attended = attended
+        self._attended = discovery
         self._selector = chosen
         self._destinations = placed
         self._attempts = tried
