--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -70,7 +70,7 @@
         self,
         held: replica.Replica,
         discovery: attendance.Attendance,
-        chosen: endpoint_selector.EndpointSelector,
+        selector: endpoint_selector.EndpointSelector,
         placed: destinations.DestinationSelector,
         tried: attempts.AttemptRunner,
         budget: shared_retry_budget.SharedRetryBudget,
@@ -82,7 +82,7 @@
     ):
         self._replica = held
         self._attended = discovery
-        self._selector = chosen
+        self._selector = selector
         self._destinations = placed
         self._attempts = tried
         self._retry_budget = budget
