--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -71,7 +71,7 @@
         held: replica.Replica,
         discovery: attendance.Attendance,
         selector: endpoint_selector.EndpointSelector,
-        placed: destinations.DestinationSelector,
+        destination_selector: destinations.DestinationSelector,
         tried: attempts.AttemptRunner,
         budget: shared_retry_budget.SharedRetryBudget,
         permitted: access.Access,
@@ -83,7 +83,7 @@
         self._replica = held
         self._attended = discovery
         self._selector = selector
-        self._destinations = placed
+        self._destinations = destination_selector
         self._attempts = tried
         self._retry_budget = budget
         self._access = permitted
