--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -72,7 +72,7 @@
         discovery: attendance.Attendance,
         selector: endpoint_selector.EndpointSelector,
         destination_selector: destinations.DestinationSelector,
-        tried: attempts.AttemptRunner,
+        runner: attempts.AttemptRunner,
         budget: shared_retry_budget.SharedRetryBudget,
         permitted: access.Access,
         limiter: limiters.Limiter,
@@ -84,7 +84,7 @@
         self._attended = discovery
         self._selector = selector
         self._destinations = destination_selector
-        self._attempts = tried
+        self._attempts = runner
         self._retry_budget = budget
         self._access = permitted
         self._limiter = limiter
