--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -74,7 +74,7 @@
         destination_selector: destinations.DestinationSelector,
         runner: attempts.AttemptRunner,
         budget: shared_retry_budget.SharedRetryBudget,
-        permitted: access.Access,
+        access_control: access.Access,
         limiter: limiters.Limiter,
         guard: guards.Guard,
         switched_off: collections.abc.Set[mechanisms.Mechanism],
@@ -86,7 +86,7 @@
         self._destinations = destination_selector
         self._attempts = runner
         self._retry_budget = budget
-        self._access = permitted
+        self._access = access_control
         self._limiter = limiter
         self._guard = guard
         self._waits = mechanisms.Mechanism.WAITING_AT_START not in switched_off
