--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -46,7 +46,7 @@
     def __init__(
         self,
         sender: sending.Sender,
-        attended: attendance.Attendance,
+        discovery: attendance.Attendance,
         chosen: endpoint_selector.EndpointSelector,
         noted: outlier_detection.OutlierDetector,
         reached: reach.Reach,
@@ -57,7 +57,7 @@
     ):
         self._broadcaster = told
         self._sender = sender
-        self._attended = attended
+        self._attended = discovery
         self._selector = chosen
         self._outlier_detector = noted
         self._reach = reached
