--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -47,7 +47,7 @@
         self,
         sender: sending.Sender,
         discovery: attendance.Attendance,
-        chosen: endpoint_selector.EndpointSelector,
+        selector: endpoint_selector.EndpointSelector,
         noted: outlier_detection.OutlierDetector,
         reached: reach.Reach,
         estimator: estimate.Estimator,
@@ -58,7 +58,7 @@
         self._broadcaster = told
         self._sender = sender
         self._attended = discovery
-        self._selector = chosen
+        self._selector = selector
         self._outlier_detector = noted
         self._reach = reached
         self._estimator = estimator
