--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -48,7 +48,7 @@
         sender: sending.Sender,
         discovery: attendance.Attendance,
         selector: endpoint_selector.EndpointSelector,
-        noted: outlier_detection.OutlierDetector,
+        outlier_detector: outlier_detection.OutlierDetector,
         reached: reach.Reach,
         estimator: estimate.Estimator,
         elsewhere: remote_regions.RemoteRegions,
@@ -59,7 +59,7 @@
         self._sender = sender
         self._attended = discovery
         self._selector = selector
-        self._outlier_detector = noted
+        self._outlier_detector = outlier_detector
         self._reach = reached
         self._estimator = estimator
         self._remote_regions = elsewhere
