--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -49,7 +49,7 @@
         discovery: attendance.Attendance,
         selector: endpoint_selector.EndpointSelector,
         outlier_detector: outlier_detection.OutlierDetector,
-        reached: reach.Reach,
+        pinger: reach.Reach,
         estimator: estimate.Estimator,
         elsewhere: remote_regions.RemoteRegions,
         clock: clocks.Clock,
@@ -60,7 +60,7 @@
         self._attended = discovery
         self._selector = selector
         self._outlier_detector = outlier_detector
-        self._reach = reached
+        self._reach = pinger
         self._estimator = estimator
         self._remote_regions = elsewhere
         self._retry_outcomes = retry_outcomes.RetryOutcomes()
