--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -51,7 +51,7 @@
         outlier_detector: outlier_detection.OutlierDetector,
         pinger: reach.Reach,
         estimator: estimate.Estimator,
-        elsewhere: remote_regions.RemoteRegions,
+        region_offers: remote_regions.RemoteRegions,
         clock: clocks.Clock,
         told: sent_call_broadcast.SentCallBroadcaster | None = None,
     ):
@@ -62,7 +62,7 @@
         self._outlier_detector = outlier_detector
         self._reach = pinger
         self._estimator = estimator
-        self._remote_regions = elsewhere
+        self._remote_regions = region_offers
         self._retry_outcomes = retry_outcomes.RetryOutcomes()
         self._clock = clock
 
