--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -53,9 +53,9 @@
         estimator: estimate.Estimator,
         region_offers: remote_regions.RemoteRegions,
         clock: clocks.Clock,
-        told: sent_call_broadcast.SentCallBroadcaster | None = None,
+        broadcaster: sent_call_broadcast.SentCallBroadcaster | None = None,
     ):
-        self._broadcaster = told
+        self._broadcaster = broadcaster
         self._sender = sender
         self._attended = discovery
         self._selector = selector
