--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -60,7 +60,7 @@
 
     def __init__(
         self,
-        reached: reach.Reach,
+        pinger: reach.Reach,
         near: partners.Partners,
         viewed: views.RegionViews,
         held: replica.Replica,
@@ -70,7 +70,7 @@
         self._broadcaster = told
         if told is not None:
             told.listen(self._on_peer_forwarded)
-        self._reach = reached
+        self._reach = pinger
         self._partners = near
         self._views = viewed
         self._replica = held
