--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -61,7 +61,7 @@
     def __init__(
         self,
         pinger: reach.Reach,
-        near: partners.Partners,
+        remotes: partners.Partners,
         viewed: views.RegionViews,
         held: replica.Replica,
         clock: clocks.Clock,
@@ -71,7 +71,7 @@
         if told is not None:
             told.listen(self._on_peer_forwarded)
         self._reach = pinger
-        self._partners = near
+        self._partners = remotes
         self._views = viewed
         self._replica = held
         self._index = 0
