--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -62,7 +62,7 @@
         self,
         pinger: reach.Reach,
         remotes: partners.Partners,
-        viewed: views.RegionViews,
+        region_statuses: views.RegionViews,
         held: replica.Replica,
         clock: clocks.Clock,
         told: sent_call_broadcast.SentCallBroadcaster | None = None,
@@ -72,7 +72,7 @@
             told.listen(self._on_peer_forwarded)
         self._reach = pinger
         self._partners = remotes
-        self._views = viewed
+        self._views = region_statuses
         self._replica = held
         self._index = 0
         self._index_ms = clock.mono_ms()
