--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -65,11 +65,11 @@
         region_statuses: views.RegionViews,
         held: replica.Replica,
         clock: clocks.Clock,
-        told: sent_call_broadcast.SentCallBroadcaster | None = None,
+        broadcaster: sent_call_broadcast.SentCallBroadcaster | None = None,
     ):
-        self._broadcaster = told
-        if told is not None:
-            told.listen(self._on_peer_forwarded)
+        self._broadcaster = broadcaster
+        if broadcaster is not None:
+            broadcaster.listen(self._on_peer_forwarded)
         self._reach = pinger
         self._partners = remotes
         self._views = region_statuses
