--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -126,14 +126,14 @@
         return RegionOffer(region, host, first_ms, end_ms, unread_ms)
 
     def relay_offers(
-        self, cut_off: list[ids.RegionId]
+        self, unreachable: list[ids.RegionId]
     ) -> dict[ids.RegionId, list[messages.Offer]]:
         """Return what a host that some regions are cut off from is told.
 
         It may pass calls for them to this host, a travel away from them.
         """
         found: dict[ids.RegionId, list[messages.Offer]] = {}
-        for region in cut_off:
+        for region in unreachable:
             for host in self._partners.reachable(region):
                 remote = self._latest_status(host)
                 if remote is None:
