--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -158,10 +158,10 @@
         Only ``allowed`` regions may be gone through.
         """
         hosts = []
-        for between in allowed:
-            if between == region:
+        for via_region in allowed:
+            if via_region == region:
                 continue
-            for host in self._partners.reachable(between):
+            for host in self._partners.reachable(via_region):
                 remote = self._latest_status(host)
                 if remote is None:
                     continue
