--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -33,7 +33,7 @@
     def __init__(
         self,
         region: ids.RegionId,
-        asking: askers.Askers,
+        pollers: askers.Askers,
         regions: collections.abc.Mapping[ids.DataCentreId, ids.RegionId],
         attended: attendance.Attendance,
         held: replica.Replica,
@@ -45,7 +45,7 @@
         clock: clocks.Clock,
     ):
         self._region = region
-        self._askers = asking
+        self._askers = pollers
         self._regions = regions
         self._discovery = attended
         self._replica = held
