--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -35,7 +35,7 @@
         region: ids.RegionId,
         pollers: askers.Askers,
         regions: collections.abc.Mapping[ids.DataCentreId, ids.RegionId],
-        attended: attendance.Attendance,
+        discovery: attendance.Attendance,
         held: replica.Replica,
         noted: outlier_detection.OutlierDetector,
         warmth: warmths.WarmupProbe,
@@ -47,7 +47,7 @@
         self._region = region
         self._askers = pollers
         self._regions = regions
-        self._discovery = attended
+        self._discovery = discovery
         self._replica = held
         self._outlier_detector = noted
         self._warmup_probe = warmth
