--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -37,7 +37,7 @@
         regions: collections.abc.Mapping[ids.DataCentreId, ids.RegionId],
         discovery: attendance.Attendance,
         held: replica.Replica,
-        noted: outlier_detection.OutlierDetector,
+        outlier_detector: outlier_detection.OutlierDetector,
         warmth: warmths.WarmupProbe,
         known: gauges.Gauges,
         gate: endpoint_gate.EndpointGate,
@@ -49,7 +49,7 @@
         self._regions = regions
         self._discovery = discovery
         self._replica = held
-        self._outlier_detector = noted
+        self._outlier_detector = outlier_detector
         self._warmup_probe = warmth
         self._gauges = known
         self._gate = gate
