--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -39,7 +39,7 @@
         held: replica.Replica,
         outlier_detector: outlier_detection.OutlierDetector,
         warmth: warmths.WarmupProbe,
-        known: gauges.Gauges,
+        engine_loads: gauges.Gauges,
         gate: endpoint_gate.EndpointGate,
         switched_off: collections.abc.Set[mechanisms.Mechanism],
         clock: clocks.Clock,
@@ -51,7 +51,7 @@
         self._replica = held
         self._outlier_detector = outlier_detector
         self._warmup_probe = warmth
-        self._gauges = known
+        self._gauges = engine_loads
         self._gate = gate
         self._switched_off = switched_off
         self._clock = clock
