--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -163,13 +163,13 @@
     def next_warmup_endpoint(
         self,
         service: routes.RoutedService,
-        every: list[registry.Registered],
+        candidates: list[registry.Registered],
     ) -> registry.Registered | None:
         """Return a cold endpoint whose next request is due from here."""
         if service.warmup_per_s <= 0:
             return None
         now_ms = self._clock.mono_ms()
-        for found in every:
+        for found in candidates:
             name = found.said.endpoint
             if not self.is_cold(found) or not self._askers.is_first(name):
                 continue
