--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -58,8 +58,8 @@
 class Estimator:
     """Estimate first pieces by reports, own sends and what was learned."""
 
-    def __init__(self, known: gauges.Gauges, clock: clocks.Clock):
-        self._gauges = known
+    def __init__(self, engine_loads: gauges.Gauges, clock: clocks.Clock):
+        self._gauges = engine_loads
         self.prefixes = prefix_index.PrefixIndex()
         self.backlog = backlog.Backlog(clock)
         self.pace = engine_pace.PaceTracker(clock)
