--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -170,12 +170,12 @@
 
     def __init__(
         self,
-        known: PaceTracker,
+        tracker: PaceTracker,
         endpoint: ids.EndpointId | None,
         event_tokens: int,
         pause_target_ms: float | None,
     ):
-        self._pace = known
+        self._pace = tracker
         self._endpoint = endpoint
         self._event_tokens = event_tokens
         self._pause_target_ms = pause_target_ms
