--- a/wrenspoke/coordination/serving/sent_call_broadcast.py
+++ b/wrenspoke/coordination/serving/sent_call_broadcast.py
@@ -45,13 +45,13 @@
     def __init__(
         self,
         host: ids.HostId,
-        asking: askers.Askers,
+        pollers: askers.Askers,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
         self._host = host
         self._checksum = host_checksum(host)
-        self._askers = asking
+        self._askers = pollers
         self._peers = peers
         self._clock = clock
         self._listeners: list[Listener] = []
@@ -61,7 +61,7 @@
         self._collected: list[tuple[int, attending.SentCall]] = []
         self._own_added = asyncio.Event()
         self._tasks = runtime.Tasks()
-        asking.listen(self._on_region_message)
+        pollers.listen(self._on_region_message)
         peers.answers(attending.TellSent)(self._on_sent_calls)
 
     def subscribe(self, listener: Listener) -> None:
