--- a/wrenspoke/coordination/serving/warmup_probe.py
+++ b/wrenspoke/coordination/serving/warmup_probe.py
@@ -45,14 +45,14 @@
 
     def __init__(
         self,
-        asking: askers.Askers,
+        pollers: askers.Askers,
         held: replica.Replica,
         dialect: dialects.Dialect,
         client: web.HttpClient,
         gate: endpoint_gate.EndpointGate,
         clock: clocks.Clock,
     ):
-        self._askers = asking
+        self._askers = pollers
         self._replica = held
         self._dialect = dialect
         self._client = client
@@ -61,7 +61,7 @@
         # From when on an endpoint is warm, and when that was heard.
         self._warm_ms: dict[ids.EndpointId, tuple[int, int]] = {}
         self._tasks = runtime.Tasks()
-        asking.listen(self._on_region_message)
+        pollers.listen(self._on_region_message)
 
     async def close(self) -> None:
         """End every question."""
