--- a/wrenspoke/coordination/serving/sampling.py
+++ b/wrenspoke/coordination/serving/sampling.py
@@ -19,12 +19,12 @@
 def sample(
     candidates: list[registry.Registered],
     always: collections.abc.Container[ids.EndpointId],
-    chance: random.Random,
+    rng: random.Random,
 ) -> list[registry.Registered]:
     """Return some endpoints by chance, and those that are always weighed."""
     if len(candidates) <= SAMPLE_SIZE:
         return candidates
-    drawn = chance.sample(candidates, SAMPLE_SIZE)
+    drawn = rng.sample(candidates, SAMPLE_SIZE)
     names = {found.said.endpoint for found in drawn}
     drawn.extend(
         found
