--- a/wrenspoke/coordination/serving/retry_outcomes.py
+++ b/wrenspoke/coordination/serving/retry_outcomes.py
@@ -22,9 +22,9 @@
 class RetryOutcomes:
     """Hold how often repeats succeed, by route."""
 
-    def __init__(self, chance: random.Random | None = None):
+    def __init__(self, rng: random.Random | None = None):
         self._success_rates: dict[str, float] = {}
-        self._random = chance or random.Random()
+        self._random = rng or random.Random()
 
     def record_outcome(self, route: str, succeeded: bool) -> None:
         """Note what came of a repeat."""
