--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -84,7 +84,7 @@
         self._replica = held
         self._outlier_detector = outlier_detector
         self._estimator = estimator
-        self._partners = remotes
+        self._remote_hosts = remotes
         self._availability = endpoint_availability
         self._switched_off = switched_off
         self._clock = clock
@@ -400,7 +400,7 @@
         """
         hosts = [
             record
-            for record in self._partners.reachable(region)
+            for record in self._remote_hosts.reachable(region)
             if record.host not in excluded
             and not self._availability.is_ejected(record.passing_address)
         ]
