--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -81,7 +81,7 @@
         clock: clocks.Clock,
     ):
         self._replica = held
-        self._attended = discovery
+        self._discovery = discovery
         self._selector = selector
         self._destinations = destination_selector
         self._attempts = runner
@@ -106,7 +106,7 @@
         return (
             not self.draining
             and self._replica.serving
-            and self._attended.awake
+            and self._discovery.awake
             and self._replica.current.routes.version > 0
         )
 
@@ -231,7 +231,7 @@
         try:
             return self._access.permit(call)
         except errors.NoLeaseError:
-            lease = self._attended.lease
+            lease = self._discovery.lease
             if lease.ever_held or not self._waits:
                 raise
         try:
@@ -258,7 +258,7 @@
         )
         retry_after_ms = None
         if status == UNAVAILABLE:
-            lease = self._attended.lease
+            lease = self._discovery.lease
             retry_after_ms = return_line.spread_ms(lease.return_in_ms())
         await reply.refuse(status, reason, retry_after_ms)
 
@@ -274,7 +274,7 @@
     @property
     def _has_current_configuration(self) -> bool:
         """Tell whether what this host holds may be served by."""
-        return self._replica.serving and self._attended.awake
+        return self._replica.serving and self._discovery.awake
 
     async def _wait_for_current_configuration(
         self, call: dialects.Call
