--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -86,7 +86,7 @@
         self._destinations = destination_selector
         self._attempts = runner
         self._retry_budget = budget
-        self._access = access_control
+        self._access_control = access_control
         self._limiter = limiter
         self._guard = guard
         self._waits = mechanisms.Mechanism.WAITING_AT_START not in switched_off
@@ -229,7 +229,7 @@
         :raises DeniedError: it may not be served, or not here
         """
         try:
-            return self._access.permit(call)
+            return self._access_control.permit(call)
         except errors.NoLeaseError:
             lease = self._discovery.lease
             if lease.ever_held or not self._waits:
@@ -239,7 +239,7 @@
                 await lease.granted.wait()
         except TimeoutError:
             pass
-        return self._access.permit(call)
+        return self._access_control.permit(call)
 
     async def _deny(
         self,
@@ -374,7 +374,7 @@
             held_ms = self._guard.refuse(work.call.digest)
             if held_ms is not None:
                 raise errors.QuarantinedError(held_ms)
-            work.permit = self._access.renewed(work.call, work.permit)
+            work.permit = self._access_control.renewed(work.call, work.permit)
             place = self._destinations.next_destination(work)
             if place is None:
                 work.cause = work.cause or 'no_endpoint'
