--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -57,7 +57,7 @@
     ):
         self._broadcaster = broadcaster
         self._sender = sender
-        self._attended = discovery
+        self._discovery = discovery
         self._selector = selector
         self._outlier_detector = outlier_detector
         self._reach = pinger
@@ -248,7 +248,7 @@
             work.mark_not_run()
             work.cause = 'not here any more'
             # Nothing of this life of it will come back.
-            self._attended.withdraw(
+            self._discovery.withdraw(
                 place.endpoint, place.chosen.found.said.born_ms
             )
             return False
