--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -60,7 +60,7 @@
         self._discovery = discovery
         self._selector = selector
         self._outlier_detector = outlier_detector
-        self._reach = pinger
+        self._pinger = pinger
         self._estimator = estimator
         self._remote_regions = region_offers
         self._retry_outcomes = retry_outcomes.RetryOutcomes()
@@ -180,7 +180,7 @@
                         now_s = asyncio.get_running_loop().time()
                         bound.reschedule(now_s)
 
-                with self._reach.watching(place.host, lost):
+                with self._pinger.watching(place.host, lost):
                     yield
         except TimeoutError as error:
             if not bound.expired():
