--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -71,7 +71,7 @@
         if broadcaster is not None:
             broadcaster.listen(self._on_peer_forwarded)
         self._reach = pinger
-        self._partners = remotes
+        self._remote_hosts = remotes
         self._views = region_statuses
         self._replica = held
         self._index = 0
@@ -134,7 +134,7 @@
         """
         found: dict[ids.RegionId, list[messages.Offer]] = {}
         for region in unreachable:
-            for host in self._partners.reachable(region):
+            for host in self._remote_hosts.reachable(region):
                 remote = self._latest_status(host)
                 if remote is None:
                     continue
@@ -161,7 +161,7 @@
         for via_region in allowed:
             if via_region == region:
                 continue
-            for host in self._partners.reachable(via_region):
+            for host in self._remote_hosts.reachable(via_region):
                 remote = self._latest_status(host)
                 if remote is None:
                     continue
