--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -70,7 +70,7 @@
         self._broadcaster = broadcaster
         if broadcaster is not None:
             broadcaster.listen(self._on_peer_forwarded)
-        self._reach = pinger
+        self._pinger = pinger
         self._remote_hosts = remotes
         self._views = region_statuses
         self._replica = held
@@ -173,12 +173,12 @@
         self, host: attending.HostRecord
     ) -> reach.Remote | views.Heard | None:
         """Return what a host last said, or else another of its region."""
-        if self._reach.answers(host.host):
-            return self._reach.remote(host.host)
+        if self._pinger.answers(host.host):
+            return self._pinger.remote(host.host)
         found = self._views.heard(host.region)
         if found is not None:
             return found
-        remote = self._reach.remote(host.host)
+        remote = self._pinger.remote(host.host)
         return None if remote is None or remote.said is None else remote
 
     def _has_stale_configuration(
