--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -45,7 +45,7 @@
         clock: clocks.Clock,
     ):
         self._region = region
-        self._askers = pollers
+        self._pollers = pollers
         self._regions = regions
         self._discovery = discovery
         self._replica = held
@@ -171,7 +171,7 @@
         now_ms = self._clock.mono_ms()
         for found in candidates:
             name = found.said.endpoint
-            if not self.is_cold(found) or not self._askers.is_first(name):
+            if not self.is_cold(found) or not self._pollers.is_first(name):
                 continue
             if self.is_ejected(found.said.address):
                 continue
