--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -51,7 +51,7 @@
         self._replica = held
         self._outlier_detector = outlier_detector
         self._warmup_probe = warmth
-        self._gauges = engine_loads
+        self._engine_loads = engine_loads
         self._gate = gate
         self._switched_off = switched_off
         self._clock = clock
@@ -191,7 +191,7 @@
             return True
         if not self._is_enabled(mechanisms.Mechanism.SETTING_ASIDE):
             return False
-        return self._gauges.silent(found.said.endpoint)
+        return self._engine_loads.silent(found.said.endpoint)
 
     def is_ejected(self, place: str) -> bool:
         """Tell whether a place is to be left alone for now."""
