--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -38,7 +38,7 @@
         discovery: attendance.Attendance,
         held: replica.Replica,
         outlier_detector: outlier_detection.OutlierDetector,
-        warmth: warmths.WarmupProbe,
+        probe: warmths.WarmupProbe,
         engine_loads: gauges.Gauges,
         gate: endpoint_gate.EndpointGate,
         switched_off: collections.abc.Set[mechanisms.Mechanism],
@@ -50,7 +50,7 @@
         self._discovery = discovery
         self._replica = held
         self._outlier_detector = outlier_detector
-        self._warmup_probe = warmth
+        self._warmup_probe = probe
         self._engine_loads = engine_loads
         self._gate = gate
         self._switched_off = switched_off
