--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -59,7 +59,7 @@
     """Estimate first pieces by reports, own sends and what was learned."""
 
     def __init__(self, engine_loads: gauges.Gauges, clock: clocks.Clock):
-        self._gauges = engine_loads
+        self._engine_loads = engine_loads
         self.prefixes = prefix_index.PrefixIndex()
         self.backlog = backlog.Backlog(clock)
         self.pace = engine_pace.PaceTracker(clock)
@@ -94,7 +94,7 @@
             first_ms = hold_ms * max(waves, 1.0)
             return Estimate(first_ms, first_ms)
         model = self.model_for(said.service)
-        load = self._gauges.load(said.endpoint)
+        load = self._engine_loads.load(said.endpoint)
         # Where others tell what they send, nothing needs to be supposed.
         usual = usual and not self.backlog.has_peer_reports
         kept = self.prefixes.cached_tokens(said.endpoint, call.parts, usual)
@@ -130,7 +130,7 @@
         self, found: registry.Registered, service: routes.RoutedService
     ) -> int:
         """Return the places of an engine that its last report left free."""
-        load = self._gauges.load(found.said.endpoint)
+        load = self._engine_loads.load(found.said.endpoint)
         if service.batch is None or load is None:
             return 0
         return max(service.batch.slots - load.running - load.queued, 0)
