--- a/tests/test_sent_calls.py
+++ b/tests/test_sent_calls.py
@@ -94,7 +94,7 @@
             ages_ms = [sent.age_ms for sent in host.heard]
             interval_ms = min(
                 sent_call_broadcast.BROADCAST_INTERVAL_MS
-                * host.told._askers.collectors_count,
+                * host.told._pollers.collectors_count,
                 sent_call_broadcast.MAX_BROADCAST_INTERVAL_MS,
             )
             assert max(ages_ms) <= interval_ms + 20
@@ -131,7 +131,7 @@
 
     async def play():
         fleet = Fleet(10)
-        collector = fleet.hosts[0].told._askers.collector('e0')
+        collector = fleet.hosts[0].told._pollers.collector('e0')
         fleet.network.cut_off(collector)
         await fleet.call()
         heard = [
--- a/wrenspoke/coordination/serving/sent_call_broadcast.py
+++ b/wrenspoke/coordination/serving/sent_call_broadcast.py
@@ -51,7 +51,7 @@
     ):
         self._host = host
         self._checksum = host_checksum(host)
-        self._askers = pollers
+        self._pollers = pollers
         self._peers = peers
         self._clock = clock
         self._listeners: list[Listener] = []
@@ -110,7 +110,7 @@
             own, self._own = self._own, []
             by_collector: dict[str, list] = {}
             for item in own:
-                collector = self._askers.collector(item[1].endpoint)
+                collector = self._pollers.collector(item[1].endpoint)
                 by_collector.setdefault(collector, []).append(item)
             for collector, items in by_collector.items():
                 if collector == self._host:
@@ -136,7 +136,7 @@
 
     async def _broadcast_collected(self) -> None:
         while True:
-            count = max(self._askers.collectors_count, 1)
+            count = max(self._pollers.collectors_count, 1)
             interval_ms = min(
                 BROADCAST_INTERVAL_MS * count, MAX_BROADCAST_INTERVAL_MS
             )
@@ -144,7 +144,7 @@
             if not self._collected:
                 continue
             items, self._collected = self._collected, []
-            await self._askers.tell(
+            await self._pollers.tell(
                 attending.TellRegion(sent=self._with_ages(items))
             )
 
