--- a/wrenspoke/coordination/serving/warmup_probe.py
+++ b/wrenspoke/coordination/serving/warmup_probe.py
@@ -52,7 +52,7 @@
         gate: endpoint_gate.EndpointGate,
         clock: clocks.Clock,
     ):
-        self._askers = pollers
+        self._pollers = pollers
         self._replica = held
         self._dialect = dialect
         self._client = client
@@ -83,7 +83,7 @@
             _warm_ms, heard_ms = self._warm_ms.get(endpoint, (0, 0))
             if heard_ms < early_ms:
                 self._warm_ms.pop(endpoint, None)
-            if self._askers.asks_of(endpoint):
+            if self._pollers.asks_of(endpoint):
                 chosen.append(one)
         if chosen:
             self._tasks.start(self._probe_endpoints(chosen))
@@ -96,7 +96,7 @@
         )
         warm = [answer for answer in answers if answer is not None]
         if warm:
-            await self._askers.tell(attending.TellRegion(warm=warm))
+            await self._pollers.tell(attending.TellRegion(warm=warm))
 
     def _on_region_message(self, message: attending.TellRegion) -> None:
         for status in message.warm:
