--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -544,7 +544,7 @@
         'calls served away from home',
         DECISIONS + 'serving/destinations.py',
         (
-            '        if not work.route.allows(self._region):\n            return None\n'
+            '        if not context.route.allows(self._region):\n            return None\n'
         ),
         (''),
         ('tests/test_far.py::test_call_is_served_at_home'),
@@ -616,14 +616,14 @@
     Switch(
         'hopeless calls are sent',
         DECISIONS + 'serving/destinations.py',
-        ('        if work.sent or lost <= DEADLINE_MISS_LIMIT:\n'),
+        ('        if context.sent or lost <= DEADLINE_MISS_LIMIT:\n'),
         ('        if True:\n'),
         ('tests/test_far.py'),
     ),
     Switch(
         'no way by a third region',
         DECISIONS + 'serving/destinations.py',
-        ('                host = self._find_relay_host(work, region)\n'),
+        ('                host = self._find_relay_host(context, region)\n'),
         ('                pass\n'),
         ('tests/test_far.py'),
     ),
--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -76,49 +76,49 @@
         self._clock = clock
 
     def next_destination(
-        self, work: works.CallContext
+        self, context: works.CallContext
     ) -> sending.Place | None:
         """Return where to send a call, None where nothing takes it.
 
         :raises BusyError: who passed it on can do better
         :raises HopelessError: no place would serve it in time
         """
-        hop = work.hop
+        hop = context.hop
         if hop is not None and hop.region not in (None, self._region):
-            return self._relay_destination(work, hop.region)
-        bounds = self._bounds(work)
-        local = self._select_local(work, bounds)
+            return self._relay_destination(context, hop.region)
+        bounds = self._bounds(context)
+        local = self._select_local(context, bounds)
         if hop is not None:
-            self._refuse_if_slower(work, local)
-            return self._endpoint_destination(work, local)
-        far, far_ms = self._best_remote_offer(work, bounds)
+            self._refuse_if_slower(context, local)
+            return self._endpoint_destination(context, local)
+        far, far_ms = self._best_remote_offer(context, bounds)
         if far is not None and (local is None or far_ms < local.cost_ms):
             self._refuse_unmeetable_deadline(
-                work, bounds, far.first_ms, far.end_ms
+                context, bounds, far.first_ms, far.end_ms
             )
-            return self._host_destination(work, far, local)
+            return self._host_destination(context, far, local)
         if local is not None:
             self._refuse_unmeetable_deadline(
-                work, bounds, local.first_ms, local.estimate.end_ms
+                context, bounds, local.first_ms, local.estimate.end_ms
             )
-        return self._endpoint_destination(work, local)
+        return self._endpoint_destination(context, local)
 
     def _is_enabled(self, mechanism: mechanisms.Mechanism) -> bool:
         return mechanism not in self._switched_off
 
-    def _bounds(self, work: works.CallContext) -> costs.LatencyBounds:
+    def _bounds(self, context: works.CallContext) -> costs.LatencyBounds:
         now_ms = self._clock.mono_ms()
-        target_ms = work.route.target_ms
+        target_ms = context.route.target_ms
         return costs.LatencyBounds(
             target_ms,
-            work.call.arrived_ms + target_ms - now_ms,
-            work.deadline_ms - now_ms,
-            work.route.pause_target_ms,
+            context.call.arrived_ms + target_ms - now_ms,
+            context.deadline_ms - now_ms,
+            context.route.pause_target_ms,
         )
 
     def _refuse_unmeetable_deadline(
         self,
-        work: works.CallContext,
+        context: works.CallContext,
         bounds: costs.LatencyBounds,
         first_ms: float,
         end_ms: float,
@@ -127,50 +127,56 @@
 
         What was sent before, and may go on, is not turned away.
         """
-        spread = self._selector.spread(work.service.service)
+        spread = self._selector.spread(context.service.service)
         lost = costs.deadline_miss_probability(
             bounds, first_ms, end_ms, spread
         )
-        if work.sent or lost <= DEADLINE_MISS_LIMIT:
+        if context.sent or lost <= DEADLINE_MISS_LIMIT:
             return
         if not self._is_enabled(mechanisms.Mechanism.REFUSING_HOPELESS):
             return
         logger.info(
             'hopeless',
-            request=work.call.request,
-            route=work.route.name,
+            request=context.call.request,
+            route=context.route.name,
             first_ms=round(first_ms),
             end_ms=round(end_ms),
             left_ms=round(bounds.deadline_left_ms),
         )
-        retry_after_ms = return_line.spread_ms(first_ms - work.route.target_ms)
+        retry_after_ms = return_line.spread_ms(
+            first_ms - context.route.target_ms
+        )
         raise UnmeetableDeadlineError(
             first_ms, max(retry_after_ms, MIN_RETRY_AFTER_MS)
         )
 
     def _refuse_if_slower(
         self,
-        work: works.CallContext,
+        context: works.CallContext,
         local: endpoint_selector.EndpointSelection | None,
     ) -> None:
-        limit_ms = work.hop.limit_ms
-        if limit_ms is None or work.sent or local is None:
+        limit_ms = context.hop.limit_ms
+        if limit_ms is None or context.sent or local is None:
             return
         if local.first_ms > limit_ms:
             raise BusyError(local.first_ms)
 
     def _select_local(
-        self, work: works.CallContext, bounds: costs.LatencyBounds
+        self, context: works.CallContext, bounds: costs.LatencyBounds
     ) -> endpoint_selector.EndpointSelection | None:
-        if not work.route.allows(self._region):
+        if not context.route.allows(self._region):
             return None
         return self._selector.select_endpoint(
-            work.service, work.route, work.call, work.attempted, bounds
+            context.service,
+            context.route,
+            context.call,
+            context.attempted,
+            bounds,
         )
 
     def _endpoint_destination(
         self,
-        work: works.CallContext,
+        context: works.CallContext,
         chosen: endpoint_selector.EndpointSelection | None,
     ) -> sending.Place | None:
         if chosen is None:
@@ -178,8 +184,8 @@
         said = chosen.found.said
         logger.info(
             'endpoint_chosen',
-            request=work.call.request,
-            route=work.route.name,
+            request=context.call.request,
+            route=context.route.name,
             endpoint=said.endpoint,
             first_ms=round(chosen.first_ms),
             expected_ms=round(chosen.estimate.first_ms),
@@ -190,7 +196,7 @@
             queued_tokens=round(chosen.estimate.queued_tokens),
             can_start_now=chosen.can_start_now,
             long_term=chosen.long_term,
-            tokens_in=work.call.tokens_in,
+            tokens_in=context.call.tokens_in,
             moved_tokens=round(chosen.moved_tokens),
             candidates=chosen.candidates,
             version=self._replica.current.routes.version,
@@ -203,21 +209,21 @@
         )
 
     def _best_remote_offer(
-        self, work: works.CallContext, bounds: costs.LatencyBounds
+        self, context: works.CallContext, bounds: costs.LatencyBounds
     ) -> tuple[remote_regions.RegionOffer | None, float]:
         """Return the best other region and what it costs."""
         best, best_ms = None, 0.0
-        spread = self._selector.spread(work.service.service)
-        for region in self._selector.allowed_remote_regions(work.route):
-            if region in work.refusing_regions:
+        spread = self._selector.spread(context.service.service)
+        for region in self._selector.allowed_remote_regions(context.route):
+            if region in context.refusing_regions:
                 continue
-            host = self._selector.select_host(region, work.attempted)
+            host = self._selector.select_host(region, context.attempted)
             if host is None and self._is_enabled(mechanisms.Mechanism.RELAYS):
-                host = self._find_relay_host(work, region)
+                host = self._find_relay_host(context, region)
             if host is None:
                 continue
             found = self._remote_regions.offer_for_call(
-                region, work.service, work.call, host
+                region, context.service, context.call, host
             )
             if found is None:
                 continue
@@ -225,44 +231,46 @@
                 bounds, found.first_ms, found.end_ms, spread
             )
             cost_ms += found.remote_prefill_ms + REMOTE_CALL_COST_MS
-            kb = len(work.call.body) / costs.BYTES_PER_KB
+            kb = len(context.call.body) / costs.BYTES_PER_KB
             cost_ms += kb * REMOTE_KB_COST_MS
             if best is None or cost_ms < best_ms:
                 best, best_ms = found, cost_ms
         return best, best_ms
 
     def _find_relay_host(
-        self, work: works.CallContext, region: ids.RegionId
+        self, context: works.CallContext, region: ids.RegionId
     ) -> attending.HostRecord | None:
         """Return a host by way of which a region can be reached."""
-        allowed = self._selector.allowed_remote_regions(work.route)
+        allowed = self._selector.allowed_remote_regions(context.route)
         for host in self._remote_regions.relays(region, allowed):
-            if host.host not in work.attempted:
+            if host.host not in context.attempted:
                 return host
         return None
 
     def _relay_destination(
-        self, work: works.CallContext, region: ids.RegionId
+        self, context: works.CallContext, region: ids.RegionId
     ) -> sending.Place | None:
         """Return the host that a call for a third region goes on to."""
-        if region in work.refusing_regions or not work.route.allows(region):
+        if region in context.refusing_regions or not context.route.allows(
+            region
+        ):
             return None
-        host = self._selector.select_host(region, work.attempted)
+        host = self._selector.select_host(region, context.attempted)
         if host is None:
             return None
         logger.info(
             'relayed',
-            request=work.call.request,
-            route=work.route.name,
+            request=context.call.request,
+            route=context.route.name,
             peer=host.host,
             region=region,
-            homes=list(work.route.homes),
+            homes=list(context.route.homes),
             version=self._replica.current.routes.version,
         )
         hop = msgspec.structs.replace(
-            work.hop,
+            context.hop,
             region=None,
-            attempts_left=work.runs_limit - work.runs,
+            attempts_left=context.runs_limit - context.runs,
         )
         return sending.Place(
             host.passing_address,
@@ -274,37 +282,37 @@
 
     def _host_destination(
         self,
-        work: works.CallContext,
+        context: works.CallContext,
         found: remote_regions.RegionOffer,
         local: endpoint_selector.EndpointSelection | None,
     ) -> sending.Place:
         # Where it is turned back, the way there and back is lost as well.
-        limit_ms = work.deadline_ms - self._clock.mono_ms()
+        limit_ms = context.deadline_ms - self._clock.mono_ms()
         if local is not None:
             limit_ms = min(limit_ms, local.first_ms)
         logger.info(
             'passed_on',
-            request=work.call.request,
-            route=work.route.name,
+            request=context.call.request,
+            route=context.route.name,
             peer=found.host.host,
             region=found.region,
             relayed=found.host.region != found.region,
             peer_region=found.host.region,
-            homes=list(work.route.homes),
+            homes=list(context.route.homes),
             version=self._replica.current.routes.version,
             first_ms=round(found.first_ms),
             here_ms=None if local is None else round(local.first_ms),
             limit_ms=int(limit_ms),
         )
         self._remote_regions.record_forwarded(
-            found.region, work.service, work.call
+            found.region, context.service, context.call
         )
         hop = passing.Hop(
             self._host,
-            work.route.name,
-            work.service.service,
+            context.route.name,
+            context.service.service,
             self._replica.current.index,
-            work.runs_limit - work.runs,
+            context.runs_limit - context.runs,
             int(limit_ms),
             found.region,
         )
