--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -405,7 +405,7 @@
     Switch(
         'once sent again after a loss',
         DECISIONS + 'serving/passthrough.py',
-        ('        if not work.route.repeatable:'),
+        ('        if not context.route.repeatable:'),
         ('        if False:'),
         ('tests/test_passing.py::test_broken_answer_is_never_passed_as_whole'),
     ),
@@ -445,7 +445,7 @@
         'a call keeps the homes of its arrival',
         DECISIONS + 'serving/passthrough.py',
         (
-            '            work.permit = self._access_control.renewed(work.call, work.permit)\n'
+            '            context.permit = self._access_control.renewed(context.call, context.permit)\n'
         ),
         (''),
         (
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -121,19 +121,19 @@
         if hop is not None:
             reply.runs = 0
         try:
-            work = await self._prepare_call(call, reply, hop)
-            if work is not None:
-                await self._serve_and_refund(work)
+            context = await self._prepare_call(call, reply, hop)
+            if context is not None:
+                await self._serve_and_refund(context)
         finally:
             self.in_flight -= 1
 
-    async def _serve_and_refund(self, work: works.CallContext) -> None:
+    async def _serve_and_refund(self, context: works.CallContext) -> None:
         """Serve a call; what it took and did not use is given back."""
         try:
-            await self._serve(work)
+            await self._serve(context)
         finally:
-            if not work.may_have_run:
-                self._limiter.give_back(work.taken)
+            if not context.may_have_run:
+                self._limiter.give_back(context.taken)
 
     async def _prepare_call(
         self,
@@ -303,52 +303,52 @@
             return hop.service
         return self._selector.draw(route.targets)
 
-    def _left_ms(self, work: works.CallContext) -> int:
-        return work.deadline_ms - self._clock.mono_ms()
+    def _left_ms(self, context: works.CallContext) -> int:
+        return context.deadline_ms - self._clock.mono_ms()
 
-    async def _serve(self, work: works.CallContext) -> None:
-        if work.hop is None:
+    async def _serve(self, context: works.CallContext) -> None:
+        if context.hop is None:
             # Counted where the caller sent it, and nowhere else.
-            self._retry_budget.first(work.service.service)
+            self._retry_budget.first(context.service.service)
         try:
-            async with clocks.timeout_ms(self._left_ms(work)):
-                if await self._run_attempts(work):
+            async with clocks.timeout_ms(self._left_ms(context)):
+                if await self._run_attempts(context):
                     return
         except TimeoutError:
-            work.cause = work.cause or 'timeout'
-            await self._give_up(work, GATEWAY_TIMEOUT)
+            context.cause = context.cause or 'timeout'
+            await self._give_up(context, GATEWAY_TIMEOUT)
             return
         except destinations.BusyError as error:
             logger.info(
                 'passed_back',
-                request=work.call.request,
+                request=context.call.request,
                 first_ms=round(error.first_ms),
-                limit_ms=work.hop.limit_ms,
+                limit_ms=context.hop.limit_ms,
             )
-            await work.reply.refuse(
+            await context.reply.refuse(
                 UNAVAILABLE, passing.Refusal.BUSY, int(error.first_ms)
             )
             return
         except errors.QuarantinedError as error:
-            if not work.may_have_run:
-                await self._refuse_quarantined(work, error)
+            if not context.may_have_run:
+                await self._refuse_quarantined(context, error)
                 return
-            work.cause = f'{work.cause} ({error})'
+            context.cause = f'{context.cause} ({error})'
         except destinations.UnmeetableDeadlineError as error:
-            work.cause = work.cause or 'hopeless'
-            work.retry_after_ms = error.retry_after_ms
+            context.cause = context.cause or 'hopeless'
+            context.retry_after_ms = error.retry_after_ms
         except errors.DeniedError as error:
-            if not work.may_have_run:
-                await self._deny(work.call, work.reply, error)
+            if not context.may_have_run:
+                await self._deny(context.call, context.reply, error)
                 return
-            work.cause = f'{work.cause} ({error})'
+            context.cause = f'{context.cause} ({error})'
         except protocol_errors.CallerGoneError:
-            logger.info('caller_gone', request=work.call.request)
+            logger.info('caller_gone', request=context.call.request)
             raise
-        await self._give_up(work, BAD_GATEWAY)
+        await self._give_up(context, BAD_GATEWAY)
 
     async def _refuse_quarantined(
-        self, work: works.CallContext, error: errors.QuarantinedError
+        self, context: works.CallContext, error: errors.QuarantinedError
     ) -> None:
         """Turn away at once what no endpoint is sent.
 
@@ -357,101 +357,105 @@
         """
         logger.info(
             'quarantine_refused',
-            request=work.call.request,
-            digest=work.call.digest,
+            request=context.call.request,
+            digest=context.call.digest,
             held_ms=error.held_ms,
         )
-        await work.reply.refuse(
+        await context.reply.refuse(
             UNAVAILABLE, passing.Refusal.QUARANTINED, error.held_ms
         )
 
-    async def _run_attempts(self, work: works.CallContext) -> bool:
+    async def _run_attempts(self, context: works.CallContext) -> bool:
         """Try until it is answered; False when it is given up.
 
         :raises QuarantinedError: no endpoint is sent it now
         """
-        while self._left_ms(work) > attempts.MIN_TIME_LEFT_MS:
-            held_ms = self._guard.refuse(work.call.digest)
+        while self._left_ms(context) > attempts.MIN_TIME_LEFT_MS:
+            held_ms = self._guard.refuse(context.call.digest)
             if held_ms is not None:
                 raise errors.QuarantinedError(held_ms)
-            work.permit = self._access_control.renewed(work.call, work.permit)
-            place = self._destinations.next_destination(work)
+            context.permit = self._access_control.renewed(
+                context.call, context.permit
+            )
+            place = self._destinations.next_destination(context)
             if place is None:
-                work.cause = work.cause or 'no_endpoint'
+                context.cause = context.cause or 'no_endpoint'
                 return False
             # Before the budget of repeats, which a call that is not sent
             # leaves as it is.
-            if not await self._attempts.admit(work, place):
-                if work.permit_rejections >= PERMIT_REJECTIONS_LIMIT:
+            if not await self._attempts.admit(context, place):
+                if context.permit_rejections >= PERMIT_REJECTIONS_LIMIT:
                     return False
                 continue
-            if work.sent and not self._retry_budget.spend(
-                work.service.service
+            if context.sent and not self._retry_budget.spend(
+                context.service.service
             ):
-                work.cause = f'{work.cause} (no retry left)'
+                context.cause = f'{context.cause} (no retry left)'
                 return False
-            work.attempted.add(place.name)
-            if await self._attempts.make(work, place):
+            context.attempted.add(place.name)
+            if await self._attempts.make(context, place):
                 return True
-            if not self._may_retry(work):
+            if not self._may_retry(context):
                 return False
-        work.cause = work.cause or 'timeout'
+        context.cause = context.cause or 'timeout'
         return False
 
-    def _may_retry(self, work: works.CallContext) -> bool:
-        if work.unexecuted_sends >= UNEXECUTED_SENDS_LIMIT:
+    def _may_retry(self, context: works.CallContext) -> bool:
+        if context.unexecuted_sends >= UNEXECUTED_SENDS_LIMIT:
             return False
-        if not work.may_have_run:
+        if not context.may_have_run:
             return True
-        if not work.route.repeatable:
+        if not context.route.repeatable:
             return False
-        return work.runs < work.runs_limit
+        return context.runs < context.runs_limit
 
-    async def _give_up(self, work: works.CallContext, status: int) -> None:
+    async def _give_up(self, context: works.CallContext, status: int) -> None:
         """Give the final answer, at once, and say whether it has run."""
-        if not work.may_have_run:
+        if not context.may_have_run:
             status = UNAVAILABLE
         logger.warning(
             'gave_up',
-            request=work.call.request,
-            route=work.route.name,
+            request=context.call.request,
+            route=context.route.name,
             status=status,
-            cause=work.cause,
-            runs=work.runs,
-            unexecuted_sends=work.unexecuted_sends,
-            left_ms=self._left_ms(work),
-            held_ms=self._clock.mono_ms() - work.call.arrived_ms,
-            free_slots=self._selector.free_slots(work.service),
-            pieces=0 if work.tracker is None else work.tracker.count,
+            cause=context.cause,
+            runs=context.runs,
+            unexecuted_sends=context.unexecuted_sends,
+            left_ms=self._left_ms(context),
+            held_ms=self._clock.mono_ms() - context.call.arrived_ms,
+            free_slots=self._selector.free_slots(context.service),
+            pieces=0 if context.tracker is None else context.tracker.count,
         )
-        if work.reply.started:
-            work.reply.abort()
+        if context.reply.started:
+            context.reply.abort()
             return
-        if work.kept is not None:
-            kept = work.kept
-            await work.reply.whole(kept.status, kept.fields, kept.body)
+        if context.kept is not None:
+            kept = context.kept
+            await context.reply.whole(kept.status, kept.fields, kept.body)
             return
         retry_after_ms = None
         if status == UNAVAILABLE:
-            retry_after_ms = work.retry_after_ms or self._retry_hint_ms(work)
+            retry_after_ms = context.retry_after_ms or self._retry_hint_ms(
+                context
+            )
         reason = (
-            passing.Refusal.GAVE_UP if work.sent else passing.Refusal.UNSENT
+            passing.Refusal.GAVE_UP if context.sent else passing.Refusal.UNSENT
         )
-        await work.reply.refuse(status, reason, retry_after_ms)
+        await context.reply.refuse(status, reason, retry_after_ms)
 
-    def _retry_hint_ms(self, work: works.CallContext) -> int:
+    def _retry_hint_ms(self, context: works.CallContext) -> int:
         """Return when a caller that found no endpoint should come back.
 
         Callers that are sent away together are spread.
         """
         known_ms = self._selector.return_in_ms(
-            work.service, work.permit.urgency
+            context.service, context.permit.urgency
         )
         if known_ms is None:
-            known_ms = work.remote_retry_after_ms or RETRY_AFTER_MS
+            known_ms = context.remote_retry_after_ms or RETRY_AFTER_MS
         urgency = 0
-        if self._selector.backs_off(work.service):
-            urgency = work.permit.urgency
+        if self._selector.backs_off(context.service):
+            urgency = context.permit.urgency
         return return_line.spread_ms(known_ms, urgency)
 
     async def drain(self, timeout_ms: int) -> bool:
