--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -570,7 +570,7 @@
     Switch(
         'runs elsewhere not counted',
         DECISIONS + 'serving/attempts.py',
-        ('            work.count_runs(answer.runs - 1)\n'),
+        ('            context.count_runs(answer.runs - 1)\n'),
         ('            pass\n'),
         ('tests/test_far.py::test_runs_elsewhere_count_against_the_attempts'),
     ),
--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -67,38 +67,40 @@
         self._clock = clock
 
     async def run_attempt(
-        self, work: works.CallContext, place: sending.Place
+        self, context: works.CallContext, place: sending.Place
     ) -> bool:
         """Send once; return whether the caller has its answer."""
         counts = self._selector.in_flight
         counts[place.name] = counts.get(place.name, 0) + 1
-        last_event = work.call.last_event
-        if work.tracker is not None and work.tracker.last_id is not None:
-            last_event = work.tracker.last_id
-        self._record_send(work, place)
+        last_event = context.call.last_event
+        if context.tracker is not None and context.tracker.last_id is not None:
+            last_event = context.tracker.last_id
+        self._record_send(context, place)
         # Counts as run until a response or error proves otherwise.
-        work.sent += 1
-        work.count_runs(1)
+        context.sent += 1
+        context.count_runs(1)
         try:
-            async with self._abort_if_host_unreachable(work, place):
+            async with self._abort_if_host_unreachable(context, place):
                 async with self._sender.send(
-                    work.call,
-                    work.permit,
+                    context.call,
+                    context.permit,
                     place,
-                    self._left_ms(work),
+                    self._left_ms(context),
                     last_event,
                 ) as answer:
-                    return await self._handle_response(work, place, answer)
+                    return await self._handle_response(context, place, answer)
         except errors.HeldBackError:
-            work.sent -= 1
-            work.mark_not_run()
-            self._on_send_aborted(work, place)
+            context.sent -= 1
+            context.mark_not_run()
+            self._on_send_aborted(context, place)
         except errors.NotSentError as error:
-            work.sent -= 1
-            work.mark_not_run()
-            self._on_failure(work, place, f'not sent: {error}', certain=True)
+            context.sent -= 1
+            context.mark_not_run()
+            self._on_failure(
+                context, place, f'not sent: {error}', certain=True
+            )
         except errors.MaybeSentError as error:
-            self._on_failure(work, place, str(error))
+            self._on_failure(context, place, str(error))
         finally:
             self._estimator.record_prefilled(
                 place.endpoint, place.prefill_model
@@ -109,74 +111,77 @@
         return False
 
     async def acquire_permit(
-        self, work: works.CallContext, place: sending.Place
+        self, context: works.CallContext, place: sending.Place
     ) -> bool:
         """Acquire a permit to send; False where the endpoint takes no more."""
         try:
-            await self._sender.admit(place, _permit_rank(work, place))
+            await self._sender.admit(place, _permit_rank(context, place))
         except errors.EndpointBusyError as error:
-            work.permit_rejections += 1
-            work.cause = str(error)
+            context.permit_rejections += 1
+            context.cause = str(error)
             logger.info(
                 'over_endpoint_limit',
-                request=work.call.request,
-                route=work.route.name,
+                request=context.call.request,
+                route=context.route.name,
                 endpoint=error.endpoint,
                 wait_ms=error.wait_ms,
             )
             return False
         return True
 
-    def _left_ms(self, work: works.CallContext) -> int:
-        return work.deadline_ms - self._clock.mono_ms()
+    def _left_ms(self, context: works.CallContext) -> int:
+        return context.deadline_ms - self._clock.mono_ms()
 
     def _record_send(
-        self, work: works.CallContext, place: sending.Place
+        self, context: works.CallContext, place: sending.Place
     ) -> None:
         place.sent_ms = self._clock.mono_ms()
         if place.chosen is None:
             return
         place.prefill_model = self._estimator.record_sent(
-            place.endpoint, work.service, work.call, place.chosen.estimate
+            place.endpoint,
+            context.service,
+            context.call,
+            place.chosen.estimate,
         )
         if self._broadcaster is not None and place.prefill_model is not None:
             self._broadcaster.note(
                 place.endpoint,
                 place.chosen.estimate.uncached_tokens,
-                work.call.parts,
-                work.call.tokens_expected,
+                context.call.parts,
+                context.call.tokens_expected,
             )
 
     def _record_first_piece(
-        self, work: works.CallContext, place: sending.Place
+        self, context: works.CallContext, place: sending.Place
     ) -> None:
         """Record the time to the first piece of a response."""
-        work.first_piece_at_ms = self._clock.mono_ms()
-        took_ms = work.first_piece_at_ms - place.sent_ms
+        context.first_piece_at_ms = self._clock.mono_ms()
+        took_ms = context.first_piece_at_ms - place.sent_ms
         if place.region is not None:
             return
         self._estimator.record_prefilled(place.endpoint, place.prefill_model)
         self._estimator.record_first_piece(
-            place.endpoint, work.service, place.chosen.estimate, took_ms
+            place.endpoint, context.service, place.chosen.estimate, took_ms
         )
 
     @contextlib.asynccontextmanager
     async def _abort_if_host_unreachable(
-        self, work: works.CallContext, place: sending.Place
+        self, context: works.CallContext, place: sending.Place
     ) -> collections.abc.AsyncIterator[None]:
         """Give up on a host that falls silent, if the call may be retried.
 
         A call that may not run twice waits: the response may come once a
         partition has healed.
         """
-        if place.host is None or not work.route.repeatable:
+        if place.host is None or not context.route.repeatable:
             yield
             return
         try:
             async with clocks.timeout_ms(None) as bound:
 
                 def lost() -> None:
-                    if not work.reply.started:
+                    if not context.reply.started:
                         now_s = asyncio.get_running_loop().time()
                         bound.reschedule(now_s)
 
@@ -189,12 +194,12 @@
 
     def _on_failure(
         self,
-        work: works.CallContext,
+        context: works.CallContext,
         place: sending.Place,
         cause: str,
         certain: bool = False,
     ) -> None:
-        work.cause = cause
+        context.cause = cause
         if place.host is None or not place.answered:
             # A host that answers and breaks off lost its endpoint.
             self._outlier_detector.failed(
@@ -202,16 +207,16 @@
             )
         logger.warning(
             'try_failed',
-            request=work.call.request,
-            digest=work.call.digest,
+            request=context.call.request,
+            digest=context.call.digest,
             place=place.name,
             cause=cause,
-            runs=work.runs,
-            left_ms=self._left_ms(work),
+            runs=context.runs,
+            left_ms=self._left_ms(context),
         )
 
     def _on_send_aborted(
-        self, work: works.CallContext, place: sending.Place
+        self, context: works.CallContext, place: sending.Place
     ) -> None:
         """Record that a send was rejected by a check at send time.
 
@@ -219,77 +224,77 @@
         not where the permit expired on the way.
         """
         if place.send_permit is None or place.send_permit.is_valid():
-            work.attempted.discard(place.name)
-        work.cause = f'{place.name}: may not go there any more'
+            context.attempted.discard(place.name)
+        context.cause = f'{place.name}: may not go there any more'
         logger.warning(
             'held_back',
-            request=work.call.request,
-            route=work.route.name,
+            request=context.call.request,
+            route=context.route.name,
             place=place.name,
             remote_regions=list(place.regions),
-            homes_before=list(work.route.homes),
+            homes_before=list(context.route.homes),
         )
 
     async def _handle_response(
         self,
-        work: works.CallContext,
+        context: works.CallContext,
         place: sending.Place,
         answer: sending.Answer,
     ) -> bool:
         """Pass a response on, or hold it back where another attempt is due."""
         place.answered = True
-        if work.kept is not None and answer.refused is None:
+        if context.kept is not None and answer.refused is None:
             self._retry_outcomes.record_outcome(
-                work.route.name, answer.status in OK_STATUSES
+                context.route.name, answer.status in OK_STATUSES
             )
         if place.host is not None:
-            work.count_runs(answer.runs - 1)
+            context.count_runs(answer.runs - 1)
         if answer.verdict is sending.Verdict.NOT_HERE:
-            work.mark_not_run()
-            work.cause = 'not here any more'
+            context.mark_not_run()
+            context.cause = 'not here any more'
             # Nothing of this life of it will come back.
             self._discovery.withdraw(
                 place.endpoint, place.chosen.found.said.born_ms
             )
             return False
         if answer.verdict is sending.Verdict.NOT_RUN:
-            work.mark_not_run()
-            work.cause = f'endpoint refused with {answer.status}'
+            context.mark_not_run()
+            context.cause = f'endpoint refused with {answer.status}'
             return False
         if answer.refused is not None:
-            return await self._handle_refusal(work, place, answer)
+            return await self._handle_refusal(context, place, answer)
         if answer.status in SERVER_ERRORS:
             self._outlier_detector.failed(
                 place.address, f'status {answer.status}', place.sent_ms
             )
-            if self._can_resend(work) and self._retry_outcomes.is_worthwhile(
-                work.route.name
-            ):
-                work.cause = f'status {answer.status}'
+            if self._can_resend(
+                context
+            ) and self._retry_outcomes.is_worthwhile(context.route.name):
+                context.cause = f'status {answer.status}'
                 body = await answer.whole(BUFFERED_BODY_LIMIT_BYTES)
-                work.kept = works.RetainedResponse(
+                context.kept = works.RetainedResponse(
                     answer.status, answer.fields, body
                 )
                 return False
         else:
             self._outlier_detector.succeeded(place.address)
-        if work.tracker is not None:
-            return await self._resume_stream(work, place, answer)
-        if work.route.kind is routes.RouteKind.STREAM and (
+        if context.tracker is not None:
+            return await self._resume_stream(context, place, answer)
+        if context.route.kind is routes.RouteKind.STREAM and (
             answer.status in OK_STATUSES
         ):
-            await self._forward_stream(work, place, answer)
+            await self._forward_stream(context, place, answer)
             return True
         body = await answer.whole(BUFFERED_BODY_LIMIT_BYTES)
         if answer.status in OK_STATUSES:
-            self._record_first_piece(work, place)
-        await work.reply.whole(answer.status, answer.fields, body)
-        self._log_answered(work, place, answer.status)
+            self._record_first_piece(context, place)
+        await context.reply.whole(answer.status, answer.fields, body)
+        self._log_answered(context, place, answer.status)
         return True
 
     async def _handle_refusal(
         self,
-        work: works.CallContext,
+        context: works.CallContext,
         place: sending.Place,
         answer: sending.Answer,
     ) -> bool:
@@ -298,164 +303,168 @@
         :raises UnknownKeyError: by its configuration, which is no older
         :raises QuarantinedError: it knows that endpoints ended under it
         """
-        work.cause = f'{place.name}: {answer.refused}'
+        context.cause = f'{place.name}: {answer.refused}'
         if answer.status == UNAVAILABLE:
-            work.unexecuted_sends += 1
+            context.unexecuted_sends += 1
         if answer.refused in passing.NOTHING_SENT:
-            work.sent -= 1
+            context.sent -= 1
         if answer.refused is passing.Refusal.UNSENT:
-            work.remote_retry_after_ms = int(answer.retry_after_ms) or None
+            context.remote_retry_after_ms = int(answer.retry_after_ms) or None
         if answer.refused in (passing.Refusal.UNSENT, passing.Refusal.BUSY):
-            work.refusing_regions.add(place.region)
+            context.refusing_regions.add(place.region)
         if answer.refused == passing.Refusal.UNKNOWN_KEY:
-            raise errors.UnknownKeyError(work.cause)
+            raise errors.UnknownKeyError(context.cause)
         if answer.refused == passing.Refusal.QUARANTINED:
             raise errors.QuarantinedError(int(answer.retry_after_ms))
         if answer.refused == passing.Refusal.BUSY:
             self._remote_regions.record_busy(
-                place.region, work.service.service, answer.retry_after_ms
+                place.region, context.service.service, answer.retry_after_ms
             )
         return False
 
-    def _can_resend(self, work: works.CallContext) -> bool:
+    def _can_resend(self, context: works.CallContext) -> bool:
         return (
-            work.route.repeatable
-            and not work.reply.started
-            and work.runs < work.runs_limit
-            and self._left_ms(work) > MIN_TIME_LEFT_MS
+            context.route.repeatable
+            and not context.reply.started
+            and context.runs < context.runs_limit
+            and self._left_ms(context) > MIN_TIME_LEFT_MS
         )
 
     # Streams.
 
     async def _forward_stream(
         self,
-        work: works.CallContext,
+        context: works.CallContext,
         place: sending.Place,
         answer: sending.Answer,
     ) -> None:
         """Pass a stream on; the head is sent with the first piece."""
-        tracker = event_tracker.EventTracker(whole_only=work.route.resumable)
-        await self._forward_events(work, place, answer, tracker)
-        await self._end_stream(work, place, answer, tracker)
+        tracker = event_tracker.EventTracker(
+            whole_only=context.route.resumable
+        )
+        await self._forward_events(context, place, answer, tracker)
+        await self._end_stream(context, place, answer, tracker)
 
     async def _forward_events(
         self,
-        work: works.CallContext,
+        context: works.CallContext,
         place: sending.Place,
         answer: sending.Answer,
         tracker: event_tracker.EventTracker,
     ) -> None:
         """Pass events on, and record the engine's pace."""
-        with self._gap_recorder(work, place) as paced:
+        with self._gap_recorder(context, place) as paced:
             async for chunk in answer.chunks():
                 data = tracker.feed(chunk)
                 if not data:
                     continue
-                if not work.reply.started:
-                    self._record_first_piece(work, place)
-                    await work.reply.open(answer.status, answer.fields)
-                    work.tracker = tracker
-                work.record_piece(self._clock.mono_ms())
+                if not context.reply.started:
+                    self._record_first_piece(context, place)
+                    await context.reply.open(answer.status, answer.fields)
+                    context.tracker = tracker
+                context.record_piece(self._clock.mono_ms())
                 paced.record_piece()
-                await work.reply.write(data)
+                await context.reply.write(data)
 
     def _gap_recorder(
-        self, work: works.CallContext, place: sending.Place
+        self, context: works.CallContext, place: sending.Place
     ) -> paces.StreamGapRecorder:
         tokens = 1
-        if work.service.batch is not None:
-            tokens = work.service.batch.event_tokens
+        if context.service.batch is not None:
+            tokens = context.service.batch.event_tokens
         return paces.StreamGapRecorder(
             self._estimator.engine_pace,
             place.endpoint,
             tokens,
-            work.route.pause_target_ms,
+            context.route.pause_target_ms,
         )
 
     async def _end_stream(
         self,
-        work: works.CallContext,
+        context: works.CallContext,
         place: sending.Place,
         answer: sending.Answer,
         tracker: event_tracker.EventTracker,
     ) -> None:
-        if not work.reply.started:
-            await work.reply.open(answer.status, answer.fields)
+        if not context.reply.started:
+            await context.reply.open(answer.status, answer.fields)
         rest = tracker.take_remainder()
         if rest:
-            await work.reply.write(rest)
-        await work.reply.end()
-        self._log_answered(work, place, answer.status, tracker.count)
+            await context.reply.write(rest)
+        await context.reply.end()
+        self._log_answered(context, place, answer.status, tracker.count)
 
     async def _resume_stream(
         self,
-        work: works.CallContext,
+        context: works.CallContext,
         place: sending.Place,
         answer: sending.Answer,
     ) -> bool:
         """Continue a stream that another endpoint began."""
         if answer.status not in OK_STATUSES:
-            work.cause = f'not resumed: status {answer.status}'
+            context.cause = f'not resumed: status {answer.status}'
             return False
         logger.info(
             'stream_resumed',
-            request=work.call.request,
-            last_event=work.tracker.last_id,
+            request=context.call.request,
+            last_event=context.tracker.last_id,
         )
-        work.tracker.discard_partial()
-        await self._forward_events(work, place, answer, work.tracker)
-        await self._end_stream(work, place, answer, work.tracker)
+        context.tracker.discard_partial()
+        await self._forward_events(context, place, answer, context.tracker)
+        await self._end_stream(context, place, answer, context.tracker)
         return True
 
     def _log_answered(
         self,
-        work: works.CallContext,
+        context: works.CallContext,
         place: sending.Place,
         status: int,
         pieces: int = 1,
     ) -> None:
         now_ms = self._clock.mono_ms()
-        first_ms = (work.first_piece_at_ms or now_ms) - work.call.arrived_ms
+        first_ms = (
+            context.first_piece_at_ms or now_ms
+        ) - context.call.arrived_ms
         logger.info(
             'answered',
-            request=work.call.request,
-            route=work.route.name,
+            request=context.call.request,
+            route=context.route.name,
             place=place.name,
             status=status,
             first_ms=first_ms,
-            target_ms=work.route.target_ms,
-            whole_ms=now_ms - work.call.arrived_ms,
+            target_ms=context.route.target_ms,
+            whole_ms=now_ms - context.call.arrived_ms,
             pieces=pieces,
-            longest_pause_ms=work.longest_pause_ms,
-            pause_target_ms=work.route.pause_target_ms,
+            longest_pause_ms=context.longest_pause_ms,
+            pause_target_ms=context.route.pause_target_ms,
             expected_ms=place.expected_ms,
-            took_ms=self._time_to_first_ms(work, place),
-            runs=work.runs,
-            unexecuted_sends=work.unexecuted_sends,
+            took_ms=self._time_to_first_ms(context, place),
+            runs=context.runs,
+            unexecuted_sends=context.unexecuted_sends,
         )
 
     @staticmethod
     def _time_to_first_ms(
-        work: works.CallContext, place: sending.Place
+        context: works.CallContext, place: sending.Place
     ) -> int | None:
         """Return how long the first piece took after the call was sent.
 
         None where another endpoint gave it.
         """
         if (
-            work.first_piece_at_ms is None
-            or work.first_piece_at_ms < place.sent_ms
+            context.first_piece_at_ms is None
+            or context.first_piece_at_ms < place.sent_ms
         ):
             return None
-        return work.first_piece_at_ms - place.sent_ms
+        return context.first_piece_at_ms - place.sent_ms
 
 
-def _permit_rank(work: works.CallContext, place: sending.Place) -> int:
+def _permit_rank(context: works.CallContext, place: sending.Place) -> int:
     """Return a call's rank among those that want the same endpoint.
 
     A stream that another endpoint began goes first.
     """
-    if work.tracker is not None or place.chosen is None:
+    if context.tracker is not None or place.chosen is None:
         return endpoint_limits.FIRST_RANK
-    kept = place.chosen.estimate.uncached_tokens < work.call.tokens_in
-    return endpoint_limits.rank_of(work.permit.urgency, kept)
+    kept = place.chosen.estimate.uncached_tokens < context.call.tokens_in
+    return endpoint_limits.rank_of(context.permit.urgency, kept)
