--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -67,55 +67,59 @@
         self._clock = clock
 
     async def run_attempt(
-        self, context: works.CallContext, place: sending.Place
+        self, context: works.CallContext, destination: sending.Place
     ) -> bool:
         """Send once; return whether the caller has its answer."""
         counts = self._selector.in_flight
-        counts[place.name] = counts.get(place.name, 0) + 1
+        counts[destination.name] = counts.get(destination.name, 0) + 1
         last_event = context.call.last_event
         if context.tracker is not None and context.tracker.last_id is not None:
             last_event = context.tracker.last_id
-        self._record_send(context, place)
+        self._record_send(context, destination)
         # Counts as run until a response or error proves otherwise.
         context.sent += 1
         context.count_runs(1)
         try:
-            async with self._abort_if_host_unreachable(context, place):
+            async with self._abort_if_host_unreachable(context, destination):
                 async with self._sender.send(
                     context.call,
                     context.permit,
-                    place,
+                    destination,
                     self._left_ms(context),
                     last_event,
                 ) as answer:
-                    return await self._handle_response(context, place, answer)
+                    return await self._handle_response(
+                        context, destination, answer
+                    )
         except errors.HeldBackError:
             context.sent -= 1
             context.mark_not_run()
-            self._on_send_aborted(context, place)
+            self._on_send_aborted(context, destination)
         except errors.NotSentError as error:
             context.sent -= 1
             context.mark_not_run()
             self._on_failure(
-                context, place, f'not sent: {error}', certain=True
+                context, destination, f'not sent: {error}', certain=True
             )
         except errors.MaybeSentError as error:
-            self._on_failure(context, place, str(error))
+            self._on_failure(context, destination, str(error))
         finally:
             self._estimator.record_prefilled(
-                place.endpoint, place.prefill_model
+                destination.endpoint, destination.prefill_model
             )
-            counts[place.name] -= 1
-            if not counts[place.name]:
-                del counts[place.name]
+            counts[destination.name] -= 1
+            if not counts[destination.name]:
+                del counts[destination.name]
         return False
 
     async def acquire_permit(
-        self, context: works.CallContext, place: sending.Place
+        self, context: works.CallContext, destination: sending.Place
     ) -> bool:
         """Acquire a permit to send; False where the endpoint takes no more."""
         try:
-            await self._sender.admit(place, _permit_rank(context, place))
+            await self._sender.admit(
+                destination, _permit_rank(context, destination)
+            )
         except errors.EndpointBusyError as error:
             context.permit_rejections += 1
             context.cause = str(error)
@@ -133,48 +137,56 @@
         return context.deadline_ms - self._clock.mono_ms()
 
     def _record_send(
-        self, context: works.CallContext, place: sending.Place
+        self, context: works.CallContext, destination: sending.Place
     ) -> None:
-        place.sent_ms = self._clock.mono_ms()
-        if place.chosen is None:
+        destination.sent_ms = self._clock.mono_ms()
+        if destination.chosen is None:
             return
-        place.prefill_model = self._estimator.record_sent(
-            place.endpoint,
+        destination.prefill_model = self._estimator.record_sent(
+            destination.endpoint,
             context.service,
             context.call,
-            place.chosen.estimate,
+            destination.chosen.estimate,
         )
-        if self._broadcaster is not None and place.prefill_model is not None:
+        if (
+            self._broadcaster is not None
+            and destination.prefill_model is not None
+        ):
             self._broadcaster.note(
-                place.endpoint,
-                place.chosen.estimate.uncached_tokens,
+                destination.endpoint,
+                destination.chosen.estimate.uncached_tokens,
                 context.call.parts,
                 context.call.tokens_expected,
             )
 
     def _record_first_piece(
-        self, context: works.CallContext, place: sending.Place
+        self, context: works.CallContext, destination: sending.Place
     ) -> None:
         """Record the time to the first piece of a response."""
         context.first_piece_at_ms = self._clock.mono_ms()
-        took_ms = context.first_piece_at_ms - place.sent_ms
-        if place.region is not None:
+        took_ms = context.first_piece_at_ms - destination.sent_ms
+        if destination.region is not None:
             return
-        self._estimator.record_prefilled(place.endpoint, place.prefill_model)
+        self._estimator.record_prefilled(
+            destination.endpoint, destination.prefill_model
+        )
         self._estimator.record_first_piece(
-            place.endpoint, context.service, place.chosen.estimate, took_ms
+            destination.endpoint,
+            context.service,
+            destination.chosen.estimate,
+            took_ms,
         )
 
     @contextlib.asynccontextmanager
     async def _abort_if_host_unreachable(
-        self, context: works.CallContext, place: sending.Place
+        self, context: works.CallContext, destination: sending.Place
     ) -> collections.abc.AsyncIterator[None]:
         """Give up on a host that falls silent, if the call may be retried.
 
         A call that may not run twice waits: the response may come once a
         partition has healed.
         """
-        if place.host is None or not context.route.repeatable:
+        if destination.host is None or not context.route.repeatable:
             yield
             return
         try:
@@ -185,7 +197,7 @@
                         now_s = asyncio.get_running_loop().time()
                         bound.reschedule(now_s)
 
-                with self._pinger.watching(place.host, lost):
+                with self._pinger.watching(destination.host, lost):
                     yield
         except TimeoutError as error:
             if not bound.expired():
@@ -195,66 +207,69 @@
     def _on_failure(
         self,
         context: works.CallContext,
-        place: sending.Place,
+        destination: sending.Place,
         cause: str,
         certain: bool = False,
     ) -> None:
         context.cause = cause
-        if place.host is None or not place.answered:
+        if destination.host is None or not destination.answered:
             # A host that answers and breaks off lost its endpoint.
             self._outlier_detector.failed(
-                place.address, cause, place.sent_ms, certain
+                destination.address, cause, destination.sent_ms, certain
             )
         logger.warning(
             'try_failed',
             request=context.call.request,
             digest=context.call.digest,
-            place=place.name,
+            destination=destination.name,
             cause=cause,
             runs=context.runs,
             left_ms=self._left_ms(context),
         )
 
     def _on_send_aborted(
-        self, context: works.CallContext, place: sending.Place
+        self, context: works.CallContext, destination: sending.Place
     ) -> None:
         """Record that a send was rejected by a check at send time.
 
         Where another team holds its key now, the place may be tried again;
         not where the permit expired on the way.
         """
-        if place.send_permit is None or place.send_permit.is_valid():
-            context.attempted.discard(place.name)
-        context.cause = f'{place.name}: may not go there any more'
+        if (
+            destination.send_permit is None
+            or destination.send_permit.is_valid()
+        ):
+            context.attempted.discard(destination.name)
+        context.cause = f'{destination.name}: may not go there any more'
         logger.warning(
             'held_back',
             request=context.call.request,
             route=context.route.name,
-            place=place.name,
-            remote_regions=list(place.regions),
+            destination=destination.name,
+            remote_regions=list(destination.regions),
             homes_before=list(context.route.homes),
         )
 
     async def _handle_response(
         self,
         context: works.CallContext,
-        place: sending.Place,
+        destination: sending.Place,
         answer: sending.Answer,
     ) -> bool:
         """Pass a response on, or hold it back where another attempt is due."""
-        place.answered = True
+        destination.answered = True
         if context.kept is not None and answer.refused is None:
             self._retry_outcomes.record_outcome(
                 context.route.name, answer.status in OK_STATUSES
             )
-        if place.host is not None:
+        if destination.host is not None:
             context.count_runs(answer.runs - 1)
         if answer.verdict is sending.Verdict.NOT_HERE:
             context.mark_not_run()
             context.cause = 'not here any more'
             # Nothing of this life of it will come back.
             self._discovery.withdraw(
-                place.endpoint, place.chosen.found.said.born_ms
+                destination.endpoint, destination.chosen.found.said.born_ms
             )
             return False
         if answer.verdict is sending.Verdict.NOT_RUN:
@@ -262,10 +277,12 @@
             context.cause = f'endpoint refused with {answer.status}'
             return False
         if answer.refused is not None:
-            return await self._handle_refusal(context, place, answer)
+            return await self._handle_refusal(context, destination, answer)
         if answer.status in SERVER_ERRORS:
             self._outlier_detector.failed(
-                place.address, f'status {answer.status}', place.sent_ms
+                destination.address,
+                f'status {answer.status}',
+                destination.sent_ms,
             )
             if self._can_resend(
                 context
@@ -277,25 +294,25 @@
                 )
                 return False
         else:
-            self._outlier_detector.succeeded(place.address)
+            self._outlier_detector.succeeded(destination.address)
         if context.tracker is not None:
-            return await self._resume_stream(context, place, answer)
+            return await self._resume_stream(context, destination, answer)
         if context.route.kind is routes.RouteKind.STREAM and (
             answer.status in OK_STATUSES
         ):
-            await self._forward_stream(context, place, answer)
+            await self._forward_stream(context, destination, answer)
             return True
         body = await answer.whole(BUFFERED_BODY_LIMIT_BYTES)
         if answer.status in OK_STATUSES:
-            self._record_first_piece(context, place)
+            self._record_first_piece(context, destination)
         await context.reply.whole(answer.status, answer.fields, body)
-        self._log_answered(context, place, answer.status)
+        self._log_answered(context, destination, answer.status)
         return True
 
     async def _handle_refusal(
         self,
         context: works.CallContext,
-        place: sending.Place,
+        destination: sending.Place,
         answer: sending.Answer,
     ) -> bool:
         """Take the refusal of a host of another region.
@@ -303,7 +320,7 @@
         :raises UnknownKeyError: by its configuration, which is no older
         :raises QuarantinedError: it knows that endpoints ended under it
         """
-        context.cause = f'{place.name}: {answer.refused}'
+        context.cause = f'{destination.name}: {answer.refused}'
         if answer.status == UNAVAILABLE:
             context.unexecuted_sends += 1
         if answer.refused in passing.NOTHING_SENT:
@@ -311,14 +328,16 @@
         if answer.refused is passing.Refusal.UNSENT:
             context.remote_retry_after_ms = int(answer.retry_after_ms) or None
         if answer.refused in (passing.Refusal.UNSENT, passing.Refusal.BUSY):
-            context.refusing_regions.add(place.region)
+            context.refusing_regions.add(destination.region)
         if answer.refused == passing.Refusal.UNKNOWN_KEY:
             raise errors.UnknownKeyError(context.cause)
         if answer.refused == passing.Refusal.QUARANTINED:
             raise errors.QuarantinedError(int(answer.retry_after_ms))
         if answer.refused == passing.Refusal.BUSY:
             self._remote_regions.record_busy(
-                place.region, context.service.service, answer.retry_after_ms
+                destination.region,
+                context.service.service,
+                answer.retry_after_ms,
             )
         return False
 
@@ -335,31 +354,31 @@
     async def _forward_stream(
         self,
         context: works.CallContext,
-        place: sending.Place,
+        destination: sending.Place,
         answer: sending.Answer,
     ) -> None:
         """Pass a stream on; the head is sent with the first piece."""
         tracker = event_tracker.EventTracker(
             whole_only=context.route.resumable
         )
-        await self._forward_events(context, place, answer, tracker)
-        await self._end_stream(context, place, answer, tracker)
+        await self._forward_events(context, destination, answer, tracker)
+        await self._end_stream(context, destination, answer, tracker)
 
     async def _forward_events(
         self,
         context: works.CallContext,
-        place: sending.Place,
+        destination: sending.Place,
         answer: sending.Answer,
         tracker: event_tracker.EventTracker,
     ) -> None:
         """Pass events on, and record the engine's pace."""
-        with self._gap_recorder(context, place) as paced:
+        with self._gap_recorder(context, destination) as paced:
             async for chunk in answer.chunks():
                 data = tracker.feed(chunk)
                 if not data:
                     continue
                 if not context.reply.started:
-                    self._record_first_piece(context, place)
+                    self._record_first_piece(context, destination)
                     await context.reply.open(answer.status, answer.fields)
                     context.tracker = tracker
                 context.record_piece(self._clock.mono_ms())
@@ -367,14 +386,14 @@
                 await context.reply.write(data)
 
     def _gap_recorder(
-        self, context: works.CallContext, place: sending.Place
+        self, context: works.CallContext, destination: sending.Place
     ) -> paces.StreamGapRecorder:
         tokens = 1
         if context.service.batch is not None:
             tokens = context.service.batch.event_tokens
         return paces.StreamGapRecorder(
             self._estimator.engine_pace,
-            place.endpoint,
+            destination.endpoint,
             tokens,
             context.route.pause_target_ms,
         )
@@ -382,7 +401,7 @@
     async def _end_stream(
         self,
         context: works.CallContext,
-        place: sending.Place,
+        destination: sending.Place,
         answer: sending.Answer,
         tracker: event_tracker.EventTracker,
     ) -> None:
@@ -392,12 +411,12 @@
         if rest:
             await context.reply.write(rest)
         await context.reply.end()
-        self._log_answered(context, place, answer.status, tracker.count)
+        self._log_answered(context, destination, answer.status, tracker.count)
 
     async def _resume_stream(
         self,
         context: works.CallContext,
-        place: sending.Place,
+        destination: sending.Place,
         answer: sending.Answer,
     ) -> bool:
         """Continue a stream that another endpoint began."""
@@ -410,14 +429,16 @@
             last_event=context.tracker.last_id,
         )
         context.tracker.discard_partial()
-        await self._forward_events(context, place, answer, context.tracker)
-        await self._end_stream(context, place, answer, context.tracker)
+        await self._forward_events(
+            context, destination, answer, context.tracker
+        )
+        await self._end_stream(context, destination, answer, context.tracker)
         return True
 
     def _log_answered(
         self,
         context: works.CallContext,
-        place: sending.Place,
+        destination: sending.Place,
         status: int,
         pieces: int = 1,
     ) -> None:
@@ -429,7 +450,7 @@
             'answered',
             request=context.call.request,
             route=context.route.name,
-            place=place.name,
+            destination=destination.name,
             status=status,
             first_ms=first_ms,
             target_ms=context.route.target_ms,
@@ -437,15 +458,15 @@
             pieces=pieces,
             longest_pause_ms=context.longest_pause_ms,
             pause_target_ms=context.route.pause_target_ms,
-            expected_ms=place.expected_ms,
-            took_ms=self._time_to_first_ms(context, place),
+            expected_ms=destination.expected_ms,
+            took_ms=self._time_to_first_ms(context, destination),
             runs=context.runs,
             unexecuted_sends=context.unexecuted_sends,
         )
 
     @staticmethod
     def _time_to_first_ms(
-        context: works.CallContext, place: sending.Place
+        context: works.CallContext, destination: sending.Place
     ) -> int | None:
         """Return how long the first piece took after the call was sent.
 
@@ -453,18 +474,20 @@
         """
         if (
             context.first_piece_at_ms is None
-            or context.first_piece_at_ms < place.sent_ms
+            or context.first_piece_at_ms < destination.sent_ms
         ):
             return None
-        return context.first_piece_at_ms - place.sent_ms
+        return context.first_piece_at_ms - destination.sent_ms
 
 
-def _permit_rank(context: works.CallContext, place: sending.Place) -> int:
+def _permit_rank(
+    context: works.CallContext, destination: sending.Place
+) -> int:
     """Return a call's rank among those that want the same endpoint.
 
     A stream that another endpoint began goes first.
     """
-    if context.tracker is not None or place.chosen is None:
+    if context.tracker is not None or destination.chosen is None:
         return endpoint_limits.FIRST_RANK
-    kept = place.chosen.estimate.uncached_tokens < context.call.tokens_in
+    kept = destination.chosen.estimate.uncached_tokens < context.call.tokens_in
     return endpoint_limits.rank_of(context.permit.urgency, kept)
