--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -377,13 +377,13 @@
             context.permit = self._access_control.renewed(
                 context.call, context.permit
             )
-            place = self._destinations.next_destination(context)
-            if place is None:
+            destination = self._destinations.next_destination(context)
+            if destination is None:
                 context.cause = context.cause or 'no_endpoint'
                 return False
             # Before the budget of repeats, which a call that is not sent
             # leaves as it is.
-            if not await self._attempts.admit(context, place):
+            if not await self._attempts.admit(context, destination):
                 if context.permit_rejections >= PERMIT_REJECTIONS_LIMIT:
                     return False
                 continue
@@ -392,8 +392,8 @@
             ):
                 context.cause = f'{context.cause} (no retry left)'
                 return False
-            context.attempted.add(place.name)
-            if await self._attempts.make(context, place):
+            context.attempted.add(destination.name)
+            if await self._attempts.make(context, destination):
                 return True
             if not self._may_retry(context):
                 return False
