--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -342,7 +342,7 @@
                     *(caller.chat(body) for _number in range(streams))
                 )
                 used_s = processes.cpu_s(pid) - cpu
-                events = sum(result.event_tracker for result in results)
+                events = sum(result.events for result in results)
                 found.append(
                     {
                         'streams': streams,
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -90,7 +90,7 @@
         while self._reading and self._reading[0][0] <= now_ms:
             end_ms, _number, host, name, number = heapq.heappop(self._reading)
             self._clock.now_ms = end_ms
-            host.read(name, number)
+            host.remove_prompt(name, number)
 
     def _tell(self, now_ms):
         """Let hosts hear what others sent some time before."""
@@ -111,7 +111,9 @@
         def ahead(found):
             name = found.said.endpoint
             load = loads.EngineLoad(name, queued[name], 0, 0, 1, age_ms)
-            return host.ahead(name, load, TOKEN_MS), self._random.random()
+            return host.tokens_ahead(
+                name, load, TOKEN_MS
+            ), self._random.random()
 
         weighed = self._sampling(self._engines, (), self._random)
         name = min(weighed, key=ahead).said.endpoint
@@ -121,7 +123,7 @@
         ]
         began_ms = max([now_ms, *ends])
         ends.append(began_ms + tokens * TOKEN_MS)
-        number = host.sent(name, tokens, TOKEN_MS)
+        number = host.add_prompt(name, tokens, TOKEN_MS)
         if self._told_ms is not None:
             self._to_tell.append((now_ms + self._told_ms, host, name, tokens))
         item = (ends[-1], next(self._numbers), host, name, number)
--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -240,12 +240,12 @@
     """Other regions' calls go to engines that take what comes."""
     async with passing_system(tmp_path) as system:
         await hear_limits(system)
-        [offer] = system.entries[0]._choice.offers()
+        [offer] = system.entries[0]._choice.build_offers()
         assert offer.endpoints == 2
         for engine in system.engines:
             engine.text = '1000'
         await hear_limits(system)
-        [offer] = system.entries[0]._choice.offers()
+        [offer] = system.entries[0]._choice.build_offers()
         assert offer.endpoints > 0
 
 
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -140,7 +140,7 @@
     result = await caller.chat(chat())
     assert result.outcome == 'whole', result
     assert result.text == WHOLE
-    assert result.event_tracker == engine.DEFAULT_TOKENS
+    assert result.events == engine.DEFAULT_TOKENS
 
 
 async def test_deadline_ends_a_request_at_once(running):
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -40,9 +40,7 @@
         self._under_way = []
 
     def send(self, sender, receiver, message):
-        delay_ms = self._world.random.endpoint_selector(
-            [1, 80, 80, 160, 1_400]
-        )
+        delay_ms = self._world.random.choice([1, 80, 80, 160, 1_400])
         at_ms = self._world.now_ms + delay_ms
         self._under_way.append((at_ms, sender, receiver, message))
 
--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -54,10 +54,10 @@
         self.noted = []
         self.listener = None
 
-    def listen(self, listener):
+    def subscribe(self, listener):
         self.listener = listener
 
-    def note(self, name, tokens, parts):
+    def publish(self, name, tokens, parts):
         self.noted.append((name, tokens, parts))
 
 
@@ -128,7 +128,7 @@
     other, _other_found, _other_clock = known(pong(), told=Told())
     first_ms = made.offer_for_call('south', SERVICE, CALL, HOST).first_ms
     other.record_forwarded('south', SERVICE, CALL)
-    [(name, tokens, parts)] = other._sent_calls.noted
+    [(name, tokens, parts)] = other._broadcaster.noted
     shared = [(part.part, part.tokens) for part in parts[:-1]]
     told.listener(attending.SentCall(1, name, tokens, 0, shared))
     again = made.offer_for_call('south', SERVICE, CALL, HOST)
--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -203,21 +203,19 @@
             await self._fleet.wait_ms(self._random.uniform(100, 1_500))
             self._thaw()
             if self._random.random() < 0.25:
-                await self._random.endpoint_selector(self.TROUBLES)(self)
+                await self._random.choice(self.TROUBLES)(self)
             running = [
                 host
                 for name, host in self._fleet.hosts.items()
                 if name not in self._frozen_ms
             ]
-            host = self._random.endpoint_selector(running)
+            host = self._random.choice(running)
             if await host.send(FATAL, next(self._fleet.endpoints)):
                 self._note_sent(host)
 
     async def _restart_hosts(self):
         """Restart one, or many at once."""
-        count = self._random.endpoint_selector(
-            [1, 1, len(self._fleet.names) // 2]
-        )
+        count = self._random.choice([1, 1, len(self._fleet.names) // 2])
         for name in self._random.sample(self._fleet.names, count):
             if name not in self._frozen_ms:
                 await self._fleet.restart_host(name)
@@ -226,14 +224,14 @@
     async def _restart_controls(self):
         """Restart one, or all at once."""
         names = list(self._fleet.controls)
-        count = self._random.endpoint_selector([1, 1, len(names)])
+        count = self._random.choice([1, 1, len(names)])
         for name in self._random.sample(names, count):
             await self._fleet.restart_control(name)
         self._trouble_all()
 
     async def _freeze(self):
         """Let a host stand still; it goes on by what it held."""
-        name = self._random.endpoint_selector(self._fleet.names)
+        name = self._random.choice(self._fleet.names)
         for_ms = self._random.uniform(1_000, 8_000)
         self._frozen_ms[name] = self._clock.mono_ms() + for_ms
         self._fleet.network.cut_off(name)
@@ -272,7 +270,7 @@
             for name in self._fleet.controls
             if limited_fleet.region_of(name) != self._cut
         ]
-        self._fleet.lead(self._random.endpoint_selector(names))
+        self._fleet.lead(self._random.choice(names))
         self._trouble_all()
 
     TROUBLES = (
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -39,18 +39,18 @@
     for _number in range(calls):
         name, unread, ahead, took_ms = engine.call()
         ratios.append(model.first_ms(name, unread, ahead) / took_ms)
-        model.note(name, unread, ahead, took_ms)
+        model.add_sample(name, unread, ahead, took_ms)
     return ratios
 
 
 @pytest.mark.parametrize('seed', [1, 2, 3])
 @pytest.mark.parametrize('start', [0.1, 1.0, 10.0])
 def test_model_converges_from_wrong_starts(monkeypatch, start, seed):
-    for name in ('FIRST_BASE_MS', 'FIRST_TOKEN_MS'):
+    for name in ('INITIAL_BASE_MS', 'INITIAL_TOKEN_MS'):
         monkeypatch.setattr(
             prefill_model, name, getattr(prefill_model, name) * start
         )
-    monkeypatch.setattr(prefill_model, 'LEAST_SHARE', 0.005)
+    monkeypatch.setattr(prefill_model, 'MIN_COEFFICIENT_SHARE', 0.005)
     model = prefill_model.PrefillModel()
     engine = SimulatedEngine(seed)
     play(model, engine, 100)
--- a/tests/test_report.py
+++ b/tests/test_report.py
@@ -127,7 +127,9 @@
 
 def test_report_is_printed_as_json(tmp_path):
     path = tmp_path / 'log'
-    path.write_text(gave_up(1, status=503, cause='x', free_slots=3, held_ms=1))
+    path.write_text(
+        gave_up(1, status=503, cause='x', free_places=3, held_ms=1)
+    )
     ended = run('--json', '--log', path)
     found = msgspec.json.decode(ended.stdout, type=report.Report)
     assert found.refused_with_free_places == 1
--- a/tests/test_stated_fleet.py
+++ b/tests/test_stated_fleet.py
@@ -314,12 +314,8 @@
         await fleet.wait_ms(drawn.uniform(0, SERIES_MS))
         await happens(fleet)
 
-    kinds = [
-        *KEPT,
-        change_to(drawn.endpoint_selector(RATES)),
-        change_to(None, 1.2),
-    ]
-    chosen = [drawn.endpoint_selector(kinds) for _number in range(4)]
+    kinds = [*KEPT, change_to(drawn.choice(RATES)), change_to(None, 1.2)]
+    chosen = [drawn.choice(kinds) for _number in range(4)]
     return group.asyncio.gather(*map(begin, chosen))
 
 
--- a/wrenspoke/caller.py
+++ b/wrenspoke/caller.py
@@ -172,7 +172,7 @@
                 total.first_ms = self._clock.mono_ms() - started_ms
             total.outcome = found.headers.get(headers.OUTCOME, 'lost')
             total.reason = found.headers.get(headers.REASON, '')
-            if not total.event_tracker:
+            if not total.events:
                 total.text = _text(total.body)
 
     async def _read_stream(
@@ -195,7 +195,7 @@
                 total.first_ms = self._clock.mono_ms() - started_ms
             chunk = msgspec.json.decode(event.data)
             text = chunk['choices'][0]['delta'].get('content') or ''
-            total.event_tracker += 1
+            total.events += 1
             total.text += text
             if on_text is not None:
                 on_text(text)
--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -16,16 +16,16 @@
 from wrenspoke.coordination.limiting import endpoint_limits
 from wrenspoke.coordination.membership import attendance
 from wrenspoke.coordination.membership import reach
+from wrenspoke.coordination.serving import call_context
 from wrenspoke.coordination.serving import endpoint_selector
+from wrenspoke.coordination.serving import engine_pace
 from wrenspoke.coordination.serving import estimate
 from wrenspoke.coordination.serving import event_tracker
 from wrenspoke.coordination.serving import outlier_detection
-from wrenspoke.coordination.serving import engine_pace as paces
 from wrenspoke.coordination.serving import remote_regions
 from wrenspoke.coordination.serving import retry_outcomes
 from wrenspoke.coordination.serving import sending
 from wrenspoke.coordination.serving import sent_call_broadcast
-from wrenspoke.coordination.serving import call_context as works
 from wrenspoke.protocol import passing
 from wrenspoke.state import routes
 
@@ -67,7 +67,7 @@
         self._clock = clock
 
     async def run_attempt(
-        self, context: works.CallContext, destination: sending.Place
+        self, context: call_context.CallContext, destination: sending.Place
     ) -> bool:
         """Send once; return whether the caller has its answer."""
         counts = self._selector.in_flight
@@ -77,7 +77,7 @@
             last_event = context.tracker.last_id
         self._record_send(context, destination)
         # Counts as run until a response or error proves otherwise.
-        context.sent += 1
+        context.send_count += 1
         context.count_runs(1)
         try:
             async with self._abort_if_host_unreachable(context, destination):
@@ -92,11 +92,11 @@
                         context, destination, answer
                     )
         except errors.HeldBackError:
-            context.sent -= 1
+            context.send_count -= 1
             context.mark_not_run()
             self._on_send_aborted(context, destination)
         except errors.NotSentError as error:
-            context.sent -= 1
+            context.send_count -= 1
             context.mark_not_run()
             self._on_failure(
                 context, destination, f'not sent: {error}', certain=True
@@ -105,7 +105,7 @@
             self._on_failure(context, destination, str(error))
         finally:
             self._estimator.record_prefilled(
-                destination.endpoint, destination.prefill_model
+                destination.endpoint, destination.reading
             )
             counts[destination.name] -= 1
             if not counts[destination.name]:
@@ -113,7 +113,7 @@
         return False
 
     async def acquire_permit(
-        self, context: works.CallContext, destination: sending.Place
+        self, context: call_context.CallContext, destination: sending.Place
     ) -> bool:
         """Acquire a permit to send; False where the endpoint takes no more."""
         try:
@@ -133,26 +133,23 @@
             return False
         return True
 
-    def _left_ms(self, context: works.CallContext) -> int:
+    def _left_ms(self, context: call_context.CallContext) -> int:
         return context.deadline_ms - self._clock.mono_ms()
 
     def _record_send(
-        self, context: works.CallContext, destination: sending.Place
+        self, context: call_context.CallContext, destination: sending.Place
     ) -> None:
         destination.sent_ms = self._clock.mono_ms()
         if destination.chosen is None:
             return
-        destination.prefill_model = self._estimator.record_sent(
+        destination.reading = self._estimator.record_sent(
             destination.endpoint,
             context.service,
             context.call,
             destination.chosen.estimate,
         )
-        if (
-            self._broadcaster is not None
-            and destination.prefill_model is not None
-        ):
-            self._broadcaster.note(
+        if self._broadcaster is not None and destination.reading is not None:
+            self._broadcaster.publish(
                 destination.endpoint,
                 destination.chosen.estimate.uncached_tokens,
                 context.call.parts,
@@ -160,7 +157,7 @@
             )
 
     def _record_first_piece(
-        self, context: works.CallContext, destination: sending.Place
+        self, context: call_context.CallContext, destination: sending.Place
     ) -> None:
         """Record the time to the first piece of a response."""
         context.first_piece_at_ms = self._clock.mono_ms()
@@ -168,7 +165,7 @@
         if destination.region is not None:
             return
         self._estimator.record_prefilled(
-            destination.endpoint, destination.prefill_model
+            destination.endpoint, destination.reading
         )
         self._estimator.record_first_piece(
             destination.endpoint,
@@ -179,7 +176,7 @@
 
     @contextlib.asynccontextmanager
     async def _abort_if_host_unreachable(
-        self, context: works.CallContext, destination: sending.Place
+        self, context: call_context.CallContext, destination: sending.Place
     ) -> collections.abc.AsyncIterator[None]:
         """Give up on a host that falls silent, if the call may be retried.
 
@@ -206,7 +203,7 @@
 
     def _on_failure(
         self,
-        context: works.CallContext,
+        context: call_context.CallContext,
         destination: sending.Place,
         cause: str,
         certain: bool = False,
@@ -214,21 +211,21 @@
         context.cause = cause
         if destination.host is None or not destination.answered:
             # A host that answers and breaks off lost its endpoint.
-            self._outlier_detector.failed(
+            self._outlier_detector.record_failure(
                 destination.address, cause, destination.sent_ms, certain
             )
         logger.warning(
             'try_failed',
             request=context.call.request,
             digest=context.call.digest,
-            destination=destination.name,
+            place=destination.name,
             cause=cause,
             runs=context.runs,
             left_ms=self._left_ms(context),
         )
 
     def _on_send_aborted(
-        self, context: works.CallContext, destination: sending.Place
+        self, context: call_context.CallContext, destination: sending.Place
     ) -> None:
         """Record that a send was rejected by a check at send time.
 
@@ -245,20 +242,20 @@
             'held_back',
             request=context.call.request,
             route=context.route.name,
-            destination=destination.name,
-            remote_regions=list(destination.regions),
+            place=destination.name,
+            regions=list(destination.regions),
             homes_before=list(context.route.homes),
         )
 
     async def _handle_response(
         self,
-        context: works.CallContext,
+        context: call_context.CallContext,
         destination: sending.Place,
         answer: sending.Answer,
     ) -> bool:
         """Pass a response on, or hold it back where another attempt is due."""
         destination.answered = True
-        if context.kept is not None and answer.refused is None:
+        if context.retained_response is not None and answer.refused is None:
             self._retry_outcomes.record_outcome(
                 context.route.name, answer.status in OK_STATUSES
             )
@@ -269,7 +266,8 @@
             context.cause = 'not here any more'
             # Nothing of this life of it will come back.
             self._discovery.withdraw(
-                destination.endpoint, destination.chosen.found.said.born_ms
+                destination.endpoint,
+                destination.chosen.registered.said.born_ms,
             )
             return False
         if answer.verdict is sending.Verdict.NOT_RUN:
@@ -279,7 +277,7 @@
         if answer.refused is not None:
             return await self._handle_refusal(context, destination, answer)
         if answer.status in SERVER_ERRORS:
-            self._outlier_detector.failed(
+            self._outlier_detector.record_failure(
                 destination.address,
                 f'status {answer.status}',
                 destination.sent_ms,
@@ -289,12 +287,12 @@
             ) and self._retry_outcomes.is_worthwhile(context.route.name):
                 context.cause = f'status {answer.status}'
                 body = await answer.whole(BUFFERED_BODY_LIMIT_BYTES)
-                context.kept = works.RetainedResponse(
+                context.retained_response = call_context.RetainedResponse(
                     answer.status, answer.fields, body
                 )
                 return False
         else:
-            self._outlier_detector.succeeded(destination.address)
+            self._outlier_detector.record_success(destination.address)
         if context.tracker is not None:
             return await self._resume_stream(context, destination, answer)
         if context.route.kind is routes.RouteKind.STREAM and (
@@ -311,7 +309,7 @@
 
     async def _handle_refusal(
         self,
-        context: works.CallContext,
+        context: call_context.CallContext,
         destination: sending.Place,
         answer: sending.Answer,
     ) -> bool:
@@ -324,7 +322,7 @@
         if answer.status == UNAVAILABLE:
             context.unexecuted_sends += 1
         if answer.refused in passing.NOTHING_SENT:
-            context.sent -= 1
+            context.send_count -= 1
         if answer.refused is passing.Refusal.UNSENT:
             context.remote_retry_after_ms = int(answer.retry_after_ms) or None
         if answer.refused in (passing.Refusal.UNSENT, passing.Refusal.BUSY):
@@ -341,7 +339,7 @@
             )
         return False
 
-    def _can_resend(self, context: works.CallContext) -> bool:
+    def _can_resend(self, context: call_context.CallContext) -> bool:
         return (
             context.route.repeatable
             and not context.reply.started
@@ -353,7 +351,7 @@
 
     async def _forward_stream(
         self,
-        context: works.CallContext,
+        context: call_context.CallContext,
         destination: sending.Place,
         answer: sending.Answer,
     ) -> None:
@@ -366,7 +364,7 @@
 
     async def _forward_events(
         self,
-        context: works.CallContext,
+        context: call_context.CallContext,
         destination: sending.Place,
         answer: sending.Answer,
         tracker: event_tracker.EventTracker,
@@ -386,13 +384,13 @@
                 await context.reply.write(data)
 
     def _gap_recorder(
-        self, context: works.CallContext, destination: sending.Place
-    ) -> paces.StreamGapRecorder:
+        self, context: call_context.CallContext, destination: sending.Place
+    ) -> engine_pace.StreamGapRecorder:
         tokens = 1
         if context.service.batch is not None:
             tokens = context.service.batch.event_tokens
-        return paces.StreamGapRecorder(
-            self._estimator.engine_pace,
+        return engine_pace.StreamGapRecorder(
+            self._estimator.pace,
             destination.endpoint,
             tokens,
             context.route.pause_target_ms,
@@ -400,7 +398,7 @@
 
     async def _end_stream(
         self,
-        context: works.CallContext,
+        context: call_context.CallContext,
         destination: sending.Place,
         answer: sending.Answer,
         tracker: event_tracker.EventTracker,
@@ -411,11 +409,13 @@
         if rest:
             await context.reply.write(rest)
         await context.reply.end()
-        self._log_answered(context, destination, answer.status, tracker.count)
+        self._log_answered(
+            context, destination, answer.status, tracker.event_count
+        )
 
     async def _resume_stream(
         self,
-        context: works.CallContext,
+        context: call_context.CallContext,
         destination: sending.Place,
         answer: sending.Answer,
     ) -> bool:
@@ -437,7 +437,7 @@
 
     def _log_answered(
         self,
-        context: works.CallContext,
+        context: call_context.CallContext,
         destination: sending.Place,
         status: int,
         pieces: int = 1,
@@ -450,7 +450,7 @@
             'answered',
             request=context.call.request,
             route=context.route.name,
-            destination=destination.name,
+            place=destination.name,
             status=status,
             first_ms=first_ms,
             target_ms=context.route.target_ms,
@@ -461,12 +461,12 @@
             expected_ms=destination.expected_ms,
             took_ms=self._time_to_first_ms(context, destination),
             runs=context.runs,
-            unexecuted_sends=context.unexecuted_sends,
+            unrun=context.unexecuted_sends,
         )
 
     @staticmethod
     def _time_to_first_ms(
-        context: works.CallContext, destination: sending.Place
+        context: call_context.CallContext, destination: sending.Place
     ) -> int | None:
         """Return how long the first piece took after the call was sent.
 
@@ -481,7 +481,7 @@
 
 
 def _permit_rank(
-    context: works.CallContext, destination: sending.Place
+    context: call_context.CallContext, destination: sending.Place
 ) -> int:
     """Return a call's rank among those that want the same endpoint.
 
--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -14,7 +14,7 @@
 from wrenspoke.coordination.membership import gauges
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.serving import outlier_detection
-from wrenspoke.coordination.serving import warmup_probe as warmths
+from wrenspoke.coordination.serving import warmup_probe
 from wrenspoke import ids
 from wrenspoke import mechanisms
 from wrenspoke.protocol import limiting
@@ -38,7 +38,7 @@
         discovery: attendance.Attendance,
         held: replica.Replica,
         outlier_detector: outlier_detection.OutlierDetector,
-        probe: warmths.WarmupProbe,
+        probe: warmup_probe.WarmupProbe,
         engine_loads: gauges.Gauges,
         gate: endpoint_gate.EndpointGate,
         switched_off: collections.abc.Set[mechanisms.Mechanism],
@@ -101,7 +101,7 @@
         if not self._is_enabled(mechanisms.Mechanism.ASKING_WARMTH):
             return
         services = self._replica.current.routes.services
-        self._warmup_probe.ask(
+        self._warmup_probe.start_probes(
             found
             for found in self._discovery.registry.held.values()
             if found.takes_work
--- a/wrenspoke/coordination/serving/backlog.py
+++ b/wrenspoke/coordination/serving/backlog.py
@@ -76,10 +76,12 @@
         """
         engine = self._engines.setdefault(endpoint, _EngineBacklog())
         now_ms = self._clock.mono_ms()
-        engine.read_ms = max(engine.read_ms, now_ms) + tokens * token_ms
+        engine.drained_at_ms = (
+            max(engine.drained_at_ms, now_ms) + tokens * token_ms
+        )
         reading = PendingPrompt(now_ms, tokens)
         if not engine.waiting:
-            engine.began_ms = now_ms
+            engine.progress_since_ms = now_ms
         self._last_number += 1
         engine.waiting[self._last_number] = reading
         engine.sent.append(reading)
@@ -100,10 +102,12 @@
         now_ms = self._clock.mono_ms()
         self._last_peer_report_ms = now_ms
         sent_ms = now_ms - age_ms
-        engine.others.append(PendingPrompt(sent_ms, tokens))
-        while engine.others[0].sent_ms < now_ms - PEER_PROMPTS_TTL_MS:
-            engine.others.popleft()
-        engine.read_ms = max(engine.read_ms, sent_ms) + tokens * token_ms
+        engine.peer_prompts.append(PendingPrompt(sent_ms, tokens))
+        while engine.peer_prompts[0].sent_ms < now_ms - PEER_PROMPTS_TTL_MS:
+            engine.peer_prompts.popleft()
+        engine.drained_at_ms = (
+            max(engine.drained_at_ms, sent_ms) + tokens * token_ms
+        )
 
     @property
     def has_peer_reports(self) -> bool:
@@ -120,7 +124,7 @@
         engine = self._engines.get(endpoint)
         if engine is None or engine.waiting.pop(number, None) is None:
             return
-        engine.began_ms = self._clock.mono_ms()
+        engine.progress_since_ms = self._clock.mono_ms()
 
     def tokens_ahead(
         self,
@@ -137,7 +141,7 @@
             return max(own, self._reported_tokens(engine, load, token_ms))
         left = 0.0
         if engine is not None:
-            left_ms = engine.read_ms - self._clock.mono_ms()
+            left_ms = engine.drained_at_ms - self._clock.mono_ms()
             left = max(left_ms, 0.0) / token_ms
         if load is None:
             return max(own, left)
@@ -150,7 +154,7 @@
         if not engine.waiting:
             return 0.0
         waiting = sum(found.tokens for found in engine.waiting.values())
-        read = (self._clock.mono_ms() - engine.began_ms) / token_ms
+        read = (self._clock.mono_ms() - engine.progress_since_ms) / token_ms
         # The last one is not read yet, or it would have answered.
         newest = next(reversed(engine.waiting.values()))
         return max(waiting - read, min(newest.tokens, waiting))
@@ -184,7 +188,7 @@
             unknown_ms = min(PEER_REPORT_LAG_MS, age_ms)
             told = sum(
                 found.tokens
-                for found in engine.others
+                for found in engine.peer_prompts
                 if found.sent_ms >= since_ms
             )
         return (
--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -14,12 +14,12 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.membership import replica
-from wrenspoke.coordination.serving import endpoint_selector
+from wrenspoke.coordination.serving import call_context
 from wrenspoke.coordination.serving import costs
+from wrenspoke.coordination.serving import endpoint_selector
 from wrenspoke.coordination.serving import remote_regions
 from wrenspoke.coordination.serving import return_line
 from wrenspoke.coordination.serving import sending
-from wrenspoke.coordination.serving import call_context as works
 from wrenspoke import ids
 from wrenspoke import mechanisms
 from wrenspoke.protocol import attending
@@ -76,7 +76,7 @@
         self._clock = clock
 
     def next_destination(
-        self, context: works.CallContext
+        self, context: call_context.CallContext
     ) -> sending.Place | None:
         """Return where to send a call, None where nothing takes it.
 
@@ -106,7 +106,9 @@
     def _is_enabled(self, mechanism: mechanisms.Mechanism) -> bool:
         return mechanism not in self._switched_off
 
-    def _bounds(self, context: works.CallContext) -> costs.LatencyBounds:
+    def _bounds(
+        self, context: call_context.CallContext
+    ) -> costs.LatencyBounds:
         now_ms = self._clock.mono_ms()
         target_ms = context.route.target_ms
         return costs.LatencyBounds(
@@ -118,7 +120,7 @@
 
     def _refuse_unmeetable_deadline(
         self,
-        context: works.CallContext,
+        context: call_context.CallContext,
         bounds: costs.LatencyBounds,
         first_ms: float,
         end_ms: float,
@@ -127,11 +129,11 @@
 
         What was sent before, and may go on, is not turned away.
         """
-        spread = self._selector.spread(context.service.service)
+        spread = self._selector.estimate_spread(context.service.service)
         lost = costs.deadline_miss_probability(
             bounds, first_ms, end_ms, spread
         )
-        if context.sent or lost <= DEADLINE_MISS_LIMIT:
+        if context.send_count or lost <= DEADLINE_MISS_LIMIT:
             return
         if not self._is_enabled(mechanisms.Mechanism.REFUSING_HOPELESS):
             return
@@ -152,17 +154,17 @@
 
     def _refuse_if_slower(
         self,
-        context: works.CallContext,
+        context: call_context.CallContext,
         local: endpoint_selector.EndpointSelection | None,
     ) -> None:
         limit_ms = context.hop.limit_ms
-        if limit_ms is None or context.sent or local is None:
+        if limit_ms is None or context.send_count or local is None:
             return
         if local.first_ms > limit_ms:
             raise BusyError(local.first_ms)
 
     def _select_local(
-        self, context: works.CallContext, bounds: costs.LatencyBounds
+        self, context: call_context.CallContext, bounds: costs.LatencyBounds
     ) -> endpoint_selector.EndpointSelection | None:
         if not context.route.allows(self._region):
             return None
@@ -176,12 +178,12 @@
 
     def _endpoint_destination(
         self,
-        context: works.CallContext,
+        context: call_context.CallContext,
         chosen: endpoint_selector.EndpointSelection | None,
     ) -> sending.Place | None:
         if chosen is None:
             return None
-        said = chosen.found.said
+        said = chosen.registered.said
         logger.info(
             'endpoint_chosen',
             request=context.call.request,
@@ -191,11 +193,11 @@
             expected_ms=round(chosen.estimate.first_ms),
             end_ms=round(chosen.estimate.end_ms),
             pause_ms=round(chosen.estimate.pause_ms),
-            delayed_streams=chosen.estimate.delayed_streams,
-            uncached_tokens=round(chosen.estimate.uncached_tokens),
-            queued_tokens=round(chosen.estimate.queued_tokens),
-            can_start_now=chosen.can_start_now,
-            long_term=chosen.long_term,
+            harmed=chosen.estimate.delayed_streams,
+            unread_tokens=round(chosen.estimate.uncached_tokens),
+            ahead_tokens=round(chosen.estimate.queued_tokens),
+            room=chosen.can_start_now,
+            usual=chosen.has_affinity,
             tokens_in=context.call.tokens_in,
             moved_tokens=round(chosen.moved_tokens),
             candidates=chosen.candidates,
@@ -209,11 +211,11 @@
         )
 
     def _best_remote_offer(
-        self, context: works.CallContext, bounds: costs.LatencyBounds
+        self, context: call_context.CallContext, bounds: costs.LatencyBounds
     ) -> tuple[remote_regions.RegionOffer | None, float]:
         """Return the best other region and what it costs."""
         best, best_ms = None, 0.0
-        spread = self._selector.spread(context.service.service)
+        spread = self._selector.estimate_spread(context.service.service)
         for region in self._selector.allowed_remote_regions(context.route):
             if region in context.refusing_regions:
                 continue
@@ -238,17 +240,17 @@
         return best, best_ms
 
     def _find_relay_host(
-        self, context: works.CallContext, region: ids.RegionId
+        self, context: call_context.CallContext, region: ids.RegionId
     ) -> attending.HostRecord | None:
         """Return a host by way of which a region can be reached."""
         allowed = self._selector.allowed_remote_regions(context.route)
-        for host in self._remote_regions.relays(region, allowed):
+        for host in self._remote_regions.relay_hosts(region, allowed):
             if host.host not in context.attempted:
                 return host
         return None
 
     def _relay_destination(
-        self, context: works.CallContext, region: ids.RegionId
+        self, context: call_context.CallContext, region: ids.RegionId
     ) -> sending.Place | None:
         """Return the host that a call for a third region goes on to."""
         if region in context.refusing_regions or not context.route.allows(
@@ -282,7 +284,7 @@
 
     def _host_destination(
         self,
-        context: works.CallContext,
+        context: call_context.CallContext,
         found: remote_regions.RegionOffer,
         local: endpoint_selector.EndpointSelection | None,
     ) -> sending.Place:
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -117,7 +117,7 @@
         """Return the best endpoint of this region, None without one."""
         admissible = [
             found
-            for found in self._availability.usable(
+            for found in self._availability.usable_endpoints(
                 service.service, self._region
             )
             if found.said.endpoint not in excluded
@@ -165,7 +165,9 @@
     def _is_enabled(self, mechanism: mechanisms.Mechanism) -> bool:
         return mechanism not in self._switched_off
 
-    def _cost_ms(self, bounds: costs.LatencyBounds, item: 'Chosen') -> float:
+    def _cost_ms(
+        self, bounds: costs.LatencyBounds, item: 'EndpointSelection'
+    ) -> float:
         """Return what an endpoint would cost the call and others."""
         found = item.estimate
         end_ms = found.end_ms + item.first_ms - found.first_ms
@@ -237,9 +239,7 @@
         names = [
             found.said.endpoint for found in candidates if not found.silent
         ]
-        return self._estimator.prefix_index.best_cache_holder(
-            call.parts, names
-        )
+        return self._estimator.prefixes.best_cache_holder(call.parts, names)
 
     def _supports_transfer(self, service: routes.RoutedService) -> bool:
         """Tell whether engines can take prompts over from each other."""
@@ -254,11 +254,11 @@
         holder: prefix_index.CacheHolder | None,
     ) -> None:
         """Let an engine take from the holder what it lacks of a prompt."""
-        name = item.found.said.endpoint
+        name = item.registered.said.endpoint
         if holder is None or holder.endpoint == name:
             return
-        kept = self._estimator.prefix_index.cached_tokens(
-            name, call.parts, item.long_term
+        kept = self._estimator.prefixes.cached_tokens(
+            name, call.parts, item.has_affinity
         )
         if holder.tokens - kept < prefix_index.MIN_TRANSFER_TOKENS:
             return
@@ -267,7 +267,7 @@
 
     def estimate_spread(self, service: ids.ServiceId) -> float:
         """Return how far estimates of a service are off, in the mean."""
-        return self._estimator.model(service).spread
+        return self._estimator.model_for(service).spread
 
     def allowed_remote_regions(
         self, route: routes.Route
@@ -292,7 +292,9 @@
         away come one behind the other. None if nothing tells.
         """
         now_ms = self._clock.mono_ms()
-        usable = self._availability.usable(service.service, self._region)
+        usable = self._availability.usable_endpoints(
+            service.service, self._region
+        )
         waits_ms = []
         for found in usable:
             until_ms = self._outlier_detector.ejected_until_ms(
@@ -315,14 +317,16 @@
 
     def all_in_backoff(self, service: routes.RoutedService) -> bool:
         """Return whether every endpoint of a service asked for backoff."""
-        usable = self._availability.usable(service.service, self._region)
-        return bool(usable) and all(map(self._availability.backs_off, usable))
+        usable = self._availability.usable_endpoints(
+            service.service, self._region
+        )
+        return bool(usable) and all(map(self._availability.in_backoff, usable))
 
     def free_slots(self, service: routes.RoutedService) -> int:
         """Return the places of a service here that are known to be free."""
         return sum(
             self._estimator.free_slots(found, service)
-            for found in self._availability.on_time_streams(
+            for found in self._availability.healthy_endpoints(
                 service.service, self._region
             )
         )
@@ -340,7 +344,7 @@
     def _build_offer(
         self, service: routes.RoutedService
     ) -> messages.Offer | None:
-        found = self._availability.on_time_streams(
+        found = self._availability.healthy_endpoints(
             service.service, self._region
         )
         if not found:
@@ -373,8 +377,8 @@
         )
         token_ms = usual_ms = present_ms = 0.0
         if service.batch is not None:
-            token_ms = self._estimator.model(service.service).token_ms
-            usual_ms, present_ms = self._estimator.engine_pace.ahead(
+            token_ms = self._estimator.model_for(service.service).token_ms
+            usual_ms, present_ms = self._estimator.pace.forecast(
                 name, service.batch.event_tokens
             )
         return messages.Offer(
--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -43,7 +43,7 @@
 class _DecayingMean:
     """Be the mean of what was seen; older values fade with time."""
 
-    __slots__ = ('_memory_ms', '_total', '_weight', '_at_ms')
+    __slots__ = ('_time_constant_ms', '_total', '_weight', '_at_ms')
 
     def __init__(self, memory_ms: float, value: float, now_ms: int):
         self._time_constant_ms = memory_ms
@@ -70,12 +70,12 @@
     """Hold the pace of one engine."""
 
     __slots__ = (
-        'first_ms',
-        'present',
-        'usual',
-        'longest_ms',
-        'seen_ms',
-        'sound',
+        'initial_gap_ms',
+        'short_term',
+        'long_term',
+        'longest_gap_ms',
+        'longest_gap_at_ms',
+        'on_time_streams',
     )
 
     def __init__(self, first_ms: float, now_ms: int):
@@ -182,7 +182,7 @@
         self._last_piece_at_ms: int | None = None
         self._is_counted = False
 
-    def __enter__(self) -> 'PacedStream':
+    def __enter__(self) -> 'StreamGapRecorder':
         return self
 
     def __exit__(self, *_error: object) -> None:
@@ -195,7 +195,7 @@
         now_ms = self._pace.now_ms()
         if self._last_piece_at_ms is None:
             self._is_counted = True
-            self._pace.begin(self._endpoint, self._event_tokens)
+            self._pace.add_stream(self._endpoint, self._event_tokens)
         else:
             gap_ms = now_ms - self._last_piece_at_ms
             self._pace.record_gap(self._endpoint, self._event_tokens, gap_ms)
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -13,8 +13,8 @@
 from wrenspoke.coordination.membership import gauges
 from wrenspoke.coordination.serving import backlog
 from wrenspoke.coordination.serving import engine_pace
-from wrenspoke.coordination.serving import prefix_index
 from wrenspoke.coordination.serving import prefill_model
+from wrenspoke.coordination.serving import prefix_index
 from wrenspoke.coordination.serving import sent_call_broadcast
 from wrenspoke import ids
 from wrenspoke.protocol import attending
--- a/wrenspoke/coordination/serving/local.py
+++ b/wrenspoke/coordination/serving/local.py
@@ -150,7 +150,7 @@
             self._head.request,
             endpoint=endpoint,
             error=error,
-            attempts=self.count,
+            tries=self.count,
             retry=allowed,
         )
         if not allowed:
--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -206,7 +206,7 @@
         slot: placement.Slot,
         ticket: dispatch.ClaimTicket,
     ) -> local.Whole:
-        tries = self._server.attempts(head)
+        tries = self._server.tries(head)
         while True:
             send = dispatch.Send(
                 tries.purpose,
--- a/wrenspoke/coordination/serving/outlier_detection.py
+++ b/wrenspoke/coordination/serving/outlier_detection.py
@@ -53,7 +53,7 @@
 
     def record_success(self, place: str) -> None:
         """Record a successful request."""
-        if self._states.pop(place, EjectionState()).pause_ms:
+        if self._states.pop(place, EjectionState()).ejection_ms:
             logger.info('place_recovered', place=place)
 
     def record_failure(
@@ -72,17 +72,17 @@
         if not certain and found.failures < CONSECUTIVE_FAILURES_LIMIT:
             return
         now_ms = self._clock.mono_ms()
-        doubled_ms = max(2 * found.pause_ms, INITIAL_EJECTION_MS)
-        found.pause_ms = min(doubled_ms, MAX_EJECTION_MS)
+        doubled_ms = max(2 * found.ejection_ms, INITIAL_EJECTION_MS)
+        found.ejection_ms = min(doubled_ms, MAX_EJECTION_MS)
         found.ejected_since_ms = now_ms
-        found.ejected_until_ms = now_ms + found.pause_ms
+        found.ejected_until_ms = now_ms + found.ejection_ms
         found.unreachable = certain
         logger.warning(
             'place_set_aside',
             place=place,
             cause=cause,
             failures=found.failures,
-            pause_ms=found.pause_ms,
+            pause_ms=found.ejection_ms,
         )
 
     def record_reachable(self, place: str, asked_ms: int) -> None:
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -18,12 +18,12 @@
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.quarantine import guard as guards
 from wrenspoke.coordination.serving import access
-from wrenspoke.coordination.serving import endpoint_selector
+from wrenspoke.coordination.serving import attempts
+from wrenspoke.coordination.serving import call_context
 from wrenspoke.coordination.serving import destinations
+from wrenspoke.coordination.serving import endpoint_selector
 from wrenspoke.coordination.serving import return_line
 from wrenspoke.coordination.serving import shared_retry_budget
-from wrenspoke.coordination.serving import attempts
-from wrenspoke.coordination.serving import call_context as works
 from wrenspoke import ids
 from wrenspoke import mechanisms
 from wrenspoke.protocol import dialect as dialects
@@ -92,7 +92,7 @@
         self._waits = mechanisms.Mechanism.WAITING_AT_START not in switched_off
         self._clock = clock
         self.in_flight = 0
-        self.draining = False
+        self.leaving = False
         self.closed = False
 
     @property
@@ -104,7 +104,7 @@
     def ready(self) -> bool:
         """Tell whether this host should be given requests."""
         return (
-            not self.draining
+            not self.leaving
             and self._replica.serving
             and self._discovery.awake
             and self._replica.current.routes.version > 0
@@ -127,7 +127,9 @@
         finally:
             self.in_flight -= 1
 
-    async def _serve_and_refund(self, context: works.CallContext) -> None:
+    async def _serve_and_refund(
+        self, context: call_context.CallContext
+    ) -> None:
         """Serve a call; what it took and did not use is given back."""
         try:
             await self._serve(context)
@@ -140,7 +142,7 @@
         call: dialects.Call,
         reply: passing.Reply,
         hop: passing.Hop | None,
-    ) -> works.CallContext | None:
+    ) -> call_context.CallContext | None:
         """Find the call's route; answer it where there is none."""
         if self.closed:
             await self._refuse(call, reply, passing.Refusal.LEAVING)
@@ -173,7 +175,7 @@
             await self._refuse_over_limit(call, reply, error)
             return None
         left_ms = min(call.left_ms, permit.route.timeout_ms)
-        return works.CallContext(
+        return call_context.CallContext(
             call,
             permit,
             service,
@@ -301,15 +303,15 @@
         names = [target.service for target in route.targets]
         if hop is not None and hop.service in names:
             return hop.service
-        return self._selector.draw(route.targets)
+        return self._selector.draw_service(route.targets)
 
-    def _left_ms(self, context: works.CallContext) -> int:
+    def _left_ms(self, context: call_context.CallContext) -> int:
         return context.deadline_ms - self._clock.mono_ms()
 
-    async def _serve(self, context: works.CallContext) -> None:
+    async def _serve(self, context: call_context.CallContext) -> None:
         if context.hop is None:
             # Counted where the caller sent it, and nowhere else.
-            self._retry_budget.first(context.service.service)
+            self._retry_budget.record_request(context.service.service)
         try:
             async with clocks.timeout_ms(self._left_ms(context)):
                 if await self._run_attempts(context):
@@ -348,7 +350,7 @@
         await self._give_up(context, BAD_GATEWAY)
 
     async def _refuse_quarantined(
-        self, context: works.CallContext, error: errors.QuarantinedError
+        self, context: call_context.CallContext, error: errors.QuarantinedError
     ) -> None:
         """Turn away at once what no endpoint is sent.
 
@@ -365,7 +367,7 @@
             UNAVAILABLE, passing.Refusal.QUARANTINED, error.held_ms
         )
 
-    async def _run_attempts(self, context: works.CallContext) -> bool:
+    async def _run_attempts(self, context: call_context.CallContext) -> bool:
         """Try until it is answered; False when it is given up.
 
         :raises QuarantinedError: no endpoint is sent it now
@@ -383,24 +385,24 @@
                 return False
             # Before the budget of repeats, which a call that is not sent
             # leaves as it is.
-            if not await self._attempts.admit(context, destination):
+            if not await self._attempts.acquire_permit(context, destination):
                 if context.permit_rejections >= PERMIT_REJECTIONS_LIMIT:
                     return False
                 continue
-            if context.sent and not self._retry_budget.spend(
+            if context.send_count and not self._retry_budget.spend(
                 context.service.service
             ):
                 context.cause = f'{context.cause} (no retry left)'
                 return False
             context.attempted.add(destination.name)
-            if await self._attempts.make(context, destination):
+            if await self._attempts.run_attempt(context, destination):
                 return True
             if not self._may_retry(context):
                 return False
         context.cause = context.cause or 'timeout'
         return False
 
-    def _may_retry(self, context: works.CallContext) -> bool:
+    def _may_retry(self, context: call_context.CallContext) -> bool:
         if context.unexecuted_sends >= UNEXECUTED_SENDS_LIMIT:
             return False
         if not context.may_have_run:
@@ -409,7 +411,9 @@
             return False
         return context.runs < context.runs_limit
 
-    async def _give_up(self, context: works.CallContext, status: int) -> None:
+    async def _give_up(
+        self, context: call_context.CallContext, status: int
+    ) -> None:
         """Give the final answer, at once, and say whether it has run."""
         if not context.may_have_run:
             status = UNAVAILABLE
@@ -420,17 +424,19 @@
             status=status,
             cause=context.cause,
             runs=context.runs,
-            unexecuted_sends=context.unexecuted_sends,
+            unrun=context.unexecuted_sends,
             left_ms=self._left_ms(context),
             held_ms=self._clock.mono_ms() - context.call.arrived_ms,
-            free_slots=self._selector.free_slots(context.service),
-            pieces=0 if context.tracker is None else context.tracker.count,
+            free_places=self._selector.free_slots(context.service),
+            pieces=0
+            if context.tracker is None
+            else context.tracker.event_count,
         )
         if context.reply.started:
             context.reply.abort()
             return
-        if context.kept is not None:
-            kept = context.kept
+        if context.retained_response is not None:
+            kept = context.retained_response
             await context.reply.whole(kept.status, kept.fields, kept.body)
             return
         retry_after_ms = None
@@ -439,28 +445,30 @@
                 context
             )
         reason = (
-            passing.Refusal.GAVE_UP if context.sent else passing.Refusal.UNSENT
+            passing.Refusal.GAVE_UP
+            if context.send_count
+            else passing.Refusal.UNSENT
         )
         await context.reply.refuse(status, reason, retry_after_ms)
 
-    def _retry_hint_ms(self, context: works.CallContext) -> int:
+    def _retry_hint_ms(self, context: call_context.CallContext) -> int:
         """Return when a caller that found no endpoint should come back.
 
         Callers that are sent away together are spread.
         """
-        known_ms = self._selector.return_in_ms(
+        known_ms = self._selector.endpoint_retry_after_ms(
             context.service, context.permit.urgency
         )
         if known_ms is None:
             known_ms = context.remote_retry_after_ms or RETRY_AFTER_MS
         urgency = 0
-        if self._selector.backs_off(context.service):
+        if self._selector.all_in_backoff(context.service):
             urgency = context.permit.urgency
         return return_line.spread_ms(known_ms, urgency)
 
     async def drain(self, timeout_ms: int) -> bool:
         """Take nothing new and wait; True if all of it ended."""
-        self.draining = True
+        self.leaving = True
         self.closed = True
         end_ms = self._clock.mono_ms() + timeout_ms
         while self.in_flight and self._clock.mono_ms() < end_ms:
--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -69,7 +69,7 @@
     ):
         self._broadcaster = broadcaster
         if broadcaster is not None:
-            broadcaster.listen(self._on_peer_forwarded)
+            broadcaster.subscribe(self._on_peer_forwarded)
         self._pinger = pinger
         self._remote_hosts = remotes
         self._views = region_statuses
@@ -237,7 +237,7 @@
             name, service.batch.cache_tokens, call.parts
         )
         if self._broadcaster is not None:
-            self._broadcaster.note(name, unread, call.parts)
+            self._broadcaster.publish(name, unread, call.parts)
 
     def _on_peer_forwarded(self, sent: attending.SentCall) -> None:
         """Note that another host of this region passed a call on."""
--- a/wrenspoke/demo.py
+++ b/wrenspoke/demo.py
@@ -182,7 +182,7 @@
         sent |= {headers.HOME: 'south', headers.BOUND: 'true'}
     result = await caller.chat(body, sent, _print_text)
     say(
-        f'\n# ended: {result.outcome}, {result.event_tracker} events, first after '
+        f'\n# ended: {result.outcome}, {result.events} events, first after '
         f'{result.first_ms} ms'
     )
     explained = await caller.get(f'/explain/{request}')
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -25,17 +25,17 @@
 from wrenspoke.coordination.quarantine import guard
 from wrenspoke.coordination.quarantine import reporter
 from wrenspoke.coordination.serving import access
+from wrenspoke.coordination.serving import attempts
 from wrenspoke.coordination.serving import availability
+from wrenspoke.coordination.serving import destinations
 from wrenspoke.coordination.serving import endpoint_selector
 from wrenspoke.coordination.serving import estimate
 from wrenspoke.coordination.serving import outlier_detection
 from wrenspoke.coordination.serving import passthrough
-from wrenspoke.coordination.serving import destinations
 from wrenspoke.coordination.serving import remote_regions
 from wrenspoke.coordination.serving import sending
 from wrenspoke.coordination.serving import sent_call_broadcast
 from wrenspoke.coordination.serving import shared_retry_budget
-from wrenspoke.coordination.serving import attempts
 from wrenspoke.coordination.serving import warmup_probe
 from wrenspoke import ids
 from wrenspoke import mechanisms
@@ -414,7 +414,7 @@
     async def drain(self) -> None:
         """Let callers go elsewhere, then wait for what is in flight."""
         self.attendance.draining = True
-        self.passthrough.draining = True
+        self.passthrough.leaving = True
         logger.info('draining', in_flight=self.passthrough.in_flight)
         await self.attendance.tell_now()
         await self.clock.sleep_ms(self.node.entry.leave_delay_ms)
--- a/wrenspoke/state/plans.py
+++ b/wrenspoke/state/plans.py
@@ -483,9 +483,7 @@
 @_plans(WithdrawKey)
 def _plan_withdraw(intent: WithdrawKey, current: configuration.Configuration):
     team = current.keys.get(intent.digest)
-    left = (
-        sum(best_cache_holder == team for holder in current.keys.values()) - 1
-    )
+    left = sum(holder == team for holder in current.keys.values()) - 1
     return _Draft(
         steps=[Change(configuration.WithdrawKey(intent.digest))],
         summary=f'withdraw a key of team {team}, which has {left} left',
