--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -445,7 +445,7 @@
         'a call keeps the homes of its arrival',
         DECISIONS + 'serving/passthrough.py',
         (
-            '            context.permit = self._access_control.renewed(context.call, context.permit)\n'
+            '            context.permit = self._access_control.renewed(\n                context.call, context.permit\n            )\n'
         ),
         (''),
         (
@@ -616,7 +616,7 @@
     Switch(
         'hopeless calls are sent',
         DECISIONS + 'serving/destinations.py',
-        ('        if context.sent or lost <= DEADLINE_MISS_LIMIT:\n'),
+        ('        if context.send_count or lost <= DEADLINE_MISS_LIMIT:\n'),
         ('        if True:\n'),
         ('tests/test_far.py'),
     ),
