--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -140,7 +140,7 @@
         endpoint: ids.EndpointId,
         service: routes.RoutedService,
         call: dialects.Call,
-        prospect: Estimate,
+        estimate: Estimate,
     ) -> int | None:
         """Note that a call goes to an endpoint.
 
@@ -156,7 +156,7 @@
         )
         return self.backlog.add_prompt(
             endpoint,
-            prospect.uncached_tokens,
+            estimate.uncached_tokens,
             self._token_ms(endpoint, service.service),
         )
 
@@ -195,7 +195,7 @@
         self,
         endpoint: ids.EndpointId,
         service: routes.RoutedService,
-        prospect: Estimate,
+        estimate: Estimate,
         took_ms: float,
     ) -> None:
         """Learn from the time to a first piece or a whole answer."""
@@ -206,9 +206,9 @@
             return
         self.model_for(service.service).add_sample(
             endpoint,
-            prospect.uncached_tokens,
-            prospect.queued_tokens,
-            took_ms - prospect.transfer_ms,
+            estimate.uncached_tokens,
+            estimate.queued_tokens,
+            took_ms - estimate.transfer_ms,
         )
 
     def keep_only(self, endpoints: set[ids.EndpointId]) -> None:
