--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -132,7 +132,7 @@
             self.waits_ms.append(began_ms - now_ms)
 
 
-def every(candidates, _always, _chance):
+def all_endpoints(candidates, _always, _chance):
     """Weigh all endpoints, as a host does that has few."""
     return candidates
 
@@ -176,7 +176,7 @@
 )
 def test_calls_wait_no_longer_where_each_weighs_some(hosts, engines):
     """Reports are too old for the best of all to be much better."""
-    weighing_all_ms = waits_ms(hosts, engines, BUSY_SHARE, every)
+    weighing_all_ms = waits_ms(hosts, engines, BUSY_SHARE, all_endpoints)
     weighing_some_ms = waits_ms(hosts, engines, BUSY_SHARE, sampling.sample)
     assert weighing_some_ms <= (1 + NOISE) * weighing_all_ms
 
