--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -41,7 +41,7 @@
         return int(self.now_ms)
 
 
-class Region:
+class SimulatedRegion:
     """Play the calls of some hosts at some engines."""
 
     def __init__(self, hosts, engines, share, seed, sampling, told_ms=None):
@@ -140,7 +140,7 @@
 def waits_ms(hosts, engines, share, sampling, told_ms=None):
     """Return the mean wait over some seeds."""
     return statistics.mean(
-        Region(hosts, engines, share, seed, sampling, told_ms).play()
+        SimulatedRegion(hosts, engines, share, seed, sampling, told_ms).play()
         for seed in SEEDS
     )
 
