--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -31,7 +31,7 @@
 NOISE = 0.15
 
 
-class Clock:
+class SimulatedClock:
     """Tell the time of the played region."""
 
     def __init__(self):
@@ -49,7 +49,7 @@
         self._to_tell = []
         self._random = random.Random(seed)
         self._sampling = sampling
-        self._clock = Clock()
+        self._clock = SimulatedClock()
         self._backlogs = []
         for _host in range(hosts):
             made = backlog.Backlog(self._clock)
@@ -158,7 +158,7 @@
 
 def test_hosts_that_are_not_told_choose_as_before():
     """Who hears nothing takes others to send as much as itself."""
-    clock = Clock()
+    clock = SimulatedClock()
     made = backlog.Backlog(clock)
     made.host_count = 3
     load = loads.EngineLoad('e', 0, 0, 0, 1, 0)
