--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -21,7 +21,7 @@
 TOKEN_MS = 1 / 38.7
 MEAN_TOKENS = 1_500
 INTERVAL_MS, LAG_MS = 400, 100
-PLAYED_MS = 8_000
+SIMULATED_MS = 8_000
 WARM_UP_MS = 2_000
 SEEDS = range(3)
 BUSY_SHARE = 0.8
@@ -68,7 +68,7 @@
         """Return the mean time that calls wait before they are read."""
         report_ms = INTERVAL_MS
         call_ms = 0.0
-        while call_ms < PLAYED_MS:
+        while call_ms < SIMULATED_MS:
             call_ms += self._random.expovariate(self._rate_per_ms)
             while report_ms < call_ms:
                 self._report(report_ms)
