--- a/tests/test_sent_calls.py
+++ b/tests/test_sent_calls.py
@@ -17,7 +17,7 @@
 from wrenspoke.protocol import dialect as dialects
 
 CALLS_PER_S = 4
-PLAYED_MS = 5_000
+SIMULATED_MS = 5_000
 PARTS = (dialects.PromptPart('a1b2c3d4', 6_300), dialects.PromptPart('x', 9))
 
 
@@ -69,7 +69,7 @@
         """Let every host send calls at an even pace."""
         calls = 0
         interval_ms = 1_000 / CALLS_PER_S / len(self.hosts)
-        while calls * interval_ms < PLAYED_MS:
+        while calls * interval_ms < SIMULATED_MS:
             host = self.hosts[calls % len(self.hosts)]
             engine = f'e{calls % (len(self.hosts) // 2)}'
             host.told.publish(engine, 100, PARTS)
@@ -116,11 +116,11 @@
             told = sent['TellSent'].messages + sent['TellRegion'].messages
             # Its own calls, and a part of each of 40 tellings a second.
             parts = 2 * 40 * hosts**0.5
-            assert told / (PLAYED_MS / 1_000) < CALLS_PER_S + parts
+            assert told / (SIMULATED_MS / 1_000) < CALLS_PER_S + parts
         whole = sum(
             host.peers.sent['TellRegion'].messages for host in fleet.hosts
         )
-        assert whole / hosts / (PLAYED_MS / 1_000) < 45
+        assert whole / hosts / (SIMULATED_MS / 1_000) < 45
         await fleet.close()
 
     group.run(play())
