--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -64,7 +64,7 @@
         self._numbers = itertools.count()
         self.waits_ms = []
 
-    def play(self):
+    def simulate(self):
         """Return the mean time that calls wait before they are read."""
         report_ms = INTERVAL_MS
         call_ms = 0.0
@@ -140,7 +140,9 @@
 def waits_ms(hosts, engines, share, sampling, told_ms=None):
     """Return the mean wait over some seeds."""
     return statistics.mean(
-        SimulatedRegion(hosts, engines, share, seed, sampling, told_ms).play()
+        SimulatedRegion(
+            hosts, engines, share, seed, sampling, told_ms
+        ).simulate()
         for seed in SEEDS
     )
 
