--- a/tests/test_sent_calls.py
+++ b/tests/test_sent_calls.py
@@ -65,7 +65,7 @@
         self.names = [f'10.1.{n // 200}.{n % 200}:1' for n in range(hosts)]
         self.hosts = [Host(self, name) for name in self.names]
 
-    async def call(self):
+    async def send_calls(self):
         """Let every host send calls at an even pace."""
         calls = 0
         interval_ms = 1_000 / CALLS_PER_S / len(self.hosts)
@@ -87,7 +87,7 @@
 def test_every_host_hears_of_each_call_of_others_once_and_soon(hosts):
     async def play():
         fleet = Fleet(hosts)
-        calls = await fleet.call()
+        calls = await fleet.send_calls()
         for host in fleet.hosts:
             own = calls / hosts
             assert abs(len(host.heard) - (calls - own)) <= 1
@@ -110,7 +110,7 @@
 
     async def play():
         fleet = Fleet(hosts)
-        await fleet.call()
+        await fleet.send_calls()
         for host in fleet.hosts:
             sent = host.peers.sent
             told = sent['TellSent'].messages + sent['TellRegion'].messages
@@ -133,7 +133,7 @@
         fleet = Fleet(10)
         collector = fleet.hosts[0].told._pollers.collector('e0')
         fleet.network.cut_off(collector)
-        await fleet.call()
+        await fleet.send_calls()
         heard = [
             len(host.heard)
             for name, host in zip(fleet.names, fleet.hosts, strict=True)
