--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -30,7 +30,7 @@
 )
 
 
-class Known:
+class FakePings:
     """Be what pings told of one host, and who is near."""
 
     def __init__(self, said):
@@ -68,7 +68,7 @@
     held.current = configuration.Configuration(
         index=index, routes=routes.RouteTable(1, services={'s': SERVICE})
     )
-    found = Known(said)
+    found = FakePings(said)
     viewed = views.RegionViews(clock)
     made = remote_regions.RemoteRegions(
         found, found, viewed, held, clock, told
