--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -34,14 +34,14 @@
     """Be what pings told of one host, and who is near."""
 
     def __init__(self, said):
-        self.told = reach.Remote(0, said, 50.0)
-        self.told.answered_ms = 100_000
+        self.remote_state = reach.Remote(0, said, 50.0)
+        self.remote_state.answered_ms = 100_000
 
     def remote(self, _host):
-        return self.told
+        return self.remote_state
 
     def answers(self, _host):
-        return self.told.said is not None
+        return self.remote_state.said is not None
 
     def reachable(self, region):
         return [HOST] if region == 'south' else []
@@ -105,7 +105,7 @@
     made, found, clock = known(pong(index=0))
     assert made.offer_for_call('south', SERVICE, CALL, HOST) is not None
     clock.now_ms += remote_regions.CONFIGURATION_LAG_LIMIT_MS + 1
-    found.told.answered_ms = clock.now_ms
+    found.remote_state.answered_ms = clock.now_ms
     assert made.offer_for_call('south', SERVICE, CALL, HOST) is None
 
 
