--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -47,7 +47,7 @@
         return [HOST] if region == 'south' else []
 
 
-class Told:
+class FakeBroadcaster:
     """Be what hosts of this region tell each other."""
 
     def __init__(self):
@@ -123,9 +123,9 @@
 
 def test_calls_that_other_hosts_passed_on_count_as_own_ones():
     """Hosts of one region that see the same offer don't all take it."""
-    told = Told()
+    told = FakeBroadcaster()
     made, _found, _clock = known(pong(), told=told)
-    other, _other_found, _other_clock = known(pong(), told=Told())
+    other, _other_found, _other_clock = known(pong(), told=FakeBroadcaster())
     first_ms = made.offer_for_call('south', SERVICE, CALL, HOST).first_ms
     other.record_forwarded('south', SERVICE, CALL)
     [(name, tokens, parts)] = other._broadcaster.noted
