--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -51,14 +51,14 @@
     """Be what hosts of this region tell each other."""
 
     def __init__(self):
-        self.noted = []
+        self.published = []
         self.listener = None
 
     def subscribe(self, listener):
         self.listener = listener
 
     def publish(self, name, tokens, parts):
-        self.noted.append((name, tokens, parts))
+        self.published.append((name, tokens, parts))
 
 
 def known(said, index=1, told=None):
