--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -61,7 +61,7 @@
         self.published.append((name, tokens, parts))
 
 
-def known(said, index=1, told=None):
+def remote_regions_with(said, index=1, told=None):
     """Return what is known of other regions, and the clock."""
     clock = test_registry.FakeClock()
     held = replica.Replica()
@@ -95,14 +95,14 @@
     ids=['offers', 'starts', 'none', 'says none', 'unknown', 'behind a while'],
 )
 def test_region_offers_what_its_host_said(said, offered):
-    made, _found, _clock = known(said)
+    made, _found, _clock = remote_regions_with(said)
     assert (
         made.offer_for_call('south', SERVICE, CALL, HOST) is not None
     ) is offered
 
 
 def test_host_that_lags_for_long_offers_nothing():
-    made, found, clock = known(pong(index=0))
+    made, found, clock = remote_regions_with(pong(index=0))
     assert made.offer_for_call('south', SERVICE, CALL, HOST) is not None
     clock.now_ms += remote_regions.CONFIGURATION_LAG_LIMIT_MS + 1
     found.remote_state.answered_ms = clock.now_ms
@@ -110,7 +110,7 @@
 
 
 def test_offer_holds_travel_waiting_reading_and_what_was_passed_on():
-    made, _found, _clock = known(pong())
+    made, _found, _clock = remote_regions_with(pong())
     first_ms = made.offer_for_call('south', SERVICE, CALL, HOST).first_ms
     assert first_ms == pytest.approx(
         50 + remote_regions.FORWARDING_OVERHEAD_MS + 100 + 100
@@ -124,8 +124,10 @@
 def test_calls_that_other_hosts_passed_on_count_as_own_ones():
     """Hosts of one region that see the same offer don't all take it."""
     told = FakeBroadcaster()
-    made, _found, _clock = known(pong(), told=told)
-    other, _other_found, _other_clock = known(pong(), told=FakeBroadcaster())
+    made, _found, _clock = remote_regions_with(pong(), told=told)
+    other, _other_found, _other_clock = remote_regions_with(
+        pong(), told=FakeBroadcaster()
+    )
     first_ms = made.offer_for_call('south', SERVICE, CALL, HOST).first_ms
     other.record_forwarded('south', SERVICE, CALL)
     [(name, tokens, parts)] = other._broadcaster.noted
@@ -142,7 +144,7 @@
 
 
 def test_what_a_region_said_when_it_turned_a_call_back_is_believed():
-    made, _found, clock = known(pong())
+    made, _found, clock = remote_regions_with(pong())
     before = made.offer_for_call('south', SERVICE, CALL, HOST).first_ms
     made.record_busy('south', 's', 700.0)
     assert (
@@ -154,7 +156,7 @@
 
 
 def test_offers_are_told_on_to_who_is_cut_off():
-    made, _found, _clock = known(pong())
+    made, _found, _clock = remote_regions_with(pong())
     told = made.relay_offers(['south', 'nowhere'])
     assert list(told) == ['south']
     assert (
@@ -172,7 +174,7 @@
     ids=['fresh', 'old'],
 )
 def test_region_offers_what_another_host_of_this_one_heard(later_ms, first_ms):
-    made, _found, clock = known(None)
+    made, _found, clock = remote_regions_with(None)
     status = attending.RegionStatus('south', pong(), 40.0, 200)
     made._views.note(status)
     clock.now_ms += later_ms and later_ms - 200
