--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -47,7 +47,7 @@
     return taken
 
 
-class Holding:
+class HoldingEndpoint:
     """Answer after a table was put in force in the middle of it.
 
     Endpoints run in the same loop as the hosts.
@@ -120,7 +120,7 @@
         )
 
     await system.put(route())
-    first = await Holding(script).start()
+    first = await HoldingEndpoint(script).start()
     await system.register('e1', first)
     there = await system.add('e2', 'south-hall')
     await test_far.know_each_other(system)
