--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -28,7 +28,7 @@
     return asyncio.ensure_future(endpoints.ask(system.north, sent))
 
 
-def bodies_taken(monkeypatch, *entries):
+def record_forwarded_bodies(monkeypatch, *entries):
     """Return a list that fills with the bodies that hosts are passed."""
     taken = []
 
@@ -124,7 +124,7 @@
     await system.register('e1', first)
     there = await system.add('e2', 'south-hall')
     await test_far.know_each_other(system)
-    taken = bodies_taken(monkeypatch, *system.entries[1:])
+    taken = record_forwarded_bodies(monkeypatch, *system.entries[1:])
     asked = ask_by(system)
     await asyncio.wait_for(first.asked.wait(), nodes.WAIT_S)
     await system.put(route(homes=homes))
@@ -148,7 +148,7 @@
     there = await system.add('e2', 'south-hall')
     await test_far.know_each_other(system)
     north = system.entries[0]
-    taken = bodies_taken(monkeypatch, *system.entries[1:])
+    taken = record_forwarded_bodies(monkeypatch, *system.entries[1:])
     connector = north._hosts_client._pooled.connector
     connect = connector._create_connection
 
@@ -176,7 +176,7 @@
     west = await test_far.cut_north_from_south(system, monkeypatch)
     connector = system.entries[0]._hosts_client._pooled.connector
     connect = connector._create_connection
-    taken = bodies_taken(monkeypatch, west)
+    taken = record_forwarded_bodies(monkeypatch, west)
 
     async def connect_late(*arguments):
         made = await connect(*arguments)
