--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -21,7 +21,7 @@
 BODY = b'a prompt'
 
 
-def ask_by(system, **changes):
+def start_request(system, **changes):
     """Ask the north's host for a call with a body."""
     headers = [f'Content-Length: {len(BODY)}', *changes.pop('headers', ())]
     sent = request(POST, headers, BODY, **changes)
@@ -125,7 +125,7 @@
     there = await system.add('e2', 'south-hall')
     await test_far.know_each_other(system)
     taken = record_forwarded_bodies(monkeypatch, *system.entries[1:])
-    asked = ask_by(system)
+    asked = start_request(system)
     await asyncio.wait_for(first.asked.wait(), nodes.WAIT_S)
     await system.put(route(homes=homes))
     first.go_on.set()
@@ -158,7 +158,7 @@
         return made
 
     monkeypatch.setattr(connector, '_create_connection', connect_late)
-    got = await ask_by(system)
+    got = await start_request(system)
     assert taken == [] and there.requests == []
     # It was not run, so the homes that hold now may serve it.
     assert got.endswith(b'whole') and len(here.requests) == 1
@@ -184,7 +184,7 @@
         return made
 
     monkeypatch.setattr(connector, '_create_connection', connect_late)
-    got = await ask_by(system)
+    got = await start_request(system)
     assert got.startswith(b'HTTP/1.1 503 ')
     assert taken == [] and there.requests == []
 
@@ -206,6 +206,6 @@
     )
     await leader.decisions.replace_routes(table)
     await nodes.until(lambda: west.replica.current.routes.version > 1)
-    got = await ask_by(system)
+    got = await start_request(system)
     assert got.startswith(b'HTTP/1.1 503 ')
     assert there.requests == []
