--- a/tests/test_far.py
+++ b/tests/test_far.py
@@ -46,7 +46,7 @@
         await endpoint.close()
 
 
-async def know_each_other(system):
+async def wait_for_pongs(system):
     """Wait until the north's host knows what the south's offer now.
 
     What a host offers comes with its answers to pings. The last answer
@@ -81,7 +81,7 @@
     await system.put(route(homes=homes))
     here = await system.add('e1', 'north-hall')
     there = await system.add('e2', 'south-hall')
-    await know_each_other(system)
+    await wait_for_pongs(system)
     for number in range(6):
         got = await endpoints.ask(
             system.north, request(request_id=f'q{number}')
@@ -102,7 +102,7 @@
         )
         for number in range(3)
     ]
-    await know_each_other(system)
+    await wait_for_pongs(system)
     got = await endpoints.ask(system.north, request())
     assert got.startswith(b'HTTP/1.1 500 ')
     assert passing.RUNS.encode() not in got
@@ -112,7 +112,7 @@
 async def test_call_goes_away_where_no_endpoint_is_left(system):
     await system.put(route())
     there = await system.add('e2', 'south-hall')
-    await know_each_other(system)
+    await wait_for_pongs(system)
     got = await endpoints.ask(system.north, request())
     assert got.endswith(b'whole') and len(there.requests) == 1
 
@@ -184,7 +184,7 @@
     await system.put(test_passing.route(kind, homes=('south',)))
     there = await system.add('e2', 'south-hall', lambda _s, _n: [stall])
     other = await system.add('e3', 'south-hall', lambda _s, _n: [stall])
-    await know_each_other(system)
+    await wait_for_pongs(system)
     ip, _, port = system.north.rpartition(':')
     _reader, writer = await asyncio.open_connection(ip, int(port))
     writer.write(request())
@@ -201,7 +201,7 @@
 async def test_host_that_stops_answering_is_left_for_another(system):
     await system.put(route(homes=('south',)))
     await system.add('e2', 'south-hall')
-    await know_each_other(system)
+    await wait_for_pongs(system)
     gone = system.entries.pop()
     await gone.close()
     for number in range(6):
@@ -350,7 +350,7 @@
                 await engine.endpoint.start(),
                 data_centre=f'{name}-hall',
             )
-        await know_each_other(system)
+        await wait_for_pongs(system)
         for entry, name in zip(system.entries, made):
             await nodes.until(lambda e=entry, n=name: e._gauges.load(n))
         got = await endpoints.ask(
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -123,7 +123,7 @@
     first = await HoldingEndpoint(script).start()
     await system.register('e1', first)
     there = await system.add('e2', 'south-hall')
-    await test_far.know_each_other(system)
+    await test_far.wait_for_pongs(system)
     taken = record_forwarded_bodies(monkeypatch, *system.entries[1:])
     asked = start_request(system)
     await asyncio.wait_for(first.asked.wait(), nodes.WAIT_S)
@@ -146,7 +146,7 @@
     await system.put(route(homes=('south',)))
     here = await system.add('e1', 'north-hall')
     there = await system.add('e2', 'south-hall')
-    await test_far.know_each_other(system)
+    await test_far.wait_for_pongs(system)
     north = system.entries[0]
     taken = record_forwarded_bodies(monkeypatch, *system.entries[1:])
     connector = north._hosts_client._pooled.connector
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -150,7 +150,7 @@
     await put(system, found, [team('a', KEY, homes=of_team)])
     here = await system.add('e1', 'north-hall')
     there = await system.add('e2', 'south-hall')
-    await test_far.know_each_other(system)
+    await test_far.wait_for_pongs(system)
     got = await endpoints.ask(system.north, call())
     assert (len(here.requests), len(there.requests)) == (
         north_gets,
@@ -199,7 +199,7 @@
     """The first host has not heard that a key was withdrawn."""
     await put(system, test_far.route(), [team('a', KEY)])
     there = await system.add('e2', 'south-hall')
-    await test_far.know_each_other(system)
+    await test_far.wait_for_pongs(system)
     north = system.entries[0]
     monkeypatch.setattr(north.replica, 'advance', lambda _delta: False)
     leader = await system.leader()
