--- a/tests/test_far.py
+++ b/tests/test_far.py
@@ -219,7 +219,7 @@
     assert here.requests == []
 
 
-async def pass_on(system, **changes):
+async def forward_call(system, **changes):
     """Pass a call to a host in the south as another host would."""
     held = system.entries[1].replica.current
     hop = passing.Hop(
@@ -255,14 +255,14 @@
 ):
     await system.put(route())
     await system.add('e2', 'south-hall')
-    assert await pass_on(system, **changes) == told
+    assert await forward_call(system, **changes) == told
 
 
 async def test_call_is_never_passed_on_twice(system):
     """There is no endpoint in the south; the north's is not asked."""
     await system.put(route())
     here = await system.add('e1', 'north-hall')
-    assert await pass_on(system) == (503, 'unsent')
+    assert await forward_call(system) == (503, 'unsent')
     assert here.requests == []
 
 
