--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -23,7 +23,7 @@
     return loads.EngineLoad('e', queued, queued, 0, 10**6, age_ms)
 
 
-def known(clock, *calls):
+def backlog_after(clock, *calls):
     """Return a backlog after calls of (tokens, ms later) to one engine."""
     made = backlog.Backlog(clock)
     numbers = []
@@ -55,7 +55,7 @@
 )
 def test_own_calls_wait_until_their_first_piece(calls, answered, ahead):
     clock = FakeClock()
-    made, numbers = known(clock, *calls)
+    made, numbers = backlog_after(clock, *calls)
     for place in answered:
         made.remove_prompt('e', numbers[place])
     assert made.tokens_ahead('e', None, TOKEN_MS) == pytest.approx(ahead)
@@ -79,7 +79,7 @@
 
 def test_other_hosts_are_taken_to_send_as_much():
     clock = FakeClock()
-    made, numbers = known(clock, *[(1_000.0, 100)] * 10)
+    made, numbers = backlog_after(clock, *[(1_000.0, 100)] * 10)
     for number in numbers:
         made.remove_prompt('e', number)
     alone = made.tokens_ahead('e', load(40), TOKEN_MS)
@@ -90,7 +90,7 @@
 
 
 def test_call_that_ended_unread_waits_no_more():
-    made, [number] = known(FakeClock(), (5_000, 0))
+    made, [number] = backlog_after(FakeClock(), (5_000, 0))
     made.remove_prompt('e', number)
     made.remove_prompt('e', number)
     assert made.tokens_ahead('e', None, TOKEN_MS) == 0
