--- a/tests/test_spending.py
+++ b/tests/test_spending.py
@@ -17,7 +17,7 @@
         return self.now_ms
 
 
-def sharing(count, bounds, clock):
+def shared_budgets(count, bounds, clock):
     """Return the budgets of hosts that share them."""
     names = [f'10.0.{number // 250}.{number % 250}' for number in range(count)]
     every = [
@@ -35,7 +35,7 @@
 def test_all_hosts_together_keep_the_bound(hosts, firsts, fixed):
     clock = FakeClock()
     bounds = shared_retry_budget.RetryBounds(0.2, fixed, WINDOW_MS)
-    every = sharing(hosts, bounds, clock)
+    every = shared_budgets(hosts, bounds, clock)
     for number in range(firsts):
         every[number % hosts].record_request('s')
     spent = 0
@@ -50,7 +50,7 @@
     """Parts below one are no budget that nobody can use."""
     bounds = shared_retry_budget.RetryBounds(0.2, 56, WINDOW_MS)
     spent = 0
-    for budget in sharing(hosts, bounds, FakeClock()):
+    for budget in shared_budgets(hosts, bounds, FakeClock()):
         while budget.spend('s'):
             spent += 1
     assert spent == int(shared_retry_budget.USABLE_SHARE * 56)
@@ -58,7 +58,7 @@
 
 def test_hosts_that_have_a_repeat_differ_by_service():
     bounds = shared_retry_budget.RetryBounds(0.0, 56, WINDOW_MS)
-    every = sharing(200, bounds, FakeClock())
+    every = shared_budgets(200, bounds, FakeClock())
     having = [
         {number for number, one in enumerate(every) if one.spend(service)}
         for service in ('a', 'b')
@@ -69,7 +69,7 @@
 def test_window_slides():
     clock = FakeClock()
     bounds = shared_retry_budget.RetryBounds(0.0, 3, 1_000)
-    [budget] = sharing(1, bounds, clock)
+    [budget] = shared_budgets(1, bounds, clock)
     assert budget.spend('s') and budget.spend('s')
     assert not budget.spend('s')
     clock.now_ms = 1_000
@@ -78,6 +78,6 @@
 
 def test_services_do_not_share_a_budget():
     bounds = shared_retry_budget.RetryBounds(0.0, 2, 1_000)
-    [budget] = sharing(1, bounds, FakeClock())
+    [budget] = shared_budgets(1, bounds, FakeClock())
     assert budget.spend('a') and not budget.spend('a')
     assert budget.spend('b')
