--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -33,7 +33,7 @@
         return name, unread, ahead, took_ms
 
 
-def play(model, engine, calls):
+def train(model, engine, calls):
     """Let a model learn, and return expected over real times."""
     ratios = []
     for _number in range(calls):
@@ -53,8 +53,8 @@
     monkeypatch.setattr(prefill_model, 'MIN_COEFFICIENT_SHARE', 0.005)
     model = prefill_model.PrefillModel()
     engine = SimulatedEngine(seed)
-    play(model, engine, 100)
-    ratios = play(model, engine, 200)
+    train(model, engine, 100)
+    ratios = train(model, engine, 200)
     assert 0.8 <= statistics.median(ratios) <= 1.25
     within = [ratio for ratio in ratios if 0.5 <= ratio <= 2.0]
     assert len(within) >= 0.9 * len(ratios)
@@ -66,10 +66,10 @@
 def test_model_follows_engines_that_change(slowed):
     model = prefill_model.PrefillModel()
     engine = SimulatedEngine(1)
-    play(model, engine, 200)
+    train(model, engine, 200)
     engine.slowed = slowed
-    play(model, engine, 80)
-    ratios = play(model, engine, 100)
+    train(model, engine, 80)
+    ratios = train(model, engine, 100)
     assert 0.8 <= statistics.median(ratios) <= 1.25
 
 
@@ -88,7 +88,7 @@
 
 def test_call_that_hung_teaches_little():
     model = prefill_model.PrefillModel()
-    play(model, SimulatedEngine(1), 300)
+    train(model, SimulatedEngine(1), 300)
     before_ms = model.first_ms('a', 3_000, 0)
     model.add_sample('a', 3_000, 0, 60_000)
     assert model.first_ms('a', 3_000, 0) < 1.2 * before_ms
