--- a/tests/test_prefixes.py
+++ b/tests/test_prefixes.py
@@ -46,7 +46,7 @@
     assert (holder and (holder.endpoint, holder.tokens)) == found
 
 
-def test_oldest_parts_give_way():
+def test_least_recently_used_parts_are_evicted():
     known = prefix_index.PrefixIndex()
     for name in ('a', 'b', 'c'):
         known.record_prompt('e1', 2_700, (dialects.PromptPart(name, 1_000),))
