--- a/tests/test_prefixes.py
+++ b/tests/test_prefixes.py
@@ -65,7 +65,7 @@
     assert known.cached_tokens('e1', parts('a', 'b'), usual) == kept
 
 
-def test_what_is_made_takes_room_from_what_is_kept():
+def test_generated_tokens_evict_cached_prefixes():
     """Chats that nobody asks for again push prefixes out."""
     known = prefix_index.PrefixIndex()
     known.record_prompt('e1', 5_000, parts('a'))
