--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -29,7 +29,7 @@
         ('sfsfsfsfsf', False),
     ],
 )
-def test_failures_in_a_row_set_a_place_aside(outcomes, aside):
+def test_consecutive_failures_eject_an_address(outcomes, aside):
     noted = outlier_detection.OutlierDetector(FakeClock())
     for outcome in outcomes:
         if outcome == 's':
