--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -39,7 +39,7 @@
     assert noted.is_ejected('p') is aside
 
 
-def test_pause_doubles_and_ends():
+def test_ejection_time_doubles_and_ends():
     clock = FakeClock()
     noted = outlier_detection.OutlierDetector(clock)
     pauses = []
