--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -56,7 +56,7 @@
 @pytest.mark.parametrize(
     'sent_ms, pause_ms', [(900, 500), (1_500, 1_000)], ids=['same', 'next']
 )
-def test_what_was_under_way_belongs_to_the_same_episode(sent_ms, pause_ms):
+def test_requests_in_flight_at_an_ejection_are_not_counted(sent_ms, pause_ms):
     clock = FakeClock()
     noted = outlier_detection.OutlierDetector(clock)
     clock.now_ms = 1_000
