--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -73,7 +73,9 @@
     [(True, 1_100, False), (True, 900, True), (False, 1_100, True)],
     ids=['is back', 'asked before', 'answers badly'],
 )
-def test_place_that_is_heard_of_can_be_reached_again(certain, asked_ms, aside):
+def test_response_ends_ejection_of_unreachable_address(
+    certain, asked_ms, aside
+):
     clock = FakeClock()
     noted = outlier_detection.OutlierDetector(clock)
     clock.now_ms = 1_000
