--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -143,7 +143,7 @@
     )
 
 
-def test_what_a_region_said_when_it_turned_a_call_back_is_believed():
+def test_busy_refusal_overrides_the_offer_for_a_while():
     made, _found, clock = remote_regions_with(pong())
     before = made.offer_for_call('south', SERVICE, CALL, HOST).first_ms
     made.record_busy('south', 's', 700.0)
