--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -155,7 +155,7 @@
     assert made.offer_for_call('south', SERVICE, CALL, HOST).first_ms == before
 
 
-def test_offers_are_told_on_to_who_is_cut_off():
+def test_offers_are_relayed_to_partitioned_regions():
     made, _found, _clock = remote_regions_with(pong())
     told = made.relay_offers(['south', 'nowhere'])
     assert list(told) == ['south']
