--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -109,7 +109,7 @@
     assert made.offer_for_call('south', SERVICE, CALL, HOST) is None
 
 
-def test_offer_holds_travel_waiting_reading_and_what_was_passed_on():
+def test_offer_includes_rtt_queue_prefill_and_forwarded_calls():
     made, _found, _clock = remote_regions_with(pong())
     first_ms = made.offer_for_call('south', SERVICE, CALL, HOST).first_ms
     assert first_ms == pytest.approx(
