--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -121,7 +121,7 @@
     assert again.first_ms == pytest.approx(first_ms - 100 + 50)
 
 
-def test_calls_that_other_hosts_passed_on_count_as_own_ones():
+def test_calls_forwarded_by_peer_hosts_are_counted():
     """Hosts of one region that see the same offer don't all take it."""
     told = FakeBroadcaster()
     made, _found, _clock = remote_regions_with(pong(), told=told)
