--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -94,7 +94,7 @@
     ],
     ids=['offers', 'starts', 'none', 'says none', 'unknown', 'behind a while'],
 )
-def test_region_offers_what_its_host_said(said, offered):
+def test_region_offer_follows_the_host_status(said, offered):
     made, _found, _clock = remote_regions_with(said)
     assert (
         made.offer_for_call('south', SERVICE, CALL, HOST) is not None
