--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -173,7 +173,7 @@
     ],
     ids=['fresh', 'old'],
 )
-def test_region_offers_what_another_host_of_this_one_heard(later_ms, first_ms):
+def test_region_offer_uses_status_received_by_a_peer_host(later_ms, first_ms):
     made, _found, clock = remote_regions_with(None)
     status = attending.RegionStatus('south', pong(), 40.0, 200)
     made._views.note(status)
