--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -269,7 +269,7 @@
     assert got.startswith(b'HTTP/1.1 200 ') and b'whole' in got
 
 
-async def test_surplus_answer_is_nobodys(system):
+async def test_surplus_response_is_not_matched_to_the_next_request(system):
     """An answer behind an answer must not reach the next request."""
     await system.put(route(REPEATABLE, attempts_limit=2))
     await system.add(
