--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -374,7 +374,7 @@
     assert endpoint.requests == []
 
 
-async def test_time_out_is_no_promise(system):
+async def test_timeout_is_not_reported_as_unexecuted(system):
     await system.put(route(timeout_ms=300))
     await system.add('e', lambda sent, _number: [STALL])
     got = await system.ask(request())
