--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -564,7 +564,7 @@
         ('        left_out = self._kept_back | named'),
         ('        left_out = self._kept_back'),
         (
-            'tests/test_passing.py::test_only_the_gateway_speaks_of_endpoints_and_hops'
+            'tests/test_passing.py::test_gateway_headers_from_callers_are_dropped'
         ),
     ),
     Switch(
--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -154,7 +154,7 @@
     return name in ('content-length', 'transfer-encoding', 'expect')
 
 
-async def test_only_the_gateway_speaks_of_endpoints_and_hops(system):
+async def test_gateway_headers_from_callers_are_dropped(system):
     await system.put(route())
     endpoint = await system.add('e', lambda sent, _number: [answer(sent)])
     forged = [
