--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -421,7 +421,7 @@
         'wrenspoke/transport/web.py',
         ('        if found:\n            self._fail'),
         ('        if False:\n            self._fail'),
-        ('tests/test_passing.py::test_reset_beside_the_last_bytes_is_no_end'),
+        ('tests/test_passing.py::test_reset_after_the_last_bytes_is_an_incomplete_body'),
     ),
     Switch(
         'own canvass counts as a leader heard',
--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -240,7 +240,7 @@
         assert got.startswith(b'HTTP/1.1 502 ') and len(count) == 1
 
 
-async def test_reset_beside_the_last_bytes_is_no_end(system):
+async def test_reset_after_the_last_bytes_is_an_incomplete_body(system):
     """libuv tells it as an end of file."""
     await system.put(route())
     endpoint = endpoints.ResettingEndpoint(
