--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -537,7 +537,7 @@
         ('        if not self.registry.take(gone):'),
         ('        if True:'),
         (
-            'tests/test_passing.py::test_endpoint_that_another_took_the_place_of_is_gone'
+            'tests/test_passing.py::test_misdirected_endpoint_is_deregistered'
         ),
     ),
     Switch(
--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -286,7 +286,7 @@
     assert b'stale' not in got
 
 
-async def test_endpoint_that_another_took_the_place_of_is_gone(system):
+async def test_misdirected_endpoint_is_deregistered(system):
     """One refusal is enough, for this host and for all others."""
     await system.put(route())
     other = await system.add(
