--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -301,7 +301,7 @@
     await nodes.until(lambda: not held['e1'].takes_work)
 
 
-async def test_promise_not_to_have_run_is_tried_elsewhere(system):
+async def test_not_run_response_is_retried_elsewhere(system):
     await system.put(route(ONCE))
     count = []
 
