--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -327,7 +327,7 @@
         ('GET /a/x HTTP/1.1', 'H.EXAMPLE:80', 503),
     ],
 )
-async def test_request_without_route_is_told_so(system, line, host, status):
+async def test_request_without_route_is_not_found(system, line, host, status):
     """There is no endpoint either: what has a route is not run."""
     await system.put(route())
     sent = request(line).replace(b'h.example', host.encode())
