--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -436,7 +436,7 @@
 
 
 @pytest.mark.parametrize('resumable', [True, False])
-async def test_broken_stream_goes_on_or_breaks_visibly(system, resumable):
+async def test_broken_stream_is_resumed_or_aborted(system, resumable):
     """No event is lost, doubled or torn; no end is made up."""
     await system.put(route(STREAM, resumable=resumable, attempts_limit=2))
     count = []
