--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -402,7 +402,7 @@
 
 
 @pytest.mark.parametrize('kind', [ONCE, STREAM])
-async def test_caller_that_leaves_ends_the_work(system, kind):
+async def test_caller_disconnect_cancels_the_upstream_request(system, kind):
     await system.put(route(kind))
     endpoint = await system.add(
         'e', lambda sent, _number: [*chunked(sent, b'id: 1\n\n'), STALL]
