--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -555,7 +555,7 @@
         ('        if self.closed:'),
         ('        if False:'),
         (
-            'tests/test_passing.py::test_stopping_host_refuses_new_work_and_ends_the_old'
+            'tests/test_passing.py::test_draining_host_refuses_new_and_completes_open_requests'
         ),
     ),
     Switch(
--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -579,7 +579,7 @@
     assert least_s <= wait_s <= most_s
 
 
-async def test_stopping_host_refuses_new_work_and_ends_the_old(system):
+async def test_draining_host_refuses_new_and_completes_open_requests(system):
     await system.put(route())
     go_on = asyncio.Event()
 
