--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -545,7 +545,7 @@
             served = served + 1 if got.endswith(b'whole') else 0
 
 
-async def test_cold_endpoint_gets_no_more_than_it_bears(system):
+async def test_cold_endpoint_without_warmup_rate_gets_nothing(system):
     await system.put(route())
     endpoint = await system.add(
         'e', lambda sent, _number: [answer(sent)], warmup_left_ms=60_000
