--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -562,7 +562,7 @@
     [(None, 0.5, 0.75), (8_000, 5.0, 12.0)],
     ids=['nothing known', 'cold for a while'],
 )
-async def test_caller_without_endpoint_is_told_when_to_come_back(
+async def test_caller_without_endpoint_gets_retry_after(
     system, warmup_left_ms, least_s, most_s
 ):
     await system.put(route(), warmup_per_s=0.1)
