--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -510,7 +510,7 @@
 
     await system.put(route(), warmup_per_s=warmup_per_s)
     await system.add('e', script)
-    await evacuate_and_take_back(system)
+    await evacuate_and_restore(system)
     served = 0
     for number in range(5):
         got = await system.ask(request(request_id=f'q{number}'))
@@ -518,7 +518,7 @@
     assert (served == 5) is at_once
 
 
-async def evacuate_and_take_back(system):
+async def evacuate_and_restore(system):
     """Let the data centre be evacuated and used again, as seen here."""
     leader = await system.leader()
     [entry] = system.entries
@@ -537,7 +537,7 @@
     """For a while it may be cold; hearing of no change, it is not."""
     await system.put(route(), warmup_per_s=2.0)
     await system.add('e', lambda sent, _number: [answer(sent)])
-    await evacuate_and_take_back(system)
+    await evacuate_and_restore(system)
     async with asyncio.timeout(nodes.WAIT_S):
         served = 0
         while served < 5:
