--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -498,7 +498,7 @@
     ],
     ids=['never cold', 'unknown', 'warm', 'of another', 'cold'],
 )
-async def test_endpoint_that_was_taken_back_is_used_if_it_is_warm(
+async def test_restored_endpoint_is_used_at_once_only_if_warm(
     system, warmup_per_s, health, at_once
 ):
     """A cold one gets no more than it bears from one host."""
