--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -533,7 +533,7 @@
     await nodes.until(lambda: not warmth._tasks._tasks)
 
 
-async def test_endpoint_that_was_taken_back_is_used_again(system):
+async def test_restored_endpoint_is_used_again_without_a_status(system):
     """For a while it may be cold; hearing of no change, it is not."""
     await system.put(route(), warmup_per_s=2.0)
     await system.add('e', lambda sent, _number: [answer(sent)])
