--- a/tests/test_far.py
+++ b/tests/test_far.py
@@ -178,7 +178,7 @@
 @pytest.mark.parametrize(
     'kind', [routes.RouteKind.REPEATABLE, routes.RouteKind.ONCE]
 )
-async def test_caller_that_leaves_ends_the_work_elsewhere(system, kind):
+async def test_caller_disconnect_cancels_the_remote_request(system, kind):
     """Nothing was answered yet, and nothing new is sent."""
     stall = endpoints.ScriptedEndpoint.STALL
     await system.put(test_passing.route(kind, homes=('south',)))
