--- a/tests/test_far.py
+++ b/tests/test_far.py
@@ -109,7 +109,7 @@
     assert sum(len(endpoint.requests) for endpoint in failing) == 2
 
 
-async def test_call_goes_away_where_no_endpoint_is_left(system):
+async def test_call_is_forwarded_where_no_endpoint_is_left(system):
     await system.put(route())
     there = await system.add('e2', 'south-hall')
     await wait_for_pongs(system)
