--- a/tests/test_far.py
+++ b/tests/test_far.py
@@ -159,7 +159,7 @@
         assert got.startswith(b'HTTP/1.1 503 ')
 
 
-async def test_relay_uses_up_no_turn_of_a_cold_endpoint_of_its_own(
+async def test_relayed_call_uses_no_warmup_request_of_the_relay(
     system, monkeypatch
 ):
     """What only goes through must not cost its region a warming call."""
