--- a/tests/test_far.py
+++ b/tests/test_far.py
@@ -211,7 +211,7 @@
         assert got.endswith(b'whole')
 
 
-async def test_bound_call_is_not_run_where_home_has_no_endpoint(system):
+async def test_home_bound_call_is_not_run_elsewhere(system):
     await system.put(route(homes=('south',)))
     here = await system.add('e1', 'north-hall')
     got = await endpoints.ask(system.north, request())
