--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -604,7 +604,7 @@
         DECISIONS + 'serving/sending.py',
         ('            fields.append((dialect.fetch_from, source.address))\n'),
         ('            pass\n'),
-        ('tests/test_far.py::test_prompt_is_taken_over_from_who_keeps_it'),
+        ('tests/test_far.py::test_prompt_cache_is_fetched_from_its_holder'),
     ),
     Switch(
         'streams beside a long prompt cost nothing',
--- a/tests/test_far.py
+++ b/tests/test_far.py
@@ -304,7 +304,7 @@
 
 
 @pytest.mark.parametrize('moves', [True, False])
-async def test_prompt_is_taken_over_from_who_keeps_it(tmp_path, moves):
+async def test_prompt_cache_is_fetched_from_its_holder(tmp_path, moves):
     """The engine that read it has no room any more."""
     parts = 'Wrenspoke-Prompt-Parts: a:2000,b:1000,own:100'
     async with nodes.running(tmp_path, reports=nodes.Reports()) as system:
