--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -580,7 +580,7 @@
         ('            reply.runs = 0\n'),
         ('            pass\n'),
         (
-            'tests/test_far.py::test_host_elsewhere_that_turns_a_call_back_ran_nothing'
+            'tests/test_far.py::test_busy_remote_host_is_not_counted_as_a_run'
         ),
     ),
     Switch(
--- a/tests/test_far.py
+++ b/tests/test_far.py
@@ -334,7 +334,7 @@
             await engine.endpoint.close()
 
 
-async def test_host_elsewhere_that_turns_a_call_back_ran_nothing(tmp_path):
+async def test_busy_remote_host_is_not_counted_as_a_run(tmp_path):
     """No engine has room; what may run once is served all the same."""
     async with nodes.running(tmp_path, reports=nodes.Reports()) as system:
         await system.start_entry('south-hall')
