--- a/tests/test_far.py
+++ b/tests/test_far.py
@@ -364,7 +364,7 @@
             await engine.endpoint.close()
 
 
-async def test_engine_without_room_is_passed_by(tmp_path):
+async def test_engine_without_memory_is_skipped(tmp_path):
     """By its own report its memory is full; the other one's is not."""
     async with nodes.running(tmp_path, reports=nodes.Reports()) as system:
         batch = routes.Batch(8, 1_000)
