--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -108,7 +108,7 @@
     ids=['anywhere', 'there too', 'here only', 'elsewhere'],
 )
 @pytest.mark.parametrize('kind', KINDS)
-async def test_later_try_goes_by_the_homes_in_force_then(
+async def test_later_attempt_uses_the_homes_in_force_then(
     system, kind, homes, tries, monkeypatch
 ):
     """The homes change while the first endpoint works."""
