--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -449,7 +449,7 @@
         ),
         (''),
         (
-            'tests/test_homes.py::test_homes_are_looked_at_again_once_there_is_a_connection'
+            'tests/test_homes.py::test_homes_are_checked_again_once_connected'
         ),
     ),
     Switch(
@@ -460,7 +460,7 @@
         ),
         ('return True'),
         (
-            'tests/test_homes.py::test_homes_are_looked_at_again_once_there_is_a_connection'
+            'tests/test_homes.py::test_homes_are_checked_again_once_connected'
         ),
     ),
     Switch(
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -135,9 +135,7 @@
     await first.close()
 
 
-async def test_homes_are_looked_at_again_once_there_is_a_connection(
-    system, monkeypatch
-):
+async def test_homes_are_checked_again_once_connected(system, monkeypatch):
     """The homes change while the connection to the south is made."""
 
     def route(**more):
