--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -165,9 +165,7 @@
 @pytest.mark.parametrize(
     'homes', [('south', 'north'), ('north',)], ids=['through', 'to']
 )
-async def test_relay_goes_by_the_homes_in_force_then(
-    system, monkeypatch, homes
-):
+async def test_relay_uses_the_homes_in_force_then(system, monkeypatch, homes):
     """They change as the call is to go to the south through the west."""
     await system.put(test_far.route())
     there = await system.add('e2', 'south-hall')
