--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -185,7 +185,7 @@
     assert taken == [] and there.requests == []
 
 
-async def test_host_between_goes_by_its_own_newer_homes(system, monkeypatch):
+async def test_relay_host_applies_its_own_newer_homes(system, monkeypatch):
     """The first host has not heard of the change."""
     await system.put(test_far.route())
     there = await system.add('e2', 'south-hall')
