--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -149,9 +149,7 @@
 
 @pytest.mark.parametrize('share, most', [(0.5, 0.6), (0.8, 0.6), (0.95, 0.8)])
 @pytest.mark.parametrize('hosts, engines', [(10, 7), (20, 14), (66, 24)])
-def test_calls_wait_less_where_hosts_tell_what_they_send(
-    hosts, engines, share, most
-):
+def test_broadcast_of_sent_calls_shortens_waits(hosts, engines, share, most):
     """Each hears of the others' calls when they are a moment old."""
     unheard_ms = waits_ms(hosts, engines, share, sampling.sample)
     told_ms = waits_ms(hosts, engines, share, sampling.sample, TOLD_MS)
