--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -156,7 +156,7 @@
     assert told_ms < most * unheard_ms
 
 
-def test_hosts_that_are_not_told_choose_as_before():
+def test_hosts_without_peer_reports_assume_equal_rates():
     """Who hears nothing takes others to send as much as itself."""
     clock = SimulatedClock()
     made = backlog.Backlog(clock)
