--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -174,7 +174,7 @@
 @pytest.mark.parametrize(
     'hosts, engines', [(20, 20), (28, 32), (66, 24), (200, 72)]
 )
-def test_calls_wait_no_longer_where_each_weighs_some(hosts, engines):
+def test_sampling_does_not_lengthen_waits(hosts, engines):
     """Reports are too old for the best of all to be much better."""
     weighing_all_ms = waits_ms(hosts, engines, BUSY_SHARE, all_endpoints)
     weighing_some_ms = waits_ms(hosts, engines, BUSY_SHARE, sampling.sample)
