--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -188,7 +188,7 @@
 
 
 @pytest.mark.parametrize('engines', [20, 60, 200, 3_300])
-def test_work_of_choosing_does_not_grow_with_the_endpoints(engines):
+def test_sample_size_does_not_grow_with_the_endpoints(engines):
     candidates = [test_gauges.registered(n) for n in range(engines)]
     always = {'e0', f'e{engines - 1}'}
     for seed in range(20):
