--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -182,7 +182,7 @@
 
 
 @pytest.mark.parametrize('engines', [1, 2, 16])
-def test_few_endpoints_are_all_weighed(engines):
+def test_few_endpoints_are_all_sampled(engines):
     candidates = [test_gauges.registered(n) for n in range(engines)]
     assert sampling.sample(candidates, (), random.Random(1)) == candidates
 
