--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -73,7 +73,7 @@
     assert 0.8 <= statistics.median(ratios) <= 1.25
 
 
-def test_what_waits_is_told_from_what_the_call_reads_itself():
+def test_queued_and_own_tokens_are_distinguished():
     """Waiting tokens cost half here, as other hosts' calls drain too."""
     model = prefill_model.PrefillModel()
     chance = random.Random(1)
