--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -86,7 +86,7 @@
     assert model.first_ms('a', 5_000, 10_000) == pytest.approx(220, rel=0.1)
 
 
-def test_call_that_hung_teaches_little():
+def test_outlier_has_bounded_influence():
     model = prefill_model.PrefillModel()
     train(model, SimulatedEngine(1), 300)
     before_ms = model.first_ms('a', 3_000, 0)
