--- a/tests/test_sent_calls.py
+++ b/tests/test_sent_calls.py
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize('hosts', [10, 20, 60, 200])
-def test_every_host_hears_of_each_call_of_others_once_and_soon(hosts):
+def test_each_call_reaches_every_host_once_and_in_time(hosts):
     async def play():
         fleet = Fleet(hosts)
         calls = await fleet.send_calls()
