--- a/tests/test_sent_calls.py
+++ b/tests/test_sent_calls.py
@@ -126,7 +126,7 @@
     group.run(play())
 
 
-def test_lost_collector_is_not_waited_for():
+def test_lost_collector_does_not_block_senders():
     """Hosts that hear nothing go by reports, as before."""
 
     async def play():
