--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -77,7 +77,7 @@
     assert made.tokens_ahead('e', report, TOKEN_MS) == pytest.approx(ahead)
 
 
-def test_other_hosts_are_taken_to_send_as_much():
+def test_peers_are_assumed_to_send_at_the_same_rate():
     clock = FakeClock()
     made, numbers = backlog_after(clock, *[(1_000.0, 100)] * 10)
     for number in numbers:
