--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -89,7 +89,7 @@
     assert more == pytest.approx(2 * 10 * backlog.REPORT_LAG_MS, rel=0.01)
 
 
-def test_call_that_ended_unread_waits_no_more():
+def test_call_that_ended_early_is_removed():
     made, [number] = backlog_after(FakeClock(), (5_000, 0))
     made.remove_prompt('e', number)
     made.remove_prompt('e', number)
