--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -30,7 +30,7 @@
     ],
     ids=['early', 'at it', 'sure', 'late', 'late, unsure', 'passed already'],
 )
-def test_chance_to_miss_goes_by_the_spread(
+def test_miss_probability_depends_on_the_spread(
     first_ms, left_ms, spread, least, most
 ):
     assert least <= costs.miss_probability(first_ms, left_ms, spread) <= most
