--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -53,7 +53,7 @@
         'ends sooner',
     ],
 )
-def test_callers_loss_grows_with_first_piece_and_end(better, worse):
+def test_latency_cost_grows_with_first_piece_and_end(better, worse):
     assert costs.latency_cost_ms(BOUNDS, *better, 0.3) < costs.latency_cost_ms(
         BOUNDS, *worse, 0.3
     )
