--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -64,7 +64,7 @@
     [(700, 3, True), (700, 0, False), (450, 3, False)],
     ids=['too long', 'nobody there', 'short enough'],
 )
-def test_streams_beside_a_long_prompt_count(pause_ms, harmed, costly):
+def test_pause_cost_counts_concurrent_streams(pause_ms, harmed, costly):
     cost_ms = costs.pause_cost_ms(BOUNDS, pause_ms, harmed)
     assert (cost_ms > 0.1 * BOUNDS.target_ms) is costly
     unbound = costs.LatencyBounds(800, 800, 5_000, None)
