--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -71,7 +71,7 @@
     assert costs.pause_cost_ms(unbound, pause_ms, harmed) == 0
 
 
-def test_pace_is_the_mean_of_gaps_and_comes_back():
+def test_pace_follows_gaps_and_recovers():
     clock = FakeClock()
     known = engine_pace.PaceTracker(clock)
     for _number in range(200):
