--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -95,7 +95,7 @@
     [([100, 100], 1), ([100, 700], 0)],
     ids=['in time', 'late already'],
 )
-def test_streams_that_a_pause_would_make_late_are_counted(gaps_ms, sound):
+def test_streams_without_a_late_pause_are_counted(gaps_ms, sound):
     clock = FakeClock()
     known = engine_pace.PaceTracker(clock)
     with engine_pace.StreamGapRecorder(known, 'e', 6, 600) as stream:
