--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -12,7 +12,7 @@
     [(1.0, 1.0, 1.0), (0.5, 0.95, 1.0), (0.0, 0.05, 0.2)],
     ids=['endpoints fail', 'half of them fail', 'requests fail everywhere'],
 )
-def test_repeats_are_made_where_they_pay(success, least, most):
+def test_retries_are_made_where_they_succeed(success, least, most):
     chance = random.Random(1)
     known = retry_outcomes.RetryOutcomes(chance)
     made = []
