--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -25,7 +25,7 @@
     assert least <= share <= most
 
 
-def test_repeats_are_made_again_after_a_change():
+def test_retries_resume_after_a_change():
     known = retry_outcomes.RetryOutcomes(random.Random(1))
     for _number in range(50):
         known.record_outcome('r', False)
