--- a/tests/test_spending.py
+++ b/tests/test_spending.py
@@ -56,7 +56,7 @@
     assert spent == int(shared_retry_budget.USABLE_SHARE * 56)
 
 
-def test_hosts_that_have_a_repeat_differ_by_service():
+def test_remainder_goes_to_different_hosts_by_service():
     bounds = shared_retry_budget.RetryBounds(0.0, 56, WINDOW_MS)
     every = shared_budgets(200, bounds, FakeClock())
     having = [
