--- a/tests/test_spending.py
+++ b/tests/test_spending.py
@@ -32,7 +32,7 @@
 @pytest.mark.parametrize('fixed', [56, 4.7])
 @pytest.mark.parametrize('hosts', [1, 8, 85, 200, 710])
 @pytest.mark.parametrize('firsts', [0, 40, 1000])
-def test_all_hosts_together_keep_the_bound(hosts, firsts, fixed):
+def test_hosts_together_stay_within_the_bound(hosts, firsts, fixed):
     clock = FakeClock()
     bounds = shared_retry_budget.RetryBounds(0.2, fixed, WINDOW_MS)
     every = shared_budgets(hosts, bounds, clock)
