--- a/tests/test_spending.py
+++ b/tests/test_spending.py
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize('hosts', [20, 60, 200, 710])
-def test_fixed_part_is_used_at_every_size(hosts):
+def test_fixed_part_is_fully_distributed(hosts):
     """Parts below one are no budget that nobody can use."""
     bounds = shared_retry_budget.RetryBounds(0.2, 56, WINDOW_MS)
     spent = 0
