--- a/tests/test_warmth.py
+++ b/tests/test_warmth.py
@@ -19,7 +19,7 @@
     ],
     ids=['of this time', 'of an earlier time'],
 )
-def test_answer_to_another_host_may_come_before_the_change(before_ms, known):
+def test_status_received_shortly_before_the_change_counts(before_ms, known):
     clock = test_registry.FakeClock()
     held = roster.Roster(1_000, clock)
     for number in range(20):
