--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -13,7 +13,7 @@
     cuts=strategies.lists(strategies.integers(0, len(STREAM)), max_size=8),
     whole_only=strategies.booleans(),
 )
-def test_nothing_is_lost_or_changed_by_cuts(cuts, whole_only):
+def test_chunk_boundaries_do_not_change_the_stream(cuts, whole_only):
     tracker = event_tracker.EventTracker(whole_only)
     passed = b''
     start = 0
