--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -130,7 +130,7 @@
     )
     first_ms = made.offer_for_call('south', SERVICE, CALL, HOST).first_ms
     other.record_forwarded('south', SERVICE, CALL)
-    [(name, tokens, parts)] = other._broadcaster.noted
+    [(name, tokens, parts)] = other._broadcaster.published
     shared = [(part.part, part.tokens) for part in parts[:-1]]
     told.listener(attending.SentCall(1, name, tokens, 0, shared))
     again = made.offer_for_call('south', SERVICE, CALL, HOST)
