--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -335,11 +335,7 @@
         """Return what calls to each service would find in this region."""
         services = self._replica.current.routes.services.values()
         made = [self._build_offer(service) for service in services]
-        return [
-            offer_for_call
-            for offer_for_call in made
-            if offer_for_call is not None
-        ]
+        return [offer for offer in made if offer is not None]
 
     def _build_offer(
         self, service: routes.RoutedService
