--- a/tests/group.py
+++ b/tests/group.py
@@ -278,10 +278,10 @@
         with contextlib.suppress(protocol_errors.NoAnswerError):
             message = attending.Exchange([], attending.HostChanges([], []))
             await self.peers.call(host, message, EXCHANGE_INTERVAL_MS)
-            self._group.hear(host)
+            self._group.record_contact(host)
 
     async def _answer_exchange(self, sender, _message):
-        self._group.hear(sender)
+        self._group.record_contact(sender)
         return attending.Exchanged()
 
     async def close(self):
--- a/wrenspoke/coordination/membership/controls.py
+++ b/wrenspoke/coordination/membership/controls.py
@@ -37,7 +37,7 @@
         """Take over what the settings name now."""
         self._seeds = [seed for seed in seeds if seed != self.host]
 
-    def hear(self, host: ids.HostId) -> None:
+    def record_contact(self, host: ids.HostId) -> None:
         """Note that a control host spoke."""
         if host == self.host:
             return
@@ -49,7 +49,7 @@
         """Note control hosts that another has heard lately."""
         for host in hosts:
             if host not in self._heard_ms:
-                self.hear(host)
+                self.record_contact(host)
 
     def others(self) -> list[ids.HostId]:
         """Return every other control host that may be there."""
