--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -308,7 +308,7 @@
 
     def _take(self, session: _Session, answer: attending.Attended) -> None:
         self._group.hear(session.host)
-        self._group.learn(answer.controls)
+        self._group.add_contacts(answer.controls)
         if answer.news:
             self._replica.advance(attending.unpack(answer.news))
         for said in answer.endpoints:
--- a/wrenspoke/coordination/membership/controls.py
+++ b/wrenspoke/coordination/membership/controls.py
@@ -45,7 +45,9 @@
             logger.info('control_host_found', peer=host)
         self._heard_ms[host] = self._clock.mono_ms()
 
-    def learn(self, hosts: collections.abc.Iterable[ids.HostId]) -> None:
+    def add_contacts(
+        self, hosts: collections.abc.Iterable[ids.HostId]
+    ) -> None:
         """Note control hosts that another has heard lately."""
         for host in hosts:
             if host not in self._heard_ms:
