--- a/tests/group.py
+++ b/tests/group.py
@@ -270,7 +270,7 @@
 
     async def _exchange(self):
         while True:
-            for host in self._group.others():
+            for host in self._group.other_hosts():
                 self._tasks.start(self._exchange_with(host))
             await asyncio.sleep(EXCHANGE_INTERVAL_MS / MS_PER_S)
 
--- a/wrenspoke/coordination/membership/controls.py
+++ b/wrenspoke/coordination/membership/controls.py
@@ -53,7 +53,7 @@
             if host not in self._heard_ms:
                 self.record_contact(host)
 
-    def others(self) -> list[ids.HostId]:
+    def other_hosts(self) -> list[ids.HostId]:
         """Return every other control host that may be there."""
         self._forget()
         unheard = [host for host in self._seeds if host not in self._heard_ms]
