--- a/wrenspoke/coordination/membership/controls.py
+++ b/wrenspoke/coordination/membership/controls.py
@@ -64,7 +64,7 @@
         heard_ms = self._heard_ms.get(host, self._began_ms)
         return self._clock.mono_ms() - heard_ms
 
-    def lately(self, within_ms: int) -> list[ids.HostId]:
+    def seen_within(self, within_ms: int) -> list[ids.HostId]:
         """Return the control hosts that spoke within some time."""
         now_ms = self._clock.mono_ms()
         return [
