--- a/wrenspoke/coordination/membership/controls.py
+++ b/wrenspoke/coordination/membership/controls.py
@@ -55,7 +55,7 @@
 
     def other_hosts(self) -> list[ids.HostId]:
         """Return every other control host that may be there."""
-        self._forget()
+        self._expire_contacts()
         unheard = [host for host in self._seeds if host not in self._heard_ms]
         return [*self._heard_ms, *unheard]
 
@@ -73,7 +73,7 @@
             if now_ms - heard_ms <= within_ms
         ]
 
-    def _forget(self) -> None:
+    def _expire_contacts(self) -> None:
         now_ms = self._clock.mono_ms()
         for host, heard_ms in list(self._heard_ms.items()):
             if now_ms - heard_ms > FORGOTTEN_AFTER_MS:
