--- a/wrenspoke/coordination/membership/controls.py
+++ b/wrenspoke/coordination/membership/controls.py
@@ -29,7 +29,7 @@
         self.host = host
         self._clock = clock
         self._seeds: list[ids.HostId] = []
-        self._heard_ms: dict[ids.HostId, int] = {}
+        self._last_contact_ms: dict[ids.HostId, int] = {}
         self._began_ms = clock.mono_ms()
         self.reseed(seeds)
 
@@ -41,27 +41,29 @@
         """Note that a control host spoke."""
         if host == self.host:
             return
-        if host not in self._heard_ms:
+        if host not in self._last_contact_ms:
             logger.info('control_host_found', peer=host)
-        self._heard_ms[host] = self._clock.mono_ms()
+        self._last_contact_ms[host] = self._clock.mono_ms()
 
     def add_contacts(
         self, hosts: collections.abc.Iterable[ids.HostId]
     ) -> None:
         """Note control hosts that another has heard lately."""
         for host in hosts:
-            if host not in self._heard_ms:
+            if host not in self._last_contact_ms:
                 self.record_contact(host)
 
     def other_hosts(self) -> list[ids.HostId]:
         """Return every other control host that may be there."""
         self._expire_contacts()
-        unheard = [host for host in self._seeds if host not in self._heard_ms]
-        return [*self._heard_ms, *unheard]
+        unheard = [
+            host for host in self._seeds if host not in self._last_contact_ms
+        ]
+        return [*self._last_contact_ms, *unheard]
 
     def silence_ms(self, host: ids.HostId) -> int:
         """Return for how long a host was not heard, in this life at most."""
-        heard_ms = self._heard_ms.get(host, self._began_ms)
+        heard_ms = self._last_contact_ms.get(host, self._began_ms)
         return self._clock.mono_ms() - heard_ms
 
     def seen_within(self, within_ms: int) -> list[ids.HostId]:
@@ -69,13 +71,13 @@
         now_ms = self._clock.mono_ms()
         return [
             host
-            for host, heard_ms in self._heard_ms.items()
+            for host, heard_ms in self._last_contact_ms.items()
             if now_ms - heard_ms <= within_ms
         ]
 
     def _expire_contacts(self) -> None:
         now_ms = self._clock.mono_ms()
-        for host, heard_ms in list(self._heard_ms.items()):
+        for host, heard_ms in list(self._last_contact_ms.items()):
             if now_ms - heard_ms > FORGOTTEN_AFTER_MS:
-                del self._heard_ms[host]
+                del self._last_contact_ms[host]
                 logger.info('control_host_forgotten', peer=host)
