--- a/wrenspoke/coordination/membership/controls.py
+++ b/wrenspoke/coordination/membership/controls.py
@@ -30,7 +30,7 @@
         self._clock = clock
         self._seeds: list[ids.HostId] = []
         self._last_contact_ms: dict[ids.HostId, int] = {}
-        self._began_ms = clock.mono_ms()
+        self._created_ms = clock.mono_ms()
         self.reseed(seeds)
 
     def reseed(self, seeds: collections.abc.Iterable[ids.HostId]) -> None:
@@ -63,7 +63,7 @@
 
     def silence_ms(self, host: ids.HostId) -> int:
         """Return for how long a host was not heard, in this life at most."""
-        heard_ms = self._last_contact_ms.get(host, self._began_ms)
+        heard_ms = self._last_contact_ms.get(host, self._created_ms)
         return self._clock.mono_ms() - heard_ms
 
     def seen_within(self, within_ms: int) -> list[ids.HostId]:
