--- a/wrenspoke/coordination/membership/controls.py
+++ b/wrenspoke/coordination/membership/controls.py
@@ -10,7 +10,7 @@
 logger = structlog.get_logger(__name__)
 
 # Far longer than any stop or cut that a host comes back from.
-FORGOTTEN_AFTER_MS = 60_000
+CONTACT_TTL_MS = 60_000
 
 
 class ControlGroup:
@@ -78,6 +78,6 @@
     def _expire_contacts(self) -> None:
         now_ms = self._clock.mono_ms()
         for host, heard_ms in list(self._last_contact_ms.items()):
-            if now_ms - heard_ms > FORGOTTEN_AFTER_MS:
+            if now_ms - heard_ms > CONTACT_TTL_MS:
                 del self._last_contact_ms[host]
                 logger.info('control_host_forgotten', peer=host)
