--- a/wrenspoke/coordination/membership/directory.py
+++ b/wrenspoke/coordination/membership/directory.py
@@ -35,7 +35,9 @@
     if not usable and not settled:
         return []
     if not usable:
-        usable = _at_home(known, table, name) or _stopping(known, region)
+        usable = _hosts_allowed_by_routes(known, table, name) or _stopping(
+            known, region
+        )
         logger.warning(
             'directory_elsewhere',
             region=region,
@@ -49,7 +51,7 @@
     ]
 
 
-def _at_home(
+def _hosts_allowed_by_routes(
     known: roster.Roster, table: routes.RouteTable, name: str
 ) -> list[attending.HostRecord]:
     """Return the hosts where every route of a host name may be served."""
