--- a/wrenspoke/coordination/membership/directory.py
+++ b/wrenspoke/coordination/membership/directory.py
@@ -35,9 +35,9 @@
     if not usable and not settled:
         return []
     if not usable:
-        usable = _hosts_allowed_by_routes(known, table, name) or _stopping(
-            known, region
-        )
+        usable = _hosts_allowed_by_routes(
+            known, table, name
+        ) or _draining_hosts(known, region)
         logger.warning(
             'directory_elsewhere',
             region=region,
@@ -63,7 +63,7 @@
     ]
 
 
-def _stopping(
+def _draining_hosts(
     known: roster.Roster, region: ids.RegionId
 ) -> list[attending.HostRecord]:
     """Return the hosts of a region that are stopping."""
