--- a/wrenspoke/coordination/membership/directory.py
+++ b/wrenspoke/coordination/membership/directory.py
@@ -14,7 +14,7 @@
 
 
 def addresses(
-    known: roster.Roster,
+    host_roster: roster.Roster,
     table: routes.RouteTable,
     name: str,
     region: ids.RegionId,
@@ -31,18 +31,18 @@
     ``settled``, since it was begun within a lease, leads nobody away:
     callers go on with what they know.
     """
-    usable = known.usable(region)
+    usable = host_roster.usable(region)
     if not usable and not settled:
         return []
     if not usable:
         usable = _hosts_allowed_by_routes(
-            known, table, name
-        ) or _draining_hosts(known, region)
+            host_roster, table, name
+        ) or _draining_hosts(host_roster, region)
         logger.warning(
             'directory_elsewhere',
             region=region,
             regions=sorted({record.region for record in usable}),
-            known=len(known.hosts()),
+            host_roster=len(host_roster.hosts()),
         )
     near = [record for record in usable if record.data_centre == data_centre]
     chosen = near if len(near) > 1 else usable
