--- a/wrenspoke/coordination/membership/directory.py
+++ b/wrenspoke/coordination/membership/directory.py
@@ -52,13 +52,13 @@
 
 
 def _hosts_allowed_by_routes(
-    known: roster.Roster, table: routes.RouteTable, name: str
+    host_roster: roster.Roster, table: routes.RouteTable, name: str
 ) -> list[attending.HostRecord]:
     """Return the hosts where every route of a host name may be served."""
     found = [route for route in table.routes if route.host == name]
     return [
         record
-        for record in known.usable()
+        for record in host_roster.usable()
         if all(route.allows(record.region) for route in found)
     ]
 
