--- a/wrenspoke/coordination/membership/directory.py
+++ b/wrenspoke/coordination/membership/directory.py
@@ -64,11 +64,11 @@
 
 
 def _draining_hosts(
-    known: roster.Roster, region: ids.RegionId
+    host_roster: roster.Roster, region: ids.RegionId
 ) -> list[attending.HostRecord]:
     """Return the hosts of a region that are stopping."""
     return [
         record
-        for record in known.records()
+        for record in host_roster.records()
         if record.region == region and record.draining
     ]
