--- a/wrenspoke/coordination/membership/directory.py
+++ b/wrenspoke/coordination/membership/directory.py
@@ -19,7 +19,7 @@
     name: str,
     region: ids.RegionId,
     data_centre: ids.DataCentreId,
-    settled: bool = True,
+    synced: bool = True,
 ) -> list[str]:
     """Return callers' addresses of live hosts, of the nearest place.
 
@@ -32,7 +32,7 @@
     callers go on with what they know.
     """
     usable = host_roster.usable(region)
-    if not usable and not settled:
+    if not usable and not synced:
         return []
     if not usable:
         usable = _hosts_allowed_by_routes(
