--- a/wrenspoke/coordination/membership/directory.py
+++ b/wrenspoke/coordination/membership/directory.py
@@ -16,7 +16,7 @@
 def addresses(
     host_roster: roster.Roster,
     table: routes.RouteTable,
-    name: str,
+    host_name: str,
     region: ids.RegionId,
     data_centre: ids.DataCentreId,
     synced: bool = True,
@@ -36,7 +36,7 @@
         return []
     if not usable:
         usable = _hosts_allowed_by_routes(
-            host_roster, table, name
+            host_roster, table, host_name
         ) or _draining_hosts(host_roster, region)
         logger.warning(
             'directory_elsewhere',
