--- a/wrenspoke/coordination/membership/directory.py
+++ b/wrenspoke/coordination/membership/directory.py
@@ -52,10 +52,10 @@
 
 
 def _hosts_allowed_by_routes(
-    host_roster: roster.Roster, table: routes.RouteTable, name: str
+    host_roster: roster.Roster, table: routes.RouteTable, host_name: str
 ) -> list[attending.HostRecord]:
     """Return the hosts where every route of a host name may be served."""
-    found = [route for route in table.routes if route.host == name]
+    found = [route for route in table.routes if route.host == host_name]
     return [
         record
         for record in host_roster.usable()
