--- a/wrenspoke/coordination/membership/directory.py
+++ b/wrenspoke/coordination/membership/directory.py
@@ -44,8 +44,10 @@
             regions=sorted({record.region for record in usable}),
             host_roster=len(host_roster.hosts()),
         )
-    near = [record for record in usable if record.data_centre == data_centre]
-    chosen = near if len(near) > 1 else usable
+    same_data_centre = [
+        record for record in usable if record.data_centre == data_centre
+    ]
+    chosen = same_data_centre if len(same_data_centre) > 1 else usable
     return sorted(record.callers_address for record in chosen)[
         :ADDRESSES_LIMIT
     ]
