--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -44,7 +44,7 @@
 
 
 @dataclasses.dataclass
-class Told:
+class SyncProgress:
     """Hold how far another control host was told, and whom it hears."""
 
     life: str = ''
@@ -126,7 +126,7 @@
             await self._clock.sleep_ms(INTERVAL_MS)
 
     async def _exchange_with(self, host: ids.HostId) -> None:
-        told = Told()
+        told = SyncProgress()
         urgent = self._urgent[host]
         while host in self._group.others():
             urgent.clear()
@@ -135,9 +135,11 @@
             await self._wait(urgent, asked_ms)
         del self._urgent[host]
 
-    async def _tell(self, host: ids.HostId, told: Told) -> Told:
+    async def _tell(
+        self, host: ids.HostId, told: SyncProgress
+    ) -> SyncProgress:
         """Tell what is new; return how far the other has come then."""
-        reached = Told(
+        reached = SyncProgress(
             told.life,
             self._clock.mono_ms(),
             self._endpoints.revision,
@@ -154,12 +156,14 @@
         if answer.unknown or told.life not in ('', answer.life):
             logger.info('told_again', peer=host, unknown=answer.unknown)
             self._urgent[host].set()
-            return Told(answer.life)
+            return SyncProgress(answer.life)
         reached.life = answer.life
         reached.heard = {*answer.heard, host}
         return reached
 
-    def _news(self, host: ids.HostId, told: Told) -> attending.Exchange:
+    def _news(
+        self, host: ids.HostId, told: SyncProgress
+    ) -> attending.Exchange:
         # What came by way of a third was learned up to an interval later.
         since_ms = told.at_ms - INTERVAL_MS
         heard = {*told.heard, host}
