--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -48,7 +48,7 @@
     """Hold how far another control host was told, and whom it hears."""
 
     life: str = ''
-    at_ms: int = 0
+    last_sent_ms: int = 0
     endpoints_revision: int = 0
     hosts_revision: int = 0
     heard: set[ids.HostId] = dataclasses.field(default_factory=set)
