--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -47,7 +47,7 @@
 class SyncProgress:
     """Hold how far another control host was told, and whom it hears."""
 
-    life: str = ''
+    instance_id: str = ''
     last_sent_ms: int = 0
     endpoints_revision: int = 0
     hosts_revision: int = 0
@@ -157,7 +157,7 @@
             logger.info('told_again', peer=host, unknown=answer.unknown)
             self._urgent[host].set()
             return SyncProgress(answer.life)
-        reached.life = answer.life
+        reached.instance_id = answer.life
         reached.heard = {*answer.heard, host}
         return reached
 
