--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -51,7 +51,7 @@
     last_sent_ms: int = 0
     endpoints_revision: int = 0
     hosts_revision: int = 0
-    heard: set[ids.HostId] = dataclasses.field(default_factory=set)
+    recent_contacts: set[ids.HostId] = dataclasses.field(default_factory=set)
 
 
 class Exchanges:
@@ -158,7 +158,7 @@
             self._urgent[host].set()
             return SyncProgress(answer.life)
         reached.instance_id = answer.life
-        reached.heard = {*answer.heard, host}
+        reached.recent_contacts = {*answer.heard, host}
         return reached
 
     def _news(
