--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -653,7 +653,7 @@
     Switch(
         'nobody passes on what another hears',
         DECISIONS + 'membership/exchanges.py',
-        ('        and found.told_by not in heard\n'),
+        ('        and found.told_by not in recent_contacts\n'),
         ('        and found.told_by is None\n'),
         (
             'tests/test_attending_fleet.py::test_what_a_control_host_hears_reaches_those_that_it_is_cut_off_from'
--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -248,7 +248,7 @@
     known: collections.abc.Iterable[Known],
     since_ms: int,
     told_revision: int,
-    heard: set[ids.HostId],
+    recent_contacts: set[ids.HostId],
 ) -> list[Known]:
     """Return who renewed since a time and has not changed since.
 
@@ -259,5 +259,5 @@
         for found in known
         if found.heard_ms >= since_ms
         and found.revision <= told_revision
-        and found.told_by not in heard
+        and found.told_by not in recent_contacts
     ]
