--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -166,15 +166,15 @@
     ) -> attending.Exchange:
         # What came by way of a third was learned up to an interval later.
         since_ms = told.at_ms - INTERVAL_MS
-        heard = {*told.heard, host}
+        recent_contacts = {*told.heard, host}
         endpoints = _renewed(
             self._endpoints.held.values(),
             since_ms,
             told.endpoints_revision,
-            heard,
+            recent_contacts,
         )
         hosts = _renewed(
-            self._hosts.known(), since_ms, told.hosts_revision, heard
+            self._hosts.known(), since_ms, told.hosts_revision, recent_contacts
         )
         return attending.Exchange(
             self._endpoints.after(told.endpoints_revision),
