--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -89,7 +89,7 @@
         """End every task."""
         await self._tasks.close()
 
-    def tell_soon(self) -> None:
+    def request_sync(self) -> None:
         """Tell all of a change without waiting for the interval."""
         for event in self._urgent.values():
             event.set()
@@ -238,7 +238,7 @@
         if self._endpoints.revision != before[0]:
             self._changed()
         if (self._endpoints.revision, self._hosts.revision) != before:
-            self.tell_soon()
+            self.request_sync()
         return attending.Exchanged(
             self._life, self._group.lately(HEARD_LATELY_MS), unknown
         )
--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -159,7 +159,7 @@
         self, sender: ids.HostId, message: attending.Attend
     ) -> attending.Attended:
         if self.roster.take(message.record):
-            self._exchanges.tell_soon()
+            self._exchanges.request_sync()
         wait_ms = min(message.wait_ms, LONGEST_WAIT_MS)
         asked_ms = self._clock.mono_ms()
         try:
@@ -238,7 +238,7 @@
     def _announce(self) -> None:
         """Tell attending and other control hosts of a change at once."""
         self._wake()
-        self._exchanges.tell_soon()
+        self._exchanges.request_sync()
 
     def _wake(self) -> None:
         self._news.set()
@@ -250,7 +250,7 @@
         """Drop who lost its lease, and mark who fell silent."""
         while True:
             if self.roster.expire():
-                self._exchanges.tell_soon()
+                self._exchanges.request_sync()
             if self.registry.mark_silent():
                 self._announce()
             self.registry.forget_old()
