--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -94,7 +94,7 @@
         for event in self._urgent.values():
             event.set()
 
-    def standing_in(self, region: ids.RegionId) -> list[ids.HostId]:
+    def control_hosts_in(self, region: ids.RegionId) -> list[ids.HostId]:
         """Return the control hosts of a region that spoke lately."""
         found = [
             host
--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -212,7 +212,7 @@
             self.registry.after(endpoints_revision),
             hosts,
             [self._group.host, *self._group.lately(HEARD_LATELY_MS)],
-            self._exchanges.standing_in(message.record.region),
+            self._exchanges.control_hosts_in(message.record.region),
             self._news_after(message.index),
             self._replica.current.index,
             self._voter.confirmed_age_ms,
