--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -105,7 +105,7 @@
             found.append(self._group.host)
         return found
 
-    def place_of(self, host: ids.HostId) -> locations.Location | None:
+    def host_location(self, host: ids.HostId) -> locations.Location | None:
         """Return where another control host stands, None if unknown.
 
         Each stands alone in its data centre, whose name is not told.
--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -105,7 +105,9 @@
 
     def place_of(self, host: ids.HostId) -> locations.Location | None:
         """Return where an entry or control host stands, None if unknown."""
-        return self.roster.location_of(host) or self._exchanges.place_of(host)
+        return self.roster.location_of(host) or self._exchanges.host_location(
+            host
+        )
 
     # Endpoints.
 
