--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -76,7 +76,7 @@
         self._peers = peers
         self._changed = changed
         self._clock = clock
-        self._urgent: dict[ids.HostId, asyncio.Event] = {}
+        self._sync_requests: dict[ids.HostId, asyncio.Event] = {}
         self._regions: dict[ids.HostId, ids.RegionId] = {}
         self._tasks = runtime.Tasks()
         peers.answers(attending.Exchange)(self._answer)
@@ -91,7 +91,7 @@
 
     def request_sync(self) -> None:
         """Tell all of a change without waiting for the interval."""
-        for event in self._urgent.values():
+        for event in self._sync_requests.values():
             event.set()
 
     def control_hosts_in(self, region: ids.RegionId) -> list[ids.HostId]:
@@ -119,21 +119,21 @@
         """Exchange with each control host that is found."""
         while True:
             for host in self._group.others():
-                if host in self._urgent:
+                if host in self._sync_requests:
                     continue
-                self._urgent[host] = asyncio.Event()
+                self._sync_requests[host] = asyncio.Event()
                 self._tasks.start(self._exchange_with(host))
             await self._clock.sleep_ms(INTERVAL_MS)
 
     async def _exchange_with(self, host: ids.HostId) -> None:
         told = SyncProgress()
-        urgent = self._urgent[host]
+        urgent = self._sync_requests[host]
         while host in self._group.others():
             urgent.clear()
             asked_ms = self._clock.mono_ms()
             told = await self._tell(host, told)
             await self._wait(urgent, asked_ms)
-        del self._urgent[host]
+        del self._sync_requests[host]
 
     async def _tell(
         self, host: ids.HostId, told: SyncProgress
@@ -155,7 +155,7 @@
         self._group.hear(host)
         if answer.unknown or told.life not in ('', answer.life):
             logger.info('told_again', peer=host, unknown=answer.unknown)
-            self._urgent[host].set()
+            self._sync_requests[host].set()
             return SyncProgress(answer.life)
         reached.instance_id = answer.life
         reached.recent_contacts = {*answer.heard, host}
