--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -127,12 +127,12 @@
 
     async def _exchange_with(self, host: ids.HostId) -> None:
         told = SyncProgress()
-        urgent = self._sync_requests[host]
+        sync_requested = self._sync_requests[host]
         while host in self._group.others():
-            urgent.clear()
+            sync_requested.clear()
             asked_ms = self._clock.mono_ms()
             told = await self._tell(host, told)
-            await self._wait(urgent, asked_ms)
+            await self._wait(sync_requested, asked_ms)
         del self._sync_requests[host]
 
     async def _tell(
