--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -203,11 +203,13 @@
     def _age_ms(self, heard_ms: int) -> int:
         return max(self._clock.mono_ms() - heard_ms, 0)
 
-    async def _wait(self, urgent: asyncio.Event, asked_ms: int) -> None:
+    async def _wait(
+        self, sync_requested: asyncio.Event, asked_ms: int
+    ) -> None:
         left_ms = asked_ms + INTERVAL_MS - self._clock.mono_ms()
         try:
             async with clocks.timeout_ms(max(left_ms, 1)):
-                await urgent.wait()
+                await sync_requested.wait()
                 await self._clock.sleep_ms(GATHER_MS)
         except TimeoutError:
             return
