--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -83,7 +83,7 @@
 
     def start(self) -> None:
         """Begin to exchange."""
-        self._tasks.start(self._watch())
+        self._tasks.start(self._discovery_loop())
 
     async def close(self) -> None:
         """End every task."""
@@ -115,7 +115,7 @@
             return None
         return locations.Location(region, ids.DataCentreId(host))
 
-    async def _watch(self) -> None:
+    async def _discovery_loop(self) -> None:
         """Exchange with each control host that is found."""
         while True:
             for host in self._group.others():
