--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -122,10 +122,10 @@
                 if host in self._sync_requests:
                     continue
                 self._sync_requests[host] = asyncio.Event()
-                self._tasks.start(self._exchange_with(host))
+                self._tasks.start(self._sync_with(host))
             await self._clock.sleep_ms(INTERVAL_MS)
 
-    async def _exchange_with(self, host: ids.HostId) -> None:
+    async def _sync_with(self, host: ids.HostId) -> None:
         told = SyncProgress()
         sync_requested = self._sync_requests[host]
         while host in self._group.others():
