--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -145,7 +145,7 @@
             self._endpoints.revision,
             self._hosts.revision,
         )
-        message = self._news(host, told)
+        message = self._build_exchange(host, told)
         try:
             answer = await self._peers.call(host, message, TIMEOUT_MS)
         except protocol_errors.ProtocolError:
@@ -161,7 +161,7 @@
         reached.recent_contacts = {*answer.heard, host}
         return reached
 
-    def _news(
+    def _build_exchange(
         self, host: ids.HostId, told: SyncProgress
     ) -> attending.Exchange:
         # What came by way of a third was learned up to an interval later.
