--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -131,11 +131,11 @@
         while host in self._group.others():
             sync_requested.clear()
             asked_ms = self._clock.mono_ms()
-            told = await self._tell(host, told)
+            told = await self._send_exchange(host, told)
             await self._wait(sync_requested, asked_ms)
         del self._sync_requests[host]
 
-    async def _tell(
+    async def _send_exchange(
         self, host: ids.HostId, told: SyncProgress
     ) -> SyncProgress:
         """Tell what is new; return how far the other has come then."""
