--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -132,7 +132,7 @@
             sync_requested.clear()
             asked_ms = self._clock.mono_ms()
             told = await self._send_exchange(host, told)
-            await self._wait(sync_requested, asked_ms)
+            await self._wait_for_next(sync_requested, asked_ms)
         del self._sync_requests[host]
 
     async def _send_exchange(
@@ -203,7 +203,7 @@
     def _age_ms(self, heard_ms: int) -> int:
         return max(self._clock.mono_ms() - heard_ms, 0)
 
-    async def _wait(
+    async def _wait_for_next(
         self, sync_requested: asyncio.Event, asked_ms: int
     ) -> None:
         left_ms = asked_ms + INTERVAL_MS - self._clock.mono_ms()
