--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -79,7 +79,7 @@
         self._sync_requests: dict[ids.HostId, asyncio.Event] = {}
         self._regions: dict[ids.HostId, ids.RegionId] = {}
         self._tasks = runtime.Tasks()
-        peers.answers(attending.Exchange)(self._answer)
+        peers.answers(attending.Exchange)(self._handle_exchange)
 
     def start(self) -> None:
         """Begin to exchange."""
@@ -214,7 +214,7 @@
         except TimeoutError:
             return
 
-    async def _answer(
+    async def _handle_exchange(
         self, sender: ids.HostId, message: attending.Exchange
     ) -> attending.Exchanged:
         self._group.hear(sender)
