--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -68,7 +68,7 @@
         changed: collections.abc.Callable[[], None],
         clock: clocks.Clock,
     ):
-        self._life = life
+        self._instance_id = life
         self._region = region
         self._group = group
         self._endpoints = endpoints
@@ -242,7 +242,7 @@
         if (self._endpoints.revision, self._hosts.revision) != before:
             self.request_sync()
         return attending.Exchanged(
-            self._life, self._group.lately(HEARD_LATELY_MS), unknown
+            self._instance_id, self._group.lately(HEARD_LATELY_MS), unknown
         )
 
 
