--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -59,7 +59,7 @@
 
     def __init__(
         self,
-        life: str,
+        instance_id: str,
         region: ids.RegionId,
         group: controls.ControlGroup,
         endpoints: registry.Registry,
@@ -68,7 +68,7 @@
         changed: collections.abc.Callable[[], None],
         clock: clocks.Clock,
     ):
-        self._instance_id = life
+        self._instance_id = instance_id
         self._region = region
         self._group = group
         self._endpoints = endpoints
