--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -74,7 +74,7 @@
         self._endpoints = endpoints
         self._hosts = hosts
         self._peers = peers
-        self._changed = changed
+        self._on_endpoints_changed = changed
         self._clock = clock
         self._sync_requests: dict[ids.HostId, asyncio.Event] = {}
         self._regions: dict[ids.HostId, ids.RegionId] = {}
@@ -238,7 +238,7 @@
         for renewal in message.renewed_hosts:
             unknown |= not self._hosts.renew(renewal, sender)
         if self._endpoints.revision != before[0]:
-            self._changed()
+            self._on_endpoints_changed()
         if (self._endpoints.revision, self._hosts.revision) != before:
             self.request_sync()
         return attending.Exchanged(
