--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -65,7 +65,7 @@
         endpoints: registry.Registry,
         hosts: roster.Roster,
         peers: peer_calls.Peers,
-        changed: collections.abc.Callable[[], None],
+        on_endpoints_changed: collections.abc.Callable[[], None],
         clock: clocks.Clock,
     ):
         self._instance_id = instance_id
@@ -74,7 +74,7 @@
         self._endpoints = endpoints
         self._hosts = hosts
         self._peers = peers
-        self._on_endpoints_changed = changed
+        self._on_endpoints_changed = on_endpoints_changed
         self._clock = clock
         self._sync_requests: dict[ids.HostId, asyncio.Event] = {}
         self._regions: dict[ids.HostId, ids.RegionId] = {}
