--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -644,7 +644,7 @@
     Switch(
         'renewals are told by all who know them',
         DECISIONS + 'membership/exchanges.py',
-        ('        recent_contacts = {*told.recent_contacts, host}\n'),
+        ('        recent_contacts = {*progress.recent_contacts, host}\n'),
         ('        recent_contacts = set()\n'),
         (
             'tests/test_attending_fleet.py::test_control_hosts_tell_renewals_in_a_few_bytes_each'
--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -126,12 +126,12 @@
             await self._clock.sleep_ms(INTERVAL_MS)
 
     async def _sync_with(self, host: ids.HostId) -> None:
-        told = SyncProgress()
+        progress = SyncProgress()
         sync_requested = self._sync_requests[host]
         while host in self._group.others():
             sync_requested.clear()
             asked_ms = self._clock.mono_ms()
-            told = await self._send_exchange(host, told)
+            progress = await self._send_exchange(host, progress)
             await self._wait_for_next(sync_requested, asked_ms)
         del self._sync_requests[host]
 
