--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -662,7 +662,7 @@
     Switch(
         'restarted control host is told changes only',
         DECISIONS + 'membership/exchanges.py',
-        ("        if answer.unknown or told.life not in ('', answer.life):\n"),
+        ("        if answer.unknown or progress.life not in ('', answer.life):\n"),
         ('        if False:\n'),
         (
             'tests/test_attending_fleet.py::test_control_host_that_restarts_is_told_all_again'
--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -136,24 +136,24 @@
         del self._sync_requests[host]
 
     async def _send_exchange(
-        self, host: ids.HostId, told: SyncProgress
+        self, host: ids.HostId, progress: SyncProgress
     ) -> SyncProgress:
         """Tell what is new; return how far the other has come then."""
         reached = SyncProgress(
-            told.life,
+            progress.life,
             self._clock.mono_ms(),
             self._endpoints.revision,
             self._hosts.revision,
         )
-        message = self._build_exchange(host, told)
+        message = self._build_exchange(host, progress)
         try:
             answer = await self._peers.call(host, message, TIMEOUT_MS)
         except protocol_errors.ProtocolError:
-            return told
+            return progress
         if not isinstance(answer, attending.Exchanged):
-            return told
+            return progress
         self._group.hear(host)
-        if answer.unknown or told.life not in ('', answer.life):
+        if answer.unknown or progress.life not in ('', answer.life):
             logger.info('told_again', peer=host, unknown=answer.unknown)
             self._sync_requests[host].set()
             return SyncProgress(answer.life)
