--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -139,7 +139,7 @@
         self, host: ids.HostId, progress: SyncProgress
     ) -> SyncProgress:
         """Tell what is new; return how far the other has come then."""
-        reached = SyncProgress(
+        next_progress = SyncProgress(
             progress.life,
             self._clock.mono_ms(),
             self._endpoints.revision,
@@ -157,9 +157,9 @@
             logger.info('told_again', peer=host, unknown=answer.unknown)
             self._sync_requests[host].set()
             return SyncProgress(answer.life)
-        reached.instance_id = answer.life
-        reached.recent_contacts = {*answer.heard, host}
-        return reached
+        next_progress.instance_id = answer.life
+        next_progress.recent_contacts = {*answer.heard, host}
+        return next_progress
 
     def _build_exchange(
         self, host: ids.HostId, told: SyncProgress
