--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -162,23 +162,26 @@
         return next_progress
 
     def _build_exchange(
-        self, host: ids.HostId, told: SyncProgress
+        self, host: ids.HostId, progress: SyncProgress
     ) -> attending.Exchange:
         # What came by way of a third was learned up to an interval later.
-        since_ms = told.at_ms - INTERVAL_MS
-        recent_contacts = {*told.heard, host}
+        since_ms = progress.at_ms - INTERVAL_MS
+        recent_contacts = {*progress.heard, host}
         endpoints = _renewed(
             self._endpoints.held.values(),
             since_ms,
-            told.endpoints_revision,
+            progress.endpoints_revision,
             recent_contacts,
         )
         hosts = _renewed(
-            self._hosts.known(), since_ms, told.hosts_revision, recent_contacts
+            self._hosts.known(),
+            since_ms,
+            progress.hosts_revision,
+            recent_contacts,
         )
         return attending.Exchange(
-            self._endpoints.after(told.endpoints_revision),
-            self._hosts.after(told.hosts_revision),
+            self._endpoints.after(progress.endpoints_revision),
+            self._hosts.after(progress.hosts_revision),
             [
                 attending.Renewal(
                     found.said.endpoint,
