--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -167,13 +167,13 @@
         # What came by way of a third was learned up to an interval later.
         since_ms = progress.at_ms - INTERVAL_MS
         recent_contacts = {*progress.heard, host}
-        endpoints = _renewed(
+        endpoints = _renewed_entries(
             self._endpoints.held.values(),
             since_ms,
             progress.endpoints_revision,
             recent_contacts,
         )
-        hosts = _renewed(
+        hosts = _renewed_entries(
             self._hosts.known(),
             since_ms,
             progress.hosts_revision,
@@ -249,7 +249,7 @@
         )
 
 
-def _renewed(
+def _renewed_entries(
     known: collections.abc.Iterable[Known],
     since_ms: int,
     told_revision: int,
