--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -252,7 +252,7 @@
 def _renewed_entries(
     known: collections.abc.Iterable[Known],
     since_ms: int,
-    told_revision: int,
+    sent_revision: int,
     recent_contacts: set[ids.HostId],
 ) -> list[Known]:
     """Return who renewed since a time and has not changed since.
@@ -263,6 +263,6 @@
         found
         for found in known
         if found.heard_ms >= since_ms
-        and found.revision <= told_revision
+        and found.revision <= sent_revision
         and found.told_by not in recent_contacts
     ]
