--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -250,7 +250,7 @@
 
 
 def _renewed_entries(
-    known: collections.abc.Iterable[Known],
+    entries: collections.abc.Iterable[Known],
     since_ms: int,
     sent_revision: int,
     recent_contacts: set[ids.HostId],
@@ -261,7 +261,7 @@
     """
     return [
         found
-        for found in known
+        for found in entries
         if found.heard_ms >= since_ms
         and found.revision <= sent_revision
         and found.told_by not in recent_contacts
