--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -40,7 +40,7 @@
 NEAR_LATELY_MS = 3_000
 
 # What is held of an endpoint or a host: when it was heard, and by whom.
-Known = typing.TypeVar('Known', registry.Registered, roster.Known)
+Entry = typing.TypeVar('Known', registry.Registered, roster.Known)
 
 
 @dataclasses.dataclass
@@ -250,11 +250,11 @@
 
 
 def _renewed_entries(
-    entries: collections.abc.Iterable[Known],
+    entries: collections.abc.Iterable[Entry],
     since_ms: int,
     sent_revision: int,
     recent_contacts: set[ids.HostId],
-) -> list[Known]:
+) -> list[Entry]:
     """Return who renewed since a time and has not changed since.
 
     Left out is what came from the control hosts ``heard`` by who is told.
