--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -28,7 +28,7 @@
 logger = structlog.get_logger(__name__)
 
 # Renewals ride on this; changes do not wait for it.
-INTERVAL_MS = 1_000
+SYNC_INTERVAL_MS = 1_000
 # Some far round trips of 160 ms; one that is lost is made up by the next.
 TIMEOUT_MS = 800
 # Many hosts and endpoints that come at once are told together.
@@ -123,7 +123,7 @@
                     continue
                 self._sync_requests[host] = asyncio.Event()
                 self._tasks.start(self._sync_with(host))
-            await self._clock.sleep_ms(INTERVAL_MS)
+            await self._clock.sleep_ms(SYNC_INTERVAL_MS)
 
     async def _sync_with(self, host: ids.HostId) -> None:
         progress = SyncProgress()
@@ -165,7 +165,7 @@
         self, host: ids.HostId, progress: SyncProgress
     ) -> attending.Exchange:
         # What came by way of a third was learned up to an interval later.
-        since_ms = progress.at_ms - INTERVAL_MS
+        since_ms = progress.at_ms - SYNC_INTERVAL_MS
         recent_contacts = {*progress.heard, host}
         endpoints = _renewed_entries(
             self._endpoints.held.values(),
@@ -209,7 +209,7 @@
     async def _wait_for_next(
         self, sync_requested: asyncio.Event, asked_ms: int
     ) -> None:
-        left_ms = asked_ms + INTERVAL_MS - self._clock.mono_ms()
+        left_ms = asked_ms + SYNC_INTERVAL_MS - self._clock.mono_ms()
         try:
             async with clocks.timeout_ms(max(left_ms, 1)):
                 await sync_requested.wait()
