--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -30,7 +30,7 @@
 # Renewals ride on this; changes do not wait for it.
 SYNC_INTERVAL_MS = 1_000
 # Some far round trips of 160 ms; one that is lost is made up by the next.
-TIMEOUT_MS = 800
+EXCHANGE_TIMEOUT_MS = 800
 # Many hosts and endpoints that come at once are told together.
 GATHER_MS = 40
 # The interval, and a far region's way. Who was not heard for longer is cut
@@ -147,7 +147,7 @@
         )
         message = self._build_exchange(host, progress)
         try:
-            answer = await self._peers.call(host, message, TIMEOUT_MS)
+            answer = await self._peers.call(host, message, EXCHANGE_TIMEOUT_MS)
         except protocol_errors.ProtocolError:
             return progress
         if not isinstance(answer, attending.Exchanged):
