--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -32,7 +32,7 @@
 # Some far round trips of 160 ms; one that is lost is made up by the next.
 EXCHANGE_TIMEOUT_MS = 800
 # Many hosts and endpoints that come at once are told together.
-GATHER_MS = 40
+BATCH_DELAY_MS = 40
 # The interval, and a far region's way. Who was not heard for longer is cut
 # off from this host, and others are asked to pass on what it hears.
 HEARD_LATELY_MS = 1_500
@@ -213,7 +213,7 @@
         try:
             async with clocks.timeout_ms(max(left_ms, 1)):
                 await sync_requested.wait()
-                await self._clock.sleep_ms(GATHER_MS)
+                await self._clock.sleep_ms(BATCH_DELAY_MS)
         except TimeoutError:
             return
 
