--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -35,7 +35,7 @@
 BATCH_DELAY_MS = 40
 # The interval, and a far region's way. Who was not heard for longer is cut
 # off from this host, and others are asked to pass on what it hears.
-HEARD_LATELY_MS = 1_500
+CONTACT_WINDOW_MS = 1_500
 # Some intervals: who stood in this region that long ago still does.
 NEAR_LATELY_MS = 3_000
 
@@ -245,7 +245,7 @@
         if (self._endpoints.revision, self._hosts.revision) != before:
             self.request_sync()
         return attending.Exchanged(
-            self._instance_id, self._group.lately(HEARD_LATELY_MS), unknown
+            self._instance_id, self._group.lately(CONTACT_WINDOW_MS), unknown
         )
 
 
