--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -37,7 +37,7 @@
 # off from this host, and others are asked to pass on what it hears.
 CONTACT_WINDOW_MS = 1_500
 # Some intervals: who stood in this region that long ago still does.
-NEAR_LATELY_MS = 3_000
+REGION_CONTACT_WINDOW_MS = 3_000
 
 # What is held of an endpoint or a host: when it was heard, and by whom.
 Entry = typing.TypeVar('Known', registry.Registered, roster.Known)
@@ -98,7 +98,7 @@
         """Return the control hosts of a region that spoke lately."""
         found = [
             host
-            for host in self._group.lately(NEAR_LATELY_MS)
+            for host in self._group.lately(REGION_CONTACT_WINDOW_MS)
             if self._regions.get(host) == region
         ]
         if region == self._region:
