--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -54,7 +54,7 @@
     recent_contacts: set[ids.HostId] = dataclasses.field(default_factory=set)
 
 
-class Exchanges:
+class ControlSync:
     """Tell every other control host what this one hears."""
 
     def __init__(
--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -73,7 +73,7 @@
         self._tasks = runtime.Tasks()
         self.registry = registry.Registry(clock)
         self.roster = roster.Roster(HOST_LEASE_MS, clock, TOLD_LEASE_MS)
-        self._exchanges = exchanges.Exchanges(
+        self._exchanges = exchanges.ControlSync(
             self._life,
             region,
             group,
