--- a/wrenspoke/coordination/membership/roster.py
+++ b/wrenspoke/coordination/membership/roster.py
@@ -25,7 +25,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Known:
+class HostEntry:
     """Hold what a host last told, and when this host learned of it.
 
     ``told_by`` is the control host that heard it, None for this one.
@@ -49,7 +49,7 @@
         self._lease_ms = lease_ms
         self._told_lease_ms = told_lease_ms or lease_ms
         self._clock = clock
-        self._known: dict[ids.HostId, Known] = {}
+        self._known: dict[ids.HostId, HostEntry] = {}
         # The revision and time at which each host was lost.
         self._lost: dict[ids.HostId, tuple[int, int]] = {}
         self._forgotten_revision = 0
@@ -104,7 +104,7 @@
     ) -> None:
         self._next_revision()
         self._lost.pop(record.host, None)
-        self._known[record.host] = Known(
+        self._known[record.host] = HostEntry(
             record, heard_ms, self.revision, told_by
         )
 
@@ -132,7 +132,7 @@
         self._forget_lost(now_ms)
         return bool(ended)
 
-    def _lease_of(self, known: Known) -> int:
+    def _lease_of(self, known: HostEntry) -> int:
         return self._told_lease_ms if known.told_by else self._lease_ms
 
     def _lose(self, host: ids.HostId) -> None:
@@ -171,7 +171,7 @@
         ]
         return attending.HostChanges(found, lost)
 
-    def _aged(self, known: Known) -> attending.HostRecord:
+    def _aged(self, known: HostEntry) -> attending.HostRecord:
         age_ms = max(self._clock.mono_ms() - known.heard_ms, 0)
         return msgspec.structs.replace(known.record, age_ms=age_ms)
 
@@ -183,7 +183,7 @@
         """Return the names of every host, those that leave too."""
         return self._known.keys()
 
-    def known(self) -> collections.abc.Collection[Known]:
+    def known(self) -> collections.abc.Collection[HostEntry]:
         """Return every host as it is held, with who told of it."""
         return self._known.values()
 
