--- a/tests/test_askers.py
+++ b/tests/test_askers.py
@@ -32,7 +32,7 @@
         for record in records:
             known = roster.Roster(1_000, test_registry.FakeClock())
             for other in records:
-                known.take(other)
+                known.merge_record(other)
             self.made[record.host] = askers.Askers(
                 'north', record.host, known, Link(record.host, self)
             )
@@ -100,7 +100,9 @@
     """Return the partners of a host whose fleet has three regions."""
     known = roster.Roster(1_000, clock)
     for number, name in itertools.product(range(count), ('north', 'south')):
-        known.take(test_registry.record(f'{name}{number}', region=name))
+        known.merge_record(
+            test_registry.record(f'{name}{number}', region=name)
+        )
     viewed = views.RegionViews(clock)
     asking = askers.Askers(region, host, known, test_gauges.NoPeers())
     made = partners.Partners(
--- a/tests/test_gauges.py
+++ b/tests/test_gauges.py
@@ -54,7 +54,7 @@
     held = {found.said.endpoint: found for found in engines}
     known = roster.Roster(1_000, clocks.Clock())
     for found in hosts:
-        known.take(found)
+        known.merge_record(found)
     attended = types.SimpleNamespace(
         roster=known, registry=types.SimpleNamespace(held=held)
     )
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -179,15 +179,15 @@
 )
 def test_newer_word_of_a_host_prevails(later, draining):
     held = roster.Roster(2_000, FakeClock())
-    held.take(record('h'))
-    held.take(later)
+    held.merge_record(record('h'))
+    held.merge_record(later)
     assert held.records()[0].draining is draining
 
 
 def test_host_is_left_out_once_its_lease_has_ended():
     clock = FakeClock()
     held = roster.Roster(2_000, clock)
-    held.take(record('h'))
+    held.merge_record(record('h'))
     clock.now_ms += 2_001
     assert held.expire() and not held.records()
 
@@ -251,7 +251,7 @@
         record('gone', draining=True),
         record('leaving', region='east', data_centre='x', draining=True),
     ):
-        held.take(found)
+        held.merge_record(found)
     found = directory.addresses(held, table, name, region, data_centre)
     assert found == addresses
     begun = directory.addresses(held, table, name, region, data_centre, False)
--- a/tests/test_sent_calls.py
+++ b/tests/test_sent_calls.py
@@ -46,7 +46,7 @@
         clock = group.LoopClock()
         known = roster.Roster(10**9, clock)
         for other in fleet.names:
-            known.take(test_registry.record(other, data_centre='hall'))
+            known.merge_record(test_registry.record(other, data_centre='hall'))
         asking = askers.Askers('north', name, known, self.peers)
         asking.engines = len(fleet.names) // 2
         self.told = sent_calls.SentCalls(name, asking, self.peers, clock)
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -190,7 +190,7 @@
 
 def attending_host(clock):
     made = roster.Roster(2_500, clock)
-    made.take(record())
+    made.merge_record(record())
 
     def known():
         made.expire()
--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -349,7 +349,7 @@
         """Take what changed; a host is lost once no session knows it."""
         lost = {*changes.lost}
         for record in changes.found:
-            self.roster.take(record)
+            self.roster.merge_record(record)
         named = {record.host for record in changes.found}
         if changes.whole:
             lost = self.roster.hosts() - named
--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -160,7 +160,7 @@
     async def _answer_attend(
         self, sender: ids.HostId, message: attending.Attend
     ) -> attending.Attended:
-        if self.roster.take(message.record):
+        if self.roster.merge_record(message.record):
             self._exchanges.request_sync()
         wait_ms = min(message.wait_ms, LONGEST_WAIT_MS)
         asked_ms = self._clock.mono_ms()
--- a/wrenspoke/coordination/membership/roster.py
+++ b/wrenspoke/coordination/membership/roster.py
@@ -58,7 +58,7 @@
         ] = {}
         self.revision = 0
 
-    def take(
+    def merge_record(
         self,
         record: attending.HostRecord,
         told_by: ids.HostId | None = None,
