--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -358,7 +358,7 @@
         session.hosts -= lost
         for host in lost:
             if not any(host in one.hosts for one in self._sessions):
-                self.roster.drop(host)
+                self.roster.remove_host(host)
 
     def _serve_if_sure(self, answer: attending.Attended) -> None:
         """Serve by what a leader confirmed, or, after a wait, by the best.
--- a/wrenspoke/coordination/membership/roster.py
+++ b/wrenspoke/coordination/membership/roster.py
@@ -112,7 +112,7 @@
         self.revision += 1
         self._usable.clear()
 
-    def drop(self, host: ids.HostId) -> None:
+    def remove_host(self, host: ids.HostId) -> None:
         """Take a host for lost."""
         if self._known.pop(host, None) is None:
             return
@@ -136,7 +136,7 @@
         return self._told_lease_ms if known.told_by else self._lease_ms
 
     def _lose(self, host: ids.HostId) -> None:
-        self.drop(host)
+        self.remove_host(host)
         logger.warning('host_lost', peer=host)
 
     def take_lost(self, host: ids.HostId) -> None:
