--- a/wrenspoke/coordination/membership/roster.py
+++ b/wrenspoke/coordination/membership/roster.py
@@ -128,14 +128,14 @@
             if now_ms - known.heard_ms > self._lease_of(known)
         ]
         for host in ended:
-            self._lose(host)
+            self._expire_host(host)
         self._forget_lost(now_ms)
         return bool(ended)
 
     def _lease_of(self, known: HostEntry) -> int:
         return self._told_lease_ms if known.told_by else self._lease_ms
 
-    def _lose(self, host: ids.HostId) -> None:
+    def _expire_host(self, host: ids.HostId) -> None:
         self.remove_host(host)
         logger.warning('host_lost', peer=host)
 
@@ -145,7 +145,7 @@
         if known is None:
             return
         if self._clock.mono_ms() - known.heard_ms > self._lease_ms:
-            self._lose(host)
+            self._expire_host(host)
 
     def _forget_lost(self, now_ms: int) -> None:
         for host, (revision, lost_ms) in list(self._lost.items()):
