--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -228,7 +228,7 @@
         for record in message.hosts.found:
             self._hosts.take(record, sender)
         for host in message.hosts.lost:
-            self._hosts.take_lost(host)
+            self._hosts.expire_reported(host)
         unknown = False
         for renewal in message.renewed_endpoints:
             unknown |= not self._endpoints.renew(
--- a/wrenspoke/coordination/membership/roster.py
+++ b/wrenspoke/coordination/membership/roster.py
@@ -139,7 +139,7 @@
         self.remove_host(host)
         logger.warning('host_lost', peer=host)
 
-    def take_lost(self, host: ids.HostId) -> None:
+    def expire_reported(self, host: ids.HostId) -> None:
         """Drop a host that who heard it lost, unless it was heard since."""
         known = self._known.get(host)
         if known is None:
