--- a/wrenspoke/coordination/membership/roster.py
+++ b/wrenspoke/coordination/membership/roster.py
@@ -129,7 +129,7 @@
         ]
         for host in ended:
             self._expire_host(host)
-        self._forget_lost(now_ms)
+        self._prune_tombstones(now_ms)
         return bool(ended)
 
     def _lease_of(self, known: HostEntry) -> int:
@@ -147,7 +147,7 @@
         if self._clock.mono_ms() - known.heard_ms > self._lease_ms:
             self._expire_host(host)
 
-    def _forget_lost(self, now_ms: int) -> None:
+    def _prune_tombstones(self, now_ms: int) -> None:
         for host, (revision, lost_ms) in list(self._lost.items()):
             if now_ms - lost_ms <= LOST_KEPT_MS:
                 continue
