--- a/wrenspoke/coordination/membership/roster.py
+++ b/wrenspoke/coordination/membership/roster.py
@@ -51,7 +51,7 @@
         self._clock = clock
         self._known: dict[ids.HostId, HostEntry] = {}
         # The revision and time at which each host was lost.
-        self._lost: dict[ids.HostId, tuple[int, int]] = {}
+        self._tombstones: dict[ids.HostId, tuple[int, int]] = {}
         self._forgotten_revision = 0
         self._usable: dict[
             ids.RegionId | None, list[attending.HostRecord]
@@ -103,7 +103,7 @@
         told_by: ids.HostId | None,
     ) -> None:
         self._next_revision()
-        self._lost.pop(record.host, None)
+        self._tombstones.pop(record.host, None)
         self._known[record.host] = HostEntry(
             record, heard_ms, self.revision, told_by
         )
@@ -117,7 +117,7 @@
         if self._known.pop(host, None) is None:
             return
         self._next_revision()
-        self._lost[host] = (self.revision, self._clock.mono_ms())
+        self._tombstones[host] = (self.revision, self._clock.mono_ms())
 
     def expire(self) -> bool:
         """Drop hosts whose lease has ended; return whether any was."""
@@ -148,10 +148,10 @@
             self._expire_host(host)
 
     def _prune_tombstones(self, now_ms: int) -> None:
-        for host, (revision, lost_ms) in list(self._lost.items()):
+        for host, (revision, lost_ms) in list(self._tombstones.items()):
             if now_ms - lost_ms <= LOST_KEPT_MS:
                 continue
-            del self._lost[host]
+            del self._tombstones[host]
             self._forgotten_revision = max(self._forgotten_revision, revision)
 
     def after(self, revision: int) -> attending.HostChanges:
@@ -166,7 +166,7 @@
         ]
         lost = [
             host
-            for host, (at_revision, _lost_ms) in self._lost.items()
+            for host, (at_revision, _lost_ms) in self._tombstones.items()
             if at_revision > revision
         ]
         return attending.HostChanges(found, lost)
