--- a/wrenspoke/coordination/membership/roster.py
+++ b/wrenspoke/coordination/membership/roster.py
@@ -52,7 +52,7 @@
         self._known: dict[ids.HostId, HostEntry] = {}
         # The revision and time at which each host was lost.
         self._tombstones: dict[ids.HostId, tuple[int, int]] = {}
-        self._forgotten_revision = 0
+        self._compacted_revision = 0
         self._usable: dict[
             ids.RegionId | None, list[attending.HostRecord]
         ] = {}
@@ -152,11 +152,11 @@
             if now_ms - lost_ms <= LOST_KEPT_MS:
                 continue
             del self._tombstones[host]
-            self._forgotten_revision = max(self._forgotten_revision, revision)
+            self._compacted_revision = max(self._compacted_revision, revision)
 
     def after(self, revision: int) -> attending.HostChanges:
         """Return what changed after a revision, everything after 0."""
-        whole = revision == 0 or revision < self._forgotten_revision
+        whole = revision == 0 or revision < self._compacted_revision
         if whole:
             return attending.HostChanges(self.records(), [], whole=True)
         found = [
