--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -204,7 +204,7 @@
             hosts_revision = message.hosts_revision
         hosts = None
         if self.roster.revision > hosts_revision:
-            hosts = self.roster.after(hosts_revision)
+            hosts = self.roster.changes_since(hosts_revision)
         return attending.Attended(
             self._voter.has_lease,
             self._voter.led,
--- a/wrenspoke/coordination/membership/roster.py
+++ b/wrenspoke/coordination/membership/roster.py
@@ -154,7 +154,7 @@
             del self._tombstones[host]
             self._compacted_revision = max(self._compacted_revision, revision)
 
-    def after(self, revision: int) -> attending.HostChanges:
+    def changes_since(self, revision: int) -> attending.HostChanges:
         """Return what changed after a revision, everything after 0."""
         whole = revision == 0 or revision < self._compacted_revision
         if whole:
