--- a/wrenspoke/coordination/membership/roster.py
+++ b/wrenspoke/coordination/membership/roster.py
@@ -183,7 +183,7 @@
         """Return the names of every host, those that leave too."""
         return self._known.keys()
 
-    def known(self) -> collections.abc.Collection[HostEntry]:
+    def entries(self) -> collections.abc.Collection[HostEntry]:
         """Return every host as it is held, with who told of it."""
         return self._known.values()
 
