--- a/wrenspoke/coordination/membership/roster.py
+++ b/wrenspoke/coordination/membership/roster.py
@@ -49,7 +49,7 @@
         self._lease_ms = lease_ms
         self._told_lease_ms = told_lease_ms or lease_ms
         self._clock = clock
-        self._known: dict[ids.HostId, HostEntry] = {}
+        self._entries: dict[ids.HostId, HostEntry] = {}
         # The revision and time at which each host was lost.
         self._tombstones: dict[ids.HostId, tuple[int, int]] = {}
         self._compacted_revision = 0
@@ -65,7 +65,7 @@
     ) -> bool:
         """Take what is newer; return whether others should be told."""
         heard_ms = self._clock.mono_ms() - record.age_ms
-        old = self._known.get(record.host)
+        old = self._entries.get(record.host)
         if old is None:
             self._put(record, heard_ms, told_by)
             logger.info('host_found', peer=record.host, region=record.region)
@@ -85,7 +85,7 @@
 
     def renew(self, renewal: attending.Renewal, told_by: ids.HostId) -> bool:
         """Take a renewal; return False if its host is not known so."""
-        old = self._known.get(ids.HostId(renewal.name))
+        old = self._entries.get(ids.HostId(renewal.name))
         if old is None or life_of(old.record) != renewal.life:
             return False
         if renewal.number > old.record.number:
@@ -104,7 +104,7 @@
     ) -> None:
         self._next_revision()
         self._tombstones.pop(record.host, None)
-        self._known[record.host] = HostEntry(
+        self._entries[record.host] = HostEntry(
             record, heard_ms, self.revision, told_by
         )
 
@@ -114,7 +114,7 @@
 
     def remove_host(self, host: ids.HostId) -> None:
         """Take a host for lost."""
-        if self._known.pop(host, None) is None:
+        if self._entries.pop(host, None) is None:
             return
         self._next_revision()
         self._tombstones[host] = (self.revision, self._clock.mono_ms())
@@ -124,7 +124,7 @@
         now_ms = self._clock.mono_ms()
         ended = [
             host
-            for host, known in self._known.items()
+            for host, known in self._entries.items()
             if now_ms - known.heard_ms > self._lease_of(known)
         ]
         for host in ended:
@@ -141,7 +141,7 @@
 
     def expire_reported(self, host: ids.HostId) -> None:
         """Drop a host that who heard it lost, unless it was heard since."""
-        known = self._known.get(host)
+        known = self._entries.get(host)
         if known is None:
             return
         if self._clock.mono_ms() - known.heard_ms > self._lease_ms:
@@ -161,7 +161,7 @@
             return attending.HostChanges(self.records(), [], whole=True)
         found = [
             self._aged(known)
-            for known in self._known.values()
+            for known in self._entries.values()
             if known.revision > revision
         ]
         lost = [
@@ -177,19 +177,19 @@
 
     def records(self) -> list[attending.HostRecord]:
         """Return every host with the age of what it told."""
-        return [self._aged(known) for known in self._known.values()]
+        return [self._aged(known) for known in self._entries.values()]
 
     def hosts(self) -> collections.abc.Set[ids.HostId]:
         """Return the names of every host, those that leave too."""
-        return self._known.keys()
+        return self._entries.keys()
 
     def entries(self) -> collections.abc.Collection[HostEntry]:
         """Return every host as it is held, with who told of it."""
-        return self._known.values()
+        return self._entries.values()
 
     def record(self, host: ids.HostId) -> attending.HostRecord | None:
         """Return what a host last told, None if it is not known."""
-        known = self._known.get(host)
+        known = self._entries.get(host)
         return None if known is None else known.record
 
     def region_of(self, host: ids.HostId) -> ids.RegionId | None:
@@ -216,7 +216,7 @@
         if found is None:
             found = self._usable[region] = [
                 known.record
-                for known in self._known.values()
+                for known in self._entries.values()
                 if not known.record.draining
                 and region in (None, known.record.region)
             ]
