--- a/wrenspoke/coordination/membership/roster.py
+++ b/wrenspoke/coordination/membership/roster.py
@@ -67,7 +67,7 @@
         heard_ms = self._clock.mono_ms() - record.age_ms
         old = self._entries.get(record.host)
         if old is None:
-            self._put(record, heard_ms, told_by)
+            self._store_record(record, heard_ms, told_by)
             logger.info('host_found', peer=record.host, region=record.region)
             return True
         same_life = old.record.start == record.start
@@ -76,7 +76,7 @@
         if not same_life and heard_ms < old.heard_ms:
             return False
         if _differs(old.record, record):
-            self._put(record, heard_ms, told_by)
+            self._store_record(record, heard_ms, told_by)
             return True
         old.record = record
         old.heard_ms = heard_ms
@@ -96,7 +96,7 @@
             old.told_by = told_by
         return True
 
-    def _put(
+    def _store_record(
         self,
         record: attending.HostRecord,
         heard_ms: int,
