--- a/wrenspoke/coordination/membership/roster.py
+++ b/wrenspoke/coordination/membership/roster.py
@@ -160,7 +160,7 @@
         if whole:
             return attending.HostChanges(self.records(), [], whole=True)
         found = [
-            self._aged(known)
+            self._with_age(known)
             for known in self._entries.values()
             if known.revision > revision
         ]
@@ -171,13 +171,13 @@
         ]
         return attending.HostChanges(found, lost)
 
-    def _aged(self, known: HostEntry) -> attending.HostRecord:
+    def _with_age(self, known: HostEntry) -> attending.HostRecord:
         age_ms = max(self._clock.mono_ms() - known.heard_ms, 0)
         return msgspec.structs.replace(known.record, age_ms=age_ms)
 
     def records(self) -> list[attending.HostRecord]:
         """Return every host with the age of what it told."""
-        return [self._aged(known) for known in self._entries.values()]
+        return [self._with_age(known) for known in self._entries.values()]
 
     def hosts(self) -> collections.abc.Set[ids.HostId]:
         """Return the names of every host, those that leave too."""
