--- a/wrenspoke/coordination/membership/roster.py
+++ b/wrenspoke/coordination/membership/roster.py
@@ -47,7 +47,7 @@
         told_lease_ms: int | None = None,
     ):
         self._lease_ms = lease_ms
-        self._told_lease_ms = told_lease_ms or lease_ms
+        self._relayed_lease_ms = told_lease_ms or lease_ms
         self._clock = clock
         self._entries: dict[ids.HostId, HostEntry] = {}
         # The revision and time at which each host was lost.
@@ -133,7 +133,7 @@
         return bool(ended)
 
     def _lease_of(self, known: HostEntry) -> int:
-        return self._told_lease_ms if known.told_by else self._lease_ms
+        return self._relayed_lease_ms if known.told_by else self._lease_ms
 
     def _expire_host(self, host: ids.HostId) -> None:
         self.remove_host(host)
