--- a/wrenspoke/coordination/membership/roster.py
+++ b/wrenspoke/coordination/membership/roster.py
@@ -44,10 +44,10 @@
         self,
         lease_ms: int,
         clock: clocks.Clock,
-        told_lease_ms: int | None = None,
+        relayed_lease_ms: int | None = None,
     ):
         self._lease_ms = lease_ms
-        self._relayed_lease_ms = told_lease_ms or lease_ms
+        self._relayed_lease_ms = relayed_lease_ms or lease_ms
         self._clock = clock
         self._entries: dict[ids.HostId, HostEntry] = {}
         # The revision and time at which each host was lost.
