--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -196,7 +196,7 @@
                     found.record.host,
                     found.record.number,
                     self._age_ms(found.heard_ms),
-                    roster.life_of(found.record),
+                    roster.instance_checksum(found.record),
                 )
                 for found in hosts
             ],
--- a/wrenspoke/coordination/membership/roster.py
+++ b/wrenspoke/coordination/membership/roster.py
@@ -86,7 +86,7 @@
     def renew(self, renewal: attending.Renewal, told_by: ids.HostId) -> bool:
         """Take a renewal; return False if its host is not known so."""
         old = self._entries.get(ids.HostId(renewal.name))
-        if old is None or life_of(old.record) != renewal.life:
+        if old is None or instance_checksum(old.record) != renewal.life:
             return False
         if renewal.number > old.record.number:
             old.record = msgspec.structs.replace(
@@ -223,7 +223,7 @@
         return found
 
 
-def life_of(record: attending.HostRecord) -> int:
+def instance_checksum(record: attending.HostRecord) -> int:
     """Return a short number for the life of a host that told a record."""
     return zlib.crc32(record.start.encode())
 
