--- a/wrenspoke/coordination/membership/roster.py
+++ b/wrenspoke/coordination/membership/roster.py
@@ -21,7 +21,7 @@
 
 # A host that attends asks for what is new several times a second. One that
 # was away for longer than this is told everything.
-LOST_KEPT_MS = 60_000
+TOMBSTONE_TTL_MS = 60_000
 
 
 @dataclasses.dataclass(slots=True)
@@ -149,7 +149,7 @@
 
     def _prune_tombstones(self, now_ms: int) -> None:
         for host, (revision, lost_ms) in list(self._tombstones.items()):
-            if now_ms - lost_ms <= LOST_KEPT_MS:
+            if now_ms - lost_ms <= TOMBSTONE_TTL_MS:
                 continue
             del self._tombstones[host]
             self._compacted_revision = max(self._compacted_revision, revision)
