--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -88,7 +88,7 @@
         peers.answers(attending.EndpointLeaves)(self._hear_leaving)
 
     @property
-    def settled(self) -> bool:
+    def synced(self) -> bool:
         """Tell whether every entry host that lives has had time to attend."""
         return self._clock.mono_ms() - self._began_ms >= HOST_LEASE_MS
 
