--- a/wrenspoke/control_node.py
+++ b/wrenspoke/control_node.py
@@ -63,7 +63,7 @@
             self.peers,
             self.clock,
         )
-        self._traffic.tell_places(self.registrar.place_of)
+        self._traffic.tell_places(self.registrar.host_location)
         self._kept_registry = kept_registry.KeptRegistry(
             pathlib.Path(node.data_folder),
             self.registrar.registry,
--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -103,7 +103,7 @@
         await self._exchanges.close()
         await self._tasks.close()
 
-    def place_of(self, host: ids.HostId) -> locations.Location | None:
+    def host_location(self, host: ids.HostId) -> locations.Location | None:
         """Return where an entry or control host stands, None if unknown."""
         return self.roster.location_of(host) or self._exchanges.host_location(
             host
