--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -111,29 +111,29 @@
 
     # Endpoints.
 
-    def register(self, said: registry.Registration) -> None:
+    def register(self, registration: registry.Registration) -> None:
         """Take an endpoint's registration; pass a change on at once."""
-        occupant = self.registry.occupant(said)
+        occupant = self.registry.occupant(registration)
         if occupant is not None:
             logger.warning(
                 'registration_contested',
-                endpoint=said.endpoint,
-                address=said.address,
+                endpoint=registration.endpoint,
+                address=registration.address,
                 occupant=occupant.said.endpoint,
             )
             return
-        if said.state is not registry.RegistrationState.GONE:
-            self.registry.displace(said)
-        if self.registry.take(said):
+        if registration.state is not registry.RegistrationState.GONE:
+            self.registry.displace(registration)
+        if self.registry.take(registration):
             logger.info(
                 'endpoint_registered',
-                endpoint=said.endpoint,
-                service=said.service,
-                address=said.address,
-                state=said.state,
-                number=said.number,
-                warmup_left_ms=said.warmup_left_ms,
-                ends_in_ms=said.ends_in_ms,
+                endpoint=registration.endpoint,
+                service=registration.service,
+                address=registration.address,
+                state=registration.state,
+                number=registration.number,
+                warmup_left_ms=registration.warmup_left_ms,
+                ends_in_ms=registration.ends_in_ms,
             )
             self._announce()
 
