--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -84,7 +84,7 @@
             clock,
         )
         peers.answers(attending.Attend)(self._answer_attend)
-        peers.answers(attending.Withdraw)(self._hear_withdrawn)
+        peers.answers(attending.Withdraw)(self._handle_withdraw)
         peers.answers(attending.EndpointLeaves)(self._hear_leaving)
 
     @property
@@ -143,7 +143,7 @@
         """Take note that an endpoint leaves, in one of its lives."""
         self.register(self.registry.withdraw(endpoint, born_ms))
 
-    async def _hear_withdrawn(
+    async def _handle_withdraw(
         self, _sender: ids.HostId, message: attending.Withdraw
     ) -> None:
         self.withdraw(message.endpoint, message.born_ms)
