--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -85,7 +85,7 @@
         )
         peers.answers(attending.Attend)(self._answer_attend)
         peers.answers(attending.Withdraw)(self._handle_withdraw)
-        peers.answers(attending.EndpointLeaves)(self._hear_leaving)
+        peers.answers(attending.EndpointLeaves)(self._handle_leaving)
 
     @property
     def synced(self) -> bool:
@@ -148,7 +148,7 @@
     ) -> None:
         self.withdraw(message.endpoint, message.born_ms)
 
-    async def _hear_leaving(
+    async def _handle_leaving(
         self, _sender: ids.HostId, message: attending.EndpointLeaves
     ) -> None:
         if self.registry.mark_leaving(message.endpoint, message.born_ms):
