--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -83,7 +83,7 @@
             self._wake,
             clock,
         )
-        peers.answers(attending.Attend)(self._answer_attend)
+        peers.answers(attending.Attend)(self._handle_attend)
         peers.answers(attending.Withdraw)(self._handle_withdraw)
         peers.answers(attending.EndpointLeaves)(self._handle_leaving)
 
@@ -157,7 +157,7 @@
 
     # Entry hosts.
 
-    async def _answer_attend(
+    async def _handle_attend(
         self, sender: ids.HostId, message: attending.Attend
     ) -> attending.Attended:
         if self.roster.merge_record(message.record):
