--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -169,14 +169,14 @@
                 while not self._has_news_for(message):
                     await self._news.wait()
                 if message.life == self._life:
-                    await self._clock.sleep_ms(self._gather_ms(sender))
+                    await self._clock.sleep_ms(self._batch_delay_ms(sender))
         except TimeoutError:
             pass
         now_ms = self._clock.mono_ms()
         self._told_ms[sender] = now_ms
         return self._attended(message, now_ms - asked_ms)
 
-    def _gather_ms(self, host: ids.HostId) -> int:
+    def _batch_delay_ms(self, host: ids.HostId) -> int:
         """Return for how long what is new for a host is gathered."""
         now_ms = self._clock.mono_ms()
         next_ms = self._told_ms.get(host, 0) + NEWS_INTERVAL_MS
