--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -166,7 +166,7 @@
         asked_ms = self._clock.mono_ms()
         try:
             async with clocks.timeout_ms(wait_ms):
-                while not self._has_news_for(message):
+                while not self._has_update_for(message):
                     await self._news.wait()
                 if message.life == self._life:
                     await self._clock.sleep_ms(self._batch_delay_ms(sender))
@@ -182,7 +182,7 @@
         next_ms = self._told_ms.get(host, 0) + NEWS_INTERVAL_MS
         return max(next_ms - now_ms, GATHER_MS)
 
-    def _has_news_for(self, message: attending.Attend) -> bool:
+    def _has_update_for(self, message: attending.Attend) -> bool:
         """Tell whether there is something that a host should not wait for.
 
         Other entry hosts are not: they are known to a host that has begun,
