--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -174,7 +174,7 @@
             pass
         now_ms = self._clock.mono_ms()
         self._told_ms[sender] = now_ms
-        return self._attended(message, now_ms - asked_ms)
+        return self._build_answer(message, now_ms - asked_ms)
 
     def _batch_delay_ms(self, host: ids.HostId) -> int:
         """Return for how long what is new for a host is gathered."""
@@ -195,7 +195,7 @@
             or self._replica.current.index > message.index
         )
 
-    def _attended(
+    def _build_answer(
         self, message: attending.Attend, held_ms: int
     ) -> attending.Attended:
         endpoints_revision = hosts_revision = 0
