--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -215,7 +215,7 @@
             hosts,
             [self._group.host, *self._group.lately(HEARD_LATELY_MS)],
             self._exchanges.control_hosts_in(message.record.region),
-            self._news_after(message.index),
+            self._packed_delta_since(message.index),
             self._replica.current.index,
             self._voter.confirmed_age_ms,
             held_ms,
@@ -223,7 +223,7 @@
             self._voter.term,
         )
 
-    def _news_after(self, index: int) -> bytes:
+    def _packed_delta_since(self, index: int) -> bytes:
         """Return the changes after an index, packed once for all hosts."""
         now = self._replica.current.index
         if index >= now:
