--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -135,7 +135,7 @@
                 warmup_left_ms=registration.warmup_left_ms,
                 ends_in_ms=registration.ends_in_ms,
             )
-            self._announce()
+            self._notify_all()
 
     def withdraw(
         self, endpoint: ids.EndpointId, born_ms: int | None = None
@@ -153,7 +153,7 @@
     ) -> None:
         if self.registry.mark_leaving(message.endpoint, message.born_ms):
             logger.info('endpoint_leaving', endpoint=message.endpoint)
-            self._announce()
+            self._notify_all()
 
     # Entry hosts.
 
@@ -237,7 +237,7 @@
             self._packed[index] = packed
         return packed
 
-    def _announce(self) -> None:
+    def _notify_all(self) -> None:
         """Tell attending and other control hosts of a change at once."""
         self._wake()
         self._exchanges.request_sync()
@@ -254,7 +254,7 @@
             if self.roster.expire():
                 self._exchanges.request_sync()
             if self.registry.mark_silent():
-                self._announce()
+                self._notify_all()
             self.registry.forget_old()
             self._told_ms = {
                 host: told_ms
