--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -80,7 +80,7 @@
             self.registry,
             self.roster,
             peers,
-            self._wake,
+            self._notify_waiters,
             clock,
         )
         peers.answers(attending.Attend)(self._handle_attend)
@@ -239,10 +239,10 @@
 
     def _notify_all(self) -> None:
         """Tell attending and other control hosts of a change at once."""
-        self._wake()
+        self._notify_waiters()
         self._exchanges.request_sync()
 
-    def _wake(self) -> None:
+    def _notify_waiters(self) -> None:
         self._news.set()
         self._news = asyncio.Event()
 
@@ -267,4 +267,4 @@
         """Tell attending hosts when a configuration is decided."""
         while True:
             await self._replica.changed.wait()
-            self._wake()
+            self._notify_waiters()
