--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -94,7 +94,7 @@
 
     def start(self) -> None:
         """Begin to exchange with the other control hosts."""
-        self._tasks.start(self._watch())
+        self._tasks.start(self._expiry_loop())
         self._tasks.start(self._watch_configuration())
         self._exchanges.start()
 
@@ -248,7 +248,7 @@
 
     # What time takes away.
 
-    async def _watch(self) -> None:
+    async def _expiry_loop(self) -> None:
         """Drop who lost its lease, and mark who fell silent."""
         while True:
             if self.roster.expire():
