--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -64,7 +64,7 @@
         self._clock = clock
         self._life = ids.new_unique()
         self._began_ms = clock.mono_ms()
-        self._news = asyncio.Event()
+        self._update_event = asyncio.Event()
         # When each attending host was answered last.
         self._told_ms: dict[ids.HostId, int] = {}
         # What follows each index that was asked for, up to an index.
@@ -167,7 +167,7 @@
         try:
             async with clocks.timeout_ms(wait_ms):
                 while not self._has_update_for(message):
-                    await self._news.wait()
+                    await self._update_event.wait()
                 if message.life == self._life:
                     await self._clock.sleep_ms(self._batch_delay_ms(sender))
         except TimeoutError:
@@ -243,8 +243,8 @@
         self._exchanges.request_sync()
 
     def _notify_waiters(self) -> None:
-        self._news.set()
-        self._news = asyncio.Event()
+        self._update_event.set()
+        self._update_event = asyncio.Event()
 
     # What time takes away.
 
