--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -62,7 +62,7 @@
         self._replica = held
         self._peers = peers
         self._clock = clock
-        self._life = ids.new_unique()
+        self._instance_id = ids.new_unique()
         self._began_ms = clock.mono_ms()
         self._update_event = asyncio.Event()
         # When each attending host was answered last.
@@ -74,7 +74,7 @@
         self.registry = registry.Registry(clock)
         self.roster = roster.Roster(HOST_LEASE_MS, clock, TOLD_LEASE_MS)
         self._exchanges = exchanges.ControlSync(
-            self._life,
+            self._instance_id,
             region,
             group,
             self.registry,
@@ -168,7 +168,7 @@
             async with clocks.timeout_ms(wait_ms):
                 while not self._has_update_for(message):
                     await self._update_event.wait()
-                if message.life == self._life:
+                if message.life == self._instance_id:
                     await self._clock.sleep_ms(self._batch_delay_ms(sender))
         except TimeoutError:
             pass
@@ -188,7 +188,7 @@
         Other entry hosts are not: they are known to a host that has begun,
         and who passes calls to one that leaves is told so by that host.
         """
-        if message.life != self._life:
+        if message.life != self._instance_id:
             return True
         return (
             self.registry.revision > message.endpoints_revision
@@ -199,7 +199,7 @@
         self, message: attending.Attend, held_ms: int
     ) -> attending.Attended:
         endpoints_revision = hosts_revision = 0
-        if message.life == self._life:
+        if message.life == self._instance_id:
             endpoints_revision = message.endpoints_revision
             hosts_revision = message.hosts_revision
         hosts = None
@@ -208,7 +208,7 @@
         return attending.Attended(
             self._voter.has_lease,
             self._voter.led,
-            self._life,
+            self._instance_id,
             self.registry.revision,
             self.roster.revision,
             self.registry.after(endpoints_revision),
