--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -63,7 +63,7 @@
         self._peers = peers
         self._clock = clock
         self._instance_id = ids.new_unique()
-        self._began_ms = clock.mono_ms()
+        self._created_ms = clock.mono_ms()
         self._update_event = asyncio.Event()
         # When each attending host was answered last.
         self._told_ms: dict[ids.HostId, int] = {}
@@ -90,7 +90,7 @@
     @property
     def synced(self) -> bool:
         """Tell whether every entry host that lives has had time to attend."""
-        return self._clock.mono_ms() - self._began_ms >= HOST_LEASE_MS
+        return self._clock.mono_ms() - self._created_ms >= HOST_LEASE_MS
 
     def start(self) -> None:
         """Begin to exchange with the other control hosts."""
