--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -66,7 +66,7 @@
         self._created_ms = clock.mono_ms()
         self._update_event = asyncio.Event()
         # When each attending host was answered last.
-        self._told_ms: dict[ids.HostId, int] = {}
+        self._answered_ms: dict[ids.HostId, int] = {}
         # What follows each index that was asked for, up to an index.
         self._packed: dict[int, bytes] = {}
         self._packed_at = 0
@@ -173,13 +173,13 @@
         except TimeoutError:
             pass
         now_ms = self._clock.mono_ms()
-        self._told_ms[sender] = now_ms
+        self._answered_ms[sender] = now_ms
         return self._build_answer(message, now_ms - asked_ms)
 
     def _batch_delay_ms(self, host: ids.HostId) -> int:
         """Return for how long what is new for a host is gathered."""
         now_ms = self._clock.mono_ms()
-        next_ms = self._told_ms.get(host, 0) + NEWS_INTERVAL_MS
+        next_ms = self._answered_ms.get(host, 0) + NEWS_INTERVAL_MS
         return max(next_ms - now_ms, GATHER_MS)
 
     def _has_update_for(self, message: attending.Attend) -> bool:
@@ -256,9 +256,9 @@
             if self.registry.mark_silent():
                 self._notify_all()
             self.registry.forget_old()
-            self._told_ms = {
+            self._answered_ms = {
                 host: told_ms
-                for host, told_ms in self._told_ms.items()
+                for host, told_ms in self._answered_ms.items()
                 if host in self.roster.hosts()
             }
             await self._clock.sleep_ms(LOOK_INTERVAL_MS)
