--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -68,7 +68,7 @@
         # When each attending host was answered last.
         self._answered_ms: dict[ids.HostId, int] = {}
         # What follows each index that was asked for, up to an index.
-        self._packed: dict[int, bytes] = {}
+        self._packed_deltas: dict[int, bytes] = {}
         self._packed_at = 0
         self._tasks = runtime.Tasks()
         self.registry = registry.Registry(clock)
@@ -230,11 +230,11 @@
             return b''
         if self._packed_at != now:
             self._packed_at = now
-            self._packed.clear()
-        packed = self._packed.get(index)
+            self._packed_deltas.clear()
+        packed = self._packed_deltas.get(index)
         if packed is None:
             packed = attending.pack(self._replica.after(index))
-            self._packed[index] = packed
+            self._packed_deltas[index] = packed
         return packed
 
     def _notify_all(self) -> None:
