--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -69,7 +69,7 @@
         self._answered_ms: dict[ids.HostId, int] = {}
         # What follows each index that was asked for, up to an index.
         self._packed_deltas: dict[int, bytes] = {}
-        self._packed_at = 0
+        self._packed_index = 0
         self._tasks = runtime.Tasks()
         self.registry = registry.Registry(clock)
         self.roster = roster.Roster(HOST_LEASE_MS, clock, TOLD_LEASE_MS)
@@ -228,8 +228,8 @@
         now = self._replica.current.index
         if index >= now:
             return b''
-        if self._packed_at != now:
-            self._packed_at = now
+        if self._packed_index != now:
+            self._packed_index = now
             self._packed_deltas.clear()
         packed = self._packed_deltas.get(index)
         if packed is None:
