--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -73,7 +73,7 @@
         self._tasks = runtime.Tasks()
         self.registry = registry.Registry(clock)
         self.roster = roster.Roster(HOST_LEASE_MS, clock, TOLD_LEASE_MS)
-        self._exchanges = exchanges.ControlSync(
+        self._control_sync = exchanges.ControlSync(
             self._instance_id,
             region,
             group,
@@ -96,18 +96,18 @@
         """Begin to exchange with the other control hosts."""
         self._tasks.start(self._expiry_loop())
         self._tasks.start(self._watch_configuration())
-        self._exchanges.start()
+        self._control_sync.start()
 
     async def close(self) -> None:
         """End every task."""
-        await self._exchanges.close()
+        await self._control_sync.close()
         await self._tasks.close()
 
     def host_location(self, host: ids.HostId) -> locations.Location | None:
         """Return where an entry or control host stands, None if unknown."""
-        return self.roster.location_of(host) or self._exchanges.host_location(
+        return self.roster.location_of(
             host
-        )
+        ) or self._control_sync.host_location(host)
 
     # Endpoints.
 
@@ -161,7 +161,7 @@
         self, sender: ids.HostId, message: attending.Attend
     ) -> attending.Attended:
         if self.roster.merge_record(message.record):
-            self._exchanges.request_sync()
+            self._control_sync.request_sync()
         wait_ms = min(message.wait_ms, LONGEST_WAIT_MS)
         asked_ms = self._clock.mono_ms()
         try:
@@ -214,7 +214,7 @@
             self.registry.after(endpoints_revision),
             hosts,
             [self._group.host, *self._group.lately(HEARD_LATELY_MS)],
-            self._exchanges.control_hosts_in(message.record.region),
+            self._control_sync.control_hosts_in(message.record.region),
             self._packed_delta_since(message.index),
             self._replica.current.index,
             self._voter.confirmed_age_ms,
@@ -240,7 +240,7 @@
     def _notify_all(self) -> None:
         """Tell attending and other control hosts of a change at once."""
         self._notify_waiters()
-        self._exchanges.request_sync()
+        self._control_sync.request_sync()
 
     def _notify_waiters(self) -> None:
         self._update_event.set()
@@ -252,7 +252,7 @@
         """Drop who lost its lease, and mark who fell silent."""
         while True:
             if self.roster.expire():
-                self._exchanges.request_sync()
+                self._control_sync.request_sync()
             if self.registry.mark_silent():
                 self._notify_all()
             self.registry.forget_old()
