--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -53,13 +53,13 @@
         region: ids.RegionId,
         elected: voter.Voter,
         group: controls.ControlGroup,
-        held: replica.Replica,
+        config_replica: replica.Replica,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
         self._voter = elected
         self._group = group
-        self._replica = held
+        self._replica = config_replica
         self._peers = peers
         self._clock = clock
         self._instance_id = ids.new_unique()
