--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -51,13 +51,13 @@
     def __init__(
         self,
         region: ids.RegionId,
-        elected: voter.Voter,
+        elected_voter: voter.Voter,
         group: controls.ControlGroup,
         config_replica: replica.Replica,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
-        self._voter = elected
+        self._voter = elected_voter
         self._group = group
         self._replica = config_replica
         self._peers = peers
