--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -30,7 +30,7 @@
 # Who hears a host tells its loss. Without a word for longer, since that
 # control host is lost or cut off, the host would have come to another or
 # another would pass its renewals on.
-TOLD_LEASE_MS = 5_000
+RELAYED_LEASE_MS = 5_000
 # Leases and silences are looked at so often, a part of the shortest.
 LOOK_INTERVAL_MS = 1_000
 # Half of the time after which callers of links give up by default.
@@ -72,7 +72,7 @@
         self._packed_index = 0
         self._tasks = runtime.Tasks()
         self.registry = registry.Registry(clock)
-        self.roster = roster.Roster(HOST_LEASE_MS, clock, TOLD_LEASE_MS)
+        self.roster = roster.Roster(HOST_LEASE_MS, clock, RELAYED_LEASE_MS)
         self._control_sync = exchanges.ControlSync(
             self._instance_id,
             region,
