--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -32,7 +32,7 @@
 # another would pass its renewals on.
 RELAYED_LEASE_MS = 5_000
 # Leases and silences are looked at so often, a part of the shortest.
-LOOK_INTERVAL_MS = 1_000
+EXPIRY_INTERVAL_MS = 1_000
 # Half of the time after which callers of links give up by default.
 LONGEST_WAIT_MS = 2_000
 # Many hosts and endpoints that come at once, as after all were killed, are
@@ -261,7 +261,7 @@
                 for host, told_ms in self._answered_ms.items()
                 if host in self.roster.hosts()
             }
-            await self._clock.sleep_ms(LOOK_INTERVAL_MS)
+            await self._clock.sleep_ms(EXPIRY_INTERVAL_MS)
 
     async def _watch_configuration(self) -> None:
         """Tell attending hosts when a configuration is decided."""
