--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -34,7 +34,7 @@
 # Leases and silences are looked at so often, a part of the shortest.
 EXPIRY_INTERVAL_MS = 1_000
 # Half of the time after which callers of links give up by default.
-LONGEST_WAIT_MS = 2_000
+MAX_WAIT_MS = 2_000
 # Many hosts and endpoints that come at once, as after all were killed, are
 # told together: short beside the seconds in which a change is in force.
 GATHER_MS = 40
@@ -162,7 +162,7 @@
     ) -> attending.Attended:
         if self.roster.merge_record(message.record):
             self._control_sync.request_sync()
-        wait_ms = min(message.wait_ms, LONGEST_WAIT_MS)
+        wait_ms = min(message.wait_ms, MAX_WAIT_MS)
         asked_ms = self._clock.mono_ms()
         try:
             async with clocks.timeout_ms(wait_ms):
