--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -37,7 +37,7 @@
 MAX_WAIT_MS = 2_000
 # Many hosts and endpoints that come at once, as after all were killed, are
 # told together: short beside the seconds in which a change is in force.
-GATHER_MS = 40
+BATCH_DELAY_MS = 40
 # One host is told of changes no more often: while all start or leave, there
 # is something new every few ms. Short beside the time a change may take.
 NEWS_INTERVAL_MS = 200
@@ -180,7 +180,7 @@
         """Return for how long what is new for a host is gathered."""
         now_ms = self._clock.mono_ms()
         next_ms = self._answered_ms.get(host, 0) + NEWS_INTERVAL_MS
-        return max(next_ms - now_ms, GATHER_MS)
+        return max(next_ms - now_ms, BATCH_DELAY_MS)
 
     def _has_update_for(self, message: attending.Attend) -> bool:
         """Tell whether there is something that a host should not wait for.
