--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -40,7 +40,7 @@
 BATCH_DELAY_MS = 40
 # One host is told of changes no more often: while all start or leave, there
 # is something new every few ms. Short beside the time a change may take.
-NEWS_INTERVAL_MS = 200
+MIN_UPDATE_INTERVAL_MS = 200
 # Longer than between two exchanges and a far region's round trip.
 HEARD_LATELY_MS = 3_000
 
@@ -179,7 +179,7 @@
     def _batch_delay_ms(self, host: ids.HostId) -> int:
         """Return for how long what is new for a host is gathered."""
         now_ms = self._clock.mono_ms()
-        next_ms = self._answered_ms.get(host, 0) + NEWS_INTERVAL_MS
+        next_ms = self._answered_ms.get(host, 0) + MIN_UPDATE_INTERVAL_MS
         return max(next_ms - now_ms, BATCH_DELAY_MS)
 
     def _has_update_for(self, message: attending.Attend) -> bool:
