--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -42,7 +42,7 @@
 # is something new every few ms. Short beside the time a change may take.
 MIN_UPDATE_INTERVAL_MS = 200
 # Longer than between two exchanges and a far region's round trip.
-HEARD_LATELY_MS = 3_000
+CONTACT_WINDOW_MS = 3_000
 
 
 class Registrar:
@@ -213,7 +213,7 @@
             self.roster.revision,
             self.registry.after(endpoints_revision),
             hosts,
-            [self._group.host, *self._group.lately(HEARD_LATELY_MS)],
+            [self._group.host, *self._group.lately(CONTACT_WINDOW_MS)],
             self._control_sync.control_hosts_in(message.record.region),
             self._packed_delta_since(message.index),
             self._replica.current.index,
