--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -108,7 +108,7 @@
             configuration.TeamLimit('team-1', 7.0, 9)
         )
         held = replica.Replica()
-        held.advance(messages.ConfigurationDelta(index=1, whole=made))
+        held.apply_delta(messages.ConfigurationDelta(index=1, whole=made))
         delta = messages.ConfigurationDelta(index=2, changes=[(2, state)])
         found.append(
             {
--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -174,7 +174,7 @@
         """Apply an entry, and return what it did."""
         index = self.state.index + 1
         applied = self.state.apply(index, entry)
-        self.log.advance(
+        self.log.apply_delta(
             messages.ConfigurationDelta(
                 index, changes=[(index, applied.change)]
             )
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -37,8 +37,8 @@
 )
 def test_lower_index_is_refused(brought, index):
     held = replica.Replica()
-    held.advance(delta((2, limit('a', 5)), (3, limit('b', 7))))
-    held.advance(brought)
+    held.apply_delta(delta((2, limit('a', 5)), (3, limit('b', 7))))
+    held.apply_delta(brought)
     assert held.current.index == index
     if index == 3:
         rates = {
@@ -54,20 +54,20 @@
     other = replica.Replica()
     for index in range(1, 3001):
         change = delta((index, limit(f't{index % 7}', index)))
-        held.advance(change)
+        held.apply_delta(change)
         if index <= after:
-            other.advance(change)
-    other.advance(held.after(after))
+            other.apply_delta(change)
+    other.apply_delta(held.after(after))
     assert other.current == held.current
 
 
 def test_change_that_does_not_fit_is_refused_whole():
     held = replica.Replica()
-    held.advance(delta((1, limit('a', 5))))
+    held.apply_delta(delta((1, limit('a', 5))))
     state = configuration.SetEndpointState(
         'nowhere', configuration.EndpointState.DRAINED
     )
-    assert not held.advance(delta((2, state)))
+    assert not held.apply_delta(delta((2, state)))
     assert held.current.index == 1
 
 
@@ -94,9 +94,9 @@
     other = replica.Replica()
     for index in range(1, 10):
         change = table(index) if index % 2 else limit('a', index)
-        held.advance(delta((index, change)))
+        held.apply_delta(delta((index, change)))
         if index <= after:
-            other.advance(delta((index, change)))
+            other.apply_delta(delta((index, change)))
     told = held.after(after)
     tables = [
         change
@@ -104,5 +104,5 @@
         if isinstance(change, configuration.SetRoutes)
     ]
     assert len(tables) <= 1
-    other.advance(told)
+    other.apply_delta(told)
     assert other.current == held.current
--- a/wrenspoke/coordination/membership/replica.py
+++ b/wrenspoke/coordination/membership/replica.py
@@ -30,7 +30,7 @@
         )
         self._changes_after = 0
 
-    def advance(self, delta: messages.ConfigurationDelta) -> bool:
+    def apply_delta(self, delta: messages.ConfigurationDelta) -> bool:
         """Take over what is newer; return whether anything was."""
         if delta.index <= self.current.index:
             return False
