--- a/wrenspoke/coordination/membership/replica.py
+++ b/wrenspoke/coordination/membership/replica.py
@@ -83,7 +83,7 @@
         self.changed.set()
         self.changed = asyncio.Event()
 
-    def serve(self) -> None:
+    def start_serving(self) -> None:
         """Serve by what is held from now on."""
         self.serving = True
         self._wake()
