--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -385,7 +385,7 @@
     await system.put(route())
     await system.add('e', lambda sent, _number: [answer(sent)])
     [entry] = system.entries
-    entry.replica.doubt()
+    entry.replica.suspend_serving()
     asked = asyncio.ensure_future(system.ask(request()))
     await nodes.until(lambda: entry.passthrough.in_flight or asked.done())
     entry.replica.serve()
--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -166,7 +166,7 @@
 
     def _doubt(self) -> None:
         """Serve nothing before a control host was heard again."""
-        self._replica.doubt()
+        self._replica.suspend_serving()
         if self._waiting is not None:
             self._waiting.cancel()
             self._waiting = None
--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -210,7 +210,7 @@
     def _note_awake(self) -> None:
         if not self.awake:
             logger.warning('was_stopped', cause='no_processor_time')
-            self._replica.doubt()
+            self._replica.suspend_serving()
             self._seen.clear()
             self._started_ms = self._clock.mono_ms()
         self._ticked_ms = self._clock.mono_ms()
--- a/wrenspoke/coordination/membership/replica.py
+++ b/wrenspoke/coordination/membership/replica.py
@@ -88,7 +88,7 @@
         self.serving = True
         self._wake()
 
-    def doubt(self) -> None:
+    def suspend_serving(self) -> None:
         """Stop serving until it is known again that nothing is newer."""
         if self.refreshable:
             self.held_before = self.held_before or self.serving
