--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -57,7 +57,7 @@
         held.apply_delta(change)
         if index <= after:
             other.apply_delta(change)
-    other.apply_delta(held.after(after))
+    other.apply_delta(held.delta_since(after))
     assert other.current == held.current
 
 
@@ -97,7 +97,7 @@
         held.apply_delta(delta((index, change)))
         if index <= after:
             other.apply_delta(delta((index, change)))
-    told = held.after(after)
+    told = held.delta_since(after)
     tables = [
         change
         for _index, change in told.changes
--- a/wrenspoke/coordination/membership/replica.py
+++ b/wrenspoke/coordination/membership/replica.py
@@ -94,7 +94,7 @@
             self.held_before = self.held_before or self.serving
             self.serving = False
 
-    def after(self, index: int) -> messages.ConfigurationDelta:
+    def delta_since(self, index: int) -> messages.ConfigurationDelta:
         """Return what follows ``index``, by changes where they are kept."""
         current = self.current
         if index >= current.index:
