--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -124,7 +124,7 @@
                 ),
                 'delta_bytes': len(msgspec.msgpack.encode(delta)),
                 'find_active_ms': timed_ms(
-                    lambda: held.active('s', 'region-1')
+                    lambda: held.active_endpoints('s', 'region-1')
                 ),
                 'rank_ms': rank_ms(held),
             }
--- a/wrenspoke/coordination/membership/replica.py
+++ b/wrenspoke/coordination/membership/replica.py
@@ -109,7 +109,7 @@
         newer = [item for item in self._changes if item[0] > index]
         return messages.ConfigurationDelta(index=current.index, changes=newer)
 
-    def active(
+    def active_endpoints(
         self, service: str, region: str
     ) -> list[configuration.Endpoint]:
         """Return the endpoints of a region that may take new work."""
