--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -172,7 +172,7 @@
     Switch(
         'serves before it knows',
         DECISIONS + 'membership/pulls.py',
-        ('        held = serving or self._replica.held_before\n'),
+        ('        held = serving or self._replica.served_before\n'),
         ('        held = True\n'),
         ('tests/test_control.py::test_configuration_never_goes_back'),
     ),
--- a/wrenspoke/coordination/membership/pulls.py
+++ b/wrenspoke/coordination/membership/pulls.py
@@ -125,7 +125,7 @@
         serving = any(
             answer is not None and answer.serving for answer in answers
         )
-        held = serving or self._replica.held_before
+        held = serving or self._replica.served_before
         if held and self._members.waited_for_peers():
             self._serve('peers')
 
--- a/wrenspoke/coordination/membership/replica.py
+++ b/wrenspoke/coordination/membership/replica.py
@@ -22,7 +22,7 @@
         self.current = configuration.Configuration()
         self.serving = False
         self.refreshable = False
-        self.held_before = False
+        self.served_before = False
         self.leaving: set[ids.EndpointId] = set()
         self.changed = asyncio.Event()
         self._changes: collections.deque = collections.deque(
@@ -91,7 +91,7 @@
     def suspend_serving(self) -> None:
         """Stop serving until it is known again that nothing is newer."""
         if self.refreshable:
-            self.held_before = self.held_before or self.serving
+            self.served_before = self.served_before or self.serving
             self.serving = False
 
     def delta_since(self, index: int) -> messages.ConfigurationDelta:
