--- a/wrenspoke/coordination/membership/replica.py
+++ b/wrenspoke/coordination/membership/replica.py
@@ -46,11 +46,11 @@
                 logger.error('change_refused', index=index, reason=error)
                 return False
             self.current = changed
-            self._keep(index, change)
+            self._append_change(index, change)
         self._announce()
         return True
 
-    def _keep(self, index: int, change: configuration.Change) -> None:
+    def _append_change(self, index: int, change: configuration.Change) -> None:
         """Keep a change for who has not got it.
 
         A table of routes replaces the one before it. Of those one is kept:
