--- a/wrenspoke/coordination/membership/replica.py
+++ b/wrenspoke/coordination/membership/replica.py
@@ -47,7 +47,7 @@
                 return False
             self.current = changed
             self._append_change(index, change)
-        self._announce()
+        self._publish_change()
         return True
 
     def _append_change(self, index: int, change: configuration.Change) -> None:
@@ -72,9 +72,9 @@
         self.current = whole
         self._changes.clear()
         self._changes_after = whole.index
-        self._announce()
+        self._publish_change()
 
-    def _announce(self) -> None:
+    def _publish_change(self) -> None:
         logger.info('configuration_in_force', index=self.current.index)
         self._wake()
 
