--- a/wrenspoke/coordination/membership/replica.py
+++ b/wrenspoke/coordination/membership/replica.py
@@ -76,9 +76,9 @@
 
     def _publish_change(self) -> None:
         logger.info('configuration_in_force', index=self.current.index)
-        self._wake()
+        self._notify_waiters()
 
-    def _wake(self) -> None:
+    def _notify_waiters(self) -> None:
         """Wake who waits for a change, or for serving to begin."""
         self.changed.set()
         self.changed = asyncio.Event()
@@ -86,7 +86,7 @@
     def start_serving(self) -> None:
         """Serve by what is held from now on."""
         self.serving = True
-        self._wake()
+        self._notify_waiters()
 
     def suspend_serving(self) -> None:
         """Stop serving until it is known again that nothing is newer."""
