--- a/wrenspoke/coordination/membership/replica.py
+++ b/wrenspoke/coordination/membership/replica.py
@@ -28,7 +28,7 @@
         self._changes: collections.deque = collections.deque(
             maxlen=KEPT_CHANGES
         )
-        self._changes_after = 0
+        self._log_start_index = 0
 
     def apply_delta(self, delta: messages.ConfigurationDelta) -> bool:
         """Take over what is newer; return whether anything was."""
@@ -71,7 +71,7 @@
     def _replace(self, whole: configuration.Configuration) -> None:
         self.current = whole
         self._changes.clear()
-        self._changes_after = whole.index
+        self._log_start_index = whole.index
         self._publish_change()
 
     def _publish_change(self) -> None:
@@ -99,7 +99,7 @@
         current = self.current
         if index >= current.index:
             return messages.ConfigurationDelta(index=current.index)
-        oldest = self._changes_after
+        oldest = self._log_start_index
         if len(self._changes) == self._changes.maxlen:
             oldest = self._changes[0][0]
         if index < oldest:
