--- a/wrenspoke/coordination/membership/replica.py
+++ b/wrenspoke/coordination/membership/replica.py
@@ -12,7 +12,7 @@
 
 logger = structlog.get_logger(__name__)
 
-KEPT_CHANGES = 1024
+CHANGE_LOG_LENGTH = 1024
 
 
 class Replica:
@@ -26,7 +26,7 @@
         self.leaving: set[ids.EndpointId] = set()
         self.changed = asyncio.Event()
         self._changes: collections.deque = collections.deque(
-            maxlen=KEPT_CHANGES
+            maxlen=CHANGE_LOG_LENGTH
         )
         self._log_start_index = 0
 
@@ -64,7 +64,7 @@
                     for item in self._changes
                     if not isinstance(item[1], configuration.SetRoutes)
                 ),
-                maxlen=KEPT_CHANGES,
+                maxlen=CHANGE_LOG_LENGTH,
             )
         self._changes.append((index, change))
 
