--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -171,7 +171,7 @@
             self._waiting.cancel()
             self._waiting = None
 
-    async def tell_now(self) -> None:
+    async def push_status(self) -> None:
         """Tell every session's control host of a change here at once."""
         calls = [
             self._call(session, session.host, 0)
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -416,7 +416,7 @@
         self.attendance.draining = True
         self.passthrough.leaving = True
         logger.info('draining', in_flight=self.passthrough.in_flight)
-        await self.attendance.tell_now()
+        await self.attendance.push_status()
         await self.clock.sleep_ms(self.node.entry.leave_delay_ms)
         drained = await self.passthrough.drain(self.node.entry.stop_timeout_ms)
         logger.info('drained', whole=drained)
