--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -135,7 +135,7 @@
         """End every task."""
         await self._tasks.close()
 
-    def place_of(self, host: ids.HostId) -> locations.Location | None:
+    def host_location(self, host: ids.HostId) -> locations.Location | None:
         """Return where a host stands, None if unknown.
 
         Of control hosts it is known which stand in this region.
