--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -207,7 +207,7 @@
         NoPeers(),
         clock,
     )
-    return lambda: made.awake
+    return lambda: made.recently_ran
 
 
 def message_that_waited(clock):
--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -147,7 +147,7 @@
         return self.roster.location_of(host)
 
     @property
-    def awake(self) -> bool:
+    def recently_ran(self) -> bool:
         """Tell whether this process has been running of late.
 
         One that was stopped for long may hold what has been left behind
@@ -158,7 +158,7 @@
 
     async def _tick(self) -> None:
         while True:
-            if not self.awake:
+            if not self.recently_ran:
                 logger.warning('was_stopped', cause='no_processor_time')
                 self._doubt()
             self._ticked_ms = self._clock.mono_ms()
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -141,7 +141,7 @@
 
     def _standing(self, ping: messages.Ping) -> messages.Pong:
         """Return what hosts elsewhere are told that may pass calls here."""
-        serving = self.replica.serving and self.attendance.awake
+        serving = self.replica.serving and self.attendance.recently_ran
         return messages.Pong(
             self.attendance.draining,
             serving,
