--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -120,7 +120,7 @@
         self._waiting: asyncio.Task | None = None
         self.draining = False
         # The control host that leads, as told last.
-        self.lead: Lead | None = None
+        self.leader: Lead | None = None
         self.registry = registry.Registry(clock)
         self.roster = roster.Roster(NEVER_LEASE_MS, clock)
         held.refreshable = True
@@ -340,8 +340,8 @@
         """Note who leads; a control host that lags may name the one before."""
         if answer.leader is None:
             return
-        if self.lead is None or answer.term >= self.lead.term:
-            self.lead = Lead(answer.leader, answer.term, asked)
+        if self.leader is None or answer.term >= self.leader.term:
+            self.leader = Lead(answer.leader, answer.term, asked)
 
     def _take_hosts(
         self, session: _Session, changes: attending.HostChanges
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -205,7 +205,7 @@
         )
         self._lender = lender.Lender(
             self._access.limit_of,
-            lambda: self.attendance.lead,
+            lambda: self.attendance.leader,
             allowed,
             self.peers,
             self.clock,
