--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -165,7 +165,7 @@
         if self.leader is None:
             return None
         near = f'10.{region_of(host.name)}.250.1:1'
-        return attendance.Lead(self.leader, self._term, near)
+        return attendance.LeaderInfo(self.leader, self._term, near)
 
     def start_host(self, name):
         self.hosts[name] = self.make(self, name)
--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -80,7 +80,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Lead:
+class LeaderInfo:
     """Name a lead by its host and term, and who is asked for it here.
 
     Leads are the same whoever is asked.
@@ -120,7 +120,7 @@
         self._waiting: asyncio.Task | None = None
         self.draining = False
         # The control host that leads, as told last.
-        self.leader: Lead | None = None
+        self.leader: LeaderInfo | None = None
         self.registry = registry.Registry(clock)
         self.roster = roster.Roster(NEVER_LEASE_MS, clock)
         held.refreshable = True
@@ -341,7 +341,7 @@
         if answer.leader is None:
             return
         if self.leader is None or answer.term >= self.leader.term:
-            self.leader = Lead(answer.leader, answer.term, asked)
+            self.leader = LeaderInfo(answer.leader, answer.term, asked)
 
     def _take_hosts(
         self, session: _Session, changes: attending.HostChanges
