--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -88,7 +88,7 @@
 
     host: ids.HostId
     term: int
-    asked: ids.HostId = dataclasses.field(compare=False)
+    via_host: ids.HostId = dataclasses.field(compare=False)
 
 
 class Attendance:
