--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -160,11 +160,11 @@
         while True:
             if not self.recently_ran:
                 logger.warning('was_stopped', cause='no_processor_time')
-                self._doubt()
+                self._suspend_serving()
             self._ticked_ms = self._clock.mono_ms()
             await self._clock.sleep_ms(TICK_MS)
 
-    def _doubt(self) -> None:
+    def _suspend_serving(self) -> None:
         """Serve nothing before a control host was heard again."""
         self._replica.suspend_serving()
         if self._waiting is not None:
