--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -189,14 +189,16 @@
         if not self.registry.take(gone):
             return
         logger.info('endpoint_gone', endpoint=endpoint)
-        self._tell_sessions(attending.Withdraw(endpoint, born_ms))
+        self._notify_control_hosts(attending.Withdraw(endpoint, born_ms))
 
     def mark_leaving(self, endpoint: ids.EndpointId, born_ms: int) -> None:
         """Take an endpoint for leaving, and tell the control hosts so."""
         if self.registry.mark_leaving(endpoint, born_ms):
-            self._tell_sessions(attending.EndpointLeaves(endpoint, born_ms))
+            self._notify_control_hosts(
+                attending.EndpointLeaves(endpoint, born_ms)
+            )
 
-    def _tell_sessions(
+    def _notify_control_hosts(
         self, message: attending.Withdraw | attending.EndpointLeaves
     ) -> None:
         """Tell the control hosts that this host attends at."""
