--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -128,7 +128,7 @@
     def start(self) -> None:
         """Begin to attend."""
         for session in self._sessions:
-            self._tasks.start(self._attend(session))
+            self._tasks.start(self._run_session(session))
         self._tasks.start(self._tick())
 
     async def close(self) -> None:
@@ -209,7 +209,7 @@
                 self._peers.tell(session.host, message), fatal=False
             )
 
-    async def _attend(self, session: _Session) -> None:
+    async def _run_session(self, session: _Session) -> None:
         while True:
             if session.host is None:
                 session.begin(self._choose(), self._clock.mono_ms())
