--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -212,7 +212,7 @@
     async def _run_session(self, session: _Session) -> None:
         while True:
             if session.host is None:
-                session.begin(self._choose(), self._clock.mono_ms())
+                session.begin(self._choose_host(), self._clock.mono_ms())
             if session.host is None:
                 await self._clock.sleep_ms(PAUSE_MS)
                 continue
@@ -223,7 +223,7 @@
                 logger.info('control_host_left', peer=session.host)
             elif self._nearer_than(session.host):
                 # Where control hosts stand is known after the first answer.
-                session.begin(self._choose(), self._clock.mono_ms())
+                session.begin(self._choose_host(), self._clock.mono_ms())
                 continue
             else:
                 continue
@@ -237,7 +237,7 @@
             return False
         return self._clock.mono_ms() - session.led_ms > LEADERLESS_MS
 
-    def _choose(self) -> ids.HostId | None:
+    def _choose_host(self) -> ids.HostId | None:
         """Return a control host that no other session attends at."""
         taken = {session.host for session in self._sessions}
         free = [host for host in self._group.others() if host not in taken]
