--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -221,7 +221,7 @@
                 logger.warning('control_host_lost', peer=session.host)
             elif self._is_leaderless(session):
                 logger.info('control_host_left', peer=session.host)
-            elif self._nearer_than(session.host):
+            elif self._has_nearer_host(session.host):
                 # Where control hosts stand is known after the first answer.
                 session.begin(self._choose_host(), self._clock.mono_ms())
                 continue
@@ -244,7 +244,7 @@
         random.shuffle(free)
         return min(free, key=self._rank, default=None)
 
-    def _nearer_than(self, host: ids.HostId) -> bool:
+    def _has_nearer_host(self, host: ids.HostId) -> bool:
         """Tell whether a control host of this region is free, unlike one."""
         if host in self._near:
             return False
