--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -249,9 +249,9 @@
         if host in self._near:
             return False
         free = self._near - {session.host for session in self._sessions}
-        return any(not self._given_up_ms(one) for one in free)
+        return any(not self._recent_failure_ms(one) for one in free)
 
-    def _given_up_ms(self, host: ids.HostId) -> int:
+    def _recent_failure_ms(self, host: ids.HostId) -> int:
         """Return when a control host was given up, 0 if not of late."""
         failed_ms = self._failed_ms.get(host)
         if failed_ms is None:
@@ -266,7 +266,7 @@
         """
         own_ip = self._record.host.rpartition(':')[0]
         return (
-            self._given_up_ms(host),
+            self._recent_failure_ms(host),
             not _near(host, own_ip),
             host not in self._near,
         )
