--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -242,7 +242,7 @@
         taken = {session.host for session in self._sessions}
         free = [host for host in self._group.others() if host not in taken]
         random.shuffle(free)
-        return min(free, key=self._rank, default=None)
+        return min(free, key=self._rank_host, default=None)
 
     def _has_nearer_host(self, host: ids.HostId) -> bool:
         """Tell whether a control host of this region is free, unlike one."""
@@ -259,7 +259,7 @@
         age_ms = self._clock.mono_ms() - failed_ms
         return failed_ms if age_ms < GIVEN_UP_MS else 0
 
-    def _rank(self, host: ids.HostId) -> tuple[int, bool, bool]:
+    def _rank_host(self, host: ids.HostId) -> tuple[int, bool, bool]:
         """Rank control hosts: own data centre, own region, any other.
 
         Those that were given up of late go last.
