--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -174,7 +174,7 @@
     async def push_status(self) -> None:
         """Tell every session's control host of a change here at once."""
         calls = [
-            self._call(session, session.host, 0)
+            self._send_attend(session, session.host, 0)
             for session in self._sessions
             if session.host is not None
         ]
@@ -217,7 +217,7 @@
                 await self._clock.sleep_ms(PAUSE_MS)
                 continue
             wait_ms = WAIT_MS if self.lease.held else UNSURE_WAIT_MS
-            if not await self._call(session, session.host, wait_ms):
+            if not await self._send_attend(session, session.host, wait_ms):
                 logger.warning('control_host_lost', peer=session.host)
             elif self._is_leaderless(session):
                 logger.info('control_host_left', peer=session.host)
@@ -271,7 +271,7 @@
             host not in self._near,
         )
 
-    async def _call(
+    async def _send_attend(
         self, session: _Session, host: ids.HostId, wait_ms: int
     ) -> bool:
         record = attending.HostRecord(
