--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -301,14 +301,16 @@
             return False
         if session.host == host:
             try:
-                self._take(session, answer)
+                self._apply_answer(session, answer)
                 self._confirm(answer, asked_ms)
             except protocol_errors.ProtocolError as error:
                 logger.warning('answer_refused', peer=host, reason=str(error))
                 return False
         return True
 
-    def _take(self, session: _Session, answer: attending.Attended) -> None:
+    def _apply_answer(
+        self, session: _Session, answer: attending.Attended
+    ) -> None:
         self._group.hear(session.host)
         self._group.add_contacts(answer.controls)
         if answer.news:
