--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -302,7 +302,7 @@
         if session.host == host:
             try:
                 self._apply_answer(session, answer)
-                self._confirm(answer, asked_ms)
+                self._renew_lease(answer, asked_ms)
             except protocol_errors.ProtocolError as error:
                 logger.warning('answer_refused', peer=host, reason=str(error))
                 return False
@@ -328,7 +328,7 @@
         session.endpoints_revision = answer.endpoints_revision
         session.hosts_revision = answer.hosts_revision
 
-    def _confirm(self, answer: attending.Attended, asked_ms: int) -> None:
+    def _renew_lease(self, answer: attending.Attended, asked_ms: int) -> None:
         """Renew the lease by what an answer proves, and no more.
 
         It was given no sooner than it was asked for and held back.
