--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -322,7 +322,7 @@
         self._near.update(answer.near)
         if answer.led:
             session.led_ms = self._clock.mono_ms()
-            self._take_lead(session.host, answer)
+            self._update_leader(session.host, answer)
         session.life = answer.life
         self._serve_if_sure(answer)
         session.endpoints_revision = answer.endpoints_revision
@@ -338,7 +338,7 @@
             return
         self.lease.confirm(asked_ms + answer.held_ms - age_ms)
 
-    def _take_lead(
+    def _update_leader(
         self, asked: ids.HostId, answer: attending.Attended
     ) -> None:
         """Note who leads; a control host that lags may name the one before."""
