--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -339,13 +339,13 @@
         self.lease.confirm(asked_ms + answer.held_ms - age_ms)
 
     def _update_leader(
-        self, asked: ids.HostId, answer: attending.Attended
+        self, via_host: ids.HostId, answer: attending.Attended
     ) -> None:
         """Note who leads; a control host that lags may name the one before."""
         if answer.leader is None:
             return
         if self.leader is None or answer.term >= self.leader.term:
-            self.leader = LeaderInfo(answer.leader, answer.term, asked)
+            self.leader = LeaderInfo(answer.leader, answer.term, via_host)
 
     def _take_hosts(
         self, session: _Session, changes: attending.HostChanges
