--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -318,7 +318,7 @@
         for said in answer.endpoints:
             self.registry.take(said)
         if answer.hosts is not None:
-            self._take_hosts(session, answer.hosts)
+            self._apply_host_changes(session, answer.hosts)
         self._near.update(answer.near)
         if answer.led:
             session.led_ms = self._clock.mono_ms()
@@ -347,7 +347,7 @@
         if self.leader is None or answer.term >= self.leader.term:
             self.leader = LeaderInfo(answer.leader, answer.term, via_host)
 
-    def _take_hosts(
+    def _apply_host_changes(
         self, session: _Session, changes: attending.HostChanges
     ) -> None:
         """Take what changed; a host is lost once no session knows it."""
