--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -324,7 +324,7 @@
             session.led_ms = self._clock.mono_ms()
             self._update_leader(session.host, answer)
         session.life = answer.life
-        self._serve_if_sure(answer)
+        self._serve_if_ready(answer)
         session.endpoints_revision = answer.endpoints_revision
         session.hosts_revision = answer.hosts_revision
 
@@ -364,7 +364,7 @@
             if not any(host in one.hosts for one in self._sessions):
                 self.roster.remove_host(host)
 
-    def _serve_if_sure(self, answer: attending.Attended) -> None:
+    def _serve_if_ready(self, answer: attending.Attended) -> None:
         """Serve by what a leader confirmed, or, after a wait, by the best.
 
         A region that is cut off has no leader and serves all the same.
