--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -372,11 +372,11 @@
         if self._replica.serving or not self._replica.current.index:
             return
         if answer.confirmed:
-            self._serve(confirmed=True)
+            self._start_serving(confirmed=True)
             return
         if all(session.life for session in self._sessions):
             # Whom to wait for has answered.
-            self._serve(confirmed=False)
+            self._start_serving(confirmed=False)
             return
         if self._waiting is None:
             self._waiting = self._tasks.start(
@@ -387,9 +387,9 @@
         await self._clock.sleep_ms(CONFIRMATION_WAIT_MS)
         self._waiting = None
         if not self._replica.serving:
-            self._serve(confirmed=False)
+            self._start_serving(confirmed=False)
 
-    def _serve(self, confirmed: bool) -> None:
+    def _start_serving(self, confirmed: bool) -> None:
         self._replica.serve()
         logger.info(
             'serving', index=self._replica.current.index, confirmed=confirmed
