--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -586,14 +586,14 @@
     Switch(
         'start waits for a further answer',
         DECISIONS + 'membership/attendance.py',
-        ('        if self._waiting is None:\n'),
+        ('        if self._unconfirmed_start is None:\n'),
         ('        if False:\n'),
         ('tests/test_attendance.py::test_first_answer_decides_when_to_serve'),
     ),
     Switch(
         'stopped host serves without a word',
         DECISIONS + 'membership/attendance.py',
-        ('            self._waiting.cancel()\n'),
+        ('            self._unconfirmed_start.cancel()\n'),
         ('            pass\n'),
         (
             'tests/test_attendance.py::test_host_that_was_stopped_serves_after_a_new_answer_only'
--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -117,7 +117,7 @@
         self._failed_ms: dict[ids.HostId, int] = {}
         # Control hosts that are known to stand in this region.
         self._near: set[ids.HostId] = set()
-        self._waiting: asyncio.Task | None = None
+        self._unconfirmed_start: asyncio.Task | None = None
         self.draining = False
         # The control host that leads, as told last.
         self.leader: LeaderInfo | None = None
@@ -167,9 +167,9 @@
     def _suspend_serving(self) -> None:
         """Serve nothing before a control host was heard again."""
         self._replica.suspend_serving()
-        if self._waiting is not None:
-            self._waiting.cancel()
-            self._waiting = None
+        if self._unconfirmed_start is not None:
+            self._unconfirmed_start.cancel()
+            self._unconfirmed_start = None
 
     async def push_status(self) -> None:
         """Tell every session's control host of a change here at once."""
@@ -378,14 +378,14 @@
             # Whom to wait for has answered.
             self._start_serving(confirmed=False)
             return
-        if self._waiting is None:
-            self._waiting = self._tasks.start(
+        if self._unconfirmed_start is None:
+            self._unconfirmed_start = self._tasks.start(
                 self._serve_unconfirmed(), fatal=False
             )
 
     async def _serve_unconfirmed(self) -> None:
         await self._clock.sleep_ms(CONFIRMATION_WAIT_MS)
-        self._waiting = None
+        self._unconfirmed_start = None
         if not self._replica.serving:
             self._start_serving(confirmed=False)
 
