--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -116,7 +116,7 @@
         # When control hosts were given up.
         self._failed_ms: dict[ids.HostId, int] = {}
         # Control hosts that are known to stand in this region.
-        self._near: set[ids.HostId] = set()
+        self._local_controls: set[ids.HostId] = set()
         self._unconfirmed_start: asyncio.Task | None = None
         self.draining = False
         # The control host that leads, as told last.
@@ -140,7 +140,7 @@
 
         Of control hosts it is known which stand in this region.
         """
-        if host in self._near:
+        if host in self._local_controls:
             return locations.Location(
                 self._record.region, ids.DataCentreId(host)
             )
@@ -246,9 +246,11 @@
 
     def _has_nearer_host(self, host: ids.HostId) -> bool:
         """Tell whether a control host of this region is free, unlike one."""
-        if host in self._near:
+        if host in self._local_controls:
             return False
-        free = self._near - {session.host for session in self._sessions}
+        free = self._local_controls - {
+            session.host for session in self._sessions
+        }
         return any(not self._recent_failure_ms(one) for one in free)
 
     def _recent_failure_ms(self, host: ids.HostId) -> int:
@@ -268,7 +270,7 @@
         return (
             self._recent_failure_ms(host),
             not _near(host, own_ip),
-            host not in self._near,
+            host not in self._local_controls,
         )
 
     async def _send_attend(
@@ -319,7 +321,7 @@
             self.registry.take(said)
         if answer.hosts is not None:
             self._apply_host_changes(session, answer.hosts)
-        self._near.update(answer.near)
+        self._local_controls.update(answer.near)
         if answer.led:
             session.led_ms = self._clock.mono_ms()
             self._update_leader(session.host, answer)
