--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -109,7 +109,7 @@
         self._peers = peers
         self._clock = clock
         self.lease = lease or leases.ConfigurationLease(None, clock)
-        self._numbers = itertools.count(1)
+        self._record_numbers = itertools.count(1)
         self._tasks = runtime.Tasks()
         self._sessions = [_Session() for _number in range(ATTENDED_COUNT)]
         self._ticked_ms = clock.mono_ms()
@@ -283,7 +283,7 @@
             self._record.callers_address,
             self._record.passing_address,
             self._record.start,
-            next(self._numbers),
+            next(self._record_numbers),
             self.draining,
         )
         message = attending.Attend(
