--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -269,7 +269,7 @@
         own_ip = self._record.host.rpartition(':')[0]
         return (
             self._recent_failure_ms(host),
-            not _near(host, own_ip),
+            not _same_subnet(host, own_ip),
             host not in self._local_controls,
         )
 
@@ -398,6 +398,6 @@
         )
 
 
-def _near(host: ids.HostId, own_ip: str) -> bool:
+def _same_subnet(host: ids.HostId, own_ip: str) -> bool:
     """Guess by the number whether a host stands in the same place."""
     return host.rpartition('.')[0] == own_ip.rpartition('.')[0]
