--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -71,7 +71,7 @@
     hosts: set[ids.HostId] = dataclasses.field(default_factory=set)
     led_ms: int = 0
 
-    def begin(self, host: ids.HostId | None, now_ms: int) -> None:
+    def reset(self, host: ids.HostId | None, now_ms: int) -> None:
         """Begin anew at a control host, or at none."""
         self.host = host
         self.life = ''
