--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -64,7 +64,7 @@
     """Hold how far this host has come at one control host."""
 
     host: ids.HostId | None = None
-    life: str = ''
+    instance_id: str = ''
     endpoints_revision: int = 0
     hosts_revision: int = 0
     # The entry hosts that this control host knows.
@@ -74,7 +74,7 @@
     def reset(self, host: ids.HostId | None, now_ms: int) -> None:
         """Begin anew at a control host, or at none."""
         self.host = host
-        self.life = ''
+        self.instance_id = ''
         self.hosts = set()
         self.led_ms = now_ms
 
