--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -69,14 +69,14 @@
     hosts_revision: int = 0
     # The entry hosts that this control host knows.
     hosts: set[ids.HostId] = dataclasses.field(default_factory=set)
-    led_ms: int = 0
+    leader_seen_ms: int = 0
 
     def reset(self, host: ids.HostId | None, now_ms: int) -> None:
         """Begin anew at a control host, or at none."""
         self.host = host
         self.instance_id = ''
         self.hosts = set()
-        self.led_ms = now_ms
+        self.leader_seen_ms = now_ms
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -235,7 +235,7 @@
         """Tell whether a session should look for a leader elsewhere."""
         if session is self._sessions[0]:
             return False
-        return self._clock.mono_ms() - session.led_ms > LEADERLESS_MS
+        return self._clock.mono_ms() - session.leader_seen_ms > LEADERLESS_MS
 
     def _choose_host(self) -> ids.HostId | None:
         """Return a control host that no other session attends at."""
@@ -323,7 +323,7 @@
             self._apply_host_changes(session, answer.hosts)
         self._local_controls.update(answer.near)
         if answer.led:
-            session.led_ms = self._clock.mono_ms()
+            session.leader_seen_ms = self._clock.mono_ms()
             self._update_leader(session.host, answer)
         session.life = answer.life
         self._serve_if_ready(answer)
