--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -98,14 +98,14 @@
         self,
         record: attending.HostRecord,
         group: controls.ControlGroup,
-        held: replica.Replica,
+        config_replica: replica.Replica,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
         lease: leases.ConfigurationLease | None = None,
     ):
         self._record = record
         self._group = group
-        self._replica = held
+        self._replica = config_replica
         self._peers = peers
         self._clock = clock
         self.lease = lease or leases.ConfigurationLease(None, clock)
@@ -123,7 +123,7 @@
         self.leader: LeaderInfo | None = None
         self.registry = registry.Registry(clock)
         self.roster = roster.Roster(NEVER_LEASE_MS, clock)
-        held.refreshable = True
+        config_replica.refreshable = True
 
     def start(self) -> None:
         """Begin to attend."""
