--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -29,7 +29,7 @@
 logger = structlog.get_logger(__name__)
 
 # Two, so that one that is lost or cut off delays nothing.
-ATTENDED_COUNT = 2
+SESSION_COUNT = 2
 # Renews the lease of 2.5 s three times, so that two may be lost.
 WAIT_MS = 700
 # A host without a lease on its configuration serves nothing under keys; it
@@ -111,7 +111,7 @@
         self.lease = lease or leases.ConfigurationLease(None, clock)
         self._record_numbers = itertools.count(1)
         self._tasks = runtime.Tasks()
-        self._sessions = [_Session() for _number in range(ATTENDED_COUNT)]
+        self._sessions = [_Session() for _number in range(SESSION_COUNT)]
         self._ticked_ms = clock.mono_ms()
         # When control hosts were given up.
         self._failed_ms: dict[ids.HostId, int] = {}
