--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -31,7 +31,7 @@
 # Two, so that one that is lost or cut off delays nothing.
 SESSION_COUNT = 2
 # Renews the lease of 2.5 s three times, so that two may be lost.
-WAIT_MS = 700
+ATTEND_WAIT_MS = 700
 # A host without a lease on its configuration serves nothing under keys; it
 # asks so often whether a leader was found.
 UNSURE_WAIT_MS = 100
@@ -216,7 +216,7 @@
             if session.host is None:
                 await self._clock.sleep_ms(PAUSE_MS)
                 continue
-            wait_ms = WAIT_MS if self.lease.held else UNSURE_WAIT_MS
+            wait_ms = ATTEND_WAIT_MS if self.lease.held else UNSURE_WAIT_MS
             if not await self._send_attend(session, session.host, wait_ms):
                 logger.warning('control_host_lost', peer=session.host)
             elif self._is_leaderless(session):
