--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -34,7 +34,7 @@
 ATTEND_WAIT_MS = 700
 # A host without a lease on its configuration serves nothing under keys; it
 # asks so often whether a leader was found.
-UNSURE_WAIT_MS = 100
+UNLEASED_WAIT_MS = 100
 # The wait, a far region's round trip and a busy host's delay.
 CALL_TIMEOUT_MS = 1_500
 # Between two tries at control hosts that do not answer.
@@ -216,7 +216,7 @@
             if session.host is None:
                 await self._clock.sleep_ms(PAUSE_MS)
                 continue
-            wait_ms = ATTEND_WAIT_MS if self.lease.held else UNSURE_WAIT_MS
+            wait_ms = ATTEND_WAIT_MS if self.lease.held else UNLEASED_WAIT_MS
             if not await self._send_attend(session, session.host, wait_ms):
                 logger.warning('control_host_lost', peer=session.host)
             elif self._is_leaderless(session):
