--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -38,7 +38,7 @@
 # The wait, a far region's round trip and a busy host's delay.
 CALL_TIMEOUT_MS = 1_500
 # Between two tries at control hosts that do not answer.
-PAUSE_MS = 100
+RETRY_DELAY_MS = 100
 # A control host that was given up is tried after all others for so long:
 # about as long as a stop and a start take.
 GIVEN_UP_MS = 10_000
@@ -214,7 +214,7 @@
             if session.host is None:
                 session.begin(self._choose_host(), self._clock.mono_ms())
             if session.host is None:
-                await self._clock.sleep_ms(PAUSE_MS)
+                await self._clock.sleep_ms(RETRY_DELAY_MS)
                 continue
             wait_ms = ATTEND_WAIT_MS if self.lease.held else UNLEASED_WAIT_MS
             if not await self._send_attend(session, session.host, wait_ms):
@@ -229,7 +229,7 @@
                 continue
             self._failed_ms[session.host] = self._clock.mono_ms()
             session.begin(None, self._clock.mono_ms())
-            await self._clock.sleep_ms(PAUSE_MS)
+            await self._clock.sleep_ms(RETRY_DELAY_MS)
 
     def _is_leaderless(self, session: _Session) -> bool:
         """Tell whether a session should look for a leader elsewhere."""
