--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -680,7 +680,7 @@
     Switch(
         'what was given up is tried at once',
         DECISIONS + 'membership/attendance.py',
-        ('        return failed_ms if age_ms < GIVEN_UP_MS else 0\n'),
+        ('        return failed_ms if age_ms < FAILED_HOST_TTL_MS else 0\n'),
         ('        return 0\n'),
         (
             'tests/test_attending_fleet.py::test_hosts_whose_region_lost_its_control_hosts_stay_elsewhere'
--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -41,7 +41,7 @@
 RETRY_DELAY_MS = 100
 # A control host that was given up is tried after all others for so long:
 # about as long as a stop and a start take.
-GIVEN_UP_MS = 10_000
+FAILED_HOST_TTL_MS = 10_000
 # A host that had no processor time for so long looks before it sends.
 STOPPED_AFTER_MS = 1_500
 # Often enough to notice a stop within a fraction of it.
@@ -259,7 +259,7 @@
         if failed_ms is None:
             return 0
         age_ms = self._clock.mono_ms() - failed_ms
-        return failed_ms if age_ms < GIVEN_UP_MS else 0
+        return failed_ms if age_ms < FAILED_HOST_TTL_MS else 0
 
     def _rank_host(self, host: ids.HostId) -> tuple[int, bool, bool]:
         """Rank control hosts: own data centre, own region, any other.
