--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -43,7 +43,7 @@
 # about as long as a stop and a start take.
 FAILED_HOST_TTL_MS = 10_000
 # A host that had no processor time for so long looks before it sends.
-STOPPED_AFTER_MS = 1_500
+PAUSE_THRESHOLD_MS = 1_500
 # Often enough to notice a stop within a fraction of it.
 TICK_MS = 250
 # How long a fresh start waits for a leader's word that nothing is newer, or
@@ -154,7 +154,7 @@
         since, and must look before it sends anything.
         """
         age_ms = self._clock.mono_ms() - self._ticked_ms
-        return age_ms <= STOPPED_AFTER_MS
+        return age_ms <= PAUSE_THRESHOLD_MS
 
     async def _tick(self) -> None:
         while True:
