--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -51,7 +51,7 @@
 # Where there is no leader, the best of both is served.
 CONFIRMATION_WAIT_MS = 200
 # What control hosts tell of others is not expired here.
-NEVER_LEASE_MS = 10**9
+NO_EXPIRY_MS = 10**9
 # A control host without a leader for so long may be cut off from the others
 # that decide. Longer than an election (2.0 s in the median, 2.5 s in 99 of
 # 100): every host that moves is told all hosts and endpoints anew. One
@@ -122,7 +122,7 @@
         # The control host that leads, as told last.
         self.leader: LeaderInfo | None = None
         self.registry = registry.Registry(clock)
-        self.roster = roster.Roster(NEVER_LEASE_MS, clock)
+        self.roster = roster.Roster(NO_EXPIRY_MS, clock)
         config_replica.refreshable = True
 
     def start(self) -> None:
