--- a/tests/attending_fleet.py
+++ b/tests/attending_fleet.py
@@ -109,7 +109,7 @@
             0,
             False,
         )
-        self.attendance = attendance.Attendance(
+        self.attendance = attendance.DiscoveryClient(
             record,
             controls.ControlGroup(name, seeds, clock),
             replica.Replica(),
--- a/tests/test_attendance.py
+++ b/tests/test_attendance.py
@@ -52,7 +52,7 @@
 async def attended():
     """Return an attending host that calls only when a test says so."""
     clock = clocks.Clock()
-    made = attendance.Attendance(
+    made = attendance.DiscoveryClient(
         RECORD,
         controls.ControlGroup(RECORD.host, [CONTROL], clock),
         replica.Replica(),
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -200,7 +200,7 @@
 
 
 def host_that_may_send(clock):
-    made = attendance.Attendance(
+    made = attendance.DiscoveryClient(
         record(),
         controls.ControlGroup('own', [], clock),
         replica.Replica(),
--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -91,7 +91,7 @@
     via_host: ids.HostId = dataclasses.field(compare=False)
 
 
-class Attendance:
+class DiscoveryClient:
     """Attend at control hosts, and hold what they told."""
 
     def __init__(
--- a/wrenspoke/coordination/membership/gauges.py
+++ b/wrenspoke/coordination/membership/gauges.py
@@ -79,7 +79,7 @@
         regions: collections.abc.Mapping[ids.DataCentreId, ids.RegionId],
         interval_ms: int,
         reader: ReportReader,
-        attended: attendance.Attendance,
+        attended: attendance.DiscoveryClient,
         held: replica.Replica,
         client: web.HttpClient,
         asking: askers.Askers,
--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -35,7 +35,7 @@
         region: ids.RegionId,
         asking: askers.Askers,
         regions: collections.abc.Mapping[ids.DataCentreId, ids.RegionId],
-        attended: attendance.Attendance,
+        attended: attendance.DiscoveryClient,
         held: replica.Replica,
         noted: health.Health,
         warmth: warmths.Warmth,
--- a/wrenspoke/coordination/serving/choice.py
+++ b/wrenspoke/coordination/serving/choice.py
@@ -69,7 +69,7 @@
         self,
         region: ids.RegionId,
         regions: collections.abc.Mapping[ids.DataCentreId, ids.RegionId],
-        attended: attendance.Attendance,
+        attended: attendance.DiscoveryClient,
         held: replica.Replica,
         noted: health.Health,
         estimator: estimate.Estimator,
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -69,7 +69,7 @@
     def __init__(
         self,
         held: replica.Replica,
-        attended: attendance.Attendance,
+        attended: attendance.DiscoveryClient,
         chosen: choice.Choice,
         placed: placing.Placing,
         tried: tries.Tries,
--- a/wrenspoke/coordination/serving/tries.py
+++ b/wrenspoke/coordination/serving/tries.py
@@ -46,7 +46,7 @@
     def __init__(
         self,
         sender: sending.Sender,
-        attended: attendance.Attendance,
+        attended: attendance.DiscoveryClient,
         chosen: choice.Choice,
         noted: health.Health,
         reached: reach.Reach,
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -76,7 +76,7 @@
         self.lease = lease.ConfigurationLease(
             node.withdrawn_keys_ms, self.clock
         )
-        self.attendance = attendance.Attendance(
+        self.attendance = attendance.DiscoveryClient(
             self._record(),
             self.group,
             self.replica,
