--- a/tests/backoff_fleet.py
+++ b/tests/backoff_fleet.py
@@ -93,7 +93,7 @@
             self.clock,
             self.agreeing_hosts,
         )
-        self.askers.listen(
+        self.askers.add_listener(
             lambda message: self.backoffs.merge(message.backoffs)
         )
         self.backoffs.start()
--- a/tests/stated_fleet.py
+++ b/tests/stated_fleet.py
@@ -178,7 +178,9 @@
             self.peers,
             self.clock,
         )
-        self.askers.listen(lambda message: self.limits.merge(message.limits))
+        self.askers.add_listener(
+            lambda message: self.limits.merge(message.limits)
+        )
         self.limits.start()
 
     async def _tell(self, limits):
--- a/wrenspoke/coordination/membership/askers.py
+++ b/wrenspoke/coordination/membership/askers.py
@@ -63,7 +63,7 @@
         self.engines = 0
         peers.answers(attending.TellRegion)(self._hear)
 
-    def listen(self, listener: Listener) -> None:
+    def add_listener(self, listener: Listener) -> None:
         """Have everything told to ``listener`` that other hosts heard."""
         self._listeners.append(listener)
 
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -226,7 +226,7 @@
             self.peers,
             self.clock,
         )
-        self._askers.listen(self._gate.merge)
+        self._askers.add_listener(self._gate.merge)
         self._gate.leaving.listen(
             lambda life: self.attendance.mark_leaving(
                 life.endpoint, life.born_ms
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -144,7 +144,7 @@
             self._clock,
             LEAVING_KEPT_MS,
         )
-        self._askers.listen(self._gate.merge)
+        self._askers.add_listener(self._gate.merge)
 
     def _build_guard(self) -> None:
         """Build what holds back requests that end endpoints.
