--- a/wrenspoke/coordination/membership/askers.py
+++ b/wrenspoke/coordination/membership/askers.py
@@ -61,13 +61,13 @@
         self._listeners: list[Listener] = []
         # Of the region, as its hosts last counted them.
         self.engines = 0
-        peers.answers(attending.TellRegion)(self._hear)
+        peers.answers(attending.TellRegion)(self._handle_broadcast)
 
     def add_listener(self, listener: Listener) -> None:
         """Have everything told to ``listener`` that other hosts heard."""
         self._listeners.append(listener)
 
-    async def _hear(
+    async def _handle_broadcast(
         self, _sender: ids.HostId, message: attending.TellRegion
     ) -> None:
         for listener in self._listeners:
