--- a/wrenspoke/coordination/membership/askers.py
+++ b/wrenspoke/coordination/membership/askers.py
@@ -75,7 +75,7 @@
         if message.pass_on:
             await self.relay(message)
 
-    def hosts(self) -> list[str]:
+    def polling_hosts(self) -> list[str]:
         """Return the hosts that ask, in an order that all agree on."""
         count = math.ceil(self.engines / ENGINES_A_HOST)
         return self.order(self._region)[: max(count, LEAST_ASKING_HOSTS)]
@@ -94,7 +94,7 @@
 
     def asks(self) -> bool:
         """Tell whether this host is one of them."""
-        return self._host in self.hosts()
+        return self._host in self.polling_hosts()
 
     def asks_of(self, endpoint: ids.EndpointId) -> bool:
         """Tell whether this host is one of those that ask an endpoint.
