--- a/tests/test_askers.py
+++ b/tests/test_askers.py
@@ -60,7 +60,7 @@
 
 def asking_hosts(region):
     """Return the hosts that would ask."""
-    return [host for host, made in region.made.items() if made.asks()]
+    return [host for host, made in region.made.items() if made.is_poller()]
 
 
 @pytest.mark.parametrize('count', SIZES)
--- a/tests/test_gauges.py
+++ b/tests/test_gauges.py
@@ -92,7 +92,7 @@
     """Return the engines that a host asks for all others."""
     engines = gauged._engines()
     gauged._askers.engines = len(engines)
-    if not gauged._askers.asks():
+    if not gauged._askers.is_poller():
         return []
     return gauged._own(engines)
 
--- a/wrenspoke/coordination/membership/askers.py
+++ b/wrenspoke/coordination/membership/askers.py
@@ -92,7 +92,7 @@
             return collecting[0]
         return routing.rendezvous(endpoint, collecting)[0]
 
-    def asks(self) -> bool:
+    def is_poller(self) -> bool:
         """Tell whether this host is one of them."""
         return self._host in self.polling_hosts()
 
--- a/wrenspoke/coordination/membership/gauges.py
+++ b/wrenspoke/coordination/membership/gauges.py
@@ -155,7 +155,7 @@
     async def _ask_own(self) -> None:
         engines = self._engines()
         self._askers.engines = len(engines)
-        if not self._askers.asks():
+        if not self._askers.is_poller():
             return
         answers = await asyncio.gather(
             *(self._ask(found) for found in self._own(engines))
--- a/wrenspoke/coordination/membership/partners.py
+++ b/wrenspoke/coordination/membership/partners.py
@@ -68,7 +68,7 @@
 
     def to_ping(self) -> list[ids.HostId]:
         """Return the hosts elsewhere that this one pings, used or not."""
-        asks = self._askers.asks()
+        asks = self._askers.is_poller()
         return [
             record.host
             for region in self._regions()
