--- a/tests/test_askers.py
+++ b/tests/test_askers.py
@@ -161,5 +161,5 @@
     asked = collections.Counter()
     for number in range(30):
         for host, made in region.made.items():
-            asked[number] += made.asks_of(f'e{number}')
+            asked[number] += made.is_poller_of(f'e{number}')
     assert set(asked.values()) == {askers.LEAST_ASKING_HOSTS}
--- a/wrenspoke/coordination/membership/askers.py
+++ b/wrenspoke/coordination/membership/askers.py
@@ -96,7 +96,7 @@
         """Tell whether this host is one of them."""
         return self._host in self.polling_hosts()
 
-    def asks_of(self, endpoint: ids.EndpointId) -> bool:
+    def is_poller_of(self, endpoint: ids.EndpointId) -> bool:
         """Tell whether this host is one of those that ask an endpoint.
 
         Those of an endpoint that is asked once are drawn from all hosts.
--- a/wrenspoke/coordination/serving/warmth.py
+++ b/wrenspoke/coordination/serving/warmth.py
@@ -83,7 +83,7 @@
             _warm_ms, heard_ms = self._warm_ms.get(endpoint, (0, 0))
             if heard_ms < early_ms:
                 self._warm_ms.pop(endpoint, None)
-            if self._askers.asks_of(endpoint):
+            if self._askers.is_poller_of(endpoint):
                 chosen.append(one)
         if chosen:
             self._tasks.start(self._ask_all(chosen))
