--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -387,7 +387,7 @@
     Switch(
         'cold endpoints used by every host',
         DECISIONS + 'serving/availability.py',
-        ('            if not self.cold(found) or not self._askers.is_first(name):'),
+        ('            if not self.cold(found) or not self._askers.is_owner_of(name):'),
         ('            if not self.cold(found):'),
         (
             'tests/test_far.py::test_cold_endpoint_is_used_by_one_host_at_its_pace'
--- a/wrenspoke/coordination/membership/askers.py
+++ b/wrenspoke/coordination/membership/askers.py
@@ -103,7 +103,7 @@
         """
         return self._host in self.order(endpoint)[:LEAST_ASKING_HOSTS]
 
-    def is_first(self, endpoint: ids.EndpointId) -> bool:
+    def is_owner_of(self, endpoint: ids.EndpointId) -> bool:
         """Tell whether this host alone does what is done for an endpoint."""
         return self.order(endpoint)[0] == self._host
 
--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -171,7 +171,7 @@
         now_ms = self._clock.mono_ms()
         for found in every:
             name = found.said.endpoint
-            if not self.cold(found) or not self._askers.is_first(name):
+            if not self.cold(found) or not self._askers.is_owner_of(name):
                 continue
             if self.set_aside(found.said.address):
                 continue
