--- a/tests/backoff_fleet.py
+++ b/tests/backoff_fleet.py
@@ -87,7 +87,7 @@
         super().__init__(fleet, name)
         self.backoffs = endpoint_backoffs.EndpointBackoffs(
             name,
-            self.askers.order,
+            self.askers.rendezvous_order,
             lambda _life: True,
             self._tell_backoffs,
             self.clock,
--- a/tests/stated_fleet.py
+++ b/tests/stated_fleet.py
@@ -172,7 +172,7 @@
         )
         self.limits = endpoint_limits.EndpointLimits(
             name,
-            self.askers.order,
+            self.askers.rendezvous_order,
             lambda _life: True,
             self._tell,
             self.peers,
--- a/wrenspoke/coordination/membership/askers.py
+++ b/wrenspoke/coordination/membership/askers.py
@@ -78,7 +78,9 @@
     def polling_hosts(self) -> list[str]:
         """Return the hosts that ask, in an order that all agree on."""
         count = math.ceil(self.engines / ENGINES_A_HOST)
-        return self.order(self._region)[: max(count, LEAST_ASKING_HOSTS)]
+        return self.rendezvous_order(self._region)[
+            : max(count, LEAST_ASKING_HOSTS)
+        ]
 
     @property
     def collectors_count(self) -> int:
@@ -87,7 +89,9 @@
 
     def collector(self, endpoint: ids.EndpointId) -> str:
         """Return the host that collects what is sent to an endpoint."""
-        collecting = self.order(self._region)[: self.collectors_count]
+        collecting = self.rendezvous_order(self._region)[
+            : self.collectors_count
+        ]
         if len(collecting) == 1:
             return collecting[0]
         return routing.rendezvous(endpoint, collecting)[0]
@@ -101,13 +105,15 @@
 
         Those of an endpoint that is asked once are drawn from all hosts.
         """
-        return self._host in self.order(endpoint)[:LEAST_ASKING_HOSTS]
+        return (
+            self._host in self.rendezvous_order(endpoint)[:LEAST_ASKING_HOSTS]
+        )
 
     def is_owner_of(self, endpoint: ids.EndpointId) -> bool:
         """Tell whether this host alone does what is done for an endpoint."""
-        return self.order(endpoint)[0] == self._host
+        return self.rendezvous_order(endpoint)[0] == self._host
 
-    def order(self, key: str) -> list[str]:
+    def rendezvous_order(self, key: str) -> list[str]:
         """Return the region's hosts, this one too, in a key's order.
 
         Every host of the region draws the same, if it knows the same
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -212,7 +212,7 @@
         )
         self._limiter = limiter.Limiter(
             node.host,
-            self._askers.order,
+            self._askers.rendezvous_order,
             self._lender,
             allowed,
             self.peers,
@@ -220,7 +220,7 @@
         )
         self._gate = endpoint_gate.EndpointGate(
             node.host,
-            self._askers.order,
+            self._askers.rendezvous_order,
             self._lives,
             self._askers.tell,
             self.peers,
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -137,7 +137,7 @@
         )
         self._gate = endpoint_gate.EndpointGate(
             self._host,
-            self._askers.order,
+            self._askers.rendezvous_order,
             lambda life: life.endpoint in self.replica.current.endpoints,
             self._askers.tell,
             self.peers,
