--- a/wrenspoke/coordination/membership/askers.py
+++ b/wrenspoke/coordination/membership/askers.py
@@ -56,7 +56,7 @@
         self._peers = peers
         # The order of the region's hosts for each key, as of a revision of
         # the roster.
-        self._orders: dict[str, list[str]] = {}
+        self._order_cache: dict[str, list[str]] = {}
         self._revision: collections.abc.Hashable = None
         self._listeners: list[Listener] = []
         # Of the region, as its hosts last counted them.
@@ -121,12 +121,12 @@
         """
         if self._revision != self._roster.revision:
             self._revision = self._roster.revision
-            self._orders.clear()
-        found = self._orders.get(key)
+            self._order_cache.clear()
+        found = self._order_cache.get(key)
         if found is None:
             near = {record.host for record in self._usable()}
             found = routing.rendezvous(key, {*near, self._host})
-            self._orders[key] = found
+            self._order_cache[key] = found
         return found
 
     def _usable(self) -> list[KnownHost]:
