--- a/wrenspoke/coordination/membership/askers.py
+++ b/wrenspoke/coordination/membership/askers.py
@@ -124,12 +124,12 @@
             self._order_cache.clear()
         found = self._order_cache.get(key)
         if found is None:
-            near = {record.host for record in self._usable()}
+            near = {record.host for record in self._usable_hosts()}
             found = routing.rendezvous(key, {*near, self._host})
             self._order_cache[key] = found
         return found
 
-    def _usable(self) -> list[KnownHost]:
+    def _usable_hosts(self) -> list[KnownHost]:
         return self._roster.usable(self._region)
 
     async def tell(self, message: attending.TellRegion) -> None:
@@ -139,7 +139,7 @@
         """
         others = sorted(
             (record.data_centre, record.host)
-            for record in self._usable()
+            for record in self._usable_hosts()
             if record.host != self._host
         )
         for share in shares([host for _data_centre, host in others]):
