--- a/tests/backoff_fleet.py
+++ b/tests/backoff_fleet.py
@@ -99,7 +99,7 @@
         self.backoffs.start()
 
     async def _tell_backoffs(self, backoffs):
-        await self.askers.tell(attending.TellRegion(backoffs=backoffs))
+        await self.askers.broadcast(attending.TellRegion(backoffs=backoffs))
 
     def wants(self, engine):
         return not self.backoffs.remaining_ms(engine.life)
--- a/tests/stated_fleet.py
+++ b/tests/stated_fleet.py
@@ -184,7 +184,7 @@
         self.limits.start()
 
     async def _tell(self, limits):
-        await self.askers.tell(attending.TellRegion(limits=limits))
+        await self.askers.broadcast(attending.TellRegion(limits=limits))
 
     def wants(self, engine):
         """Tell whether a call may choose an engine now."""
--- a/wrenspoke/coordination/membership/askers.py
+++ b/wrenspoke/coordination/membership/askers.py
@@ -132,7 +132,7 @@
     def _usable_hosts(self) -> list[KnownHost]:
         return self._roster.usable(self._region)
 
-    async def tell(self, message: attending.TellRegion) -> None:
+    async def broadcast(self, message: attending.TellRegion) -> None:
         """Tell the other hosts of the region, some of them by way of others.
 
         A host that can't be told leaves its share to the next of them.
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -222,7 +222,7 @@
             node.host,
             self._askers.rendezvous_order,
             self._lives,
-            self._askers.tell,
+            self._askers.broadcast,
             self.peers,
             self.clock,
         )
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -139,7 +139,7 @@
             self._host,
             self._askers.rendezvous_order,
             lambda life: life.endpoint in self.replica.current.endpoints,
-            self._askers.tell,
+            self._askers.broadcast,
             self.peers,
             self._clock,
             LEAVING_KEPT_MS,
