--- a/wrenspoke/coordination/membership/askers.py
+++ b/wrenspoke/coordination/membership/askers.py
@@ -143,9 +143,9 @@
             if record.host != self._host
         )
         for share in shares([host for _data_centre, host in others]):
-            await self._tell_share(message, share)
+            await self._send_to_group(message, share)
 
-    async def _tell_share(
+    async def _send_to_group(
         self, message: attending.TellRegion, share: list[ids.HostId]
     ) -> None:
         for number, host in enumerate(share):
