--- a/wrenspoke/coordination/membership/askers.py
+++ b/wrenspoke/coordination/membership/askers.py
@@ -146,11 +146,11 @@
             await self._send_to_group(message, share)
 
     async def _send_to_group(
-        self, message: attending.TellRegion, share: list[ids.HostId]
+        self, message: attending.TellRegion, relay_group: list[ids.HostId]
     ) -> None:
-        for number, host in enumerate(share):
+        for number, host in enumerate(relay_group):
             sent = msgspec.structs.replace(
-                message, pass_on=share[number + 1 :]
+                message, pass_on=relay_group[number + 1 :]
             )
             if await self._peers.tell(host, sent):
                 return
