--- a/tests/test_askers.py
+++ b/tests/test_askers.py
@@ -80,7 +80,7 @@
     region = Region(count)
     teller, *_others = asking_hosts(region)
     others = sorted({*region.made} - {teller})
-    for share in askers.shares(others)[:2]:
+    for share in askers.relay_groups(others)[:2]:
         region.lost |= {*share[:2]}
     await region.made[teller].tell(attending.TellRegion([]))
     assert region.told == {host: 1 for host in {*others} - region.lost}
@@ -150,7 +150,7 @@
 )
 def test_hosts_are_split_into_about_as_many_shares_as_each_has(count, lengths):
     hosts = [f'h{number:02}' for number in range(count)]
-    split = askers.shares(hosts)
+    split = askers.relay_groups(hosts)
     assert [len(share) for share in split] == lengths
     assert [host for share in split for host in share] == hosts
 
--- a/wrenspoke/coordination/membership/askers.py
+++ b/wrenspoke/coordination/membership/askers.py
@@ -142,7 +142,7 @@
             for record in self._usable_hosts()
             if record.host != self._host
         )
-        for share in shares([host for _data_centre, host in others]):
+        for share in relay_groups([host for _data_centre, host in others]):
             await self._send_to_group(message, share)
 
     async def _send_to_group(
@@ -162,7 +162,7 @@
             await self._peers.tell(host, sent)
 
 
-def shares(hosts: list[ids.HostId]) -> list[list[ids.HostId]]:
+def relay_groups(hosts: list[ids.HostId]) -> list[list[ids.HostId]]:
     """Split hosts into shares, as many as each share has hosts.
 
     Neighbours stay together: of hosts in the order of their data centres,
