--- a/wrenspoke/coordination/membership/askers.py
+++ b/wrenspoke/coordination/membership/askers.py
@@ -142,8 +142,10 @@
             for record in self._usable_hosts()
             if record.host != self._host
         )
-        for share in relay_groups([host for _data_centre, host in others]):
-            await self._send_to_group(message, share)
+        for relay_group in relay_groups(
+            [host for _data_centre, host in others]
+        ):
+            await self._send_to_group(message, relay_group)
 
     async def _send_to_group(
         self, message: attending.TellRegion, relay_group: list[ids.HostId]
