--- a/wrenspoke/coordination/membership/askers.py
+++ b/wrenspoke/coordination/membership/askers.py
@@ -47,12 +47,12 @@
         self,
         region: ids.RegionId,
         host: ids.HostId,
-        known: KnownHosts,
+        host_roster: KnownHosts,
         peers: peer_calls.Peers,
     ):
         self._region = region
         self._host = host
-        self._roster = known
+        self._roster = host_roster
         self._peers = peers
         # The order of the region's hosts for each key, as of a revision of
         # the roster.
