--- a/tests/test_sent_calls.py
+++ b/tests/test_sent_calls.py
@@ -48,7 +48,7 @@
         for other in fleet.names:
             known.merge_record(test_registry.record(other, data_centre='hall'))
         asking = askers.Askers('north', name, known, self.peers)
-        asking.engines = len(fleet.names) // 2
+        asking.engine_count = len(fleet.names) // 2
         self.told = sent_calls.SentCalls(name, asking, self.peers, clock)
         self.heard = []
         self.told.listen(self.heard.append)
--- a/wrenspoke/coordination/membership/askers.py
+++ b/wrenspoke/coordination/membership/askers.py
@@ -60,7 +60,7 @@
         self._revision: collections.abc.Hashable = None
         self._listeners: list[Listener] = []
         # Of the region, as its hosts last counted them.
-        self.engines = 0
+        self.engine_count = 0
         peers.answers(attending.TellRegion)(self._handle_broadcast)
 
     def add_listener(self, listener: Listener) -> None:
@@ -77,7 +77,7 @@
 
     def polling_hosts(self) -> list[str]:
         """Return the hosts that ask, in an order that all agree on."""
-        count = math.ceil(self.engines / ENGINES_A_HOST)
+        count = math.ceil(self.engine_count / ENGINES_A_HOST)
         return self.rendezvous_order(self._region)[
             : max(count, LEAST_ASKING_HOSTS)
         ]
@@ -85,7 +85,7 @@
     @property
     def collectors_count(self) -> int:
         """Return how many hosts collect what all send to engines."""
-        return max(math.ceil(self.engines / ENGINES_A_HOST), 1)
+        return max(math.ceil(self.engine_count / ENGINES_A_HOST), 1)
 
     def collector(self, endpoint: ids.EndpointId) -> str:
         """Return the host that collects what is sent to an endpoint."""
