--- a/wrenspoke/coordination/membership/askers.py
+++ b/wrenspoke/coordination/membership/askers.py
@@ -24,7 +24,7 @@
 Listener = collections.abc.Callable[[attending.TellRegion], None]
 
 
-class KnownHost(typing.Protocol):
+class RosterHost(typing.Protocol):
     """A host that can be sent messages."""
 
     host: ids.HostId
@@ -36,7 +36,7 @@
 
     revision: collections.abc.Hashable
 
-    def usable(self, region: ids.RegionId) -> list[KnownHost]:
+    def usable(self, region: ids.RegionId) -> list[RosterHost]:
         """Return the hosts of a region that should be used."""
 
 
@@ -129,7 +129,7 @@
             self._order_cache[key] = found
         return found
 
-    def _usable_hosts(self) -> list[KnownHost]:
+    def _usable_hosts(self) -> list[RosterHost]:
         return self._roster.usable(self._region)
 
     async def broadcast(self, message: attending.TellRegion) -> None:
