--- a/wrenspoke/coordination/membership/askers.py
+++ b/wrenspoke/coordination/membership/askers.py
@@ -31,7 +31,7 @@
     data_centre: ids.DataCentreId
 
 
-class KnownHosts(typing.Protocol):
+class RosterView(typing.Protocol):
     """Know the entry hosts of regions; ``revision`` differs with them."""
 
     revision: collections.abc.Hashable
@@ -47,7 +47,7 @@
         self,
         region: ids.RegionId,
         host: ids.HostId,
-        host_roster: KnownHosts,
+        host_roster: RosterView,
         peers: peer_calls.Peers,
     ):
         self._region = region
