--- a/wrenspoke/coordination/membership/askers.py
+++ b/wrenspoke/coordination/membership/askers.py
@@ -18,7 +18,7 @@
 
 # An asking host spends about 2% of a core on so many, at the default
 # interval and 0.5 ms a call.
-ENGINES_A_HOST = 16
+ENGINES_PER_POLLER = 16
 # Two, so that one that is lost leaves another that is asking already.
 LEAST_ASKING_HOSTS = 2
 Listener = collections.abc.Callable[[attending.TellRegion], None]
@@ -77,7 +77,7 @@
 
     def polling_hosts(self) -> list[str]:
         """Return the hosts that ask, in an order that all agree on."""
-        count = math.ceil(self.engine_count / ENGINES_A_HOST)
+        count = math.ceil(self.engine_count / ENGINES_PER_POLLER)
         return self.rendezvous_order(self._region)[
             : max(count, LEAST_ASKING_HOSTS)
         ]
@@ -85,7 +85,7 @@
     @property
     def collectors_count(self) -> int:
         """Return how many hosts collect what all send to engines."""
-        return max(math.ceil(self.engine_count / ENGINES_A_HOST), 1)
+        return max(math.ceil(self.engine_count / ENGINES_PER_POLLER), 1)
 
     def collector(self, endpoint: ids.EndpointId) -> str:
         """Return the host that collects what is sent to an endpoint."""
