--- a/tests/test_askers.py
+++ b/tests/test_askers.py
@@ -67,7 +67,7 @@
 async def test_every_host_is_told_once_and_none_tells_many(count):
     region = Region(count)
     asking = asking_hosts(region)
-    assert len(asking) == askers.LEAST_ASKING_HOSTS
+    assert len(asking) == askers.MIN_POLLERS
     [first, *_others] = asking
     await region.made[first].tell(attending.TellRegion([]))
     assert region.told == {host: 1 for host in region.made if host != first}
@@ -122,7 +122,7 @@
             status = attending.RegionStatus('south', messages.Pong(False))
             viewed.note(status)
         pinging += bool(made.to_ping())
-    assert pinging == (askers.LEAST_ASKING_HOSTS if told else count)
+    assert pinging == (askers.MIN_POLLERS if told else count)
 
 
 @pytest.mark.parametrize(
@@ -162,4 +162,4 @@
     for number in range(30):
         for host, made in region.made.items():
             asked[number] += made.is_poller_of(f'e{number}')
-    assert set(asked.values()) == {askers.LEAST_ASKING_HOSTS}
+    assert set(asked.values()) == {askers.MIN_POLLERS}
--- a/wrenspoke/coordination/membership/askers.py
+++ b/wrenspoke/coordination/membership/askers.py
@@ -20,7 +20,7 @@
 # interval and 0.5 ms a call.
 ENGINES_PER_POLLER = 16
 # Two, so that one that is lost leaves another that is asking already.
-LEAST_ASKING_HOSTS = 2
+MIN_POLLERS = 2
 Listener = collections.abc.Callable[[attending.TellRegion], None]
 
 
@@ -78,9 +78,7 @@
     def polling_hosts(self) -> list[str]:
         """Return the hosts that ask, in an order that all agree on."""
         count = math.ceil(self.engine_count / ENGINES_PER_POLLER)
-        return self.rendezvous_order(self._region)[
-            : max(count, LEAST_ASKING_HOSTS)
-        ]
+        return self.rendezvous_order(self._region)[: max(count, MIN_POLLERS)]
 
     @property
     def collectors_count(self) -> int:
@@ -105,9 +103,7 @@
 
         Those of an endpoint that is asked once are drawn from all hosts.
         """
-        return (
-            self._host in self.rendezvous_order(endpoint)[:LEAST_ASKING_HOSTS]
-        )
+        return self._host in self.rendezvous_order(endpoint)[:MIN_POLLERS]
 
     def is_owner_of(self, endpoint: ids.EndpointId) -> bool:
         """Tell whether this host alone does what is done for an endpoint."""
