--- a/tests/stated_fleet.py
+++ b/tests/stated_fleet.py
@@ -167,7 +167,7 @@
         self.frozen = False
         # When this host first passed on an answer that names a limit.
         self.told_ms = {}
-        self.askers = askers.Askers(
+        self.askers = askers.RegionPollers(
             REGION, name, Roster(fleet, name), self.peers
         )
         self.limits = endpoint_limits.EndpointLimits(
--- a/tests/test_askers.py
+++ b/tests/test_askers.py
@@ -33,7 +33,7 @@
             known = roster.Roster(1_000, test_registry.FakeClock())
             for other in records:
                 known.merge_record(other)
-            self.made[record.host] = askers.Askers(
+            self.made[record.host] = askers.RegionPollers(
                 'north', record.host, known, Link(record.host, self)
             )
 
@@ -104,7 +104,7 @@
             test_registry.record(f'{name}{number}', region=name)
         )
     viewed = views.RegionViews(clock)
-    asking = askers.Askers(region, host, known, test_gauges.NoPeers())
+    asking = askers.RegionPollers(region, host, known, test_gauges.NoPeers())
     made = partners.Partners(
         host, region, known, Unasked(), asking, viewed, clock
     )
--- a/tests/test_gauges.py
+++ b/tests/test_gauges.py
@@ -58,7 +58,7 @@
     attended = types.SimpleNamespace(
         roster=known, registry=types.SimpleNamespace(held=held)
     )
-    asking = askers.Askers('north', host, known, NoPeers())
+    asking = askers.RegionPollers('north', host, known, NoPeers())
     table = routes.RouteTable(
         1,
         (),
--- a/tests/test_sent_calls.py
+++ b/tests/test_sent_calls.py
@@ -47,7 +47,7 @@
         known = roster.Roster(10**9, clock)
         for other in fleet.names:
             known.merge_record(test_registry.record(other, data_centre='hall'))
-        asking = askers.Askers('north', name, known, self.peers)
+        asking = askers.RegionPollers('north', name, known, self.peers)
         asking.engine_count = len(fleet.names) // 2
         self.told = sent_calls.SentCalls(name, asking, self.peers, clock)
         self.heard = []
--- a/tests/test_warmth.py
+++ b/tests/test_warmth.py
@@ -21,7 +21,7 @@
     held = roster.Roster(1_000, clock)
     for number in range(20):
         held.merge_record(test_gauges.record(number))
-    asking = askers.Askers('north', 'h1', held, test_gauges.NoPeers())
+    asking = askers.RegionPollers('north', 'h1', held, test_gauges.NoPeers())
     # One that two other hosts ask.
     number = next(n for n in range(99) if not asking.is_poller_of(f'e{n}'))
     endpoint = test_gauges.registered(number)
--- a/wrenspoke/coordination/membership/askers.py
+++ b/wrenspoke/coordination/membership/askers.py
@@ -40,7 +40,7 @@
         """Return the hosts of a region that should be used."""
 
 
-class Askers:
+class RegionPollers:
     """Draw the asking hosts of a region, and tell what they heard."""
 
     def __init__(
--- a/wrenspoke/coordination/membership/gauges.py
+++ b/wrenspoke/coordination/membership/gauges.py
@@ -82,7 +82,7 @@
         attended: attendance.DiscoveryClient,
         held: replica.Replica,
         client: web.HttpClient,
-        asking: askers.Askers,
+        asking: askers.RegionPollers,
         near: partners.Partners,
         viewed: views.RegionViews,
         heard: collections.abc.Callable[[str, int], None],
--- a/wrenspoke/coordination/membership/partners.py
+++ b/wrenspoke/coordination/membership/partners.py
@@ -36,7 +36,7 @@
         region: ids.RegionId,
         known: roster.Roster,
         reached: reach.Reach,
-        asking: askers.Askers,
+        asking: askers.RegionPollers,
         viewed: views.RegionViews,
         clock: clocks.Clock,
     ):
--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -33,7 +33,7 @@
     def __init__(
         self,
         region: ids.RegionId,
-        asking: askers.Askers,
+        asking: askers.RegionPollers,
         regions: collections.abc.Mapping[ids.DataCentreId, ids.RegionId],
         attended: attendance.DiscoveryClient,
         held: replica.Replica,
--- a/wrenspoke/coordination/serving/sent_calls.py
+++ b/wrenspoke/coordination/serving/sent_calls.py
@@ -45,7 +45,7 @@
     def __init__(
         self,
         host: ids.HostId,
-        asking: askers.Askers,
+        asking: askers.RegionPollers,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
--- a/wrenspoke/coordination/serving/warmth.py
+++ b/wrenspoke/coordination/serving/warmth.py
@@ -45,7 +45,7 @@
 
     def __init__(
         self,
-        asking: askers.Askers,
+        asking: askers.RegionPollers,
         held: replica.Replica,
         dialect: dialects.Dialect,
         client: web.HttpClient,
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -105,7 +105,7 @@
             self._standing,
         )
         self._views = views.RegionViews(self.clock)
-        self._askers = askers.Askers(
+        self._askers = askers.RegionPollers(
             node.region, node.host, self.attendance.roster, self.peers
         )
         self._partners = partners.Partners(
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -129,7 +129,7 @@
 
     def _build_limits(self) -> None:
         """Build what keeps to what endpoints say that they take."""
-        self._askers = askers.Askers(
+        self._askers = askers.RegionPollers(
             self._region,
             self._host,
             member_roster.MemberRoster(self._deployment, self.members),
