--- a/tests/test_askers.py
+++ b/tests/test_askers.py
@@ -120,7 +120,7 @@
         made, viewed = partners_of(f'north{number}', 'north', count, clock)
         if told:
             status = attending.RegionStatus('south', messages.Pong(False))
-            viewed.note(status)
+            viewed.record_status(status)
         pinging += bool(made.to_ping())
     assert pinging == (askers.MIN_POLLERS if told else count)
 
@@ -137,7 +137,7 @@
     made, viewed = partners_of('north1', 'north', 7, clock)
     for said in statuses:
         said = said and messages.Pong(False)
-        viewed.note(attending.RegionStatus('south', said))
+        viewed.record_status(attending.RegionStatus('south', said))
     assert made.cut_off() == (['south'] if cut_off else [])
     assert bool(made.reachable('south')) is not cut_off
     clock.now_ms += views.FRESH_MS + 1
--- a/wrenspoke/coordination/membership/views.py
+++ b/wrenspoke/coordination/membership/views.py
@@ -37,7 +37,7 @@
         # When an asking host last found that a region does not answer.
         self._silent_ms: dict[ids.RegionId, int] = {}
 
-    def note(self, status: attending.RegionStatus) -> None:
+    def record_status(self, status: attending.RegionStatus) -> None:
         """Take what an asking host tells of a region."""
         now_ms = self._clock.mono_ms()
         if status.said is None:
