--- a/wrenspoke/coordination/membership/views.py
+++ b/wrenspoke/coordination/membership/views.py
@@ -50,7 +50,7 @@
                 status.said, status.travel_ms, answered_ms
             )
 
-    def heard(self, region: ids.RegionId) -> Heard | None:
+    def latest_view(self, region: ids.RegionId) -> Heard | None:
         """Return what a region last said, None if it was not of late."""
         found = self._heard.get(region)
         if found is None:
@@ -61,10 +61,10 @@
     def cut_off(self, region: ids.RegionId) -> bool:
         """Tell whether a region was found silent, and answered nobody."""
         silent_ms = self._silent_ms.get(region)
-        if silent_ms is None or self.heard(region) is not None:
+        if silent_ms is None or self.latest_view(region) is not None:
             return False
         return self._clock.mono_ms() - silent_ms <= FRESH_MS
 
     def known(self, region: ids.RegionId) -> bool:
         """Tell whether others say how a region stands now."""
-        return self.heard(region) is not None or self.cut_off(region)
+        return self.latest_view(region) is not None or self.cut_off(region)
