--- a/wrenspoke/coordination/membership/views.py
+++ b/wrenspoke/coordination/membership/views.py
@@ -58,7 +58,7 @@
         age_ms = self._clock.mono_ms() - found.answered_ms
         return found if age_ms <= FRESH_MS else None
 
-    def cut_off(self, region: ids.RegionId) -> bool:
+    def is_unreachable(self, region: ids.RegionId) -> bool:
         """Tell whether a region was found silent, and answered nobody."""
         silent_ms = self._silent_ms.get(region)
         if silent_ms is None or self.latest_view(region) is not None:
@@ -67,4 +67,6 @@
 
     def known(self, region: ids.RegionId) -> bool:
         """Tell whether others say how a region stands now."""
-        return self.latest_view(region) is not None or self.cut_off(region)
+        return self.latest_view(region) is not None or self.is_unreachable(
+            region
+        )
