--- a/wrenspoke/coordination/membership/views.py
+++ b/wrenspoke/coordination/membership/views.py
@@ -65,7 +65,7 @@
             return False
         return self._clock.mono_ms() - silent_ms <= FRESH_MS
 
-    def known(self, region: ids.RegionId) -> bool:
+    def has_view(self, region: ids.RegionId) -> bool:
         """Tell whether others say how a region stands now."""
         return self.latest_view(region) is not None or self.is_unreachable(
             region
