--- a/wrenspoke/coordination/membership/views.py
+++ b/wrenspoke/coordination/membership/views.py
@@ -33,7 +33,7 @@
 
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
-        self._heard: dict[ids.RegionId, Heard] = {}
+        self._views: dict[ids.RegionId, Heard] = {}
         # When an asking host last found that a region does not answer.
         self._silent_ms: dict[ids.RegionId, int] = {}
 
@@ -44,15 +44,15 @@
             self._silent_ms[status.region] = now_ms
             return
         answered_ms = now_ms - status.age_ms
-        old = self._heard.get(status.region)
+        old = self._views.get(status.region)
         if old is None or answered_ms >= old.answered_ms:
-            self._heard[status.region] = Heard(
+            self._views[status.region] = Heard(
                 status.said, status.travel_ms, answered_ms
             )
 
     def latest_view(self, region: ids.RegionId) -> Heard | None:
         """Return what a region last said, None if it was not of late."""
-        found = self._heard.get(region)
+        found = self._views.get(region)
         if found is None:
             return None
         age_ms = self._clock.mono_ms() - found.answered_ms
