--- a/wrenspoke/coordination/membership/views.py
+++ b/wrenspoke/coordination/membership/views.py
@@ -35,13 +35,13 @@
         self._clock = clock
         self._views: dict[ids.RegionId, Heard] = {}
         # When an asking host last found that a region does not answer.
-        self._silent_ms: dict[ids.RegionId, int] = {}
+        self._unanswered_ms: dict[ids.RegionId, int] = {}
 
     def record_status(self, status: attending.RegionStatus) -> None:
         """Take what an asking host tells of a region."""
         now_ms = self._clock.mono_ms()
         if status.said is None:
-            self._silent_ms[status.region] = now_ms
+            self._unanswered_ms[status.region] = now_ms
             return
         answered_ms = now_ms - status.age_ms
         old = self._views.get(status.region)
@@ -60,7 +60,7 @@
 
     def is_unreachable(self, region: ids.RegionId) -> bool:
         """Tell whether a region was found silent, and answered nobody."""
-        silent_ms = self._silent_ms.get(region)
+        silent_ms = self._unanswered_ms.get(region)
         if silent_ms is None or self.latest_view(region) is not None:
             return False
         return self._clock.mono_ms() - silent_ms <= FRESH_MS
