--- a/wrenspoke/coordination/membership/views.py
+++ b/wrenspoke/coordination/membership/views.py
@@ -17,7 +17,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Heard:
+class RegionView:
     """Hold what a host of a region said, by this host's clock.
 
     ``travel_ms`` is the round trip to it.
@@ -33,7 +33,7 @@
 
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
-        self._views: dict[ids.RegionId, Heard] = {}
+        self._views: dict[ids.RegionId, RegionView] = {}
         # When an asking host last found that a region does not answer.
         self._unanswered_ms: dict[ids.RegionId, int] = {}
 
@@ -46,11 +46,11 @@
         answered_ms = now_ms - status.age_ms
         old = self._views.get(status.region)
         if old is None or answered_ms >= old.answered_ms:
-            self._views[status.region] = Heard(
+            self._views[status.region] = RegionView(
                 status.said, status.travel_ms, answered_ms
             )
 
-    def latest_view(self, region: ids.RegionId) -> Heard | None:
+    def latest_view(self, region: ids.RegionId) -> RegionView | None:
         """Return what a region last said, None if it was not of late."""
         found = self._views.get(region)
         if found is None:
