--- a/wrenspoke/coordination/membership/views.py
+++ b/wrenspoke/coordination/membership/views.py
@@ -23,7 +23,7 @@
     ``travel_ms`` is the round trip to it.
     """
 
-    said: messages.Pong
+    pong: messages.Pong
     travel_ms: float
     answered_ms: int
 
