--- a/wrenspoke/coordination/membership/views.py
+++ b/wrenspoke/coordination/membership/views.py
@@ -24,7 +24,7 @@
     """
 
     pong: messages.Pong
-    travel_ms: float
+    rtt_ms: float
     answered_ms: int
 
 
