--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -153,7 +153,7 @@
 
 @pytest.mark.parametrize(
     'later_ms, first_ms',
-    [(0, 40 + 100 + 100), (views.FRESH_MS + 1, regions.UNKNOWN_FIRST_MS)],
+    [(0, 40 + 100 + 100), (views.VIEW_TTL_MS + 1, regions.UNKNOWN_FIRST_MS)],
     ids=['fresh', 'old'],
 )
 def test_region_offers_what_another_host_of_this_one_heard(later_ms, first_ms):
--- a/wrenspoke/coordination/membership/views.py
+++ b/wrenspoke/coordination/membership/views.py
@@ -13,7 +13,7 @@
 from wrenspoke.protocol import messages
 
 # Three tellings; then a host asks for itself.
-FRESH_MS = 1_200
+VIEW_TTL_MS = 1_200
 
 
 @dataclasses.dataclass(slots=True)
@@ -56,14 +56,14 @@
         if found is None:
             return None
         age_ms = self._clock.mono_ms() - found.answered_ms
-        return found if age_ms <= FRESH_MS else None
+        return found if age_ms <= VIEW_TTL_MS else None
 
     def is_unreachable(self, region: ids.RegionId) -> bool:
         """Tell whether a region was found silent, and answered nobody."""
         silent_ms = self._unanswered_ms.get(region)
         if silent_ms is None or self.latest_view(region) is not None:
             return False
-        return self._clock.mono_ms() - silent_ms <= FRESH_MS
+        return self._clock.mono_ms() - silent_ms <= VIEW_TTL_MS
 
     def has_view(self, region: ids.RegionId) -> bool:
         """Tell whether others say how a region stands now."""
