--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -34,7 +34,7 @@
     """Be what pings told of one host, and who is near."""
 
     def __init__(self, said):
-        self.told = reach.Remote(0, said, 50.0)
+        self.told = reach.RemoteState(0, said, 50.0)
         self.told.answered_ms = 100_000
 
     def remote(self, _host):
--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -66,7 +66,7 @@
     async def play():
         await asyncio.sleep(BEGUN_MS / group.MS_PER_S)
         if known:
-            remote = reached._remotes['h'] = reach.Remote(0)
+            remote = reached._remotes['h'] = reach.RemoteState(0)
             remote.answered_ms = BEGUN_MS - 60_000
         with reached.watching('h', lambda: told.append('lost')):
             await asyncio.sleep(CALL_MS / group.MS_PER_S)
--- a/wrenspoke/coordination/membership/reach.py
+++ b/wrenspoke/coordination/membership/reach.py
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass
-class Remote:
+class RemoteState:
     """Hold what is known of a host elsewhere, on this host's clock.
 
     ``said`` is its last answer, ``travel_ms`` what a round trip takes.
@@ -73,7 +73,7 @@
         self._standing = standing
         self._cut_off = _none_cut_off
         self._heard = _nothing_to_tell
-        self._remotes: dict[ids.HostId, Remote] = {}
+        self._remotes: dict[ids.HostId, RemoteState] = {}
         self._tasks = runtime.Tasks()
         peers.answers(messages.Ping)(self._answer)
 
@@ -114,7 +114,7 @@
             return True
         return False if self._failed_lately(remote) else None
 
-    def remote(self, host: ids.HostId) -> Remote | None:
+    def remote(self, host: ids.HostId) -> RemoteState | None:
         """Return what is known of a host, None if it was never asked."""
         return self._remotes.get(host)
 
@@ -122,7 +122,7 @@
         now_ms = self._clock.mono_ms()
         remote = self._remotes.get(host)
         if remote is None:
-            remote = self._remotes[host] = Remote(now_ms)
+            remote = self._remotes[host] = RemoteState(now_ms)
         remote.used_ms = now_ms
         if remote.pinger is None:
             remote.pinger = self._tasks.start(self._keep(host, remote))
@@ -132,14 +132,14 @@
             return False
         return await self._ping(host, remote, self._interval_ms)
 
-    def _answered_lately(self, remote: Remote) -> bool:
+    def _answered_lately(self, remote: RemoteState) -> bool:
         if remote.answered_ms is None:
             return False
         failed_ms = remote.failed_ms or 0
         age_ms = self._clock.mono_ms() - remote.answered_ms
         return remote.answered_ms > failed_ms and age_ms < self._suspect_ms
 
-    def _failed_lately(self, remote: Remote) -> bool:
+    def _failed_lately(self, remote: RemoteState) -> bool:
         if remote.failed_ms is None:
             return False
         answered_ms = remote.answered_ms or 0
@@ -147,7 +147,7 @@
         return remote.failed_ms > answered_ms and age_ms < self._suspect_ms
 
     async def _ping(
-        self, host: ids.HostId, remote: Remote, timeout_ms: float
+        self, host: ids.HostId, remote: RemoteState, timeout_ms: float
     ) -> bool:
         asked_ms = self._clock.mono_ms()
         try:
@@ -166,7 +166,7 @@
         remote.failed_ms = self._clock.mono_ms()
         return False
 
-    def _note_travel(self, remote: Remote, took_ms: int) -> None:
+    def _note_travel(self, remote: RemoteState, took_ms: int) -> None:
         """Learn the round trip; a longer one than usual was a wait."""
         known_ms = remote.travel_ms
         if known_ms is None or took_ms < known_ms:
@@ -174,7 +174,7 @@
             return
         remote.travel_ms = known_ms + TRAVEL_WEIGHT * (took_ms - known_ms)
 
-    async def _keep(self, host: ids.HostId, remote: Remote) -> None:
+    async def _keep(self, host: ids.HostId, remote: RemoteState) -> None:
         """Ping a host for as long as it is used.
 
         The first ping may wait for a link to be made, and a silence from
@@ -201,7 +201,7 @@
         # An open link costs heartbeats between regions all the time.
         self._peers.links.forget(host)
 
-    def _is_used(self, remote: Remote) -> bool:
+    def _is_used(self, remote: RemoteState) -> bool:
         age_ms = self._clock.mono_ms() - remote.used_ms
         return bool(remote.watchers) or age_ms < USED_FOR_MS
 
@@ -210,7 +210,9 @@
         self, host: ids.HostId, lost: collections.abc.Callable[[], None]
     ) -> collections.abc.Iterator[None]:
         """Call ``lost`` if a host falls silent within the block."""
-        remote = self._remotes.setdefault(host, Remote(self._clock.mono_ms()))
+        remote = self._remotes.setdefault(
+            host, RemoteState(self._clock.mono_ms())
+        )
         if remote.pinger is None:
             remote.pinger = self._tasks.start(self._keep(host, remote))
         remote.watchers.add(lost)
--- a/wrenspoke/coordination/serving/regions.py
+++ b/wrenspoke/coordination/serving/regions.py
@@ -165,7 +165,7 @@
 
     def _heard(
         self, host: attending.HostRecord
-    ) -> reach.Remote | views.RegionView | None:
+    ) -> reach.RemoteState | views.RegionView | None:
         """Return what a host last said, or else another of its region."""
         if self._reach.answers(host.host):
             return self._reach.remote(host.host)
@@ -175,7 +175,7 @@
         remote = self._reach.remote(host.host)
         return None if remote is None or remote.said is None else remote
 
-    def _lags(self, remote: reach.Remote | views.RegionView) -> bool:
+    def _lags(self, remote: reach.RemoteState | views.RegionView) -> bool:
         """Tell whether a host goes by an older configuration for long."""
         if self._replica.current.index != self._index:
             self._index = self._replica.current.index
@@ -199,7 +199,7 @@
     def _passed_ms(
         self,
         region: ids.RegionId,
-        remote: reach.Remote | views.RegionView,
+        remote: reach.RemoteState | views.RegionView,
         found: messages.Offer,
     ) -> float:
         """Return what was passed on and is not in the offer yet."""
