--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -41,7 +41,7 @@
         return self.told
 
     def answers(self, _host):
-        return self.told.said is not None
+        return self.told.pong is not None
 
     def reachable(self, region):
         return [HOST] if region == 'south' else []
--- a/wrenspoke/coordination/membership/reach.py
+++ b/wrenspoke/coordination/membership/reach.py
@@ -46,7 +46,7 @@
     """
 
     used_ms: int
-    said: messages.Pong | None = None
+    pong: messages.Pong | None = None
     travel_ms: float | None = None
     answered_ms: int | None = None
     failed_ms: int | None = None
