--- a/wrenspoke/coordination/membership/reach.py
+++ b/wrenspoke/coordination/membership/reach.py
@@ -47,7 +47,7 @@
 
     used_ms: int
     pong: messages.Pong | None = None
-    travel_ms: float | None = None
+    rtt_ms: float | None = None
     answered_ms: int | None = None
     failed_ms: int | None = None
     pinger: asyncio.Task | None = None
