--- a/wrenspoke/coordination/membership/reach.py
+++ b/wrenspoke/coordination/membership/reach.py
@@ -45,7 +45,7 @@
     ``said`` is its last answer, ``travel_ms`` what a round trip takes.
     """
 
-    used_ms: int
+    last_used_ms: int
     pong: messages.Pong | None = None
     rtt_ms: float | None = None
     answered_ms: int | None = None
@@ -123,7 +123,7 @@
         remote = self._remotes.get(host)
         if remote is None:
             remote = self._remotes[host] = RemoteState(now_ms)
-        remote.used_ms = now_ms
+        remote.last_used_ms = now_ms
         if remote.pinger is None:
             remote.pinger = self._tasks.start(self._keep(host, remote))
         if self._answered_lately(remote):
@@ -202,7 +202,7 @@
         self._peers.links.forget(host)
 
     def _is_used(self, remote: RemoteState) -> bool:
-        age_ms = self._clock.mono_ms() - remote.used_ms
+        age_ms = self._clock.mono_ms() - remote.last_used_ms
         return bool(remote.watchers) or age_ms < USED_FOR_MS
 
     @contextlib.contextmanager
@@ -220,7 +220,7 @@
             yield
         finally:
             remote.watchers.discard(lost)
-            remote.used_ms = self._clock.mono_ms()
+            remote.last_used_ms = self._clock.mono_ms()
 
 
 def _none_cut_off() -> list[ids.RegionId]:
