--- a/wrenspoke/coordination/membership/reach.py
+++ b/wrenspoke/coordination/membership/reach.py
@@ -50,7 +50,7 @@
     rtt_ms: float | None = None
     answered_ms: int | None = None
     failed_ms: int | None = None
-    pinger: asyncio.Task | None = None
+    ping_task: asyncio.Task | None = None
     watchers: set[collections.abc.Callable[[], None]] = dataclasses.field(
         default_factory=set
     )
@@ -124,8 +124,8 @@
         if remote is None:
             remote = self._remotes[host] = RemoteState(now_ms)
         remote.last_used_ms = now_ms
-        if remote.pinger is None:
-            remote.pinger = self._tasks.start(self._keep(host, remote))
+        if remote.ping_task is None:
+            remote.ping_task = self._tasks.start(self._keep(host, remote))
         if self._answered_lately(remote):
             return True
         if self._failed_lately(remote):
@@ -197,7 +197,7 @@
             )
             for lost in list(remote.watchers):
                 lost()
-        remote.pinger = None
+        remote.ping_task = None
         # An open link costs heartbeats between regions all the time.
         self._peers.links.forget(host)
 
@@ -213,8 +213,8 @@
         remote = self._remotes.setdefault(
             host, RemoteState(self._clock.mono_ms())
         )
-        if remote.pinger is None:
-            remote.pinger = self._tasks.start(self._keep(host, remote))
+        if remote.ping_task is None:
+            remote.ping_task = self._tasks.start(self._keep(host, remote))
         remote.watchers.add(lost)
         try:
             yield
