--- a/wrenspoke/coordination/membership/reach.py
+++ b/wrenspoke/coordination/membership/reach.py
@@ -81,7 +81,7 @@
         """End every task."""
         await self._tasks.close()
 
-    def tell_cut_off(
+    def set_unreachable_regions(
         self, cut_off: collections.abc.Callable[[], list[ids.RegionId]]
     ) -> None:
         """Say with each ping which regions can't be reached from here."""
