--- a/wrenspoke/coordination/membership/reach.py
+++ b/wrenspoke/coordination/membership/reach.py
@@ -82,10 +82,11 @@
         await self._tasks.close()
 
     def set_unreachable_regions(
-        self, cut_off: collections.abc.Callable[[], list[ids.RegionId]]
+        self,
+        unreachable_regions: collections.abc.Callable[[], list[ids.RegionId]],
     ) -> None:
         """Say with each ping which regions can't be reached from here."""
-        self._cut_off = cut_off
+        self._cut_off = unreachable_regions
 
     def tell_heard(
         self, heard: collections.abc.Callable[[ids.HostId, int], None]
