--- a/wrenspoke/coordination/membership/reach.py
+++ b/wrenspoke/coordination/membership/reach.py
@@ -71,7 +71,7 @@
         self._peers = peers
         self._clock = clock
         self._standing = standing
-        self._cut_off = _none_cut_off
+        self._unreachable_regions = _none_cut_off
         self._heard = _nothing_to_tell
         self._remotes: dict[ids.HostId, RemoteState] = {}
         self._tasks = runtime.Tasks()
@@ -86,7 +86,7 @@
         unreachable_regions: collections.abc.Callable[[], list[ids.RegionId]],
     ) -> None:
         """Say with each ping which regions can't be reached from here."""
-        self._cut_off = unreachable_regions
+        self._unreachable_regions = unreachable_regions
 
     def tell_heard(
         self, heard: collections.abc.Callable[[ids.HostId, int], None]
@@ -153,7 +153,7 @@
         asked_ms = self._clock.mono_ms()
         try:
             answer = await self._peers.call(
-                host, messages.Ping(self._cut_off()), timeout_ms
+                host, messages.Ping(self._unreachable_regions()), timeout_ms
             )
         except protocol_errors.ProtocolError:
             answer = None
