--- a/wrenspoke/coordination/membership/reach.py
+++ b/wrenspoke/coordination/membership/reach.py
@@ -88,7 +88,7 @@
         """Say with each ping which regions can't be reached from here."""
         self._unreachable_regions = unreachable_regions
 
-    def tell_heard(
+    def set_answer_callback(
         self, heard: collections.abc.Callable[[ids.HostId, int], None]
     ) -> None:
         """Tell of each host that answers a ping, and when it was asked."""
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -162,7 +162,7 @@
         """Build what knows how loaded engines are."""
         node = self.node
         self._health = health.Health(self.clock)
-        self._reach.tell_heard(self._host_heard)
+        self._reach.set_answer_callback(self._host_heard)
         self._gauges = gauges.Gauges(
             node.region,
             node.host,
