--- a/wrenspoke/coordination/membership/reach.py
+++ b/wrenspoke/coordination/membership/reach.py
@@ -89,10 +89,10 @@
         self._unreachable_regions = unreachable_regions
 
     def set_answer_callback(
-        self, heard: collections.abc.Callable[[ids.HostId, int], None]
+        self, on_answer: collections.abc.Callable[[ids.HostId, int], None]
     ) -> None:
         """Tell of each host that answers a ping, and when it was asked."""
-        self._heard = heard
+        self._heard = on_answer
 
     async def _answer(
         self, _sender: ids.HostId, message: messages.Ping
