--- a/wrenspoke/coordination/membership/reach.py
+++ b/wrenspoke/coordination/membership/reach.py
@@ -72,7 +72,7 @@
         self._clock = clock
         self._standing = standing
         self._unreachable_regions = _none_cut_off
-        self._heard = _nothing_to_tell
+        self._on_answer = _nothing_to_tell
         self._remotes: dict[ids.HostId, RemoteState] = {}
         self._tasks = runtime.Tasks()
         peers.answers(messages.Ping)(self._answer)
@@ -92,7 +92,7 @@
         self, on_answer: collections.abc.Callable[[ids.HostId, int], None]
     ) -> None:
         """Tell of each host that answers a ping, and when it was asked."""
-        self._heard = on_answer
+        self._on_answer = on_answer
 
     async def _answer(
         self, _sender: ids.HostId, message: messages.Ping
@@ -161,7 +161,7 @@
         if usable:
             remote.answered_ms = self._clock.mono_ms()
             remote.said = answer
-            self._heard(host, asked_ms)
+            self._on_answer(host, asked_ms)
             self._note_travel(remote, remote.answered_ms - asked_ms)
             return True
         remote.failed_ms = self._clock.mono_ms()
