--- a/wrenspoke/coordination/membership/reach.py
+++ b/wrenspoke/coordination/membership/reach.py
@@ -106,7 +106,7 @@
         answers = await asyncio.gather(*(self._check(h) for h in hosts))
         return [host for host, found in zip(hosts, answers) if found]
 
-    def answers(self, host: ids.HostId) -> bool | None:
+    def is_answering(self, host: ids.HostId) -> bool | None:
         """Tell whether a host answered lately, None if it is not known."""
         remote = self._remotes.get(host)
         if remote is None:
