--- a/wrenspoke/coordination/membership/reach.py
+++ b/wrenspoke/coordination/membership/reach.py
@@ -115,7 +115,7 @@
             return True
         return False if self._failed_lately(remote) else None
 
-    def remote(self, host: ids.HostId) -> RemoteState | None:
+    def state_of(self, host: ids.HostId) -> RemoteState | None:
         """Return what is known of a host, None if it was never asked."""
         return self._remotes.get(host)
 
