--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -68,7 +68,7 @@
         if known:
             remote = reached._remotes['h'] = reach.RemoteState(0)
             remote.answered_ms = BEGUN_MS - 60_000
-        with reached.watching('h', lambda: told.append('lost')):
+        with reached.watch_host('h', lambda: told.append('lost')):
             await asyncio.sleep(CALL_MS / group.MS_PER_S)
         await reached.close()
 
@@ -80,7 +80,7 @@
     reached, peers = made(0)
 
     async def play():
-        with reached.watching('h', lambda: None):
+        with reached.watch_host('h', lambda: None):
             await asyncio.sleep(1)
         used = [*peers.forgotten]
         await asyncio.sleep(2 * reach.USED_FOR_MS / group.MS_PER_S)
--- a/wrenspoke/coordination/membership/reach.py
+++ b/wrenspoke/coordination/membership/reach.py
@@ -207,7 +207,7 @@
         return bool(remote.watchers) or age_ms < USED_FOR_MS
 
     @contextlib.contextmanager
-    def watching(
+    def watch_host(
         self, host: ids.HostId, lost: collections.abc.Callable[[], None]
     ) -> collections.abc.Iterator[None]:
         """Call ``lost`` if a host falls silent within the block."""
