--- a/wrenspoke/coordination/membership/reach.py
+++ b/wrenspoke/coordination/membership/reach.py
@@ -103,7 +103,7 @@
         self, hosts: collections.abc.Sequence[ids.HostId]
     ) -> list[ids.HostId]:
         """Return the hosts that answer, in their order."""
-        answers = await asyncio.gather(*(self._check(h) for h in hosts))
+        answers = await asyncio.gather(*(self._probe_host(h) for h in hosts))
         return [host for host, found in zip(hosts, answers) if found]
 
     def is_answering(self, host: ids.HostId) -> bool | None:
@@ -119,7 +119,7 @@
         """Return what is known of a host, None if it was never asked."""
         return self._remotes.get(host)
 
-    async def _check(self, host: ids.HostId) -> bool:
+    async def _probe_host(self, host: ids.HostId) -> bool:
         now_ms = self._clock.mono_ms()
         remote = self._remotes.get(host)
         if remote is None:
