--- a/wrenspoke/coordination/membership/reach.py
+++ b/wrenspoke/coordination/membership/reach.py
@@ -126,7 +126,9 @@
             remote = self._remotes[host] = RemoteState(now_ms)
         remote.last_used_ms = now_ms
         if remote.ping_task is None:
-            remote.ping_task = self._tasks.start(self._keep(host, remote))
+            remote.ping_task = self._tasks.start(
+                self._ping_while_used(host, remote)
+            )
         if self._answered_lately(remote):
             return True
         if self._failed_lately(remote):
@@ -175,7 +177,9 @@
             return
         remote.travel_ms = known_ms + TRAVEL_WEIGHT * (took_ms - known_ms)
 
-    async def _keep(self, host: ids.HostId, remote: RemoteState) -> None:
+    async def _ping_while_used(
+        self, host: ids.HostId, remote: RemoteState
+    ) -> None:
         """Ping a host for as long as it is used.
 
         The first ping may wait for a link to be made, and a silence from
@@ -215,7 +219,9 @@
             host, RemoteState(self._clock.mono_ms())
         )
         if remote.ping_task is None:
-            remote.ping_task = self._tasks.start(self._keep(host, remote))
+            remote.ping_task = self._tasks.start(
+                self._ping_while_used(host, remote)
+            )
         remote.watchers.add(lost)
         try:
             yield
