--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -734,7 +734,7 @@
     Switch(
         'silence counts from long ago',
         DECISIONS + 'membership/reach.py',
-        ('            silence_ms = self._clock.mono_ms() - heard_ms\n'),
+        ('            silence_ms = self._clock.mono_ms() - last_answer_ms\n'),
         (
             '            silence_ms = self._clock.mono_ms() - (remote.answered_ms or 0)\n'
         ),
--- a/wrenspoke/coordination/membership/reach.py
+++ b/wrenspoke/coordination/membership/reach.py
@@ -185,16 +185,16 @@
         The first ping may wait for a link to be made, and a silence from
         before is none: nobody asked then.
         """
-        heard_ms = self._clock.mono_ms()
+        last_answer_ms = self._clock.mono_ms()
         timeout_ms = self._suspect_ms
         while self._is_used(remote):
             await self._clock.sleep_ms(self._interval_ms)
             answered = await self._ping(host, remote, timeout_ms)
             timeout_ms = self._interval_ms
             if answered:
-                heard_ms = self._clock.mono_ms()
+                last_answer_ms = self._clock.mono_ms()
                 continue
-            silence_ms = self._clock.mono_ms() - heard_ms
+            silence_ms = self._clock.mono_ms() - last_answer_ms
             if silence_ms < self._suspect_ms or not remote.watchers:
                 continue
             logger.warning(
