--- a/wrenspoke/coordination/membership/reach.py
+++ b/wrenspoke/coordination/membership/reach.py
@@ -164,12 +164,12 @@
             remote.answered_ms = self._clock.mono_ms()
             remote.said = answer
             self._on_answer(host, asked_ms)
-            self._note_travel(remote, remote.answered_ms - asked_ms)
+            self._update_rtt(remote, remote.answered_ms - asked_ms)
             return True
         remote.failed_ms = self._clock.mono_ms()
         return False
 
-    def _note_travel(self, remote: RemoteState, took_ms: int) -> None:
+    def _update_rtt(self, remote: RemoteState, took_ms: int) -> None:
         """Learn the round trip; a longer one than usual was a wait."""
         known_ms = remote.travel_ms
         if known_ms is None or took_ms < known_ms:
