--- a/wrenspoke/coordination/membership/reach.py
+++ b/wrenspoke/coordination/membership/reach.py
@@ -75,7 +75,7 @@
         self._on_answer = _nothing_to_tell
         self._remotes: dict[ids.HostId, RemoteState] = {}
         self._tasks = runtime.Tasks()
-        peers.answers(messages.Ping)(self._answer)
+        peers.answers(messages.Ping)(self._handle_ping)
 
     async def close(self) -> None:
         """End every task."""
@@ -94,7 +94,7 @@
         """Tell of each host that answers a ping, and when it was asked."""
         self._on_answer = on_answer
 
-    async def _answer(
+    async def _handle_ping(
         self, _sender: ids.HostId, message: messages.Ping
     ) -> messages.Pong:
         return self._standing(message)
