--- a/wrenspoke/coordination/membership/reach.py
+++ b/wrenspoke/coordination/membership/reach.py
@@ -70,7 +70,7 @@
         self._interval_ms = limits.suspect_after_ms / PINGS_TO_SUSPICION
         self._peers = peers
         self._clock = clock
-        self._standing = standing
+        self._local_status = standing
         self._unreachable_regions = _none_cut_off
         self._on_answer = _nothing_to_tell
         self._remotes: dict[ids.HostId, RemoteState] = {}
@@ -97,7 +97,7 @@
     async def _handle_ping(
         self, _sender: ids.HostId, message: messages.Ping
     ) -> messages.Pong:
-        return self._standing(message)
+        return self._local_status(message)
 
     async def reachable(
         self, hosts: collections.abc.Sequence[ids.HostId]
