--- a/wrenspoke/coordination/membership/reach.py
+++ b/wrenspoke/coordination/membership/reach.py
@@ -64,13 +64,13 @@
         limits: ReachLimits,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
-        standing: collections.abc.Callable[[messages.Ping], messages.Pong],
+        local_status: collections.abc.Callable[[messages.Ping], messages.Pong],
     ):
         self._suspect_ms = limits.suspect_after_ms
         self._interval_ms = limits.suspect_after_ms / PINGS_TO_SUSPICION
         self._peers = peers
         self._clock = clock
-        self._local_status = standing
+        self._local_status = local_status
         self._unreachable_regions = _none_cut_off
         self._on_answer = _nothing_to_tell
         self._remotes: dict[ids.HostId, RemoteState] = {}
