--- a/wrenspoke/coordination/membership/reach.py
+++ b/wrenspoke/coordination/membership/reach.py
@@ -61,13 +61,13 @@
 
     def __init__(
         self,
-        limits: ReachLimits,
+        ping_settings: ReachLimits,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
         local_status: collections.abc.Callable[[messages.Ping], messages.Pong],
     ):
-        self._suspect_ms = limits.suspect_after_ms
-        self._interval_ms = limits.suspect_after_ms / PINGS_TO_SUSPICION
+        self._suspect_ms = ping_settings.suspect_after_ms
+        self._interval_ms = ping_settings.suspect_after_ms / PINGS_TO_SUSPICION
         self._peers = peers
         self._clock = clock
         self._local_status = local_status
