--- a/wrenspoke/coordination/membership/reach.py
+++ b/wrenspoke/coordination/membership/reach.py
@@ -30,7 +30,7 @@
 TRAVEL_WEIGHT = 0.1
 
 
-class ReachLimits(typing.Protocol):
+class PingSettings(typing.Protocol):
     """Be what of an entry host's settings is needed here."""
 
     @property
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        ping_settings: ReachLimits,
+        ping_settings: PingSettings,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
         local_status: collections.abc.Callable[[messages.Ping], messages.Pong],
