--- a/wrenspoke/coordination/membership/reach.py
+++ b/wrenspoke/coordination/membership/reach.py
@@ -71,7 +71,7 @@
         self._peers = peers
         self._clock = clock
         self._local_status = local_status
-        self._unreachable_regions = _none_cut_off
+        self._unreachable_regions = _no_regions
         self._on_answer = _nothing_to_tell
         self._remotes: dict[ids.HostId, RemoteState] = {}
         self._tasks = runtime.Tasks()
@@ -230,7 +230,7 @@
             remote.last_used_ms = self._clock.mono_ms()
 
 
-def _none_cut_off() -> list[ids.RegionId]:
+def _no_regions() -> list[ids.RegionId]:
     return []
 
 
