--- a/wrenspoke/coordination/membership/reach.py
+++ b/wrenspoke/coordination/membership/reach.py
@@ -72,7 +72,7 @@
         self._clock = clock
         self._local_status = local_status
         self._unreachable_regions = _no_regions
-        self._on_answer = _nothing_to_tell
+        self._on_answer = _ignore_answer
         self._remotes: dict[ids.HostId, RemoteState] = {}
         self._tasks = runtime.Tasks()
         peers.answers(messages.Ping)(self._handle_ping)
@@ -234,5 +234,5 @@
     return []
 
 
-def _nothing_to_tell(_host: ids.HostId, _asked_ms: int) -> None:
+def _ignore_answer(_host: ids.HostId, _asked_ms: int) -> None:
     return
