--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -83,7 +83,7 @@
         with reached.watch_host('h', lambda: None):
             await asyncio.sleep(1)
         used = [*peers.forgotten]
-        await asyncio.sleep(2 * reach.USED_FOR_MS / group.MS_PER_S)
+        await asyncio.sleep(2 * reach.PING_IDLE_MS / group.MS_PER_S)
         await reached.close()
         return used
 
--- a/wrenspoke/coordination/membership/reach.py
+++ b/wrenspoke/coordination/membership/reach.py
@@ -24,7 +24,7 @@
 
 # A host that was passed a call is likely to be passed another this soon;
 # what is known of it later comes from those that ask for all.
-USED_FOR_MS = 3_000
+PING_IDLE_MS = 3_000
 PINGS_TO_SUSPICION = 3
 # A route that has become longer is believed after some ten pings.
 TRAVEL_WEIGHT = 0.1
@@ -208,7 +208,7 @@
 
     def _is_used(self, remote: RemoteState) -> bool:
         age_ms = self._clock.mono_ms() - remote.last_used_ms
-        return bool(remote.watchers) or age_ms < USED_FOR_MS
+        return bool(remote.watchers) or age_ms < PING_IDLE_MS
 
     @contextlib.contextmanager
     def watch_host(
