--- a/wrenspoke/coordination/membership/reach.py
+++ b/wrenspoke/coordination/membership/reach.py
@@ -27,7 +27,7 @@
 PING_IDLE_MS = 3_000
 PINGS_TO_SUSPICION = 3
 # A route that has become longer is believed after some ten pings.
-TRAVEL_WEIGHT = 0.1
+RTT_WEIGHT = 0.1
 
 
 class PingSettings(typing.Protocol):
@@ -175,7 +175,7 @@
         if known_ms is None or took_ms < known_ms:
             remote.travel_ms = took_ms
             return
-        remote.travel_ms = known_ms + TRAVEL_WEIGHT * (took_ms - known_ms)
+        remote.travel_ms = known_ms + RTT_WEIGHT * (took_ms - known_ms)
 
     async def _ping_while_used(
         self, host: ids.HostId, remote: RemoteState
