--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -47,7 +47,7 @@
 def made(answers_after_ms, refused=0):
     limits = types.SimpleNamespace(suspect_after_ms=SUSPECT_MS)
     peers = Peers(answers_after_ms, refused)
-    return reach.Reach(limits, peers, group.LoopClock(), None), peers
+    return reach.HostPinger(limits, peers, group.LoopClock(), None), peers
 
 
 @pytest.mark.parametrize(
--- a/wrenspoke/coordination/membership/partners.py
+++ b/wrenspoke/coordination/membership/partners.py
@@ -35,7 +35,7 @@
         host: ids.HostId,
         region: ids.RegionId,
         known: roster.Roster,
-        reached: reach.Reach,
+        reached: reach.HostPinger,
         asking: askers.RegionPollers,
         viewed: views.RegionViews,
         clock: clocks.Clock,
--- a/wrenspoke/coordination/membership/reach.py
+++ b/wrenspoke/coordination/membership/reach.py
@@ -56,7 +56,7 @@
     )
 
 
-class Reach:
+class HostPinger:
     """Ping the hosts that requests are passed to."""
 
     def __init__(
--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -70,7 +70,7 @@
         host: ids.HostId,
         deployment: settings.Deployment,
         watched: members.Members,
-        reached: reach.Reach,
+        reached: reach.HostPinger,
         client: web.HttpClient,
         signer: hops.HopSigner,
         noted: decisions.Decisions,
--- a/wrenspoke/coordination/serving/regions.py
+++ b/wrenspoke/coordination/serving/regions.py
@@ -60,7 +60,7 @@
 
     def __init__(
         self,
-        reached: reach.Reach,
+        reached: reach.HostPinger,
         near: partners.Partners,
         viewed: views.RegionViews,
         held: replica.Replica,
--- a/wrenspoke/coordination/serving/tries.py
+++ b/wrenspoke/coordination/serving/tries.py
@@ -49,7 +49,7 @@
         attended: attendance.DiscoveryClient,
         chosen: choice.Choice,
         noted: health.Health,
-        reached: reach.Reach,
+        reached: reach.HostPinger,
         estimator: estimate.Estimator,
         elsewhere: regions.Regions,
         clock: clocks.Clock,
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -98,7 +98,7 @@
             ),
             self.clock,
         )
-        self._reach = reach.Reach(
+        self._reach = reach.HostPinger(
             node.entry,
             self.peers,
             self.clock,
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -112,7 +112,7 @@
             self.replica,
             self._clock,
         )
-        self._reach = reach.Reach(
+        self._reach = reach.HostPinger(
             self._settings,
             self.peers,
             self._clock,
