--- a/tests/test_askers.py
+++ b/tests/test_askers.py
@@ -121,7 +121,7 @@
         if told:
             status = attending.RegionStatus('south', messages.Pong(False))
             viewed.record_status(status)
-        pinging += bool(made.to_ping())
+        pinging += bool(made.ping_targets())
     assert pinging == (askers.MIN_POLLERS if told else count)
 
 
--- a/wrenspoke/coordination/membership/partners.py
+++ b/wrenspoke/coordination/membership/partners.py
@@ -63,10 +63,10 @@
 
     async def _run(self) -> None:
         while True:
-            await self._reach.reachable(self.to_ping())
+            await self._reach.reachable(self.ping_targets())
             await self._clock.sleep_ms(LOOK_INTERVAL_MS)
 
-    def to_ping(self) -> list[ids.HostId]:
+    def ping_targets(self) -> list[ids.HostId]:
         """Return the hosts elsewhere that this one pings, used or not."""
         asks = self._askers.is_poller()
         return [
