--- a/wrenspoke/coordination/membership/partners.py
+++ b/wrenspoke/coordination/membership/partners.py
@@ -84,10 +84,12 @@
 
     def statuses(self) -> list[attending.RegionStatus]:
         """Return what this host's own partners said of late."""
-        statuses = [self._status(region) for region in self._regions()]
+        statuses = [self._region_status(region) for region in self._regions()]
         return [status for status in statuses if status is not None]
 
-    def _status(self, region: ids.RegionId) -> attending.RegionStatus | None:
+    def _region_status(
+        self, region: ids.RegionId
+    ) -> attending.RegionStatus | None:
         partners = self.ranked(region)[:PARTNERS_COUNT]
         for record in partners:
             remote = self._reach.remote(record.host)
