--- a/tests/test_askers.py
+++ b/tests/test_askers.py
@@ -138,10 +138,10 @@
     for said in statuses:
         said = said and messages.Pong(False)
         viewed.record_status(attending.RegionStatus('south', said))
-    assert made.cut_off() == (['south'] if cut_off else [])
+    assert made.unreachable_regions() == (['south'] if cut_off else [])
     assert bool(made.reachable('south')) is not cut_off
     clock.now_ms += views.VIEW_TTL_MS + 1
-    assert made.cut_off() == []
+    assert made.unreachable_regions() == []
 
 
 @pytest.mark.parametrize(
--- a/wrenspoke/coordination/membership/partners.py
+++ b/wrenspoke/coordination/membership/partners.py
@@ -51,7 +51,7 @@
         # The order of each region's hosts, as of a revision of the roster.
         self._ranked: dict[ids.RegionId, list[attending.HostRecord]] = {}
         self._revision = -1
-        reached.tell_cut_off(self.cut_off)
+        reached.tell_cut_off(self.unreachable_regions)
 
     def start(self) -> None:
         """Begin to ping the partners."""
@@ -103,7 +103,7 @@
             return attending.RegionStatus(region, None)
         return None
 
-    def cut_off(self) -> list[ids.RegionId]:
+    def unreachable_regions(self) -> list[ids.RegionId]:
         """Return the regions none of whose hosts here known answer."""
         return [
             region for region in self._regions() if self._is_cut_off(region)
