--- a/wrenspoke/coordination/membership/partners.py
+++ b/wrenspoke/coordination/membership/partners.py
@@ -106,10 +106,12 @@
     def unreachable_regions(self) -> list[ids.RegionId]:
         """Return the regions none of whose hosts here known answer."""
         return [
-            region for region in self._regions() if self._is_cut_off(region)
+            region
+            for region in self._regions()
+            if self._is_unreachable(region)
         ]
 
-    def _is_cut_off(self, region: ids.RegionId) -> bool:
+    def _is_unreachable(self, region: ids.RegionId) -> bool:
         return self._views.cut_off(region) or self._is_silent(region)
 
     def _is_silent(self, region: ids.RegionId) -> bool:
