--- a/wrenspoke/coordination/membership/partners.py
+++ b/wrenspoke/coordination/membership/partners.py
@@ -99,7 +99,7 @@
             return attending.RegionStatus(
                 region, remote.said, remote.travel_ms or 0.0, age_ms
             )
-        if partners and self._is_silent(region):
+        if partners and self._targets_unanswering(region):
             return attending.RegionStatus(region, None)
         return None
 
@@ -112,9 +112,9 @@
         ]
 
     def _is_unreachable(self, region: ids.RegionId) -> bool:
-        return self._views.cut_off(region) or self._is_silent(region)
+        return self._views.cut_off(region) or self._targets_unanswering(region)
 
-    def _is_silent(self, region: ids.RegionId) -> bool:
+    def _targets_unanswering(self, region: ids.RegionId) -> bool:
         """Tell whether this host had no answer from any partner there."""
         return all(
             self._reach.answers(record.host) is False
