--- a/wrenspoke/coordination/membership/partners.py
+++ b/wrenspoke/coordination/membership/partners.py
@@ -73,7 +73,7 @@
             record.host
             for region in self._regions()
             if asks or not self._views.known(region)
-            for record in self.ranked(region)[:PARTNERS_COUNT]
+            for record in self.ranked_hosts(region)[:PARTNERS_COUNT]
         ]
 
     def _regions(self) -> list[ids.RegionId]:
@@ -90,7 +90,7 @@
     def _region_status(
         self, region: ids.RegionId
     ) -> attending.RegionStatus | None:
-        partners = self.ranked(region)[:PARTNERS_COUNT]
+        partners = self.ranked_hosts(region)[:PARTNERS_COUNT]
         for record in partners:
             remote = self._reach.remote(record.host)
             if remote is None or not self._reach.answers(record.host):
@@ -118,10 +118,10 @@
         """Tell whether this host had no answer from any partner there."""
         return all(
             self._reach.answers(record.host) is False
-            for record in self.ranked(region)[:PARTNERS_COUNT]
+            for record in self.ranked_hosts(region)[:PARTNERS_COUNT]
         )
 
-    def ranked(self, region: ids.RegionId) -> list[attending.HostRecord]:
+    def ranked_hosts(self, region: ids.RegionId) -> list[attending.HostRecord]:
         """Return a region's hosts in the order of this host's choice.
 
         The order is kept until a host comes or goes: every call that may
@@ -152,7 +152,7 @@
         """
         answering, unasked = [], []
         cut_off = self._views.cut_off(region)
-        for record in self.ranked(region):
+        for record in self.ranked_hosts(region):
             answers = self._reach.answers(record.host)
             if answers:
                 answering.append(record)
