--- a/wrenspoke/coordination/membership/partners.py
+++ b/wrenspoke/coordination/membership/partners.py
@@ -49,7 +49,7 @@
         self._clock = clock
         self._tasks = runtime.Tasks()
         # The order of each region's hosts, as of a revision of the roster.
-        self._ranked: dict[ids.RegionId, list[attending.HostRecord]] = {}
+        self._rank_cache: dict[ids.RegionId, list[attending.HostRecord]] = {}
         self._revision = -1
         reached.tell_cut_off(self.unreachable_regions)
 
@@ -129,10 +129,10 @@
         """
         if self._revision != self._roster.revision:
             self._revision = self._roster.revision
-            self._ranked.clear()
-        found = self._ranked.get(region)
+            self._rank_cache.clear()
+        found = self._rank_cache.get(region)
         if found is None:
-            found = self._ranked[region] = self._rank(region)
+            found = self._rank_cache[region] = self._rank(region)
         return found
 
     def _rank(self, region: ids.RegionId) -> list[attending.HostRecord]:
