--- a/wrenspoke/coordination/membership/partners.py
+++ b/wrenspoke/coordination/membership/partners.py
@@ -132,10 +132,10 @@
             self._rank_cache.clear()
         found = self._rank_cache.get(region)
         if found is None:
-            found = self._rank_cache[region] = self._rank(region)
+            found = self._rank_cache[region] = self._rank_hosts(region)
         return found
 
-    def _rank(self, region: ids.RegionId) -> list[attending.HostRecord]:
+    def _rank_hosts(self, region: ids.RegionId) -> list[attending.HostRecord]:
         records = {
             record.host: record
             for record in self._roster.usable(region)
