--- a/wrenspoke/coordination/membership/partners.py
+++ b/wrenspoke/coordination/membership/partners.py
@@ -90,8 +90,8 @@
     def _region_status(
         self, region: ids.RegionId
     ) -> attending.RegionStatus | None:
-        partners = self.ranked_hosts(region)[:PARTNERS_COUNT]
-        for record in partners:
+        targets = self.ranked_hosts(region)[:PARTNERS_COUNT]
+        for record in targets:
             remote = self._reach.remote(record.host)
             if remote is None or not self._reach.answers(record.host):
                 continue
@@ -99,7 +99,7 @@
             return attending.RegionStatus(
                 region, remote.said, remote.travel_ms or 0.0, age_ms
             )
-        if partners and self._targets_unanswering(region):
+        if targets and self._targets_unanswering(region):
             return attending.RegionStatus(region, None)
         return None
 
