--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -689,7 +689,7 @@
     Switch(
         'every host pings other regions',
         DECISIONS + 'membership/partners.py',
-        ('            if asks or not self._views.known(region)\n'),
+        ('            if is_poller or not self._views.known(region)\n'),
         ('            if True\n'),
         (
             'tests/test_askers.py::test_hosts_elsewhere_are_pinged_by_a_few_for_all'
--- a/wrenspoke/coordination/membership/partners.py
+++ b/wrenspoke/coordination/membership/partners.py
@@ -68,11 +68,11 @@
 
     def ping_targets(self) -> list[ids.HostId]:
         """Return the hosts elsewhere that this one pings, used or not."""
-        asks = self._askers.is_poller()
+        is_poller = self._askers.is_poller()
         return [
             record.host
             for region in self._regions()
-            if asks or not self._views.known(region)
+            if is_poller or not self._views.known(region)
             for record in self.ranked_hosts(region)[:PARTNERS_COUNT]
         ]
 
