--- a/wrenspoke/coordination/membership/partners.py
+++ b/wrenspoke/coordination/membership/partners.py
@@ -34,7 +34,7 @@
         self,
         host: ids.HostId,
         region: ids.RegionId,
-        known: roster.Roster,
+        host_roster: roster.Roster,
         reached: reach.HostPinger,
         asking: askers.RegionPollers,
         viewed: views.RegionViews,
@@ -42,7 +42,7 @@
     ):
         self._host = host
         self._region = region
-        self._roster = known
+        self._roster = host_roster
         self._reach = reached
         self._askers = asking
         self._views = viewed
