--- a/wrenspoke/coordination/membership/partners.py
+++ b/wrenspoke/coordination/membership/partners.py
@@ -35,7 +35,7 @@
         host: ids.HostId,
         region: ids.RegionId,
         host_roster: roster.Roster,
-        reached: reach.HostPinger,
+        pinger: reach.HostPinger,
         asking: askers.RegionPollers,
         viewed: views.RegionViews,
         clock: clocks.Clock,
@@ -43,7 +43,7 @@
         self._host = host
         self._region = region
         self._roster = host_roster
-        self._reach = reached
+        self._reach = pinger
         self._askers = asking
         self._views = viewed
         self._clock = clock
@@ -51,7 +51,7 @@
         # The order of each region's hosts, as of a revision of the roster.
         self._rank_cache: dict[ids.RegionId, list[attending.HostRecord]] = {}
         self._revision = -1
-        reached.tell_cut_off(self.unreachable_regions)
+        pinger.tell_cut_off(self.unreachable_regions)
 
     def start(self) -> None:
         """Begin to ping the partners."""
