--- a/wrenspoke/coordination/membership/partners.py
+++ b/wrenspoke/coordination/membership/partners.py
@@ -36,7 +36,7 @@
         region: ids.RegionId,
         host_roster: roster.Roster,
         pinger: reach.HostPinger,
-        asking: askers.RegionPollers,
+        pollers: askers.RegionPollers,
         viewed: views.RegionViews,
         clock: clocks.Clock,
     ):
@@ -44,7 +44,7 @@
         self._region = region
         self._roster = host_roster
         self._reach = pinger
-        self._askers = asking
+        self._askers = pollers
         self._views = viewed
         self._clock = clock
         self._tasks = runtime.Tasks()
