--- a/wrenspoke/coordination/membership/partners.py
+++ b/wrenspoke/coordination/membership/partners.py
@@ -37,7 +37,7 @@
         host_roster: roster.Roster,
         pinger: reach.HostPinger,
         pollers: askers.RegionPollers,
-        viewed: views.RegionViews,
+        region_statuses: views.RegionViews,
         clock: clocks.Clock,
     ):
         self._host = host
@@ -45,7 +45,7 @@
         self._roster = host_roster
         self._reach = pinger
         self._askers = pollers
-        self._views = viewed
+        self._views = region_statuses
         self._clock = clock
         self._tasks = runtime.Tasks()
         # The order of each region's hosts, as of a revision of the roster.
