--- a/wrenspoke/coordination/membership/partners.py
+++ b/wrenspoke/coordination/membership/partners.py
@@ -43,7 +43,7 @@
         self._host = host
         self._region = region
         self._roster = host_roster
-        self._reach = pinger
+        self._pinger = pinger
         self._askers = pollers
         self._views = region_statuses
         self._clock = clock
@@ -63,7 +63,7 @@
 
     async def _run(self) -> None:
         while True:
-            await self._reach.reachable(self.ping_targets())
+            await self._pinger.reachable(self.ping_targets())
             await self._clock.sleep_ms(LOOK_INTERVAL_MS)
 
     def ping_targets(self) -> list[ids.HostId]:
@@ -92,8 +92,8 @@
     ) -> attending.RegionStatus | None:
         targets = self.ranked_hosts(region)[:PARTNERS_COUNT]
         for record in targets:
-            remote = self._reach.remote(record.host)
-            if remote is None or not self._reach.answers(record.host):
+            remote = self._pinger.remote(record.host)
+            if remote is None or not self._pinger.answers(record.host):
                 continue
             age_ms = self._clock.mono_ms() - remote.answered_ms
             return attending.RegionStatus(
@@ -117,7 +117,7 @@
     def _targets_unanswering(self, region: ids.RegionId) -> bool:
         """Tell whether this host had no answer from any partner there."""
         return all(
-            self._reach.answers(record.host) is False
+            self._pinger.answers(record.host) is False
             for record in self.ranked_hosts(region)[:PARTNERS_COUNT]
         )
 
@@ -153,7 +153,7 @@
         answering, unasked = [], []
         cut_off = self._views.cut_off(region)
         for record in self.ranked_hosts(region):
-            answers = self._reach.answers(record.host)
+            answers = self._pinger.answers(record.host)
             if answers:
                 answering.append(record)
             elif answers is None and not cut_off:
