--- a/wrenspoke/coordination/membership/partners.py
+++ b/wrenspoke/coordination/membership/partners.py
@@ -44,7 +44,7 @@
         self._region = region
         self._roster = host_roster
         self._pinger = pinger
-        self._askers = pollers
+        self._pollers = pollers
         self._views = region_statuses
         self._clock = clock
         self._tasks = runtime.Tasks()
@@ -68,7 +68,7 @@
 
     def ping_targets(self) -> list[ids.HostId]:
         """Return the hosts elsewhere that this one pings, used or not."""
-        is_poller = self._askers.is_poller()
+        is_poller = self._pollers.is_poller()
         return [
             record.host
             for region in self._regions()
