--- a/wrenspoke/coordination/membership/partners.py
+++ b/wrenspoke/coordination/membership/partners.py
@@ -22,7 +22,7 @@
 logger = structlog.get_logger(__name__)
 
 # Two, so that one that stops leaves one that is known.
-PARTNERS_COUNT = 2
+TARGETS_PER_REGION = 2
 # As often as the roster can change.
 LOOK_INTERVAL_MS = 1_000
 
@@ -73,7 +73,7 @@
             record.host
             for region in self._regions()
             if is_poller or not self._views.known(region)
-            for record in self.ranked_hosts(region)[:PARTNERS_COUNT]
+            for record in self.ranked_hosts(region)[:TARGETS_PER_REGION]
         ]
 
     def _regions(self) -> list[ids.RegionId]:
@@ -90,7 +90,7 @@
     def _region_status(
         self, region: ids.RegionId
     ) -> attending.RegionStatus | None:
-        targets = self.ranked_hosts(region)[:PARTNERS_COUNT]
+        targets = self.ranked_hosts(region)[:TARGETS_PER_REGION]
         for record in targets:
             remote = self._pinger.remote(record.host)
             if remote is None or not self._pinger.answers(record.host):
@@ -118,7 +118,7 @@
         """Tell whether this host had no answer from any partner there."""
         return all(
             self._pinger.answers(record.host) is False
-            for record in self.ranked_hosts(region)[:PARTNERS_COUNT]
+            for record in self.ranked_hosts(region)[:TARGETS_PER_REGION]
         )
 
     def ranked_hosts(self, region: ids.RegionId) -> list[attending.HostRecord]:
--- a/wrenspoke/coordination/serving/choice.py
+++ b/wrenspoke/coordination/serving/choice.py
@@ -361,4 +361,4 @@
         ]
         if not hosts:
             return None
-        return self._random.choice(hosts[: partners.PARTNERS_COUNT])
+        return self._random.choice(hosts[: partners.TARGETS_PER_REGION])
