--- a/wrenspoke/coordination/membership/partners.py
+++ b/wrenspoke/coordination/membership/partners.py
@@ -24,7 +24,7 @@
 # Two, so that one that stops leaves one that is known.
 TARGETS_PER_REGION = 2
 # As often as the roster can change.
-LOOK_INTERVAL_MS = 1_000
+REFRESH_INTERVAL_MS = 1_000
 
 
 class Partners:
@@ -64,7 +64,7 @@
     async def _run(self) -> None:
         while True:
             await self._pinger.reachable(self.ping_targets())
-            await self._clock.sleep_ms(LOOK_INTERVAL_MS)
+            await self._clock.sleep_ms(REFRESH_INTERVAL_MS)
 
     def ping_targets(self) -> list[ids.HostId]:
         """Return the hosts elsewhere that this one pings, used or not."""
