--- a/tests/test_askers.py
+++ b/tests/test_askers.py
@@ -105,7 +105,7 @@
         )
     viewed = views.RegionViews(clock)
     asking = askers.RegionPollers(region, host, known, test_gauges.NoPeers())
-    made = partners.Partners(
+    made = partners.RemoteHosts(
         host, region, known, Unasked(), asking, viewed, clock
     )
     return made, viewed
--- a/wrenspoke/coordination/membership/gauges.py
+++ b/wrenspoke/coordination/membership/gauges.py
@@ -83,7 +83,7 @@
         held: replica.Replica,
         client: web.HttpClient,
         asking: askers.RegionPollers,
-        near: partners.Partners,
+        near: partners.RemoteHosts,
         viewed: views.RegionViews,
         heard: collections.abc.Callable[[str, int], None],
         gate: endpoint_gate.EndpointGate,
--- a/wrenspoke/coordination/membership/partners.py
+++ b/wrenspoke/coordination/membership/partners.py
@@ -27,7 +27,7 @@
 REFRESH_INTERVAL_MS = 1_000
 
 
-class Partners:
+class RemoteHosts:
     """Keep the partners of this host, and rank hosts of a region."""
 
     def __init__(
--- a/wrenspoke/coordination/serving/choice.py
+++ b/wrenspoke/coordination/serving/choice.py
@@ -73,7 +73,7 @@
         held: replica.Replica,
         noted: health.Health,
         estimator: estimate.Estimator,
-        near: partners.Partners,
+        near: partners.RemoteHosts,
         available: availability.Availability,
         switched_off: collections.abc.Set[mechanisms.Mechanism],
         clock: clocks.Clock,
--- a/wrenspoke/coordination/serving/regions.py
+++ b/wrenspoke/coordination/serving/regions.py
@@ -61,7 +61,7 @@
     def __init__(
         self,
         reached: reach.HostPinger,
-        near: partners.Partners,
+        near: partners.RemoteHosts,
         viewed: views.RegionViews,
         held: replica.Replica,
         clock: clocks.Clock,
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -108,7 +108,7 @@
         self._askers = askers.RegionPollers(
             node.region, node.host, self.attendance.roster, self.peers
         )
-        self._partners = partners.Partners(
+        self._partners = partners.RemoteHosts(
             node.host,
             node.region,
             self.attendance.roster,
