--- a/wrenspoke/coordination/membership/gauges.py
+++ b/wrenspoke/coordination/membership/gauges.py
@@ -260,7 +260,7 @@
                 self._heard(found.said.address, asked_ms)
         self._forget()
 
-    def forget(self, endpoint: ids.EndpointId) -> None:
+    def evict(self, endpoint: ids.EndpointId) -> None:
         """Forget an engine's load, as it began anew."""
         self._held.pop(endpoint, None)
         self._first_seen_ms.pop(endpoint, None)
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -260,7 +260,7 @@
         others = set(self.attendance.registry.held) - {before.endpoint}
         self._estimator.keep_only(others)
         self._warmth.keep_only(others)
-        self._gauges.forget(before.endpoint)
+        self._gauges.evict(before.endpoint)
         self._health.forget(before.address)
 
     def _build_serving(self, dialect: dialects.Dialect) -> None:
