--- a/wrenspoke/coordination/membership/gauges.py
+++ b/wrenspoke/coordination/membership/gauges.py
@@ -258,14 +258,14 @@
             if found is not None:
                 asked_ms = now_ms - REPORT_TIMEOUT_MS
                 self._heard(found.said.address, asked_ms)
-        self._forget()
+        self._evict_unregistered()
 
     def evict(self, endpoint: ids.EndpointId) -> None:
         """Forget an engine's load, as it began anew."""
         self._held.pop(endpoint, None)
         self._first_seen_ms.pop(endpoint, None)
 
-    def _forget(self) -> None:
+    def _evict_unregistered(self) -> None:
         for known in (self._held, self._first_seen_ms):
             for endpoint in list(known):
                 if endpoint not in self._attended.registry.held:
