--- a/tests/test_gauges.py
+++ b/tests/test_gauges.py
@@ -139,7 +139,7 @@
     clock.now_ms += gauges.MISSED_INTERVALS * 400 + 1
     assert len(own_of(second)) == len(engines)
     for found in engines:
-        second._held[found.said.endpoint] = (None, clock.now_ms)
+        second._loads[found.said.endpoint] = (None, clock.now_ms)
     assert {found.said.endpoint for found in own_of(second)} == before
 
 
@@ -172,7 +172,7 @@
     for number, age_ms in enumerate(ages_ms):
         if age_ms is not None:
             heard_ms = gauged._clock.now_ms - age_ms
-            gauged._held[f'e{number}'] = (None, heard_ms)
+            gauged._loads[f'e{number}'] = (None, heard_ms)
     assert gauged.silent('e0') is silent
 
 
@@ -183,11 +183,11 @@
     gauged._clock = test_registry.FakeClock()
     now_ms = gauged._clock.now_ms
     for found in engines:
-        gauged._held[found.said.endpoint] = (None, now_ms)
+        gauged._loads[found.said.endpoint] = (None, now_ms)
     if silent:
-        gauged._held['e0'] = (None, now_ms - 1_601)
+        gauged._loads['e0'] = (None, now_ms - 1_601)
     # One that left reports no more, and counts for nothing.
-    gauged._held['gone'] = (None, 0)
+    gauged._loads['gone'] = (None, 0)
     clock = clocks.Clock()
     available = availability.Availability(
         'north',
--- a/wrenspoke/coordination/membership/gauges.py
+++ b/wrenspoke/coordination/membership/gauges.py
@@ -105,7 +105,7 @@
         self._gate = gate
         self._dialect = dialect
         self._clock = clock
-        self._held: dict[ids.EndpointId, tuple[loads.EngineLoad, int]] = {}
+        self._loads: dict[ids.EndpointId, tuple[loads.EngineLoad, int]] = {}
         # When an engine of which no load is known was first looked at.
         self._first_seen_ms: dict[ids.EndpointId, int] = {}
         self._tasks = runtime.Tasks()
@@ -121,7 +121,7 @@
 
     def load(self, endpoint: ids.EndpointId) -> loads.EngineLoad | None:
         """Return an engine's load with its age, None if none is fresh."""
-        found, heard_ms = self._held.get(endpoint, (None, 0))
+        found, heard_ms = self._loads.get(endpoint, (None, 0))
         if found is None:
             return None
         age_ms = self._clock.mono_ms() - heard_ms
@@ -138,7 +138,7 @@
         return fresh >= FRESH_SHARE * len(engines)
 
     def _is_old(self, endpoint: ids.EndpointId) -> bool:
-        _load, heard_ms = self._held.get(endpoint, (None, None))
+        _load, heard_ms = self._loads.get(endpoint, (None, None))
         if heard_ms is None:
             return False
         age_ms = self._clock.mono_ms() - heard_ms
@@ -163,7 +163,7 @@
         heard = [answer for answer in answers if answer is not None]
         now_ms = self._clock.mono_ms()
         for load in heard:
-            self._held[load.endpoint] = (load, now_ms)
+            self._loads[load.endpoint] = (load, now_ms)
         statuses = self._partners.statuses()
         for status in statuses:
             self._views.note(status)
@@ -190,7 +190,7 @@
     def _is_missed(self, found: registry.Registered, place: int) -> bool:
         """Tell whether those before this host in order tell no load."""
         missed_ms = MISSED_INTERVALS * place * self._interval_ms
-        _load, heard_ms = self._held.get(found.said.endpoint, (None, None))
+        _load, heard_ms = self._loads.get(found.said.endpoint, (None, None))
         if heard_ms is None:
             heard_ms = self._first_seen_ms.setdefault(
                 found.said.endpoint, self._clock.mono_ms()
@@ -253,7 +253,7 @@
         for status in message.regions:
             self._views.note(status)
         for load in message.loads:
-            self._held[load.endpoint] = (load, now_ms)
+            self._loads[load.endpoint] = (load, now_ms)
             found = self._attended.registry.held.get(load.endpoint)
             if found is not None:
                 asked_ms = now_ms - REPORT_TIMEOUT_MS
@@ -262,11 +262,11 @@
 
     def evict(self, endpoint: ids.EndpointId) -> None:
         """Forget an engine's load, as it began anew."""
-        self._held.pop(endpoint, None)
+        self._loads.pop(endpoint, None)
         self._first_seen_ms.pop(endpoint, None)
 
     def _evict_unregistered(self) -> None:
-        for known in (self._held, self._first_seen_ms):
+        for known in (self._loads, self._first_seen_ms):
             for endpoint in list(known):
                 if endpoint not in self._attended.registry.held:
                     del known[endpoint]
