--- a/wrenspoke/coordination/membership/gauges.py
+++ b/wrenspoke/coordination/membership/gauges.py
@@ -109,7 +109,7 @@
         # When an engine of which no load is known was first looked at.
         self._first_seen_ms: dict[ids.EndpointId, int] = {}
         self._tasks = runtime.Tasks()
-        asking.listen(self._hear)
+        asking.listen(self._merge_broadcast)
 
     def start(self) -> None:
         """Begin to ask."""
@@ -248,7 +248,7 @@
         self._heard(said.address, asked_ms)
         return load
 
-    def _hear(self, message: attending.TellRegion) -> None:
+    def _merge_broadcast(self, message: attending.TellRegion) -> None:
         now_ms = self._clock.mono_ms()
         for status in message.regions:
             self._views.note(status)
