--- a/wrenspoke/coordination/membership/gauges.py
+++ b/wrenspoke/coordination/membership/gauges.py
@@ -101,7 +101,7 @@
         self._askers = asking
         self._partners = near
         self._views = viewed
-        self._heard = heard
+        self._on_answer = heard
         self._gate = gate
         self._dialect = dialect
         self._clock = clock
@@ -245,7 +245,7 @@
                 'no_report', endpoint=said.endpoint, cause=repr(error)
             )
             return None
-        self._heard(said.address, asked_ms)
+        self._on_answer(said.address, asked_ms)
         return load
 
     def _merge_broadcast(self, message: attending.TellRegion) -> None:
@@ -257,7 +257,7 @@
             found = self._attended.registry.held.get(load.endpoint)
             if found is not None:
                 asked_ms = now_ms - REPORT_TIMEOUT_MS
-                self._heard(found.said.address, asked_ms)
+                self._on_answer(found.said.address, asked_ms)
         self._evict_unregistered()
 
     def evict(self, endpoint: ids.EndpointId) -> None:
