--- a/wrenspoke/coordination/membership/gauges.py
+++ b/wrenspoke/coordination/membership/gauges.py
@@ -85,7 +85,7 @@
         asking: askers.RegionPollers,
         near: partners.RemoteHosts,
         viewed: views.RegionViews,
-        heard: collections.abc.Callable[[str, int], None],
+        on_answer: collections.abc.Callable[[str, int], None],
         gate: endpoint_gate.EndpointGate,
         dialect: dialects.Dialect,
         clock: clocks.Clock,
@@ -101,7 +101,7 @@
         self._askers = asking
         self._partners = near
         self._views = viewed
-        self._on_answer = heard
+        self._on_answer = on_answer
         self._gate = gate
         self._dialect = dialect
         self._clock = clock
