--- a/wrenspoke/coordination/membership/gauges.py
+++ b/wrenspoke/coordination/membership/gauges.py
@@ -148,11 +148,11 @@
         while True:
             asked_ms = self._clock.mono_ms()
             if self._replica.serving:
-                await self._ask_own()
+                await self._poll_assigned()
             took_ms = self._clock.mono_ms() - asked_ms
             await self._clock.sleep_ms(self._interval_ms - took_ms)
 
-    async def _ask_own(self) -> None:
+    async def _poll_assigned(self) -> None:
         engines = self._engines()
         self._askers.engines = len(engines)
         if not self._askers.is_poller():
