--- a/wrenspoke/coordination/membership/gauges.py
+++ b/wrenspoke/coordination/membership/gauges.py
@@ -158,7 +158,7 @@
         if not self._askers.is_poller():
             return
         answers = await asyncio.gather(
-            *(self._ask(found) for found in self._own(engines))
+            *(self._ask(found) for found in self._assigned_engines(engines))
         )
         heard = [answer for answer in answers if answer is not None]
         now_ms = self._clock.mono_ms()
@@ -170,7 +170,7 @@
         if heard or statuses:
             await self._askers.tell(attending.TellRegion(heard, statuses))
 
-    def _own(
+    def _assigned_engines(
         self, engines: list[registry.Registered]
     ) -> list[registry.Registered]:
         """Return the engines that this host asks for all others.
