--- a/wrenspoke/coordination/membership/gauges.py
+++ b/wrenspoke/coordination/membership/gauges.py
@@ -158,7 +158,10 @@
         if not self._askers.is_poller():
             return
         answers = await asyncio.gather(
-            *(self._ask(found) for found in self._assigned_engines(engines))
+            *(
+                self._poll_engine(found)
+                for found in self._assigned_engines(engines)
+            )
         )
         heard = [answer for answer in answers if answer is not None]
         now_ms = self._clock.mono_ms()
@@ -213,7 +216,7 @@
             engines.append(found)
         return engines
 
-    async def _ask(
+    async def _poll_engine(
         self, found: registry.Registered
     ) -> loads.EngineLoad | None:
         said = found.said
