--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -711,7 +711,7 @@
     Switch(
         'nobody asks for an asking host',
         DECISIONS + 'membership/gauges.py',
-        ('            if place == 0 or self._is_missed(found, place):\n'),
+        ('            if place == 0 or self._is_overdue(found, place):\n'),
         ('            if place == 0:\n'),
         (
             'tests/test_gauges.py::test_next_in_order_asks_where_no_report_comes'
--- a/wrenspoke/coordination/membership/gauges.py
+++ b/wrenspoke/coordination/membership/gauges.py
@@ -186,11 +186,11 @@
         for found in engines:
             order = routing.rendezvous(found.said.endpoint, asking)
             place = order.index(self._host)
-            if place == 0 or self._is_missed(found, place):
+            if place == 0 or self._is_overdue(found, place):
                 own.append(found)
         return own
 
-    def _is_missed(self, found: registry.Registered, place: int) -> bool:
+    def _is_overdue(self, found: registry.Registered, place: int) -> bool:
         """Tell whether those before this host in order tell no load."""
         missed_ms = MISSED_INTERVALS * place * self._interval_ms
         _load, heard_ms = self._loads.get(found.said.endpoint, (None, None))
