--- a/wrenspoke/coordination/membership/gauges.py
+++ b/wrenspoke/coordination/membership/gauges.py
@@ -131,13 +131,13 @@
 
     def silent(self, endpoint: ids.EndpointId) -> bool:
         """Tell whether an engine stopped reporting while others go on."""
-        if not self._is_old(endpoint):
+        if not self._is_report_stale(endpoint):
             return False
         engines = [other.said.endpoint for other in self._engines()]
-        fresh = sum(not self._is_old(other) for other in engines)
+        fresh = sum(not self._is_report_stale(other) for other in engines)
         return fresh >= FRESH_SHARE * len(engines)
 
-    def _is_old(self, endpoint: ids.EndpointId) -> bool:
+    def _is_report_stale(self, endpoint: ids.EndpointId) -> bool:
         _load, heard_ms = self._loads.get(endpoint, (None, None))
         if heard_ms is None:
             return False
