--- a/tests/test_gauges.py
+++ b/tests/test_gauges.py
@@ -193,7 +193,7 @@
         'north',
         gauged._askers,
         REGIONS,
-        gauged._attended,
+        gauged._discovery,
         gauged._replica,
         health.Health(clock),
         None,
--- a/wrenspoke/coordination/membership/gauges.py
+++ b/wrenspoke/coordination/membership/gauges.py
@@ -95,7 +95,7 @@
         self._regions = regions
         self._interval_ms = interval_ms
         self._reader = reader
-        self._attended = attended
+        self._discovery = attended
         self._replica = held
         self._client = client
         self._askers = asking
@@ -204,7 +204,7 @@
         """Return the engines of this region that take work."""
         services = self._replica.current.routes.services
         engines = []
-        for found in self._attended.registry.held.values():
+        for found in self._discovery.registry.held.values():
             said = found.said
             service = services.get(said.service)
             if service is None or service.batch is None:
@@ -257,7 +257,7 @@
             self._views.note(status)
         for load in message.loads:
             self._loads[load.endpoint] = (load, now_ms)
-            found = self._attended.registry.held.get(load.endpoint)
+            found = self._discovery.registry.held.get(load.endpoint)
             if found is not None:
                 asked_ms = now_ms - REPORT_TIMEOUT_MS
                 self._on_answer(found.said.address, asked_ms)
@@ -271,5 +271,5 @@
     def _evict_unregistered(self) -> None:
         for known in (self._loads, self._first_seen_ms):
             for endpoint in list(known):
-                if endpoint not in self._attended.registry.held:
+                if endpoint not in self._discovery.registry.held:
                     del known[endpoint]
