--- a/wrenspoke/coordination/membership/gauges.py
+++ b/wrenspoke/coordination/membership/gauges.py
@@ -79,7 +79,7 @@
         regions: collections.abc.Mapping[ids.DataCentreId, ids.RegionId],
         interval_ms: int,
         reader: ReportReader,
-        attended: attendance.DiscoveryClient,
+        discovery: attendance.DiscoveryClient,
         held: replica.Replica,
         client: web.HttpClient,
         asking: askers.RegionPollers,
@@ -95,7 +95,7 @@
         self._regions = regions
         self._interval_ms = interval_ms
         self._reader = reader
-        self._discovery = attended
+        self._discovery = discovery
         self._replica = held
         self._client = client
         self._askers = asking
