--- a/wrenspoke/coordination/membership/gauges.py
+++ b/wrenspoke/coordination/membership/gauges.py
@@ -80,7 +80,7 @@
         interval_ms: int,
         reader: ReportReader,
         discovery: attendance.DiscoveryClient,
-        held: replica.Replica,
+        config_replica: replica.Replica,
         client: web.HttpClient,
         asking: askers.RegionPollers,
         near: partners.RemoteHosts,
@@ -96,7 +96,7 @@
         self._interval_ms = interval_ms
         self._reader = reader
         self._discovery = discovery
-        self._replica = held
+        self._replica = config_replica
         self._client = client
         self._askers = asking
         self._partners = near
