--- a/tests/test_gauges.py
+++ b/tests/test_gauges.py
@@ -191,7 +191,7 @@
     clock = clocks.Clock()
     available = availability.Availability(
         'north',
-        gauged._askers,
+        gauged._pollers,
         REGIONS,
         gauged._discovery,
         gauged._replica,
--- a/wrenspoke/coordination/membership/gauges.py
+++ b/wrenspoke/coordination/membership/gauges.py
@@ -98,7 +98,7 @@
         self._discovery = discovery
         self._replica = config_replica
         self._client = client
-        self._askers = asking
+        self._pollers = asking
         self._partners = near
         self._views = viewed
         self._on_answer = on_answer
@@ -154,8 +154,8 @@
 
     async def _poll_assigned(self) -> None:
         engines = self._engines()
-        self._askers.engines = len(engines)
-        if not self._askers.is_poller():
+        self._pollers.engines = len(engines)
+        if not self._pollers.is_poller():
             return
         answers = await asyncio.gather(
             *(
@@ -171,7 +171,7 @@
         for status in statuses:
             self._views.note(status)
         if heard or statuses:
-            await self._askers.tell(attending.TellRegion(heard, statuses))
+            await self._pollers.tell(attending.TellRegion(heard, statuses))
 
     def _assigned_engines(
         self, engines: list[registry.Registered]
@@ -181,7 +181,7 @@
         Those are the ones that fall to it, and those of the hosts before
         it in order from which no report came of late.
         """
-        asking = self._askers.hosts()
+        asking = self._pollers.hosts()
         own = []
         for found in engines:
             order = routing.rendezvous(found.said.endpoint, asking)
