--- a/wrenspoke/coordination/membership/gauges.py
+++ b/wrenspoke/coordination/membership/gauges.py
@@ -82,7 +82,7 @@
         discovery: attendance.DiscoveryClient,
         config_replica: replica.Replica,
         client: web.HttpClient,
-        asking: askers.RegionPollers,
+        pollers: askers.RegionPollers,
         near: partners.RemoteHosts,
         viewed: views.RegionViews,
         on_answer: collections.abc.Callable[[str, int], None],
@@ -98,7 +98,7 @@
         self._discovery = discovery
         self._replica = config_replica
         self._client = client
-        self._pollers = asking
+        self._pollers = pollers
         self._partners = near
         self._views = viewed
         self._on_answer = on_answer
@@ -109,7 +109,7 @@
         # When an engine of which no load is known was first looked at.
         self._first_seen_ms: dict[ids.EndpointId, int] = {}
         self._tasks = runtime.Tasks()
-        asking.listen(self._merge_broadcast)
+        pollers.listen(self._merge_broadcast)
 
     def start(self) -> None:
         """Begin to ask."""
