--- a/wrenspoke/coordination/membership/gauges.py
+++ b/wrenspoke/coordination/membership/gauges.py
@@ -99,7 +99,7 @@
         self._replica = config_replica
         self._client = client
         self._pollers = pollers
-        self._partners = near
+        self._remote_hosts = near
         self._views = viewed
         self._on_answer = on_answer
         self._gate = gate
@@ -167,7 +167,7 @@
         now_ms = self._clock.mono_ms()
         for load in heard:
             self._loads[load.endpoint] = (load, now_ms)
-        statuses = self._partners.statuses()
+        statuses = self._remote_hosts.statuses()
         for status in statuses:
             self._views.note(status)
         if heard or statuses:
