--- a/wrenspoke/coordination/membership/gauges.py
+++ b/wrenspoke/coordination/membership/gauges.py
@@ -83,7 +83,7 @@
         config_replica: replica.Replica,
         client: web.HttpClient,
         pollers: askers.RegionPollers,
-        near: partners.RemoteHosts,
+        remotes: partners.RemoteHosts,
         viewed: views.RegionViews,
         on_answer: collections.abc.Callable[[str, int], None],
         gate: endpoint_gate.EndpointGate,
@@ -99,7 +99,7 @@
         self._replica = config_replica
         self._client = client
         self._pollers = pollers
-        self._remote_hosts = near
+        self._remote_hosts = remotes
         self._views = viewed
         self._on_answer = on_answer
         self._gate = gate
