--- a/wrenspoke/coordination/membership/gauges.py
+++ b/wrenspoke/coordination/membership/gauges.py
@@ -84,7 +84,7 @@
         client: web.HttpClient,
         pollers: askers.RegionPollers,
         remotes: partners.RemoteHosts,
-        viewed: views.RegionViews,
+        region_statuses: views.RegionViews,
         on_answer: collections.abc.Callable[[str, int], None],
         gate: endpoint_gate.EndpointGate,
         dialect: dialects.Dialect,
@@ -100,7 +100,7 @@
         self._client = client
         self._pollers = pollers
         self._remote_hosts = remotes
-        self._views = viewed
+        self._views = region_statuses
         self._on_answer = on_answer
         self._gate = gate
         self._dialect = dialect
