--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -720,7 +720,7 @@
     Switch(
         'silent engines are used',
         DECISIONS + 'membership/gauges.py',
-        ('        return fresh >= FRESH_SHARE * len(engines)\n'),
+        ('        return fresh >= MIN_FRESH_SHARE * len(engines)\n'),
         ('        return False\n'),
         ('tests/test_gauges.py'),
     ),
--- a/wrenspoke/coordination/membership/gauges.py
+++ b/wrenspoke/coordination/membership/gauges.py
@@ -50,7 +50,7 @@
 # one for the answer, and one that may be missed by chance. A call sent there
 # would wait 3 s until its connection is given up, at each host anew.
 SILENT_INTERVALS = 4
-FRESH_SHARE = 0.5
+MIN_FRESH_SHARE = 0.5
 # A report older than this says nothing about now.
 STALE_AFTER_MS = 2_500
 
@@ -135,7 +135,7 @@
             return False
         engines = [other.said.endpoint for other in self._engines()]
         fresh = sum(not self._is_report_stale(other) for other in engines)
-        return fresh >= FRESH_SHARE * len(engines)
+        return fresh >= MIN_FRESH_SHARE * len(engines)
 
     def _is_report_stale(self, endpoint: ids.EndpointId) -> bool:
         _load, heard_ms = self._loads.get(endpoint, (None, None))
