--- a/tests/test_gauges.py
+++ b/tests/test_gauges.py
@@ -136,7 +136,7 @@
     first, second = asking
     before = {found.said.endpoint for found in own_of(second)}
     assert before.isdisjoint(f.said.endpoint for f in own_of(first))
-    clock.now_ms += gauges.MISSED_INTERVALS * 400 + 1
+    clock.now_ms += gauges.TAKEOVER_INTERVALS * 400 + 1
     assert len(own_of(second)) == len(engines)
     for found in engines:
         second._loads[found.said.endpoint] = (None, clock.now_ms)
--- a/wrenspoke/coordination/membership/gauges.py
+++ b/wrenspoke/coordination/membership/gauges.py
@@ -44,7 +44,7 @@
 REPORT_TIMEOUT_MS = 400
 # So many intervals without a report of an engine, and the host that is next
 # in order asks it too. Two, as one may just have been missed.
-MISSED_INTERVALS = 2
+TAKEOVER_INTERVALS = 2
 # So many intervals without a report, while most engines of the region report,
 # and an engine is taken for lost: two until the next host in order asks it,
 # one for the answer, and one that may be missed by chance. A call sent there
@@ -192,7 +192,7 @@
 
     def _is_overdue(self, found: registry.Registered, place: int) -> bool:
         """Tell whether those before this host in order tell no load."""
-        missed_ms = MISSED_INTERVALS * place * self._interval_ms
+        missed_ms = TAKEOVER_INTERVALS * place * self._interval_ms
         _load, heard_ms = self._loads.get(found.said.endpoint, (None, None))
         if heard_ms is None:
             heard_ms = self._first_seen_ms.setdefault(
