--- a/tests/test_gauges.py
+++ b/tests/test_gauges.py
@@ -69,7 +69,7 @@
     )
     replicated = replica.Replica()
     replicated.current = configuration.Configuration(index=1, routes=table)
-    return gauges.Gauges(
+    return gauges.EngineLoads(
         'north',
         host,
         REGIONS,
--- a/wrenspoke/coordination/membership/gauges.py
+++ b/wrenspoke/coordination/membership/gauges.py
@@ -69,7 +69,7 @@
         """
 
 
-class Gauges:
+class EngineLoads:
     """Hold the newest load of each engine of the region."""
 
     def __init__(
--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -39,7 +39,7 @@
         held: replica.Replica,
         noted: health.Health,
         warmth: warmths.Warmth,
-        known: gauges.Gauges,
+        known: gauges.EngineLoads,
         gate: endpoint_gate.EndpointGate,
         switched_off: collections.abc.Set[mechanisms.Mechanism],
         clock: clocks.Clock,
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -58,7 +58,7 @@
 class Estimator:
     """Estimate first pieces by reports, own sends and what was learned."""
 
-    def __init__(self, known: gauges.Gauges, clock: clocks.Clock):
+    def __init__(self, known: gauges.EngineLoads, clock: clocks.Clock):
         self._gauges = known
         self.prefixes = prefixes.Prefixes()
         self.backlog = backlog.Backlog(clock)
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -163,7 +163,7 @@
         node = self.node
         self._health = health.Health(self.clock)
         self._reach.set_answer_callback(self._host_heard)
-        self._gauges = gauges.Gauges(
+        self._gauges = gauges.EngineLoads(
             node.region,
             node.host,
             node.regions,
