--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -152,7 +152,7 @@
                 warmup_left_ms,
             )
         )
-        path = tmp_path / control.node.ip / kept_registry.FILE
+        path = tmp_path / control.node.ip / kept_registry.SNAPSHOT_FILE
         await nodes.until(path.exists)
         await control.close()
         if not kept:
--- a/wrenspoke/coordination/membership/kept_registry.py
+++ b/wrenspoke/coordination/membership/kept_registry.py
@@ -21,7 +21,7 @@
 
 logger = structlog.get_logger(__name__)
 
-FILE = 'endpoints'
+SNAPSHOT_FILE = 'endpoints'
 # At most so often is a changed registry written.
 INTERVAL_MS = 1_000
 # How long an endpoint that does not renew is believed after a start: two
@@ -55,7 +55,9 @@
 
     def _load(self) -> None:
         try:
-            found, _size = records.decode(FILE, self._disk.read(FILE) or b'')
+            found, _size = records.decode(
+                SNAPSHOT_FILE, self._disk.read(SNAPSHOT_FILE) or b''
+            )
             if not found:
                 return
             kept = msgspec.msgpack.decode(
@@ -83,7 +85,7 @@
             try:
                 # The disk may stall; answers go on meanwhile.
                 await asyncio.to_thread(
-                    self._disk.replace, FILE, records.encode(body)
+                    self._disk.replace, SNAPSHOT_FILE, records.encode(body)
                 )
                 self._written_revision = revision
             except errors.DiskFullError:
