--- a/wrenspoke/coordination/membership/kept_registry.py
+++ b/wrenspoke/coordination/membership/kept_registry.py
@@ -23,7 +23,7 @@
 
 SNAPSHOT_FILE = 'endpoints'
 # At most so often is a changed registry written.
-INTERVAL_MS = 1_000
+SNAPSHOT_INTERVAL_MS = 1_000
 # How long an endpoint that does not renew is believed after a start: two
 # renewals of 1.2 s, the second of them late.
 BELIEVED_MS = 3_000
@@ -77,7 +77,7 @@
 
     async def _run(self) -> None:
         while True:
-            await self._clock.sleep_ms(INTERVAL_MS)
+            await self._clock.sleep_ms(SNAPSHOT_INTERVAL_MS)
             revision = self._registry.revision
             if revision == self._written_revision:
                 continue
