--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -164,7 +164,7 @@
         # Believed for a while only, as nothing renews it here.
         if known:
             age_ms = again.clock.mono_ms() - held['e'].heard_ms
-            assert age_ms >= kept_registry.BELIEVED_MS
+            assert age_ms >= kept_registry.RESTORED_LEASE_MS
 
 
 @pytest.mark.parametrize('leads', [True, False], ids=['leader', 'follower'])
--- a/wrenspoke/coordination/membership/kept_registry.py
+++ b/wrenspoke/coordination/membership/kept_registry.py
@@ -26,7 +26,7 @@
 SNAPSHOT_INTERVAL_MS = 1_000
 # How long an endpoint that does not renew is believed after a start: two
 # renewals of 1.2 s, the second of them late.
-BELIEVED_MS = 3_000
+RESTORED_LEASE_MS = 3_000
 
 
 class KeptRegistry:
@@ -67,7 +67,7 @@
             # It only helps: endpoints renew.
             logger.warning('registry_not_read', reason=str(error))
             return
-        age_ms = registry.SILENT_AFTER_MS - BELIEVED_MS
+        age_ms = registry.SILENT_AFTER_MS - RESTORED_LEASE_MS
         for said in kept:
             if said.warmup_left_ms > 0:
                 # For how long it is still cold is known once it renews.
