--- a/wrenspoke/coordination/membership/kept_registry.py
+++ b/wrenspoke/coordination/membership/kept_registry.py
@@ -68,11 +68,13 @@
             logger.warning('registry_not_read', reason=str(error))
             return
         age_ms = registry.SILENT_AFTER_MS - RESTORED_LEASE_MS
-        for said in kept:
-            if said.warmup_left_ms > 0:
+        for registration in kept:
+            if registration.warmup_left_ms > 0:
                 # For how long it is still cold is known once it renews.
                 continue
-            self._registry.take(msgspec.structs.replace(said, age_ms=age_ms))
+            self._registry.take(
+                msgspec.structs.replace(registration, age_ms=age_ms)
+            )
         logger.info('registry_read', endpoints=len(kept))
 
     async def _run(self) -> None:
