--- a/wrenspoke/coordination/membership/kept_registry.py
+++ b/wrenspoke/coordination/membership/kept_registry.py
@@ -60,7 +60,7 @@
             )
             if not found:
                 return
-            kept = msgspec.msgpack.decode(
+            registrations = msgspec.msgpack.decode(
                 found[0].body, type=list[registry.Registration]
             )
         except (errors.StateError, msgspec.DecodeError) as error:
@@ -68,14 +68,14 @@
             logger.warning('registry_not_read', reason=str(error))
             return
         age_ms = registry.SILENT_AFTER_MS - RESTORED_LEASE_MS
-        for registration in kept:
+        for registration in registrations:
             if registration.warmup_left_ms > 0:
                 # For how long it is still cold is known once it renews.
                 continue
             self._registry.take(
                 msgspec.structs.replace(registration, age_ms=age_ms)
             )
-        logger.info('registry_read', endpoints=len(kept))
+        logger.info('registry_read', endpoints=len(registrations))
 
     async def _run(self) -> None:
         while True:
