--- a/wrenspoke/coordination/membership/kept_registry.py
+++ b/wrenspoke/coordination/membership/kept_registry.py
@@ -35,11 +35,11 @@
     def __init__(
         self,
         folder: pathlib.Path,
-        held: registry.Registry,
+        endpoint_registry: registry.Registry,
         clock: clocks.Clock,
     ):
         self._disk = disk.Disk(folder)
-        self._registry = held
+        self._registry = endpoint_registry
         self._clock = clock
         self._written_revision = 0
         self._tasks = runtime.Tasks()
