--- a/wrenspoke/control_node.py
+++ b/wrenspoke/control_node.py
@@ -64,7 +64,7 @@
             self.clock,
         )
         self._traffic.tell_places(self.registrar.host_location)
-        self._kept_registry = kept_registry.KeptRegistry(
+        self._kept_registry = kept_registry.RegistrySnapshot(
             pathlib.Path(node.data_folder),
             self.registrar.registry,
             self.clock,
--- a/wrenspoke/coordination/membership/kept_registry.py
+++ b/wrenspoke/coordination/membership/kept_registry.py
@@ -29,7 +29,7 @@
 RESTORED_LEASE_MS = 3_000
 
 
-class KeptRegistry:
+class RegistrySnapshot:
     """Write a registry to a file of its own, and read it back."""
 
     def __init__(
