--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -285,4 +285,4 @@
     lease = leases.ConfigurationLease(BOUND_MS, clock)
     lease.confirm(1_000)
     clock.now_ms += 4_500 + gone_ms
-    assert not lease.held and lease.return_in_ms() == wait_ms
+    assert not lease.held and lease.retry_delay_ms() == wait_ms
--- a/wrenspoke/coordination/membership/lease.py
+++ b/wrenspoke/coordination/membership/lease.py
@@ -60,7 +60,7 @@
         """Tell whether there was a lease in this life of the host."""
         return self._length_ms is None or self.granted.is_set()
 
-    def return_in_ms(self) -> int:
+    def retry_delay_ms(self) -> int:
         """Return when a caller without a lease here should come back.
 
         How long a cut or an election lasts is not known. It is taken to
