--- a/wrenspoke/coordination/membership/lease.py
+++ b/wrenspoke/coordination/membership/lease.py
@@ -69,5 +69,5 @@
         if self._as_of_ms is None or self._length_ms is None:
             return LEAST_WAIT_MS
         ended_ms = self._as_of_ms + self._length_ms
-        gone_ms = self._clock.mono_ms() - ended_ms
-        return min(max(gone_ms, LEAST_WAIT_MS), LONGEST_WAIT_MS)
+        expired_ms = self._clock.mono_ms() - ended_ms
+        return min(max(expired_ms, LEAST_WAIT_MS), LONGEST_WAIT_MS)
