--- a/wrenspoke/coordination/membership/lease.py
+++ b/wrenspoke/coordination/membership/lease.py
@@ -20,7 +20,7 @@
 # and for what passes between the last look and the engine's first byte.
 LEASE_SHARE = 0.9
 # An answer that is asked for again at once: some ways within a region.
-LEAST_WAIT_MS = 100
+MIN_RETRY_MS = 100
 # Callers look for another host meanwhile; longer they need not stay away.
 LONGEST_WAIT_MS = 2_000
 
@@ -67,7 +67,7 @@
         last as long again as it has, within bounds.
         """
         if self._as_of_ms is None or self._length_ms is None:
-            return LEAST_WAIT_MS
+            return MIN_RETRY_MS
         ended_ms = self._as_of_ms + self._length_ms
         expired_ms = self._clock.mono_ms() - ended_ms
-        return min(max(expired_ms, LEAST_WAIT_MS), LONGEST_WAIT_MS)
+        return min(max(expired_ms, MIN_RETRY_MS), LONGEST_WAIT_MS)
