--- a/wrenspoke/coordination/membership/lease.py
+++ b/wrenspoke/coordination/membership/lease.py
@@ -22,7 +22,7 @@
 # An answer that is asked for again at once: some ways within a region.
 MIN_RETRY_MS = 100
 # Callers look for another host meanwhile; longer they need not stay away.
-LONGEST_WAIT_MS = 2_000
+MAX_RETRY_MS = 2_000
 
 
 class ConfigurationLease:
@@ -70,4 +70,4 @@
             return MIN_RETRY_MS
         ended_ms = self._as_of_ms + self._length_ms
         expired_ms = self._clock.mono_ms() - ended_ms
-        return min(max(expired_ms, MIN_RETRY_MS), LONGEST_WAIT_MS)
+        return min(max(expired_ms, MIN_RETRY_MS), MAX_RETRY_MS)
