--- a/wrenspoke/coordination/membership/leaving.py
+++ b/wrenspoke/coordination/membership/leaving.py
@@ -70,7 +70,7 @@
             if self._host not in self._members.relays():
                 continue
             listed = await self._read()
-            if self._mark(listed):
+            if self._mark_leaving(listed):
                 await self._members.tell_now()
 
     async def _read(self) -> list[ListedHost]:
@@ -87,7 +87,7 @@
             logger.info('platform_unknown', error=repr(error))
             return []
 
-    def _mark(self, listed: list[ListedHost]) -> bool:
+    def _mark_leaving(self, listed: list[ListedHost]) -> bool:
         current = self._replica.current
         news = False
         for host in listed:
