--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -144,8 +144,8 @@
     Switch(
         'list takes leaving back',
         DECISIONS + 'membership/leaving.py',
-        ('        news = False\n'),
-        ('        news = False\n        self._replica.leaving.clear()\n'),
+        ('        changed = False\n'),
+        ('        changed = False\n        self._replica.leaving.clear()\n'),
         ('tests/test_leaving.py::test_platform_list_only_ever_adds_leaving'),
     ),
     Switch(
--- a/wrenspoke/coordination/membership/leaving.py
+++ b/wrenspoke/coordination/membership/leaving.py
@@ -89,7 +89,7 @@
 
     def _mark_leaving(self, listed: list[ListedHost]) -> bool:
         current = self._replica.current
-        news = False
+        changed = False
         for host in listed:
             if host.state != LEAVING:
                 continue
@@ -97,8 +97,8 @@
                 if endpoint in self._replica.leaving:
                     continue
                 self._replica.leaving.add(endpoint)
-                news = True
+                changed = True
                 logger.warning(
                     'endpoint_leaving', endpoint=endpoint, source='platform'
                 )
-        return news
+        return changed
