--- a/wrenspoke/coordination/membership/leaving.py
+++ b/wrenspoke/coordination/membership/leaving.py
@@ -69,11 +69,11 @@
             await self._clock.sleep_ms(INTERVAL_MS)
             if self._host not in self._members.relays():
                 continue
-            listed = await self._read()
+            listed = await self._fetch_hosts()
             if self._mark_leaving(listed):
                 await self._members.tell_now()
 
-    async def _read(self) -> list[ListedHost]:
+    async def _fetch_hosts(self) -> list[ListedHost]:
         try:
             async with clocks.timeout_ms(INTERVAL_MS):
                 async with self._client.send('GET', self._url, {}) as found:
