--- a/wrenspoke/coordination/membership/leaving.py
+++ b/wrenspoke/coordination/membership/leaving.py
@@ -43,14 +43,14 @@
         url: str | None,
         host: str,
         client: web.HttpClient,
-        watched: members.Members,
+        host_members: members.Members,
         held: replica.Replica,
         clock: clocks.Clock,
     ):
         self._url = url
         self._host = host
         self._client = client
-        self._members = watched
+        self._members = host_members
         self._replica = held
         self._clock = clock
         self._tasks = runtime.Tasks()
