--- a/wrenspoke/coordination/membership/leaving.py
+++ b/wrenspoke/coordination/membership/leaving.py
@@ -44,14 +44,14 @@
         host: str,
         client: web.HttpClient,
         host_members: members.Members,
-        held: replica.Replica,
+        config_replica: replica.Replica,
         clock: clocks.Clock,
     ):
         self._url = url
         self._host = host
         self._client = client
         self._members = host_members
-        self._replica = held
+        self._replica = config_replica
         self._clock = clock
         self._tasks = runtime.Tasks()
 
