--- a/wrenspoke/coordination/membership/leaving.py
+++ b/wrenspoke/coordination/membership/leaving.py
@@ -18,7 +18,7 @@
 logger = structlog.get_logger(__name__)
 
 LIST_LIMIT_BYTES = 16 * 1024 * 1024
-INTERVAL_MS = 1_000
+LIST_INTERVAL_MS = 1_000
 LEAVING = 'leaving'
 
 
@@ -66,7 +66,7 @@
 
     async def _run(self) -> None:
         while True:
-            await self._clock.sleep_ms(INTERVAL_MS)
+            await self._clock.sleep_ms(LIST_INTERVAL_MS)
             if self._host not in self._members.relays():
                 continue
             listed = await self._fetch_hosts()
@@ -75,7 +75,7 @@
 
     async def _fetch_hosts(self) -> list[ListedHost]:
         try:
-            async with clocks.timeout_ms(INTERVAL_MS):
+            async with clocks.timeout_ms(LIST_INTERVAL_MS):
                 async with self._client.send('GET', self._url, {}) as found:
                     body = await web.read_whole(found, LIST_LIMIT_BYTES)
             return msgspec.json.decode(body, type=HostList).hosts
