--- a/wrenspoke/coordination/membership/leaving.py
+++ b/wrenspoke/coordination/membership/leaving.py
@@ -35,7 +35,7 @@
     hosts: list[ListedHost]
 
 
-class LeavingWatcher:
+class HostListPoller:
     """Take endpoints that the platform lists as leaving out of use."""
 
     def __init__(
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -104,7 +104,7 @@
             self.replica,
             self._clock,
         )
-        self._leaving = leaving.LeavingWatcher(
+        self._leaving = leaving.HostListPoller(
             self._settings.platform_url,
             self._host,
             self._client,
