--- a/wrenspoke/coordination/membership/loads.py
+++ b/wrenspoke/coordination/membership/loads.py
@@ -57,7 +57,9 @@
         self._reports: dict[ids.EndpointId, Reported] = {}
         self._down_ms: dict[ids.EndpointId, int] = {}
 
-    def observe_first(self, endpoint: ids.EndpointId, first_ms: float) -> None:
+    def observe_first_token(
+        self, endpoint: ids.EndpointId, first_ms: float
+    ) -> None:
         """Note the time to a first token or whole answer."""
         speed = self._speeds.setdefault(endpoint, Speed())
         if speed.seen_ms is None:
--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -242,7 +242,7 @@
         def first() -> None:
             if not seen:
                 seen.append(clock.mono_ms() - started_ms)
-                self._server.loads.observe_first(send.endpoint, seen[0])
+                self._server.loads.observe_first_token(send.endpoint, seen[0])
 
         stall_ms = self._server.settings.stall_timeout_ms
         first_ms = self._server.loads.first_patience_ms(
