--- a/wrenspoke/coordination/membership/loads.py
+++ b/wrenspoke/coordination/membership/loads.py
@@ -68,7 +68,9 @@
         speed.first_ms += SMOOTHING * (first_ms - speed.first_ms)
         speed.seen_ms = self._clock.mono_ms()
 
-    def observe_hold(self, endpoint: ids.EndpointId, hold_ms: float) -> None:
+    def observe_occupancy(
+        self, endpoint: ids.EndpointId, hold_ms: float
+    ) -> None:
         """Note how long a request held its place at an endpoint."""
         speed = self._speeds.setdefault(endpoint, Speed(hold_ms=hold_ms))
         speed.hold_ms += SMOOTHING * (hold_ms - speed.hold_ms)
--- a/wrenspoke/coordination/serving/local.py
+++ b/wrenspoke/coordination/serving/local.py
@@ -294,7 +294,7 @@
             taken_ms = self.clock.mono_ms() - started_ms
             self.loads.answered(send.endpoint)
             self.loads.observe_first_token(send.endpoint, taken_ms)
-            self.loads.observe_hold(send.endpoint, taken_ms)
+            self.loads.observe_occupancy(send.endpoint, taken_ms)
             self.placer.sessions.used(send.head.session, send.endpoint)
             found = dict(answer.headers)
             found[headers.ENDPOINT] = send.endpoint
--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -276,7 +276,7 @@
             self._cancel(send)
             raise
         taken_ms = clock.mono_ms() - started_ms
-        self._server.loads.observe_hold(send.endpoint, taken_ms)
+        self._server.loads.observe_occupancy(send.endpoint, taken_ms)
         self._server.placer.sessions.used(send.head.session, send.endpoint)
         send.slot.release(succeeded=True)
         await reply.close()
