--- a/wrenspoke/coordination/membership/loads.py
+++ b/wrenspoke/coordination/membership/loads.py
@@ -53,7 +53,9 @@
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
         self._speeds: dict[ids.EndpointId, Speed] = {}
-        self.on_first: collections.abc.Callable[[str, float], None] = _ignore
+        self.on_first_token: collections.abc.Callable[[str, float], None] = (
+            _ignore
+        )
         self._reports: dict[ids.EndpointId, Reported] = {}
         self._down_ms: dict[ids.EndpointId, int] = {}
 
@@ -64,7 +66,7 @@
         speed = self._speeds.setdefault(endpoint, Speed())
         if speed.seen_ms is None:
             speed.first_ms = first_ms
-        self.on_first(endpoint, first_ms)
+        self.on_first_token(endpoint, first_ms)
         speed.first_ms += SMOOTHING * (first_ms - speed.first_ms)
         speed.seen_ms = self._clock.mono_ms()
 
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -280,7 +280,7 @@
         self._metrics = metrics.Metrics(self._host)
         # Endpoints with gauges of backoffs and leaves.
         self._shown: set[ids.EndpointId] = set()
-        self.loads.on_first = self._metrics.observe_first_ms
+        self.loads.on_first_token = self._metrics.observe_first_ms
         application = entry_surface.application()
         application.router.add_get('/metrics', self._show_metrics)
         self._web = web.HttpServer(application)
