--- a/wrenspoke/coordination/membership/loads.py
+++ b/wrenspoke/coordination/membership/loads.py
@@ -77,7 +77,7 @@
         speed = self._speeds.setdefault(endpoint, Speed(hold_ms=hold_ms))
         speed.hold_ms += SMOOTHING * (hold_ms - speed.hold_ms)
 
-    def failed(self, endpoint: ids.EndpointId) -> None:
+    def record_connect_failure(self, endpoint: ids.EndpointId) -> None:
         """Note that no connection to an endpoint could be made."""
         self._down_ms[endpoint] = self._clock.mono_ms()
 
