--- a/wrenspoke/coordination/membership/loads.py
+++ b/wrenspoke/coordination/membership/loads.py
@@ -81,7 +81,7 @@
         """Note that no connection to an endpoint could be made."""
         self._down_ms[endpoint] = self._clock.mono_ms()
 
-    def answered(self, endpoint: ids.EndpointId) -> None:
+    def record_answer(self, endpoint: ids.EndpointId) -> None:
         """Note that an endpoint gave an answer."""
         self._down_ms.pop(endpoint, None)
 
@@ -114,7 +114,7 @@
     def report(self, report: messages.LoadReport) -> None:
         """Keep a report unless a newer one is here."""
         true_at_ms = self._clock.mono_ms() - report.age_ms
-        self.answered(report.endpoint)
+        self.record_answer(report.endpoint)
         known = self._reports.get(report.endpoint)
         if known is not None and known.true_at_ms >= true_at_ms:
             return
