--- a/wrenspoke/coordination/membership/loads.py
+++ b/wrenspoke/coordination/membership/loads.py
@@ -95,7 +95,7 @@
             return False
         return self._clock.mono_ms() - down_ms < DOWN_FOR_MS
 
-    def speed(self, endpoint: ids.EndpointId) -> Speed:
+    def latency(self, endpoint: ids.EndpointId) -> Speed:
         """Return an endpoint's times; an old one is believed less.
 
         What was measured long ago fades towards the first guess, so that
@@ -145,7 +145,7 @@
         """
         report = self.reported(endpoint)
         waiting = 0 if report is None else report.waiting
-        return stall_ms + (waiting + 1) * self.speed(endpoint).hold_ms
+        return stall_ms + (waiting + 1) * self.latency(endpoint).hold_ms
 
     def digest(
         self, endpoints: list[ids.EndpointId]
--- a/wrenspoke/coordination/serving/routing.py
+++ b/wrenspoke/coordination/serving/routing.py
@@ -161,7 +161,7 @@
     endpoint: configuration.Endpoint, view: View, warm_share: float
 ) -> float:
     """Estimate when the first token would come from an endpoint."""
-    speed = view.loads.speed(endpoint.endpoint)
+    speed = view.loads.latency(endpoint.endpoint)
     total = _expected_load(endpoint, view)
     ahead = max(0, total + 1 - endpoint.slots)
     wait_ms = ahead * speed.hold_ms / endpoint.slots
