--- a/wrenspoke/coordination/membership/loads.py
+++ b/wrenspoke/coordination/membership/loads.py
@@ -52,7 +52,7 @@
 
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
-        self._speeds: dict[ids.EndpointId, Speed] = {}
+        self._latencies: dict[ids.EndpointId, Speed] = {}
         self.on_first_token: collections.abc.Callable[[str, float], None] = (
             _ignore
         )
@@ -63,7 +63,7 @@
         self, endpoint: ids.EndpointId, first_ms: float
     ) -> None:
         """Note the time to a first token or whole answer."""
-        speed = self._speeds.setdefault(endpoint, Speed())
+        speed = self._latencies.setdefault(endpoint, Speed())
         if speed.seen_ms is None:
             speed.first_ms = first_ms
         self.on_first_token(endpoint, first_ms)
@@ -74,7 +74,7 @@
         self, endpoint: ids.EndpointId, hold_ms: float
     ) -> None:
         """Note how long a request held its place at an endpoint."""
-        speed = self._speeds.setdefault(endpoint, Speed(hold_ms=hold_ms))
+        speed = self._latencies.setdefault(endpoint, Speed(hold_ms=hold_ms))
         speed.hold_ms += SMOOTHING * (hold_ms - speed.hold_ms)
 
     def record_connect_failure(self, endpoint: ids.EndpointId) -> None:
@@ -101,7 +101,7 @@
         What was measured long ago fades towards the first guess, so that
         an endpoint that was slow is tried again.
         """
-        speed = self._speeds.get(endpoint)
+        speed = self._latencies.get(endpoint)
         if speed is None or speed.seen_ms is None:
             return Speed() if speed is None else speed
         age_ms = self._clock.mono_ms() - speed.seen_ms
