--- a/wrenspoke/coordination/membership/loads.py
+++ b/wrenspoke/coordination/membership/loads.py
@@ -111,7 +111,7 @@
         first_ms = weight * speed.first_ms + (1 - weight) * FIRST_GUESS_MS
         return Speed(first_ms, speed.hold_ms, speed.seen_ms)
 
-    def report(self, report: messages.LoadReport) -> None:
+    def add_report(self, report: messages.LoadReport) -> None:
         """Keep a report unless a newer one is here."""
         true_at_ms = self._clock.mono_ms() - report.age_ms
         self.record_answer(report.endpoint)
