--- a/wrenspoke/coordination/membership/loads.py
+++ b/wrenspoke/coordination/membership/loads.py
@@ -122,7 +122,7 @@
             report.running, report.waiting, true_at_ms
         )
 
-    def reported(self, endpoint: ids.EndpointId) -> Reported | None:
+    def latest_report(self, endpoint: ids.EndpointId) -> Reported | None:
         """Return the newest report that is not stale."""
         report = self._reports.get(endpoint)
         if report is None:
@@ -133,7 +133,7 @@
 
     def crowded(self, endpoint: ids.EndpointId) -> bool:
         """Tell whether an endpoint last reported work that waits."""
-        report = self.reported(endpoint)
+        report = self.latest_report(endpoint)
         return report is not None and report.waiting > 0
 
     def first_patience_ms(
@@ -143,7 +143,7 @@
 
         An engine that has work waiting is slow to begin, not broken.
         """
-        report = self.reported(endpoint)
+        report = self.latest_report(endpoint)
         waiting = 0 if report is None else report.waiting
         return stall_ms + (waiting + 1) * self.latency(endpoint).hold_ms
 
@@ -154,7 +154,7 @@
         now_ms = self._clock.mono_ms()
         reports = []
         for endpoint in endpoints:
-            report = self.reported(endpoint)
+            report = self.latest_report(endpoint)
             if report is None:
                 continue
             reports.append(
--- a/wrenspoke/coordination/serving/routing.py
+++ b/wrenspoke/coordination/serving/routing.py
@@ -131,7 +131,7 @@
     return [
         Ranked(
             endpoint,
-            _reported_total(view.loads.reported(endpoint.endpoint)),
+            _reported_total(view.loads.latest_report(endpoint.endpoint)),
         )
         for endpoint in endpoints
     ]
@@ -173,7 +173,7 @@
 
 def _expected_load(endpoint: configuration.Endpoint, view: View) -> int:
     own = view.limits.in_flight(endpoint.endpoint)
-    reported = _reported_total(view.loads.reported(endpoint.endpoint))
+    reported = _reported_total(view.loads.latest_report(endpoint.endpoint))
     return max(own, reported)
 
 
