--- a/wrenspoke/coordination/membership/loads.py
+++ b/wrenspoke/coordination/membership/loads.py
@@ -131,7 +131,7 @@
             return None
         return report
 
-    def crowded(self, endpoint: ids.EndpointId) -> bool:
+    def has_queue(self, endpoint: ids.EndpointId) -> bool:
         """Tell whether an endpoint last reported work that waits."""
         report = self.latest_report(endpoint)
         return report is not None and report.waiting > 0
