--- a/wrenspoke/coordination/membership/loads.py
+++ b/wrenspoke/coordination/membership/loads.py
@@ -136,7 +136,7 @@
         report = self.latest_report(endpoint)
         return report is not None and report.waiting > 0
 
-    def first_patience_ms(
+    def first_event_timeout_ms(
         self, endpoint: ids.EndpointId, stall_ms: float
     ) -> float:
         """Return how long a first event may take before it is late.
--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -245,7 +245,7 @@
                 self._server.loads.observe_first_token(send.endpoint, seen[0])
 
         stall_ms = self._server.settings.stall_timeout_ms
-        first_ms = self._server.loads.first_patience_ms(
+        first_ms = self._server.loads.first_event_timeout_ms(
             send.endpoint, stall_ms
         )
         left_ms = send.head.deadline_ms - started_ms
