--- a/wrenspoke/coordination/membership/loads.py
+++ b/wrenspoke/coordination/membership/loads.py
@@ -147,7 +147,7 @@
         waiting = 0 if report is None else report.waiting
         return stall_ms + (waiting + 1) * self.latency(endpoint).hold_ms
 
-    def digest(
+    def fresh_reports(
         self, endpoints: list[ids.EndpointId]
     ) -> list[messages.LoadReport]:
         """Return the reports on some endpoints for the peers."""
