--- a/wrenspoke/coordination/membership/loads.py
+++ b/wrenspoke/coordination/membership/loads.py
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass
-class Reported:
+class TimedReport:
     """Hold a load report and when it was true, on this host's clock."""
 
     running: int
@@ -56,7 +56,7 @@
         self.on_first_token: collections.abc.Callable[[str, float], None] = (
             _ignore
         )
-        self._reports: dict[ids.EndpointId, Reported] = {}
+        self._reports: dict[ids.EndpointId, TimedReport] = {}
         self._down_ms: dict[ids.EndpointId, int] = {}
 
     def observe_first_token(
@@ -118,11 +118,11 @@
         known = self._reports.get(report.endpoint)
         if known is not None and known.true_at_ms >= true_at_ms:
             return
-        self._reports[report.endpoint] = Reported(
+        self._reports[report.endpoint] = TimedReport(
             report.running, report.waiting, true_at_ms
         )
 
-    def latest_report(self, endpoint: ids.EndpointId) -> Reported | None:
+    def latest_report(self, endpoint: ids.EndpointId) -> TimedReport | None:
         """Return the newest report that is not stale."""
         report = self._reports.get(endpoint)
         if report is None:
--- a/wrenspoke/coordination/serving/routing.py
+++ b/wrenspoke/coordination/serving/routing.py
@@ -137,7 +137,7 @@
     ]
 
 
-def _reported_total(report: loads.Reported | None) -> int:
+def _reported_total(report: loads.TimedReport | None) -> int:
     return 0 if report is None else report.running + report.waiting
 
 
