--- a/wrenspoke/coordination/membership/loads.py
+++ b/wrenspoke/coordination/membership/loads.py
@@ -40,7 +40,7 @@
 
     running: int
     waiting: int
-    true_at_ms: int
+    sampled_ms: int
 
 
 def _ignore(_endpoint: str, _first_ms: float) -> None:
@@ -116,7 +116,7 @@
         true_at_ms = self._clock.mono_ms() - report.age_ms
         self.record_answer(report.endpoint)
         known = self._reports.get(report.endpoint)
-        if known is not None and known.true_at_ms >= true_at_ms:
+        if known is not None and known.sampled_ms >= true_at_ms:
             return
         self._reports[report.endpoint] = TimedReport(
             report.running, report.waiting, true_at_ms
@@ -127,7 +127,7 @@
         report = self._reports.get(endpoint)
         if report is None:
             return None
-        if self._clock.mono_ms() - report.true_at_ms > STALE_MS:
+        if self._clock.mono_ms() - report.sampled_ms > STALE_MS:
             return None
         return report
 
@@ -162,7 +162,7 @@
                     endpoint,
                     report.running,
                     report.waiting,
-                    now_ms - report.true_at_ms,
+                    now_ms - report.sampled_ms,
                 )
             )
         return reports
