--- a/wrenspoke/coordination/membership/loads.py
+++ b/wrenspoke/coordination/membership/loads.py
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass
-class Speed:
+class LatencyEstimate:
     """Hold smoothed times of one endpoint as seen from this host."""
 
     first_ms: float = FIRST_GUESS_MS
@@ -52,7 +52,7 @@
 
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
-        self._latencies: dict[ids.EndpointId, Speed] = {}
+        self._latencies: dict[ids.EndpointId, LatencyEstimate] = {}
         self.on_first_token: collections.abc.Callable[[str, float], None] = (
             _ignore
         )
@@ -63,7 +63,7 @@
         self, endpoint: ids.EndpointId, first_ms: float
     ) -> None:
         """Note the time to a first token or whole answer."""
-        speed = self._latencies.setdefault(endpoint, Speed())
+        speed = self._latencies.setdefault(endpoint, LatencyEstimate())
         if speed.seen_ms is None:
             speed.first_ms = first_ms
         self.on_first_token(endpoint, first_ms)
@@ -74,7 +74,9 @@
         self, endpoint: ids.EndpointId, hold_ms: float
     ) -> None:
         """Note how long a request held its place at an endpoint."""
-        speed = self._latencies.setdefault(endpoint, Speed(hold_ms=hold_ms))
+        speed = self._latencies.setdefault(
+            endpoint, LatencyEstimate(hold_ms=hold_ms)
+        )
         speed.hold_ms += SMOOTHING * (hold_ms - speed.hold_ms)
 
     def record_connect_failure(self, endpoint: ids.EndpointId) -> None:
@@ -95,7 +97,7 @@
             return False
         return self._clock.mono_ms() - down_ms < DOWN_FOR_MS
 
-    def latency(self, endpoint: ids.EndpointId) -> Speed:
+    def latency(self, endpoint: ids.EndpointId) -> LatencyEstimate:
         """Return an endpoint's times; an old one is believed less.
 
         What was measured long ago fades towards the first guess, so that
@@ -103,13 +105,13 @@
         """
         speed = self._latencies.get(endpoint)
         if speed is None or speed.seen_ms is None:
-            return Speed() if speed is None else speed
+            return LatencyEstimate() if speed is None else speed
         age_ms = self._clock.mono_ms() - speed.seen_ms
         if age_ms <= FORGET_MS:
             return speed
         weight = FORGET_MS / age_ms
         first_ms = weight * speed.first_ms + (1 - weight) * FIRST_GUESS_MS
-        return Speed(first_ms, speed.hold_ms, speed.seen_ms)
+        return LatencyEstimate(first_ms, speed.hold_ms, speed.seen_ms)
 
     def add_report(self, report: messages.LoadReport) -> None:
         """Keep a report unless a newer one is here."""
