--- a/wrenspoke/coordination/membership/loads.py
+++ b/wrenspoke/coordination/membership/loads.py
@@ -30,7 +30,7 @@
     """Hold smoothed times of one endpoint as seen from this host."""
 
     first_ms: float = FIRST_GUESS_MS
-    hold_ms: float = HOLD_GUESS_MS
+    occupancy_ms: float = HOLD_GUESS_MS
     seen_ms: int | None = None
 
 
@@ -147,7 +147,7 @@
         """
         report = self.latest_report(endpoint)
         waiting = 0 if report is None else report.waiting
-        return stall_ms + (waiting + 1) * self.latency(endpoint).hold_ms
+        return stall_ms + (waiting + 1) * self.latency(endpoint).occupancy_ms
 
     def fresh_reports(
         self, endpoints: list[ids.EndpointId]
