--- a/wrenspoke/coordination/membership/loads.py
+++ b/wrenspoke/coordination/membership/loads.py
@@ -29,7 +29,7 @@
 class LatencyEstimate:
     """Hold smoothed times of one endpoint as seen from this host."""
 
-    first_ms: float = FIRST_GUESS_MS
+    first_token_ms: float = FIRST_GUESS_MS
     occupancy_ms: float = HOLD_GUESS_MS
     seen_ms: int | None = None
 
