--- a/wrenspoke/coordination/membership/loads.py
+++ b/wrenspoke/coordination/membership/loads.py
@@ -43,7 +43,7 @@
     sampled_ms: int
 
 
-def _ignore(_endpoint: str, _first_ms: float) -> None:
+def _discard_sample(_endpoint: str, _first_ms: float) -> None:
     """Be where times go until somebody collects them."""
 
 
@@ -54,7 +54,7 @@
         self._clock = clock
         self._latencies: dict[ids.EndpointId, LatencyEstimate] = {}
         self.on_first_token: collections.abc.Callable[[str, float], None] = (
-            _ignore
+            _discard_sample
         )
         self._reports: dict[ids.EndpointId, TimedReport] = {}
         self._down_ms: dict[ids.EndpointId, int] = {}
