--- a/wrenspoke/coordination/membership/loads.py
+++ b/wrenspoke/coordination/membership/loads.py
@@ -9,7 +9,7 @@
 from wrenspoke import ids
 from wrenspoke.protocol import messages
 
-SMOOTHING = 0.2
+EWMA_WEIGHT = 0.2
 STALE_MS = 10_000
 DOWN_FOR_MS = 1_000
 FORGET_MS = 15_000
@@ -67,7 +67,7 @@
         if speed.seen_ms is None:
             speed.first_ms = first_ms
         self.on_first_token(endpoint, first_ms)
-        speed.first_ms += SMOOTHING * (first_ms - speed.first_ms)
+        speed.first_ms += EWMA_WEIGHT * (first_ms - speed.first_ms)
         speed.seen_ms = self._clock.mono_ms()
 
     def observe_occupancy(
@@ -77,7 +77,7 @@
         speed = self._latencies.setdefault(
             endpoint, LatencyEstimate(hold_ms=hold_ms)
         )
-        speed.hold_ms += SMOOTHING * (hold_ms - speed.hold_ms)
+        speed.hold_ms += EWMA_WEIGHT * (hold_ms - speed.hold_ms)
 
     def record_connect_failure(self, endpoint: ids.EndpointId) -> None:
         """Note that no connection to an endpoint could be made."""
