--- a/wrenspoke/coordination/membership/loads.py
+++ b/wrenspoke/coordination/membership/loads.py
@@ -11,7 +11,7 @@
 
 EWMA_WEIGHT = 0.2
 STALE_MS = 10_000
-DOWN_FOR_MS = 1_000
+DOWN_TTL_MS = 1_000
 FORGET_MS = 15_000
 FIRST_GUESS_MS = 200.0
 HOLD_GUESS_MS = 1_000.0
@@ -95,7 +95,7 @@
         down_ms = self._down_ms.get(endpoint)
         if down_ms is None:
             return False
-        return self._clock.mono_ms() - down_ms < DOWN_FOR_MS
+        return self._clock.mono_ms() - down_ms < DOWN_TTL_MS
 
     def latency(self, endpoint: ids.EndpointId) -> LatencyEstimate:
         """Return an endpoint's times; an old one is believed less.
