--- a/wrenspoke/coordination/membership/loads.py
+++ b/wrenspoke/coordination/membership/loads.py
@@ -12,7 +12,7 @@
 EWMA_WEIGHT = 0.2
 STALE_MS = 10_000
 DOWN_TTL_MS = 1_000
-FORGET_MS = 15_000
+LATENCY_TTL_MS = 15_000
 FIRST_GUESS_MS = 200.0
 HOLD_GUESS_MS = 1_000.0
 
@@ -107,9 +107,9 @@
         if speed is None or speed.seen_ms is None:
             return LatencyEstimate() if speed is None else speed
         age_ms = self._clock.mono_ms() - speed.seen_ms
-        if age_ms <= FORGET_MS:
+        if age_ms <= LATENCY_TTL_MS:
             return speed
-        weight = FORGET_MS / age_ms
+        weight = LATENCY_TTL_MS / age_ms
         first_ms = weight * speed.first_ms + (1 - weight) * FIRST_GUESS_MS
         return LatencyEstimate(first_ms, speed.hold_ms, speed.seen_ms)
 
