--- a/wrenspoke/coordination/membership/loads.py
+++ b/wrenspoke/coordination/membership/loads.py
@@ -13,7 +13,7 @@
 STALE_MS = 10_000
 DOWN_TTL_MS = 1_000
 LATENCY_TTL_MS = 15_000
-FIRST_GUESS_MS = 200.0
+DEFAULT_FIRST_TOKEN_MS = 200.0
 HOLD_GUESS_MS = 1_000.0
 
 
@@ -29,7 +29,7 @@
 class LatencyEstimate:
     """Hold smoothed times of one endpoint as seen from this host."""
 
-    first_token_ms: float = FIRST_GUESS_MS
+    first_token_ms: float = DEFAULT_FIRST_TOKEN_MS
     occupancy_ms: float = HOLD_GUESS_MS
     seen_ms: int | None = None
 
@@ -110,7 +110,9 @@
         if age_ms <= LATENCY_TTL_MS:
             return speed
         weight = LATENCY_TTL_MS / age_ms
-        first_ms = weight * speed.first_ms + (1 - weight) * FIRST_GUESS_MS
+        first_ms = (
+            weight * speed.first_ms + (1 - weight) * DEFAULT_FIRST_TOKEN_MS
+        )
         return LatencyEstimate(first_ms, speed.hold_ms, speed.seen_ms)
 
     def add_report(self, report: messages.LoadReport) -> None:
