--- a/wrenspoke/coordination/membership/loads.py
+++ b/wrenspoke/coordination/membership/loads.py
@@ -14,7 +14,7 @@
 DOWN_TTL_MS = 1_000
 LATENCY_TTL_MS = 15_000
 DEFAULT_FIRST_TOKEN_MS = 200.0
-HOLD_GUESS_MS = 1_000.0
+DEFAULT_OCCUPANCY_MS = 1_000.0
 
 
 class EngineLoad(msgspec.Struct):
@@ -30,7 +30,7 @@
     """Hold smoothed times of one endpoint as seen from this host."""
 
     first_token_ms: float = DEFAULT_FIRST_TOKEN_MS
-    occupancy_ms: float = HOLD_GUESS_MS
+    occupancy_ms: float = DEFAULT_OCCUPANCY_MS
     seen_ms: int | None = None
 
 
