--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -144,7 +144,7 @@
     clock = clocks.Clock()
     candidates = held.active('s', 'region-1')
     view = routing.View(
-        loads.Loads(clock),
+        loads.LoadTable(clock),
         limits.Limits(clock),
         routing.Sessions(),
         held.current.services['s'],
--- a/wrenspoke/coordination/membership/loads.py
+++ b/wrenspoke/coordination/membership/loads.py
@@ -47,7 +47,7 @@
     """Be where times go until somebody collects them."""
 
 
-class Loads:
+class LoadTable:
     """Collect load reports and measured times by endpoint."""
 
     def __init__(self, clock: clocks.Clock):
--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -49,7 +49,7 @@
         host: settings.HostSettings,
         peers: peer_calls.Peers,
         held: replica.Replica,
-        load_table: loads.Loads,
+        load_table: loads.LoadTable,
         limit_table: limits.Limits,
         clock: clocks.Clock,
     ):
--- a/wrenspoke/coordination/membership/polls.py
+++ b/wrenspoke/coordination/membership/polls.py
@@ -35,7 +35,7 @@
         dispatcher: dispatch.Dispatcher,
         watched: members.Members,
         held: replica.Replica,
-        load_table: loads.Loads,
+        load_table: loads.LoadTable,
         limit_table: limits.Limits,
         clock: clocks.Clock,
     ):
--- a/wrenspoke/coordination/serving/local.py
+++ b/wrenspoke/coordination/serving/local.py
@@ -195,7 +195,7 @@
         limits: settings.EntrySettings,
         dispatcher: dispatch.Dispatcher,
         placer: placement.Placer,
-        load_table: loads.Loads,
+        load_table: loads.LoadTable,
         noted: decisions.Decisions,
         clock: clocks.Clock,
     ):
--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -121,7 +121,7 @@
         region: ids.RegionId,
         limits_settings: settings.EntrySettings,
         held: replica.Replica,
-        load_table: loads.Loads,
+        load_table: loads.LoadTable,
         limit_table: limits.Limits,
         gate: endpoint_gate.EndpointGate,
         noted: decisions.Decisions,
--- a/wrenspoke/coordination/serving/routing.py
+++ b/wrenspoke/coordination/serving/routing.py
@@ -26,7 +26,7 @@
 class View:
     """Hold what a policy may look at."""
 
-    loads: loads.Loads
+    loads: loads.LoadTable
     limits: limits.Limits
     sessions: 'Sessions'
     service: configuration.Service
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -75,7 +75,7 @@
         )
         self.replica = replica.Replica()
         self.decisions = decisions.Decisions(self._clock)
-        self.loads = loads.Loads(self._clock)
+        self.loads = loads.LoadTable(self._clock)
         self._limits = limits.Limits(self._clock)
         self._build_membership()
         self._build_limits()
