--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass
-class Seen:
+class PeerState:
     """Hold what was last heard of a host."""
 
     heard_ms: int
@@ -70,7 +70,7 @@
             if entry.data_centre == host.data_centre
             and entry.host != host.host
         ]
-        self._seen: dict[ids.HostId, Seen] = {}
+        self._seen: dict[ids.HostId, PeerState] = {}
         self._failed_ms: dict[ids.HostId, int] = {}
         self._tasks = runtime.Tasks()
         self._started_ms = clock.mono_ms()
@@ -219,7 +219,7 @@
         known = self._seen.get(sender)
         if known is None or known.suspected:
             logger.info('host_alive', peer=sender)
-        self._seen[sender] = Seen(
+        self._seen[sender] = PeerState(
             self._clock.mono_ms(),
             beat.draining,
             beat.index,
