--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -27,7 +27,7 @@
 class PeerState:
     """Hold what was last heard of a host."""
 
-    heard_ms: int
+    last_beat_ms: int
     draining: bool = False
     index: int = 0
     busy: list[messages.Busy] = dataclasses.field(default_factory=list)
