--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -31,7 +31,7 @@
     draining: bool = False
     index: int = 0
     busy: list[messages.Busy] = dataclasses.field(default_factory=list)
-    patience_ms: int = 0
+    suspicion_timeout_ms: int = 0
     suspected: bool = False
 
 
@@ -247,7 +247,7 @@
                 silence_ms = self._clock.mono_ms() - seen.heard_ms
                 if seen.suspected:
                     continue
-                if silence_ms <= seen.patience_ms:
+                if silence_ms <= seen.suspicion_timeout_ms:
                     continue
                 seen.suspected = True
                 logger.warning(
