--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -70,7 +70,7 @@
             if entry.data_centre == host.data_centre
             and entry.host != host.host
         ]
-        self._seen: dict[ids.HostId, PeerState] = {}
+        self._peer_states: dict[ids.HostId, PeerState] = {}
         self._failed_ms: dict[ids.HostId, int] = {}
         self._tasks = runtime.Tasks()
         self._started_ms = clock.mono_ms()
@@ -98,12 +98,12 @@
         """Tell whether a peer of this data centre has been heard of."""
         if host == self._host.host:
             return True
-        seen = self._seen.get(host)
+        seen = self._peer_states.get(host)
         return seen is not None and not seen.suspected
 
     def index_of(self, host: ids.HostId) -> int:
         """Return the configuration index that a peer last told."""
-        seen = self._seen.get(host)
+        seen = self._peer_states.get(host)
         return 0 if seen is None else seen.index
 
     def usable(self, host: ids.HostId) -> bool:
@@ -111,7 +111,7 @@
         if host == self._host.host:
             return not self.draining
         if host in self._near:
-            seen = self._seen.get(host)
+            seen = self._peer_states.get(host)
             return (
                 seen is not None and not seen.suspected and not seen.draining
             )
@@ -211,15 +211,15 @@
         if not self.awake:
             logger.warning('was_stopped', cause='no_processor_time')
             self._replica.suspend_serving()
-            self._seen.clear()
+            self._peer_states.clear()
             self._started_ms = self._clock.mono_ms()
         self._ticked_ms = self._clock.mono_ms()
 
     async def _hear(self, sender: ids.HostId, beat: messages.Beat) -> None:
-        known = self._seen.get(sender)
+        known = self._peer_states.get(sender)
         if known is None or known.suspected:
             logger.info('host_alive', peer=sender)
-        self._seen[sender] = PeerState(
+        self._peer_states[sender] = PeerState(
             self._clock.mono_ms(),
             beat.draining,
             beat.index,
@@ -243,7 +243,7 @@
     async def _watch(self) -> None:
         while True:
             await self._clock.sleep_ms(self._settings.beat_interval_ms / 2)
-            for host, seen in self._seen.items():
+            for host, seen in self._peer_states.items():
                 silence_ms = self._clock.mono_ms() - seen.heard_ms
                 if seen.suspected:
                     continue
@@ -270,7 +270,9 @@
         """Return how far this data centre's hosts have come."""
         low_index = self._replica.current.index
         counts: dict[ids.EndpointId, int] = {}
-        seen = [self._seen[host] for host in self._near if self.alive(host)]
+        seen = [
+            self._peer_states[host] for host in self._near if self.alive(host)
+        ]
         for peer in seen:
             low_index = min(low_index, peer.index)
         busy_lists = [self._busy_here(), *(peer.busy for peer in seen)]
@@ -289,4 +291,4 @@
         waited_ms = self._clock.mono_ms() - self._started_ms
         if waited_ms > self._settings.suspect_after_ms:
             return True
-        return all(host in self._seen for host in self._near)
+        return all(host in self._peer_states for host in self._near)
