--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -90,7 +90,7 @@
         await self._tasks.close()
 
     @property
-    def near(self) -> list[ids.HostId]:
+    def local_peers(self) -> list[ids.HostId]:
         """Return the other entry hosts of this data centre."""
         return list(self._near)
 
