--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -64,7 +64,7 @@
         self._entries = {
             entry.host: entry for entry in deployment.with_role('entry')
         }
-        self._near = [
+        self._local_peers = [
             entry.host
             for entry in self._entries.values()
             if entry.data_centre == host.data_centre
@@ -92,7 +92,7 @@
     @property
     def local_peers(self) -> list[ids.HostId]:
         """Return the other entry hosts of this data centre."""
-        return list(self._near)
+        return list(self._local_peers)
 
     def alive(self, host: ids.HostId) -> bool:
         """Tell whether a peer of this data centre has been heard of."""
@@ -110,7 +110,7 @@
         """Tell whether callers and other hosts should use a host."""
         if host == self._host.host:
             return not self.draining
-        if host in self._near:
+        if host in self._local_peers:
             seen = self._peer_states.get(host)
             return (
                 seen is not None and not seen.suspected and not seen.draining
@@ -128,14 +128,14 @@
 
     def relays(self) -> list[ids.HostId]:
         """Return who fetches the configuration for this data centre."""
-        live = [host for host in self._near if self.alive(host)]
+        live = [host for host in self._local_peers if self.alive(host)]
         live.append(ids.HostId(self._host.host))
         ranked = routing.rendezvous(self._host.data_centre, live)
         return [ids.HostId(name) for name in ranked[:RELAY_COUNT]]
 
     def polls(self, endpoint: ids.EndpointId) -> bool:
         """Tell whether this host is the one that polls an endpoint."""
-        live = [host for host in self._near if self.alive(host)]
+        live = [host for host in self._local_peers if self.alive(host)]
         live.append(ids.HostId(self._host.host))
         return routing.rendezvous(endpoint, live)[0] == self._host.host
 
@@ -182,7 +182,7 @@
             busy=self._busy_here(),
         )
         sent_bytes = 0
-        for host in self._near:
+        for host in self._local_peers:
             sent_bytes += await self._peers.tell(host, beat)
         # What is sent is about what is received.
         budget = self._settings.beat_budget_bytes_per_s
@@ -271,7 +271,9 @@
         low_index = self._replica.current.index
         counts: dict[ids.EndpointId, int] = {}
         seen = [
-            self._peer_states[host] for host in self._near if self.alive(host)
+            self._peer_states[host]
+            for host in self._local_peers
+            if self.alive(host)
         ]
         for peer in seen:
             low_index = min(low_index, peer.index)
@@ -291,4 +293,4 @@
         waited_ms = self._clock.mono_ms() - self._started_ms
         if waited_ms > self._settings.suspect_after_ms:
             return True
-        return all(host in self._peer_states for host in self._near)
+        return all(host in self._peer_states for host in self._local_peers)
