--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -94,7 +94,7 @@
         """Return the other entry hosts of this data centre."""
         return list(self._local_peers)
 
-    def alive(self, host: ids.HostId) -> bool:
+    def is_alive(self, host: ids.HostId) -> bool:
         """Tell whether a peer of this data centre has been heard of."""
         if host == self._host.host:
             return True
@@ -128,14 +128,14 @@
 
     def relays(self) -> list[ids.HostId]:
         """Return who fetches the configuration for this data centre."""
-        live = [host for host in self._local_peers if self.alive(host)]
+        live = [host for host in self._local_peers if self.is_alive(host)]
         live.append(ids.HostId(self._host.host))
         ranked = routing.rendezvous(self._host.data_centre, live)
         return [ids.HostId(name) for name in ranked[:RELAY_COUNT]]
 
     def polls(self, endpoint: ids.EndpointId) -> bool:
         """Tell whether this host is the one that polls an endpoint."""
-        live = [host for host in self._local_peers if self.alive(host)]
+        live = [host for host in self._local_peers if self.is_alive(host)]
         live.append(ids.HostId(self._host.host))
         return routing.rendezvous(endpoint, live)[0] == self._host.host
 
@@ -273,7 +273,7 @@
         seen = [
             self._peer_states[host]
             for host in self._local_peers
-            if self.alive(host)
+            if self.is_alive(host)
         ]
         for peer in seen:
             low_index = min(low_index, peer.index)
