--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -101,7 +101,7 @@
         seen = self._peer_states.get(host)
         return seen is not None and not seen.suspected
 
-    def index_of(self, host: ids.HostId) -> int:
+    def config_index_of(self, host: ids.HostId) -> int:
         """Return the configuration index that a peer last told."""
         seen = self._peer_states.get(host)
         return 0 if seen is None else seen.index
--- a/wrenspoke/coordination/membership/pulls.py
+++ b/wrenspoke/coordination/membership/pulls.py
@@ -160,7 +160,7 @@
         """Pull from a peer that told of something newer, if one did."""
         index = self._replica.current.index
         for host in self._members.near:
-            if self._members.index_of(host) > index:
+            if self._members.config_index_of(host) > index:
                 return await self._pull(host) is not None
         return False
 
