--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -121,7 +121,7 @@
         age_ms = self._clock.mono_ms() - failed_ms
         return age_ms > self._settings.suspect_after_ms
 
-    def failed(self, host: ids.HostId) -> None:
+    def record_request_failure(self, host: ids.HostId) -> None:
         """Note that a request sent to a host elsewhere failed."""
         self._failed_ms[host] = self._clock.mono_ms()
         logger.info('host_suspected', peer=host, cause='request_failed')
