--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -126,7 +126,7 @@
         self._failed_ms[host] = self._clock.mono_ms()
         logger.info('host_suspected', peer=host, cause='request_failed')
 
-    def relays(self) -> list[ids.HostId]:
+    def relay_hosts(self) -> list[ids.HostId]:
         """Return who fetches the configuration for this data centre."""
         live = [host for host in self._local_peers if self.is_alive(host)]
         live.append(ids.HostId(self._host.host))
