--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -133,7 +133,7 @@
         ranked = routing.rendezvous(self._host.data_centre, live)
         return [ids.HostId(name) for name in ranked[:RELAY_COUNT]]
 
-    def polls(self, endpoint: ids.EndpointId) -> bool:
+    def polls_endpoint(self, endpoint: ids.EndpointId) -> bool:
         """Tell whether this host is the one that polls an endpoint."""
         live = [host for host in self._local_peers if self.is_alive(host)]
         live.append(ids.HostId(self._host.host))
@@ -171,7 +171,7 @@
         own = [
             endpoint
             for endpoint in self._replica.current.endpoints
-            if self.polls(endpoint)
+            if self.polls_endpoint(endpoint)
         ]
         beat = messages.Beat(
             draining=self.draining,
--- a/wrenspoke/coordination/membership/polls.py
+++ b/wrenspoke/coordination/membership/polls.py
@@ -80,7 +80,7 @@
             service.kind is configuration.ServiceKind.ENGINE
             and endpoint.region == self._region
             and endpoint.data_centre == self._data_centre
-            and self._members.polls(endpoint.endpoint)
+            and self._members.polls_endpoint(endpoint.endpoint)
         )
 
     async def _poll(self, endpoint: ids.EndpointId) -> None:
