--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -139,7 +139,7 @@
         live.append(ids.HostId(self._host.host))
         return routing.rendezvous(endpoint, live)[0] == self._host.host
 
-    def entries_of(self, region: ids.RegionId) -> list[ids.HostId]:
+    def entry_hosts_in(self, region: ids.RegionId) -> list[ids.HostId]:
         """Return a region's entry hosts, usable ones first."""
         hosts = [
             entry.host
--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -102,7 +102,7 @@
         transcript = streams.Transcript(body, head.last_event or 0)
         passing = _Pass(head, body, region, reply, transcript)
         hosts = await self._reach.reachable(
-            self._members.entries_of(region)[:HOSTS_TRIED]
+            self._members.entry_hosts_in(region)[:HOSTS_TRIED]
         )
         for number, host in enumerate(hosts):
             last = number + 1 == len(hosts)
--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -377,7 +377,7 @@
             for region in regions
             if any(
                 self._members.usable(host)
-                for host in self._members.entries_of(region)
+                for host in self._members.entry_hosts_in(region)
             )
         ]
         return min(
