--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -149,7 +149,9 @@
         start = routing.rendezvous(self._host.host, hosts)
         return sorted(start, key=lambda host: not self.usable(host))
 
-    def directory(self, region: str | None) -> list[settings.HostSettings]:
+    def usable_by_distance(
+        self, region: str | None
+    ) -> list[settings.HostSettings]:
         """Return usable entry hosts, those nearest to a region first."""
         wanted = region or self._host.region
         usable = [
