--- a/wrenspoke/coordination/membership/leaving.py
+++ b/wrenspoke/coordination/membership/leaving.py
@@ -71,7 +71,7 @@
                 continue
             listed = await self._fetch_hosts()
             if self._mark_leaving(listed):
-                await self._members.tell_now()
+                await self._members.broadcast_beat()
 
     async def _fetch_hosts(self) -> list[ListedHost]:
         try:
--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -167,7 +167,7 @@
             ),
         )
 
-    async def tell_now(self) -> None:
+    async def broadcast_beat(self) -> None:
         """Beat at once, so that the peers learn of a change."""
         index = self._replica.current.index
         own = [
@@ -196,7 +196,7 @@
     async def _beat(self) -> None:
         while True:
             self._note_awake()
-            await self.tell_now()
+            await self.broadcast_beat()
             await self._clock.sleep_ms(self._interval_ms)
 
     @property
--- a/wrenspoke/coordination/membership/pulls.py
+++ b/wrenspoke/coordination/membership/pulls.py
@@ -142,7 +142,7 @@
             before = self._replica.current.index
             await self._pull_any_control()
             if self._replica.current.index > before:
-                await self._members.tell_now()
+                await self._members.broadcast_beat()
 
     async def _pull_any_control(self) -> None:
         """Pull from one control host; the data centres spread over them."""
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -371,7 +371,7 @@
         after that it turns new work away, unrun.
         """
         self.members.draining = True
-        await self.members.tell_now()
+        await self.members.broadcast_beat()
         logger.info('draining', in_flight=self.gateway.in_flight)
         await self._clock.sleep_ms(self._settings.leave_delay_ms)
         drained = await self.gateway.drain(self._settings.stop_timeout_ms)
