--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -82,7 +82,7 @@
 
     def start(self) -> None:
         """Begin to beat and to watch."""
-        self._tasks.start(self._beat())
+        self._tasks.start(self._beat_loop())
         self._tasks.start(self._watch())
 
     async def close(self) -> None:
@@ -193,7 +193,7 @@
             2 * sent_bytes * MS_PER_S // budget,
         )
 
-    async def _beat(self) -> None:
+    async def _beat_loop(self) -> None:
         while True:
             self._note_awake()
             await self.broadcast_beat()
