--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -200,7 +200,7 @@
             await self._clock.sleep_ms(self._interval_ms)
 
     @property
-    def awake(self) -> bool:
+    def recently_ran(self) -> bool:
         """Tell whether this process has been running of late.
 
         One that was stopped for long may hold what the others have left
@@ -210,7 +210,7 @@
         return age_ms <= self._patience_ms(self._interval_ms)
 
     def _note_awake(self) -> None:
-        if not self.awake:
+        if not self.recently_ran:
             logger.warning('was_stopped', cause='no_processor_time')
             self._replica.suspend_serving()
             self._peer_states.clear()
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -106,7 +106,7 @@
         return (
             not self.leaving
             and self._replica.serving
-            and self._attended.awake
+            and self._attended.recently_ran
             and self._replica.current.routes.version > 0
         )
 
@@ -274,7 +274,7 @@
     @property
     def _sure(self) -> bool:
         """Tell whether what this host holds may be served by."""
-        return self._replica.serving and self._attended.awake
+        return self._replica.serving and self._attended.recently_ran
 
     async def _wait_until_sure(self, call: dialects.Call) -> None:
         """Let a caller's call wait for what a host needs that starts."""
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -179,7 +179,7 @@
             self.replica,
             self._client,
             self._clock,
-            lambda: self.members.awake,
+            lambda: self.members.recently_ran,
             self._guard,
             self._gate,
         )
