--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -195,7 +195,7 @@
 
     async def _beat_loop(self) -> None:
         while True:
-            self._note_awake()
+            self._detect_pause()
             await self.broadcast_beat()
             await self._clock.sleep_ms(self._interval_ms)
 
@@ -209,7 +209,7 @@
         age_ms = self._clock.mono_ms() - self._ticked_ms
         return age_ms <= self._patience_ms(self._interval_ms)
 
-    def _note_awake(self) -> None:
+    def _detect_pause(self) -> None:
         if not self.recently_ran:
             logger.warning('was_stopped', cause='no_processor_time')
             self._replica.suspend_serving()
