--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -78,7 +78,7 @@
         self._interval_ms = self._settings.beat_interval_ms
         self.draining = False
         self.news = asyncio.Event()
-        peers.answers(messages.Beat)(self._hear)
+        peers.answers(messages.Beat)(self._handle_beat)
 
     def start(self) -> None:
         """Begin to beat and to watch."""
@@ -217,7 +217,9 @@
             self._started_ms = self._clock.mono_ms()
         self._ticked_ms = self._clock.mono_ms()
 
-    async def _hear(self, sender: ids.HostId, beat: messages.Beat) -> None:
+    async def _handle_beat(
+        self, sender: ids.HostId, beat: messages.Beat
+    ) -> None:
         known = self._peer_states.get(sender)
         if known is None or known.suspected:
             logger.info('host_alive', peer=sender)
