--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -207,7 +207,7 @@
         behind since, and must look before it sends anything.
         """
         age_ms = self._clock.mono_ms() - self._ticked_ms
-        return age_ms <= self._patience_ms(self._interval_ms)
+        return age_ms <= self._suspicion_timeout_ms(self._interval_ms)
 
     def _detect_pause(self) -> None:
         if not self.recently_ran:
@@ -228,7 +228,7 @@
             beat.draining,
             beat.index,
             beat.busy,
-            self._patience_ms(beat.interval_ms),
+            self._suspicion_timeout_ms(beat.interval_ms),
         )
         if beat.index > self._replica.current.index:
             self.news.set()
@@ -236,7 +236,7 @@
             self._loads.report(report)
         self._replica.leaving.update(beat.leaving)
 
-    def _patience_ms(self, interval_ms: int) -> int:
+    def _suspicion_timeout_ms(self, interval_ms: int) -> int:
         """Return the silence after which a peer is suspected."""
         least_ms = self._settings.suspect_after_ms
         return max(
