--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -83,7 +83,7 @@
     def start(self) -> None:
         """Begin to beat and to watch."""
         self._tasks.start(self._beat_loop())
-        self._tasks.start(self._watch())
+        self._tasks.start(self._suspicion_loop())
 
     async def close(self) -> None:
         """End the tasks."""
@@ -244,7 +244,7 @@
             least_ms * interval_ms // self._settings.beat_interval_ms,
         )
 
-    async def _watch(self) -> None:
+    async def _suspicion_loop(self) -> None:
         while True:
             await self._clock.sleep_ms(self._settings.beat_interval_ms / 2)
             for host, seen in self._peer_states.items():
