--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -181,7 +181,7 @@
             interval_ms=self._interval_ms,
             loads=self._loads.digest(own),
             leaving=sorted(self._replica.leaving),
-            busy=self._busy_here(),
+            busy=self._draining_in_flight(),
         )
         sent_bytes = 0
         for host in self._local_peers:
@@ -261,7 +261,7 @@
                     silence_ms=silence_ms,
                 )
 
-    def _busy_here(self) -> list[messages.Busy]:
+    def _draining_in_flight(self) -> list[messages.Busy]:
         """Return what is in flight to endpoints that are to finish."""
         return [
             messages.Busy(endpoint.endpoint, in_flight)
@@ -281,7 +281,10 @@
         ]
         for peer in seen:
             low_index = min(low_index, peer.index)
-        busy_lists = [self._busy_here(), *(peer.busy for peer in seen)]
+        busy_lists = [
+            self._draining_in_flight(),
+            *(peer.busy for peer in seen),
+        ]
         for busy in itertools.chain.from_iterable(busy_lists):
             count = counts.get(busy.endpoint, 0) + busy.in_flight
             counts[busy.endpoint] = count
