--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -270,7 +270,7 @@
             and (in_flight := self._limits.in_flight(endpoint.endpoint))
         ]
 
-    def standing(self) -> messages.Standing:
+    def data_centre_status(self) -> messages.Standing:
         """Return how far this data centre's hosts have come."""
         low_index = self._replica.current.index
         counts: dict[ids.EndpointId, int] = {}
