--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -295,7 +295,7 @@
             [messages.Busy(name, count) for name, count in counts.items()],
         )
 
-    def waited_for_peers(self) -> bool:
+    def peers_settled(self) -> bool:
         """Tell whether every near peer was heard of or given up on."""
         waited_ms = self._clock.mono_ms() - self._started_ms
         if waited_ms > self._settings.suspect_after_ms:
--- a/wrenspoke/coordination/membership/pulls.py
+++ b/wrenspoke/coordination/membership/pulls.py
@@ -126,7 +126,7 @@
             answer is not None and answer.serving for answer in answers
         )
         held = serving or self._replica.served_before
-        if held and self._members.waited_for_peers():
+        if held and self._members.peers_settled():
             self._serve('peers')
 
     def _serve(self, source: str) -> None:
