--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -77,7 +77,7 @@
         self._ticked_ms = clock.mono_ms()
         self._interval_ms = self._settings.beat_interval_ms
         self.draining = False
-        self.news = asyncio.Event()
+        self.update_available = asyncio.Event()
         peers.answers(messages.Beat)(self._handle_beat)
 
     def start(self) -> None:
@@ -231,7 +231,7 @@
             self._suspicion_timeout_ms(beat.interval_ms),
         )
         if beat.index > self._replica.current.index:
-            self.news.set()
+            self.update_available.set()
         for report in beat.loads:
             self._loads.report(report)
         self._replica.leaving.update(beat.leaving)
