--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -48,7 +48,7 @@
         deployment: settings.Deployment,
         host: settings.HostSettings,
         peers: peer_calls.Peers,
-        held: replica.Replica,
+        config_replica: replica.Replica,
         load_table: loads.LoadTable,
         limit_table: limits.Limits,
         clock: clocks.Clock,
@@ -57,7 +57,7 @@
         self._deployment = deployment
         self._host = host
         self._peers = peers
-        self._replica = held
+        self._replica = config_replica
         self._loads = load_table
         self._limits = limit_table
         self._clock = clock
