--- a/wrenspoke/coordination/membership/member_roster.py
+++ b/wrenspoke/coordination/membership/member_roster.py
@@ -9,10 +9,10 @@
     """Tell which hosts of a region this host would use."""
 
     def __init__(
-        self, deployment: settings.Deployment, watched: members.Members
+        self, deployment: settings.Deployment, host_members: members.Members
     ):
         self._entries = deployment.with_role('entry')
-        self._members = watched
+        self._members = host_members
 
     @property
     def revision(self) -> frozenset[str]:
