--- a/wrenspoke/coordination/membership/polls.py
+++ b/wrenspoke/coordination/membership/polls.py
@@ -33,7 +33,7 @@
         region: ids.RegionId,
         data_centre: ids.DataCentreId,
         dispatcher: dispatch.Dispatcher,
-        watched: members.Members,
+        host_members: members.Members,
         held: replica.Replica,
         load_table: loads.LoadTable,
         limit_table: limits.Limits,
@@ -43,7 +43,7 @@
         self._region = region
         self._data_centre = data_centre
         self._dispatcher = dispatcher
-        self._members = watched
+        self._members = host_members
         self._replica = held
         self._loads = load_table
         self._limits = limit_table
