--- a/wrenspoke/coordination/membership/polls.py
+++ b/wrenspoke/coordination/membership/polls.py
@@ -34,7 +34,7 @@
         data_centre: ids.DataCentreId,
         dispatcher: dispatch.Dispatcher,
         host_members: members.Members,
-        held: replica.Replica,
+        config_replica: replica.Replica,
         load_table: loads.LoadTable,
         limit_table: limits.Limits,
         clock: clocks.Clock,
@@ -44,7 +44,7 @@
         self._data_centre = data_centre
         self._dispatcher = dispatcher
         self._members = host_members
-        self._replica = held
+        self._replica = config_replica
         self._loads = load_table
         self._limits = limit_table
         self._clock = clock
