--- a/wrenspoke/coordination/membership/polls.py
+++ b/wrenspoke/coordination/membership/polls.py
@@ -68,7 +68,7 @@
                 for endpoint in current.endpoints.values()
                 if self._is_due(endpoint, current)
             ]
-            await asyncio.gather(*(self._poll(name) for name in due))
+            await asyncio.gather(*(self._poll_load(name) for name in due))
 
     def _is_due(
         self,
@@ -83,7 +83,7 @@
             and self._members.polls_endpoint(endpoint.endpoint)
         )
 
-    async def _poll(self, endpoint: ids.EndpointId) -> None:
+    async def _poll_load(self, endpoint: ids.EndpointId) -> None:
         send = dispatch.Send(dispatch.Purpose.LOAD, endpoint, 'GET', '/load')
         try:
             async with clocks.timeout_ms(self._interval_ms):
