--- a/wrenspoke/coordination/membership/pulls.py
+++ b/wrenspoke/coordination/membership/pulls.py
@@ -62,7 +62,9 @@
         """Begin; without control hosts the settings are all there is."""
         if not self._control:
             self._replica.advance(
-                messages.ConfigurationDelta(index=1, whole=self._founding())
+                messages.ConfigurationDelta(
+                    index=1, whole=self._initial_configuration()
+                )
             )
             self._replica.serve()
             return
@@ -73,7 +75,7 @@
         """End the task."""
         await self._tasks.close()
 
-    def _founding(self):
+    def _initial_configuration(self):
         found = self._deployment.first_configuration()
         return type(found)(
             1, found.services, found.endpoints, found.rules, found.limits
