--- a/wrenspoke/coordination/membership/pulls.py
+++ b/wrenspoke/coordination/membership/pulls.py
@@ -55,7 +55,7 @@
         self._clock = clock
         self._leader: ids.HostId | None = None
         self._tasks = runtime.Tasks()
-        peers.answers(messages.PullConfiguration)(self._answer)
+        peers.answers(messages.PullConfiguration)(self._handle_pull)
         peers.answers(messages.News)(self._hear_news)
 
     def start(self) -> None:
@@ -81,7 +81,7 @@
             1, found.services, found.endpoints, found.rules, found.limits
         )
 
-    async def _answer(
+    async def _handle_pull(
         self, _sender: ids.HostId, message: messages.PullConfiguration
     ) -> messages.ConfigurationDelta:
         delta = self._replica.after(message.after)
