--- a/wrenspoke/coordination/membership/pulls.py
+++ b/wrenspoke/coordination/membership/pulls.py
@@ -56,7 +56,7 @@
         self._leader: ids.HostId | None = None
         self._tasks = runtime.Tasks()
         peers.answers(messages.PullConfiguration)(self._handle_pull)
-        peers.answers(messages.News)(self._hear_news)
+        peers.answers(messages.News)(self._handle_news)
 
     def start(self) -> None:
         """Begin; without control hosts the settings are all there is."""
@@ -152,7 +152,7 @@
             if await self._pull(ids.HostId(host)) is not None:
                 return
 
-    async def _hear_news(
+    async def _handle_news(
         self, _sender: ids.HostId, news: messages.News
     ) -> None:
         if news.index > self._replica.current.index:
