--- a/wrenspoke/coordination/membership/pulls.py
+++ b/wrenspoke/coordination/membership/pulls.py
@@ -92,7 +92,7 @@
         while True:
             if self._replica.serving:
                 await self._wait_for_news()
-                await self._follow()
+                await self._pull_updates()
                 continue
             await self._catch_up()
             if not self._replica.serving:
@@ -137,7 +137,7 @@
             'serving', source=source, index=self._replica.current.index
         )
 
-    async def _follow(self) -> None:
+    async def _pull_updates(self) -> None:
         if await self._pull_from_peer():
             return
         if self._host in self._members.relays():
