--- a/wrenspoke/coordination/membership/pulls.py
+++ b/wrenspoke/coordination/membership/pulls.py
@@ -101,13 +101,13 @@
     async def _wait_for_news(self) -> None:
         """Wait for the next look, or for a beat that tells of a change."""
         try:
-            async with clocks.timeout_ms(self._next_look_ms()):
+            async with clocks.timeout_ms(self._next_pull_ms()):
                 await self._members.news.wait()
         except TimeoutError:
             return
         self._members.news.clear()
 
-    def _next_look_ms(self) -> int:
+    def _next_pull_ms(self) -> int:
         """Return the time to the next look, short while a drain waits."""
         draining = any(
             endpoint.state is configuration.EndpointState.DRAINING
