--- a/wrenspoke/coordination/membership/pulls.py
+++ b/wrenspoke/coordination/membership/pulls.py
@@ -91,14 +91,14 @@
     async def _run(self) -> None:
         while True:
             if self._replica.serving:
-                await self._wait_for_news()
+                await self._wait_for_update()
                 await self._pull_updates()
                 continue
             await self._catch_up()
             if not self._replica.serving:
                 await self._clock.sleep_ms(START_INTERVAL_MS)
 
-    async def _wait_for_news(self) -> None:
+    async def _wait_for_update(self) -> None:
         """Wait for the next look, or for a beat that tells of a change."""
         try:
             async with clocks.timeout_ms(self._next_pull_ms()):
