--- a/wrenspoke/coordination/membership/pulls.py
+++ b/wrenspoke/coordination/membership/pulls.py
@@ -45,7 +45,7 @@
     ):
         self._host = host
         self._interval_ms = deployment.entry.pull_interval_ms
-        self._control = [
+        self._control_hosts = [
             control.host for control in deployment.with_role('control')
         ]
         self._deployment = deployment
@@ -60,7 +60,7 @@
 
     def start(self) -> None:
         """Begin; without control hosts the settings are all there is."""
-        if not self._control:
+        if not self._control_hosts:
             self._replica.advance(
                 messages.ConfigurationDelta(
                     index=1, whole=self._initial_configuration()
@@ -148,7 +148,7 @@
 
     async def _pull_any_control(self) -> None:
         """Pull from one control host; the data centres spread over them."""
-        for host in routing.rendezvous(self._host, self._control):
+        for host in routing.rendezvous(self._host, self._control_hosts):
             if await self._pull(ids.HostId(host)) is not None:
                 return
 
@@ -169,7 +169,7 @@
     async def _pull_control(self) -> bool:
         """Pull from the leader, or any control host; tell if confirmed."""
         asked = [self._leader] if self._leader else []
-        asked += [host for host in self._control if host != self._leader]
+        asked += [host for host in self._control_hosts if host != self._leader]
         self._leader = None
         for host in asked:
             delta = await self._pull(host)
@@ -190,7 +190,7 @@
         self, host: ids.HostId
     ) -> messages.ConfigurationDelta | None:
         standing = None
-        if host in self._control:
+        if host in self._control_hosts:
             standing = self._members.standing()
         message = messages.PullConfiguration(
             self._replica.current.index, standing
