--- a/wrenspoke/coordination/membership/pulls.py
+++ b/wrenspoke/coordination/membership/pulls.py
@@ -39,7 +39,7 @@
         host: ids.HostId,
         deployment: settings.Deployment,
         peers: peer_calls.Peers,
-        watched: members.Members,
+        host_members: members.Members,
         held: replica.Replica,
         clock: clocks.Clock,
     ):
@@ -50,7 +50,7 @@
         ]
         self._deployment = deployment
         self._peers = peers
-        self._members = watched
+        self._members = host_members
         self._replica = held
         self._clock = clock
         self._leader: ids.HostId | None = None
