--- a/wrenspoke/coordination/membership/pulls.py
+++ b/wrenspoke/coordination/membership/pulls.py
@@ -40,7 +40,7 @@
         deployment: settings.Deployment,
         peers: peer_calls.Peers,
         host_members: members.Members,
-        held: replica.Replica,
+        config_replica: replica.Replica,
         clock: clocks.Clock,
     ):
         self._host = host
@@ -51,7 +51,7 @@
         self._deployment = deployment
         self._peers = peers
         self._members = host_members
-        self._replica = held
+        self._replica = config_replica
         self._clock = clock
         self._leader: ids.HostId | None = None
         self._tasks = runtime.Tasks()
