--- a/wrenspoke/coordination/membership/pulls.py
+++ b/wrenspoke/coordination/membership/pulls.py
@@ -31,7 +31,7 @@
 DRAIN_INTERVAL_MS = 1_000
 
 
-class Puller:
+class ConfigurationPuller:
     """Pull the configuration from control hosts or relays."""
 
     def __init__(
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -96,7 +96,7 @@
             self._limits,
             self._clock,
         )
-        self._puller = pulls.Puller(
+        self._puller = pulls.ConfigurationPuller(
             self._host,
             self._deployment,
             self.peers,
