--- a/tests/attending_fleet.py
+++ b/tests/attending_fleet.py
@@ -11,7 +11,7 @@
 
 from tests import group
 from wrenspoke.coordination.membership import attendance
-from wrenspoke.coordination.membership import controls
+from wrenspoke.coordination.membership import control_group
 from wrenspoke.coordination.membership import registrar
 from wrenspoke.coordination.membership import replica
 from wrenspoke.protocol import attending
@@ -74,7 +74,7 @@
         self.name = name
         self.peers = CountingPeers(name, network)
         network.hosts[name] = self.peers
-        self.group = controls.ControlGroup(name, seeds, clock)
+        self.group = control_group.ControlGroup(name, seeds, clock)
         self.registrar = registrar.Registrar(
             region,
             Leading(),
@@ -111,7 +111,7 @@
         )
         self.attendance = attendance.DiscoveryClient(
             record,
-            controls.ControlGroup(name, seeds, clock),
+            control_group.ControlGroup(name, seeds, clock),
             replica.Replica(),
             self.peers,
             clock,
--- a/tests/group.py
+++ b/tests/group.py
@@ -16,7 +16,7 @@
 from wrenspoke.coordination.agreement import founding
 from wrenspoke.coordination.agreement import voter
 from wrenspoke.coordination import errors
-from wrenspoke.coordination.membership import controls
+from wrenspoke.coordination.membership import control_group
 from wrenspoke.coordination.membership import replica
 from wrenspoke import node as settings
 from wrenspoke.protocol import attending
@@ -248,7 +248,7 @@
         self.name = name
         self.peers = Peers(name, network)
         self.peers.answers(attending.Exchange)(self._answer_exchange)
-        self._group = controls.ControlGroup(name, seeds, clock)
+        self._group = control_group.ControlGroup(name, seeds, clock)
         self._tasks = runtime.Tasks()
         kept = storage.Storage(disk)
         if first_start:
--- a/tests/test_attendance.py
+++ b/tests/test_attendance.py
@@ -7,7 +7,7 @@
 from tests import nodes
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.membership import attendance
-from wrenspoke.coordination.membership import controls
+from wrenspoke.coordination.membership import control_group
 from wrenspoke.coordination.membership import replica
 from wrenspoke.protocol import attending
 from wrenspoke.protocol import messages
@@ -54,7 +54,7 @@
     clock = clocks.Clock()
     made = attendance.DiscoveryClient(
         RECORD,
-        controls.ControlGroup(RECORD.host, [CONTROL], clock),
+        control_group.ControlGroup(RECORD.host, [CONTROL], clock),
         replica.Replica(),
         ScriptedPeers(),
         clock,
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -16,7 +16,7 @@
 from wrenspoke.coordination.limiting import allocator
 from wrenspoke.coordination.limiting import lender
 from wrenspoke.coordination.membership import attendance
-from wrenspoke.coordination.membership import controls
+from wrenspoke.coordination.membership import control_group
 from wrenspoke.coordination.membership import lease
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.membership import roster
@@ -202,7 +202,7 @@
 def host_that_may_send(clock):
     made = attendance.DiscoveryClient(
         record(),
-        controls.ControlGroup('own', [], clock),
+        control_group.ControlGroup('own', [], clock),
         replica.Replica(),
         NoPeers(),
         clock,
--- a/wrenspoke/control_node.py
+++ b/wrenspoke/control_node.py
@@ -13,7 +13,7 @@
 from wrenspoke.coordination.agreement import founding
 from wrenspoke.coordination.agreement import voter
 from wrenspoke.coordination.limiting import allocator
-from wrenspoke.coordination.membership import controls
+from wrenspoke.coordination.membership import control_group
 from wrenspoke.coordination.membership import kept_registry
 from wrenspoke.coordination.membership import registrar
 from wrenspoke.coordination.membership import replica
@@ -38,7 +38,7 @@
         self.clock = clocks.Clock()
         self._traffic = node_peers.traffic_of(node, self.clock)
         self.peers = node_peers.peers_of(node, self._traffic, self.clock)
-        self.group = controls.ControlGroup(
+        self.group = control_group.ControlGroup(
             node.host, node.seed_hosts, self.clock
         )
         self.replica = replica.Replica()
--- a/wrenspoke/controld.py
+++ b/wrenspoke/controld.py
@@ -11,7 +11,7 @@
 from wrenspoke.coordination.agreement import execution
 from wrenspoke.coordination.agreement import founding
 from wrenspoke.coordination.agreement import voter
-from wrenspoke.coordination.membership import controls
+from wrenspoke.coordination.membership import control_group
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.quarantine import gatherer
 from wrenspoke.coordination.serving import dispatch
@@ -60,7 +60,7 @@
         self.voter = voter.Voter(
             host,
             locations.Location(self._own.region, self._own.data_centre),
-            controls.ControlGroup(host, hosts, clock),
+            control_group.ControlGroup(host, hosts, clock),
             deployment.control,
             kept,
             self.peers,
--- a/wrenspoke/coordination/agreement/admissions.py
+++ b/wrenspoke/coordination/agreement/admissions.py
@@ -9,7 +9,7 @@
 
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.agreement import followers
-from wrenspoke.coordination.membership import controls
+from wrenspoke.coordination.membership import control_group
 from wrenspoke import ids
 from wrenspoke.state import electorates
 from wrenspoke.state import entries
@@ -26,7 +26,7 @@
 
     host: ids.HostId
     location: locations.Location
-    group: controls.ControlGroup
+    group: control_group.ControlGroup
     settings: 'limits.ControlSettings'
     clock: clocks.Clock
     commit_index: int
--- a/wrenspoke/coordination/agreement/clearance.py
+++ b/wrenspoke/coordination/agreement/clearance.py
@@ -16,7 +16,7 @@
 import structlog
 
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.membership import controls
+from wrenspoke.coordination.membership import control_group
 from wrenspoke import ids
 from wrenspoke.protocol import errors as protocol_errors
 from wrenspoke.protocol import messages
@@ -38,7 +38,7 @@
     def __init__(
         self,
         kept: storage.Storage,
-        group: controls.ControlGroup,
+        group: control_group.ControlGroup,
         peers: peer_calls.Peers,
         limits: settings.ControlSettings,
         clock: clocks.Clock,
--- a/wrenspoke/coordination/agreement/lead.py
+++ b/wrenspoke/coordination/agreement/lead.py
@@ -9,7 +9,7 @@
 from wrenspoke.coordination.agreement import admissions
 from wrenspoke.coordination.agreement import followers
 from wrenspoke.coordination import errors
-from wrenspoke.coordination.membership import controls
+from wrenspoke.coordination.membership import control_group
 from wrenspoke import ids
 from wrenspoke.protocol import messages
 from wrenspoke import runtime
@@ -32,7 +32,7 @@
     """Be what a lead needs of the voter that holds it."""
 
     host: ids.HostId
-    group: controls.ControlGroup
+    group: control_group.ControlGroup
     storage: storage.Storage
     settings: 'limits.ControlSettings'
     clock: clocks.Clock
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -31,7 +31,7 @@
 from wrenspoke.coordination.agreement import clearance
 from wrenspoke.coordination.agreement import lead
 from wrenspoke.coordination import errors
-from wrenspoke.coordination.membership import controls
+from wrenspoke.coordination.membership import control_group
 from wrenspoke.coordination.membership import replica
 from wrenspoke import ids
 from wrenspoke.protocol import attending
@@ -93,7 +93,7 @@
         self,
         host: ids.HostId,
         location: locations.Location,
-        group: controls.ControlGroup,
+        group: control_group.ControlGroup,
         limits: settings.ControlSettings,
         kept: storage.Storage,
         peers: peer_calls.Peers,
--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/attendance.py
@@ -14,7 +14,7 @@
 import structlog
 
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.membership import controls
+from wrenspoke.coordination.membership import control_group
 from wrenspoke.coordination.membership import lease as leases
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.membership import roster
@@ -97,7 +97,7 @@
     def __init__(
         self,
         record: attending.HostRecord,
-        group: controls.ControlGroup,
+        group: control_group.ControlGroup,
         config_replica: replica.Replica,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/exchanges.py
@@ -15,7 +15,7 @@
 import structlog
 
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.membership import controls
+from wrenspoke.coordination.membership import control_group
 from wrenspoke.coordination.membership import roster
 from wrenspoke import ids
 from wrenspoke.protocol import attending
@@ -61,7 +61,7 @@
         self,
         instance_id: str,
         region: ids.RegionId,
-        group: controls.ControlGroup,
+        group: control_group.ControlGroup,
         endpoints: registry.Registry,
         hosts: roster.Roster,
         peers: peer_calls.Peers,
--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -12,7 +12,7 @@
 
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.agreement import voter
-from wrenspoke.coordination.membership import controls
+from wrenspoke.coordination.membership import control_group
 from wrenspoke.coordination.membership import exchanges
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.membership import roster
@@ -52,7 +52,7 @@
         self,
         region: ids.RegionId,
         elected_voter: voter.Voter,
-        group: controls.ControlGroup,
+        group: control_group.ControlGroup,
         config_replica: replica.Replica,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -15,7 +15,7 @@
 from wrenspoke.coordination.limiting import limiter
 from wrenspoke.coordination.membership import askers
 from wrenspoke.coordination.membership import attendance
-from wrenspoke.coordination.membership import controls
+from wrenspoke.coordination.membership import control_group
 from wrenspoke.coordination.membership import gauges
 from wrenspoke.coordination.membership import lease
 from wrenspoke.coordination.membership import partners
@@ -69,7 +69,7 @@
         self.clock = clocks.Clock()
         self._traffic = node_peers.traffic_of(node, self.clock)
         self.peers = node_peers.peers_of(node, self._traffic, self.clock)
-        self.group = controls.ControlGroup(
+        self.group = control_group.ControlGroup(
             node.host, node.seed_hosts, self.clock
         )
         self.replica = replica.Replica()
