--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -643,7 +643,7 @@
     ),
     Switch(
         'renewals are told by all who know them',
-        DECISIONS + 'membership/exchanges.py',
+        DECISIONS + 'membership/control_sync.py',
         ('        recent_contacts = {*progress.recent_contacts, host}\n'),
         ('        recent_contacts = set()\n'),
         (
@@ -652,7 +652,7 @@
     ),
     Switch(
         'nobody passes on what another hears',
-        DECISIONS + 'membership/exchanges.py',
+        DECISIONS + 'membership/control_sync.py',
         ('        and found.told_by not in recent_contacts\n'),
         ('        and found.told_by is None\n'),
         (
@@ -661,7 +661,7 @@
     ),
     Switch(
         'restarted control host is told changes only',
-        DECISIONS + 'membership/exchanges.py',
+        DECISIONS + 'membership/control_sync.py',
         ("        if answer.unknown or progress.life not in ('', answer.life):\n"),
         ('        if False:\n'),
         (
--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -13,7 +13,7 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.agreement import voter
 from wrenspoke.coordination.membership import control_group
-from wrenspoke.coordination.membership import exchanges
+from wrenspoke.coordination.membership import control_sync
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.membership import roster
 from wrenspoke import ids
@@ -73,7 +73,7 @@
         self._tasks = runtime.Tasks()
         self.registry = registry.Registry(clock)
         self.roster = roster.Roster(HOST_LEASE_MS, clock, RELAYED_LEASE_MS)
-        self._control_sync = exchanges.ControlSync(
+        self._control_sync = control_sync.ControlSync(
             self._instance_id,
             region,
             group,
