--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -533,7 +533,7 @@
     ),
     Switch(
         'a name that is gone is tried again',
-        DECISIONS + 'membership/attendance.py',
+        DECISIONS + 'membership/discovery_client.py',
         ('        if not self.registry.take(gone):'),
         ('        if True:'),
         (
@@ -585,14 +585,14 @@
     ),
     Switch(
         'start waits for a further answer',
-        DECISIONS + 'membership/attendance.py',
+        DECISIONS + 'membership/discovery_client.py',
         ('        if self._unconfirmed_start is None:\n'),
         ('        if False:\n'),
         ('tests/test_attendance.py::test_first_answer_decides_when_to_serve'),
     ),
     Switch(
         'stopped host serves without a word',
-        DECISIONS + 'membership/attendance.py',
+        DECISIONS + 'membership/discovery_client.py',
         ('            self._unconfirmed_start.cancel()\n'),
         ('            pass\n'),
         (
@@ -670,7 +670,7 @@
     ),
     Switch(
         'session stays where no leader is heard',
-        DECISIONS + 'membership/attendance.py',
+        DECISIONS + 'membership/discovery_client.py',
         ('            elif self._is_leaderless(session):\n'),
         ('            elif False:\n'),
         (
@@ -679,7 +679,7 @@
     ),
     Switch(
         'what was given up is tried at once',
-        DECISIONS + 'membership/attendance.py',
+        DECISIONS + 'membership/discovery_client.py',
         ('        return failed_ms if age_ms < FAILED_HOST_TTL_MS else 0\n'),
         ('        return 0\n'),
         (
--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -54,7 +54,7 @@
     ),
     Switch(
         'lease counted from the answer',
-        DECISIONS + 'membership/attendance.py',
+        DECISIONS + 'membership/discovery_client.py',
         ('        self.lease.confirm(asked_ms + answer.held_ms - age_ms)\n'),
         ('        self.lease.confirm(self._clock.mono_ms())\n'),
         (
--- a/tests/attending_fleet.py
+++ b/tests/attending_fleet.py
@@ -10,7 +10,7 @@
 import dataclasses
 
 from tests import group
-from wrenspoke.coordination.membership import attendance
+from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.coordination.membership import control_group
 from wrenspoke.coordination.membership import registrar
 from wrenspoke.coordination.membership import replica
@@ -109,7 +109,7 @@
             0,
             False,
         )
-        self.attendance = attendance.DiscoveryClient(
+        self.attendance = discovery_client.DiscoveryClient(
             record,
             control_group.ControlGroup(name, seeds, clock),
             replica.Replica(),
--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -16,7 +16,7 @@
 from wrenspoke.coordination.limiting import bounds
 from wrenspoke.coordination.limiting import lender
 from wrenspoke.coordination.limiting import limiter
-from wrenspoke.coordination.membership import attendance
+from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.coordination.serving import routing
 from wrenspoke.state import replicated
 from wrenspoke.state import teams
@@ -165,7 +165,7 @@
         if self.leader is None:
             return None
         near = f'10.{region_of(host.name)}.250.1:1'
-        return attendance.LeaderInfo(self.leader, self._term, near)
+        return discovery_client.LeaderInfo(self.leader, self._term, near)
 
     def start_host(self, name):
         self.hosts[name] = self.make(self, name)
--- a/tests/test_attendance.py
+++ b/tests/test_attendance.py
@@ -6,7 +6,7 @@
 
 from tests import nodes
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.membership import attendance
+from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.coordination.membership import control_group
 from wrenspoke.coordination.membership import replica
 from wrenspoke.protocol import attending
@@ -52,7 +52,7 @@
 async def attended():
     """Return an attending host that calls only when a test says so."""
     clock = clocks.Clock()
-    made = attendance.DiscoveryClient(
+    made = discovery_client.DiscoveryClient(
         RECORD,
         control_group.ControlGroup(RECORD.host, [CONTROL], clock),
         replica.Replica(),
--- a/tests/test_attending_fleet.py
+++ b/tests/test_attending_fleet.py
@@ -9,7 +9,7 @@
 from tests import attending_fleet
 from tests import group
 from tests import test_replica
-from wrenspoke.coordination.membership import attendance
+from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.protocol import attending
 from wrenspoke.protocol import messages
 
@@ -232,7 +232,7 @@
         cut_off = {*fleet.control_names[1::3]}
         for name in cut_off:
             fleet.controls[name].registrar._voter = Cut()
-        await fleet.wait_ms(2 * attendance.LEADERLESS_MS)
+        await fleet.wait_ms(2 * discovery_client.LEADERLESS_MS)
         for hosts in sessions_of(fleet).values():
             assert hosts - cut_off
         await fleet.close()
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -15,7 +15,7 @@
 from wrenspoke.coordination.agreement import lead
 from wrenspoke.coordination.limiting import allocator
 from wrenspoke.coordination.limiting import lender
-from wrenspoke.coordination.membership import attendance
+from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.coordination.membership import control_group
 from wrenspoke.coordination.membership import lease
 from wrenspoke.coordination.membership import replica
@@ -200,7 +200,7 @@
 
 
 def host_that_may_send(clock):
-    made = attendance.DiscoveryClient(
+    made = discovery_client.DiscoveryClient(
         record(),
         control_group.ControlGroup('own', [], clock),
         replica.Replica(),
--- a/wrenspoke/coordination/limiting/lender.py
+++ b/wrenspoke/coordination/limiting/lender.py
@@ -18,7 +18,7 @@
 from wrenspoke.coordination.limiting import allocator
 from wrenspoke.coordination.limiting import bounds
 from wrenspoke.coordination.limiting import levels
-from wrenspoke.coordination.membership import attendance
+from wrenspoke.coordination.membership import discovery_client
 from wrenspoke import ids
 from wrenspoke.protocol import errors as protocol_errors
 from wrenspoke.protocol import limiting
@@ -145,7 +145,7 @@
         limit_of: collections.abc.Callable[
             [ids.TeamId], teams.TeamLimit | None
         ],
-        lead: collections.abc.Callable[[], attendance.LeaderInfo | None],
+        lead: collections.abc.Callable[[], discovery_client.LeaderInfo | None],
         allowed: bounds.OvershootBounds,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
@@ -163,7 +163,7 @@
         self._round: asyncio.Future | None = None
         self._renewed_ms = 0
         # The lead that knows what is held here.
-        self._told: attendance.LeaderInfo | None = None
+        self._told: discovery_client.LeaderInfo | None = None
         # Until when older leaders' shares may still be held by others.
         self._settled_ms = 0
         self._tasks = runtime.Tasks()
--- a/wrenspoke/coordination/membership/gauges.py
+++ b/wrenspoke/coordination/membership/gauges.py
@@ -18,7 +18,7 @@
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.limiting import endpoint_gate
 from wrenspoke.coordination.membership import askers
-from wrenspoke.coordination.membership import attendance
+from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.coordination.membership import partners
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.membership import views
@@ -79,7 +79,7 @@
         regions: collections.abc.Mapping[ids.DataCentreId, ids.RegionId],
         interval_ms: int,
         reader: ReportReader,
-        discovery: attendance.DiscoveryClient,
+        discovery: discovery_client.DiscoveryClient,
         config_replica: replica.Replica,
         client: web.HttpClient,
         pollers: askers.RegionPollers,
--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -10,7 +10,7 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.limiting import endpoint_gate
 from wrenspoke.coordination.membership import askers
-from wrenspoke.coordination.membership import attendance
+from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.coordination.membership import gauges
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.serving import health
@@ -35,7 +35,7 @@
         region: ids.RegionId,
         asking: askers.RegionPollers,
         regions: collections.abc.Mapping[ids.DataCentreId, ids.RegionId],
-        attended: attendance.DiscoveryClient,
+        attended: discovery_client.DiscoveryClient,
         held: replica.Replica,
         noted: health.Health,
         warmth: warmths.Warmth,
--- a/wrenspoke/coordination/serving/choice.py
+++ b/wrenspoke/coordination/serving/choice.py
@@ -10,7 +10,7 @@
 import random
 
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.membership import attendance
+from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.coordination.membership import partners
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.serving import availability
@@ -69,7 +69,7 @@
         self,
         region: ids.RegionId,
         regions: collections.abc.Mapping[ids.DataCentreId, ids.RegionId],
-        attended: attendance.DiscoveryClient,
+        attended: discovery_client.DiscoveryClient,
         held: replica.Replica,
         noted: health.Health,
         estimator: estimate.Estimator,
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -14,7 +14,7 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.limiting import limiter as limiters
-from wrenspoke.coordination.membership import attendance
+from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.quarantine import guard as guards
 from wrenspoke.coordination.serving import access
@@ -69,7 +69,7 @@
     def __init__(
         self,
         held: replica.Replica,
-        attended: attendance.DiscoveryClient,
+        attended: discovery_client.DiscoveryClient,
         chosen: choice.Choice,
         placed: placing.Placing,
         tried: tries.Tries,
--- a/wrenspoke/coordination/serving/tries.py
+++ b/wrenspoke/coordination/serving/tries.py
@@ -14,7 +14,7 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.limiting import endpoint_limits
-from wrenspoke.coordination.membership import attendance
+from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.coordination.membership import reach
 from wrenspoke.coordination.serving import choice
 from wrenspoke.coordination.serving import estimate
@@ -46,7 +46,7 @@
     def __init__(
         self,
         sender: sending.Sender,
-        attended: attendance.DiscoveryClient,
+        attended: discovery_client.DiscoveryClient,
         chosen: choice.Choice,
         noted: health.Health,
         reached: reach.HostPinger,
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -14,7 +14,7 @@
 from wrenspoke.coordination.limiting import lender
 from wrenspoke.coordination.limiting import limiter
 from wrenspoke.coordination.membership import askers
-from wrenspoke.coordination.membership import attendance
+from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.coordination.membership import control_group
 from wrenspoke.coordination.membership import gauges
 from wrenspoke.coordination.membership import lease
@@ -76,7 +76,7 @@
         self.lease = lease.ConfigurationLease(
             node.withdrawn_keys_ms, self.clock
         )
-        self.attendance = attendance.DiscoveryClient(
+        self.attendance = discovery_client.DiscoveryClient(
             self._record(),
             self.group,
             self.replica,
