--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -697,7 +697,7 @@
     ),
     Switch(
         'share of a lost host is lost',
-        DECISIONS + 'membership/askers.py',
+        DECISIONS + 'membership/region_pollers.py',
         (
             '            if await self._peers.tell(host, sent):\n                return\n'
         ),
--- a/tests/stated_fleet.py
+++ b/tests/stated_fleet.py
@@ -15,7 +15,7 @@
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.limiting import endpoint_gate
 from wrenspoke.coordination.limiting import endpoint_limits
-from wrenspoke.coordination.membership import askers
+from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.protocol import attending
 from wrenspoke.protocol import limiting
 
@@ -167,7 +167,7 @@
         self.frozen = False
         # When this host first passed on an answer that names a limit.
         self.told_ms = {}
-        self.askers = askers.RegionPollers(
+        self.askers = region_pollers.RegionPollers(
             REGION, name, Roster(fleet, name), self.peers
         )
         self.limits = endpoint_limits.EndpointLimits(
--- a/tests/test_askers.py
+++ b/tests/test_askers.py
@@ -10,7 +10,7 @@
 
 from tests import test_gauges
 from tests import test_registry
-from wrenspoke.coordination.membership import askers
+from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import partners
 from wrenspoke.coordination.membership import roster
 from wrenspoke.coordination.membership import views
@@ -33,7 +33,7 @@
             known = roster.Roster(1_000, test_registry.FakeClock())
             for other in records:
                 known.merge_record(other)
-            self.made[record.host] = askers.RegionPollers(
+            self.made[record.host] = region_pollers.RegionPollers(
                 'north', record.host, known, Link(record.host, self)
             )
 
@@ -67,7 +67,7 @@
 async def test_every_host_is_told_once_and_none_tells_many(count):
     region = Region(count)
     asking = asking_hosts(region)
-    assert len(asking) == askers.MIN_POLLERS
+    assert len(asking) == region_pollers.MIN_POLLERS
     [first, *_others] = asking
     await region.made[first].tell(attending.TellRegion([]))
     assert region.told == {host: 1 for host in region.made if host != first}
@@ -80,7 +80,7 @@
     region = Region(count)
     teller, *_others = asking_hosts(region)
     others = sorted({*region.made} - {teller})
-    for share in askers.relay_groups(others)[:2]:
+    for share in region_pollers.relay_groups(others)[:2]:
         region.lost |= {*share[:2]}
     await region.made[teller].tell(attending.TellRegion([]))
     assert region.told == {host: 1 for host in {*others} - region.lost}
@@ -104,7 +104,9 @@
             test_registry.record(f'{name}{number}', region=name)
         )
     viewed = views.RegionViews(clock)
-    asking = askers.RegionPollers(region, host, known, test_gauges.NoPeers())
+    asking = region_pollers.RegionPollers(
+        region, host, known, test_gauges.NoPeers()
+    )
     made = partners.RemoteHosts(
         host, region, known, Unasked(), asking, viewed, clock
     )
@@ -122,7 +124,7 @@
             status = attending.RegionStatus('south', messages.Pong(False))
             viewed.record_status(status)
         pinging += bool(made.ping_targets())
-    assert pinging == (askers.MIN_POLLERS if told else count)
+    assert pinging == (region_pollers.MIN_POLLERS if told else count)
 
 
 @pytest.mark.parametrize(
@@ -150,7 +152,7 @@
 )
 def test_hosts_are_split_into_about_as_many_shares_as_each_has(count, lengths):
     hosts = [f'h{number:02}' for number in range(count)]
-    split = askers.relay_groups(hosts)
+    split = region_pollers.relay_groups(hosts)
     assert [len(share) for share in split] == lengths
     assert [host for share in split for host in share] == hosts
 
@@ -162,4 +164,4 @@
     for number in range(30):
         for host, made in region.made.items():
             asked[number] += made.is_poller_of(f'e{number}')
-    assert set(asked.values()) == {askers.MIN_POLLERS}
+    assert set(asked.values()) == {region_pollers.MIN_POLLERS}
--- a/tests/test_gauges.py
+++ b/tests/test_gauges.py
@@ -8,7 +8,7 @@
 from tests import stated_fleet
 from tests import test_registry
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.membership import askers
+from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import gauges
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.membership import roster
@@ -58,7 +58,7 @@
     attended = types.SimpleNamespace(
         roster=known, registry=types.SimpleNamespace(held=held)
     )
-    asking = askers.RegionPollers('north', host, known, NoPeers())
+    asking = region_pollers.RegionPollers('north', host, known, NoPeers())
     table = routes.RouteTable(
         1,
         (),
--- a/tests/test_sent_calls.py
+++ b/tests/test_sent_calls.py
@@ -11,7 +11,7 @@
 from tests import attending_fleet
 from tests import group
 from tests import test_registry
-from wrenspoke.coordination.membership import askers
+from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import roster
 from wrenspoke.coordination.serving import sent_calls
 from wrenspoke.protocol import dialect as dialects
@@ -47,7 +47,7 @@
         known = roster.Roster(10**9, clock)
         for other in fleet.names:
             known.merge_record(test_registry.record(other, data_centre='hall'))
-        asking = askers.RegionPollers('north', name, known, self.peers)
+        asking = region_pollers.RegionPollers('north', name, known, self.peers)
         asking.engine_count = len(fleet.names) // 2
         self.told = sent_calls.SentCalls(name, asking, self.peers, clock)
         self.heard = []
--- a/tests/test_warmth.py
+++ b/tests/test_warmth.py
@@ -5,7 +5,7 @@
 from tests import stated_fleet
 from tests import test_gauges
 from tests import test_registry
-from wrenspoke.coordination.membership import askers
+from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import roster
 from wrenspoke.coordination.serving import warmth
 from wrenspoke.protocol import attending
@@ -21,7 +21,9 @@
     held = roster.Roster(1_000, clock)
     for number in range(20):
         held.merge_record(test_gauges.record(number))
-    asking = askers.RegionPollers('north', 'h1', held, test_gauges.NoPeers())
+    asking = region_pollers.RegionPollers(
+        'north', 'h1', held, test_gauges.NoPeers()
+    )
     # One that two other hosts ask.
     number = next(n for n in range(99) if not asking.is_poller_of(f'e{n}'))
     endpoint = test_gauges.registered(number)
--- a/wrenspoke/coordination/membership/gauges.py
+++ b/wrenspoke/coordination/membership/gauges.py
@@ -17,7 +17,7 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.limiting import endpoint_gate
-from wrenspoke.coordination.membership import askers
+from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.coordination.membership import partners
 from wrenspoke.coordination.membership import replica
@@ -82,7 +82,7 @@
         discovery: discovery_client.DiscoveryClient,
         config_replica: replica.Replica,
         client: web.HttpClient,
-        pollers: askers.RegionPollers,
+        pollers: region_pollers.RegionPollers,
         remotes: partners.RemoteHosts,
         region_statuses: views.RegionViews,
         on_answer: collections.abc.Callable[[str, int], None],
--- a/wrenspoke/coordination/membership/partners.py
+++ b/wrenspoke/coordination/membership/partners.py
@@ -10,7 +10,7 @@
 import structlog
 
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.membership import askers
+from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import reach
 from wrenspoke.coordination.membership import roster
 from wrenspoke.coordination.membership import views
@@ -36,7 +36,7 @@
         region: ids.RegionId,
         host_roster: roster.Roster,
         pinger: reach.HostPinger,
-        pollers: askers.RegionPollers,
+        pollers: region_pollers.RegionPollers,
         region_statuses: views.RegionViews,
         clock: clocks.Clock,
     ):
--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -9,7 +9,7 @@
 
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.limiting import endpoint_gate
-from wrenspoke.coordination.membership import askers
+from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.coordination.membership import gauges
 from wrenspoke.coordination.membership import replica
@@ -33,7 +33,7 @@
     def __init__(
         self,
         region: ids.RegionId,
-        asking: askers.RegionPollers,
+        asking: region_pollers.RegionPollers,
         regions: collections.abc.Mapping[ids.DataCentreId, ids.RegionId],
         attended: discovery_client.DiscoveryClient,
         held: replica.Replica,
--- a/wrenspoke/coordination/serving/sent_calls.py
+++ b/wrenspoke/coordination/serving/sent_calls.py
@@ -17,7 +17,7 @@
 import structlog
 
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.membership import askers
+from wrenspoke.coordination.membership import region_pollers
 from wrenspoke import ids
 from wrenspoke.protocol import attending
 from wrenspoke.protocol import dialect as dialects
@@ -45,7 +45,7 @@
     def __init__(
         self,
         host: ids.HostId,
-        asking: askers.RegionPollers,
+        asking: region_pollers.RegionPollers,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
--- a/wrenspoke/coordination/serving/warmth.py
+++ b/wrenspoke/coordination/serving/warmth.py
@@ -16,7 +16,7 @@
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.limiting import endpoint_gate
 from wrenspoke.coordination.limiting import endpoint_limits
-from wrenspoke.coordination.membership import askers
+from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import replica
 from wrenspoke import ids
 from wrenspoke.protocol import advertised
@@ -45,7 +45,7 @@
 
     def __init__(
         self,
-        asking: askers.RegionPollers,
+        asking: region_pollers.RegionPollers,
         held: replica.Replica,
         dialect: dialects.Dialect,
         client: web.HttpClient,
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -13,7 +13,7 @@
 from wrenspoke.coordination.limiting import endpoint_gate
 from wrenspoke.coordination.limiting import lender
 from wrenspoke.coordination.limiting import limiter
-from wrenspoke.coordination.membership import askers
+from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.coordination.membership import control_group
 from wrenspoke.coordination.membership import gauges
@@ -105,7 +105,7 @@
             self._standing,
         )
         self._views = views.RegionViews(self.clock)
-        self._askers = askers.RegionPollers(
+        self._askers = region_pollers.RegionPollers(
             node.region, node.host, self.attendance.roster, self.peers
         )
         self._partners = partners.RemoteHosts(
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -8,7 +8,7 @@
 from wrenspoke import arguments
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.limiting import endpoint_gate
-from wrenspoke.coordination.membership import askers
+from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import leaving
 from wrenspoke.coordination.membership import loads
 from wrenspoke.coordination.membership import member_roster
@@ -129,7 +129,7 @@
 
     def _build_limits(self) -> None:
         """Build what keeps to what endpoints say that they take."""
-        self._askers = askers.RegionPollers(
+        self._askers = region_pollers.RegionPollers(
             self._region,
             self._host,
             member_roster.MemberRoster(self._deployment, self.members),
