--- a/tests/test_askers.py
+++ b/tests/test_askers.py
@@ -13,7 +13,7 @@
 from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import partners
 from wrenspoke.coordination.membership import roster
-from wrenspoke.coordination.membership import views
+from wrenspoke.coordination.membership import region_views
 from wrenspoke.protocol import attending
 from wrenspoke.protocol import messages
 
@@ -103,7 +103,7 @@
         known.merge_record(
             test_registry.record(f'{name}{number}', region=name)
         )
-    viewed = views.RegionViews(clock)
+    viewed = region_views.RegionViews(clock)
     asking = region_pollers.RegionPollers(
         region, host, known, test_gauges.NoPeers()
     )
@@ -142,7 +142,7 @@
         viewed.record_status(attending.RegionStatus('south', said))
     assert made.unreachable_regions() == (['south'] if cut_off else [])
     assert bool(made.reachable('south')) is not cut_off
-    clock.now_ms += views.VIEW_TTL_MS + 1
+    clock.now_ms += region_views.VIEW_TTL_MS + 1
     assert made.unreachable_regions() == []
 
 
--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -5,7 +5,7 @@
 from tests import test_registry
 from wrenspoke.coordination.membership import reach
 from wrenspoke.coordination.membership import replica
-from wrenspoke.coordination.membership import views
+from wrenspoke.coordination.membership import region_views
 from wrenspoke.coordination.serving import regions
 from wrenspoke.protocol import attending
 from wrenspoke.protocol import dialect as dialects
@@ -69,7 +69,7 @@
         index=index, routes=routes.RouteTable(1, services={'s': SERVICE})
     )
     found = Known(said)
-    viewed = views.RegionViews(clock)
+    viewed = region_views.RegionViews(clock)
     made = regions.Regions(found, found, viewed, held, clock, told)
     return made, found, clock
 
@@ -153,7 +153,10 @@
 
 @pytest.mark.parametrize(
     'later_ms, first_ms',
-    [(0, 40 + 100 + 100), (views.VIEW_TTL_MS + 1, regions.UNKNOWN_FIRST_MS)],
+    [
+        (0, 40 + 100 + 100),
+        (region_views.VIEW_TTL_MS + 1, regions.UNKNOWN_FIRST_MS),
+    ],
     ids=['fresh', 'old'],
 )
 def test_region_offers_what_another_host_of_this_one_heard(later_ms, first_ms):
--- a/wrenspoke/coordination/membership/gauges.py
+++ b/wrenspoke/coordination/membership/gauges.py
@@ -21,7 +21,7 @@
 from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.coordination.membership import partners
 from wrenspoke.coordination.membership import replica
-from wrenspoke.coordination.membership import views
+from wrenspoke.coordination.membership import region_views
 from wrenspoke.coordination.serving import routing
 from wrenspoke import ids
 from wrenspoke.protocol import advertised
@@ -84,7 +84,7 @@
         client: web.HttpClient,
         pollers: region_pollers.RegionPollers,
         remotes: partners.RemoteHosts,
-        region_statuses: views.RegionViews,
+        region_statuses: region_views.RegionViews,
         on_answer: collections.abc.Callable[[str, int], None],
         gate: endpoint_gate.EndpointGate,
         dialect: dialects.Dialect,
--- a/wrenspoke/coordination/membership/partners.py
+++ b/wrenspoke/coordination/membership/partners.py
@@ -13,7 +13,7 @@
 from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import reach
 from wrenspoke.coordination.membership import roster
-from wrenspoke.coordination.membership import views
+from wrenspoke.coordination.membership import region_views
 from wrenspoke.coordination.serving import routing
 from wrenspoke import ids
 from wrenspoke.protocol import attending
@@ -37,7 +37,7 @@
         host_roster: roster.Roster,
         pinger: reach.HostPinger,
         pollers: region_pollers.RegionPollers,
-        region_statuses: views.RegionViews,
+        region_statuses: region_views.RegionViews,
         clock: clocks.Clock,
     ):
         self._host = host
--- a/wrenspoke/coordination/serving/regions.py
+++ b/wrenspoke/coordination/serving/regions.py
@@ -15,7 +15,7 @@
 from wrenspoke.coordination.membership import partners
 from wrenspoke.coordination.membership import reach
 from wrenspoke.coordination.membership import replica
-from wrenspoke.coordination.membership import views
+from wrenspoke.coordination.membership import region_views
 from wrenspoke.coordination.serving import pace
 from wrenspoke.coordination.serving import prefixes
 from wrenspoke.coordination.serving import sent_calls
@@ -62,7 +62,7 @@
         self,
         reached: reach.HostPinger,
         near: partners.RemoteHosts,
-        viewed: views.RegionViews,
+        viewed: region_views.RegionViews,
         held: replica.Replica,
         clock: clocks.Clock,
         told: sent_calls.SentCalls | None = None,
@@ -165,7 +165,7 @@
 
     def _heard(
         self, host: attending.HostRecord
-    ) -> reach.RemoteState | views.RegionView | None:
+    ) -> reach.RemoteState | region_views.RegionView | None:
         """Return what a host last said, or else another of its region."""
         if self._reach.answers(host.host):
             return self._reach.remote(host.host)
@@ -175,7 +175,9 @@
         remote = self._reach.remote(host.host)
         return None if remote is None or remote.said is None else remote
 
-    def _lags(self, remote: reach.RemoteState | views.RegionView) -> bool:
+    def _lags(
+        self, remote: reach.RemoteState | region_views.RegionView
+    ) -> bool:
         """Tell whether a host goes by an older configuration for long."""
         if self._replica.current.index != self._index:
             self._index = self._replica.current.index
@@ -199,7 +201,7 @@
     def _passed_ms(
         self,
         region: ids.RegionId,
-        remote: reach.RemoteState | views.RegionView,
+        remote: reach.RemoteState | region_views.RegionView,
         found: messages.Offer,
     ) -> float:
         """Return what was passed on and is not in the offer yet."""
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -21,7 +21,7 @@
 from wrenspoke.coordination.membership import partners
 from wrenspoke.coordination.membership import reach
 from wrenspoke.coordination.membership import replica
-from wrenspoke.coordination.membership import views
+from wrenspoke.coordination.membership import region_views
 from wrenspoke.coordination.quarantine import guard
 from wrenspoke.coordination.quarantine import reporter
 from wrenspoke.coordination.serving import access
@@ -104,7 +104,7 @@
             self.clock,
             self._standing,
         )
-        self._views = views.RegionViews(self.clock)
+        self._views = region_views.RegionViews(self.clock)
         self._askers = region_pollers.RegionPollers(
             node.region, node.host, self.attendance.roster, self.peers
         )
