--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -733,7 +733,7 @@
     ),
     Switch(
         'silence counts from long ago',
-        DECISIONS + 'membership/reach.py',
+        DECISIONS + 'membership/host_pinger.py',
         ('            silence_ms = self._clock.mono_ms() - last_answer_ms\n'),
         (
             '            silence_ms = self._clock.mono_ms() - (remote.answered_ms or 0)\n'
--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -3,7 +3,7 @@
 import pytest
 
 from tests import test_registry
-from wrenspoke.coordination.membership import reach
+from wrenspoke.coordination.membership import host_pinger
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.membership import region_views
 from wrenspoke.coordination.serving import regions
@@ -34,7 +34,7 @@
     """Be what pings told of one host, and who is near."""
 
     def __init__(self, said):
-        self.told = reach.RemoteState(0, said, 50.0)
+        self.told = host_pinger.RemoteState(0, said, 50.0)
         self.told.answered_ms = 100_000
 
     def remote(self, _host):
--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests import group
-from wrenspoke.coordination.membership import reach
+from wrenspoke.coordination.membership import host_pinger
 from wrenspoke.protocol import errors
 from wrenspoke.protocol import messages
 
@@ -47,7 +47,9 @@
 def made(answers_after_ms, refused=0):
     limits = types.SimpleNamespace(suspect_after_ms=SUSPECT_MS)
     peers = Peers(answers_after_ms, refused)
-    return reach.HostPinger(limits, peers, group.LoopClock(), None), peers
+    return host_pinger.HostPinger(
+        limits, peers, group.LoopClock(), None
+    ), peers
 
 
 @pytest.mark.parametrize(
@@ -66,7 +68,7 @@
     async def play():
         await asyncio.sleep(BEGUN_MS / group.MS_PER_S)
         if known:
-            remote = reached._remotes['h'] = reach.RemoteState(0)
+            remote = reached._remotes['h'] = host_pinger.RemoteState(0)
             remote.answered_ms = BEGUN_MS - 60_000
         with reached.watch_host('h', lambda: told.append('lost')):
             await asyncio.sleep(CALL_MS / group.MS_PER_S)
@@ -83,7 +85,7 @@
         with reached.watch_host('h', lambda: None):
             await asyncio.sleep(1)
         used = [*peers.forgotten]
-        await asyncio.sleep(2 * reach.PING_IDLE_MS / group.MS_PER_S)
+        await asyncio.sleep(2 * host_pinger.PING_IDLE_MS / group.MS_PER_S)
         await reached.close()
         return used
 
--- a/wrenspoke/coordination/membership/partners.py
+++ b/wrenspoke/coordination/membership/partners.py
@@ -11,7 +11,7 @@
 
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.membership import region_pollers
-from wrenspoke.coordination.membership import reach
+from wrenspoke.coordination.membership import host_pinger
 from wrenspoke.coordination.membership import roster
 from wrenspoke.coordination.membership import region_views
 from wrenspoke.coordination.serving import routing
@@ -35,7 +35,7 @@
         host: ids.HostId,
         region: ids.RegionId,
         host_roster: roster.Roster,
-        pinger: reach.HostPinger,
+        pinger: host_pinger.HostPinger,
         pollers: region_pollers.RegionPollers,
         region_statuses: region_views.RegionViews,
         clock: clocks.Clock,
--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -12,7 +12,7 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.membership import members
-from wrenspoke.coordination.membership import reach
+from wrenspoke.coordination.membership import host_pinger
 from wrenspoke.coordination.serving import decisions
 from wrenspoke.coordination.serving import streams
 from wrenspoke import ids
@@ -70,7 +70,7 @@
         host: ids.HostId,
         deployment: settings.Deployment,
         watched: members.Members,
-        reached: reach.HostPinger,
+        reached: host_pinger.HostPinger,
         client: web.HttpClient,
         signer: hops.HopSigner,
         noted: decisions.Decisions,
--- a/wrenspoke/coordination/serving/regions.py
+++ b/wrenspoke/coordination/serving/regions.py
@@ -13,7 +13,7 @@
 
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.membership import partners
-from wrenspoke.coordination.membership import reach
+from wrenspoke.coordination.membership import host_pinger
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.membership import region_views
 from wrenspoke.coordination.serving import pace
@@ -60,7 +60,7 @@
 
     def __init__(
         self,
-        reached: reach.HostPinger,
+        reached: host_pinger.HostPinger,
         near: partners.RemoteHosts,
         viewed: region_views.RegionViews,
         held: replica.Replica,
@@ -165,7 +165,7 @@
 
     def _heard(
         self, host: attending.HostRecord
-    ) -> reach.RemoteState | region_views.RegionView | None:
+    ) -> host_pinger.RemoteState | region_views.RegionView | None:
         """Return what a host last said, or else another of its region."""
         if self._reach.answers(host.host):
             return self._reach.remote(host.host)
@@ -176,7 +176,7 @@
         return None if remote is None or remote.said is None else remote
 
     def _lags(
-        self, remote: reach.RemoteState | region_views.RegionView
+        self, remote: host_pinger.RemoteState | region_views.RegionView
     ) -> bool:
         """Tell whether a host goes by an older configuration for long."""
         if self._replica.current.index != self._index:
@@ -201,7 +201,7 @@
     def _passed_ms(
         self,
         region: ids.RegionId,
-        remote: reach.RemoteState | region_views.RegionView,
+        remote: host_pinger.RemoteState | region_views.RegionView,
         found: messages.Offer,
     ) -> float:
         """Return what was passed on and is not in the offer yet."""
--- a/wrenspoke/coordination/serving/tries.py
+++ b/wrenspoke/coordination/serving/tries.py
@@ -15,7 +15,7 @@
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.limiting import endpoint_limits
 from wrenspoke.coordination.membership import discovery_client
-from wrenspoke.coordination.membership import reach
+from wrenspoke.coordination.membership import host_pinger
 from wrenspoke.coordination.serving import choice
 from wrenspoke.coordination.serving import estimate
 from wrenspoke.coordination.serving import events
@@ -49,7 +49,7 @@
         attended: discovery_client.DiscoveryClient,
         chosen: choice.Choice,
         noted: health.Health,
-        reached: reach.HostPinger,
+        reached: host_pinger.HostPinger,
         estimator: estimate.Estimator,
         elsewhere: regions.Regions,
         clock: clocks.Clock,
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -19,7 +19,7 @@
 from wrenspoke.coordination.membership import gauges
 from wrenspoke.coordination.membership import lease
 from wrenspoke.coordination.membership import partners
-from wrenspoke.coordination.membership import reach
+from wrenspoke.coordination.membership import host_pinger
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.membership import region_views
 from wrenspoke.coordination.quarantine import guard
@@ -98,7 +98,7 @@
             ),
             self.clock,
         )
-        self._reach = reach.HostPinger(
+        self._reach = host_pinger.HostPinger(
             node.entry,
             self.peers,
             self.clock,
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -15,7 +15,7 @@
 from wrenspoke.coordination.membership import members
 from wrenspoke.coordination.membership import polls
 from wrenspoke.coordination.membership import pulls
-from wrenspoke.coordination.membership import reach
+from wrenspoke.coordination.membership import host_pinger
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.quarantine import guard
 from wrenspoke.coordination.quarantine import reporter
@@ -112,7 +112,7 @@
             self.replica,
             self._clock,
         )
-        self._reach = reach.HostPinger(
+        self._reach = host_pinger.HostPinger(
             self._settings,
             self.peers,
             self._clock,
