--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -688,7 +688,7 @@
     ),
     Switch(
         'every host pings other regions',
-        DECISIONS + 'membership/partners.py',
+        DECISIONS + 'membership/remote_hosts.py',
         ('            if is_poller or not self._views.known(region)\n'),
         ('            if True\n'),
         (
--- a/tests/test_askers.py
+++ b/tests/test_askers.py
@@ -11,7 +11,7 @@
 from tests import test_gauges
 from tests import test_registry
 from wrenspoke.coordination.membership import region_pollers
-from wrenspoke.coordination.membership import partners
+from wrenspoke.coordination.membership import remote_hosts
 from wrenspoke.coordination.membership import roster
 from wrenspoke.coordination.membership import region_views
 from wrenspoke.protocol import attending
@@ -107,7 +107,7 @@
     asking = region_pollers.RegionPollers(
         region, host, known, test_gauges.NoPeers()
     )
-    made = partners.RemoteHosts(
+    made = remote_hosts.RemoteHosts(
         host, region, known, Unasked(), asking, viewed, clock
     )
     return made, viewed
--- a/wrenspoke/coordination/membership/gauges.py
+++ b/wrenspoke/coordination/membership/gauges.py
@@ -19,7 +19,7 @@
 from wrenspoke.coordination.limiting import endpoint_gate
 from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import discovery_client
-from wrenspoke.coordination.membership import partners
+from wrenspoke.coordination.membership import remote_hosts
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.membership import region_views
 from wrenspoke.coordination.serving import routing
@@ -83,7 +83,7 @@
         config_replica: replica.Replica,
         client: web.HttpClient,
         pollers: region_pollers.RegionPollers,
-        remotes: partners.RemoteHosts,
+        remotes: remote_hosts.RemoteHosts,
         region_statuses: region_views.RegionViews,
         on_answer: collections.abc.Callable[[str, int], None],
         gate: endpoint_gate.EndpointGate,
--- a/wrenspoke/coordination/serving/choice.py
+++ b/wrenspoke/coordination/serving/choice.py
@@ -11,7 +11,7 @@
 
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.membership import discovery_client
-from wrenspoke.coordination.membership import partners
+from wrenspoke.coordination.membership import remote_hosts
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.serving import availability
 from wrenspoke.coordination.serving import costs
@@ -73,7 +73,7 @@
         held: replica.Replica,
         noted: health.Health,
         estimator: estimate.Estimator,
-        near: partners.RemoteHosts,
+        near: remote_hosts.RemoteHosts,
         available: availability.Availability,
         switched_off: collections.abc.Set[mechanisms.Mechanism],
         clock: clocks.Clock,
@@ -361,4 +361,4 @@
         ]
         if not hosts:
             return None
-        return self._random.choice(hosts[: partners.TARGETS_PER_REGION])
+        return self._random.choice(hosts[: remote_hosts.TARGETS_PER_REGION])
--- a/wrenspoke/coordination/serving/regions.py
+++ b/wrenspoke/coordination/serving/regions.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.membership import partners
+from wrenspoke.coordination.membership import remote_hosts
 from wrenspoke.coordination.membership import host_pinger
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.membership import region_views
@@ -61,7 +61,7 @@
     def __init__(
         self,
         reached: host_pinger.HostPinger,
-        near: partners.RemoteHosts,
+        near: remote_hosts.RemoteHosts,
         viewed: region_views.RegionViews,
         held: replica.Replica,
         clock: clocks.Clock,
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -18,7 +18,7 @@
 from wrenspoke.coordination.membership import control_group
 from wrenspoke.coordination.membership import gauges
 from wrenspoke.coordination.membership import lease
-from wrenspoke.coordination.membership import partners
+from wrenspoke.coordination.membership import remote_hosts
 from wrenspoke.coordination.membership import host_pinger
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.membership import region_views
@@ -108,7 +108,7 @@
         self._askers = region_pollers.RegionPollers(
             node.region, node.host, self.attendance.roster, self.peers
         )
-        self._partners = partners.RemoteHosts(
+        self._partners = remote_hosts.RemoteHosts(
             node.host,
             node.region,
             self.attendance.roster,
