--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -710,7 +710,7 @@
     ),
     Switch(
         'nobody asks for an asking host',
-        DECISIONS + 'membership/gauges.py',
+        DECISIONS + 'membership/engine_loads.py',
         ('            if place == 0 or self._is_overdue(found, place):\n'),
         ('            if place == 0:\n'),
         (
@@ -719,7 +719,7 @@
     ),
     Switch(
         'silent engines are used',
-        DECISIONS + 'membership/gauges.py',
+        DECISIONS + 'membership/engine_loads.py',
         ('        return fresh >= MIN_FRESH_SHARE * len(engines)\n'),
         ('        return False\n'),
         ('tests/test_gauges.py'),
--- a/tests/test_gauges.py
+++ b/tests/test_gauges.py
@@ -9,7 +9,7 @@
 from tests import test_registry
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.membership import region_pollers
-from wrenspoke.coordination.membership import gauges
+from wrenspoke.coordination.membership import engine_loads
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.membership import roster
 from wrenspoke.coordination.serving import availability
@@ -69,7 +69,7 @@
     )
     replicated = replica.Replica()
     replicated.current = configuration.Configuration(index=1, routes=table)
-    return gauges.EngineLoads(
+    return engine_loads.EngineLoads(
         'north',
         host,
         REGIONS,
@@ -136,7 +136,7 @@
     first, second = asking
     before = {found.said.endpoint for found in own_of(second)}
     assert before.isdisjoint(f.said.endpoint for f in own_of(first))
-    clock.now_ms += gauges.TAKEOVER_INTERVALS * 400 + 1
+    clock.now_ms += engine_loads.TAKEOVER_INTERVALS * 400 + 1
     assert len(own_of(second)) == len(engines)
     for found in engines:
         second._loads[found.said.endpoint] = (None, clock.now_ms)
--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -11,7 +11,7 @@
 from wrenspoke.coordination.limiting import endpoint_gate
 from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import discovery_client
-from wrenspoke.coordination.membership import gauges
+from wrenspoke.coordination.membership import engine_loads
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.serving import health
 from wrenspoke.coordination.serving import warmth as warmths
@@ -39,7 +39,7 @@
         held: replica.Replica,
         noted: health.Health,
         warmth: warmths.Warmth,
-        known: gauges.EngineLoads,
+        known: engine_loads.EngineLoads,
         gate: endpoint_gate.EndpointGate,
         switched_off: collections.abc.Set[mechanisms.Mechanism],
         clock: clocks.Clock,
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -10,7 +10,7 @@
 import math
 
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.membership import gauges
+from wrenspoke.coordination.membership import engine_loads
 from wrenspoke.coordination.serving import backlog
 from wrenspoke.coordination.serving import pace
 from wrenspoke.coordination.serving import prefixes
@@ -58,7 +58,7 @@
 class Estimator:
     """Estimate first pieces by reports, own sends and what was learned."""
 
-    def __init__(self, known: gauges.EngineLoads, clock: clocks.Clock):
+    def __init__(self, known: engine_loads.EngineLoads, clock: clocks.Clock):
         self._gauges = known
         self.prefixes = prefixes.Prefixes()
         self.backlog = backlog.Backlog(clock)
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -16,7 +16,7 @@
 from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.coordination.membership import control_group
-from wrenspoke.coordination.membership import gauges
+from wrenspoke.coordination.membership import engine_loads
 from wrenspoke.coordination.membership import lease
 from wrenspoke.coordination.membership import remote_hosts
 from wrenspoke.coordination.membership import host_pinger
@@ -63,7 +63,7 @@
         self,
         node: nodes.Node,
         dialect: dialects.Dialect,
-        reports: gauges.ReportReader,
+        reports: engine_loads.ReportReader,
     ):
         self.node = node
         self.clock = clocks.Clock()
@@ -157,13 +157,13 @@
             self._health.heard(record.passing_address, asked_ms)
 
     def _build_gauges(
-        self, reports: gauges.ReportReader, dialect: dialects.Dialect
+        self, reports: engine_loads.ReportReader, dialect: dialects.Dialect
     ) -> None:
         """Build what knows how loaded engines are."""
         node = self.node
         self._health = health.Health(self.clock)
         self._reach.set_answer_callback(self._host_heard)
-        self._gauges = gauges.EngineLoads(
+        self._gauges = engine_loads.EngineLoads(
             node.region,
             node.host,
             node.regions,
