--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -10,7 +10,7 @@
 from wrenspoke.coordination.agreement import founding
 from wrenspoke.coordination.agreement import voter
 from wrenspoke.coordination import errors
-from wrenspoke.coordination.membership import kept_registry
+from wrenspoke.coordination.membership import registry_snapshot
 from wrenspoke import node as settings
 from wrenspoke.state import disk
 from wrenspoke.state import electorates
@@ -152,7 +152,7 @@
                 warmup_left_ms,
             )
         )
-        path = tmp_path / control.node.ip / kept_registry.SNAPSHOT_FILE
+        path = tmp_path / control.node.ip / registry_snapshot.SNAPSHOT_FILE
         await nodes.until(path.exists)
         await control.close()
         if not kept:
@@ -164,7 +164,7 @@
         # Believed for a while only, as nothing renews it here.
         if known:
             age_ms = again.clock.mono_ms() - held['e'].heard_ms
-            assert age_ms >= kept_registry.RESTORED_LEASE_MS
+            assert age_ms >= registry_snapshot.RESTORED_LEASE_MS
 
 
 @pytest.mark.parametrize('leads', [True, False], ids=['leader', 'follower'])
--- a/wrenspoke/control_node.py
+++ b/wrenspoke/control_node.py
@@ -14,7 +14,7 @@
 from wrenspoke.coordination.agreement import voter
 from wrenspoke.coordination.limiting import allocator
 from wrenspoke.coordination.membership import control_group
-from wrenspoke.coordination.membership import kept_registry
+from wrenspoke.coordination.membership import registry_snapshot
 from wrenspoke.coordination.membership import registrar
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.quarantine import gatherer
@@ -64,7 +64,7 @@
             self.clock,
         )
         self._traffic.tell_places(self.registrar.host_location)
-        self._kept_registry = kept_registry.RegistrySnapshot(
+        self._kept_registry = registry_snapshot.RegistrySnapshot(
             pathlib.Path(node.data_folder),
             self.registrar.registry,
             self.clock,
