--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -143,7 +143,7 @@
     ),
     Switch(
         'list takes leaving back',
-        DECISIONS + 'membership/leaving.py',
+        DECISIONS + 'membership/host_list_poller.py',
         ('        changed = False\n'),
         ('        changed = False\n        self._replica.leaving.clear()\n'),
         ('tests/test_leaving.py::test_platform_list_only_ever_adds_leaving'),
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -9,7 +9,7 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.limiting import endpoint_gate
 from wrenspoke.coordination.membership import region_pollers
-from wrenspoke.coordination.membership import leaving
+from wrenspoke.coordination.membership import host_list_poller
 from wrenspoke.coordination.membership import loads
 from wrenspoke.coordination.membership import member_roster
 from wrenspoke.coordination.membership import members
@@ -104,7 +104,7 @@
             self.replica,
             self._clock,
         )
-        self._leaving = leaving.HostListPoller(
+        self._leaving = host_list_poller.HostListPoller(
             self._settings.platform_url,
             self._host,
             self._client,
