--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -13,7 +13,7 @@
 from wrenspoke.coordination.membership import loads
 from wrenspoke.coordination.membership import member_roster
 from wrenspoke.coordination.membership import members
-from wrenspoke.coordination.membership import polls
+from wrenspoke.coordination.membership import load_poller
 from wrenspoke.coordination.membership import pulls
 from wrenspoke.coordination.membership import host_pinger
 from wrenspoke.coordination.membership import replica
@@ -183,7 +183,7 @@
             self._guard,
             self._gate,
         )
-        self._poller = polls.LoadPoller(
+        self._poller = load_poller.LoadPoller(
             self._settings,
             self._region,
             self._own.data_centre,
