--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -171,7 +171,7 @@
     ),
     Switch(
         'serves before it knows',
-        DECISIONS + 'membership/pulls.py',
+        DECISIONS + 'membership/configuration_puller.py',
         ('        held = serving or self._replica.served_before\n'),
         ('        held = True\n'),
         ('tests/test_control.py::test_configuration_never_goes_back'),
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -14,7 +14,7 @@
 from wrenspoke.coordination.membership import member_roster
 from wrenspoke.coordination.membership import members
 from wrenspoke.coordination.membership import load_poller
-from wrenspoke.coordination.membership import pulls
+from wrenspoke.coordination.membership import configuration_puller
 from wrenspoke.coordination.membership import host_pinger
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.quarantine import guard
@@ -96,7 +96,7 @@
             self._limits,
             self._clock,
         )
-        self._puller = pulls.ConfigurationPuller(
+        self._puller = configuration_puller.ConfigurationPuller(
             self._host,
             self._deployment,
             self.peers,
