--- a/tests/test_attendance.py
+++ b/tests/test_attendance.py
@@ -63,7 +63,7 @@
     await made.close()
 
 
-async def hear(attended):
+async def deliver_answer(attended):
     """Let a control host answer once."""
     [session, _other] = attended._sessions
     session.host = CONTROL
@@ -81,7 +81,7 @@
     """Without a leader's word no further answer is waited for."""
     attended._peers.confirmed = confirmed
     attended._peers.index = index
-    await hear(attended)
+    await deliver_answer(attended)
     assert attended._replica.serving is at_once
     if later:
         await nodes.until(lambda: attended._replica.serving)
@@ -89,12 +89,12 @@
 
 
 async def test_host_that_was_stopped_serves_after_a_new_answer_only(attended):
-    await hear(attended)
+    await deliver_answer(attended)
     waiting = attended._waiting
     attended._suspend_serving()
     await asyncio.wait([waiting])
     assert waiting.cancelled() and not attended._replica.serving
-    await hear(attended)
+    await deliver_answer(attended)
     await nodes.until(lambda: attended._replica.serving)
 
 
@@ -123,7 +123,7 @@
 
     monkeypatch.setattr(attended._peers, 'call', call_late)
     asked_ms = clock.now_ms
-    await hear(attended)
+    await deliver_answer(attended)
     assert seen == ([asked_ms + held_ms - age_ms] if confirmed else [])
 
 
@@ -142,7 +142,7 @@
         return found
 
     monkeypatch.setattr(attended._peers, 'call', call_ahead)
-    await hear(attended)
+    await deliver_answer(attended)
     assert seen == []
 
 
