--- a/tests/test_attendance.py
+++ b/tests/test_attendance.py
@@ -109,7 +109,7 @@
     """It was given no sooner than it was asked for and held back."""
     seen = []
     monkeypatch.setattr(attended.lease, 'confirm', seen.append)
-    clock = StandingClock()
+    clock = FrozenClock()
     monkeypatch.setattr(attended, '_clock', clock)
     call = attended._peers.call
 
@@ -146,7 +146,7 @@
     assert seen == []
 
 
-class StandingClock(clocks.Clock):
+class FrozenClock(clocks.Clock):
     """Stand still until told."""
 
     now_ms = 50_000
