--- a/tests/test_attendance.py
+++ b/tests/test_attendance.py
@@ -49,7 +49,7 @@
 
 
 @pytest.fixture
-async def attended():
+async def discovery():
     """Return an attending host that calls only when a test says so."""
     clock = clocks.Clock()
     made = discovery_client.DiscoveryClient(
