--- a/tests/attending_fleet.py
+++ b/tests/attending_fleet.py
@@ -57,7 +57,7 @@
         return answer
 
 
-class Leading:
+class LeadingVoter:
     """Stand in for a voter that leads."""
 
     has_lease = led = True
@@ -77,7 +77,7 @@
         self.group = control_group.ControlGroup(name, seeds, clock)
         self.registrar = registrar.Registrar(
             region,
-            Leading(),
+            LeadingVoter(),
             self.group,
             replica.Replica(),
             self.peers,
