--- a/tests/attending_fleet.py
+++ b/tests/attending_fleet.py
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass
-class Sent:
+class SentCount:
     """Count what hosts sent: messages and their bytes."""
 
     messages: int = 0
@@ -39,7 +39,7 @@
 
     def __init__(self, host, network):
         super().__init__(host, network)
-        self.sent = collections.defaultdict(Sent)
+        self.sent = collections.defaultdict(SentCount)
 
     def _count(self, host, body):
         kind = type(self._decoder.decode(body)).__name__
@@ -181,7 +181,7 @@
     def sent(self, hosts, kind, to=None):
         """Return what some hosts sent of a kind, to one host or to all."""
         key = kind if to is None else (kind, to)
-        total = Sent()
+        total = SentCount()
         for host in hosts.values():
             total.messages += host.peers.sent[key].messages
             total.bytes += host.peers.sent[key].bytes
--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -258,7 +258,7 @@
 
     def sent(self):
         """Return how many messages were sent of each kind, and bytes."""
-        total = collections.defaultdict(attending_fleet.Sent)
+        total = collections.defaultdict(attending_fleet.SentCount)
         for one in [*self.hosts.values(), *self.controls.values()]:
             for kind, counted in one.peers.sent.items():
                 if isinstance(kind, str):
