--- a/tests/attending_fleet.py
+++ b/tests/attending_fleet.py
@@ -119,7 +119,7 @@
         self.attendance.start()
 
     @property
-    def known(self):
+    def known_hosts(self):
         """Return the hosts that this one knows of."""
         return {record.host for record in self.attendance.roster.usable()}
 
