--- a/tests/test_attending_fleet.py
+++ b/tests/test_attending_fleet.py
@@ -231,7 +231,7 @@
         fleet = await settled(20)
         cut_off = {*fleet.control_names[1::3]}
         for name in cut_off:
-            fleet.controls[name].registrar._voter = Cut()
+            fleet.controls[name].registrar._voter = PartitionedVoter()
         await fleet.wait_ms(2 * discovery_client.LEADERLESS_MS)
         for hosts in sessions_of(fleet).values():
             assert hosts - cut_off
@@ -240,7 +240,7 @@
     group.run(play())
 
 
-class Cut:
+class PartitionedVoter:
     """Stand in for a voter that is cut off from the leader."""
 
     has_lease = led = False
