--- a/tests/test_attending_fleet.py
+++ b/tests/test_attending_fleet.py
@@ -26,7 +26,7 @@
 LOST_MS = 8_000
 
 
-async def settled(entries):
+async def settled_fleet(entries):
     fleet = attending_fleet.AttendingFleet(entries, entries // 2)
     await fleet.start()
     await fleet.wait_ms(SETTLED_MS)
@@ -36,7 +36,7 @@
 @pytest.mark.parametrize('entries', SIZES)
 def test_hosts_that_start_together_are_told_of_in_few_messages(entries):
     async def play():
-        fleet = await settled(entries)
+        fleet = await settled_fleet(entries)
         for host in fleet.entries.values():
             assert host.known == {*fleet.entry_names}
         told = fleet.sent(fleet.controls, 'Attended')
@@ -52,7 +52,7 @@
 @pytest.mark.parametrize('entries', SIZES)
 def test_control_hosts_tell_renewals_in_a_few_bytes_each(entries):
     async def play():
-        fleet = await settled(entries)
+        fleet = await settled_fleet(entries)
         before = fleet.sent(fleet.controls, 'Exchange').bytes
         await fleet.wait_ms(CALM_MS)
         told = fleet.sent(fleet.controls, 'Exchange').bytes - before
@@ -68,7 +68,7 @@
 @pytest.mark.parametrize('entries', SIZES)
 def test_calm_host_is_told_as_little_in_a_large_fleet(entries):
     async def play():
-        fleet = await settled(entries)
+        fleet = await settled_fleet(entries)
         before = fleet.sent(fleet.controls, 'Attended')
         await fleet.wait_ms(CALM_MS)
         told = fleet.sent(fleet.controls, 'Attended')
@@ -83,7 +83,7 @@
 @pytest.mark.parametrize('entries', SIZES)
 def test_host_that_comes_later_costs_each_other_host_one_record(entries):
     async def play():
-        fleet = await settled(entries)
+        fleet = await settled_fleet(entries)
         # Calm answers that the join would hide among are counted alike.
         await fleet.wait_ms(CALM_MS)
         before = fleet.sent(fleet.controls, 'Attended').bytes
@@ -106,7 +106,7 @@
 
 def test_lost_host_is_dropped_everywhere():
     async def play():
-        fleet = await settled(20)
+        fleet = await settled_fleet(20)
         lost = fleet.entry_names[3]
         await fleet.entries.pop(lost).close()
         await fleet.wait_ms(LOST_MS)
@@ -123,7 +123,7 @@
     """Another one that hears both passes it on."""
 
     async def play():
-        fleet = await settled(20)
+        fleet = await settled_fleet(20)
         alone, *others, between = fleet.control_names
         for other in others:
             fleet.network.cut(alone, other)
@@ -144,7 +144,7 @@
 
 def test_control_host_that_restarts_is_told_all_again():
     async def play():
-        fleet = await settled(20)
+        fleet = await settled_fleet(20)
         name = fleet.control_names[4]
         await fleet.controls.pop(name).close()
         await fleet.wait_ms(300)
@@ -162,7 +162,7 @@
     """What was dropped meanwhile is told again once it renews."""
 
     async def play():
-        fleet = await settled(20)
+        fleet = await settled_fleet(20)
         alone, *others = fleet.control_names
         for other in others:
             fleet.network.cut(alone, other)
@@ -187,7 +187,7 @@
 
 def test_hosts_attend_within_their_region():
     async def play():
-        fleet = await settled(20)
+        fleet = await settled_fleet(20)
         for number, name in enumerate(fleet.entry_names):
             near = {*fleet.control_names[number % 3 :: 3]}
             assert sessions_of(fleet)[name] == near
@@ -200,7 +200,7 @@
     """They don't try again and again what was lost."""
 
     async def play():
-        fleet = await settled(20)
+        fleet = await settled_fleet(20)
         lost = {*fleet.control_names[0::3]}
         for name in lost:
             await fleet.controls.pop(name).close()
@@ -228,7 +228,7 @@
     """Both of a region's may be cut off from those that decide."""
 
     async def play():
-        fleet = await settled(20)
+        fleet = await settled_fleet(20)
         cut_off = {*fleet.control_names[1::3]}
         for name in cut_off:
             fleet.controls[name].registrar._voter = PartitionedVoter()
@@ -258,7 +258,7 @@
     )
 
     async def play():
-        fleet = await settled(entries)
+        fleet = await settled_fleet(entries)
         delta = messages.ConfigurationDelta(
             1, changes=[(1, test_replica.table(1, count=1_500))]
         )
