--- a/tests/test_askers.py
+++ b/tests/test_askers.py
@@ -86,7 +86,7 @@
     assert region.told == {host: 1 for host in {*others} - region.lost}
 
 
-class Unasked:
+class SilentPinger:
     """Know nothing of any host elsewhere."""
 
     def tell_cut_off(self, _cut_off):
@@ -108,7 +108,7 @@
         region, host, known, test_gauges.NoPeers()
     )
     made = remote_hosts.RemoteHosts(
-        host, region, known, Unasked(), asking, viewed, clock
+        host, region, known, SilentPinger(), asking, viewed, clock
     )
     return made, viewed
 
