--- a/tests/test_askers.py
+++ b/tests/test_askers.py
@@ -96,7 +96,7 @@
         return None
 
 
-def partners_of(host, region, count, clock):
+def remote_hosts_of(host, region, count, clock):
     """Return the partners of a host whose fleet has three regions."""
     known = roster.Roster(1_000, clock)
     for number, name in itertools.product(range(count), ('north', 'south')):
@@ -119,7 +119,7 @@
     clock = test_registry.FakeClock()
     pinging = 0
     for number in range(count):
-        made, viewed = partners_of(f'north{number}', 'north', count, clock)
+        made, viewed = remote_hosts_of(f'north{number}', 'north', count, clock)
         if told:
             status = attending.RegionStatus('south', messages.Pong(False))
             viewed.record_status(status)
@@ -136,7 +136,7 @@
     statuses, cut_off
 ):
     clock = test_registry.FakeClock()
-    made, viewed = partners_of('north1', 'north', 7, clock)
+    made, viewed = remote_hosts_of('north1', 'north', 7, clock)
     for said in statuses:
         said = said and messages.Pong(False)
         viewed.record_status(attending.RegionStatus('south', said))
