--- a/tests/test_askers.py
+++ b/tests/test_askers.py
@@ -34,11 +34,11 @@
             for other in records:
                 known.merge_record(other)
             self.made[record.host] = region_pollers.RegionPollers(
-                'north', record.host, known, Link(record.host, self)
+                'north', record.host, known, FakeLink(record.host, self)
             )
 
 
-class Link:
+class FakeLink:
     """Be the link of one host."""
 
     def __init__(self, host, region):
