--- a/tests/test_askers.py
+++ b/tests/test_askers.py
@@ -20,7 +20,7 @@
 SIZES = [7, 20, 67]
 
 
-class Region:
+class SimulatedRegion:
     """Carry what hosts of one region tell, and count it."""
 
     def __init__(self, count):
@@ -65,7 +65,7 @@
 
 @pytest.mark.parametrize('count', SIZES)
 async def test_every_host_is_told_once_and_none_tells_many(count):
-    region = Region(count)
+    region = SimulatedRegion(count)
     asking = asking_hosts(region)
     assert len(asking) == region_pollers.MIN_POLLERS
     [first, *_others] = asking
@@ -77,7 +77,7 @@
 @pytest.mark.parametrize('count', [20, 67])
 async def test_host_that_is_lost_keeps_nothing_from_others(count):
     """Those that would tell a share, and the next of it, are lost."""
-    region = Region(count)
+    region = SimulatedRegion(count)
     teller, *_others = asking_hosts(region)
     others = sorted({*region.made} - {teller})
     for share in region_pollers.relay_groups(others)[:2]:
@@ -159,7 +159,7 @@
 
 @pytest.mark.parametrize('count', SIZES)
 def test_endpoint_that_was_taken_back_is_asked_by_two_of_all_hosts(count):
-    region = Region(count)
+    region = SimulatedRegion(count)
     asked = collections.Counter()
     for number in range(30):
         for host, made in region.made.items():
