--- a/tests/test_gauges.py
+++ b/tests/test_gauges.py
@@ -49,7 +49,7 @@
     return registry.Registered(said, 0, 1)
 
 
-def made(host, hosts, engines):
+def engine_loads_of(host, hosts, engines):
     """Return what a host of a region knows of engines' loads."""
     held = {found.said.endpoint: found for found in engines}
     known = roster.Roster(1_000, clocks.Clock())
@@ -113,7 +113,7 @@
     asked = collections.Counter()
     asking = 0
     for host in hosts:
-        own = own_of(made(host.host, hosts, [*engines, *others]))
+        own = own_of(engine_loads_of(host.host, hosts, [*engines, *others]))
         asked.update(found.said.endpoint for found in own)
         asking += bool(own)
     assert asked == {found.said.endpoint: 1 for found in engines}
@@ -121,7 +121,7 @@
 
 
 def test_host_that_is_not_known_yet_counts_itself():
-    own = own_of(made('alone', [], [registered(1)]))
+    own = own_of(engine_loads_of('alone', [], [registered(1)]))
     assert [found.said.endpoint for found in own] == ['e1']
 
 
@@ -129,7 +129,7 @@
     hosts = [record(number) for number in range(3)]
     engines = [registered(number) for number in range(8)]
     clock = test_registry.FakeClock()
-    every = [made(host.host, hosts, engines) for host in hosts]
+    every = [engine_loads_of(host.host, hosts, engines) for host in hosts]
     for gauged in every:
         gauged._clock = clock
     asking = [gauged for gauged in every if own_of(gauged)]
@@ -167,7 +167,7 @@
 def test_engine_is_silent_once_it_alone_stops_reporting(ages_ms, silent):
     """Where most stop, it is the asking hosts that fail."""
     engines = [registered(number) for number in range(len(ages_ms))]
-    gauged = made('h0', [record(0)], engines)
+    gauged = engine_loads_of('h0', [record(0)], engines)
     gauged._clock = test_registry.FakeClock()
     for number, age_ms in enumerate(ages_ms):
         if age_ms is not None:
@@ -179,7 +179,7 @@
 @pytest.mark.parametrize('silent', [True, False])
 def test_calls_go_to_an_engine_that_is_silent_only_for_want_of_others(silent):
     engines = [registered(number) for number in range(2)]
-    gauged = made('h0', [record(0)], engines)
+    gauged = engine_loads_of('h0', [record(0)], engines)
     gauged._clock = test_registry.FakeClock()
     now_ms = gauged._clock.now_ms
     for found in engines:
