--- a/tests/test_gauges.py
+++ b/tests/test_gauges.py
@@ -88,7 +88,7 @@
     )
 
 
-def own_of(gauged):
+def assigned_engines(gauged):
     """Return the engines that a host asks for all others."""
     engines = gauged._engines()
     gauged._askers.engines = len(engines)
@@ -113,7 +113,9 @@
     asked = collections.Counter()
     asking = 0
     for host in hosts:
-        own = own_of(engine_loads_of(host.host, hosts, [*engines, *others]))
+        own = assigned_engines(
+            engine_loads_of(host.host, hosts, [*engines, *others])
+        )
         asked.update(found.said.endpoint for found in own)
         asking += bool(own)
     assert asked == {found.said.endpoint: 1 for found in engines}
@@ -121,7 +123,7 @@
 
 
 def test_host_that_is_not_known_yet_counts_itself():
-    own = own_of(engine_loads_of('alone', [], [registered(1)]))
+    own = assigned_engines(engine_loads_of('alone', [], [registered(1)]))
     assert [found.said.endpoint for found in own] == ['e1']
 
 
@@ -132,15 +134,17 @@
     every = [engine_loads_of(host.host, hosts, engines) for host in hosts]
     for gauged in every:
         gauged._clock = clock
-    asking = [gauged for gauged in every if own_of(gauged)]
+    asking = [gauged for gauged in every if assigned_engines(gauged)]
     first, second = asking
-    before = {found.said.endpoint for found in own_of(second)}
-    assert before.isdisjoint(f.said.endpoint for f in own_of(first))
+    before = {found.said.endpoint for found in assigned_engines(second)}
+    assert before.isdisjoint(f.said.endpoint for f in assigned_engines(first))
     clock.now_ms += engine_loads.TAKEOVER_INTERVALS * 400 + 1
-    assert len(own_of(second)) == len(engines)
+    assert len(assigned_engines(second)) == len(engines)
     for found in engines:
         second._loads[found.said.endpoint] = (None, clock.now_ms)
-    assert {found.said.endpoint for found in own_of(second)} == before
+    assert {
+        found.said.endpoint for found in assigned_engines(second)
+    } == before
 
 
 @pytest.mark.parametrize(
