--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -44,7 +44,7 @@
         return messages.Pong(False)
 
 
-def made(answers_after_ms, refused=0):
+def build_pinger(answers_after_ms, refused=0):
     limits = types.SimpleNamespace(suspect_after_ms=SUSPECT_MS)
     peers = Peers(answers_after_ms, refused)
     return host_pinger.HostPinger(
@@ -62,7 +62,7 @@
     answers_after_ms, refused, lost, known
 ):
     """Not by the time since it was used before."""
-    reached, _peers = made(answers_after_ms, refused)
+    reached, _peers = build_pinger(answers_after_ms, refused)
     told = []
 
     async def play():
@@ -79,7 +79,7 @@
 
 
 def test_link_to_a_host_that_is_not_used_is_closed():
-    reached, peers = made(0)
+    reached, peers = build_pinger(0)
 
     async def play():
         with reached.watch_host('h', lambda: None):
