--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -32,7 +32,7 @@
         return int(self._offset_ms + self._world.now_ms * self._rate)
 
 
-class Wire:
+class DelayedLink:
     """Carry messages late, and none while either end is cut off."""
 
     def __init__(self, world):
@@ -166,7 +166,7 @@
     def __init__(self, seed):
         self.random = random.Random(seed)
         self.now_ms = 0
-        self.wire = Wire(self)
+        self.wire = DelayedLink(self)
         self.leader = Leader(self)
         self.controls = [Control(self) for _number in range(2)]
         self.hosts = [
