--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -176,7 +176,7 @@
         self.latest_ms = 0
         self.served = 0
 
-    def mishap(self):
+    def inject_fault(self):
         actor = self.random.choice([*self.controls, *self.hosts, self.leader])
         for_ms = self.random.choice([500, 3_000, 6_000, 12_000])
         kind = self.random.choice(['freeze', 'cut', 'restart', 'lead'])
@@ -194,7 +194,7 @@
         while self.now_ms < END_MS:
             self.now_ms += STEP_MS
             if self.random.random() < 0.004:
-                self.mishap()
+                self.inject_fault()
             if self.now_ms == self.withdrawn_ms:
                 self.leader.index = 2
             self.wire.deliver()
