--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -190,7 +190,7 @@
             # Another one leads: what this one sends from now on is nothing.
             self.leader.leads = not self.leader.leads
 
-    def play(self):
+    def run(self):
         while self.now_ms < END_MS:
             self.now_ms += STEP_MS
             if self.random.random() < 0.004:
@@ -213,7 +213,7 @@
 
 
 def test_nothing_runs_under_a_withdrawn_key_after_the_bound():
-    played = [World(seed).play() for seed in SEEDS]
+    played = [World(seed).run() for seed in SEEDS]
     assert max(one.latest_ms for one in played) < BOUND_MS
     # The mishaps are hard enough: some host goes on for most of the bound.
     assert max(one.latest_ms for one in played) > BOUND_MS / 2
@@ -244,7 +244,7 @@
             take(self, sender, asked, index, age_ms, held_ms)
 
         monkeypatch.setattr(Host, 'take_attended', take_without_age)
-    played = [World(seed).play() for seed in SEEDS]
+    played = [World(seed).run() for seed in SEEDS]
     assert max(one.latest_ms for one in played) >= BOUND_MS
 
 
