--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -23,7 +23,7 @@
         return self.now_ms
 
 
-def said(number, state=READY, **changes):
+def registration(number, state=READY, **changes):
     """Return a registration of one endpoint."""
     fields = {'warmup_left_ms': 0, 'age_ms': 0, **changes}
     return registry.Registration(
@@ -34,18 +34,18 @@
 @pytest.mark.parametrize(
     'later, changed, state, number',
     [
-        (said(6), False, READY, 6),
-        (said(4, DRAINING), False, READY, 5),
-        (said(5, DRAINING), False, READY, 5),
-        (said(6, DRAINING), True, DRAINING, 6),
-        (said(6, warmup_left_ms=3000), True, READY, 6),
-        (said(0, GONE), True, GONE, 0),
+        (registration(6), False, READY, 6),
+        (registration(4, DRAINING), False, READY, 5),
+        (registration(5, DRAINING), False, READY, 5),
+        (registration(6, DRAINING), True, DRAINING, 6),
+        (registration(6, warmup_left_ms=3000), True, READY, 6),
+        (registration(0, GONE), True, GONE, 0),
     ],
     ids=['renewed', 'late', 'same', 'drains', 'cold again', 'gone'],
 )
 def test_newer_number_prevails(later, changed, state, number):
     held = registry.Registry(FakeClock())
-    assert held.take(said(5))
+    assert held.take(registration(5))
     before = held.revision
     assert held.take(later) is changed
     assert (held.revision > before) is changed
@@ -55,9 +55,9 @@
 
 def test_endpoint_that_left_never_comes_back_under_its_name():
     held = registry.Registry(FakeClock())
-    held.take(said(5))
+    held.take(registration(5))
     held.take(held.withdraw('e'))
-    assert not held.take(said(99))
+    assert not held.take(registration(99))
     assert not held.held['e'].takes_work
 
 
@@ -110,7 +110,7 @@
     """The heartbeat before it may come later, from another host."""
     held = registry.Registry(FakeClock())
     held.take(held.withdraw('e'))
-    held.take(said(1))
+    held.take(registration(1))
     assert not held.held['e'].takes_work
 
 
@@ -118,7 +118,7 @@
     clock = FakeClock()
     hears = registry.Registry(clock)
     told = registry.Registry(clock)
-    hears.take(said(1))
+    hears.take(registration(1))
     told.take(hears.after(0)[0])
     clock.now_ms += registry.SILENT_AFTER_MS + 1
     assert not told.silent('e')
@@ -128,7 +128,7 @@
         told.take(change)
     assert told.silent('e') and hears.silent('e')
     seen = hears.revision
-    assert hears.take(said(2))
+    assert hears.take(registration(2))
     for change in hears.after(seen):
         told.take(change)
     assert not told.silent('e')
@@ -142,7 +142,7 @@
     """A host that hears changes only must not forget the others."""
     clock = FakeClock()
     held = registry.Registry(clock)
-    held.take(said(1))
+    held.take(registration(1))
     if case == 'gone':
         held.take(held.withdraw('e'))
     clock.now_ms += registry.FORGOTTEN_AFTER_MS + 1
@@ -263,8 +263,8 @@
     """It left long ago; who attends has nothing to learn of it."""
     clock = FakeClock()
     held = registry.Registry(clock)
-    held.take(said(1))
-    held.take(said(2, GONE))
+    held.take(registration(1))
+    held.take(registration(2, GONE))
     revision = held.revision
     clock.now_ms += registry.FORGOTTEN_AFTER_MS + 1
     held.forget_old()
@@ -277,36 +277,58 @@
 @pytest.mark.parametrize(
     'before, later, takes_work, number',
     [
-        ([said(9)], said(1, born_ms=BORN_MS), True, 1),
-        ([said(9, born_ms=BORN_MS)], said(1, born_ms=BORN_MS + 1), True, 1),
-        ([said(9, born_ms=BORN_MS)], said(99, born_ms=BORN_MS - 1), True, 9),
+        ([registration(9)], registration(1, born_ms=BORN_MS), True, 1),
         (
-            [said(9, born_ms=BORN_MS), said(10, GONE, born_ms=BORN_MS)],
-            said(1, born_ms=BORN_MS + 1),
+            [registration(9, born_ms=BORN_MS)],
+            registration(1, born_ms=BORN_MS + 1),
             True,
             1,
         ),
         (
-            [said(9, born_ms=BORN_MS), said(10, GONE, born_ms=BORN_MS)],
-            said(99, born_ms=BORN_MS),
+            [registration(9, born_ms=BORN_MS)],
+            registration(99, born_ms=BORN_MS - 1),
+            True,
+            9,
+        ),
+        (
+            [
+                registration(9, born_ms=BORN_MS),
+                registration(10, GONE, born_ms=BORN_MS),
+            ],
+            registration(1, born_ms=BORN_MS + 1),
+            True,
+            1,
+        ),
+        (
+            [
+                registration(9, born_ms=BORN_MS),
+                registration(10, GONE, born_ms=BORN_MS),
+            ],
+            registration(99, born_ms=BORN_MS),
             False,
             10,
         ),
         (
-            [said(9, born_ms=BORN_MS), said(1, born_ms=BORN_MS + 1)],
-            said(10, GONE, born_ms=BORN_MS),
+            [
+                registration(9, born_ms=BORN_MS),
+                registration(1, born_ms=BORN_MS + 1),
+            ],
+            registration(10, GONE, born_ms=BORN_MS),
             True,
             1,
         ),
         (
-            [said(9, born_ms=BORN_MS), said(1, born_ms=BORN_MS + 1)],
-            said(2, GONE, born_ms=BORN_MS + 1),
+            [
+                registration(9, born_ms=BORN_MS),
+                registration(1, born_ms=BORN_MS + 1),
+            ],
+            registration(2, GONE, born_ms=BORN_MS + 1),
             False,
             2,
         ),
         (
-            [said(9, DRAINING, born_ms=BORN_MS)],
-            said(1, born_ms=BORN_MS + 1),
+            [registration(9, DRAINING, born_ms=BORN_MS)],
+            registration(1, born_ms=BORN_MS + 1),
             True,
             1,
         ),
@@ -333,7 +355,7 @@
 
 def test_renewal_counts_for_its_life_only():
     held = registry.Registry(FakeClock())
-    held.take(said(5, born_ms=BORN_MS))
+    held.take(registration(5, born_ms=BORN_MS))
     assert held.renew('e', 6, 0, 'other', BORN_MS)
     assert held.held['e'].said.number == 6
     assert held.renew('e', 99, 0, 'other', BORN_MS - 1)
@@ -346,16 +368,16 @@
     held = registry.Registry(FakeClock())
     heard = []
     held.tell_reborn(heard.append)
-    held.take(said(5, born_ms=BORN_MS))
-    held.take(said(6, born_ms=BORN_MS))
+    held.take(registration(5, born_ms=BORN_MS))
+    held.take(registration(6, born_ms=BORN_MS))
     assert heard == []
-    held.take(said(1, born_ms=BORN_MS + 1))
+    held.take(registration(1, born_ms=BORN_MS + 1))
     assert [before.number for before in heard] == [6]
 
 
 def test_leave_that_names_a_life_ends_no_other():
     held = registry.Registry(FakeClock())
-    held.take(said(1, born_ms=BORN_MS))
+    held.take(registration(1, born_ms=BORN_MS))
     assert not held.take(held.withdraw('e', BORN_MS - 1))
     assert held.held['e'].takes_work
     assert held.take(held.withdraw('e', BORN_MS))
@@ -365,21 +387,21 @@
 def test_leave_outlives_reports_that_call_an_endpoint_ready():
     """For good in that life, also by what other hosts hold of it."""
     known = registry.Registry(FakeClock())
-    known.take(said(number=1))
+    known.take(registration(number=1))
     assert known.mark_leaving('e', 0)
     assert not known.mark_leaving('e', 0)
     [found] = known.held.values()
     assert not found.takes_work
     for number in (1, 2, 9):
-        known.take(said(number=number))
+        known.take(registration(number=number))
         assert not found.takes_work
     [told] = known.after(0)
     other = registry.Registry(FakeClock())
-    other.take(said(number=20))
+    other.take(registration(number=20))
     assert other.take(told)
     [heard] = other.held.values()
     assert not heard.takes_work
-    other.take(said(number=21, born_ms=5))
+    other.take(registration(number=21, born_ms=5))
     [reborn] = other.held.values()
     assert reborn.takes_work
     assert not other.mark_leaving('e', 0)
