--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -61,7 +61,7 @@
     assert not held.held['e'].takes_work
 
 
-def at_address(name, number, state=READY):
+def registration_at(name, number, state=READY):
     """Return a registration of an endpoint at the one address."""
     return registry.Registration(
         name, 's', '10.0.0.1:80', 'hall', 4, state, number
@@ -71,11 +71,11 @@
 @pytest.mark.parametrize(
     'first, later, after_ms, occupant',
     [
-        ('old', at_address('new', 1), 1_000, 'old'),
-        ('old', at_address('new', 1), 2_000, None),
-        ('new', at_address('old', 9), 100, 'new'),
-        ('new', at_address('old', 9, GONE), 100, None),
-        ('new', at_address('new', 9), 100, None),
+        ('old', registration_at('new', 1), 1_000, 'old'),
+        ('old', registration_at('new', 1), 2_000, None),
+        ('new', registration_at('old', 9), 100, 'new'),
+        ('new', registration_at('old', 9, GONE), 100, None),
+        ('new', registration_at('new', 9), 100, None),
     ],
     ids=[
         'new one while the old one renews',
@@ -90,7 +90,7 @@
 ):
     clock = FakeClock()
     held = registry.Registry(clock)
-    held.take(at_address(first, 1))
+    held.take(registration_at(first, 1))
     clock.now_ms += after_ms
     found = held.occupant(later)
     assert (found and found.said.endpoint) == occupant
@@ -98,10 +98,10 @@
 
 def test_successor_at_an_address_is_used_before_its_predecessor():
     held = registry.Registry(FakeClock())
-    held.take(at_address('old', 5))
-    held.take(at_address('new', 1))
+    held.take(registration_at('old', 5))
+    held.take(registration_at('new', 1))
     before = held.revision
-    held.displace(at_address('new', 1))
+    held.displace(registration_at('new', 1))
     assert held.silent('old') and not held.silent('new')
     assert held.revision == before + 1
 
