--- a/benches/limits.py
+++ b/benches/limits.py
@@ -34,7 +34,7 @@
         hosts = len(fleet.names)
         burst = limit.burst + FILLED_SHARE * limited_fleet.ALLOWED.spare(limit)
         self.clock = group.LoopClock()
-        self.peers = limited_fleet.attending_fleet.CountingPeers(
+        self.peers = limited_fleet.membership_fleet.CountingPeers(
             name, fleet.network
         )
         self._rate_per_s = limit.rate_per_s / hosts
--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -9,7 +9,7 @@
 import dataclasses
 import random
 
-from tests import attending_fleet
+from tests import membership_fleet
 from tests import group
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.limiting import allocator
@@ -81,7 +81,7 @@
         self.fleet = fleet
         self.name = name
         self.clock = group.LoopClock()
-        self.peers = attending_fleet.CountingPeers(name, fleet.network)
+        self.peers = membership_fleet.CountingPeers(name, fleet.network)
         fleet.network.hosts[name] = self.peers
         self.lender = lender.Lender(
             lambda _team: fleet.limit,
@@ -139,7 +139,7 @@
         for number in range(CONTROLS):
             name = f'10.{number}.250.1:1'
             clock = group.LoopClock()
-            peers = attending_fleet.CountingPeers(name, self.network)
+            peers = membership_fleet.CountingPeers(name, self.network)
             self.network.hosts[name] = peers
             self.voters[name] = Voter(state)
             self.controls.append(peers)
--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -11,7 +11,7 @@
 import itertools
 import random
 
-from tests import attending_fleet
+from tests import membership_fleet
 from tests import group
 from tests import limited_fleet
 from wrenspoke.coordination import errors
@@ -51,7 +51,7 @@
 
     def __init__(self, fleet, name):
         self.name = name
-        self.peers = attending_fleet.CountingPeers(name, fleet.network)
+        self.peers = membership_fleet.CountingPeers(name, fleet.network)
         fleet.network.hosts[name] = self.peers
         self.replica = replica.Replica()
         self.voter = Voter(fleet)
@@ -86,7 +86,7 @@
         self.region = limited_fleet.region_of(name)
         self.clock = group.LoopClock()
         self.began_ms = self.clock.mono_ms()
-        self.peers = attending_fleet.CountingPeers(name, fleet.network)
+        self.peers = membership_fleet.CountingPeers(name, fleet.network)
         fleet.network.hosts[name] = self.peers
         self.replica = replica.Replica()
         self._fleet = fleet
@@ -258,7 +258,7 @@
 
     def sent(self):
         """Return how many messages were sent of each kind, and bytes."""
-        total = collections.defaultdict(attending_fleet.SentCount)
+        total = collections.defaultdict(membership_fleet.SentCount)
         for one in [*self.hosts.values(), *self.controls.values()]:
             for kind, counted in one.peers.sent.items():
                 if isinstance(kind, str):
--- a/tests/stated_fleet.py
+++ b/tests/stated_fleet.py
@@ -10,7 +10,7 @@
 import dataclasses
 import random
 
-from tests import attending_fleet
+from tests import membership_fleet
 from tests import group
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.limiting import endpoint_gate
@@ -106,7 +106,7 @@
         return got / (rate_per_s * (until_ms - since_ms) / MS_PER_S)
 
 
-class Peers(attending_fleet.CountingPeers):
+class Peers(membership_fleet.CountingPeers):
     """Tell other hosts, too, and lose messages as a test says."""
 
     async def tell(self, host, message):
--- a/tests/test_attending_fleet.py
+++ b/tests/test_attending_fleet.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests import attending_fleet
+from tests import membership_fleet
 from tests import group
 from tests import test_replica
 from wrenspoke.coordination.membership import discovery_client
@@ -27,7 +27,7 @@
 
 
 async def settled_fleet(entries):
-    fleet = attending_fleet.AttendingFleet(entries, entries // 2)
+    fleet = membership_fleet.AttendingFleet(entries, entries // 2)
     await fleet.start()
     await fleet.wait_ms(SETTLED_MS)
     return fleet
@@ -60,7 +60,7 @@
         seconds = CALM_MS / group.MS_PER_S
         things = entries + fleet.endpoints
         most = RENEWAL_BYTES * things + EMPTY_BYTES
-        assert told / seconds / attending_fleet.CONTROLS <= most
+        assert told / seconds / membership_fleet.CONTROLS <= most
 
     group.run(play())
 
@@ -270,4 +270,4 @@
         await fleet.close()
 
     group.run(play())
-    assert len(packed) <= attending_fleet.CONTROLS
+    assert len(packed) <= membership_fleet.CONTROLS
--- a/tests/test_sent_calls.py
+++ b/tests/test_sent_calls.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests import attending_fleet
+from tests import membership_fleet
 from tests import group
 from tests import test_registry
 from wrenspoke.coordination.membership import region_pollers
@@ -21,7 +21,7 @@
 PARTS = (dialects.PromptPart('a1b2c3d4', 6_300), dialects.PromptPart('x', 9))
 
 
-class TellingPeers(attending_fleet.CountingPeers):
+class TellingPeers(membership_fleet.CountingPeers):
     """Carry what is told without an answer, and count it too."""
 
     async def tell(self, host, message):
