--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -647,7 +647,7 @@
         ('        recent_contacts = {*progress.recent_contacts, host}\n'),
         ('        recent_contacts = set()\n'),
         (
-            'tests/test_attending_fleet.py::test_control_hosts_tell_renewals_in_a_few_bytes_each'
+            'tests/test_membership_fleet.py::test_control_hosts_tell_renewals_in_a_few_bytes_each'
         ),
     ),
     Switch(
@@ -656,7 +656,7 @@
         ('        and found.told_by not in recent_contacts\n'),
         ('        and found.told_by is None\n'),
         (
-            'tests/test_attending_fleet.py::test_what_a_control_host_hears_reaches_those_that_it_is_cut_off_from'
+            'tests/test_membership_fleet.py::test_what_a_control_host_hears_reaches_those_that_it_is_cut_off_from'
         ),
     ),
     Switch(
@@ -665,7 +665,7 @@
         ("        if answer.unknown or progress.life not in ('', answer.life):\n"),
         ('        if False:\n'),
         (
-            'tests/test_attending_fleet.py::test_control_host_that_restarts_is_told_all_again'
+            'tests/test_membership_fleet.py::test_control_host_that_restarts_is_told_all_again'
         ),
     ),
     Switch(
@@ -674,7 +674,7 @@
         ('            elif self._is_leaderless(session):\n'),
         ('            elif False:\n'),
         (
-            'tests/test_attending_fleet.py::test_one_session_leaves_control_hosts_that_hear_no_leader'
+            'tests/test_membership_fleet.py::test_one_session_leaves_control_hosts_that_hear_no_leader'
         ),
     ),
     Switch(
@@ -683,7 +683,7 @@
         ('        return failed_ms if age_ms < FAILED_HOST_TTL_MS else 0\n'),
         ('        return 0\n'),
         (
-            'tests/test_attending_fleet.py::test_hosts_whose_region_lost_its_control_hosts_stay_elsewhere'
+            'tests/test_membership_fleet.py::test_hosts_whose_region_lost_its_control_hosts_stay_elsewhere'
         ),
     ),
     Switch(
