--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -588,7 +588,7 @@
         DECISIONS + 'membership/discovery_client.py',
         ('        if self._unconfirmed_start is None:\n'),
         ('        if False:\n'),
-        ('tests/test_attendance.py::test_first_answer_decides_when_to_serve'),
+        ('tests/test_discovery_client.py::test_first_answer_decides_when_to_serve'),
     ),
     Switch(
         'stopped host serves without a word',
@@ -596,7 +596,7 @@
         ('            self._unconfirmed_start.cancel()\n'),
         ('            pass\n'),
         (
-            'tests/test_attendance.py::test_host_that_was_stopped_serves_after_a_new_answer_only'
+            'tests/test_discovery_client.py::test_host_that_was_stopped_serves_after_a_new_answer_only'
         ),
     ),
     Switch(
--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -58,7 +58,7 @@
         ('        self.lease.confirm(asked_ms + answer.held_ms - age_ms)\n'),
         ('        self.lease.confirm(self._clock.mono_ms())\n'),
         (
-            'tests/test_attendance.py::test_lease_counts_from_what_an_answer_proves'
+            'tests/test_discovery_client.py::test_lease_counts_from_what_an_answer_proves'
         ),
     ),
     Switch(
