--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -692,7 +692,7 @@
         ('            if is_poller or not self._views.known(region)\n'),
         ('            if True\n'),
         (
-            'tests/test_askers.py::test_hosts_elsewhere_are_pinged_by_a_few_for_all'
+            'tests/test_region_pollers.py::test_hosts_elsewhere_are_pinged_by_a_few_for_all'
         ),
     ),
     Switch(
@@ -705,7 +705,7 @@
             '            await self._peers.tell(host, sent)\n            return\n'
         ),
         (
-            'tests/test_askers.py::test_host_that_is_lost_keeps_nothing_from_others'
+            'tests/test_region_pollers.py::test_host_that_is_lost_keeps_nothing_from_others'
         ),
     ),
     Switch(
