--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -714,7 +714,7 @@
         ('            if place == 0 or self._is_overdue(found, place):\n'),
         ('            if place == 0:\n'),
         (
-            'tests/test_gauges.py::test_next_in_order_asks_where_no_report_comes'
+            'tests/test_engine_loads.py::test_next_in_order_asks_where_no_report_comes'
         ),
     ),
     Switch(
@@ -722,7 +722,7 @@
         DECISIONS + 'membership/engine_loads.py',
         ('        return fresh >= MIN_FRESH_SHARE * len(engines)\n'),
         ('        return False\n'),
-        ('tests/test_gauges.py'),
+        ('tests/test_engine_loads.py'),
     ),
     Switch(
         'all tables of a day are kept',
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from tests import test_gauges
+from tests import test_engine_loads
 from wrenspoke.coordination.serving import backlog
 from wrenspoke.coordination.serving import samples
 from wrenspoke.state import loads
@@ -55,7 +55,9 @@
             made = backlog.Backlog(self._clock)
             made.hosts = hosts
             self._backlogs.append(made)
-        self._engines = [test_gauges.registered(n) for n in range(engines)]
+        self._engines = [
+            test_engine_loads.registered(n) for n in range(engines)
+        ]
         names = [found.said.endpoint for found in self._engines]
         self._ends_ms = {name: [] for name in names}
         self._reports = [(0.0, dict.fromkeys(names, 0))]
@@ -181,13 +183,13 @@
 
 @pytest.mark.parametrize('engines', [1, 2, 16])
 def test_few_endpoints_are_all_weighed(engines):
-    candidates = [test_gauges.registered(n) for n in range(engines)]
+    candidates = [test_engine_loads.registered(n) for n in range(engines)]
     assert samples.sample(candidates, (), random.Random(1)) == candidates
 
 
 @pytest.mark.parametrize('engines', [20, 60, 200, 3_300])
 def test_work_of_choosing_does_not_grow_with_the_endpoints(engines):
-    candidates = [test_gauges.registered(n) for n in range(engines)]
+    candidates = [test_engine_loads.registered(n) for n in range(engines)]
     always = {'e0', f'e{engines - 1}'}
     for seed in range(20):
         drawn = samples.sample(candidates, always, random.Random(seed))
--- a/tests/test_region_pollers.py
+++ b/tests/test_region_pollers.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests import test_gauges
+from tests import test_engine_loads
 from tests import test_registry
 from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import remote_hosts
@@ -28,7 +28,7 @@
         self.told = collections.Counter()
         self.sent = collections.Counter()
         self.made = {}
-        records = [test_gauges.record(number) for number in range(count)]
+        records = [test_engine_loads.record(number) for number in range(count)]
         for record in records:
             known = roster.Roster(1_000, test_registry.FakeClock())
             for other in records:
@@ -105,7 +105,7 @@
         )
     viewed = region_views.RegionViews(clock)
     asking = region_pollers.RegionPollers(
-        region, host, known, test_gauges.NoPeers()
+        region, host, known, test_engine_loads.NoPeers()
     )
     made = remote_hosts.RemoteHosts(
         host, region, known, SilentPinger(), asking, viewed, clock
--- a/tests/test_warmth.py
+++ b/tests/test_warmth.py
@@ -3,7 +3,7 @@
 import pytest
 
 from tests import stated_fleet
-from tests import test_gauges
+from tests import test_engine_loads
 from tests import test_registry
 from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import roster
@@ -20,13 +20,13 @@
     clock = test_registry.FakeClock()
     held = roster.Roster(1_000, clock)
     for number in range(20):
-        held.merge_record(test_gauges.record(number))
+        held.merge_record(test_engine_loads.record(number))
     asking = region_pollers.RegionPollers(
-        'north', 'h1', held, test_gauges.NoPeers()
+        'north', 'h1', held, test_engine_loads.NoPeers()
     )
     # One that two other hosts ask.
     number = next(n for n in range(99) if not asking.is_poller_of(f'e{n}'))
-    endpoint = test_gauges.registered(number)
+    endpoint = test_engine_loads.registered(number)
     made = warmth.Warmth(
         asking, None, None, None, stated_fleet.unlimited(clock), clock
     )
