--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -738,7 +738,7 @@
         (
             '            silence_ms = self._clock.mono_ms() - (remote.answered_ms or 0)\n'
         ),
-        ('tests/test_reach.py'),
+        ('tests/test_host_pinger.py'),
     ),
     Switch(
         'parts of a repeat are rounded away',
