--- a/wrenspoke/coordination/agreement/clearance.py
+++ b/wrenspoke/coordination/agreement/clearance.py
@@ -132,7 +132,7 @@
     async def _answer_hello(
         self, sender: ids.HostId, message: messages.Hello
     ) -> messages.HelloReply | messages.Refusal:
-        self._group.hear(sender)
+        self._group.record_contact(sender)
         boots = self._storage.meta.boots
         known = boots.get(message.incarnation, (0, ''))
         heard = (message.boot, message.start)
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -348,7 +348,7 @@
             )
         except protocol_errors.ProtocolError:
             return None
-        self.group.hear(host)
+        self.group.record_contact(host)
         return answer
 
     @_needs_disk
@@ -525,7 +525,7 @@
 
     def _follow(self, leader: ids.HostId, term: int) -> bool:
         """Take a leader's word; False if its term is over."""
-        self.group.hear(leader)
+        self.group.record_contact(leader)
         if term < self.term:
             return False
         self.adopt_term(term)
--- a/wrenspoke/coordination/membership/control_sync.py
+++ b/wrenspoke/coordination/membership/control_sync.py
@@ -152,7 +152,7 @@
             return progress
         if not isinstance(answer, attending.Exchanged):
             return progress
-        self._group.hear(host)
+        self._group.record_contact(host)
         if answer.unknown or progress.life not in ('', answer.life):
             logger.info('told_again', peer=host, unknown=answer.unknown)
             self._sync_requests[host].set()
@@ -220,7 +220,7 @@
     async def _handle_exchange(
         self, sender: ids.HostId, message: attending.Exchange
     ) -> attending.Exchanged:
-        self._group.hear(sender)
+        self._group.record_contact(sender)
         self._regions[sender] = message.region
         before = (self._endpoints.revision, self._hosts.revision)
         for said in message.endpoints:
--- a/wrenspoke/coordination/membership/discovery_client.py
+++ b/wrenspoke/coordination/membership/discovery_client.py
@@ -313,7 +313,7 @@
     def _apply_answer(
         self, session: _Session, answer: attending.Attended
     ) -> None:
-        self._group.hear(session.host)
+        self._group.record_contact(session.host)
         self._group.add_contacts(answer.controls)
         if answer.news:
             self._replica.advance(attending.unpack(answer.news))
