--- a/wrenspoke/coordination/agreement/clearance.py
+++ b/wrenspoke/coordination/agreement/clearance.py
@@ -96,7 +96,7 @@
         meta = self._storage.meta
         message = messages.Hello(meta.incarnation, meta.boot, self._start)
         deciding = self._storage.electorate()
-        known = {*self._group.others(), *deciding.hosts}
+        known = {*self._group.other_hosts(), *deciding.hosts}
         others = sorted(known - {self._group.host})
         answers = await asyncio.gather(
             *(self._call(host, message) for host in others)
--- a/wrenspoke/coordination/agreement/lead.py
+++ b/wrenspoke/coordination/agreement/lead.py
@@ -88,7 +88,10 @@
 
     def _follow_group(self) -> None:
         """Replicate to control hosts that are new, not to those gone."""
-        wanted = {*self._group.group.others(), *self._group.electorate.hosts}
+        wanted = {
+            *self._group.group.other_hosts(),
+            *self._group.electorate.hosts,
+        }
         wanted.discard(self._group.host)
         for host in sorted(wanted - self._followers.keys()):
             follower = followers.Follower(self._start_index)
--- a/wrenspoke/coordination/membership/control_sync.py
+++ b/wrenspoke/coordination/membership/control_sync.py
@@ -118,7 +118,7 @@
     async def _discovery_loop(self) -> None:
         """Exchange with each control host that is found."""
         while True:
-            for host in self._group.others():
+            for host in self._group.other_hosts():
                 if host in self._sync_requests:
                     continue
                 self._sync_requests[host] = asyncio.Event()
@@ -128,7 +128,7 @@
     async def _sync_with(self, host: ids.HostId) -> None:
         progress = SyncProgress()
         sync_requested = self._sync_requests[host]
-        while host in self._group.others():
+        while host in self._group.other_hosts():
             sync_requested.clear()
             asked_ms = self._clock.mono_ms()
             progress = await self._send_exchange(host, progress)
--- a/wrenspoke/coordination/membership/discovery_client.py
+++ b/wrenspoke/coordination/membership/discovery_client.py
@@ -240,7 +240,9 @@
     def _choose_host(self) -> ids.HostId | None:
         """Return a control host that no other session attends at."""
         taken = {session.host for session in self._sessions}
-        free = [host for host in self._group.others() if host not in taken]
+        free = [
+            host for host in self._group.other_hosts() if host not in taken
+        ]
         random.shuffle(free)
         return min(free, key=self._rank_host, default=None)
 
