--- a/wrenspoke/coordination/membership/control_sync.py
+++ b/wrenspoke/coordination/membership/control_sync.py
@@ -98,7 +98,7 @@
         """Return the control hosts of a region that spoke lately."""
         found = [
             host
-            for host in self._group.lately(REGION_CONTACT_WINDOW_MS)
+            for host in self._group.seen_within(REGION_CONTACT_WINDOW_MS)
             if self._regions.get(host) == region
         ]
         if region == self._region:
@@ -245,7 +245,9 @@
         if (self._endpoints.revision, self._hosts.revision) != before:
             self.request_sync()
         return attending.Exchanged(
-            self._instance_id, self._group.lately(CONTACT_WINDOW_MS), unknown
+            self._instance_id,
+            self._group.seen_within(CONTACT_WINDOW_MS),
+            unknown,
         )
 
 
--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -213,7 +213,7 @@
             self.roster.revision,
             self.registry.after(endpoints_revision),
             hosts,
-            [self._group.host, *self._group.lately(CONTACT_WINDOW_MS)],
+            [self._group.host, *self._group.seen_within(CONTACT_WINDOW_MS)],
             self._control_sync.control_hosts_in(message.record.region),
             self._packed_delta_since(message.index),
             self._replica.current.index,
