--- a/wrenspoke/coordination/membership/control_sync.py
+++ b/wrenspoke/coordination/membership/control_sync.py
@@ -165,7 +165,7 @@
         self, host: ids.HostId, progress: SyncProgress
     ) -> attending.Exchange:
         # What came by way of a third was learned up to an interval later.
-        since_ms = progress.at_ms - SYNC_INTERVAL_MS
+        since_ms = progress.last_sent_ms - SYNC_INTERVAL_MS
         recent_contacts = {*progress.heard, host}
         endpoints = _renewed_entries(
             self._endpoints.held.values(),
