--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -662,7 +662,7 @@
     Switch(
         'restarted control host is told changes only',
         DECISIONS + 'membership/control_sync.py',
-        ("        if answer.unknown or progress.life not in ('', answer.life):\n"),
+        ("        if answer.unknown or progress.instance_id not in ('', answer.instance_id):\n"),
         ('        if False:\n'),
         (
             'tests/test_membership_fleet.py::test_control_host_that_restarts_is_told_all_again'
--- a/wrenspoke/coordination/membership/control_sync.py
+++ b/wrenspoke/coordination/membership/control_sync.py
@@ -140,7 +140,7 @@
     ) -> SyncProgress:
         """Tell what is new; return how far the other has come then."""
         next_progress = SyncProgress(
-            progress.life,
+            progress.instance_id,
             self._clock.mono_ms(),
             self._endpoints.revision,
             self._hosts.revision,
@@ -153,7 +153,7 @@
         if not isinstance(answer, attending.Exchanged):
             return progress
         self._group.record_contact(host)
-        if answer.unknown or progress.life not in ('', answer.life):
+        if answer.unknown or progress.instance_id not in ('', answer.life):
             logger.info('told_again', peer=host, unknown=answer.unknown)
             self._sync_requests[host].set()
             return SyncProgress(answer.life)
