--- a/wrenspoke/coordination/membership/discovery_client.py
+++ b/wrenspoke/coordination/membership/discovery_client.py
@@ -291,7 +291,7 @@
         message = attending.Attend(
             record,
             self._replica.current.index,
-            session.life,
+            session.instance_id,
             session.endpoints_revision,
             session.hosts_revision,
             wait_ms,
@@ -327,7 +327,7 @@
         if answer.led:
             session.leader_seen_ms = self._clock.mono_ms()
             self._update_leader(session.host, answer)
-        session.life = answer.life
+        session.instance_id = answer.life
         self._serve_if_ready(answer)
         session.endpoints_revision = answer.endpoints_revision
         session.hosts_revision = answer.hosts_revision
@@ -378,7 +378,7 @@
         if answer.confirmed:
             self._start_serving(confirmed=True)
             return
-        if all(session.life for session in self._sessions):
+        if all(session.instance_id for session in self._sessions):
             # Whom to wait for has answered.
             self._start_serving(confirmed=False)
             return
