--- a/wrenspoke/coordination/membership/control_sync.py
+++ b/wrenspoke/coordination/membership/control_sync.py
@@ -166,7 +166,7 @@
     ) -> attending.Exchange:
         # What came by way of a third was learned up to an interval later.
         since_ms = progress.last_sent_ms - SYNC_INTERVAL_MS
-        recent_contacts = {*progress.heard, host}
+        recent_contacts = {*progress.recent_contacts, host}
         endpoints = _renewed_entries(
             self._endpoints.held.values(),
             since_ms,
