--- a/wrenspoke/coordination/serving/regions.py
+++ b/wrenspoke/coordination/serving/regions.py
@@ -169,7 +169,7 @@
         """Return what a host last said, or else another of its region."""
         if self._reach.answers(host.host):
             return self._reach.remote(host.host)
-        found = self._views.heard(host.region)
+        found = self._views.latest_view(host.region)
         if found is not None:
             return found
         remote = self._reach.remote(host.host)
