--- a/wrenspoke/coordination/membership/control_sync.py
+++ b/wrenspoke/coordination/membership/control_sync.py
@@ -226,7 +226,7 @@
         for said in message.endpoints:
             self._endpoints.take(said, sender)
         for record in message.hosts.found:
-            self._hosts.take(record, sender)
+            self._hosts.merge_record(record, sender)
         for host in message.hosts.lost:
             self._hosts.expire_reported(host)
         unknown = False
