--- a/wrenspoke/coordination/membership/control_sync.py
+++ b/wrenspoke/coordination/membership/control_sync.py
@@ -181,7 +181,7 @@
         )
         return attending.Exchange(
             self._endpoints.after(progress.endpoints_revision),
-            self._hosts.after(progress.hosts_revision),
+            self._hosts.changes_since(progress.hosts_revision),
             [
                 attending.Renewal(
                     found.said.endpoint,
