--- a/wrenspoke/coordination/agreement/control.py
+++ b/wrenspoke/coordination/agreement/control.py
@@ -95,7 +95,7 @@
         if message.standing is not None:
             await self._pass_on(message.standing)
             self._relays[sender] = self._clock.mono_ms()
-        delta = self._replica.after(message.after)
+        delta = self._replica.delta_since(message.after)
         delta.confirmed = self._voter.has_lease
         delta.leader = self._voter.leader
         return delta
--- a/wrenspoke/coordination/membership/configuration_puller.py
+++ b/wrenspoke/coordination/membership/configuration_puller.py
@@ -84,7 +84,7 @@
     async def _handle_pull(
         self, _sender: ids.HostId, message: messages.PullConfiguration
     ) -> messages.ConfigurationDelta:
-        delta = self._replica.after(message.after)
+        delta = self._replica.delta_since(message.after)
         delta.serving = self._replica.serving
         return delta
 
--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -233,7 +233,7 @@
             self._packed_deltas.clear()
         packed = self._packed_deltas.get(index)
         if packed is None:
-            packed = attending.pack(self._replica.after(index))
+            packed = attending.pack(self._replica.delta_since(index))
             self._packed_deltas[index] = packed
         return packed
 
