--- a/wrenspoke/coordination/membership/control_sync.py
+++ b/wrenspoke/coordination/membership/control_sync.py
@@ -174,7 +174,7 @@
             recent_contacts,
         )
         hosts = _renewed_entries(
-            self._hosts.known(),
+            self._hosts.entries(),
             since_ms,
             progress.hosts_revision,
             recent_contacts,
