--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -689,7 +689,7 @@
     Switch(
         'every host pings other regions',
         DECISIONS + 'membership/remote_hosts.py',
-        ('            if is_poller or not self._views.known(region)\n'),
+        ('            if is_poller or not self._views.has_view(region)\n'),
         ('            if True\n'),
         (
             'tests/test_region_pollers.py::test_hosts_elsewhere_are_pinged_by_a_few_for_all'
--- a/wrenspoke/coordination/membership/remote_hosts.py
+++ b/wrenspoke/coordination/membership/remote_hosts.py
@@ -72,7 +72,7 @@
         return [
             record.host
             for region in self._regions()
-            if is_poller or not self._views.known(region)
+            if is_poller or not self._views.has_view(region)
             for record in self.ranked_hosts(region)[:TARGETS_PER_REGION]
         ]
 
