--- a/tests/test_membership_fleet.py
+++ b/tests/test_membership_fleet.py
@@ -38,7 +38,7 @@
     async def play():
         fleet = await settled_fleet(entries)
         for host in fleet.entries.values():
-            assert host.known == {*fleet.entry_names}
+            assert host.known_hosts == {*fleet.entry_names}
         told = fleet.sent(fleet.controls, 'Attended')
         await fleet.close()
         assert told.messages / entries <= 30
@@ -96,7 +96,9 @@
         await fleet.wait_ms(CALM_MS)
         told = fleet.sent(fleet.controls, 'Attended').bytes - before
         told -= fleet.sent(fleet.controls, 'Attended', newcomer).bytes
-        known = [newcomer in host.known for host in fleet.entries.values()]
+        known = [
+            newcomer in host.known_hosts for host in fleet.entries.values()
+        ]
         await fleet.close()
         assert all(known)
         assert (told - calm) / entries <= RECORD_BYTES
@@ -113,7 +115,7 @@
         for host in fleet.controls.values():
             assert lost not in host.registrar.roster.hosts()
         for host in fleet.entries.values():
-            assert lost not in host.known
+            assert lost not in host.known_hosts
         await fleet.close()
 
     group.run(play())
@@ -218,7 +220,7 @@
             assert peers.sent['Attend', control].messages == count
         for name, hosts in before.items():
             assert len(hosts) == 2 and not hosts & lost
-            assert fleet.entries[name].known == {*fleet.entry_names}
+            assert fleet.entries[name].known_hosts == {*fleet.entry_names}
         await fleet.close()
 
     group.run(play())
