--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -208,7 +208,7 @@
     def _bring_level(who, known):
         delta = known.after(who.replica.current.index)
         if delta.index > who.replica.current.index:
-            who.replica.advance(delta)
+            who.replica.apply_delta(delta)
 
     async def restart_host(self, name):
         """Let an entry host begin anew."""
--- a/tests/test_membership_fleet.py
+++ b/tests/test_membership_fleet.py
@@ -265,7 +265,7 @@
             1, changes=[(1, test_replica.table(1, count=1_500))]
         )
         for host in fleet.controls.values():
-            host.registrar._replica.advance(delta)
+            host.registrar._replica.apply_delta(delta)
         await fleet.wait_ms(SETTLED_MS)
         for host in fleet.entries.values():
             assert host.attendance._replica.current.routes.version == 1
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -178,7 +178,7 @@
             self.state = msgspec.msgpack.decode(
                 snapshot.state, type=replicated.ReplicatedState
             )
-            self._replica.advance(
+            self._replica.apply_delta(
                 messages.ConfigurationDelta(
                     index=self.state.configuration.index,
                     whole=self.state.configuration,
@@ -636,7 +636,7 @@
     def _apply(self, entry: entries.LogEntry) -> None:
         applied = self.state.apply(entry.index, entry.entry)
         if applied.change is not None:
-            self._replica.advance(
+            self._replica.apply_delta(
                 messages.ConfigurationDelta(
                     index=entry.index, changes=[(entry.index, applied.change)]
                 )
--- a/wrenspoke/coordination/membership/configuration_puller.py
+++ b/wrenspoke/coordination/membership/configuration_puller.py
@@ -61,7 +61,7 @@
     def start(self) -> None:
         """Begin; without control hosts the settings are all there is."""
         if not self._control_hosts:
-            self._replica.advance(
+            self._replica.apply_delta(
                 messages.ConfigurationDelta(
                     index=1, whole=self._initial_configuration()
                 )
@@ -201,5 +201,5 @@
             return None
         if not isinstance(answer, messages.ConfigurationDelta):
             return None
-        self._replica.advance(answer)
+        self._replica.apply_delta(answer)
         return answer
--- a/wrenspoke/coordination/membership/discovery_client.py
+++ b/wrenspoke/coordination/membership/discovery_client.py
@@ -318,7 +318,7 @@
         self._group.record_contact(session.host)
         self._group.add_contacts(answer.controls)
         if answer.news:
-            self._replica.advance(attending.unpack(answer.news))
+            self._replica.apply_delta(attending.unpack(answer.news))
         for said in answer.endpoints:
             self.registry.take(said)
         if answer.hosts is not None:
