--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -388,7 +388,7 @@
     entry.replica.suspend_serving()
     asked = asyncio.ensure_future(system.ask(request()))
     await nodes.until(lambda: entry.passthrough.in_flight or asked.done())
-    entry.replica.serve()
+    entry.replica.start_serving()
     got = await asked
     assert got.endswith(b'whole')
 
--- a/wrenspoke/coordination/membership/configuration_puller.py
+++ b/wrenspoke/coordination/membership/configuration_puller.py
@@ -66,7 +66,7 @@
                     index=1, whole=self._initial_configuration()
                 )
             )
-            self._replica.serve()
+            self._replica.start_serving()
             return
         self._replica.refreshable = True
         self._tasks.start(self._run())
@@ -132,7 +132,7 @@
             self._serve('peers')
 
     def _serve(self, source: str) -> None:
-        self._replica.serve()
+        self._replica.start_serving()
         logger.info(
             'serving', source=source, index=self._replica.current.index
         )
--- a/wrenspoke/coordination/membership/discovery_client.py
+++ b/wrenspoke/coordination/membership/discovery_client.py
@@ -394,7 +394,7 @@
             self._start_serving(confirmed=False)
 
     def _start_serving(self, confirmed: bool) -> None:
-        self._replica.serve()
+        self._replica.start_serving()
         logger.info(
             'serving', index=self._replica.current.index, confirmed=confirmed
         )
