--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -180,7 +180,9 @@
     ) -> list[configuration.Endpoint]:
         return [
             endpoint
-            for endpoint in self._replica.active(head.service, self._region)
+            for endpoint in self._replica.active_endpoints(
+                head.service, self._region
+            )
             if (head.model is None or head.model in endpoint.models)
             and not self._loads.is_down(endpoint.endpoint)
             and not self._leaves(endpoint.endpoint)
