--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -142,7 +142,7 @@
 def rank_ms(held: replica.Replica) -> float:
     """Return the time to rank one region's engines for a request."""
     clock = clocks.Clock()
-    candidates = held.active('s', 'region-1')
+    candidates = held.active_endpoints('s', 'region-1')
     view = routing.View(
         loads.LoadTable(clock),
         limits.Limits(clock),
--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -99,7 +99,9 @@
     Switch(
         'crossed answers taken',
         DECISIONS + 'serving/dispatch.py',
-        ('        if _is_own(send, endpoint, response):\n            return\n'),
+        (
+            '        if _is_own(send, endpoint, response):\n            return\n'
+        ),
         ('        return\n'),
         ('tests/test_endpoints.py -k another'),
     ),
@@ -387,7 +389,9 @@
     Switch(
         'cold endpoints used by every host',
         DECISIONS + 'serving/availability.py',
-        ('            if not self.cold(found) or not self._askers.is_owner_of(name):'),
+        (
+            '            if not self.cold(found) or not self._askers.is_owner_of(name):'
+        ),
         ('            if not self.cold(found):'),
         (
             'tests/test_far.py::test_cold_endpoint_is_used_by_one_host_at_its_pace'
@@ -588,7 +592,9 @@
         DECISIONS + 'membership/discovery_client.py',
         ('        if self._unconfirmed_start is None:\n'),
         ('        if False:\n'),
-        ('tests/test_discovery_client.py::test_first_answer_decides_when_to_serve'),
+        (
+            'tests/test_discovery_client.py::test_first_answer_decides_when_to_serve'
+        ),
     ),
     Switch(
         'stopped host serves without a word',
@@ -662,7 +668,9 @@
     Switch(
         'restarted control host is told changes only',
         DECISIONS + 'membership/control_sync.py',
-        ("        if answer.unknown or progress.instance_id not in ('', answer.instance_id):\n"),
+        (
+            "        if answer.unknown or progress.instance_id not in ('', answer.instance_id):\n"
+        ),
         ('        if False:\n'),
         (
             'tests/test_membership_fleet.py::test_control_host_that_restarts_is_told_all_again'
