--- a/wrenspoke/coordination/limiting/lender.py
+++ b/wrenspoke/coordination/limiting/lender.py
@@ -278,17 +278,17 @@
             return
         try:
             answer = await self._peers.call(
-                lead.asked,
+                lead.via_host,
                 limiting.AskShares(shares, self._life, next(self._numbers)),
                 CALL_TIMEOUT_MS,
             )
         except protocol_errors.ProtocolError as error:
             logger.info(
-                'shares_unanswered', peer=lead.asked, reason=str(error)
+                'shares_unanswered', peer=lead.via_host, reason=str(error)
             )
             return
         if not isinstance(answer, limiting.SharesGranted):
-            logger.info('shares_refused', peer=lead.asked)
+            logger.info('shares_refused', peer=lead.via_host)
             return
         self._told = lead
         self._renewed_ms = asked_ms
