--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -67,7 +67,7 @@
     """Let a control host answer once."""
     [session, _other] = attended._sessions
     session.host = CONTROL
-    await attended._call(session, CONTROL, 0)
+    await attended._send_attend(session, CONTROL, 0)
 
 
 @pytest.mark.parametrize(
