--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -90,7 +90,7 @@
 
 async def test_host_that_was_stopped_serves_after_a_new_answer_only(attended):
     await deliver_answer(attended)
-    waiting = attended._waiting
+    waiting = attended._unconfirmed_start
     attended._suspend_serving()
     await asyncio.wait([waiting])
     assert waiting.cancelled() and not attended._replica.serving
