--- a/wrenspoke/coordination/membership/discovery_client.py
+++ b/wrenspoke/coordination/membership/discovery_client.py
@@ -212,7 +212,7 @@
     async def _run_session(self, session: _Session) -> None:
         while True:
             if session.host is None:
-                session.begin(self._choose_host(), self._clock.mono_ms())
+                session.reset(self._choose_host(), self._clock.mono_ms())
             if session.host is None:
                 await self._clock.sleep_ms(RETRY_DELAY_MS)
                 continue
@@ -223,12 +223,12 @@
                 logger.info('control_host_left', peer=session.host)
             elif self._has_nearer_host(session.host):
                 # Where control hosts stand is known after the first answer.
-                session.begin(self._choose_host(), self._clock.mono_ms())
+                session.reset(self._choose_host(), self._clock.mono_ms())
                 continue
             else:
                 continue
             self._failed_ms[session.host] = self._clock.mono_ms()
-            session.begin(None, self._clock.mono_ms())
+            session.reset(None, self._clock.mono_ms())
             await self._clock.sleep_ms(RETRY_DELAY_MS)
 
     def _is_leaderless(self, session: _Session) -> bool:
