--- a/wrenspoke/coordination/membership/engine_loads.py
+++ b/wrenspoke/coordination/membership/engine_loads.py
@@ -109,7 +109,7 @@
         # When an engine of which no load is known was first looked at.
         self._first_seen_ms: dict[ids.EndpointId, int] = {}
         self._tasks = runtime.Tasks()
-        pollers.listen(self._merge_broadcast)
+        pollers.add_listener(self._merge_broadcast)
 
     def start(self) -> None:
         """Begin to ask."""
--- a/wrenspoke/coordination/serving/sent_calls.py
+++ b/wrenspoke/coordination/serving/sent_calls.py
@@ -61,7 +61,7 @@
         self._collected: list[tuple[int, attending.SentCall]] = []
         self._more = asyncio.Event()
         self._tasks = runtime.Tasks()
-        asking.listen(self._hear)
+        asking.add_listener(self._hear)
         peers.answers(attending.TellSent)(self._collect)
 
     def listen(self, listener: Listener) -> None:
--- a/wrenspoke/coordination/serving/warmth.py
+++ b/wrenspoke/coordination/serving/warmth.py
@@ -61,7 +61,7 @@
         # From when on an endpoint is warm, and when that was heard.
         self._warm_ms: dict[ids.EndpointId, tuple[int, int]] = {}
         self._tasks = runtime.Tasks()
-        asking.listen(self._hear)
+        asking.add_listener(self._hear)
 
     async def close(self) -> None:
         """End every question."""
