--- a/wrenspoke/coordination/membership/engine_loads.py
+++ b/wrenspoke/coordination/membership/engine_loads.py
@@ -181,7 +181,7 @@
         Those are the ones that fall to it, and those of the hosts before
         it in order from which no report came of late.
         """
-        asking = self._pollers.hosts()
+        asking = self._pollers.polling_hosts()
         own = []
         for found in engines:
             order = routing.rendezvous(found.said.endpoint, asking)
