--- a/wrenspoke/coordination/membership/engine_loads.py
+++ b/wrenspoke/coordination/membership/engine_loads.py
@@ -171,7 +171,9 @@
         for status in statuses:
             self._views.note(status)
         if heard or statuses:
-            await self._pollers.tell(attending.TellRegion(heard, statuses))
+            await self._pollers.broadcast(
+                attending.TellRegion(heard, statuses)
+            )
 
     def _assigned_engines(
         self, engines: list[registry.Registered]
--- a/wrenspoke/coordination/serving/sent_calls.py
+++ b/wrenspoke/coordination/serving/sent_calls.py
@@ -138,7 +138,7 @@
             if not self._collected:
                 continue
             items, self._collected = self._collected, []
-            await self._askers.tell(
+            await self._askers.broadcast(
                 attending.TellRegion(sent=self._aged(items))
             )
 
--- a/wrenspoke/coordination/serving/warmth.py
+++ b/wrenspoke/coordination/serving/warmth.py
@@ -94,7 +94,7 @@
         )
         warm = [answer for answer in answers if answer is not None]
         if warm:
-            await self._askers.tell(attending.TellRegion(warm=warm))
+            await self._askers.broadcast(attending.TellRegion(warm=warm))
 
     def _hear(self, message: attending.TellRegion) -> None:
         for status in message.warm:
