--- a/tests/test_engine_loads.py
+++ b/tests/test_engine_loads.py
@@ -91,7 +91,7 @@
 def assigned_engines(gauged):
     """Return the engines that a host asks for all others."""
     engines = gauged._engines()
-    gauged._askers.engines = len(engines)
+    gauged._askers.engine_count = len(engines)
     if not gauged._askers.is_poller():
         return []
     return gauged._own(engines)
--- a/wrenspoke/coordination/membership/engine_loads.py
+++ b/wrenspoke/coordination/membership/engine_loads.py
@@ -154,7 +154,7 @@
 
     async def _poll_assigned(self) -> None:
         engines = self._engines()
-        self._pollers.engines = len(engines)
+        self._pollers.engine_count = len(engines)
         if not self._pollers.is_poller():
             return
         answers = await asyncio.gather(
