--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -162,7 +162,7 @@
 def test_region_offers_what_another_host_of_this_one_heard(later_ms, first_ms):
     made, _found, clock = known(None)
     status = attending.RegionStatus('south', pong(), 40.0, 200)
-    made._views.note(status)
+    made._views.record_status(status)
     clock.now_ms += later_ms and later_ms - 200
     offered = made.offer('south', SERVICE, CALL, HOST)
     handling_ms = 0 if later_ms else regions.HANDLING_MS
--- a/wrenspoke/coordination/membership/engine_loads.py
+++ b/wrenspoke/coordination/membership/engine_loads.py
@@ -169,7 +169,7 @@
             self._loads[load.endpoint] = (load, now_ms)
         statuses = self._remote_hosts.statuses()
         for status in statuses:
-            self._views.note(status)
+            self._views.record_status(status)
         if heard or statuses:
             await self._pollers.broadcast(
                 attending.TellRegion(heard, statuses)
@@ -256,7 +256,7 @@
     def _merge_broadcast(self, message: attending.TellRegion) -> None:
         now_ms = self._clock.mono_ms()
         for status in message.regions:
-            self._views.note(status)
+            self._views.record_status(status)
         for load in message.loads:
             self._loads[load.endpoint] = (load, now_ms)
             found = self._discovery.registry.held.get(load.endpoint)
