--- a/wrenspoke/coordination/membership/remote_hosts.py
+++ b/wrenspoke/coordination/membership/remote_hosts.py
@@ -112,7 +112,9 @@
         ]
 
     def _is_unreachable(self, region: ids.RegionId) -> bool:
-        return self._views.cut_off(region) or self._targets_unanswering(region)
+        return self._views.is_unreachable(region) or self._targets_unanswering(
+            region
+        )
 
     def _targets_unanswering(self, region: ids.RegionId) -> bool:
         """Tell whether this host had no answer from any partner there."""
@@ -151,7 +153,7 @@
         go last, unless the region is known to be cut off.
         """
         answering, unasked = [], []
-        cut_off = self._views.cut_off(region)
+        cut_off = self._views.is_unreachable(region)
         for record in self.ranked_hosts(region):
             answers = self._pinger.answers(record.host)
             if answers:
