--- a/tests/test_far.py
+++ b/tests/test_far.py
@@ -136,7 +136,9 @@
         remote = north._reach.remote(west.node.host)
         return remote and remote.said and 'south' in remote.said.relayed
 
-    await nodes.until(lambda: north._partners.cut_off() == ['south'])
+    await nodes.until(
+        lambda: north._partners.unreachable_regions() == ['south']
+    )
     await nodes.until(knows_a_way)
     return west
 
