--- a/tests/test_far.py
+++ b/tests/test_far.py
@@ -134,7 +134,7 @@
 
     def knows_a_way():
         remote = north._reach.remote(west.node.host)
-        return remote and remote.said and 'south' in remote.said.relayed
+        return remote and remote.pong and 'south' in remote.pong.relayed
 
     await nodes.until(
         lambda: north._partners.unreachable_regions() == ['south']
--- a/wrenspoke/coordination/membership/host_pinger.py
+++ b/wrenspoke/coordination/membership/host_pinger.py
@@ -162,7 +162,7 @@
         usable = isinstance(answer, messages.Pong) and not answer.draining
         if usable:
             remote.answered_ms = self._clock.mono_ms()
-            remote.said = answer
+            remote.pong = answer
             self._on_answer(host, asked_ms)
             self._update_rtt(remote, remote.answered_ms - asked_ms)
             return True
--- a/wrenspoke/coordination/serving/regions.py
+++ b/wrenspoke/coordination/serving/regions.py
@@ -94,7 +94,7 @@
         remote = self._heard(host)
         if remote is None:
             return _unknown(region, host)
-        said = remote.said
+        said = remote.pong
         if not said.serving or self._lags(remote):
             return None
         travel_ms = (remote.travel_ms or 0.0) + HANDLING_MS
@@ -132,14 +132,14 @@
                 remote = self._heard(host)
                 if remote is None:
                     continue
-                if not remote.said.serving or not remote.said.offers:
+                if not remote.pong.serving or not remote.pong.offers:
                     continue
                 travel_ms = (remote.travel_ms or 0.0) + HANDLING_MS
                 found[region] = [
                     msgspec.structs.replace(
                         offer, wait_ms=offer.wait_ms + travel_ms
                     )
-                    for offer in remote.said.offers
+                    for offer in remote.pong.offers
                 ]
                 break
         return found
@@ -159,7 +159,7 @@
                 remote = self._heard(host)
                 if remote is None:
                     continue
-                if region in remote.said.relayed:
+                if region in remote.pong.relayed:
                     hosts.append(host)
         return hosts
 
@@ -173,7 +173,7 @@
         if found is not None:
             return found
         remote = self._reach.remote(host.host)
-        return None if remote is None or remote.said is None else remote
+        return None if remote is None or remote.pong is None else remote
 
     def _lags(
         self, remote: host_pinger.RemoteState | region_views.RegionView
@@ -182,7 +182,7 @@
         if self._replica.current.index != self._index:
             self._index = self._replica.current.index
             self._index_ms = self._clock.mono_ms()
-        if remote.said.index >= self._index:
+        if remote.pong.index >= self._index:
             return False
         return remote.answered_ms - self._index_ms > LAG_MS
 
