--- a/wrenspoke/coordination/membership/host_pinger.py
+++ b/wrenspoke/coordination/membership/host_pinger.py
@@ -171,11 +171,11 @@
 
     def _update_rtt(self, remote: RemoteState, took_ms: int) -> None:
         """Learn the round trip; a longer one than usual was a wait."""
-        known_ms = remote.travel_ms
+        known_ms = remote.rtt_ms
         if known_ms is None or took_ms < known_ms:
-            remote.travel_ms = took_ms
+            remote.rtt_ms = took_ms
             return
-        remote.travel_ms = known_ms + RTT_WEIGHT * (took_ms - known_ms)
+        remote.rtt_ms = known_ms + RTT_WEIGHT * (took_ms - known_ms)
 
     async def _ping_while_used(
         self, host: ids.HostId, remote: RemoteState
--- a/wrenspoke/coordination/membership/remote_hosts.py
+++ b/wrenspoke/coordination/membership/remote_hosts.py
@@ -97,7 +97,7 @@
                 continue
             age_ms = self._clock.mono_ms() - remote.answered_ms
             return attending.RegionStatus(
-                region, remote.pong, remote.travel_ms or 0.0, age_ms
+                region, remote.pong, remote.rtt_ms or 0.0, age_ms
             )
         if targets and self._targets_unanswering(region):
             return attending.RegionStatus(region, None)
--- a/wrenspoke/coordination/serving/regions.py
+++ b/wrenspoke/coordination/serving/regions.py
@@ -97,7 +97,7 @@
         said = remote.pong
         if not said.serving or self._lags(remote):
             return None
-        travel_ms = (remote.travel_ms or 0.0) + HANDLING_MS
+        travel_ms = (remote.rtt_ms or 0.0) + HANDLING_MS
         offers = said.offers
         if host.region != region:
             offers = said.relayed.get(region, [])
@@ -134,7 +134,7 @@
                     continue
                 if not remote.pong.serving or not remote.pong.offers:
                     continue
-                travel_ms = (remote.travel_ms or 0.0) + HANDLING_MS
+                travel_ms = (remote.rtt_ms or 0.0) + HANDLING_MS
                 found[region] = [
                     msgspec.structs.replace(
                         offer, wait_ms=offer.wait_ms + travel_ms
@@ -208,7 +208,7 @@
         passed = self._passed.get(region)
         if not passed:
             return 0.0
-        since_ms = remote.answered_ms - (remote.travel_ms or 0.0) / 2
+        since_ms = remote.answered_ms - (remote.rtt_ms or 0.0) / 2
         while passed and passed[0][0] < since_ms:
             passed.popleft()
         tokens = sum(item[1] for item in passed)
