--- a/wrenspoke/coordination/membership/remote_hosts.py
+++ b/wrenspoke/coordination/membership/remote_hosts.py
@@ -51,7 +51,7 @@
         # The order of each region's hosts, as of a revision of the roster.
         self._rank_cache: dict[ids.RegionId, list[attending.HostRecord]] = {}
         self._revision = -1
-        pinger.tell_cut_off(self.unreachable_regions)
+        pinger.set_unreachable_regions(self.unreachable_regions)
 
     def start(self) -> None:
         """Begin to ping the partners."""
