--- a/wrenspoke/coordination/membership/remote_hosts.py
+++ b/wrenspoke/coordination/membership/remote_hosts.py
@@ -93,7 +93,7 @@
         targets = self.ranked_hosts(region)[:TARGETS_PER_REGION]
         for record in targets:
             remote = self._pinger.remote(record.host)
-            if remote is None or not self._pinger.answers(record.host):
+            if remote is None or not self._pinger.is_answering(record.host):
                 continue
             age_ms = self._clock.mono_ms() - remote.answered_ms
             return attending.RegionStatus(
@@ -119,7 +119,7 @@
     def _targets_unanswering(self, region: ids.RegionId) -> bool:
         """Tell whether this host had no answer from any partner there."""
         return all(
-            self._pinger.answers(record.host) is False
+            self._pinger.is_answering(record.host) is False
             for record in self.ranked_hosts(region)[:TARGETS_PER_REGION]
         )
 
@@ -155,7 +155,7 @@
         answering, unasked = [], []
         cut_off = self._views.is_unreachable(region)
         for record in self.ranked_hosts(region):
-            answers = self._pinger.answers(record.host)
+            answers = self._pinger.is_answering(record.host)
             if answers:
                 answering.append(record)
             elif answers is None and not cut_off:
--- a/wrenspoke/coordination/serving/regions.py
+++ b/wrenspoke/coordination/serving/regions.py
@@ -167,7 +167,7 @@
         self, host: attending.HostRecord
     ) -> host_pinger.RemoteState | region_views.RegionView | None:
         """Return what a host last said, or else another of its region."""
-        if self._reach.answers(host.host):
+        if self._reach.is_answering(host.host):
             return self._reach.remote(host.host)
         found = self._views.latest_view(host.region)
         if found is not None:
