--- a/tests/test_far.py
+++ b/tests/test_far.py
@@ -57,7 +57,7 @@
     others = [other.node.host for other in system.entries[1:]]
 
     def answered_since(began_ms):
-        remotes = [north._reach.remote(host) for host in others]
+        remotes = [north._reach.state_of(host) for host in others]
         return all(
             remote is not None and (remote.answered_ms or 0) > began_ms
             for remote in remotes
@@ -133,7 +133,7 @@
     monkeypatch.setattr(north._reach, '_ping', ping_unless_cut)
 
     def knows_a_way():
-        remote = north._reach.remote(west.node.host)
+        remote = north._reach.state_of(west.node.host)
         return remote and remote.pong and 'south' in remote.pong.relayed
 
     await nodes.until(
--- a/wrenspoke/coordination/membership/remote_hosts.py
+++ b/wrenspoke/coordination/membership/remote_hosts.py
@@ -92,7 +92,7 @@
     ) -> attending.RegionStatus | None:
         targets = self.ranked_hosts(region)[:TARGETS_PER_REGION]
         for record in targets:
-            remote = self._pinger.remote(record.host)
+            remote = self._pinger.state_of(record.host)
             if remote is None or not self._pinger.is_answering(record.host):
                 continue
             age_ms = self._clock.mono_ms() - remote.answered_ms
--- a/wrenspoke/coordination/serving/regions.py
+++ b/wrenspoke/coordination/serving/regions.py
@@ -168,11 +168,11 @@
     ) -> host_pinger.RemoteState | region_views.RegionView | None:
         """Return what a host last said, or else another of its region."""
         if self._reach.is_answering(host.host):
-            return self._reach.remote(host.host)
+            return self._reach.state_of(host.host)
         found = self._views.latest_view(host.region)
         if found is not None:
             return found
-        remote = self._reach.remote(host.host)
+        remote = self._reach.state_of(host.host)
         return None if remote is None or remote.pong is None else remote
 
     def _lags(
