--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -128,7 +128,7 @@
         try:
             async with clocks.timeout_ms(try_ms) as bound:
                 passing.bound = bound
-                with self._reach.watching(host, passing.lost):
+                with self._reach.watch_host(host, passing.lost):
                     await self._pass_on(passing, host)
             return True
         except transport_errors.NotSentError as error:
--- a/wrenspoke/coordination/serving/tries.py
+++ b/wrenspoke/coordination/serving/tries.py
@@ -170,7 +170,7 @@
                         now_s = asyncio.get_running_loop().time()
                         bound.reschedule(now_s)
 
-                with self._reach.watching(place.host, lost):
+                with self._reach.watch_host(place.host, lost):
                     yield
         except TimeoutError as error:
             if not bound.expired():
