--- a/tests/test_engine_loads.py
+++ b/tests/test_engine_loads.py
@@ -91,8 +91,8 @@
 def assigned_engines(gauged):
     """Return the engines that a host asks for all others."""
     engines = gauged._engines()
-    gauged._askers.engine_count = len(engines)
-    if not gauged._askers.is_poller():
+    gauged._pollers.engine_count = len(engines)
+    if not gauged._pollers.is_poller():
         return []
     return gauged._own(engines)
 
