--- a/tests/test_engine_loads.py
+++ b/tests/test_engine_loads.py
@@ -94,7 +94,7 @@
     gauged._pollers.engine_count = len(engines)
     if not gauged._pollers.is_poller():
         return []
-    return gauged._own(engines)
+    return gauged._assigned_engines(engines)
 
 
 @pytest.mark.parametrize(
