--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -259,7 +259,7 @@
         retry_after_ms = None
         if status == UNAVAILABLE:
             lease = self._attended.lease
-            retry_after_ms = return_line.spread_ms(lease.return_in_ms())
+            retry_after_ms = return_line.spread_ms(lease.retry_delay_ms())
         await reply.refuse(status, reason, retry_after_ms)
 
     async def _refuse(
