--- a/wrenspoke/coordination/serving/local.py
+++ b/wrenspoke/coordination/serving/local.py
@@ -303,7 +303,7 @@
             overloaded = True
             raise
         except errors.NotSentError:
-            self.loads.failed(send.endpoint)
+            self.loads.record_connect_failure(send.endpoint)
             raise
         finally:
             send.slot.release(succeeded, overloaded)
--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -270,7 +270,7 @@
             send.slot.release(overloaded=True)
             raise
         except errors.NotSentError:
-            self._server.loads.failed(send.endpoint)
+            self._server.loads.record_connect_failure(send.endpoint)
             raise
         except (asyncio.CancelledError, protocol_errors.CallerGoneError):
             self._cancel(send)
