--- a/wrenspoke/coordination/serving/local.py
+++ b/wrenspoke/coordination/serving/local.py
@@ -292,7 +292,7 @@
                 body = await answer.whole(self.settings.answer_limit_bytes)
             succeeded = answer.status < SERVER_ERROR
             taken_ms = self.clock.mono_ms() - started_ms
-            self.loads.answered(send.endpoint)
+            self.loads.record_answer(send.endpoint)
             self.loads.observe_first_token(send.endpoint, taken_ms)
             self.loads.observe_occupancy(send.endpoint, taken_ms)
             self.placer.sessions.used(send.head.session, send.endpoint)
