--- a/wrenspoke/coordination/membership/load_poller.py
+++ b/wrenspoke/coordination/membership/load_poller.py
@@ -97,7 +97,7 @@
         ) as error:
             logger.info('load_unknown', endpoint=endpoint, error=repr(error))
             return
-        self._loads.report(
+        self._loads.add_report(
             messages.LoadReport(
                 endpoint, found.running, found.waiting, found.age_ms
             )
--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -233,7 +233,7 @@
         if beat.index > self._replica.current.index:
             self.update_available.set()
         for report in beat.loads:
-            self._loads.report(report)
+            self._loads.add_report(report)
         self._replica.leaving.update(beat.leaving)
 
     def _suspicion_timeout_ms(self, interval_ms: int) -> int:
