--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -179,7 +179,7 @@
             draining=self.draining,
             index=index,
             interval_ms=self._interval_ms,
-            loads=self._loads.digest(own),
+            loads=self._loads.fresh_reports(own),
             leaving=sorted(self._replica.leaving),
             busy=self._draining_in_flight(),
         )
