--- a/wrenspoke/coordination/membership/loads.py
+++ b/wrenspoke/coordination/membership/loads.py
@@ -77,7 +77,7 @@
         speed = self._latencies.setdefault(
             endpoint, LatencyEstimate(hold_ms=hold_ms)
         )
-        speed.hold_ms += EWMA_WEIGHT * (hold_ms - speed.hold_ms)
+        speed.occupancy_ms += EWMA_WEIGHT * (hold_ms - speed.occupancy_ms)
 
     def record_connect_failure(self, endpoint: ids.EndpointId) -> None:
         """Note that no connection to an endpoint could be made."""
@@ -113,7 +113,7 @@
         first_ms = (
             weight * speed.first_ms + (1 - weight) * DEFAULT_FIRST_TOKEN_MS
         )
-        return LatencyEstimate(first_ms, speed.hold_ms, speed.seen_ms)
+        return LatencyEstimate(first_ms, speed.occupancy_ms, speed.seen_ms)
 
     def add_report(self, report: messages.LoadReport) -> None:
         """Keep a report unless a newer one is here."""
--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -331,7 +331,7 @@
         per_ms = 0.0
         for endpoint in endpoints:
             limit = self._limits.of(endpoint.endpoint, endpoint.slots)
-            hold_ms = self._loads.latency(endpoint.endpoint).hold_ms
+            hold_ms = self._loads.latency(endpoint.endpoint).occupancy_ms
             own_per_ms = limit.limit / max(hold_ms, 1.0)
             stated_per_s = self._gate.limits.share_per_s(
                 _life_of(endpoint.endpoint)
--- a/wrenspoke/coordination/serving/routing.py
+++ b/wrenspoke/coordination/serving/routing.py
@@ -164,7 +164,7 @@
     speed = view.loads.latency(endpoint.endpoint)
     total = _expected_load(endpoint, view)
     ahead = max(0, total + 1 - endpoint.slots)
-    wait_ms = ahead * speed.hold_ms / endpoint.slots
+    wait_ms = ahead * speed.occupancy_ms / endpoint.slots
     crowding = 1 + total / endpoint.slots
     work_ms = speed.first_ms * crowding
     work_ms *= 1 - WARM_SAVES_SHARE * warm_share
