--- a/wrenspoke/coordination/membership/loads.py
+++ b/wrenspoke/coordination/membership/loads.py
@@ -65,9 +65,9 @@
         """Note the time to a first token or whole answer."""
         speed = self._latencies.setdefault(endpoint, LatencyEstimate())
         if speed.seen_ms is None:
-            speed.first_ms = first_ms
+            speed.first_token_ms = first_ms
         self.on_first_token(endpoint, first_ms)
-        speed.first_ms += EWMA_WEIGHT * (first_ms - speed.first_ms)
+        speed.first_token_ms += EWMA_WEIGHT * (first_ms - speed.first_token_ms)
         speed.seen_ms = self._clock.mono_ms()
 
     def observe_occupancy(
@@ -111,7 +111,8 @@
             return speed
         weight = LATENCY_TTL_MS / age_ms
         first_ms = (
-            weight * speed.first_ms + (1 - weight) * DEFAULT_FIRST_TOKEN_MS
+            weight * speed.first_token_ms
+            + (1 - weight) * DEFAULT_FIRST_TOKEN_MS
         )
         return LatencyEstimate(first_ms, speed.occupancy_ms, speed.seen_ms)
 
--- a/wrenspoke/coordination/serving/routing.py
+++ b/wrenspoke/coordination/serving/routing.py
@@ -166,7 +166,7 @@
     ahead = max(0, total + 1 - endpoint.slots)
     wait_ms = ahead * speed.occupancy_ms / endpoint.slots
     crowding = 1 + total / endpoint.slots
-    work_ms = speed.first_ms * crowding
+    work_ms = speed.first_token_ms * crowding
     work_ms *= 1 - WARM_SAVES_SHARE * warm_share
     return LOCAL_LINK_MS + wait_ms + work_ms
 
