--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -248,7 +248,7 @@
         while True:
             await self._clock.sleep_ms(self._settings.beat_interval_ms / 2)
             for host, seen in self._peer_states.items():
-                silence_ms = self._clock.mono_ms() - seen.heard_ms
+                silence_ms = self._clock.mono_ms() - seen.last_beat_ms
                 if seen.suspected:
                     continue
                 if silence_ms <= seen.suspicion_timeout_ms:
