--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -142,7 +142,7 @@
             cause = repr(error)
         except streams.EndingEventError as error:
             raise errors.EndedError(_ending_of(error.data)) from error
-        self._members.failed(host)
+        self._members.record_request_failure(host)
         self._decisions.note(
             'forward_failed', passing.head.request, peer=host, error=cause
         )
