--- a/wrenspoke/coordination/membership/configuration_puller.py
+++ b/wrenspoke/coordination/membership/configuration_puller.py
@@ -119,7 +119,9 @@
 
     async def _catch_up(self) -> None:
         # The bulk comes from a peer; the leader only adds what is newer.
-        answers = [await self._pull(host) for host in self._members.near]
+        answers = [
+            await self._pull(host) for host in self._members.local_peers
+        ]
         confirmed = await self._pull_control()
         if confirmed:
             self._serve('leader')
@@ -161,7 +163,7 @@
     async def _pull_from_peer(self) -> bool:
         """Pull from a peer that told of something newer, if one did."""
         index = self._replica.current.index
-        for host in self._members.near:
+        for host in self._members.local_peers:
             if self._members.config_index_of(host) > index:
                 return await self._pull(host) is not None
         return False
--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -456,7 +456,8 @@
             'quarantine_refused': self._guard.refused,
             'in_quarantine': len(self._replica.current.quarantine),
             'peers': {
-                host: self._members.usable(host) for host in self._members.near
+                host: self._members.usable(host)
+                for host in self._members.local_peers
             },
         }
 
--- a/wrenspoke/coordination/serving/shares.py
+++ b/wrenspoke/coordination/serving/shares.py
@@ -173,7 +173,9 @@
 
     def _lender_of(self, team: str) -> ids.HostId:
         live = [
-            host for host in self._members.near if self._members.is_alive(host)
+            host
+            for host in self._members.local_peers
+            if self._members.is_alive(host)
         ]
         return ids.HostId(routing.rendezvous(team, [*live, self._host])[0])
 
