--- a/wrenspoke/coordination/membership/configuration_puller.py
+++ b/wrenspoke/coordination/membership/configuration_puller.py
@@ -142,7 +142,7 @@
     async def _pull_updates(self) -> None:
         if await self._pull_from_peer():
             return
-        if self._host in self._members.relays():
+        if self._host in self._members.relay_hosts():
             before = self._replica.current.index
             await self._pull_any_control()
             if self._replica.current.index > before:
--- a/wrenspoke/coordination/membership/host_list_poller.py
+++ b/wrenspoke/coordination/membership/host_list_poller.py
@@ -67,7 +67,7 @@
     async def _run(self) -> None:
         while True:
             await self._clock.sleep_ms(LIST_INTERVAL_MS)
-            if self._host not in self._members.relays():
+            if self._host not in self._members.relay_hosts():
                 continue
             listed = await self._fetch_hosts()
             if self._mark_leaving(listed):
