--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -422,7 +422,7 @@
                     'data_centre': entry.data_centre,
                     'url': f'http://{entry.ip}:{entry.http_port}',
                 }
-                for entry in self._members.directory(region)
+                for entry in self._members.usable_by_distance(region)
             ],
         }
 
