--- a/wrenspoke/coordination/membership/configuration_puller.py
+++ b/wrenspoke/coordination/membership/configuration_puller.py
@@ -193,7 +193,7 @@
     ) -> messages.ConfigurationDelta | None:
         standing = None
         if host in self._control_hosts:
-            standing = self._members.standing()
+            standing = self._members.data_centre_status()
         message = messages.PullConfiguration(
             self._replica.current.index, standing
         )
