--- a/wrenspoke/coordination/membership/configuration_puller.py
+++ b/wrenspoke/coordination/membership/configuration_puller.py
@@ -102,10 +102,10 @@
         """Wait for the next look, or for a beat that tells of a change."""
         try:
             async with clocks.timeout_ms(self._next_pull_ms()):
-                await self._members.news.wait()
+                await self._members.update_available.wait()
         except TimeoutError:
             return
-        self._members.news.clear()
+        self._members.update_available.clear()
 
     def _next_pull_ms(self) -> int:
         """Return the time to the next look, short while a drain waits."""
@@ -158,7 +158,7 @@
         self, _sender: ids.HostId, news: messages.News
     ) -> None:
         if news.index > self._replica.current.index:
-            self._members.news.set()
+            self._members.update_available.set()
 
     async def _pull_from_peer(self) -> bool:
         """Pull from a peer that told of something newer, if one did."""
