--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -37,10 +37,10 @@
         self.told = host_pinger.RemoteState(0, said, 50.0)
         self.told.answered_ms = 100_000
 
-    def remote(self, _host):
+    def state_of(self, _host):
         return self.told
 
-    def answers(self, _host):
+    def is_answering(self, _host):
         return self.told.pong is not None
 
     def reachable(self, region):
