--- a/tests/test_region_pollers.py
+++ b/tests/test_region_pollers.py
@@ -89,10 +89,10 @@
 class SilentPinger:
     """Know nothing of any host elsewhere."""
 
-    def tell_cut_off(self, _cut_off):
+    def set_unreachable_regions(self, _cut_off):
         return
 
-    def answers(self, _host):
+    def is_answering(self, _host):
         return None
 
 
