--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -196,7 +196,7 @@
     west = await test_far.cut_north_from_south(system, monkeypatch)
     north = system.entries[0]
     held = north.replica.current
-    monkeypatch.setattr(north.replica, 'advance', lambda _delta: False)
+    monkeypatch.setattr(north.replica, 'apply_delta', lambda _delta: False)
     leader = await system.leader()
     table = routes.RouteTable(
         held.routes.version + 1,
