--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -201,7 +201,7 @@
     there = await system.add('e2', 'south-hall')
     await test_far.know_each_other(system)
     north = system.entries[0]
-    monkeypatch.setattr(north.replica, 'advance', lambda _delta: False)
+    monkeypatch.setattr(north.replica, 'apply_delta', lambda _delta: False)
     leader = await system.leader()
     held = north.replica.current.routes
     newer = routes.RouteTable(
