--- a/tests/membership_fleet.py
+++ b/tests/membership_fleet.py
@@ -10,8 +10,8 @@
 import dataclasses
 
 from tests import group
-from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.coordination.membership import control_group
+from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.coordination.membership import registrar
 from wrenspoke.coordination.membership import replica
 from wrenspoke.protocol import attending
--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -11,9 +11,9 @@
 import itertools
 import random
 
-from tests import membership_fleet
 from tests import group
 from tests import limited_fleet
+from tests import membership_fleet
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.quarantine import gatherer
--- a/tests/stated_fleet.py
+++ b/tests/stated_fleet.py
@@ -10,8 +10,8 @@
 import dataclasses
 import random
 
-from tests import membership_fleet
 from tests import group
+from tests import membership_fleet
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.limiting import endpoint_gate
 from wrenspoke.coordination.limiting import endpoint_limits
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -6,8 +6,8 @@
 
 from tests import nodes
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.coordination.membership import control_group
+from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.coordination.membership import replica
 from wrenspoke.protocol import attending
 from wrenspoke.protocol import messages
--- a/tests/test_engine_loads.py
+++ b/tests/test_engine_loads.py
@@ -8,8 +8,8 @@
 from tests import stated_fleet
 from tests import test_registry
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import engine_loads
+from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.membership import roster
 from wrenspoke.coordination.serving import availability
--- a/tests/test_membership_fleet.py
+++ b/tests/test_membership_fleet.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from tests import membership_fleet
 from tests import group
+from tests import membership_fleet
 from tests import test_replica
 from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.protocol import attending
--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -4,8 +4,8 @@
 
 from tests import test_registry
 from wrenspoke.coordination.membership import host_pinger
-from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.membership import region_views
+from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.serving import regions
 from wrenspoke.protocol import attending
 from wrenspoke.protocol import dialect as dialects
--- a/tests/test_region_pollers.py
+++ b/tests/test_region_pollers.py
@@ -11,9 +11,9 @@
 from tests import test_engine_loads
 from tests import test_registry
 from wrenspoke.coordination.membership import region_pollers
+from wrenspoke.coordination.membership import region_views
 from wrenspoke.coordination.membership import remote_hosts
 from wrenspoke.coordination.membership import roster
-from wrenspoke.coordination.membership import region_views
 from wrenspoke.protocol import attending
 from wrenspoke.protocol import messages
 
--- a/tests/test_sent_calls.py
+++ b/tests/test_sent_calls.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from tests import membership_fleet
 from tests import group
+from tests import membership_fleet
 from tests import test_registry
 from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import roster
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -15,8 +15,8 @@
 from wrenspoke.coordination.agreement import lead
 from wrenspoke.coordination.limiting import allocator
 from wrenspoke.coordination.limiting import lender
-from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.coordination.membership import control_group
+from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.coordination.membership import lease
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.membership import roster
--- a/wrenspoke/control_node.py
+++ b/wrenspoke/control_node.py
@@ -14,8 +14,8 @@
 from wrenspoke.coordination.agreement import voter
 from wrenspoke.coordination.limiting import allocator
 from wrenspoke.coordination.membership import control_group
-from wrenspoke.coordination.membership import registry_snapshot
 from wrenspoke.coordination.membership import registrar
+from wrenspoke.coordination.membership import registry_snapshot
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.quarantine import gatherer
 from wrenspoke import ids
--- a/wrenspoke/coordination/membership/engine_loads.py
+++ b/wrenspoke/coordination/membership/engine_loads.py
@@ -17,11 +17,11 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.limiting import endpoint_gate
-from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import discovery_client
+from wrenspoke.coordination.membership import region_pollers
+from wrenspoke.coordination.membership import region_views
 from wrenspoke.coordination.membership import remote_hosts
 from wrenspoke.coordination.membership import replica
-from wrenspoke.coordination.membership import region_views
 from wrenspoke.coordination.serving import routing
 from wrenspoke import ids
 from wrenspoke.protocol import advertised
--- a/wrenspoke/coordination/membership/remote_hosts.py
+++ b/wrenspoke/coordination/membership/remote_hosts.py
@@ -10,10 +10,10 @@
 import structlog
 
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import host_pinger
-from wrenspoke.coordination.membership import roster
+from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import region_views
+from wrenspoke.coordination.membership import roster
 from wrenspoke.coordination.serving import routing
 from wrenspoke import ids
 from wrenspoke.protocol import attending
--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -9,9 +9,9 @@
 
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.limiting import endpoint_gate
-from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.coordination.membership import engine_loads
+from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.serving import health
 from wrenspoke.coordination.serving import warmth as warmths
--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -11,8 +11,8 @@
 
 from wrenspoke import clock as clocks
 from wrenspoke.coordination import errors
-from wrenspoke.coordination.membership import members
 from wrenspoke.coordination.membership import host_pinger
+from wrenspoke.coordination.membership import members
 from wrenspoke.coordination.serving import decisions
 from wrenspoke.coordination.serving import streams
 from wrenspoke import ids
--- a/wrenspoke/coordination/serving/regions.py
+++ b/wrenspoke/coordination/serving/regions.py
@@ -12,10 +12,10 @@
 import msgspec
 
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.membership import remote_hosts
 from wrenspoke.coordination.membership import host_pinger
-from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.membership import region_views
+from wrenspoke.coordination.membership import remote_hosts
+from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.serving import pace
 from wrenspoke.coordination.serving import prefixes
 from wrenspoke.coordination.serving import sent_calls
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -8,14 +8,14 @@
 from wrenspoke import arguments
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.limiting import endpoint_gate
-from wrenspoke.coordination.membership import region_pollers
+from wrenspoke.coordination.membership import configuration_puller
 from wrenspoke.coordination.membership import host_list_poller
+from wrenspoke.coordination.membership import host_pinger
+from wrenspoke.coordination.membership import load_poller
 from wrenspoke.coordination.membership import loads
 from wrenspoke.coordination.membership import member_roster
 from wrenspoke.coordination.membership import members
-from wrenspoke.coordination.membership import load_poller
-from wrenspoke.coordination.membership import configuration_puller
-from wrenspoke.coordination.membership import host_pinger
+from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.quarantine import guard
 from wrenspoke.coordination.quarantine import reporter
