--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -206,7 +206,7 @@
 
     @staticmethod
     def _bring_level(who, known):
-        delta = known.after(who.replica.current.index)
+        delta = known.delta_since(who.replica.current.index)
         if delta.index > who.replica.current.index:
             who.replica.apply_delta(delta)
 
