--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -63,11 +63,11 @@
     await made.close()
 
 
-async def deliver_answer(attended):
+async def deliver_answer(discovery):
     """Let a control host answer once."""
-    [session, _other] = attended._sessions
+    [session, _other] = discovery._sessions
     session.host = CONTROL
-    await attended._send_attend(session, CONTROL, 0)
+    await discovery._send_attend(session, CONTROL, 0)
 
 
 @pytest.mark.parametrize(
@@ -76,26 +76,26 @@
     ids=['leader', 'no leader', 'nothing known'],
 )
 async def test_first_answer_decides_when_to_serve(
-    attended, confirmed, index, at_once, later
+    discovery, confirmed, index, at_once, later
 ):
     """Without a leader's word no further answer is waited for."""
-    attended._peers.confirmed = confirmed
-    attended._peers.index = index
-    await deliver_answer(attended)
-    assert attended._replica.serving is at_once
+    discovery._peers.confirmed = confirmed
+    discovery._peers.index = index
+    await deliver_answer(discovery)
+    assert discovery._replica.serving is at_once
     if later:
-        await nodes.until(lambda: attended._replica.serving)
-    assert attended._peers.calls == 1
+        await nodes.until(lambda: discovery._replica.serving)
+    assert discovery._peers.calls == 1
 
 
-async def test_host_that_was_stopped_serves_after_a_new_answer_only(attended):
-    await deliver_answer(attended)
-    waiting = attended._unconfirmed_start
-    attended._suspend_serving()
+async def test_host_that_was_stopped_serves_after_a_new_answer_only(discovery):
+    await deliver_answer(discovery)
+    waiting = discovery._unconfirmed_start
+    discovery._suspend_serving()
     await asyncio.wait([waiting])
-    assert waiting.cancelled() and not attended._replica.serving
-    await deliver_answer(attended)
-    await nodes.until(lambda: attended._replica.serving)
+    assert waiting.cancelled() and not discovery._replica.serving
+    await deliver_answer(discovery)
+    await nodes.until(lambda: discovery._replica.serving)
 
 
 @pytest.mark.parametrize(
@@ -104,14 +104,14 @@
     ids=['at once', 'held back', 'no word'],
 )
 async def test_lease_counts_from_what_an_answer_proves(
-    attended, monkeypatch, age_ms, held_ms, index, confirmed
+    discovery, monkeypatch, age_ms, held_ms, index, confirmed
 ):
     """It was given no sooner than it was asked for and held back."""
     seen = []
-    monkeypatch.setattr(attended.lease, 'confirm', seen.append)
+    monkeypatch.setattr(discovery.lease, 'confirm', seen.append)
     clock = FrozenClock()
-    monkeypatch.setattr(attended, '_clock', clock)
-    call = attended._peers.call
+    monkeypatch.setattr(discovery, '_clock', clock)
+    call = discovery._peers.call
 
     async def call_late(*arguments):
         found = await call(*arguments)
@@ -121,19 +121,19 @@
         found.held_ms = held_ms
         return found
 
-    monkeypatch.setattr(attended._peers, 'call', call_late)
+    monkeypatch.setattr(discovery._peers, 'call', call_late)
     asked_ms = clock.now_ms
-    await deliver_answer(attended)
+    await deliver_answer(discovery)
     assert seen == ([asked_ms + held_ms - age_ms] if confirmed else [])
 
 
 async def test_answer_that_was_not_taken_whole_renews_no_lease(
-    attended, monkeypatch
+    discovery, monkeypatch
 ):
     """What it confirms goes beyond what is held here."""
     seen = []
-    monkeypatch.setattr(attended.lease, 'confirm', seen.append)
-    call = attended._peers.call
+    monkeypatch.setattr(discovery.lease, 'confirm', seen.append)
+    call = discovery._peers.call
 
     async def call_ahead(*arguments):
         found = await call(*arguments)
@@ -141,8 +141,8 @@
         found.confirmed_age_ms = 0
         return found
 
-    monkeypatch.setattr(attended._peers, 'call', call_ahead)
-    await deliver_answer(attended)
+    monkeypatch.setattr(discovery._peers, 'call', call_ahead)
+    await deliver_answer(discovery)
     assert seen == []
 
 
