--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -669,7 +669,7 @@
         'restarted control host is told changes only',
         DECISIONS + 'membership/control_sync.py',
         (
-            "        if answer.unknown or progress.instance_id not in ('', answer.instance_id):\n"
+            "        if answer.unknown or progress.instance_id not in ('', answer.life):\n"
         ),
         ('        if False:\n'),
         (
