--- a/wrenspoke/coordination/membership/loads.py
+++ b/wrenspoke/coordination/membership/loads.py
@@ -75,7 +75,7 @@
     ) -> None:
         """Note how long a request held its place at an endpoint."""
         speed = self._latencies.setdefault(
-            endpoint, LatencyEstimate(hold_ms=hold_ms)
+            endpoint, LatencyEstimate(occupancy_ms=hold_ms)
         )
         speed.occupancy_ms += EWMA_WEIGHT * (hold_ms - speed.occupancy_ms)
 
