--- a/tests/test_stated_fleet.py
+++ b/tests/test_stated_fleet.py
@@ -179,7 +179,7 @@
     """Return the host that most take for the lender of the first engine."""
     life = fleet.engines[0].life
     name = fleet.names[0]
-    return fleet.hosts[name].region_pollers.rendezvous_order(life.endpoint)[0]
+    return fleet.hosts[name].askers.rendezvous_order(life.endpoint)[0]
 
 
 KEPT = [lose_lender, freeze_lender, restart_lender, come_and_go]
