--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -108,7 +108,7 @@
             configuration.TeamLimit('team-1', 7.0, 9)
         )
         held = replica.Replica()
-        held.advance(messages.ConfigurationDelta(index=1, whole=made))
+        held.apply_delta(messages.ConfigurationDelta(index=1, whole=made))
         delta = messages.ConfigurationDelta(index=2, changes=[(2, state)])
         found.append(
             {
@@ -124,7 +124,7 @@
                 ),
                 'delta_bytes': len(msgspec.msgpack.encode(delta)),
                 'find_active_ms': timed_ms(
-                    lambda: held.active('s', 'region-1')
+                    lambda: held.active_endpoints('s', 'region-1')
                 ),
                 'rank_ms': rank_ms(held),
             }
@@ -142,9 +142,9 @@
 def rank_ms(held: replica.Replica) -> float:
     """Return the time to rank one region's engines for a request."""
     clock = clocks.Clock()
-    candidates = held.active('s', 'region-1')
+    candidates = held.active_endpoints('s', 'region-1')
     view = routing.View(
-        loads.Loads(clock),
+        loads.LoadTable(clock),
         limits.Limits(clock),
         routing.Sessions(),
         held.current.services['s'],
--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -143,9 +143,9 @@
     ),
     Switch(
         'list takes leaving back',
-        DECISIONS + 'membership/leaving.py',
-        ('        news = False\n'),
-        ('        news = False\n        self._replica.leaving.clear()\n'),
+        DECISIONS + 'membership/host_list_poller.py',
+        ('        changed = False\n'),
+        ('        changed = False\n        self._replica.leaving.clear()\n'),
         ('tests/test_leaving.py::test_platform_list_only_ever_adds_leaving'),
     ),
     Switch(
@@ -171,8 +171,8 @@
     ),
     Switch(
         'serves before it knows',
-        DECISIONS + 'membership/pulls.py',
-        ('        held = serving or self._replica.held_before\n'),
+        DECISIONS + 'membership/configuration_puller.py',
+        ('        held = serving or self._replica.served_before\n'),
         ('        held = True\n'),
         ('tests/test_control.py::test_configuration_never_goes_back'),
     ),
@@ -387,7 +387,7 @@
     Switch(
         'cold endpoints used by every host',
         DECISIONS + 'serving/availability.py',
-        ('            if not self.is_cold(found) or not self._pollers.is_first(name):'),
+        ('            if not self.is_cold(found) or not self._pollers.is_owner_of(name):'),
         ('            if not self.is_cold(found):'),
         (
             'tests/test_far.py::test_cold_endpoint_is_used_by_one_host_at_its_pace'
@@ -533,7 +533,7 @@
     ),
     Switch(
         'a name that is gone is tried again',
-        DECISIONS + 'membership/attendance.py',
+        DECISIONS + 'membership/discovery_client.py',
         ('        if not self.registry.take(gone):'),
         ('        if True:'),
         (
@@ -585,18 +585,18 @@
     ),
     Switch(
         'start waits for a further answer',
-        DECISIONS + 'membership/attendance.py',
-        ('        if self._waiting is None:\n'),
+        DECISIONS + 'membership/discovery_client.py',
+        ('        if self._unconfirmed_start is None:\n'),
         ('        if False:\n'),
-        ('tests/test_attendance.py::test_first_answer_decides_when_to_serve'),
+        ('tests/test_discovery_client.py::test_first_answer_decides_when_to_serve'),
     ),
     Switch(
         'stopped host serves without a word',
-        DECISIONS + 'membership/attendance.py',
-        ('            self._waiting.cancel()\n'),
+        DECISIONS + 'membership/discovery_client.py',
+        ('            self._unconfirmed_start.cancel()\n'),
         ('            pass\n'),
         (
-            'tests/test_attendance.py::test_host_that_was_stopped_serves_after_a_new_answer_only'
+            'tests/test_discovery_client.py::test_host_that_was_stopped_serves_after_a_new_answer_only'
         ),
     ),
     Switch(
@@ -643,61 +643,61 @@
     ),
     Switch(
         'renewals are told by all who know them',
-        DECISIONS + 'membership/exchanges.py',
-        ('        heard = {*told.heard, host}\n'),
-        ('        heard = set()\n'),
+        DECISIONS + 'membership/control_sync.py',
+        ('        recent_contacts = {*progress.recent_contacts, host}\n'),
+        ('        recent_contacts = set()\n'),
         (
-            'tests/test_attending_fleet.py::test_control_hosts_tell_renewals_in_a_few_bytes_each'
+            'tests/test_membership_fleet.py::test_control_hosts_tell_renewals_in_a_few_bytes_each'
         ),
     ),
     Switch(
         'nobody passes on what another hears',
-        DECISIONS + 'membership/exchanges.py',
-        ('        and found.told_by not in heard\n'),
+        DECISIONS + 'membership/control_sync.py',
+        ('        and found.told_by not in recent_contacts\n'),
         ('        and found.told_by is None\n'),
         (
-            'tests/test_attending_fleet.py::test_what_a_control_host_hears_reaches_those_that_it_is_cut_off_from'
+            'tests/test_membership_fleet.py::test_what_a_control_host_hears_reaches_those_that_it_is_cut_off_from'
         ),
     ),
     Switch(
         'restarted control host is told changes only',
-        DECISIONS + 'membership/exchanges.py',
-        ("        if answer.unknown or told.life not in ('', answer.life):\n"),
+        DECISIONS + 'membership/control_sync.py',
+        ("        if answer.unknown or progress.instance_id not in ('', answer.life):\n"),
         ('        if False:\n'),
         (
-            'tests/test_attending_fleet.py::test_control_host_that_restarts_is_told_all_again'
+            'tests/test_membership_fleet.py::test_control_host_that_restarts_is_told_all_again'
         ),
     ),
     Switch(
         'session stays where no leader is heard',
-        DECISIONS + 'membership/attendance.py',
+        DECISIONS + 'membership/discovery_client.py',
         ('            elif self._is_leaderless(session):\n'),
         ('            elif False:\n'),
         (
-            'tests/test_attending_fleet.py::test_one_session_leaves_control_hosts_that_hear_no_leader'
+            'tests/test_membership_fleet.py::test_one_session_leaves_control_hosts_that_hear_no_leader'
         ),
     ),
     Switch(
         'what was given up is tried at once',
-        DECISIONS + 'membership/attendance.py',
-        ('        return failed_ms if age_ms < GIVEN_UP_MS else 0\n'),
+        DECISIONS + 'membership/discovery_client.py',
+        ('        return failed_ms if age_ms < FAILED_HOST_TTL_MS else 0\n'),
         ('        return 0\n'),
         (
-            'tests/test_attending_fleet.py::test_hosts_whose_region_lost_its_control_hosts_stay_elsewhere'
+            'tests/test_membership_fleet.py::test_hosts_whose_region_lost_its_control_hosts_stay_elsewhere'
         ),
     ),
     Switch(
         'every host pings other regions',
-        DECISIONS + 'membership/partners.py',
-        ('            if asks or not self._views.known(region)\n'),
+        DECISIONS + 'membership/remote_hosts.py',
+        ('            if is_poller or not self._views.has_view(region)\n'),
         ('            if True\n'),
         (
-            'tests/test_askers.py::test_hosts_elsewhere_are_pinged_by_a_few_for_all'
+            'tests/test_region_pollers.py::test_hosts_elsewhere_are_pinged_by_a_few_for_all'
         ),
     ),
     Switch(
         'share of a lost host is lost',
-        DECISIONS + 'membership/askers.py',
+        DECISIONS + 'membership/region_pollers.py',
         (
             '            if await self._peers.tell(host, sent):\n                return\n'
         ),
@@ -705,24 +705,24 @@
             '            await self._peers.tell(host, sent)\n            return\n'
         ),
         (
-            'tests/test_askers.py::test_host_that_is_lost_keeps_nothing_from_others'
+            'tests/test_region_pollers.py::test_host_that_is_lost_keeps_nothing_from_others'
         ),
     ),
     Switch(
         'nobody asks for an asking host',
-        DECISIONS + 'membership/gauges.py',
-        ('            if place == 0 or self._is_missed(found, place):\n'),
+        DECISIONS + 'membership/engine_loads.py',
+        ('            if place == 0 or self._is_overdue(found, place):\n'),
         ('            if place == 0:\n'),
         (
-            'tests/test_gauges.py::test_next_in_order_asks_where_no_report_comes'
+            'tests/test_engine_loads.py::test_next_in_order_asks_where_no_report_comes'
         ),
     ),
     Switch(
         'silent engines are used',
-        DECISIONS + 'membership/gauges.py',
-        ('        return fresh >= FRESH_SHARE * len(engines)\n'),
+        DECISIONS + 'membership/engine_loads.py',
+        ('        return fresh >= MIN_FRESH_SHARE * len(engines)\n'),
         ('        return False\n'),
-        ('tests/test_gauges.py'),
+        ('tests/test_engine_loads.py'),
     ),
     Switch(
         'all tables of a day are kept',
@@ -733,12 +733,12 @@
     ),
     Switch(
         'silence counts from long ago',
-        DECISIONS + 'membership/reach.py',
-        ('            silence_ms = self._clock.mono_ms() - heard_ms\n'),
+        DECISIONS + 'membership/host_pinger.py',
+        ('            silence_ms = self._clock.mono_ms() - last_answer_ms\n'),
         (
             '            silence_ms = self._clock.mono_ms() - (remote.answered_ms or 0)\n'
         ),
-        ('tests/test_reach.py'),
+        ('tests/test_host_pinger.py'),
     ),
     Switch(
         'parts of a repeat are rounded away',
--- a/tests/backoff_fleet.py
+++ b/tests/backoff_fleet.py
@@ -87,19 +87,19 @@
         super().__init__(fleet, name)
         self.backoffs = endpoint_backoffs.EndpointBackoffs(
             name,
-            self.askers.order,
+            self.askers.rendezvous_order,
             lambda _life: True,
             self._tell_backoffs,
             self.clock,
             self.agreeing_hosts,
         )
-        self.askers.listen(
+        self.askers.add_listener(
             lambda message: self.backoffs.merge(message.backoffs)
         )
         self.backoffs.start()
 
     async def _tell_backoffs(self, backoffs):
-        await self.askers.tell(attending.TellRegion(backoffs=backoffs))
+        await self.askers.broadcast(attending.TellRegion(backoffs=backoffs))
 
     def wants(self, engine):
         return not self.backoffs.remaining_ms(engine.life)
--- a/tests/group.py
+++ b/tests/group.py
@@ -16,7 +16,7 @@
 from wrenspoke.coordination.agreement import founding
 from wrenspoke.coordination.agreement import voter
 from wrenspoke.coordination import errors
-from wrenspoke.coordination.membership import controls
+from wrenspoke.coordination.membership import control_group
 from wrenspoke.coordination.membership import replica
 from wrenspoke import node as settings
 from wrenspoke.protocol import attending
@@ -248,7 +248,7 @@
         self.name = name
         self.peers = Peers(name, network)
         self.peers.answers(attending.Exchange)(self._answer_exchange)
-        self._group = controls.ControlGroup(name, seeds, clock)
+        self._group = control_group.ControlGroup(name, seeds, clock)
         self._tasks = runtime.Tasks()
         kept = storage.Storage(disk)
         if first_start:
@@ -270,7 +270,7 @@
 
     async def _exchange(self):
         while True:
-            for host in self._group.others():
+            for host in self._group.other_hosts():
                 self._tasks.start(self._exchange_with(host))
             await asyncio.sleep(EXCHANGE_INTERVAL_MS / MS_PER_S)
 
@@ -278,10 +278,10 @@
         with contextlib.suppress(protocol_errors.NoAnswerError):
             message = attending.Exchange([], attending.HostChanges([], []))
             await self.peers.call(host, message, EXCHANGE_INTERVAL_MS)
-            self._group.hear(host)
+            self._group.record_contact(host)
 
     async def _answer_exchange(self, sender, _message):
-        self._group.hear(sender)
+        self._group.record_contact(sender)
         return attending.Exchanged()
 
     async def close(self):
--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -9,14 +9,14 @@
 import dataclasses
 import random
 
-from tests import attending_fleet
 from tests import group
+from tests import membership_fleet
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.limiting import allocator
 from wrenspoke.coordination.limiting import bounds
 from wrenspoke.coordination.limiting import lender
 from wrenspoke.coordination.limiting import limiter
-from wrenspoke.coordination.membership import attendance
+from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.coordination.serving import routing
 from wrenspoke.state import replicated
 from wrenspoke.state import teams
@@ -81,7 +81,7 @@
         self.fleet = fleet
         self.name = name
         self.clock = group.LoopClock()
-        self.peers = attending_fleet.CountingPeers(name, fleet.network)
+        self.peers = membership_fleet.CountingPeers(name, fleet.network)
         fleet.network.hosts[name] = self.peers
         self.lender = lender.Lender(
             lambda _team: fleet.limit,
@@ -139,7 +139,7 @@
         for number in range(CONTROLS):
             name = f'10.{number}.250.1:1'
             clock = group.LoopClock()
-            peers = attending_fleet.CountingPeers(name, self.network)
+            peers = membership_fleet.CountingPeers(name, self.network)
             self.network.hosts[name] = peers
             self.voters[name] = Voter(state)
             self.controls.append(peers)
@@ -165,7 +165,7 @@
         if self.leader is None:
             return None
         near = f'10.{region_of(host.name)}.250.1:1'
-        return attendance.Lead(self.leader, self._term, near)
+        return discovery_client.LeaderInfo(self.leader, self._term, near)
 
     def start_host(self, name):
         self.hosts[name] = self.make(self, name)
--- a/tests/attending_fleet.py
+++ b/tests/membership_fleet.py
@@ -10,8 +10,8 @@
 import dataclasses
 
 from tests import group
-from wrenspoke.coordination.membership import attendance
-from wrenspoke.coordination.membership import controls
+from wrenspoke.coordination.membership import control_group
+from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.coordination.membership import registrar
 from wrenspoke.coordination.membership import replica
 from wrenspoke.protocol import attending
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass
-class Sent:
+class SentCount:
     """Count what hosts sent: messages and their bytes."""
 
     messages: int = 0
@@ -39,7 +39,7 @@
 
     def __init__(self, host, network):
         super().__init__(host, network)
-        self.sent = collections.defaultdict(Sent)
+        self.sent = collections.defaultdict(SentCount)
 
     def _count(self, host, body):
         kind = type(self._decoder.decode(body)).__name__
@@ -57,7 +57,7 @@
         return answer
 
 
-class Leading:
+class LeadingVoter:
     """Stand in for a voter that leads."""
 
     has_lease = led = True
@@ -74,10 +74,10 @@
         self.name = name
         self.peers = CountingPeers(name, network)
         network.hosts[name] = self.peers
-        self.group = controls.ControlGroup(name, seeds, clock)
+        self.group = control_group.ControlGroup(name, seeds, clock)
         self.registrar = registrar.Registrar(
             region,
-            Leading(),
+            LeadingVoter(),
             self.group,
             replica.Replica(),
             self.peers,
@@ -109,9 +109,9 @@
             0,
             False,
         )
-        self.attendance = attendance.Attendance(
+        self.attendance = discovery_client.DiscoveryClient(
             record,
-            controls.ControlGroup(name, seeds, clock),
+            control_group.ControlGroup(name, seeds, clock),
             replica.Replica(),
             self.peers,
             clock,
@@ -119,7 +119,7 @@
         self.attendance.start()
 
     @property
-    def known(self):
+    def known_hosts(self):
         """Return the hosts that this one knows of."""
         return {record.host for record in self.attendance.roster.usable()}
 
@@ -181,7 +181,7 @@
     def sent(self, hosts, kind, to=None):
         """Return what some hosts sent of a kind, to one host or to all."""
         key = kind if to is None else (kind, to)
-        total = Sent()
+        total = SentCount()
         for host in hosts.values():
             total.messages += host.peers.sent[key].messages
             total.bytes += host.peers.sent[key].bytes
--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -11,9 +11,9 @@
 import itertools
 import random
 
-from tests import attending_fleet
 from tests import group
 from tests import limited_fleet
+from tests import membership_fleet
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.quarantine import gatherer
@@ -51,7 +51,7 @@
 
     def __init__(self, fleet, name):
         self.name = name
-        self.peers = attending_fleet.CountingPeers(name, fleet.network)
+        self.peers = membership_fleet.CountingPeers(name, fleet.network)
         fleet.network.hosts[name] = self.peers
         self.replica = replica.Replica()
         self.voter = Voter(fleet)
@@ -86,7 +86,7 @@
         self.region = limited_fleet.region_of(name)
         self.clock = group.LoopClock()
         self.began_ms = self.clock.mono_ms()
-        self.peers = attending_fleet.CountingPeers(name, fleet.network)
+        self.peers = membership_fleet.CountingPeers(name, fleet.network)
         fleet.network.hosts[name] = self.peers
         self.replica = replica.Replica()
         self._fleet = fleet
@@ -174,7 +174,7 @@
         """Apply an entry, and return what it did."""
         index = self.state.index + 1
         applied = self.state.apply(index, entry)
-        self.log.advance(
+        self.log.apply_delta(
             messages.ConfigurationDelta(
                 index, changes=[(index, applied.change)]
             )
@@ -206,9 +206,9 @@
 
     @staticmethod
     def _bring_level(who, known):
-        delta = known.after(who.replica.current.index)
+        delta = known.delta_since(who.replica.current.index)
         if delta.index > who.replica.current.index:
-            who.replica.advance(delta)
+            who.replica.apply_delta(delta)
 
     async def restart_host(self, name):
         """Let an entry host begin anew."""
@@ -258,7 +258,7 @@
 
     def sent(self):
         """Return how many messages were sent of each kind, and bytes."""
-        total = collections.defaultdict(attending_fleet.Sent)
+        total = collections.defaultdict(membership_fleet.SentCount)
         for one in [*self.hosts.values(), *self.controls.values()]:
             for kind, counted in one.peers.sent.items():
                 if isinstance(kind, str):
--- a/tests/stated_fleet.py
+++ b/tests/stated_fleet.py
@@ -10,12 +10,12 @@
 import dataclasses
 import random
 
-from tests import attending_fleet
 from tests import group
+from tests import membership_fleet
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.limiting import endpoint_gate
 from wrenspoke.coordination.limiting import endpoint_limits
-from wrenspoke.coordination.membership import askers
+from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.protocol import attending
 from wrenspoke.protocol import limiting
 
@@ -106,7 +106,7 @@
         return got / (rate_per_s * (until_ms - since_ms) / MS_PER_S)
 
 
-class Peers(attending_fleet.CountingPeers):
+class Peers(membership_fleet.CountingPeers):
     """Tell other hosts, too, and lose messages as a test says."""
 
     async def tell(self, host, message):
@@ -167,22 +167,24 @@
         self.frozen = False
         # When this host first passed on an answer that names a limit.
         self.told_ms = {}
-        self.askers = askers.Askers(
+        self.askers = region_pollers.RegionPollers(
             REGION, name, Roster(fleet, name), self.peers
         )
         self.limits = endpoint_limits.EndpointLimits(
             name,
-            self.askers.order,
+            self.askers.rendezvous_order,
             lambda _life: True,
             self._tell,
             self.peers,
             self.clock,
         )
-        self.askers.listen(lambda message: self.limits.merge(message.limits))
+        self.askers.add_listener(
+            lambda message: self.limits.merge(message.limits)
+        )
         self.limits.start()
 
     async def _tell(self, limits):
-        await self.askers.tell(attending.TellRegion(limits=limits))
+        await self.askers.broadcast(attending.TellRegion(limits=limits))
 
     def wants(self, engine):
         """Tell whether a call may choose an engine now."""
--- a/tests/test_attendance.py
+++ b/tests/test_discovery_client.py
@@ -6,8 +6,8 @@
 
 from tests import nodes
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.membership import attendance
-from wrenspoke.coordination.membership import controls
+from wrenspoke.coordination.membership import control_group
+from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.coordination.membership import replica
 from wrenspoke.protocol import attending
 from wrenspoke.protocol import messages
@@ -49,12 +49,12 @@
 
 
 @pytest.fixture
-async def attended():
+async def discovery():
     """Return an attending host that calls only when a test says so."""
     clock = clocks.Clock()
-    made = attendance.Attendance(
+    made = discovery_client.DiscoveryClient(
         RECORD,
-        controls.ControlGroup(RECORD.host, [CONTROL], clock),
+        control_group.ControlGroup(RECORD.host, [CONTROL], clock),
         replica.Replica(),
         ScriptedPeers(),
         clock,
@@ -63,11 +63,11 @@
     await made.close()
 
 
-async def hear(attended):
+async def deliver_answer(discovery):
     """Let a control host answer once."""
-    [session, _other] = attended._sessions
+    [session, _other] = discovery._sessions
     session.host = CONTROL
-    await attended._call(session, CONTROL, 0)
+    await discovery._send_attend(session, CONTROL, 0)
 
 
 @pytest.mark.parametrize(
@@ -76,26 +76,26 @@
     ids=['leader', 'no leader', 'nothing known'],
 )
 async def test_first_answer_decides_when_to_serve(
-    attended, confirmed, index, at_once, later
+    discovery, confirmed, index, at_once, later
 ):
     """Without a leader's word no further answer is waited for."""
-    attended._peers.confirmed = confirmed
-    attended._peers.index = index
-    await hear(attended)
-    assert attended._replica.serving is at_once
+    discovery._peers.confirmed = confirmed
+    discovery._peers.index = index
+    await deliver_answer(discovery)
+    assert discovery._replica.serving is at_once
     if later:
-        await nodes.until(lambda: attended._replica.serving)
-    assert attended._peers.calls == 1
+        await nodes.until(lambda: discovery._replica.serving)
+    assert discovery._peers.calls == 1
 
 
-async def test_host_that_was_stopped_serves_after_a_new_answer_only(attended):
-    await hear(attended)
-    waiting = attended._waiting
-    attended._doubt()
+async def test_host_that_was_stopped_serves_after_a_new_answer_only(discovery):
+    await deliver_answer(discovery)
+    waiting = discovery._unconfirmed_start
+    discovery._suspend_serving()
     await asyncio.wait([waiting])
-    assert waiting.cancelled() and not attended._replica.serving
-    await hear(attended)
-    await nodes.until(lambda: attended._replica.serving)
+    assert waiting.cancelled() and not discovery._replica.serving
+    await deliver_answer(discovery)
+    await nodes.until(lambda: discovery._replica.serving)
 
 
 @pytest.mark.parametrize(
@@ -104,14 +104,14 @@
     ids=['at once', 'held back', 'no word'],
 )
 async def test_lease_counts_from_what_an_answer_proves(
-    attended, monkeypatch, age_ms, held_ms, index, confirmed
+    discovery, monkeypatch, age_ms, held_ms, index, confirmed
 ):
     """It was given no sooner than it was asked for and held back."""
     seen = []
-    monkeypatch.setattr(attended.lease, 'confirm', seen.append)
-    clock = StandingClock()
-    monkeypatch.setattr(attended, '_clock', clock)
-    call = attended._peers.call
+    monkeypatch.setattr(discovery.lease, 'confirm', seen.append)
+    clock = FrozenClock()
+    monkeypatch.setattr(discovery, '_clock', clock)
+    call = discovery._peers.call
 
     async def call_late(*arguments):
         found = await call(*arguments)
@@ -121,19 +121,19 @@
         found.held_ms = held_ms
         return found
 
-    monkeypatch.setattr(attended._peers, 'call', call_late)
+    monkeypatch.setattr(discovery._peers, 'call', call_late)
     asked_ms = clock.now_ms
-    await hear(attended)
+    await deliver_answer(discovery)
     assert seen == ([asked_ms + held_ms - age_ms] if confirmed else [])
 
 
 async def test_answer_that_was_not_taken_whole_renews_no_lease(
-    attended, monkeypatch
+    discovery, monkeypatch
 ):
     """What it confirms goes beyond what is held here."""
     seen = []
-    monkeypatch.setattr(attended.lease, 'confirm', seen.append)
-    call = attended._peers.call
+    monkeypatch.setattr(discovery.lease, 'confirm', seen.append)
+    call = discovery._peers.call
 
     async def call_ahead(*arguments):
         found = await call(*arguments)
@@ -141,12 +141,12 @@
         found.confirmed_age_ms = 0
         return found
 
-    monkeypatch.setattr(attended._peers, 'call', call_ahead)
-    await hear(attended)
+    monkeypatch.setattr(discovery._peers, 'call', call_ahead)
+    await deliver_answer(discovery)
     assert seen == []
 
 
-class StandingClock(clocks.Clock):
+class FrozenClock(clocks.Clock):
     """Stand still until told."""
 
     now_ms = 50_000
--- a/tests/test_gauges.py
+++ b/tests/test_engine_loads.py
@@ -8,8 +8,8 @@
 from tests import stated_fleet
 from tests import test_registry
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.membership import askers
-from wrenspoke.coordination.membership import gauges
+from wrenspoke.coordination.membership import engine_loads
+from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.membership import roster
 from wrenspoke.coordination.serving import availability
@@ -49,16 +49,16 @@
     return registry.Registered(said, 0, 1)
 
 
-def made(host, hosts, engines):
+def engine_loads_of(host, hosts, engines):
     """Return what a host of a region knows of engines' loads."""
     held = {found.said.endpoint: found for found in engines}
     known = roster.Roster(1_000, clocks.Clock())
     for found in hosts:
-        known.take(found)
+        known.merge_record(found)
     attended = types.SimpleNamespace(
         roster=known, registry=types.SimpleNamespace(held=held)
     )
-    asking = askers.Askers('north', host, known, NoPeers())
+    asking = region_pollers.RegionPollers('north', host, known, NoPeers())
     table = routes.RouteTable(
         1,
         (),
@@ -69,7 +69,7 @@
     )
     replicated = replica.Replica()
     replicated.current = configuration.Configuration(index=1, routes=table)
-    return gauges.Gauges(
+    return engine_loads.EngineLoads(
         'north',
         host,
         REGIONS,
@@ -88,13 +88,13 @@
     )
 
 
-def own_of(gauged):
+def assigned_engines(gauged):
     """Return the engines that a host asks for all others."""
     engines = gauged._engines()
-    gauged._askers.engines = len(engines)
-    if not gauged._askers.asks():
+    gauged._pollers.engine_count = len(engines)
+    if not gauged._pollers.is_poller():
         return []
-    return gauged._own(engines)
+    return gauged._assigned_engines(engines)
 
 
 @pytest.mark.parametrize(
@@ -113,7 +113,9 @@
     asked = collections.Counter()
     asking = 0
     for host in hosts:
-        own = own_of(made(host.host, hosts, [*engines, *others]))
+        own = assigned_engines(
+            engine_loads_of(host.host, hosts, [*engines, *others])
+        )
         asked.update(found.said.endpoint for found in own)
         asking += bool(own)
     assert asked == {found.said.endpoint: 1 for found in engines}
@@ -121,7 +123,7 @@
 
 
 def test_host_that_is_not_known_yet_counts_itself():
-    own = own_of(made('alone', [], [registered(1)]))
+    own = assigned_engines(engine_loads_of('alone', [], [registered(1)]))
     assert [found.said.endpoint for found in own] == ['e1']
 
 
@@ -129,18 +131,20 @@
     hosts = [record(number) for number in range(3)]
     engines = [registered(number) for number in range(8)]
     clock = test_registry.FakeClock()
-    every = [made(host.host, hosts, engines) for host in hosts]
+    every = [engine_loads_of(host.host, hosts, engines) for host in hosts]
     for gauged in every:
         gauged._clock = clock
-    asking = [gauged for gauged in every if own_of(gauged)]
+    asking = [gauged for gauged in every if assigned_engines(gauged)]
     first, second = asking
-    before = {found.said.endpoint for found in own_of(second)}
-    assert before.isdisjoint(f.said.endpoint for f in own_of(first))
-    clock.now_ms += gauges.MISSED_INTERVALS * 400 + 1
-    assert len(own_of(second)) == len(engines)
+    before = {found.said.endpoint for found in assigned_engines(second)}
+    assert before.isdisjoint(f.said.endpoint for f in assigned_engines(first))
+    clock.now_ms += engine_loads.TAKEOVER_INTERVALS * 400 + 1
+    assert len(assigned_engines(second)) == len(engines)
     for found in engines:
-        second._held[found.said.endpoint] = (None, clock.now_ms)
-    assert {found.said.endpoint for found in own_of(second)} == before
+        second._loads[found.said.endpoint] = (None, clock.now_ms)
+    assert {
+        found.said.endpoint for found in assigned_engines(second)
+    } == before
 
 
 @pytest.mark.parametrize(
@@ -167,33 +171,33 @@
 def test_engine_is_silent_once_it_alone_stops_reporting(ages_ms, silent):
     """Where most stop, it is the asking hosts that fail."""
     engines = [registered(number) for number in range(len(ages_ms))]
-    gauged = made('h0', [record(0)], engines)
+    gauged = engine_loads_of('h0', [record(0)], engines)
     gauged._clock = test_registry.FakeClock()
     for number, age_ms in enumerate(ages_ms):
         if age_ms is not None:
             heard_ms = gauged._clock.now_ms - age_ms
-            gauged._held[f'e{number}'] = (None, heard_ms)
+            gauged._loads[f'e{number}'] = (None, heard_ms)
     assert gauged.silent('e0') is silent
 
 
 @pytest.mark.parametrize('silent', [True, False])
 def test_calls_go_to_an_engine_that_is_silent_only_for_want_of_others(silent):
     engines = [registered(number) for number in range(2)]
-    gauged = made('h0', [record(0)], engines)
+    gauged = engine_loads_of('h0', [record(0)], engines)
     gauged._clock = test_registry.FakeClock()
     now_ms = gauged._clock.now_ms
     for found in engines:
-        gauged._held[found.said.endpoint] = (None, now_ms)
+        gauged._loads[found.said.endpoint] = (None, now_ms)
     if silent:
-        gauged._held['e0'] = (None, now_ms - 1_601)
+        gauged._loads['e0'] = (None, now_ms - 1_601)
     # One that left reports no more, and counts for nothing.
-    gauged._held['gone'] = (None, 0)
+    gauged._loads['gone'] = (None, 0)
     clock = clocks.Clock()
     available = availability.Availability(
         'north',
-        gauged._askers,
+        gauged._pollers,
         REGIONS,
-        gauged._attended,
+        gauged._discovery,
         gauged._replica,
         outlier_detection.OutlierDetector(clock),
         None,
--- a/tests/test_far.py
+++ b/tests/test_far.py
@@ -57,7 +57,7 @@
     others = [other.node.host for other in system.entries[1:]]
 
     def answered_since(began_ms):
-        remotes = [north._reach.remote(host) for host in others]
+        remotes = [north._reach.state_of(host) for host in others]
         return all(
             remote is not None and (remote.answered_ms or 0) > began_ms
             for remote in remotes
@@ -133,10 +133,12 @@
     monkeypatch.setattr(north._reach, '_ping', ping_unless_cut)
 
     def knows_a_way():
-        remote = north._reach.remote(west.node.host)
-        return remote and remote.said and 'south' in remote.said.relayed
+        remote = north._reach.state_of(west.node.host)
+        return remote and remote.pong and 'south' in remote.pong.relayed
 
-    await nodes.until(lambda: north._partners.cut_off() == ['south'])
+    await nodes.until(
+        lambda: north._partners.unreachable_regions() == ['south']
+    )
     await nodes.until(knows_a_way)
     return west
 
--- a/tests/test_reach.py
+++ b/tests/test_host_pinger.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests import group
-from wrenspoke.coordination.membership import reach
+from wrenspoke.coordination.membership import host_pinger
 from wrenspoke.protocol import errors
 from wrenspoke.protocol import messages
 
@@ -44,10 +44,12 @@
         return messages.Pong(False)
 
 
-def made(answers_after_ms, refused=0):
+def build_pinger(answers_after_ms, refused=0):
     limits = types.SimpleNamespace(suspect_after_ms=SUSPECT_MS)
     peers = Peers(answers_after_ms, refused)
-    return reach.Reach(limits, peers, group.LoopClock(), None), peers
+    return host_pinger.HostPinger(
+        limits, peers, group.LoopClock(), None
+    ), peers
 
 
 @pytest.mark.parametrize(
@@ -60,15 +62,15 @@
     answers_after_ms, refused, lost, known
 ):
     """Not by the time since it was used before."""
-    reached, _peers = made(answers_after_ms, refused)
+    reached, _peers = build_pinger(answers_after_ms, refused)
     told = []
 
     async def play():
         await asyncio.sleep(BEGUN_MS / group.MS_PER_S)
         if known:
-            remote = reached._remotes['h'] = reach.Remote(0)
+            remote = reached._remotes['h'] = host_pinger.RemoteState(0)
             remote.answered_ms = BEGUN_MS - 60_000
-        with reached.watching('h', lambda: told.append('lost')):
+        with reached.watch_host('h', lambda: told.append('lost')):
             await asyncio.sleep(CALL_MS / group.MS_PER_S)
         await reached.close()
 
@@ -77,13 +79,13 @@
 
 
 def test_link_to_a_host_that_is_not_used_is_closed():
-    reached, peers = made(0)
+    reached, peers = build_pinger(0)
 
     async def play():
-        with reached.watching('h', lambda: None):
+        with reached.watch_host('h', lambda: None):
             await asyncio.sleep(1)
         used = [*peers.forgotten]
-        await asyncio.sleep(2 * reach.USED_FOR_MS / group.MS_PER_S)
+        await asyncio.sleep(2 * host_pinger.PING_IDLE_MS / group.MS_PER_S)
         await reached.close()
         return used
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -32,7 +32,7 @@
         return int(self._offset_ms + self._world.now_ms * self._rate)
 
 
-class Wire:
+class DelayedLink:
     """Carry messages late, and none while either end is cut off."""
 
     def __init__(self, world):
@@ -166,7 +166,7 @@
     def __init__(self, seed):
         self.random = random.Random(seed)
         self.now_ms = 0
-        self.wire = Wire(self)
+        self.wire = DelayedLink(self)
         self.leader = Leader(self)
         self.controls = [Control(self) for _number in range(2)]
         self.hosts = [
@@ -176,7 +176,7 @@
         self.latest_ms = 0
         self.served = 0
 
-    def mishap(self):
+    def inject_fault(self):
         actor = self.random.choice([*self.controls, *self.hosts, self.leader])
         for_ms = self.random.choice([500, 3_000, 6_000, 12_000])
         kind = self.random.choice(['freeze', 'cut', 'restart', 'lead'])
@@ -190,11 +190,11 @@
             # Another one leads: what this one sends from now on is nothing.
             self.leader.leads = not self.leader.leads
 
-    def play(self):
+    def run(self):
         while self.now_ms < END_MS:
             self.now_ms += STEP_MS
             if self.random.random() < 0.004:
-                self.mishap()
+                self.inject_fault()
             if self.now_ms == self.withdrawn_ms:
                 self.leader.index = 2
             self.wire.deliver()
@@ -213,7 +213,7 @@
 
 
 def test_nothing_runs_under_a_withdrawn_key_after_the_bound():
-    played = [World(seed).play() for seed in SEEDS]
+    played = [World(seed).run() for seed in SEEDS]
     assert max(one.latest_ms for one in played) < BOUND_MS
     # The mishaps are hard enough: some host goes on for most of the bound.
     assert max(one.latest_ms for one in played) > BOUND_MS / 2
@@ -244,7 +244,7 @@
             take(self, sender, asked, index, age_ms, held_ms)
 
         monkeypatch.setattr(Host, 'take_attended', take_without_age)
-    played = [World(seed).play() for seed in SEEDS]
+    played = [World(seed).run() for seed in SEEDS]
     assert max(one.latest_ms for one in played) >= BOUND_MS
 
 
@@ -285,4 +285,4 @@
     lease = leases.ConfigurationLease(BOUND_MS, clock)
     lease.confirm(1_000)
     clock.now_ms += 4_500 + gone_ms
-    assert not lease.held and lease.return_in_ms() == wait_ms
+    assert not lease.held and lease.retry_delay_ms() == wait_ms
--- a/tests/test_attending_fleet.py
+++ b/tests/test_membership_fleet.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from tests import attending_fleet
 from tests import group
+from tests import membership_fleet
 from tests import test_replica
-from wrenspoke.coordination.membership import attendance
+from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.protocol import attending
 from wrenspoke.protocol import messages
 
@@ -26,8 +26,8 @@
 LOST_MS = 8_000
 
 
-async def settled(entries):
-    fleet = attending_fleet.AttendingFleet(entries, entries // 2)
+async def settled_fleet(entries):
+    fleet = membership_fleet.AttendingFleet(entries, entries // 2)
     await fleet.start()
     await fleet.wait_ms(SETTLED_MS)
     return fleet
@@ -36,9 +36,9 @@
 @pytest.mark.parametrize('entries', SIZES)
 def test_hosts_that_start_together_are_told_of_in_few_messages(entries):
     async def play():
-        fleet = await settled(entries)
+        fleet = await settled_fleet(entries)
         for host in fleet.entries.values():
-            assert host.known == {*fleet.entry_names}
+            assert host.known_hosts == {*fleet.entry_names}
         told = fleet.sent(fleet.controls, 'Attended')
         await fleet.close()
         assert told.messages / entries <= 30
@@ -52,7 +52,7 @@
 @pytest.mark.parametrize('entries', SIZES)
 def test_control_hosts_tell_renewals_in_a_few_bytes_each(entries):
     async def play():
-        fleet = await settled(entries)
+        fleet = await settled_fleet(entries)
         before = fleet.sent(fleet.controls, 'Exchange').bytes
         await fleet.wait_ms(CALM_MS)
         told = fleet.sent(fleet.controls, 'Exchange').bytes - before
@@ -60,7 +60,7 @@
         seconds = CALM_MS / group.MS_PER_S
         things = entries + fleet.endpoints
         most = RENEWAL_BYTES * things + EMPTY_BYTES
-        assert told / seconds / attending_fleet.CONTROLS <= most
+        assert told / seconds / membership_fleet.CONTROLS <= most
 
     group.run(play())
 
@@ -68,7 +68,7 @@
 @pytest.mark.parametrize('entries', SIZES)
 def test_calm_host_is_told_as_little_in_a_large_fleet(entries):
     async def play():
-        fleet = await settled(entries)
+        fleet = await settled_fleet(entries)
         before = fleet.sent(fleet.controls, 'Attended')
         await fleet.wait_ms(CALM_MS)
         told = fleet.sent(fleet.controls, 'Attended')
@@ -83,7 +83,7 @@
 @pytest.mark.parametrize('entries', SIZES)
 def test_host_that_comes_later_costs_each_other_host_one_record(entries):
     async def play():
-        fleet = await settled(entries)
+        fleet = await settled_fleet(entries)
         # Calm answers that the join would hide among are counted alike.
         await fleet.wait_ms(CALM_MS)
         before = fleet.sent(fleet.controls, 'Attended').bytes
@@ -96,7 +96,9 @@
         await fleet.wait_ms(CALM_MS)
         told = fleet.sent(fleet.controls, 'Attended').bytes - before
         told -= fleet.sent(fleet.controls, 'Attended', newcomer).bytes
-        known = [newcomer in host.known for host in fleet.entries.values()]
+        known = [
+            newcomer in host.known_hosts for host in fleet.entries.values()
+        ]
         await fleet.close()
         assert all(known)
         assert (told - calm) / entries <= RECORD_BYTES
@@ -106,14 +108,14 @@
 
 def test_lost_host_is_dropped_everywhere():
     async def play():
-        fleet = await settled(20)
+        fleet = await settled_fleet(20)
         lost = fleet.entry_names[3]
         await fleet.entries.pop(lost).close()
         await fleet.wait_ms(LOST_MS)
         for host in fleet.controls.values():
             assert lost not in host.registrar.roster.hosts()
         for host in fleet.entries.values():
-            assert lost not in host.known
+            assert lost not in host.known_hosts
         await fleet.close()
 
     group.run(play())
@@ -123,7 +125,7 @@
     """Another one that hears both passes it on."""
 
     async def play():
-        fleet = await settled(20)
+        fleet = await settled_fleet(20)
         alone, *others, between = fleet.control_names
         for other in others:
             fleet.network.cut(alone, other)
@@ -144,7 +146,7 @@
 
 def test_control_host_that_restarts_is_told_all_again():
     async def play():
-        fleet = await settled(20)
+        fleet = await settled_fleet(20)
         name = fleet.control_names[4]
         await fleet.controls.pop(name).close()
         await fleet.wait_ms(300)
@@ -162,7 +164,7 @@
     """What was dropped meanwhile is told again once it renews."""
 
     async def play():
-        fleet = await settled(20)
+        fleet = await settled_fleet(20)
         alone, *others = fleet.control_names
         for other in others:
             fleet.network.cut(alone, other)
@@ -187,7 +189,7 @@
 
 def test_hosts_attend_within_their_region():
     async def play():
-        fleet = await settled(20)
+        fleet = await settled_fleet(20)
         for number, name in enumerate(fleet.entry_names):
             near = {*fleet.control_names[number % 3 :: 3]}
             assert sessions_of(fleet)[name] == near
@@ -200,7 +202,7 @@
     """They don't try again and again what was lost."""
 
     async def play():
-        fleet = await settled(20)
+        fleet = await settled_fleet(20)
         lost = {*fleet.control_names[0::3]}
         for name in lost:
             await fleet.controls.pop(name).close()
@@ -218,7 +220,7 @@
             assert peers.sent['Attend', control].messages == count
         for name, hosts in before.items():
             assert len(hosts) == 2 and not hosts & lost
-            assert fleet.entries[name].known == {*fleet.entry_names}
+            assert fleet.entries[name].known_hosts == {*fleet.entry_names}
         await fleet.close()
 
     group.run(play())
@@ -228,11 +230,11 @@
     """Both of a region's may be cut off from those that decide."""
 
     async def play():
-        fleet = await settled(20)
+        fleet = await settled_fleet(20)
         cut_off = {*fleet.control_names[1::3]}
         for name in cut_off:
-            fleet.controls[name].registrar._voter = Cut()
-        await fleet.wait_ms(2 * attendance.LEADERLESS_MS)
+            fleet.controls[name].registrar._voter = PartitionedVoter()
+        await fleet.wait_ms(2 * discovery_client.LEADERLESS_MS)
         for hosts in sessions_of(fleet).values():
             assert hosts - cut_off
         await fleet.close()
@@ -240,7 +242,7 @@
     group.run(play())
 
 
-class Cut:
+class PartitionedVoter:
     """Stand in for a voter that is cut off from the leader."""
 
     has_lease = led = False
@@ -258,16 +260,16 @@
     )
 
     async def play():
-        fleet = await settled(entries)
+        fleet = await settled_fleet(entries)
         delta = messages.ConfigurationDelta(
             1, changes=[(1, test_replica.table(1, count=1_500))]
         )
         for host in fleet.controls.values():
-            host.registrar._replica.advance(delta)
+            host.registrar._replica.apply_delta(delta)
         await fleet.wait_ms(SETTLED_MS)
         for host in fleet.entries.values():
             assert host.attendance._replica.current.routes.version == 1
         await fleet.close()
 
     group.run(play())
-    assert len(packed) <= attending_fleet.CONTROLS
+    assert len(packed) <= membership_fleet.CONTROLS
--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -3,9 +3,9 @@
 import pytest
 
 from tests import test_registry
-from wrenspoke.coordination.membership import reach
+from wrenspoke.coordination.membership import host_pinger
+from wrenspoke.coordination.membership import region_views
 from wrenspoke.coordination.membership import replica
-from wrenspoke.coordination.membership import views
 from wrenspoke.coordination.serving import remote_regions
 from wrenspoke.protocol import attending
 from wrenspoke.protocol import dialect as dialects
@@ -34,14 +34,14 @@
     """Be what pings told of one host, and who is near."""
 
     def __init__(self, said):
-        self.remote_state = reach.Remote(0, said, 50.0)
+        self.remote_state = host_pinger.RemoteState(0, said, 50.0)
         self.remote_state.answered_ms = 100_000
 
-    def remote(self, _host):
+    def state_of(self, _host):
         return self.remote_state
 
-    def answers(self, _host):
-        return self.remote_state.said is not None
+    def is_answering(self, _host):
+        return self.remote_state.pong is not None
 
     def reachable(self, region):
         return [HOST] if region == 'south' else []
@@ -69,7 +69,7 @@
         index=index, routes=routes.RouteTable(1, services={'s': SERVICE})
     )
     found = FakePings(said)
-    viewed = views.RegionViews(clock)
+    viewed = region_views.RegionViews(clock)
     made = remote_regions.RemoteRegions(
         found, found, viewed, held, clock, told
     )
@@ -169,14 +169,14 @@
     'later_ms, first_ms',
     [
         (0, 40 + 100 + 100),
-        (views.FRESH_MS + 1, remote_regions.DEFAULT_FIRST_MS),
+        (region_views.VIEW_TTL_MS + 1, remote_regions.DEFAULT_FIRST_MS),
     ],
     ids=['fresh', 'old'],
 )
 def test_region_offer_uses_status_received_by_a_peer_host(later_ms, first_ms):
     made, _found, clock = remote_regions_with(None)
     status = attending.RegionStatus('south', pong(), 40.0, 200)
-    made._views.note(status)
+    made._views.record_status(status)
     clock.now_ms += later_ms and later_ms - 200
     offered = made.offer_for_call('south', SERVICE, CALL, HOST)
     handling_ms = 0 if later_ms else remote_regions.FORWARDING_OVERHEAD_MS
--- a/tests/test_askers.py
+++ b/tests/test_region_pollers.py
@@ -8,19 +8,19 @@
 
 import pytest
 
-from tests import test_gauges
+from tests import test_engine_loads
 from tests import test_registry
-from wrenspoke.coordination.membership import askers
-from wrenspoke.coordination.membership import partners
+from wrenspoke.coordination.membership import region_pollers
+from wrenspoke.coordination.membership import region_views
+from wrenspoke.coordination.membership import remote_hosts
 from wrenspoke.coordination.membership import roster
-from wrenspoke.coordination.membership import views
 from wrenspoke.protocol import attending
 from wrenspoke.protocol import messages
 
 SIZES = [7, 20, 67]
 
 
-class Region:
+class SimulatedRegion:
     """Carry what hosts of one region tell, and count it."""
 
     def __init__(self, count):
@@ -28,17 +28,17 @@
         self.told = collections.Counter()
         self.sent = collections.Counter()
         self.made = {}
-        records = [test_gauges.record(number) for number in range(count)]
+        records = [test_engine_loads.record(number) for number in range(count)]
         for record in records:
             known = roster.Roster(1_000, test_registry.FakeClock())
             for other in records:
-                known.take(other)
-            self.made[record.host] = askers.Askers(
-                'north', record.host, known, Link(record.host, self)
+                known.merge_record(other)
+            self.made[record.host] = region_pollers.RegionPollers(
+                'north', record.host, known, FakeLink(record.host, self)
             )
 
 
-class Link:
+class FakeLink:
     """Be the link of one host."""
 
     def __init__(self, host, region):
@@ -60,16 +60,16 @@
 
 def asking_hosts(region):
     """Return the hosts that would ask."""
-    return [host for host, made in region.made.items() if made.asks()]
+    return [host for host, made in region.made.items() if made.is_poller()]
 
 
 @pytest.mark.parametrize('count', SIZES)
 async def test_every_host_is_told_once_and_none_tells_many(count):
-    region = Region(count)
+    region = SimulatedRegion(count)
     asking = asking_hosts(region)
-    assert len(asking) == askers.LEAST_ASKING_HOSTS
+    assert len(asking) == region_pollers.MIN_POLLERS
     [first, *_others] = asking
-    await region.made[first].tell(attending.TellRegion([]))
+    await region.made[first].broadcast(attending.TellRegion([]))
     assert region.told == {host: 1 for host in region.made if host != first}
     assert max(region.sent.values()) <= count**0.5 + 1
 
@@ -77,34 +77,38 @@
 @pytest.mark.parametrize('count', [20, 67])
 async def test_host_that_is_lost_keeps_nothing_from_others(count):
     """Those that would tell a share, and the next of it, are lost."""
-    region = Region(count)
+    region = SimulatedRegion(count)
     teller, *_others = asking_hosts(region)
     others = sorted({*region.made} - {teller})
-    for share in askers.shares(others)[:2]:
+    for share in region_pollers.relay_groups(others)[:2]:
         region.lost |= {*share[:2]}
-    await region.made[teller].tell(attending.TellRegion([]))
+    await region.made[teller].broadcast(attending.TellRegion([]))
     assert region.told == {host: 1 for host in {*others} - region.lost}
 
 
-class Unasked:
+class SilentPinger:
     """Know nothing of any host elsewhere."""
 
-    def tell_cut_off(self, _cut_off):
+    def set_unreachable_regions(self, _cut_off):
         return
 
-    def answers(self, _host):
+    def is_answering(self, _host):
         return None
 
 
-def partners_of(host, region, count, clock):
+def remote_hosts_of(host, region, count, clock):
     """Return the partners of a host whose fleet has three regions."""
     known = roster.Roster(1_000, clock)
     for number, name in itertools.product(range(count), ('north', 'south')):
-        known.take(test_registry.record(f'{name}{number}', region=name))
-    viewed = views.RegionViews(clock)
-    asking = askers.Askers(region, host, known, test_gauges.NoPeers())
-    made = partners.Partners(
-        host, region, known, Unasked(), asking, viewed, clock
+        known.merge_record(
+            test_registry.record(f'{name}{number}', region=name)
+        )
+    viewed = region_views.RegionViews(clock)
+    asking = region_pollers.RegionPollers(
+        region, host, known, test_engine_loads.NoPeers()
+    )
+    made = remote_hosts.RemoteHosts(
+        host, region, known, SilentPinger(), asking, viewed, clock
     )
     return made, viewed
 
@@ -115,12 +119,12 @@
     clock = test_registry.FakeClock()
     pinging = 0
     for number in range(count):
-        made, viewed = partners_of(f'north{number}', 'north', count, clock)
+        made, viewed = remote_hosts_of(f'north{number}', 'north', count, clock)
         if told:
             status = attending.RegionStatus('south', messages.Pong(False))
-            viewed.note(status)
-        pinging += bool(made.to_ping())
-    assert pinging == (askers.LEAST_ASKING_HOSTS if told else count)
+            viewed.record_status(status)
+        pinging += bool(made.ping_targets())
+    assert pinging == (region_pollers.MIN_POLLERS if told else count)
 
 
 @pytest.mark.parametrize(
@@ -132,14 +136,14 @@
     statuses, cut_off
 ):
     clock = test_registry.FakeClock()
-    made, viewed = partners_of('north1', 'north', 7, clock)
+    made, viewed = remote_hosts_of('north1', 'north', 7, clock)
     for said in statuses:
         said = said and messages.Pong(False)
-        viewed.note(attending.RegionStatus('south', said))
-    assert made.cut_off() == (['south'] if cut_off else [])
+        viewed.record_status(attending.RegionStatus('south', said))
+    assert made.unreachable_regions() == (['south'] if cut_off else [])
     assert bool(made.reachable('south')) is not cut_off
-    clock.now_ms += views.FRESH_MS + 1
-    assert made.cut_off() == []
+    clock.now_ms += region_views.VIEW_TTL_MS + 1
+    assert made.unreachable_regions() == []
 
 
 @pytest.mark.parametrize(
@@ -148,16 +152,16 @@
 )
 def test_hosts_are_split_into_about_as_many_shares_as_each_has(count, lengths):
     hosts = [f'h{number:02}' for number in range(count)]
-    split = askers.shares(hosts)
+    split = region_pollers.relay_groups(hosts)
     assert [len(share) for share in split] == lengths
     assert [host for share in split for host in share] == hosts
 
 
 @pytest.mark.parametrize('count', SIZES)
 def test_endpoint_that_was_taken_back_is_asked_by_two_of_all_hosts(count):
-    region = Region(count)
+    region = SimulatedRegion(count)
     asked = collections.Counter()
     for number in range(30):
         for host, made in region.made.items():
-            asked[number] += made.asks_of(f'e{number}')
-    assert set(asked.values()) == {askers.LEAST_ASKING_HOSTS}
+            asked[number] += made.is_poller_of(f'e{number}')
+    assert set(asked.values()) == {region_pollers.MIN_POLLERS}
--- a/tests/test_sent_calls.py
+++ b/tests/test_sent_calls.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from tests import attending_fleet
 from tests import group
+from tests import membership_fleet
 from tests import test_registry
-from wrenspoke.coordination.membership import askers
+from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import roster
 from wrenspoke.coordination.serving import sent_call_broadcast
 from wrenspoke.protocol import dialect as dialects
@@ -21,7 +21,7 @@
 PARTS = (dialects.PromptPart('a1b2c3d4', 6_300), dialects.PromptPart('x', 9))
 
 
-class TellingPeers(attending_fleet.CountingPeers):
+class TellingPeers(membership_fleet.CountingPeers):
     """Carry what is told without an answer, and count it too."""
 
     async def tell(self, host, message):
@@ -46,9 +46,9 @@
         clock = group.LoopClock()
         known = roster.Roster(10**9, clock)
         for other in fleet.names:
-            known.take(test_registry.record(other, data_centre='hall'))
-        asking = askers.Askers('north', name, known, self.peers)
-        asking.engines = len(fleet.names) // 2
+            known.merge_record(test_registry.record(other, data_centre='hall'))
+        asking = region_pollers.RegionPollers('north', name, known, self.peers)
+        asking.engine_count = len(fleet.names) // 2
         self.told = sent_call_broadcast.SentCallBroadcaster(
             name, asking, self.peers, clock
         )
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -15,8 +15,8 @@
 from wrenspoke.coordination.agreement import lead
 from wrenspoke.coordination.limiting import allocator
 from wrenspoke.coordination.limiting import lender
-from wrenspoke.coordination.membership import attendance
-from wrenspoke.coordination.membership import controls
+from wrenspoke.coordination.membership import control_group
+from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.coordination.membership import lease
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.membership import roster
@@ -190,7 +190,7 @@
 
 def attending_host(clock):
     made = roster.Roster(2_500, clock)
-    made.take(record())
+    made.merge_record(record())
 
     def known():
         made.expire()
@@ -200,14 +200,14 @@
 
 
 def host_that_may_send(clock):
-    made = attendance.Attendance(
+    made = discovery_client.DiscoveryClient(
         record(),
-        controls.ControlGroup('own', [], clock),
+        control_group.ControlGroup('own', [], clock),
         replica.Replica(),
         NoPeers(),
         clock,
     )
-    return lambda: made.awake
+    return lambda: made.recently_ran
 
 
 def message_that_waited(clock):
--- a/tests/test_warmth.py
+++ b/tests/test_warmth.py
@@ -3,9 +3,9 @@
 import pytest
 
 from tests import stated_fleet
-from tests import test_gauges
+from tests import test_engine_loads
 from tests import test_registry
-from wrenspoke.coordination.membership import askers
+from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import roster
 from wrenspoke.coordination.serving import warmup_probe
 from wrenspoke.protocol import attending
@@ -23,11 +23,11 @@
     clock = test_registry.FakeClock()
     held = roster.Roster(1_000, clock)
     for number in range(20):
-        held.take(test_gauges.record(number))
-    asking = askers.Askers('north', 'h1', held, test_gauges.NoPeers())
+        held.merge_record(test_engine_loads.record(number))
+    asking = region_pollers.RegionPollers('north', 'h1', held, test_engine_loads.NoPeers())
     # One that two other hosts ask.
-    number = next(n for n in range(99) if not asking.asks_of(f'e{n}'))
-    endpoint = test_gauges.registered(number)
+    number = next(n for n in range(99) if not asking.is_poller_of(f'e{n}'))
+    endpoint = test_engine_loads.registered(number)
     made = warmup_probe.WarmupProbe(
         asking, None, None, None, stated_fleet.unlimited(clock), clock
     )
--- a/wrenspoke/control_node.py
+++ b/wrenspoke/control_node.py
@@ -13,9 +13,9 @@
 from wrenspoke.coordination.agreement import founding
 from wrenspoke.coordination.agreement import voter
 from wrenspoke.coordination.limiting import allocator
-from wrenspoke.coordination.membership import controls
-from wrenspoke.coordination.membership import kept_registry
+from wrenspoke.coordination.membership import control_group
 from wrenspoke.coordination.membership import registrar
+from wrenspoke.coordination.membership import registry_snapshot
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.quarantine import gatherer
 from wrenspoke import ids
@@ -38,7 +38,7 @@
         self.clock = clocks.Clock()
         self._traffic = node_peers.traffic_of(node, self.clock)
         self.peers = node_peers.peers_of(node, self._traffic, self.clock)
-        self.group = controls.ControlGroup(
+        self.group = control_group.ControlGroup(
             node.host, node.seed_hosts, self.clock
         )
         self.replica = replica.Replica()
@@ -63,8 +63,8 @@
             self.peers,
             self.clock,
         )
-        self._traffic.tell_places(self.registrar.place_of)
-        self._kept_registry = kept_registry.KeptRegistry(
+        self._traffic.tell_places(self.registrar.host_location)
+        self._kept_registry = registry_snapshot.RegistrySnapshot(
             pathlib.Path(node.data_folder),
             self.registrar.registry,
             self.clock,
--- a/wrenspoke/coordination/agreement/clearance.py
+++ b/wrenspoke/coordination/agreement/clearance.py
@@ -16,7 +16,7 @@
 import structlog
 
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.membership import controls
+from wrenspoke.coordination.membership import control_group
 from wrenspoke import ids
 from wrenspoke.protocol import errors as protocol_errors
 from wrenspoke.protocol import messages
@@ -38,7 +38,7 @@
     def __init__(
         self,
         kept: storage.Storage,
-        group: controls.ControlGroup,
+        group: control_group.ControlGroup,
         peers: peer_calls.Peers,
         limits: settings.ControlSettings,
         clock: clocks.Clock,
@@ -96,7 +96,7 @@
         meta = self._storage.meta
         message = messages.Hello(meta.incarnation, meta.boot, self._start)
         deciding = self._storage.electorate()
-        known = {*self._group.others(), *deciding.hosts}
+        known = {*self._group.other_hosts(), *deciding.hosts}
         others = sorted(known - {self._group.host})
         answers = await asyncio.gather(
             *(self._call(host, message) for host in others)
@@ -132,7 +132,7 @@
     async def _answer_hello(
         self, sender: ids.HostId, message: messages.Hello
     ) -> messages.HelloReply | messages.Refusal:
-        self._group.hear(sender)
+        self._group.record_contact(sender)
         boots = self._storage.meta.boots
         known = boots.get(message.incarnation, (0, ''))
         heard = (message.boot, message.start)
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -31,7 +31,7 @@
 from wrenspoke.coordination.agreement import clearance
 from wrenspoke.coordination.agreement import lead
 from wrenspoke.coordination import errors
-from wrenspoke.coordination.membership import controls
+from wrenspoke.coordination.membership import control_group
 from wrenspoke.coordination.membership import replica
 from wrenspoke import ids
 from wrenspoke.protocol import attending
@@ -93,7 +93,7 @@
         self,
         host: ids.HostId,
         location: locations.Location,
-        group: controls.ControlGroup,
+        group: control_group.ControlGroup,
         limits: settings.ControlSettings,
         kept: storage.Storage,
         peers: peer_calls.Peers,
@@ -178,7 +178,7 @@
             self.state = msgspec.msgpack.decode(
                 snapshot.state, type=replicated.ReplicatedState
             )
-            self._replica.advance(
+            self._replica.apply_delta(
                 messages.ConfigurationDelta(
                     index=self.state.configuration.index,
                     whole=self.state.configuration,
@@ -348,7 +348,7 @@
             )
         except protocol_errors.ProtocolError:
             return None
-        self.group.hear(host)
+        self.group.record_contact(host)
         return answer
 
     @_needs_disk
@@ -525,7 +525,7 @@
 
     def _follow(self, leader: ids.HostId, term: int) -> bool:
         """Take a leader's word; False if its term is over."""
-        self.group.hear(leader)
+        self.group.record_contact(leader)
         if term < self.term:
             return False
         self.adopt_term(term)
@@ -636,7 +636,7 @@
     def _apply(self, entry: entries.LogEntry) -> None:
         applied = self.state.apply(entry.index, entry.entry)
         if applied.change is not None:
-            self._replica.advance(
+            self._replica.apply_delta(
                 messages.ConfigurationDelta(
                     index=entry.index, changes=[(entry.index, applied.change)]
                 )
--- a/wrenspoke/coordination/limiting/lender.py
+++ b/wrenspoke/coordination/limiting/lender.py
@@ -18,7 +18,7 @@
 from wrenspoke.coordination.limiting import allocator
 from wrenspoke.coordination.limiting import bounds
 from wrenspoke.coordination.limiting import levels
-from wrenspoke.coordination.membership import attendance
+from wrenspoke.coordination.membership import discovery_client
 from wrenspoke import ids
 from wrenspoke.protocol import errors as protocol_errors
 from wrenspoke.protocol import limiting
@@ -145,7 +145,7 @@
         limit_of: collections.abc.Callable[
             [ids.TeamId], teams.TeamLimit | None
         ],
-        lead: collections.abc.Callable[[], attendance.Lead | None],
+        lead: collections.abc.Callable[[], discovery_client.LeaderInfo | None],
         allowed: bounds.OvershootBounds,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
@@ -163,7 +163,7 @@
         self._round: asyncio.Future | None = None
         self._renewed_ms = 0
         # The lead that knows what is held here.
-        self._told: attendance.Lead | None = None
+        self._told: discovery_client.LeaderInfo | None = None
         # Until when older leaders' shares may still be held by others.
         self._settled_ms = 0
         self._tasks = runtime.Tasks()
@@ -278,17 +278,17 @@
             return
         try:
             answer = await self._peers.call(
-                lead.asked,
+                lead.via_host,
                 limiting.AskShares(shares, self._life, next(self._numbers)),
                 CALL_TIMEOUT_MS,
             )
         except protocol_errors.ProtocolError as error:
             logger.info(
-                'shares_unanswered', peer=lead.asked, reason=str(error)
+                'shares_unanswered', peer=lead.via_host, reason=str(error)
             )
             return
         if not isinstance(answer, limiting.SharesGranted):
-            logger.info('shares_refused', peer=lead.asked)
+            logger.info('shares_refused', peer=lead.via_host)
             return
         self._told = lead
         self._renewed_ms = asked_ms
--- a/wrenspoke/coordination/membership/pulls.py
+++ b/wrenspoke/coordination/membership/configuration_puller.py
@@ -31,7 +31,7 @@
 DRAIN_INTERVAL_MS = 1_000
 
 
-class Puller:
+class ConfigurationPuller:
     """Pull the configuration from control hosts or relays."""
 
     def __init__(
@@ -39,32 +39,34 @@
         host: ids.HostId,
         deployment: settings.Deployment,
         peers: peer_calls.Peers,
-        watched: members.Members,
-        held: replica.Replica,
+        host_members: members.Members,
+        config_replica: replica.Replica,
         clock: clocks.Clock,
     ):
         self._host = host
         self._interval_ms = deployment.entry.pull_interval_ms
-        self._control = [
+        self._control_hosts = [
             control.host for control in deployment.with_role('control')
         ]
         self._deployment = deployment
         self._peers = peers
-        self._members = watched
-        self._replica = held
+        self._members = host_members
+        self._replica = config_replica
         self._clock = clock
         self._leader: ids.HostId | None = None
         self._tasks = runtime.Tasks()
-        peers.answers(messages.PullConfiguration)(self._answer)
-        peers.answers(messages.News)(self._hear_news)
+        peers.answers(messages.PullConfiguration)(self._handle_pull)
+        peers.answers(messages.News)(self._handle_news)
 
     def start(self) -> None:
         """Begin; without control hosts the settings are all there is."""
-        if not self._control:
-            self._replica.advance(
-                messages.ConfigurationDelta(index=1, whole=self._founding())
+        if not self._control_hosts:
+            self._replica.apply_delta(
+                messages.ConfigurationDelta(
+                    index=1, whole=self._initial_configuration()
+                )
             )
-            self._replica.serve()
+            self._replica.start_serving()
             return
         self._replica.refreshable = True
         self._tasks.start(self._run())
@@ -73,39 +75,39 @@
         """End the task."""
         await self._tasks.close()
 
-    def _founding(self):
+    def _initial_configuration(self):
         found = self._deployment.first_configuration()
         return type(found)(
             1, found.services, found.endpoints, found.rules, found.limits
         )
 
-    async def _answer(
+    async def _handle_pull(
         self, _sender: ids.HostId, message: messages.PullConfiguration
     ) -> messages.ConfigurationDelta:
-        delta = self._replica.after(message.after)
+        delta = self._replica.delta_since(message.after)
         delta.serving = self._replica.serving
         return delta
 
     async def _run(self) -> None:
         while True:
             if self._replica.serving:
-                await self._wait_for_news()
-                await self._follow()
+                await self._wait_for_update()
+                await self._pull_updates()
                 continue
             await self._catch_up()
             if not self._replica.serving:
                 await self._clock.sleep_ms(START_INTERVAL_MS)
 
-    async def _wait_for_news(self) -> None:
+    async def _wait_for_update(self) -> None:
         """Wait for the next look, or for a beat that tells of a change."""
         try:
-            async with clocks.timeout_ms(self._next_look_ms()):
-                await self._members.news.wait()
+            async with clocks.timeout_ms(self._next_pull_ms()):
+                await self._members.update_available.wait()
         except TimeoutError:
             return
-        self._members.news.clear()
+        self._members.update_available.clear()
 
-    def _next_look_ms(self) -> int:
+    def _next_pull_ms(self) -> int:
         """Return the time to the next look, short while a drain waits."""
         draining = any(
             endpoint.state is configuration.EndpointState.DRAINING
@@ -117,7 +119,9 @@
 
     async def _catch_up(self) -> None:
         # The bulk comes from a peer; the leader only adds what is newer.
-        answers = [await self._pull(host) for host in self._members.near]
+        answers = [
+            await self._pull(host) for host in self._members.local_peers
+        ]
         confirmed = await self._pull_control()
         if confirmed:
             self._serve('leader')
@@ -125,49 +129,49 @@
         serving = any(
             answer is not None and answer.serving for answer in answers
         )
-        held = serving or self._replica.held_before
-        if held and self._members.waited_for_peers():
+        held = serving or self._replica.served_before
+        if held and self._members.peers_settled():
             self._serve('peers')
 
     def _serve(self, source: str) -> None:
-        self._replica.serve()
+        self._replica.start_serving()
         logger.info(
             'serving', source=source, index=self._replica.current.index
         )
 
-    async def _follow(self) -> None:
+    async def _pull_updates(self) -> None:
         if await self._pull_from_peer():
             return
-        if self._host in self._members.relays():
+        if self._host in self._members.relay_hosts():
             before = self._replica.current.index
             await self._pull_any_control()
             if self._replica.current.index > before:
-                await self._members.tell_now()
+                await self._members.broadcast_beat()
 
     async def _pull_any_control(self) -> None:
         """Pull from one control host; the data centres spread over them."""
-        for host in routing.rendezvous(self._host, self._control):
+        for host in routing.rendezvous(self._host, self._control_hosts):
             if await self._pull(ids.HostId(host)) is not None:
                 return
 
-    async def _hear_news(
+    async def _handle_news(
         self, _sender: ids.HostId, news: messages.News
     ) -> None:
         if news.index > self._replica.current.index:
-            self._members.news.set()
+            self._members.update_available.set()
 
     async def _pull_from_peer(self) -> bool:
         """Pull from a peer that told of something newer, if one did."""
         index = self._replica.current.index
-        for host in self._members.near:
-            if self._members.index_of(host) > index:
+        for host in self._members.local_peers:
+            if self._members.config_index_of(host) > index:
                 return await self._pull(host) is not None
         return False
 
     async def _pull_control(self) -> bool:
         """Pull from the leader, or any control host; tell if confirmed."""
         asked = [self._leader] if self._leader else []
-        asked += [host for host in self._control if host != self._leader]
+        asked += [host for host in self._control_hosts if host != self._leader]
         self._leader = None
         for host in asked:
             delta = await self._pull(host)
@@ -188,8 +192,8 @@
         self, host: ids.HostId
     ) -> messages.ConfigurationDelta | None:
         standing = None
-        if host in self._control:
-            standing = self._members.standing()
+        if host in self._control_hosts:
+            standing = self._members.data_centre_status()
         message = messages.PullConfiguration(
             self._replica.current.index, standing
         )
@@ -199,5 +203,5 @@
             return None
         if not isinstance(answer, messages.ConfigurationDelta):
             return None
-        self._replica.advance(answer)
+        self._replica.apply_delta(answer)
         return answer
--- a/wrenspoke/coordination/membership/exchanges.py
+++ b/wrenspoke/coordination/membership/control_sync.py
@@ -15,7 +15,7 @@
 import structlog
 
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.membership import controls
+from wrenspoke.coordination.membership import control_group
 from wrenspoke.coordination.membership import roster
 from wrenspoke import ids
 from wrenspoke.protocol import attending
@@ -28,84 +28,84 @@
 logger = structlog.get_logger(__name__)
 
 # Renewals ride on this; changes do not wait for it.
-INTERVAL_MS = 1_000
+SYNC_INTERVAL_MS = 1_000
 # Some far round trips of 160 ms; one that is lost is made up by the next.
-TIMEOUT_MS = 800
+EXCHANGE_TIMEOUT_MS = 800
 # Many hosts and endpoints that come at once are told together.
-GATHER_MS = 40
+BATCH_DELAY_MS = 40
 # The interval, and a far region's way. Who was not heard for longer is cut
 # off from this host, and others are asked to pass on what it hears.
-HEARD_LATELY_MS = 1_500
+CONTACT_WINDOW_MS = 1_500
 # Some intervals: who stood in this region that long ago still does.
-NEAR_LATELY_MS = 3_000
+REGION_CONTACT_WINDOW_MS = 3_000
 
 # What is held of an endpoint or a host: when it was heard, and by whom.
-Known = typing.TypeVar('Known', registry.Registered, roster.Known)
+Entry = typing.TypeVar('Entry', registry.Registered, roster.HostEntry)
 
 
 @dataclasses.dataclass
-class Told:
+class SyncProgress:
     """Hold how far another control host was told, and whom it hears."""
 
-    life: str = ''
-    at_ms: int = 0
+    instance_id: str = ''
+    last_sent_ms: int = 0
     endpoints_revision: int = 0
     hosts_revision: int = 0
-    heard: set[ids.HostId] = dataclasses.field(default_factory=set)
+    recent_contacts: set[ids.HostId] = dataclasses.field(default_factory=set)
 
 
-class Exchanges:
+class ControlSync:
     """Tell every other control host what this one hears."""
 
     def __init__(
         self,
-        life: str,
+        instance_id: str,
         region: ids.RegionId,
-        group: controls.ControlGroup,
+        group: control_group.ControlGroup,
         endpoints: registry.Registry,
         hosts: roster.Roster,
         peers: peer_calls.Peers,
-        changed: collections.abc.Callable[[], None],
+        on_endpoints_changed: collections.abc.Callable[[], None],
         clock: clocks.Clock,
     ):
-        self._life = life
+        self._instance_id = instance_id
         self._region = region
         self._group = group
         self._endpoints = endpoints
         self._hosts = hosts
         self._peers = peers
-        self._changed = changed
+        self._on_endpoints_changed = on_endpoints_changed
         self._clock = clock
-        self._urgent: dict[ids.HostId, asyncio.Event] = {}
+        self._sync_requests: dict[ids.HostId, asyncio.Event] = {}
         self._regions: dict[ids.HostId, ids.RegionId] = {}
         self._tasks = runtime.Tasks()
-        peers.answers(attending.Exchange)(self._answer)
+        peers.answers(attending.Exchange)(self._handle_exchange)
 
     def start(self) -> None:
         """Begin to exchange."""
-        self._tasks.start(self._watch())
+        self._tasks.start(self._discovery_loop())
 
     async def close(self) -> None:
         """End every task."""
         await self._tasks.close()
 
-    def tell_soon(self) -> None:
+    def request_sync(self) -> None:
         """Tell all of a change without waiting for the interval."""
-        for event in self._urgent.values():
+        for event in self._sync_requests.values():
             event.set()
 
-    def standing_in(self, region: ids.RegionId) -> list[ids.HostId]:
+    def control_hosts_in(self, region: ids.RegionId) -> list[ids.HostId]:
         """Return the control hosts of a region that spoke lately."""
         found = [
             host
-            for host in self._group.lately(NEAR_LATELY_MS)
+            for host in self._group.seen_within(REGION_CONTACT_WINDOW_MS)
             if self._regions.get(host) == region
         ]
         if region == self._region:
             found.append(self._group.host)
         return found
 
-    def place_of(self, host: ids.HostId) -> locations.Location | None:
+    def host_location(self, host: ids.HostId) -> locations.Location | None:
         """Return where another control host stands, None if unknown.
 
         Each stands alone in its data centre, whose name is not told.
@@ -115,66 +115,73 @@
             return None
         return locations.Location(region, ids.DataCentreId(host))
 
-    async def _watch(self) -> None:
+    async def _discovery_loop(self) -> None:
         """Exchange with each control host that is found."""
         while True:
-            for host in self._group.others():
-                if host in self._urgent:
+            for host in self._group.other_hosts():
+                if host in self._sync_requests:
                     continue
-                self._urgent[host] = asyncio.Event()
-                self._tasks.start(self._exchange_with(host))
-            await self._clock.sleep_ms(INTERVAL_MS)
+                self._sync_requests[host] = asyncio.Event()
+                self._tasks.start(self._sync_with(host))
+            await self._clock.sleep_ms(SYNC_INTERVAL_MS)
 
-    async def _exchange_with(self, host: ids.HostId) -> None:
-        told = Told()
-        urgent = self._urgent[host]
-        while host in self._group.others():
-            urgent.clear()
+    async def _sync_with(self, host: ids.HostId) -> None:
+        progress = SyncProgress()
+        sync_requested = self._sync_requests[host]
+        while host in self._group.other_hosts():
+            sync_requested.clear()
             asked_ms = self._clock.mono_ms()
-            told = await self._tell(host, told)
-            await self._wait(urgent, asked_ms)
-        del self._urgent[host]
+            progress = await self._send_exchange(host, progress)
+            await self._wait_for_next(sync_requested, asked_ms)
+        del self._sync_requests[host]
 
-    async def _tell(self, host: ids.HostId, told: Told) -> Told:
+    async def _send_exchange(
+        self, host: ids.HostId, progress: SyncProgress
+    ) -> SyncProgress:
         """Tell what is new; return how far the other has come then."""
-        reached = Told(
-            told.life,
+        next_progress = SyncProgress(
+            progress.instance_id,
             self._clock.mono_ms(),
             self._endpoints.revision,
             self._hosts.revision,
         )
-        message = self._news(host, told)
+        message = self._build_exchange(host, progress)
         try:
-            answer = await self._peers.call(host, message, TIMEOUT_MS)
+            answer = await self._peers.call(host, message, EXCHANGE_TIMEOUT_MS)
         except protocol_errors.ProtocolError:
-            return told
+            return progress
         if not isinstance(answer, attending.Exchanged):
-            return told
-        self._group.hear(host)
-        if answer.unknown or told.life not in ('', answer.life):
+            return progress
+        self._group.record_contact(host)
+        if answer.unknown or progress.instance_id not in ('', answer.life):
             logger.info('told_again', peer=host, unknown=answer.unknown)
-            self._urgent[host].set()
-            return Told(answer.life)
-        reached.life = answer.life
-        reached.heard = {*answer.heard, host}
-        return reached
+            self._sync_requests[host].set()
+            return SyncProgress(answer.life)
+        next_progress.instance_id = answer.life
+        next_progress.recent_contacts = {*answer.heard, host}
+        return next_progress
 
-    def _news(self, host: ids.HostId, told: Told) -> attending.Exchange:
+    def _build_exchange(
+        self, host: ids.HostId, progress: SyncProgress
+    ) -> attending.Exchange:
         # What came by way of a third was learned up to an interval later.
-        since_ms = told.at_ms - INTERVAL_MS
-        heard = {*told.heard, host}
-        endpoints = _renewed(
+        since_ms = progress.last_sent_ms - SYNC_INTERVAL_MS
+        recent_contacts = {*progress.recent_contacts, host}
+        endpoints = _renewed_entries(
             self._endpoints.held.values(),
             since_ms,
-            told.endpoints_revision,
-            heard,
+            progress.endpoints_revision,
+            recent_contacts,
         )
-        hosts = _renewed(
-            self._hosts.known(), since_ms, told.hosts_revision, heard
+        hosts = _renewed_entries(
+            self._hosts.entries(),
+            since_ms,
+            progress.hosts_revision,
+            recent_contacts,
         )
         return attending.Exchange(
-            self._endpoints.after(told.endpoints_revision),
-            self._hosts.after(told.hosts_revision),
+            self._endpoints.after(progress.endpoints_revision),
+            self._hosts.changes_since(progress.hosts_revision),
             [
                 attending.Renewal(
                     found.said.endpoint,
@@ -189,7 +196,7 @@
                     found.record.host,
                     found.record.number,
                     self._age_ms(found.heard_ms),
-                    roster.life_of(found.record),
+                    roster.instance_checksum(found.record),
                 )
                 for found in hosts
             ],
@@ -199,27 +206,29 @@
     def _age_ms(self, heard_ms: int) -> int:
         return max(self._clock.mono_ms() - heard_ms, 0)
 
-    async def _wait(self, urgent: asyncio.Event, asked_ms: int) -> None:
-        left_ms = asked_ms + INTERVAL_MS - self._clock.mono_ms()
+    async def _wait_for_next(
+        self, sync_requested: asyncio.Event, asked_ms: int
+    ) -> None:
+        left_ms = asked_ms + SYNC_INTERVAL_MS - self._clock.mono_ms()
         try:
             async with clocks.timeout_ms(max(left_ms, 1)):
-                await urgent.wait()
-                await self._clock.sleep_ms(GATHER_MS)
+                await sync_requested.wait()
+                await self._clock.sleep_ms(BATCH_DELAY_MS)
         except TimeoutError:
             return
 
-    async def _answer(
+    async def _handle_exchange(
         self, sender: ids.HostId, message: attending.Exchange
     ) -> attending.Exchanged:
-        self._group.hear(sender)
+        self._group.record_contact(sender)
         self._regions[sender] = message.region
         before = (self._endpoints.revision, self._hosts.revision)
         for said in message.endpoints:
             self._endpoints.take(said, sender)
         for record in message.hosts.found:
-            self._hosts.take(record, sender)
+            self._hosts.merge_record(record, sender)
         for host in message.hosts.lost:
-            self._hosts.take_lost(host)
+            self._hosts.expire_reported(host)
         unknown = False
         for renewal in message.renewed_endpoints:
             unknown |= not self._endpoints.renew(
@@ -232,28 +241,30 @@
         for renewal in message.renewed_hosts:
             unknown |= not self._hosts.renew(renewal, sender)
         if self._endpoints.revision != before[0]:
-            self._changed()
+            self._on_endpoints_changed()
         if (self._endpoints.revision, self._hosts.revision) != before:
-            self.tell_soon()
+            self.request_sync()
         return attending.Exchanged(
-            self._life, self._group.lately(HEARD_LATELY_MS), unknown
+            self._instance_id,
+            self._group.seen_within(CONTACT_WINDOW_MS),
+            unknown,
         )
 
 
-def _renewed(
-    known: collections.abc.Iterable[Known],
+def _renewed_entries(
+    entries: collections.abc.Iterable[Entry],
     since_ms: int,
-    told_revision: int,
-    heard: set[ids.HostId],
-) -> list[Known]:
+    sent_revision: int,
+    recent_contacts: set[ids.HostId],
+) -> list[Entry]:
     """Return who renewed since a time and has not changed since.
 
     Left out is what came from the control hosts ``heard`` by who is told.
     """
     return [
         found
-        for found in known
+        for found in entries
         if found.heard_ms >= since_ms
-        and found.revision <= told_revision
-        and found.told_by not in heard
+        and found.revision <= sent_revision
+        and found.told_by not in recent_contacts
     ]
--- a/wrenspoke/coordination/membership/directory.py
+++ b/wrenspoke/coordination/membership/directory.py
@@ -14,12 +14,12 @@
 
 
 def addresses(
-    known: roster.Roster,
+    host_roster: roster.Roster,
     table: routes.RouteTable,
-    name: str,
+    host_name: str,
     region: ids.RegionId,
     data_centre: ids.DataCentreId,
-    settled: bool = True,
+    synced: bool = True,
 ) -> list[str]:
     """Return callers' addresses of live hosts, of the nearest place.
 
@@ -31,42 +31,46 @@
     ``settled``, since it was begun within a lease, leads nobody away:
     callers go on with what they know.
     """
-    usable = known.usable(region)
-    if not usable and not settled:
+    usable = host_roster.usable(region)
+    if not usable and not synced:
         return []
     if not usable:
-        usable = _at_home(known, table, name) or _stopping(known, region)
+        usable = _hosts_allowed_by_routes(
+            host_roster, table, host_name
+        ) or _draining_hosts(host_roster, region)
         logger.warning(
             'directory_elsewhere',
             region=region,
             regions=sorted({record.region for record in usable}),
-            known=len(known.hosts()),
+            host_roster=len(host_roster.hosts()),
         )
-    near = [record for record in usable if record.data_centre == data_centre]
-    chosen = near if len(near) > 1 else usable
+    same_data_centre = [
+        record for record in usable if record.data_centre == data_centre
+    ]
+    chosen = same_data_centre if len(same_data_centre) > 1 else usable
     return sorted(record.callers_address for record in chosen)[
         :ADDRESSES_LIMIT
     ]
 
 
-def _at_home(
-    known: roster.Roster, table: routes.RouteTable, name: str
+def _hosts_allowed_by_routes(
+    host_roster: roster.Roster, table: routes.RouteTable, host_name: str
 ) -> list[attending.HostRecord]:
     """Return the hosts where every route of a host name may be served."""
-    found = [route for route in table.routes if route.host == name]
+    found = [route for route in table.routes if route.host == host_name]
     return [
         record
-        for record in known.usable()
+        for record in host_roster.usable()
         if all(route.allows(record.region) for route in found)
     ]
 
 
-def _stopping(
-    known: roster.Roster, region: ids.RegionId
+def _draining_hosts(
+    host_roster: roster.Roster, region: ids.RegionId
 ) -> list[attending.HostRecord]:
     """Return the hosts of a region that are stopping."""
     return [
         record
-        for record in known.records()
+        for record in host_roster.records()
         if record.region == region and record.draining
     ]
--- a/wrenspoke/coordination/membership/attendance.py
+++ b/wrenspoke/coordination/membership/discovery_client.py
@@ -14,7 +14,7 @@
 import structlog
 
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.membership import controls
+from wrenspoke.coordination.membership import control_group
 from wrenspoke.coordination.membership import lease as leases
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.membership import roster
@@ -29,21 +29,21 @@
 logger = structlog.get_logger(__name__)
 
 # Two, so that one that is lost or cut off delays nothing.
-ATTENDED_COUNT = 2
+SESSION_COUNT = 2
 # Renews the lease of 2.5 s three times, so that two may be lost.
-WAIT_MS = 700
+ATTEND_WAIT_MS = 700
 # A host without a lease on its configuration serves nothing under keys; it
 # asks so often whether a leader was found.
-UNSURE_WAIT_MS = 100
+UNLEASED_WAIT_MS = 100
 # The wait, a far region's round trip and a busy host's delay.
 CALL_TIMEOUT_MS = 1_500
 # Between two tries at control hosts that do not answer.
-PAUSE_MS = 100
+RETRY_DELAY_MS = 100
 # A control host that was given up is tried after all others for so long:
 # about as long as a stop and a start take.
-GIVEN_UP_MS = 10_000
+FAILED_HOST_TTL_MS = 10_000
 # A host that had no processor time for so long looks before it sends.
-STOPPED_AFTER_MS = 1_500
+PAUSE_THRESHOLD_MS = 1_500
 # Often enough to notice a stop within a fraction of it.
 TICK_MS = 250
 # How long a fresh start waits for a leader's word that nothing is newer, or
@@ -51,7 +51,7 @@
 # Where there is no leader, the best of both is served.
 CONFIRMATION_WAIT_MS = 200
 # What control hosts tell of others is not expired here.
-NEVER_LEASE_MS = 10**9
+NO_EXPIRY_MS = 10**9
 # A control host without a leader for so long may be cut off from the others
 # that decide. Longer than an election (2.0 s in the median, 2.5 s in 99 of
 # 100): every host that moves is told all hosts and endpoints anew. One
@@ -64,23 +64,23 @@
     """Hold how far this host has come at one control host."""
 
     host: ids.HostId | None = None
-    life: str = ''
+    instance_id: str = ''
     endpoints_revision: int = 0
     hosts_revision: int = 0
     # The entry hosts that this control host knows.
     hosts: set[ids.HostId] = dataclasses.field(default_factory=set)
-    led_ms: int = 0
+    leader_seen_ms: int = 0
 
-    def begin(self, host: ids.HostId | None, now_ms: int) -> None:
+    def reset(self, host: ids.HostId | None, now_ms: int) -> None:
         """Begin anew at a control host, or at none."""
         self.host = host
-        self.life = ''
+        self.instance_id = ''
         self.hosts = set()
-        self.led_ms = now_ms
+        self.leader_seen_ms = now_ms
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Lead:
+class LeaderInfo:
     """Name a lead by its host and term, and who is asked for it here.
 
     Leads are the same whoever is asked.
@@ -88,93 +88,93 @@
 
     host: ids.HostId
     term: int
-    asked: ids.HostId = dataclasses.field(compare=False)
+    via_host: ids.HostId = dataclasses.field(compare=False)
 
 
-class Attendance:
+class DiscoveryClient:
     """Attend at control hosts, and hold what they told."""
 
     def __init__(
         self,
         record: attending.HostRecord,
-        group: controls.ControlGroup,
-        held: replica.Replica,
+        group: control_group.ControlGroup,
+        config_replica: replica.Replica,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
         lease: leases.ConfigurationLease | None = None,
     ):
         self._record = record
         self._group = group
-        self._replica = held
+        self._replica = config_replica
         self._peers = peers
         self._clock = clock
         self.lease = lease or leases.ConfigurationLease(None, clock)
-        self._numbers = itertools.count(1)
+        self._record_numbers = itertools.count(1)
         self._tasks = runtime.Tasks()
-        self._sessions = [_Session() for _number in range(ATTENDED_COUNT)]
+        self._sessions = [_Session() for _number in range(SESSION_COUNT)]
         self._ticked_ms = clock.mono_ms()
         # When control hosts were given up.
         self._failed_ms: dict[ids.HostId, int] = {}
         # Control hosts that are known to stand in this region.
-        self._near: set[ids.HostId] = set()
-        self._waiting: asyncio.Task | None = None
+        self._local_controls: set[ids.HostId] = set()
+        self._unconfirmed_start: asyncio.Task | None = None
         self.draining = False
         # The control host that leads, as told last.
-        self.lead: Lead | None = None
+        self.leader: LeaderInfo | None = None
         self.registry = registry.Registry(clock)
-        self.roster = roster.Roster(NEVER_LEASE_MS, clock)
-        held.refreshable = True
+        self.roster = roster.Roster(NO_EXPIRY_MS, clock)
+        config_replica.refreshable = True
 
     def start(self) -> None:
         """Begin to attend."""
         for session in self._sessions:
-            self._tasks.start(self._attend(session))
+            self._tasks.start(self._run_session(session))
         self._tasks.start(self._tick())
 
     async def close(self) -> None:
         """End every task."""
         await self._tasks.close()
 
-    def place_of(self, host: ids.HostId) -> locations.Location | None:
+    def host_location(self, host: ids.HostId) -> locations.Location | None:
         """Return where a host stands, None if unknown.
 
         Of control hosts it is known which stand in this region.
         """
-        if host in self._near:
+        if host in self._local_controls:
             return locations.Location(
                 self._record.region, ids.DataCentreId(host)
             )
         return self.roster.location_of(host)
 
     @property
-    def awake(self) -> bool:
+    def recently_ran(self) -> bool:
         """Tell whether this process has been running of late.
 
         One that was stopped for long may hold what has been left behind
         since, and must look before it sends anything.
         """
         age_ms = self._clock.mono_ms() - self._ticked_ms
-        return age_ms <= STOPPED_AFTER_MS
+        return age_ms <= PAUSE_THRESHOLD_MS
 
     async def _tick(self) -> None:
         while True:
-            if not self.awake:
+            if not self.recently_ran:
                 logger.warning('was_stopped', cause='no_processor_time')
-                self._doubt()
+                self._suspend_serving()
             self._ticked_ms = self._clock.mono_ms()
             await self._clock.sleep_ms(TICK_MS)
 
-    def _doubt(self) -> None:
+    def _suspend_serving(self) -> None:
         """Serve nothing before a control host was heard again."""
-        self._replica.doubt()
-        if self._waiting is not None:
-            self._waiting.cancel()
-            self._waiting = None
+        self._replica.suspend_serving()
+        if self._unconfirmed_start is not None:
+            self._unconfirmed_start.cancel()
+            self._unconfirmed_start = None
 
-    async def tell_now(self) -> None:
+    async def push_status(self) -> None:
         """Tell every session's control host of a change here at once."""
         calls = [
-            self._call(session, session.host, 0)
+            self._send_attend(session, session.host, 0)
             for session in self._sessions
             if session.host is not None
         ]
@@ -189,14 +189,16 @@
         if not self.registry.take(gone):
             return
         logger.info('endpoint_gone', endpoint=endpoint)
-        self._tell_sessions(attending.Withdraw(endpoint, born_ms))
+        self._notify_control_hosts(attending.Withdraw(endpoint, born_ms))
 
     def mark_leaving(self, endpoint: ids.EndpointId, born_ms: int) -> None:
         """Take an endpoint for leaving, and tell the control hosts so."""
         if self.registry.mark_leaving(endpoint, born_ms):
-            self._tell_sessions(attending.EndpointLeaves(endpoint, born_ms))
+            self._notify_control_hosts(
+                attending.EndpointLeaves(endpoint, born_ms)
+            )
 
-    def _tell_sessions(
+    def _notify_control_hosts(
         self, message: attending.Withdraw | attending.EndpointLeaves
     ) -> None:
         """Tell the control hosts that this host attends at."""
@@ -207,69 +209,73 @@
                 self._peers.tell(session.host, message), fatal=False
             )
 
-    async def _attend(self, session: _Session) -> None:
+    async def _run_session(self, session: _Session) -> None:
         while True:
             if session.host is None:
-                session.begin(self._choose(), self._clock.mono_ms())
+                session.reset(self._choose_host(), self._clock.mono_ms())
             if session.host is None:
-                await self._clock.sleep_ms(PAUSE_MS)
+                await self._clock.sleep_ms(RETRY_DELAY_MS)
                 continue
-            wait_ms = WAIT_MS if self.lease.held else UNSURE_WAIT_MS
-            if not await self._call(session, session.host, wait_ms):
+            wait_ms = ATTEND_WAIT_MS if self.lease.held else UNLEASED_WAIT_MS
+            if not await self._send_attend(session, session.host, wait_ms):
                 logger.warning('control_host_lost', peer=session.host)
             elif self._is_leaderless(session):
                 logger.info('control_host_left', peer=session.host)
-            elif self._nearer_than(session.host):
+            elif self._has_nearer_host(session.host):
                 # Where control hosts stand is known after the first answer.
-                session.begin(self._choose(), self._clock.mono_ms())
+                session.reset(self._choose_host(), self._clock.mono_ms())
                 continue
             else:
                 continue
             self._failed_ms[session.host] = self._clock.mono_ms()
-            session.begin(None, self._clock.mono_ms())
-            await self._clock.sleep_ms(PAUSE_MS)
+            session.reset(None, self._clock.mono_ms())
+            await self._clock.sleep_ms(RETRY_DELAY_MS)
 
     def _is_leaderless(self, session: _Session) -> bool:
         """Tell whether a session should look for a leader elsewhere."""
         if session is self._sessions[0]:
             return False
-        return self._clock.mono_ms() - session.led_ms > LEADERLESS_MS
+        return self._clock.mono_ms() - session.leader_seen_ms > LEADERLESS_MS
 
-    def _choose(self) -> ids.HostId | None:
+    def _choose_host(self) -> ids.HostId | None:
         """Return a control host that no other session attends at."""
         taken = {session.host for session in self._sessions}
-        free = [host for host in self._group.others() if host not in taken]
+        free = [
+            host for host in self._group.other_hosts() if host not in taken
+        ]
         random.shuffle(free)
-        return min(free, key=self._rank, default=None)
+        return min(free, key=self._rank_host, default=None)
 
-    def _nearer_than(self, host: ids.HostId) -> bool:
+    def _has_nearer_host(self, host: ids.HostId) -> bool:
         """Tell whether a control host of this region is free, unlike one."""
-        if host in self._near:
+        if host in self._local_controls:
             return False
-        free = self._near - {session.host for session in self._sessions}
-        return any(not self._given_up_ms(one) for one in free)
+        free = self._local_controls - {
+            session.host for session in self._sessions
+        }
+        return any(not self._recent_failure_ms(one) for one in free)
 
-    def _given_up_ms(self, host: ids.HostId) -> int:
+    def _recent_failure_ms(self, host: ids.HostId) -> int:
         """Return when a control host was given up, 0 if not of late."""
         failed_ms = self._failed_ms.get(host)
         if failed_ms is None:
             return 0
         age_ms = self._clock.mono_ms() - failed_ms
-        return failed_ms if age_ms < GIVEN_UP_MS else 0
+        return failed_ms if age_ms < FAILED_HOST_TTL_MS else 0
 
-    def _rank(self, host: ids.HostId) -> tuple[int, bool, bool]:
+    def _rank_host(self, host: ids.HostId) -> tuple[int, bool, bool]:
         """Rank control hosts: own data centre, own region, any other.
 
         Those that were given up of late go last.
         """
         own_ip = self._record.host.rpartition(':')[0]
         return (
-            self._given_up_ms(host),
-            not _near(host, own_ip),
-            host not in self._near,
+            self._recent_failure_ms(host),
+            not _same_subnet(host, own_ip),
+            host not in self._local_controls,
         )
 
-    async def _call(
+    async def _send_attend(
         self, session: _Session, host: ids.HostId, wait_ms: int
     ) -> bool:
         record = attending.HostRecord(
@@ -279,13 +285,13 @@
             self._record.callers_address,
             self._record.passing_address,
             self._record.start,
-            next(self._numbers),
+            next(self._record_numbers),
             self.draining,
         )
         message = attending.Attend(
             record,
             self._replica.current.index,
-            session.life,
+            session.instance_id,
             session.endpoints_revision,
             session.hosts_revision,
             wait_ms,
@@ -299,32 +305,34 @@
             return False
         if session.host == host:
             try:
-                self._take(session, answer)
-                self._confirm(answer, asked_ms)
+                self._apply_answer(session, answer)
+                self._renew_lease(answer, asked_ms)
             except protocol_errors.ProtocolError as error:
                 logger.warning('answer_refused', peer=host, reason=str(error))
                 return False
         return True
 
-    def _take(self, session: _Session, answer: attending.Attended) -> None:
-        self._group.hear(session.host)
-        self._group.learn(answer.controls)
+    def _apply_answer(
+        self, session: _Session, answer: attending.Attended
+    ) -> None:
+        self._group.record_contact(session.host)
+        self._group.add_contacts(answer.controls)
         if answer.news:
-            self._replica.advance(attending.unpack(answer.news))
+            self._replica.apply_delta(attending.unpack(answer.news))
         for said in answer.endpoints:
             self.registry.take(said)
         if answer.hosts is not None:
-            self._take_hosts(session, answer.hosts)
-        self._near.update(answer.near)
+            self._apply_host_changes(session, answer.hosts)
+        self._local_controls.update(answer.near)
         if answer.led:
-            session.led_ms = self._clock.mono_ms()
-            self._take_lead(session.host, answer)
-        session.life = answer.life
-        self._serve_if_sure(answer)
+            session.leader_seen_ms = self._clock.mono_ms()
+            self._update_leader(session.host, answer)
+        session.instance_id = answer.life
+        self._serve_if_ready(answer)
         session.endpoints_revision = answer.endpoints_revision
         session.hosts_revision = answer.hosts_revision
 
-    def _confirm(self, answer: attending.Attended, asked_ms: int) -> None:
+    def _renew_lease(self, answer: attending.Attended, asked_ms: int) -> None:
         """Renew the lease by what an answer proves, and no more.
 
         It was given no sooner than it was asked for and held back.
@@ -334,22 +342,22 @@
             return
         self.lease.confirm(asked_ms + answer.held_ms - age_ms)
 
-    def _take_lead(
-        self, asked: ids.HostId, answer: attending.Attended
+    def _update_leader(
+        self, via_host: ids.HostId, answer: attending.Attended
     ) -> None:
         """Note who leads; a control host that lags may name the one before."""
         if answer.leader is None:
             return
-        if self.lead is None or answer.term >= self.lead.term:
-            self.lead = Lead(answer.leader, answer.term, asked)
+        if self.leader is None or answer.term >= self.leader.term:
+            self.leader = LeaderInfo(answer.leader, answer.term, via_host)
 
-    def _take_hosts(
+    def _apply_host_changes(
         self, session: _Session, changes: attending.HostChanges
     ) -> None:
         """Take what changed; a host is lost once no session knows it."""
         lost = {*changes.lost}
         for record in changes.found:
-            self.roster.take(record)
+            self.roster.merge_record(record)
         named = {record.host for record in changes.found}
         if changes.whole:
             lost = self.roster.hosts() - named
@@ -358,9 +366,9 @@
         session.hosts -= lost
         for host in lost:
             if not any(host in one.hosts for one in self._sessions):
-                self.roster.drop(host)
+                self.roster.remove_host(host)
 
-    def _serve_if_sure(self, answer: attending.Attended) -> None:
+    def _serve_if_ready(self, answer: attending.Attended) -> None:
         """Serve by what a leader confirmed, or, after a wait, by the best.
 
         A region that is cut off has no leader and serves all the same.
@@ -368,30 +376,30 @@
         if self._replica.serving or not self._replica.current.index:
             return
         if answer.confirmed:
-            self._serve(confirmed=True)
+            self._start_serving(confirmed=True)
             return
-        if all(session.life for session in self._sessions):
+        if all(session.instance_id for session in self._sessions):
             # Whom to wait for has answered.
-            self._serve(confirmed=False)
+            self._start_serving(confirmed=False)
             return
-        if self._waiting is None:
-            self._waiting = self._tasks.start(
+        if self._unconfirmed_start is None:
+            self._unconfirmed_start = self._tasks.start(
                 self._serve_unconfirmed(), fatal=False
             )
 
     async def _serve_unconfirmed(self) -> None:
         await self._clock.sleep_ms(CONFIRMATION_WAIT_MS)
-        self._waiting = None
+        self._unconfirmed_start = None
         if not self._replica.serving:
-            self._serve(confirmed=False)
+            self._start_serving(confirmed=False)
 
-    def _serve(self, confirmed: bool) -> None:
-        self._replica.serve()
+    def _start_serving(self, confirmed: bool) -> None:
+        self._replica.start_serving()
         logger.info(
             'serving', index=self._replica.current.index, confirmed=confirmed
         )
 
 
-def _near(host: ids.HostId, own_ip: str) -> bool:
+def _same_subnet(host: ids.HostId, own_ip: str) -> bool:
     """Guess by the number whether a host stands in the same place."""
     return host.rpartition('.')[0] == own_ip.rpartition('.')[0]
--- a/wrenspoke/coordination/membership/gauges.py
+++ b/wrenspoke/coordination/membership/engine_loads.py
@@ -17,11 +17,11 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.limiting import endpoint_gate
-from wrenspoke.coordination.membership import askers
-from wrenspoke.coordination.membership import attendance
-from wrenspoke.coordination.membership import partners
+from wrenspoke.coordination.membership import discovery_client
+from wrenspoke.coordination.membership import region_pollers
+from wrenspoke.coordination.membership import region_views
+from wrenspoke.coordination.membership import remote_hosts
 from wrenspoke.coordination.membership import replica
-from wrenspoke.coordination.membership import views
 from wrenspoke.coordination.serving import routing
 from wrenspoke import ids
 from wrenspoke.protocol import advertised
@@ -44,13 +44,13 @@
 REPORT_TIMEOUT_MS = 400
 # So many intervals without a report of an engine, and the host that is next
 # in order asks it too. Two, as one may just have been missed.
-MISSED_INTERVALS = 2
+TAKEOVER_INTERVALS = 2
 # So many intervals without a report, while most engines of the region report,
 # and an engine is taken for lost: two until the next host in order asks it,
 # one for the answer, and one that may be missed by chance. A call sent there
 # would wait 3 s until its connection is given up, at each host anew.
 SILENT_INTERVALS = 4
-FRESH_SHARE = 0.5
+MIN_FRESH_SHARE = 0.5
 # A report older than this says nothing about now.
 STALE_AFTER_MS = 2_500
 
@@ -69,7 +69,7 @@
         """
 
 
-class Gauges:
+class EngineLoads:
     """Hold the newest load of each engine of the region."""
 
     def __init__(
@@ -79,13 +79,13 @@
         regions: collections.abc.Mapping[ids.DataCentreId, ids.RegionId],
         interval_ms: int,
         reader: ReportReader,
-        attended: attendance.Attendance,
-        held: replica.Replica,
+        discovery: discovery_client.DiscoveryClient,
+        config_replica: replica.Replica,
         client: web.HttpClient,
-        asking: askers.Askers,
-        near: partners.Partners,
-        viewed: views.RegionViews,
-        heard: collections.abc.Callable[[str, int], None],
+        pollers: region_pollers.RegionPollers,
+        remotes: remote_hosts.RemoteHosts,
+        region_statuses: region_views.RegionViews,
+        on_answer: collections.abc.Callable[[str, int], None],
         gate: endpoint_gate.EndpointGate,
         dialect: dialects.Dialect,
         clock: clocks.Clock,
@@ -95,21 +95,21 @@
         self._regions = regions
         self._interval_ms = interval_ms
         self._reader = reader
-        self._attended = attended
-        self._replica = held
+        self._discovery = discovery
+        self._replica = config_replica
         self._client = client
-        self._askers = asking
-        self._partners = near
-        self._views = viewed
-        self._heard = heard
+        self._pollers = pollers
+        self._remote_hosts = remotes
+        self._views = region_statuses
+        self._on_answer = on_answer
         self._gate = gate
         self._dialect = dialect
         self._clock = clock
-        self._held: dict[ids.EndpointId, tuple[loads.EngineLoad, int]] = {}
+        self._loads: dict[ids.EndpointId, tuple[loads.EngineLoad, int]] = {}
         # When an engine of which no load is known was first looked at.
         self._first_seen_ms: dict[ids.EndpointId, int] = {}
         self._tasks = runtime.Tasks()
-        asking.listen(self._hear)
+        pollers.add_listener(self._merge_broadcast)
 
     def start(self) -> None:
         """Begin to ask."""
@@ -121,7 +121,7 @@
 
     def load(self, endpoint: ids.EndpointId) -> loads.EngineLoad | None:
         """Return an engine's load with its age, None if none is fresh."""
-        found, heard_ms = self._held.get(endpoint, (None, 0))
+        found, heard_ms = self._loads.get(endpoint, (None, 0))
         if found is None:
             return None
         age_ms = self._clock.mono_ms() - heard_ms
@@ -131,14 +131,14 @@
 
     def silent(self, endpoint: ids.EndpointId) -> bool:
         """Tell whether an engine stopped reporting while others go on."""
-        if not self._is_old(endpoint):
+        if not self._is_report_stale(endpoint):
             return False
         engines = [other.said.endpoint for other in self._engines()]
-        fresh = sum(not self._is_old(other) for other in engines)
-        return fresh >= FRESH_SHARE * len(engines)
+        fresh = sum(not self._is_report_stale(other) for other in engines)
+        return fresh >= MIN_FRESH_SHARE * len(engines)
 
-    def _is_old(self, endpoint: ids.EndpointId) -> bool:
-        _load, heard_ms = self._held.get(endpoint, (None, None))
+    def _is_report_stale(self, endpoint: ids.EndpointId) -> bool:
+        _load, heard_ms = self._loads.get(endpoint, (None, None))
         if heard_ms is None:
             return False
         age_ms = self._clock.mono_ms() - heard_ms
@@ -148,29 +148,34 @@
         while True:
             asked_ms = self._clock.mono_ms()
             if self._replica.serving:
-                await self._ask_own()
+                await self._poll_assigned()
             took_ms = self._clock.mono_ms() - asked_ms
             await self._clock.sleep_ms(self._interval_ms - took_ms)
 
-    async def _ask_own(self) -> None:
+    async def _poll_assigned(self) -> None:
         engines = self._engines()
-        self._askers.engines = len(engines)
-        if not self._askers.asks():
+        self._pollers.engine_count = len(engines)
+        if not self._pollers.is_poller():
             return
         answers = await asyncio.gather(
-            *(self._ask(found) for found in self._own(engines))
+            *(
+                self._poll_engine(found)
+                for found in self._assigned_engines(engines)
+            )
         )
         heard = [answer for answer in answers if answer is not None]
         now_ms = self._clock.mono_ms()
         for load in heard:
-            self._held[load.endpoint] = (load, now_ms)
-        statuses = self._partners.statuses()
+            self._loads[load.endpoint] = (load, now_ms)
+        statuses = self._remote_hosts.statuses()
         for status in statuses:
-            self._views.note(status)
+            self._views.record_status(status)
         if heard or statuses:
-            await self._askers.tell(attending.TellRegion(heard, statuses))
+            await self._pollers.broadcast(
+                attending.TellRegion(heard, statuses)
+            )
 
-    def _own(
+    def _assigned_engines(
         self, engines: list[registry.Registered]
     ) -> list[registry.Registered]:
         """Return the engines that this host asks for all others.
@@ -178,19 +183,19 @@
         Those are the ones that fall to it, and those of the hosts before
         it in order from which no report came of late.
         """
-        asking = self._askers.hosts()
+        asking = self._pollers.polling_hosts()
         own = []
         for found in engines:
             order = routing.rendezvous(found.said.endpoint, asking)
             place = order.index(self._host)
-            if place == 0 or self._is_missed(found, place):
+            if place == 0 or self._is_overdue(found, place):
                 own.append(found)
         return own
 
-    def _is_missed(self, found: registry.Registered, place: int) -> bool:
+    def _is_overdue(self, found: registry.Registered, place: int) -> bool:
         """Tell whether those before this host in order tell no load."""
-        missed_ms = MISSED_INTERVALS * place * self._interval_ms
-        _load, heard_ms = self._held.get(found.said.endpoint, (None, None))
+        missed_ms = TAKEOVER_INTERVALS * place * self._interval_ms
+        _load, heard_ms = self._loads.get(found.said.endpoint, (None, None))
         if heard_ms is None:
             heard_ms = self._first_seen_ms.setdefault(
                 found.said.endpoint, self._clock.mono_ms()
@@ -201,7 +206,7 @@
         """Return the engines of this region that take work."""
         services = self._replica.current.routes.services
         engines = []
-        for found in self._attended.registry.held.values():
+        for found in self._discovery.registry.held.values():
             said = found.said
             service = services.get(said.service)
             if service is None or service.batch is None:
@@ -213,7 +218,7 @@
             engines.append(found)
         return engines
 
-    async def _ask(
+    async def _poll_engine(
         self, found: registry.Registered
     ) -> loads.EngineLoad | None:
         said = found.said
@@ -245,28 +250,28 @@
                 'no_report', endpoint=said.endpoint, cause=repr(error)
             )
             return None
-        self._heard(said.address, asked_ms)
+        self._on_answer(said.address, asked_ms)
         return load
 
-    def _hear(self, message: attending.TellRegion) -> None:
+    def _merge_broadcast(self, message: attending.TellRegion) -> None:
         now_ms = self._clock.mono_ms()
         for status in message.regions:
-            self._views.note(status)
+            self._views.record_status(status)
         for load in message.loads:
-            self._held[load.endpoint] = (load, now_ms)
-            found = self._attended.registry.held.get(load.endpoint)
+            self._loads[load.endpoint] = (load, now_ms)
+            found = self._discovery.registry.held.get(load.endpoint)
             if found is not None:
                 asked_ms = now_ms - REPORT_TIMEOUT_MS
-                self._heard(found.said.address, asked_ms)
-        self._forget()
+                self._on_answer(found.said.address, asked_ms)
+        self._evict_unregistered()
 
-    def forget(self, endpoint: ids.EndpointId) -> None:
+    def evict(self, endpoint: ids.EndpointId) -> None:
         """Forget an engine's load, as it began anew."""
-        self._held.pop(endpoint, None)
+        self._loads.pop(endpoint, None)
         self._first_seen_ms.pop(endpoint, None)
 
-    def _forget(self) -> None:
-        for known in (self._held, self._first_seen_ms):
+    def _evict_unregistered(self) -> None:
+        for known in (self._loads, self._first_seen_ms):
             for endpoint in list(known):
-                if endpoint not in self._attended.registry.held:
+                if endpoint not in self._discovery.registry.held:
                     del known[endpoint]
--- a/wrenspoke/coordination/membership/leaving.py
+++ b/wrenspoke/coordination/membership/host_list_poller.py
@@ -18,7 +18,7 @@
 logger = structlog.get_logger(__name__)
 
 LIST_LIMIT_BYTES = 16 * 1024 * 1024
-INTERVAL_MS = 1_000
+LIST_INTERVAL_MS = 1_000
 LEAVING = 'leaving'
 
 
@@ -35,7 +35,7 @@
     hosts: list[ListedHost]
 
 
-class LeavingWatcher:
+class HostListPoller:
     """Take endpoints that the platform lists as leaving out of use."""
 
     def __init__(
@@ -43,15 +43,15 @@
         url: str | None,
         host: str,
         client: web.HttpClient,
-        watched: members.Members,
-        held: replica.Replica,
+        host_members: members.Members,
+        config_replica: replica.Replica,
         clock: clocks.Clock,
     ):
         self._url = url
         self._host = host
         self._client = client
-        self._members = watched
-        self._replica = held
+        self._members = host_members
+        self._replica = config_replica
         self._clock = clock
         self._tasks = runtime.Tasks()
 
@@ -66,16 +66,16 @@
 
     async def _run(self) -> None:
         while True:
-            await self._clock.sleep_ms(INTERVAL_MS)
-            if self._host not in self._members.relays():
+            await self._clock.sleep_ms(LIST_INTERVAL_MS)
+            if self._host not in self._members.relay_hosts():
                 continue
-            listed = await self._read()
-            if self._mark(listed):
-                await self._members.tell_now()
+            listed = await self._fetch_hosts()
+            if self._mark_leaving(listed):
+                await self._members.broadcast_beat()
 
-    async def _read(self) -> list[ListedHost]:
+    async def _fetch_hosts(self) -> list[ListedHost]:
         try:
-            async with clocks.timeout_ms(INTERVAL_MS):
+            async with clocks.timeout_ms(LIST_INTERVAL_MS):
                 async with self._client.send('GET', self._url, {}) as found:
                     body = await web.read_whole(found, LIST_LIMIT_BYTES)
             return msgspec.json.decode(body, type=HostList).hosts
@@ -87,9 +87,9 @@
             logger.info('platform_unknown', error=repr(error))
             return []
 
-    def _mark(self, listed: list[ListedHost]) -> bool:
+    def _mark_leaving(self, listed: list[ListedHost]) -> bool:
         current = self._replica.current
-        news = False
+        changed = False
         for host in listed:
             if host.state != LEAVING:
                 continue
@@ -97,8 +97,8 @@
                 if endpoint in self._replica.leaving:
                     continue
                 self._replica.leaving.add(endpoint)
-                news = True
+                changed = True
                 logger.warning(
                     'endpoint_leaving', endpoint=endpoint, source='platform'
                 )
-        return news
+        return changed
--- a/wrenspoke/coordination/membership/reach.py
+++ b/wrenspoke/coordination/membership/host_pinger.py
@@ -24,13 +24,13 @@
 
 # A host that was passed a call is likely to be passed another this soon;
 # what is known of it later comes from those that ask for all.
-USED_FOR_MS = 3_000
+PING_IDLE_MS = 3_000
 PINGS_TO_SUSPICION = 3
 # A route that has become longer is believed after some ten pings.
-TRAVEL_WEIGHT = 0.1
+RTT_WEIGHT = 0.1
 
 
-class ReachLimits(typing.Protocol):
+class PingSettings(typing.Protocol):
     """Be what of an entry host's settings is needed here."""
 
     @property
@@ -39,73 +39,74 @@
 
 
 @dataclasses.dataclass
-class Remote:
+class RemoteState:
     """Hold what is known of a host elsewhere, on this host's clock.
 
     ``said`` is its last answer, ``travel_ms`` what a round trip takes.
     """
 
-    used_ms: int
-    said: messages.Pong | None = None
-    travel_ms: float | None = None
+    last_used_ms: int
+    pong: messages.Pong | None = None
+    rtt_ms: float | None = None
     answered_ms: int | None = None
     failed_ms: int | None = None
-    pinger: asyncio.Task | None = None
+    ping_task: asyncio.Task | None = None
     watchers: set[collections.abc.Callable[[], None]] = dataclasses.field(
         default_factory=set
     )
 
 
-class Reach:
+class HostPinger:
     """Ping the hosts that requests are passed to."""
 
     def __init__(
         self,
-        limits: ReachLimits,
+        ping_settings: PingSettings,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
-        standing: collections.abc.Callable[[messages.Ping], messages.Pong],
+        local_status: collections.abc.Callable[[messages.Ping], messages.Pong],
     ):
-        self._suspect_ms = limits.suspect_after_ms
-        self._interval_ms = limits.suspect_after_ms / PINGS_TO_SUSPICION
+        self._suspect_ms = ping_settings.suspect_after_ms
+        self._interval_ms = ping_settings.suspect_after_ms / PINGS_TO_SUSPICION
         self._peers = peers
         self._clock = clock
-        self._standing = standing
-        self._cut_off = _none_cut_off
-        self._heard = _nothing_to_tell
-        self._remotes: dict[ids.HostId, Remote] = {}
+        self._local_status = local_status
+        self._unreachable_regions = _no_regions
+        self._on_answer = _ignore_answer
+        self._remotes: dict[ids.HostId, RemoteState] = {}
         self._tasks = runtime.Tasks()
-        peers.answers(messages.Ping)(self._answer)
+        peers.answers(messages.Ping)(self._handle_ping)
 
     async def close(self) -> None:
         """End every task."""
         await self._tasks.close()
 
-    def tell_cut_off(
-        self, cut_off: collections.abc.Callable[[], list[ids.RegionId]]
+    def set_unreachable_regions(
+        self,
+        unreachable_regions: collections.abc.Callable[[], list[ids.RegionId]],
     ) -> None:
         """Say with each ping which regions can't be reached from here."""
-        self._cut_off = cut_off
+        self._unreachable_regions = unreachable_regions
 
-    def tell_heard(
-        self, heard: collections.abc.Callable[[ids.HostId, int], None]
+    def set_answer_callback(
+        self, on_answer: collections.abc.Callable[[ids.HostId, int], None]
     ) -> None:
         """Tell of each host that answers a ping, and when it was asked."""
-        self._heard = heard
+        self._on_answer = on_answer
 
-    async def _answer(
+    async def _handle_ping(
         self, _sender: ids.HostId, message: messages.Ping
     ) -> messages.Pong:
-        return self._standing(message)
+        return self._local_status(message)
 
     async def reachable(
         self, hosts: collections.abc.Sequence[ids.HostId]
     ) -> list[ids.HostId]:
         """Return the hosts that answer, in their order."""
-        answers = await asyncio.gather(*(self._check(h) for h in hosts))
+        answers = await asyncio.gather(*(self._probe_host(h) for h in hosts))
         return [host for host, found in zip(hosts, answers) if found]
 
-    def answers(self, host: ids.HostId) -> bool | None:
+    def is_answering(self, host: ids.HostId) -> bool | None:
         """Tell whether a host answered lately, None if it is not known."""
         remote = self._remotes.get(host)
         if remote is None:
@@ -114,32 +115,34 @@
             return True
         return False if self._failed_lately(remote) else None
 
-    def remote(self, host: ids.HostId) -> Remote | None:
+    def state_of(self, host: ids.HostId) -> RemoteState | None:
         """Return what is known of a host, None if it was never asked."""
         return self._remotes.get(host)
 
-    async def _check(self, host: ids.HostId) -> bool:
+    async def _probe_host(self, host: ids.HostId) -> bool:
         now_ms = self._clock.mono_ms()
         remote = self._remotes.get(host)
         if remote is None:
-            remote = self._remotes[host] = Remote(now_ms)
-        remote.used_ms = now_ms
-        if remote.pinger is None:
-            remote.pinger = self._tasks.start(self._keep(host, remote))
+            remote = self._remotes[host] = RemoteState(now_ms)
+        remote.last_used_ms = now_ms
+        if remote.ping_task is None:
+            remote.ping_task = self._tasks.start(
+                self._ping_while_used(host, remote)
+            )
         if self._answered_lately(remote):
             return True
         if self._failed_lately(remote):
             return False
         return await self._ping(host, remote, self._interval_ms)
 
-    def _answered_lately(self, remote: Remote) -> bool:
+    def _answered_lately(self, remote: RemoteState) -> bool:
         if remote.answered_ms is None:
             return False
         failed_ms = remote.failed_ms or 0
         age_ms = self._clock.mono_ms() - remote.answered_ms
         return remote.answered_ms > failed_ms and age_ms < self._suspect_ms
 
-    def _failed_lately(self, remote: Remote) -> bool:
+    def _failed_lately(self, remote: RemoteState) -> bool:
         if remote.failed_ms is None:
             return False
         answered_ms = remote.answered_ms or 0
@@ -147,49 +150,51 @@
         return remote.failed_ms > answered_ms and age_ms < self._suspect_ms
 
     async def _ping(
-        self, host: ids.HostId, remote: Remote, timeout_ms: float
+        self, host: ids.HostId, remote: RemoteState, timeout_ms: float
     ) -> bool:
         asked_ms = self._clock.mono_ms()
         try:
             answer = await self._peers.call(
-                host, messages.Ping(self._cut_off()), timeout_ms
+                host, messages.Ping(self._unreachable_regions()), timeout_ms
             )
         except protocol_errors.ProtocolError:
             answer = None
         usable = isinstance(answer, messages.Pong) and not answer.draining
         if usable:
             remote.answered_ms = self._clock.mono_ms()
-            remote.said = answer
-            self._heard(host, asked_ms)
-            self._note_travel(remote, remote.answered_ms - asked_ms)
+            remote.pong = answer
+            self._on_answer(host, asked_ms)
+            self._update_rtt(remote, remote.answered_ms - asked_ms)
             return True
         remote.failed_ms = self._clock.mono_ms()
         return False
 
-    def _note_travel(self, remote: Remote, took_ms: int) -> None:
+    def _update_rtt(self, remote: RemoteState, took_ms: int) -> None:
         """Learn the round trip; a longer one than usual was a wait."""
-        known_ms = remote.travel_ms
+        known_ms = remote.rtt_ms
         if known_ms is None or took_ms < known_ms:
-            remote.travel_ms = took_ms
+            remote.rtt_ms = took_ms
             return
-        remote.travel_ms = known_ms + TRAVEL_WEIGHT * (took_ms - known_ms)
+        remote.rtt_ms = known_ms + RTT_WEIGHT * (took_ms - known_ms)
 
-    async def _keep(self, host: ids.HostId, remote: Remote) -> None:
+    async def _ping_while_used(
+        self, host: ids.HostId, remote: RemoteState
+    ) -> None:
         """Ping a host for as long as it is used.
 
         The first ping may wait for a link to be made, and a silence from
         before is none: nobody asked then.
         """
-        heard_ms = self._clock.mono_ms()
+        last_answer_ms = self._clock.mono_ms()
         timeout_ms = self._suspect_ms
         while self._is_used(remote):
             await self._clock.sleep_ms(self._interval_ms)
             answered = await self._ping(host, remote, timeout_ms)
             timeout_ms = self._interval_ms
             if answered:
-                heard_ms = self._clock.mono_ms()
+                last_answer_ms = self._clock.mono_ms()
                 continue
-            silence_ms = self._clock.mono_ms() - heard_ms
+            silence_ms = self._clock.mono_ms() - last_answer_ms
             if silence_ms < self._suspect_ms or not remote.watchers:
                 continue
             logger.warning(
@@ -197,33 +202,37 @@
             )
             for lost in list(remote.watchers):
                 lost()
-        remote.pinger = None
+        remote.ping_task = None
         # An open link costs heartbeats between regions all the time.
         self._peers.links.forget(host)
 
-    def _is_used(self, remote: Remote) -> bool:
-        age_ms = self._clock.mono_ms() - remote.used_ms
-        return bool(remote.watchers) or age_ms < USED_FOR_MS
+    def _is_used(self, remote: RemoteState) -> bool:
+        age_ms = self._clock.mono_ms() - remote.last_used_ms
+        return bool(remote.watchers) or age_ms < PING_IDLE_MS
 
     @contextlib.contextmanager
-    def watching(
+    def watch_host(
         self, host: ids.HostId, lost: collections.abc.Callable[[], None]
     ) -> collections.abc.Iterator[None]:
         """Call ``lost`` if a host falls silent within the block."""
-        remote = self._remotes.setdefault(host, Remote(self._clock.mono_ms()))
-        if remote.pinger is None:
-            remote.pinger = self._tasks.start(self._keep(host, remote))
+        remote = self._remotes.setdefault(
+            host, RemoteState(self._clock.mono_ms())
+        )
+        if remote.ping_task is None:
+            remote.ping_task = self._tasks.start(
+                self._ping_while_used(host, remote)
+            )
         remote.watchers.add(lost)
         try:
             yield
         finally:
             remote.watchers.discard(lost)
-            remote.used_ms = self._clock.mono_ms()
+            remote.last_used_ms = self._clock.mono_ms()
 
 
-def _none_cut_off() -> list[ids.RegionId]:
+def _no_regions() -> list[ids.RegionId]:
     return []
 
 
-def _nothing_to_tell(_host: ids.HostId, _asked_ms: int) -> None:
+def _ignore_answer(_host: ids.HostId, _asked_ms: int) -> None:
     return
--- a/wrenspoke/coordination/membership/polls.py
+++ b/wrenspoke/coordination/membership/load_poller.py
@@ -33,9 +33,9 @@
         region: ids.RegionId,
         data_centre: ids.DataCentreId,
         dispatcher: dispatch.Dispatcher,
-        watched: members.Members,
-        held: replica.Replica,
-        load_table: loads.Loads,
+        host_members: members.Members,
+        config_replica: replica.Replica,
+        load_table: loads.LoadTable,
         limit_table: limits.Limits,
         clock: clocks.Clock,
     ):
@@ -43,8 +43,8 @@
         self._region = region
         self._data_centre = data_centre
         self._dispatcher = dispatcher
-        self._members = watched
-        self._replica = held
+        self._members = host_members
+        self._replica = config_replica
         self._loads = load_table
         self._limits = limit_table
         self._clock = clock
@@ -68,7 +68,7 @@
                 for endpoint in current.endpoints.values()
                 if self._is_due(endpoint, current)
             ]
-            await asyncio.gather(*(self._poll(name) for name in due))
+            await asyncio.gather(*(self._poll_load(name) for name in due))
 
     def _is_due(
         self,
@@ -80,10 +80,10 @@
             service.kind is configuration.ServiceKind.ENGINE
             and endpoint.region == self._region
             and endpoint.data_centre == self._data_centre
-            and self._members.polls(endpoint.endpoint)
+            and self._members.polls_endpoint(endpoint.endpoint)
         )
 
-    async def _poll(self, endpoint: ids.EndpointId) -> None:
+    async def _poll_load(self, endpoint: ids.EndpointId) -> None:
         send = dispatch.Send(dispatch.Purpose.LOAD, endpoint, 'GET', '/load')
         try:
             async with clocks.timeout_ms(self._interval_ms):
@@ -97,7 +97,7 @@
         ) as error:
             logger.info('load_unknown', endpoint=endpoint, error=repr(error))
             return
-        self._loads.report(
+        self._loads.add_report(
             messages.LoadReport(
                 endpoint, found.running, found.waiting, found.age_ms
             )
--- a/wrenspoke/coordination/membership/loads.py
+++ b/wrenspoke/coordination/membership/loads.py
@@ -9,12 +9,12 @@
 from wrenspoke import ids
 from wrenspoke.protocol import messages
 
-SMOOTHING = 0.2
+EWMA_WEIGHT = 0.2
 STALE_MS = 10_000
-DOWN_FOR_MS = 1_000
-FORGET_MS = 15_000
-FIRST_GUESS_MS = 200.0
-HOLD_GUESS_MS = 1_000.0
+DOWN_TTL_MS = 1_000
+LATENCY_TTL_MS = 15_000
+DEFAULT_FIRST_TOKEN_MS = 200.0
+DEFAULT_OCCUPANCY_MS = 1_000.0
 
 
 class EngineLoad(msgspec.Struct):
@@ -26,56 +26,64 @@
 
 
 @dataclasses.dataclass
-class Speed:
+class LatencyEstimate:
     """Hold smoothed times of one endpoint as seen from this host."""
 
-    first_ms: float = FIRST_GUESS_MS
-    hold_ms: float = HOLD_GUESS_MS
+    first_token_ms: float = DEFAULT_FIRST_TOKEN_MS
+    occupancy_ms: float = DEFAULT_OCCUPANCY_MS
     seen_ms: int | None = None
 
 
 @dataclasses.dataclass
-class Reported:
+class TimedReport:
     """Hold a load report and when it was true, on this host's clock."""
 
     running: int
     waiting: int
-    true_at_ms: int
+    sampled_ms: int
 
 
-def _ignore(_endpoint: str, _first_ms: float) -> None:
+def _discard_sample(_endpoint: str, _first_ms: float) -> None:
     """Be where times go until somebody collects them."""
 
 
-class Loads:
+class LoadTable:
     """Collect load reports and measured times by endpoint."""
 
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
-        self._speeds: dict[ids.EndpointId, Speed] = {}
-        self.on_first: collections.abc.Callable[[str, float], None] = _ignore
-        self._reports: dict[ids.EndpointId, Reported] = {}
+        self._latencies: dict[ids.EndpointId, LatencyEstimate] = {}
+        self.on_first_token: collections.abc.Callable[[str, float], None] = (
+            _discard_sample
+        )
+        self._reports: dict[ids.EndpointId, TimedReport] = {}
         self._down_ms: dict[ids.EndpointId, int] = {}
 
-    def observe_first(self, endpoint: ids.EndpointId, first_ms: float) -> None:
+    def observe_first_token(
+        self, endpoint: ids.EndpointId, first_ms: float
+    ) -> None:
         """Note the time to a first token or whole answer."""
-        speed = self._speeds.setdefault(endpoint, Speed())
+        speed = self._latencies.setdefault(endpoint, LatencyEstimate())
         if speed.seen_ms is None:
-            speed.first_ms = first_ms
-        self.on_first(endpoint, first_ms)
-        speed.first_ms += SMOOTHING * (first_ms - speed.first_ms)
+            speed.first_token_ms = first_ms
+        self.on_first_token(endpoint, first_ms)
+        speed.first_token_ms += EWMA_WEIGHT * (first_ms - speed.first_token_ms)
         speed.seen_ms = self._clock.mono_ms()
 
-    def observe_hold(self, endpoint: ids.EndpointId, hold_ms: float) -> None:
+    def observe_occupancy(
+        self, endpoint: ids.EndpointId, hold_ms: float
+    ) -> None:
         """Note how long a request held its place at an endpoint."""
-        speed = self._speeds.setdefault(endpoint, Speed(hold_ms=hold_ms))
-        speed.hold_ms += SMOOTHING * (hold_ms - speed.hold_ms)
+        speed = self._latencies.setdefault(
+            endpoint, LatencyEstimate(occupancy_ms=hold_ms)
+        )
+        speed.occupancy_ms += EWMA_WEIGHT * (hold_ms - speed.occupancy_ms)
 
-    def failed(self, endpoint: ids.EndpointId) -> None:
+    def record_connect_failure(self, endpoint: ids.EndpointId) -> None:
         """Note that no connection to an endpoint could be made."""
         self._down_ms[endpoint] = self._clock.mono_ms()
 
-    def answered(self, endpoint: ids.EndpointId) -> None:
+    def record_answer(self, endpoint: ids.EndpointId) -> None:
         """Note that an endpoint gave an answer."""
         self._down_ms.pop(endpoint, None)
 
@@ -87,68 +95,71 @@
         down_ms = self._down_ms.get(endpoint)
         if down_ms is None:
             return False
-        return self._clock.mono_ms() - down_ms < DOWN_FOR_MS
+        return self._clock.mono_ms() - down_ms < DOWN_TTL_MS
 
-    def speed(self, endpoint: ids.EndpointId) -> Speed:
+    def latency(self, endpoint: ids.EndpointId) -> LatencyEstimate:
         """Return an endpoint's times; an old one is believed less.
 
         What was measured long ago fades towards the first guess, so that
         an endpoint that was slow is tried again.
         """
-        speed = self._speeds.get(endpoint)
+        speed = self._latencies.get(endpoint)
         if speed is None or speed.seen_ms is None:
-            return Speed() if speed is None else speed
+            return LatencyEstimate() if speed is None else speed
         age_ms = self._clock.mono_ms() - speed.seen_ms
-        if age_ms <= FORGET_MS:
+        if age_ms <= LATENCY_TTL_MS:
             return speed
-        weight = FORGET_MS / age_ms
-        first_ms = weight * speed.first_ms + (1 - weight) * FIRST_GUESS_MS
-        return Speed(first_ms, speed.hold_ms, speed.seen_ms)
+        weight = LATENCY_TTL_MS / age_ms
+        first_ms = (
+            weight * speed.first_token_ms
+            + (1 - weight) * DEFAULT_FIRST_TOKEN_MS
+        )
+        return LatencyEstimate(first_ms, speed.occupancy_ms, speed.seen_ms)
 
-    def report(self, report: messages.LoadReport) -> None:
+    def add_report(self, report: messages.LoadReport) -> None:
         """Keep a report unless a newer one is here."""
         true_at_ms = self._clock.mono_ms() - report.age_ms
-        self.answered(report.endpoint)
+        self.record_answer(report.endpoint)
         known = self._reports.get(report.endpoint)
-        if known is not None and known.true_at_ms >= true_at_ms:
+        if known is not None and known.sampled_ms >= true_at_ms:
             return
-        self._reports[report.endpoint] = Reported(
+        self._reports[report.endpoint] = TimedReport(
             report.running, report.waiting, true_at_ms
         )
 
-    def reported(self, endpoint: ids.EndpointId) -> Reported | None:
+    def latest_report(self, endpoint: ids.EndpointId) -> TimedReport | None:
         """Return the newest report that is not stale."""
         report = self._reports.get(endpoint)
         if report is None:
             return None
-        if self._clock.mono_ms() - report.true_at_ms > STALE_MS:
+        if self._clock.mono_ms() - report.sampled_ms > STALE_MS:
             return None
         return report
 
-    def crowded(self, endpoint: ids.EndpointId) -> bool:
+    def has_queue(self, endpoint: ids.EndpointId) -> bool:
         """Tell whether an endpoint last reported work that waits."""
-        report = self.reported(endpoint)
+        report = self.latest_report(endpoint)
         return report is not None and report.waiting > 0
 
-    def first_patience_ms(
+    def first_event_timeout_ms(
         self, endpoint: ids.EndpointId, stall_ms: float
     ) -> float:
         """Return how long a first event may take before it is late.
 
         An engine that has work waiting is slow to begin, not broken.
         """
-        report = self.reported(endpoint)
+        report = self.latest_report(endpoint)
         waiting = 0 if report is None else report.waiting
-        return stall_ms + (waiting + 1) * self.speed(endpoint).hold_ms
+        return stall_ms + (waiting + 1) * self.latency(endpoint).occupancy_ms
 
-    def digest(
+    def fresh_reports(
         self, endpoints: list[ids.EndpointId]
     ) -> list[messages.LoadReport]:
         """Return the reports on some endpoints for the peers."""
         now_ms = self._clock.mono_ms()
         reports = []
         for endpoint in endpoints:
-            report = self.reported(endpoint)
+            report = self.latest_report(endpoint)
             if report is None:
                 continue
             reports.append(
@@ -156,7 +167,7 @@
                     endpoint,
                     report.running,
                     report.waiting,
-                    now_ms - report.true_at_ms,
+                    now_ms - report.sampled_ms,
                 )
             )
         return reports
--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -24,14 +24,14 @@
 
 
 @dataclasses.dataclass
-class Seen:
+class PeerState:
     """Hold what was last heard of a host."""
 
-    heard_ms: int
+    last_beat_ms: int
     draining: bool = False
     index: int = 0
     busy: list[messages.Busy] = dataclasses.field(default_factory=list)
-    patience_ms: int = 0
+    suspicion_timeout_ms: int = 0
     suspected: bool = False
 
 
@@ -48,8 +48,8 @@
         deployment: settings.Deployment,
         host: settings.HostSettings,
         peers: peer_calls.Peers,
-        held: replica.Replica,
-        load_table: loads.Loads,
+        config_replica: replica.Replica,
+        load_table: loads.LoadTable,
         limit_table: limits.Limits,
         clock: clocks.Clock,
     ):
@@ -57,61 +57,61 @@
         self._deployment = deployment
         self._host = host
         self._peers = peers
-        self._replica = held
+        self._replica = config_replica
         self._loads = load_table
         self._limits = limit_table
         self._clock = clock
         self._entries = {
             entry.host: entry for entry in deployment.with_role('entry')
         }
-        self._near = [
+        self._local_peers = [
             entry.host
             for entry in self._entries.values()
             if entry.data_centre == host.data_centre
             and entry.host != host.host
         ]
-        self._seen: dict[ids.HostId, Seen] = {}
+        self._peer_states: dict[ids.HostId, PeerState] = {}
         self._failed_ms: dict[ids.HostId, int] = {}
         self._tasks = runtime.Tasks()
         self._started_ms = clock.mono_ms()
         self._ticked_ms = clock.mono_ms()
         self._interval_ms = self._settings.beat_interval_ms
         self.draining = False
-        self.news = asyncio.Event()
-        peers.answers(messages.Beat)(self._hear)
+        self.update_available = asyncio.Event()
+        peers.answers(messages.Beat)(self._handle_beat)
 
     def start(self) -> None:
         """Begin to beat and to watch."""
-        self._tasks.start(self._beat())
-        self._tasks.start(self._watch())
+        self._tasks.start(self._beat_loop())
+        self._tasks.start(self._suspicion_loop())
 
     async def close(self) -> None:
         """End the tasks."""
         await self._tasks.close()
 
     @property
-    def near(self) -> list[ids.HostId]:
+    def local_peers(self) -> list[ids.HostId]:
         """Return the other entry hosts of this data centre."""
-        return list(self._near)
+        return list(self._local_peers)
 
-    def alive(self, host: ids.HostId) -> bool:
+    def is_alive(self, host: ids.HostId) -> bool:
         """Tell whether a peer of this data centre has been heard of."""
         if host == self._host.host:
             return True
-        seen = self._seen.get(host)
+        seen = self._peer_states.get(host)
         return seen is not None and not seen.suspected
 
-    def index_of(self, host: ids.HostId) -> int:
+    def config_index_of(self, host: ids.HostId) -> int:
         """Return the configuration index that a peer last told."""
-        seen = self._seen.get(host)
+        seen = self._peer_states.get(host)
         return 0 if seen is None else seen.index
 
     def usable(self, host: ids.HostId) -> bool:
         """Tell whether callers and other hosts should use a host."""
         if host == self._host.host:
             return not self.draining
-        if host in self._near:
-            seen = self._seen.get(host)
+        if host in self._local_peers:
+            seen = self._peer_states.get(host)
             return (
                 seen is not None and not seen.suspected and not seen.draining
             )
@@ -121,25 +121,25 @@
         age_ms = self._clock.mono_ms() - failed_ms
         return age_ms > self._settings.suspect_after_ms
 
-    def failed(self, host: ids.HostId) -> None:
+    def record_request_failure(self, host: ids.HostId) -> None:
         """Note that a request sent to a host elsewhere failed."""
         self._failed_ms[host] = self._clock.mono_ms()
         logger.info('host_suspected', peer=host, cause='request_failed')
 
-    def relays(self) -> list[ids.HostId]:
+    def relay_hosts(self) -> list[ids.HostId]:
         """Return who fetches the configuration for this data centre."""
-        live = [host for host in self._near if self.alive(host)]
+        live = [host for host in self._local_peers if self.is_alive(host)]
         live.append(ids.HostId(self._host.host))
         ranked = routing.rendezvous(self._host.data_centre, live)
         return [ids.HostId(name) for name in ranked[:RELAY_COUNT]]
 
-    def polls(self, endpoint: ids.EndpointId) -> bool:
+    def polls_endpoint(self, endpoint: ids.EndpointId) -> bool:
         """Tell whether this host is the one that polls an endpoint."""
-        live = [host for host in self._near if self.alive(host)]
+        live = [host for host in self._local_peers if self.is_alive(host)]
         live.append(ids.HostId(self._host.host))
         return routing.rendezvous(endpoint, live)[0] == self._host.host
 
-    def entries_of(self, region: ids.RegionId) -> list[ids.HostId]:
+    def entry_hosts_in(self, region: ids.RegionId) -> list[ids.HostId]:
         """Return a region's entry hosts, usable ones first."""
         hosts = [
             entry.host
@@ -149,7 +149,9 @@
         start = routing.rendezvous(self._host.host, hosts)
         return sorted(start, key=lambda host: not self.usable(host))
 
-    def directory(self, region: str | None) -> list[settings.HostSettings]:
+    def usable_by_distance(
+        self, region: str | None
+    ) -> list[settings.HostSettings]:
         """Return usable entry hosts, those nearest to a region first."""
         wanted = region or self._host.region
         usable = [
@@ -165,24 +167,24 @@
             ),
         )
 
-    async def tell_now(self) -> None:
+    async def broadcast_beat(self) -> None:
         """Beat at once, so that the peers learn of a change."""
         index = self._replica.current.index
         own = [
             endpoint
             for endpoint in self._replica.current.endpoints
-            if self.polls(endpoint)
+            if self.polls_endpoint(endpoint)
         ]
         beat = messages.Beat(
             draining=self.draining,
             index=index,
             interval_ms=self._interval_ms,
-            loads=self._loads.digest(own),
+            loads=self._loads.fresh_reports(own),
             leaving=sorted(self._replica.leaving),
-            busy=self._busy_here(),
+            busy=self._draining_in_flight(),
         )
         sent_bytes = 0
-        for host in self._near:
+        for host in self._local_peers:
             sent_bytes += await self._peers.tell(host, beat)
         # What is sent is about what is received.
         budget = self._settings.beat_budget_bytes_per_s
@@ -191,48 +193,50 @@
             2 * sent_bytes * MS_PER_S // budget,
         )
 
-    async def _beat(self) -> None:
+    async def _beat_loop(self) -> None:
         while True:
-            self._note_awake()
-            await self.tell_now()
+            self._detect_pause()
+            await self.broadcast_beat()
             await self._clock.sleep_ms(self._interval_ms)
 
     @property
-    def awake(self) -> bool:
+    def recently_ran(self) -> bool:
         """Tell whether this process has been running of late.
 
         One that was stopped for long may hold what the others have left
         behind since, and must look before it sends anything.
         """
         age_ms = self._clock.mono_ms() - self._ticked_ms
-        return age_ms <= self._patience_ms(self._interval_ms)
+        return age_ms <= self._suspicion_timeout_ms(self._interval_ms)
 
-    def _note_awake(self) -> None:
-        if not self.awake:
+    def _detect_pause(self) -> None:
+        if not self.recently_ran:
             logger.warning('was_stopped', cause='no_processor_time')
-            self._replica.doubt()
-            self._seen.clear()
+            self._replica.suspend_serving()
+            self._peer_states.clear()
             self._started_ms = self._clock.mono_ms()
         self._ticked_ms = self._clock.mono_ms()
 
-    async def _hear(self, sender: ids.HostId, beat: messages.Beat) -> None:
-        known = self._seen.get(sender)
+    async def _handle_beat(
+        self, sender: ids.HostId, beat: messages.Beat
+    ) -> None:
+        known = self._peer_states.get(sender)
         if known is None or known.suspected:
             logger.info('host_alive', peer=sender)
-        self._seen[sender] = Seen(
+        self._peer_states[sender] = PeerState(
             self._clock.mono_ms(),
             beat.draining,
             beat.index,
             beat.busy,
-            self._patience_ms(beat.interval_ms),
+            self._suspicion_timeout_ms(beat.interval_ms),
         )
         if beat.index > self._replica.current.index:
-            self.news.set()
+            self.update_available.set()
         for report in beat.loads:
-            self._loads.report(report)
+            self._loads.add_report(report)
         self._replica.leaving.update(beat.leaving)
 
-    def _patience_ms(self, interval_ms: int) -> int:
+    def _suspicion_timeout_ms(self, interval_ms: int) -> int:
         """Return the silence after which a peer is suspected."""
         least_ms = self._settings.suspect_after_ms
         return max(
@@ -240,14 +244,14 @@
             least_ms * interval_ms // self._settings.beat_interval_ms,
         )
 
-    async def _watch(self) -> None:
+    async def _suspicion_loop(self) -> None:
         while True:
             await self._clock.sleep_ms(self._settings.beat_interval_ms / 2)
-            for host, seen in self._seen.items():
-                silence_ms = self._clock.mono_ms() - seen.heard_ms
+            for host, seen in self._peer_states.items():
+                silence_ms = self._clock.mono_ms() - seen.last_beat_ms
                 if seen.suspected:
                     continue
-                if silence_ms <= seen.patience_ms:
+                if silence_ms <= seen.suspicion_timeout_ms:
                     continue
                 seen.suspected = True
                 logger.warning(
@@ -257,7 +261,7 @@
                     silence_ms=silence_ms,
                 )
 
-    def _busy_here(self) -> list[messages.Busy]:
+    def _draining_in_flight(self) -> list[messages.Busy]:
         """Return what is in flight to endpoints that are to finish."""
         return [
             messages.Busy(endpoint.endpoint, in_flight)
@@ -266,14 +270,21 @@
             and (in_flight := self._limits.in_flight(endpoint.endpoint))
         ]
 
-    def standing(self) -> messages.Standing:
+    def data_centre_status(self) -> messages.Standing:
         """Return how far this data centre's hosts have come."""
         low_index = self._replica.current.index
         counts: dict[ids.EndpointId, int] = {}
-        seen = [self._seen[host] for host in self._near if self.alive(host)]
+        seen = [
+            self._peer_states[host]
+            for host in self._local_peers
+            if self.is_alive(host)
+        ]
         for peer in seen:
             low_index = min(low_index, peer.index)
-        busy_lists = [self._busy_here(), *(peer.busy for peer in seen)]
+        busy_lists = [
+            self._draining_in_flight(),
+            *(peer.busy for peer in seen),
+        ]
         for busy in itertools.chain.from_iterable(busy_lists):
             count = counts.get(busy.endpoint, 0) + busy.in_flight
             counts[busy.endpoint] = count
@@ -284,9 +295,9 @@
             [messages.Busy(name, count) for name, count in counts.items()],
         )
 
-    def waited_for_peers(self) -> bool:
+    def peers_settled(self) -> bool:
         """Tell whether every near peer was heard of or given up on."""
         waited_ms = self._clock.mono_ms() - self._started_ms
         if waited_ms > self._settings.suspect_after_ms:
             return True
-        return all(host in self._seen for host in self._near)
+        return all(host in self._peer_states for host in self._local_peers)
--- a/wrenspoke/coordination/membership/askers.py
+++ b/wrenspoke/coordination/membership/region_pollers.py
@@ -18,56 +18,56 @@
 
 # An asking host spends about 2% of a core on so many, at the default
 # interval and 0.5 ms a call.
-ENGINES_A_HOST = 16
+ENGINES_PER_POLLER = 16
 # Two, so that one that is lost leaves another that is asking already.
-LEAST_ASKING_HOSTS = 2
+MIN_POLLERS = 2
 Listener = collections.abc.Callable[[attending.TellRegion], None]
 
 
-class KnownHost(typing.Protocol):
+class RosterHost(typing.Protocol):
     """A host that can be sent messages."""
 
     host: ids.HostId
     data_centre: ids.DataCentreId
 
 
-class KnownHosts(typing.Protocol):
+class RosterView(typing.Protocol):
     """Know the entry hosts of regions; ``revision`` differs with them."""
 
     revision: collections.abc.Hashable
 
-    def usable(self, region: ids.RegionId) -> list[KnownHost]:
+    def usable(self, region: ids.RegionId) -> list[RosterHost]:
         """Return the hosts of a region that should be used."""
 
 
-class Askers:
+class RegionPollers:
     """Draw the asking hosts of a region, and tell what they heard."""
 
     def __init__(
         self,
         region: ids.RegionId,
         host: ids.HostId,
-        known: KnownHosts,
+        host_roster: RosterView,
         peers: peer_calls.Peers,
     ):
         self._region = region
         self._host = host
-        self._roster = known
+        self._roster = host_roster
         self._peers = peers
         # The order of the region's hosts for each key, as of a revision of
         # the roster.
-        self._orders: dict[str, list[str]] = {}
+        self._order_cache: dict[str, list[str]] = {}
         self._revision: collections.abc.Hashable = None
         self._listeners: list[Listener] = []
         # Of the region, as its hosts last counted them.
-        self.engines = 0
-        peers.answers(attending.TellRegion)(self._hear)
+        self.engine_count = 0
+        peers.answers(attending.TellRegion)(self._handle_broadcast)
 
-    def listen(self, listener: Listener) -> None:
+    def add_listener(self, listener: Listener) -> None:
         """Have everything told to ``listener`` that other hosts heard."""
         self._listeners.append(listener)
 
-    async def _hear(
+    async def _handle_broadcast(
         self, _sender: ids.HostId, message: attending.TellRegion
     ) -> None:
         for listener in self._listeners:
@@ -75,39 +75,41 @@
         if message.pass_on:
             await self.relay(message)
 
-    def hosts(self) -> list[str]:
+    def polling_hosts(self) -> list[str]:
         """Return the hosts that ask, in an order that all agree on."""
-        count = math.ceil(self.engines / ENGINES_A_HOST)
-        return self.order(self._region)[: max(count, LEAST_ASKING_HOSTS)]
+        count = math.ceil(self.engine_count / ENGINES_PER_POLLER)
+        return self.rendezvous_order(self._region)[: max(count, MIN_POLLERS)]
 
     @property
     def collectors_count(self) -> int:
         """Return how many hosts collect what all send to engines."""
-        return max(math.ceil(self.engines / ENGINES_A_HOST), 1)
+        return max(math.ceil(self.engine_count / ENGINES_PER_POLLER), 1)
 
     def collector(self, endpoint: ids.EndpointId) -> str:
         """Return the host that collects what is sent to an endpoint."""
-        collecting = self.order(self._region)[: self.collectors_count]
+        collecting = self.rendezvous_order(self._region)[
+            : self.collectors_count
+        ]
         if len(collecting) == 1:
             return collecting[0]
         return routing.rendezvous(endpoint, collecting)[0]
 
-    def asks(self) -> bool:
+    def is_poller(self) -> bool:
         """Tell whether this host is one of them."""
-        return self._host in self.hosts()
+        return self._host in self.polling_hosts()
 
-    def asks_of(self, endpoint: ids.EndpointId) -> bool:
+    def is_poller_of(self, endpoint: ids.EndpointId) -> bool:
         """Tell whether this host is one of those that ask an endpoint.
 
         Those of an endpoint that is asked once are drawn from all hosts.
         """
-        return self._host in self.order(endpoint)[:LEAST_ASKING_HOSTS]
+        return self._host in self.rendezvous_order(endpoint)[:MIN_POLLERS]
 
-    def is_first(self, endpoint: ids.EndpointId) -> bool:
+    def is_owner_of(self, endpoint: ids.EndpointId) -> bool:
         """Tell whether this host alone does what is done for an endpoint."""
-        return self.order(endpoint)[0] == self._host
+        return self.rendezvous_order(endpoint)[0] == self._host
 
-    def order(self, key: str) -> list[str]:
+    def rendezvous_order(self, key: str) -> list[str]:
         """Return the region's hosts, this one too, in a key's order.
 
         Every host of the region draws the same, if it knows the same
@@ -115,36 +117,38 @@
         """
         if self._revision != self._roster.revision:
             self._revision = self._roster.revision
-            self._orders.clear()
-        found = self._orders.get(key)
+            self._order_cache.clear()
+        found = self._order_cache.get(key)
         if found is None:
-            near = {record.host for record in self._usable()}
+            near = {record.host for record in self._usable_hosts()}
             found = routing.rendezvous(key, {*near, self._host})
-            self._orders[key] = found
+            self._order_cache[key] = found
         return found
 
-    def _usable(self) -> list[KnownHost]:
+    def _usable_hosts(self) -> list[RosterHost]:
         return self._roster.usable(self._region)
 
-    async def tell(self, message: attending.TellRegion) -> None:
+    async def broadcast(self, message: attending.TellRegion) -> None:
         """Tell the other hosts of the region, some of them by way of others.
 
         A host that can't be told leaves its share to the next of them.
         """
         others = sorted(
             (record.data_centre, record.host)
-            for record in self._usable()
+            for record in self._usable_hosts()
             if record.host != self._host
         )
-        for share in shares([host for _data_centre, host in others]):
-            await self._tell_share(message, share)
+        for relay_group in relay_groups(
+            [host for _data_centre, host in others]
+        ):
+            await self._send_to_group(message, relay_group)
 
-    async def _tell_share(
-        self, message: attending.TellRegion, share: list[ids.HostId]
+    async def _send_to_group(
+        self, message: attending.TellRegion, relay_group: list[ids.HostId]
     ) -> None:
-        for number, host in enumerate(share):
+        for number, host in enumerate(relay_group):
             sent = msgspec.structs.replace(
-                message, pass_on=share[number + 1 :]
+                message, pass_on=relay_group[number + 1 :]
             )
             if await self._peers.tell(host, sent):
                 return
@@ -156,7 +160,7 @@
             await self._peers.tell(host, sent)
 
 
-def shares(hosts: list[ids.HostId]) -> list[list[ids.HostId]]:
+def relay_groups(hosts: list[ids.HostId]) -> list[list[ids.HostId]]:
     """Split hosts into shares, as many as each share has hosts.
 
     Neighbours stay together: of hosts in the order of their data centres,
--- a/wrenspoke/coordination/membership/kept_registry.py
+++ b/wrenspoke/coordination/membership/registry_snapshot.py
@@ -21,25 +21,25 @@
 
 logger = structlog.get_logger(__name__)
 
-FILE = 'endpoints'
+SNAPSHOT_FILE = 'endpoints'
 # At most so often is a changed registry written.
-INTERVAL_MS = 1_000
+SNAPSHOT_INTERVAL_MS = 1_000
 # How long an endpoint that does not renew is believed after a start: two
 # renewals of 1.2 s, the second of them late.
-BELIEVED_MS = 3_000
+RESTORED_LEASE_MS = 3_000
 
 
-class KeptRegistry:
+class RegistrySnapshot:
     """Write a registry to a file of its own, and read it back."""
 
     def __init__(
         self,
         folder: pathlib.Path,
-        held: registry.Registry,
+        endpoint_registry: registry.Registry,
         clock: clocks.Clock,
     ):
         self._disk = disk.Disk(folder)
-        self._registry = held
+        self._registry = endpoint_registry
         self._clock = clock
         self._written_revision = 0
         self._tasks = runtime.Tasks()
@@ -55,27 +55,31 @@
 
     def _load(self) -> None:
         try:
-            found, _size = records.decode(FILE, self._disk.read(FILE) or b'')
+            found, _size = records.decode(
+                SNAPSHOT_FILE, self._disk.read(SNAPSHOT_FILE) or b''
+            )
             if not found:
                 return
-            kept = msgspec.msgpack.decode(
+            registrations = msgspec.msgpack.decode(
                 found[0].body, type=list[registry.Registration]
             )
         except (errors.StateError, msgspec.DecodeError) as error:
             # It only helps: endpoints renew.
             logger.warning('registry_not_read', reason=str(error))
             return
-        age_ms = registry.SILENT_AFTER_MS - BELIEVED_MS
-        for said in kept:
-            if said.warmup_left_ms > 0:
+        age_ms = registry.SILENT_AFTER_MS - RESTORED_LEASE_MS
+        for registration in registrations:
+            if registration.warmup_left_ms > 0:
                 # For how long it is still cold is known once it renews.
                 continue
-            self._registry.take(msgspec.structs.replace(said, age_ms=age_ms))
-        logger.info('registry_read', endpoints=len(kept))
+            self._registry.take(
+                msgspec.structs.replace(registration, age_ms=age_ms)
+            )
+        logger.info('registry_read', endpoints=len(registrations))
 
     async def _run(self) -> None:
         while True:
-            await self._clock.sleep_ms(INTERVAL_MS)
+            await self._clock.sleep_ms(SNAPSHOT_INTERVAL_MS)
             revision = self._registry.revision
             if revision == self._written_revision:
                 continue
@@ -83,7 +87,7 @@
             try:
                 # The disk may stall; answers go on meanwhile.
                 await asyncio.to_thread(
-                    self._disk.replace, FILE, records.encode(body)
+                    self._disk.replace, SNAPSHOT_FILE, records.encode(body)
                 )
                 self._written_revision = revision
             except errors.DiskFullError:
--- a/wrenspoke/coordination/membership/partners.py
+++ b/wrenspoke/coordination/membership/remote_hosts.py
@@ -10,10 +10,10 @@
 import structlog
 
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.membership import askers
-from wrenspoke.coordination.membership import reach
+from wrenspoke.coordination.membership import host_pinger
+from wrenspoke.coordination.membership import region_pollers
+from wrenspoke.coordination.membership import region_views
 from wrenspoke.coordination.membership import roster
-from wrenspoke.coordination.membership import views
 from wrenspoke.coordination.serving import routing
 from wrenspoke import ids
 from wrenspoke.protocol import attending
@@ -22,36 +22,36 @@
 logger = structlog.get_logger(__name__)
 
 # Two, so that one that stops leaves one that is known.
-PARTNERS_COUNT = 2
+TARGETS_PER_REGION = 2
 # As often as the roster can change.
-LOOK_INTERVAL_MS = 1_000
+REFRESH_INTERVAL_MS = 1_000
 
 
-class Partners:
+class RemoteHosts:
     """Keep the partners of this host, and rank hosts of a region."""
 
     def __init__(
         self,
         host: ids.HostId,
         region: ids.RegionId,
-        known: roster.Roster,
-        reached: reach.Reach,
-        asking: askers.Askers,
-        viewed: views.RegionViews,
+        host_roster: roster.Roster,
+        pinger: host_pinger.HostPinger,
+        pollers: region_pollers.RegionPollers,
+        region_statuses: region_views.RegionViews,
         clock: clocks.Clock,
     ):
         self._host = host
         self._region = region
-        self._roster = known
-        self._reach = reached
-        self._askers = asking
-        self._views = viewed
+        self._roster = host_roster
+        self._pinger = pinger
+        self._pollers = pollers
+        self._views = region_statuses
         self._clock = clock
         self._tasks = runtime.Tasks()
         # The order of each region's hosts, as of a revision of the roster.
-        self._ranked: dict[ids.RegionId, list[attending.HostRecord]] = {}
+        self._rank_cache: dict[ids.RegionId, list[attending.HostRecord]] = {}
         self._revision = -1
-        reached.tell_cut_off(self.cut_off)
+        pinger.set_unreachable_regions(self.unreachable_regions)
 
     def start(self) -> None:
         """Begin to ping the partners."""
@@ -63,17 +63,17 @@
 
     async def _run(self) -> None:
         while True:
-            await self._reach.reachable(self.to_ping())
-            await self._clock.sleep_ms(LOOK_INTERVAL_MS)
+            await self._pinger.reachable(self.ping_targets())
+            await self._clock.sleep_ms(REFRESH_INTERVAL_MS)
 
-    def to_ping(self) -> list[ids.HostId]:
+    def ping_targets(self) -> list[ids.HostId]:
         """Return the hosts elsewhere that this one pings, used or not."""
-        asks = self._askers.asks()
+        is_poller = self._pollers.is_poller()
         return [
             record.host
             for region in self._regions()
-            if asks or not self._views.known(region)
-            for record in self.ranked(region)[:PARTNERS_COUNT]
+            if is_poller or not self._views.has_view(region)
+            for record in self.ranked_hosts(region)[:TARGETS_PER_REGION]
         ]
 
     def _regions(self) -> list[ids.RegionId]:
@@ -84,40 +84,46 @@
 
     def statuses(self) -> list[attending.RegionStatus]:
         """Return what this host's own partners said of late."""
-        statuses = [self._status(region) for region in self._regions()]
+        statuses = [self._region_status(region) for region in self._regions()]
         return [status for status in statuses if status is not None]
 
-    def _status(self, region: ids.RegionId) -> attending.RegionStatus | None:
-        partners = self.ranked(region)[:PARTNERS_COUNT]
-        for record in partners:
-            remote = self._reach.remote(record.host)
-            if remote is None or not self._reach.answers(record.host):
+    def _region_status(
+        self, region: ids.RegionId
+    ) -> attending.RegionStatus | None:
+        targets = self.ranked_hosts(region)[:TARGETS_PER_REGION]
+        for record in targets:
+            remote = self._pinger.state_of(record.host)
+            if remote is None or not self._pinger.is_answering(record.host):
                 continue
             age_ms = self._clock.mono_ms() - remote.answered_ms
             return attending.RegionStatus(
-                region, remote.said, remote.travel_ms or 0.0, age_ms
+                region, remote.pong, remote.rtt_ms or 0.0, age_ms
             )
-        if partners and self._is_silent(region):
+        if targets and self._targets_unanswering(region):
             return attending.RegionStatus(region, None)
         return None
 
-    def cut_off(self) -> list[ids.RegionId]:
+    def unreachable_regions(self) -> list[ids.RegionId]:
         """Return the regions none of whose hosts here known answer."""
         return [
-            region for region in self._regions() if self._is_cut_off(region)
+            region
+            for region in self._regions()
+            if self._is_unreachable(region)
         ]
 
-    def _is_cut_off(self, region: ids.RegionId) -> bool:
-        return self._views.cut_off(region) or self._is_silent(region)
+    def _is_unreachable(self, region: ids.RegionId) -> bool:
+        return self._views.is_unreachable(region) or self._targets_unanswering(
+            region
+        )
 
-    def _is_silent(self, region: ids.RegionId) -> bool:
+    def _targets_unanswering(self, region: ids.RegionId) -> bool:
         """Tell whether this host had no answer from any partner there."""
         return all(
-            self._reach.answers(record.host) is False
-            for record in self.ranked(region)[:PARTNERS_COUNT]
+            self._pinger.is_answering(record.host) is False
+            for record in self.ranked_hosts(region)[:TARGETS_PER_REGION]
         )
 
-    def ranked(self, region: ids.RegionId) -> list[attending.HostRecord]:
+    def ranked_hosts(self, region: ids.RegionId) -> list[attending.HostRecord]:
         """Return a region's hosts in the order of this host's choice.
 
         The order is kept until a host comes or goes: every call that may
@@ -125,13 +131,13 @@
         """
         if self._revision != self._roster.revision:
             self._revision = self._roster.revision
-            self._ranked.clear()
-        found = self._ranked.get(region)
+            self._rank_cache.clear()
+        found = self._rank_cache.get(region)
         if found is None:
-            found = self._ranked[region] = self._rank(region)
+            found = self._rank_cache[region] = self._rank_hosts(region)
         return found
 
-    def _rank(self, region: ids.RegionId) -> list[attending.HostRecord]:
+    def _rank_hosts(self, region: ids.RegionId) -> list[attending.HostRecord]:
         records = {
             record.host: record
             for record in self._roster.usable(region)
@@ -147,9 +153,9 @@
         go last, unless the region is known to be cut off.
         """
         answering, unasked = [], []
-        cut_off = self._views.cut_off(region)
-        for record in self.ranked(region):
-            answers = self._reach.answers(record.host)
+        cut_off = self._views.is_unreachable(region)
+        for record in self.ranked_hosts(region):
+            answers = self._pinger.is_answering(record.host)
             if answers:
                 answering.append(record)
             elif answers is None and not cut_off:
--- a/wrenspoke/coordination/membership/replica.py
+++ b/wrenspoke/coordination/membership/replica.py
@@ -12,7 +12,7 @@
 
 logger = structlog.get_logger(__name__)
 
-KEPT_CHANGES = 1024
+CHANGE_LOG_LENGTH = 1024
 
 
 class Replica:
@@ -22,15 +22,15 @@
         self.current = configuration.Configuration()
         self.serving = False
         self.refreshable = False
-        self.held_before = False
+        self.served_before = False
         self.leaving: set[ids.EndpointId] = set()
         self.changed = asyncio.Event()
         self._changes: collections.deque = collections.deque(
-            maxlen=KEPT_CHANGES
+            maxlen=CHANGE_LOG_LENGTH
         )
-        self._changes_after = 0
+        self._log_start_index = 0
 
-    def advance(self, delta: messages.ConfigurationDelta) -> bool:
+    def apply_delta(self, delta: messages.ConfigurationDelta) -> bool:
         """Take over what is newer; return whether anything was."""
         if delta.index <= self.current.index:
             return False
@@ -46,11 +46,11 @@
                 logger.error('change_refused', index=index, reason=error)
                 return False
             self.current = changed
-            self._keep(index, change)
-        self._announce()
+            self._append_change(index, change)
+        self._publish_change()
         return True
 
-    def _keep(self, index: int, change: configuration.Change) -> None:
+    def _append_change(self, index: int, change: configuration.Change) -> None:
         """Keep a change for who has not got it.
 
         A table of routes replaces the one before it. Of those one is kept:
@@ -64,42 +64,42 @@
                     for item in self._changes
                     if not isinstance(item[1], configuration.SetRoutes)
                 ),
-                maxlen=KEPT_CHANGES,
+                maxlen=CHANGE_LOG_LENGTH,
             )
         self._changes.append((index, change))
 
     def _replace(self, whole: configuration.Configuration) -> None:
         self.current = whole
         self._changes.clear()
-        self._changes_after = whole.index
-        self._announce()
+        self._log_start_index = whole.index
+        self._publish_change()
 
-    def _announce(self) -> None:
+    def _publish_change(self) -> None:
         logger.info('configuration_in_force', index=self.current.index)
-        self._wake()
+        self._notify_waiters()
 
-    def _wake(self) -> None:
+    def _notify_waiters(self) -> None:
         """Wake who waits for a change, or for serving to begin."""
         self.changed.set()
         self.changed = asyncio.Event()
 
-    def serve(self) -> None:
+    def start_serving(self) -> None:
         """Serve by what is held from now on."""
         self.serving = True
-        self._wake()
+        self._notify_waiters()
 
-    def doubt(self) -> None:
+    def suspend_serving(self) -> None:
         """Stop serving until it is known again that nothing is newer."""
         if self.refreshable:
-            self.held_before = self.held_before or self.serving
+            self.served_before = self.served_before or self.serving
             self.serving = False
 
-    def after(self, index: int) -> messages.ConfigurationDelta:
+    def delta_since(self, index: int) -> messages.ConfigurationDelta:
         """Return what follows ``index``, by changes where they are kept."""
         current = self.current
         if index >= current.index:
             return messages.ConfigurationDelta(index=current.index)
-        oldest = self._changes_after
+        oldest = self._log_start_index
         if len(self._changes) == self._changes.maxlen:
             oldest = self._changes[0][0]
         if index < oldest:
@@ -109,7 +109,7 @@
         newer = [item for item in self._changes if item[0] > index]
         return messages.ConfigurationDelta(index=current.index, changes=newer)
 
-    def active(
+    def active_endpoints(
         self, service: str, region: str
     ) -> list[configuration.Endpoint]:
         """Return the endpoints of a region that may take new work."""
--- a/wrenspoke/coordination/membership/roster.py
+++ b/wrenspoke/coordination/membership/roster.py
@@ -21,11 +21,11 @@
 
 # A host that attends asks for what is new several times a second. One that
 # was away for longer than this is told everything.
-LOST_KEPT_MS = 60_000
+TOMBSTONE_TTL_MS = 60_000
 
 
 @dataclasses.dataclass(slots=True)
-class Known:
+class HostEntry:
     """Hold what a host last told, and when this host learned of it.
 
     ``told_by`` is the control host that heard it, None for this one.
@@ -44,30 +44,30 @@
         self,
         lease_ms: int,
         clock: clocks.Clock,
-        told_lease_ms: int | None = None,
+        relayed_lease_ms: int | None = None,
     ):
         self._lease_ms = lease_ms
-        self._told_lease_ms = told_lease_ms or lease_ms
+        self._relayed_lease_ms = relayed_lease_ms or lease_ms
         self._clock = clock
-        self._known: dict[ids.HostId, Known] = {}
+        self._entries: dict[ids.HostId, HostEntry] = {}
         # The revision and time at which each host was lost.
-        self._lost: dict[ids.HostId, tuple[int, int]] = {}
-        self._forgotten_revision = 0
+        self._tombstones: dict[ids.HostId, tuple[int, int]] = {}
+        self._compacted_revision = 0
         self._usable: dict[
             ids.RegionId | None, list[attending.HostRecord]
         ] = {}
         self.revision = 0
 
-    def take(
+    def merge_record(
         self,
         record: attending.HostRecord,
         told_by: ids.HostId | None = None,
     ) -> bool:
         """Take what is newer; return whether others should be told."""
         heard_ms = self._clock.mono_ms() - record.age_ms
-        old = self._known.get(record.host)
+        old = self._entries.get(record.host)
         if old is None:
-            self._put(record, heard_ms, told_by)
+            self._store_record(record, heard_ms, told_by)
             logger.info('host_found', peer=record.host, region=record.region)
             return True
         same_life = old.record.start == record.start
@@ -76,7 +76,7 @@
         if not same_life and heard_ms < old.heard_ms:
             return False
         if _differs(old.record, record):
-            self._put(record, heard_ms, told_by)
+            self._store_record(record, heard_ms, told_by)
             return True
         old.record = record
         old.heard_ms = heard_ms
@@ -85,8 +85,8 @@
 
     def renew(self, renewal: attending.Renewal, told_by: ids.HostId) -> bool:
         """Take a renewal; return False if its host is not known so."""
-        old = self._known.get(ids.HostId(renewal.name))
-        if old is None or life_of(old.record) != renewal.life:
+        old = self._entries.get(ids.HostId(renewal.name))
+        if old is None or instance_checksum(old.record) != renewal.life:
             return False
         if renewal.number > old.record.number:
             old.record = msgspec.structs.replace(
@@ -96,15 +96,15 @@
             old.told_by = told_by
         return True
 
-    def _put(
+    def _store_record(
         self,
         record: attending.HostRecord,
         heard_ms: int,
         told_by: ids.HostId | None,
     ) -> None:
         self._next_revision()
-        self._lost.pop(record.host, None)
-        self._known[record.host] = Known(
+        self._tombstones.pop(record.host, None)
+        self._entries[record.host] = HostEntry(
             record, heard_ms, self.revision, told_by
         )
 
@@ -112,84 +112,84 @@
         self.revision += 1
         self._usable.clear()
 
-    def drop(self, host: ids.HostId) -> None:
+    def remove_host(self, host: ids.HostId) -> None:
         """Take a host for lost."""
-        if self._known.pop(host, None) is None:
+        if self._entries.pop(host, None) is None:
             return
         self._next_revision()
-        self._lost[host] = (self.revision, self._clock.mono_ms())
+        self._tombstones[host] = (self.revision, self._clock.mono_ms())
 
     def expire(self) -> bool:
         """Drop hosts whose lease has ended; return whether any was."""
         now_ms = self._clock.mono_ms()
         ended = [
             host
-            for host, known in self._known.items()
+            for host, known in self._entries.items()
             if now_ms - known.heard_ms > self._lease_of(known)
         ]
         for host in ended:
-            self._lose(host)
-        self._forget_lost(now_ms)
+            self._expire_host(host)
+        self._prune_tombstones(now_ms)
         return bool(ended)
 
-    def _lease_of(self, known: Known) -> int:
-        return self._told_lease_ms if known.told_by else self._lease_ms
+    def _lease_of(self, known: HostEntry) -> int:
+        return self._relayed_lease_ms if known.told_by else self._lease_ms
 
-    def _lose(self, host: ids.HostId) -> None:
-        self.drop(host)
+    def _expire_host(self, host: ids.HostId) -> None:
+        self.remove_host(host)
         logger.warning('host_lost', peer=host)
 
-    def take_lost(self, host: ids.HostId) -> None:
+    def expire_reported(self, host: ids.HostId) -> None:
         """Drop a host that who heard it lost, unless it was heard since."""
-        known = self._known.get(host)
+        known = self._entries.get(host)
         if known is None:
             return
         if self._clock.mono_ms() - known.heard_ms > self._lease_ms:
-            self._lose(host)
+            self._expire_host(host)
 
-    def _forget_lost(self, now_ms: int) -> None:
-        for host, (revision, lost_ms) in list(self._lost.items()):
-            if now_ms - lost_ms <= LOST_KEPT_MS:
+    def _prune_tombstones(self, now_ms: int) -> None:
+        for host, (revision, lost_ms) in list(self._tombstones.items()):
+            if now_ms - lost_ms <= TOMBSTONE_TTL_MS:
                 continue
-            del self._lost[host]
-            self._forgotten_revision = max(self._forgotten_revision, revision)
+            del self._tombstones[host]
+            self._compacted_revision = max(self._compacted_revision, revision)
 
-    def after(self, revision: int) -> attending.HostChanges:
+    def changes_since(self, revision: int) -> attending.HostChanges:
         """Return what changed after a revision, everything after 0."""
-        whole = revision == 0 or revision < self._forgotten_revision
+        whole = revision == 0 or revision < self._compacted_revision
         if whole:
             return attending.HostChanges(self.records(), [], whole=True)
         found = [
-            self._aged(known)
-            for known in self._known.values()
+            self._with_age(known)
+            for known in self._entries.values()
             if known.revision > revision
         ]
         lost = [
             host
-            for host, (at_revision, _lost_ms) in self._lost.items()
+            for host, (at_revision, _lost_ms) in self._tombstones.items()
             if at_revision > revision
         ]
         return attending.HostChanges(found, lost)
 
-    def _aged(self, known: Known) -> attending.HostRecord:
+    def _with_age(self, known: HostEntry) -> attending.HostRecord:
         age_ms = max(self._clock.mono_ms() - known.heard_ms, 0)
         return msgspec.structs.replace(known.record, age_ms=age_ms)
 
     def records(self) -> list[attending.HostRecord]:
         """Return every host with the age of what it told."""
-        return [self._aged(known) for known in self._known.values()]
+        return [self._with_age(known) for known in self._entries.values()]
 
     def hosts(self) -> collections.abc.Set[ids.HostId]:
         """Return the names of every host, those that leave too."""
-        return self._known.keys()
+        return self._entries.keys()
 
-    def known(self) -> collections.abc.Collection[Known]:
+    def entries(self) -> collections.abc.Collection[HostEntry]:
         """Return every host as it is held, with who told of it."""
-        return self._known.values()
+        return self._entries.values()
 
     def record(self, host: ids.HostId) -> attending.HostRecord | None:
         """Return what a host last told, None if it is not known."""
-        known = self._known.get(host)
+        known = self._entries.get(host)
         return None if known is None else known.record
 
     def region_of(self, host: ids.HostId) -> ids.RegionId | None:
@@ -216,14 +216,14 @@
         if found is None:
             found = self._usable[region] = [
                 known.record
-                for known in self._known.values()
+                for known in self._entries.values()
                 if not known.record.draining
                 and region in (None, known.record.region)
             ]
         return found
 
 
-def life_of(record: attending.HostRecord) -> int:
+def instance_checksum(record: attending.HostRecord) -> int:
     """Return a short number for the life of a host that told a record."""
     return zlib.crc32(record.start.encode())
 
--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -14,8 +14,8 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.limiting import endpoint_limits
-from wrenspoke.coordination.membership import attendance
-from wrenspoke.coordination.membership import reach
+from wrenspoke.coordination.membership import discovery_client
+from wrenspoke.coordination.membership import host_pinger
 from wrenspoke.coordination.serving import call_context
 from wrenspoke.coordination.serving import endpoint_selector
 from wrenspoke.coordination.serving import engine_pace
@@ -46,10 +46,10 @@
     def __init__(
         self,
         sender: sending.Sender,
-        discovery: attendance.Attendance,
+        discovery: discovery_client.DiscoveryClient,
         selector: endpoint_selector.EndpointSelector,
         outlier_detector: outlier_detection.OutlierDetector,
-        pinger: reach.Reach,
+        pinger: host_pinger.HostPinger,
         estimator: estimate.Estimator,
         region_offers: remote_regions.RemoteRegions,
         clock: clocks.Clock,
@@ -194,7 +194,7 @@
                         now_s = asyncio.get_running_loop().time()
                         bound.reschedule(now_s)
 
-                with self._pinger.watching(destination.host, lost):
+                with self._pinger.watch_host(destination.host, lost):
                     yield
         except TimeoutError as error:
             if not bound.expired():
--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -9,9 +9,9 @@
 
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.limiting import endpoint_gate
-from wrenspoke.coordination.membership import askers
-from wrenspoke.coordination.membership import attendance
-from wrenspoke.coordination.membership import gauges
+from wrenspoke.coordination.membership import discovery_client
+from wrenspoke.coordination.membership import engine_loads
+from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.serving import outlier_detection
 from wrenspoke.coordination.serving import warmup_probe
@@ -33,13 +33,13 @@
     def __init__(
         self,
         region: ids.RegionId,
-        pollers: askers.Askers,
+        pollers: region_pollers.RegionPollers,
         regions: collections.abc.Mapping[ids.DataCentreId, ids.RegionId],
-        discovery: attendance.Attendance,
+        discovery: discovery_client.DiscoveryClient,
         held: replica.Replica,
         outlier_detector: outlier_detection.OutlierDetector,
         probe: warmup_probe.WarmupProbe,
-        engine_loads: gauges.Gauges,
+        engine_loads: engine_loads.EngineLoads,
         gate: endpoint_gate.EndpointGate,
         switched_off: collections.abc.Set[mechanisms.Mechanism],
         clock: clocks.Clock,
@@ -171,7 +171,7 @@
         now_ms = self._clock.mono_ms()
         for found in candidates:
             name = found.said.endpoint
-            if not self.is_cold(found) or not self._pollers.is_first(name):
+            if not self.is_cold(found) or not self._pollers.is_owner_of(name):
                 continue
             if self.is_ejected(found.said.address):
                 continue
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -10,8 +10,8 @@
 import random
 
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.membership import attendance
-from wrenspoke.coordination.membership import partners
+from wrenspoke.coordination.membership import discovery_client
+from wrenspoke.coordination.membership import remote_hosts
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.serving import availability
 from wrenspoke.coordination.serving import costs
@@ -69,11 +69,11 @@
         self,
         region: ids.RegionId,
         regions: collections.abc.Mapping[ids.DataCentreId, ids.RegionId],
-        discovery: attendance.Attendance,
+        discovery: discovery_client.DiscoveryClient,
         held: replica.Replica,
         outlier_detector: outlier_detection.OutlierDetector,
         estimator: estimate.Estimator,
-        remotes: partners.Partners,
+        remotes: remote_hosts.RemoteHosts,
         endpoint_availability: availability.Availability,
         switched_off: collections.abc.Set[mechanisms.Mechanism],
         clock: clocks.Clock,
@@ -406,4 +406,4 @@
         ]
         if not hosts:
             return None
-        return self._random.choice(hosts[: partners.PARTNERS_COUNT])
+        return self._random.choice(hosts[: remote_hosts.TARGETS_PER_REGION])
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -10,7 +10,7 @@
 import math
 
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.membership import gauges
+from wrenspoke.coordination.membership import engine_loads
 from wrenspoke.coordination.serving import backlog
 from wrenspoke.coordination.serving import engine_pace
 from wrenspoke.coordination.serving import prefill_model
@@ -58,7 +58,7 @@
 class Estimator:
     """Estimate first pieces by reports, own sends and what was learned."""
 
-    def __init__(self, engine_loads: gauges.Gauges, clock: clocks.Clock):
+    def __init__(self, engine_loads: engine_loads.EngineLoads, clock: clocks.Clock):
         self._engine_loads = engine_loads
         self.prefixes = prefix_index.PrefixIndex()
         self.backlog = backlog.Backlog(clock)
--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -11,8 +11,8 @@
 
 from wrenspoke import clock as clocks
 from wrenspoke.coordination import errors
+from wrenspoke.coordination.membership import host_pinger
 from wrenspoke.coordination.membership import members
-from wrenspoke.coordination.membership import reach
 from wrenspoke.coordination.serving import decisions
 from wrenspoke.coordination.serving import streams
 from wrenspoke import ids
@@ -70,7 +70,7 @@
         host: ids.HostId,
         deployment: settings.Deployment,
         watched: members.Members,
-        reached: reach.Reach,
+        reached: host_pinger.HostPinger,
         client: web.HttpClient,
         signer: hops.HopSigner,
         noted: decisions.Decisions,
@@ -102,7 +102,7 @@
         transcript = streams.Transcript(body, head.last_event or 0)
         passing = _Pass(head, body, region, reply, transcript)
         hosts = await self._reach.reachable(
-            self._members.entries_of(region)[:HOSTS_TRIED]
+            self._members.entry_hosts_in(region)[:HOSTS_TRIED]
         )
         for number, host in enumerate(hosts):
             last = number + 1 == len(hosts)
@@ -128,7 +128,7 @@
         try:
             async with clocks.timeout_ms(try_ms) as bound:
                 passing.bound = bound
-                with self._reach.watching(host, passing.lost):
+                with self._reach.watch_host(host, passing.lost):
                     await self._pass_on(passing, host)
             return True
         except transport_errors.NotSentError as error:
@@ -142,7 +142,7 @@
             cause = repr(error)
         except streams.EndingEventError as error:
             raise errors.EndedError(_ending_of(error.data)) from error
-        self._members.failed(host)
+        self._members.record_request_failure(host)
         self._decisions.note(
             'forward_failed', passing.head.request, peer=host, error=cause
         )
--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -377,7 +377,7 @@
             for region in regions
             if any(
                 self._members.usable(host)
-                for host in self._members.entries_of(region)
+                for host in self._members.entry_hosts_in(region)
             )
         ]
         return min(
@@ -422,7 +422,7 @@
                     'data_centre': entry.data_centre,
                     'url': f'http://{entry.ip}:{entry.http_port}',
                 }
-                for entry in self._members.directory(region)
+                for entry in self._members.usable_by_distance(region)
             ],
         }
 
@@ -456,7 +456,8 @@
             'quarantine_refused': self._guard.refused,
             'in_quarantine': len(self._replica.current.quarantine),
             'peers': {
-                host: self._members.usable(host) for host in self._members.near
+                host: self._members.usable(host)
+                for host in self._members.local_peers
             },
         }
 
--- a/wrenspoke/coordination/serving/local.py
+++ b/wrenspoke/coordination/serving/local.py
@@ -195,7 +195,7 @@
         limits: settings.EntrySettings,
         dispatcher: dispatch.Dispatcher,
         placer: placement.Placer,
-        load_table: loads.Loads,
+        load_table: loads.LoadTable,
         noted: decisions.Decisions,
         clock: clocks.Clock,
     ):
@@ -292,9 +292,9 @@
                 body = await answer.whole(self.settings.answer_limit_bytes)
             succeeded = answer.status < SERVER_ERROR
             taken_ms = self.clock.mono_ms() - started_ms
-            self.loads.answered(send.endpoint)
-            self.loads.observe_first(send.endpoint, taken_ms)
-            self.loads.observe_hold(send.endpoint, taken_ms)
+            self.loads.record_answer(send.endpoint)
+            self.loads.observe_first_token(send.endpoint, taken_ms)
+            self.loads.observe_occupancy(send.endpoint, taken_ms)
             self.placer.sessions.used(send.head.session, send.endpoint)
             found = dict(answer.headers)
             found[headers.ENDPOINT] = send.endpoint
@@ -303,7 +303,7 @@
             overloaded = True
             raise
         except errors.NotSentError:
-            self.loads.failed(send.endpoint)
+            self.loads.record_connect_failure(send.endpoint)
             raise
         finally:
             send.slot.release(succeeded, overloaded)
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -14,7 +14,7 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.limiting import limiter as limiters
-from wrenspoke.coordination.membership import attendance
+from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.quarantine import guard as guards
 from wrenspoke.coordination.serving import access
@@ -69,7 +69,7 @@
     def __init__(
         self,
         held: replica.Replica,
-        discovery: attendance.Attendance,
+        discovery: discovery_client.DiscoveryClient,
         selector: endpoint_selector.EndpointSelector,
         destination_selector: destinations.DestinationSelector,
         runner: attempts.AttemptRunner,
@@ -106,7 +106,7 @@
         return (
             not self.leaving
             and self._replica.serving
-            and self._discovery.awake
+            and self._discovery.recently_ran
             and self._replica.current.routes.version > 0
         )
 
@@ -261,7 +261,7 @@
         retry_after_ms = None
         if status == UNAVAILABLE:
             lease = self._discovery.lease
-            retry_after_ms = return_line.spread_ms(lease.return_in_ms())
+            retry_after_ms = return_line.spread_ms(lease.retry_delay_ms())
         await reply.refuse(status, reason, retry_after_ms)
 
     async def _refuse(
@@ -276,7 +276,7 @@
     @property
     def _has_current_configuration(self) -> bool:
         """Tell whether what this host holds may be served by."""
-        return self._replica.serving and self._discovery.awake
+        return self._replica.serving and self._discovery.recently_ran
 
     async def _wait_for_current_configuration(
         self, call: dialects.Call
--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -121,7 +121,7 @@
         region: ids.RegionId,
         limits_settings: settings.EntrySettings,
         held: replica.Replica,
-        load_table: loads.Loads,
+        load_table: loads.LoadTable,
         limit_table: limits.Limits,
         gate: endpoint_gate.EndpointGate,
         noted: decisions.Decisions,
@@ -180,7 +180,9 @@
     ) -> list[configuration.Endpoint]:
         return [
             endpoint
-            for endpoint in self._replica.active(head.service, self._region)
+            for endpoint in self._replica.active_endpoints(
+                head.service, self._region
+            )
             if (head.model is None or head.model in endpoint.models)
             and not self._loads.is_down(endpoint.endpoint)
             and not self._leaves(endpoint.endpoint)
@@ -195,7 +197,7 @@
         return Slot(
             found,
             limit,
-            self._loads.crowded,
+            self._loads.has_queue,
             self._queue(found.service).wake,
         )
 
@@ -271,7 +273,7 @@
                 in_flight=limit.in_flight,
                 limit=round(limit.limit, 1),
             )
-            return Slot(endpoint, limit, self._loads.crowded, queue.wake)
+            return Slot(endpoint, limit, self._loads.has_queue, queue.wake)
         return None
 
     def _refuse_hopeless(
@@ -329,7 +331,7 @@
         per_ms = 0.0
         for endpoint in endpoints:
             limit = self._limits.of(endpoint.endpoint, endpoint.slots)
-            hold_ms = self._loads.speed(endpoint.endpoint).hold_ms
+            hold_ms = self._loads.latency(endpoint.endpoint).occupancy_ms
             own_per_ms = limit.limit / max(hold_ms, 1.0)
             stated_per_s = self._gate.limits.share_per_s(
                 _life_of(endpoint.endpoint)
