--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -12,10 +12,10 @@
 import msgspec
 
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.membership import partners
-from wrenspoke.coordination.membership import reach
+from wrenspoke.coordination.membership import host_pinger
+from wrenspoke.coordination.membership import region_views
+from wrenspoke.coordination.membership import remote_hosts
 from wrenspoke.coordination.membership import replica
-from wrenspoke.coordination.membership import views
 from wrenspoke.coordination.serving import engine_pace
 from wrenspoke.coordination.serving import prefix_index
 from wrenspoke.coordination.serving import sent_call_broadcast
@@ -60,9 +60,9 @@
 
     def __init__(
         self,
-        pinger: reach.Reach,
-        remotes: partners.Partners,
-        region_statuses: views.RegionViews,
+        pinger: host_pinger.HostPinger,
+        remotes: remote_hosts.RemoteHosts,
+        region_statuses: region_views.RegionViews,
         held: replica.Replica,
         clock: clocks.Clock,
         broadcaster: sent_call_broadcast.SentCallBroadcaster | None = None,
@@ -94,10 +94,10 @@
         remote = self._latest_status(host)
         if remote is None:
             return _default_offer(region, host)
-        said = remote.said
+        said = remote.pong
         if not said.serving or self._has_stale_configuration(remote):
             return None
-        travel_ms = (remote.travel_ms or 0.0) + FORWARDING_OVERHEAD_MS
+        travel_ms = (remote.rtt_ms or 0.0) + FORWARDING_OVERHEAD_MS
         offers = said.offers
         if host.region != region:
             offers = said.relayed.get(region, [])
@@ -138,14 +138,14 @@
                 remote = self._latest_status(host)
                 if remote is None:
                     continue
-                if not remote.said.serving or not remote.said.offers:
+                if not remote.pong.serving or not remote.pong.offers:
                     continue
-                travel_ms = (remote.travel_ms or 0.0) + FORWARDING_OVERHEAD_MS
+                travel_ms = (remote.rtt_ms or 0.0) + FORWARDING_OVERHEAD_MS
                 found[region] = [
                     msgspec.structs.replace(
                         offer, wait_ms=offer.wait_ms + travel_ms
                     )
-                    for offer in remote.said.offers
+                    for offer in remote.pong.offers
                 ]
                 break
         return found
@@ -165,30 +165,30 @@
                 remote = self._latest_status(host)
                 if remote is None:
                     continue
-                if region in remote.said.relayed:
+                if region in remote.pong.relayed:
                     hosts.append(host)
         return hosts
 
     def _latest_status(
         self, host: attending.HostRecord
-    ) -> reach.Remote | views.Heard | None:
+    ) -> host_pinger.RemoteState | region_views.RegionView | None:
         """Return what a host last said, or else another of its region."""
-        if self._pinger.answers(host.host):
-            return self._pinger.remote(host.host)
-        found = self._views.heard(host.region)
+        if self._pinger.is_answering(host.host):
+            return self._pinger.state_of(host.host)
+        found = self._views.latest_view(host.region)
         if found is not None:
             return found
-        remote = self._pinger.remote(host.host)
-        return None if remote is None or remote.said is None else remote
+        remote = self._pinger.state_of(host.host)
+        return None if remote is None or remote.pong is None else remote
 
     def _has_stale_configuration(
-        self, remote: reach.Remote | views.Heard
+        self, remote: host_pinger.RemoteState | region_views.RegionView
     ) -> bool:
         """Tell whether a host goes by an older configuration for long."""
         if self._replica.current.index != self._index:
             self._index = self._replica.current.index
             self._index_ms = self._clock.mono_ms()
-        if remote.said.index >= self._index:
+        if remote.pong.index >= self._index:
             return False
         return remote.answered_ms - self._index_ms > CONFIGURATION_LAG_LIMIT_MS
 
@@ -207,14 +207,14 @@
     def _unreported_wait_ms(
         self,
         region: ids.RegionId,
-        remote: reach.Remote | views.Heard,
+        remote: host_pinger.RemoteState | region_views.RegionView,
         found: messages.Offer,
     ) -> float:
         """Return what was passed on and is not in the offer yet."""
         passed = self._forwarded.get(region)
         if not passed:
             return 0.0
-        since_ms = remote.answered_ms - (remote.travel_ms or 0.0) / 2
+        since_ms = remote.answered_ms - (remote.rtt_ms or 0.0) / 2
         while passed and passed[0][0] < since_ms:
             passed.popleft()
         tokens = sum(item[1] for item in passed)
--- a/wrenspoke/coordination/serving/routing.py
+++ b/wrenspoke/coordination/serving/routing.py
@@ -26,7 +26,7 @@
 class View:
     """Hold what a policy may look at."""
 
-    loads: loads.Loads
+    loads: loads.LoadTable
     limits: limits.Limits
     sessions: 'Sessions'
     service: configuration.Service
@@ -131,13 +131,13 @@
     return [
         Ranked(
             endpoint,
-            _reported_total(view.loads.reported(endpoint.endpoint)),
+            _reported_total(view.loads.latest_report(endpoint.endpoint)),
         )
         for endpoint in endpoints
     ]
 
 
-def _reported_total(report: loads.Reported | None) -> int:
+def _reported_total(report: loads.TimedReport | None) -> int:
     return 0 if report is None else report.running + report.waiting
 
 
@@ -161,19 +161,19 @@
     endpoint: configuration.Endpoint, view: View, warm_share: float
 ) -> float:
     """Estimate when the first token would come from an endpoint."""
-    speed = view.loads.speed(endpoint.endpoint)
+    speed = view.loads.latency(endpoint.endpoint)
     total = _expected_load(endpoint, view)
     ahead = max(0, total + 1 - endpoint.slots)
-    wait_ms = ahead * speed.hold_ms / endpoint.slots
+    wait_ms = ahead * speed.occupancy_ms / endpoint.slots
     crowding = 1 + total / endpoint.slots
-    work_ms = speed.first_ms * crowding
+    work_ms = speed.first_token_ms * crowding
     work_ms *= 1 - WARM_SAVES_SHARE * warm_share
     return LOCAL_LINK_MS + wait_ms + work_ms
 
 
 def _expected_load(endpoint: configuration.Endpoint, view: View) -> int:
     own = view.limits.in_flight(endpoint.endpoint)
-    reported = _reported_total(view.loads.reported(endpoint.endpoint))
+    reported = _reported_total(view.loads.latest_report(endpoint.endpoint))
     return max(own, reported)
 
 
--- a/wrenspoke/coordination/serving/sent_call_broadcast.py
+++ b/wrenspoke/coordination/serving/sent_call_broadcast.py
@@ -17,7 +17,7 @@
 import structlog
 
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.membership import askers
+from wrenspoke.coordination.membership import region_pollers
 from wrenspoke import ids
 from wrenspoke.protocol import attending
 from wrenspoke.protocol import dialect as dialects
@@ -45,7 +45,7 @@
     def __init__(
         self,
         host: ids.HostId,
-        pollers: askers.Askers,
+        pollers: region_pollers.RegionPollers,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
@@ -61,7 +61,7 @@
         self._collected: list[tuple[int, attending.SentCall]] = []
         self._own_added = asyncio.Event()
         self._tasks = runtime.Tasks()
-        pollers.listen(self._on_region_message)
+        pollers.add_listener(self._on_region_message)
         peers.answers(attending.TellSent)(self._on_sent_calls)
 
     def subscribe(self, listener: Listener) -> None:
@@ -144,7 +144,7 @@
             if not self._collected:
                 continue
             items, self._collected = self._collected, []
-            await self._pollers.tell(
+            await self._pollers.broadcast(
                 attending.TellRegion(sent=self._with_ages(items))
             )
 
--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -242,10 +242,10 @@
         def first() -> None:
             if not seen:
                 seen.append(clock.mono_ms() - started_ms)
-                self._server.loads.observe_first(send.endpoint, seen[0])
+                self._server.loads.observe_first_token(send.endpoint, seen[0])
 
         stall_ms = self._server.settings.stall_timeout_ms
-        first_ms = self._server.loads.first_patience_ms(
+        first_ms = self._server.loads.first_event_timeout_ms(
             send.endpoint, stall_ms
         )
         left_ms = send.head.deadline_ms - started_ms
@@ -270,13 +270,13 @@
             send.slot.release(overloaded=True)
             raise
         except errors.NotSentError:
-            self._server.loads.failed(send.endpoint)
+            self._server.loads.record_connect_failure(send.endpoint)
             raise
         except (asyncio.CancelledError, protocol_errors.CallerGoneError):
             self._cancel(send)
             raise
         taken_ms = clock.mono_ms() - started_ms
-        self._server.loads.observe_hold(send.endpoint, taken_ms)
+        self._server.loads.observe_occupancy(send.endpoint, taken_ms)
         self._server.placer.sessions.used(send.head.session, send.endpoint)
         send.slot.release(succeeded=True)
         await reply.close()
--- a/wrenspoke/coordination/serving/warmup_probe.py
+++ b/wrenspoke/coordination/serving/warmup_probe.py
@@ -16,7 +16,7 @@
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.limiting import endpoint_gate
 from wrenspoke.coordination.limiting import endpoint_limits
-from wrenspoke.coordination.membership import askers
+from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import replica
 from wrenspoke import ids
 from wrenspoke.protocol import advertised
@@ -45,7 +45,7 @@
 
     def __init__(
         self,
-        pollers: askers.Askers,
+        pollers: region_pollers.RegionPollers,
         held: replica.Replica,
         dialect: dialects.Dialect,
         client: web.HttpClient,
@@ -61,7 +61,7 @@
         # From when on an endpoint is warm, and when that was heard.
         self._warm_ms: dict[ids.EndpointId, tuple[int, int]] = {}
         self._tasks = runtime.Tasks()
-        pollers.listen(self._on_region_message)
+        pollers.add_listener(self._on_region_message)
 
     async def close(self) -> None:
         """End every question."""
@@ -83,7 +83,7 @@
             _warm_ms, heard_ms = self._warm_ms.get(endpoint, (0, 0))
             if heard_ms < early_ms:
                 self._warm_ms.pop(endpoint, None)
-            if self._pollers.asks_of(endpoint):
+            if self._pollers.is_poller_of(endpoint):
                 chosen.append(one)
         if chosen:
             self._tasks.start(self._probe_endpoints(chosen))
@@ -96,7 +96,7 @@
         )
         warm = [answer for answer in answers if answer is not None]
         if warm:
-            await self._pollers.tell(attending.TellRegion(warm=warm))
+            await self._pollers.broadcast(attending.TellRegion(warm=warm))
 
     def _on_region_message(self, message: attending.TellRegion) -> None:
         for status in message.warm:
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -13,15 +13,15 @@
 from wrenspoke.coordination.limiting import endpoint_gate
 from wrenspoke.coordination.limiting import lender
 from wrenspoke.coordination.limiting import limiter
-from wrenspoke.coordination.membership import askers
-from wrenspoke.coordination.membership import attendance
-from wrenspoke.coordination.membership import controls
-from wrenspoke.coordination.membership import gauges
+from wrenspoke.coordination.membership import control_group
+from wrenspoke.coordination.membership import discovery_client
+from wrenspoke.coordination.membership import engine_loads
+from wrenspoke.coordination.membership import host_pinger
 from wrenspoke.coordination.membership import lease
-from wrenspoke.coordination.membership import partners
-from wrenspoke.coordination.membership import reach
+from wrenspoke.coordination.membership import region_pollers
+from wrenspoke.coordination.membership import region_views
+from wrenspoke.coordination.membership import remote_hosts
 from wrenspoke.coordination.membership import replica
-from wrenspoke.coordination.membership import views
 from wrenspoke.coordination.quarantine import guard
 from wrenspoke.coordination.quarantine import reporter
 from wrenspoke.coordination.serving import access
@@ -63,20 +63,20 @@
         self,
         node: nodes.Node,
         dialect: dialects.Dialect,
-        reports: gauges.ReportReader,
+        reports: engine_loads.ReportReader,
     ):
         self.node = node
         self.clock = clocks.Clock()
         self._traffic = node_peers.traffic_of(node, self.clock)
         self.peers = node_peers.peers_of(node, self._traffic, self.clock)
-        self.group = controls.ControlGroup(
+        self.group = control_group.ControlGroup(
             node.host, node.seed_hosts, self.clock
         )
         self.replica = replica.Replica()
         self.lease = lease.ConfigurationLease(
             node.withdrawn_keys_ms, self.clock
         )
-        self.attendance = attendance.Attendance(
+        self.attendance = discovery_client.DiscoveryClient(
             self._record(),
             self.group,
             self.replica,
@@ -84,7 +84,7 @@
             self.clock,
             self.lease,
         )
-        self._traffic.tell_places(self.attendance.place_of)
+        self._traffic.tell_places(self.attendance.host_location)
         self._client = web.HttpClient(
             node.entry.connect_timeout_ms, node.entry.endpoint_idle_ms
         )
@@ -98,17 +98,17 @@
             ),
             self.clock,
         )
-        self._reach = reach.Reach(
+        self._reach = host_pinger.HostPinger(
             node.entry,
             self.peers,
             self.clock,
             self._standing,
         )
-        self._views = views.RegionViews(self.clock)
-        self._askers = askers.Askers(
+        self._views = region_views.RegionViews(self.clock)
+        self._askers = region_pollers.RegionPollers(
             node.region, node.host, self.attendance.roster, self.peers
         )
-        self._partners = partners.Partners(
+        self._partners = remote_hosts.RemoteHosts(
             node.host,
             node.region,
             self.attendance.roster,
@@ -141,7 +141,7 @@
 
     def _standing(self, ping: messages.Ping) -> messages.Pong:
         """Return what hosts elsewhere are told that may pass calls here."""
-        serving = self.replica.serving and self.attendance.awake
+        serving = self.replica.serving and self.attendance.recently_ran
         return messages.Pong(
             self.attendance.draining,
             serving,
@@ -157,13 +157,13 @@
             self._health.record_reachable(record.passing_address, asked_ms)
 
     def _build_gauges(
-        self, reports: gauges.ReportReader, dialect: dialects.Dialect
+        self, reports: engine_loads.ReportReader, dialect: dialects.Dialect
     ) -> None:
         """Build what knows how loaded engines are."""
         node = self.node
         self._health = outlier_detection.OutlierDetector(self.clock)
-        self._reach.tell_heard(self._host_heard)
-        self._gauges = gauges.Gauges(
+        self._reach.set_answer_callback(self._host_heard)
+        self._gauges = engine_loads.EngineLoads(
             node.region,
             node.host,
             node.regions,
@@ -205,14 +205,14 @@
         )
         self._lender = lender.Lender(
             self._access.limit_of,
-            lambda: self.attendance.lead,
+            lambda: self.attendance.leader,
             allowed,
             self.peers,
             self.clock,
         )
         self._limiter = limiter.Limiter(
             node.host,
-            self._askers.order,
+            self._askers.rendezvous_order,
             self._lender,
             allowed,
             self.peers,
@@ -220,13 +220,13 @@
         )
         self._gate = endpoint_gate.EndpointGate(
             node.host,
-            self._askers.order,
+            self._askers.rendezvous_order,
             self._lives,
-            self._askers.tell,
+            self._askers.broadcast,
             self.peers,
             self.clock,
         )
-        self._askers.listen(self._gate.merge)
+        self._askers.add_listener(self._gate.merge)
         self._gate.leaving.listen(
             lambda life: self.attendance.mark_leaving(
                 life.endpoint, life.born_ms
@@ -242,7 +242,7 @@
         """Build what holds back requests that end endpoints."""
         self._guard = guard.Guard(
             self.replica,
-            reporter.Reporter(self.group.others, self.peers, self.clock),
+            reporter.Reporter(self.group.other_hosts, self.peers, self.clock),
             self.peers,
             self._leaves,
             self.clock,
@@ -260,7 +260,7 @@
         others = set(self.attendance.registry.held) - {before.endpoint}
         self._estimator.keep_only(others)
         self._warmth.keep_only(others)
-        self._gauges.forget(before.endpoint)
+        self._gauges.evict(before.endpoint)
         self._health.reset_address(before.address)
 
     def _build_serving(self, dialect: dialects.Dialect) -> None:
@@ -416,7 +416,7 @@
         self.attendance.draining = True
         self.passthrough.leaving = True
         logger.info('draining', in_flight=self.passthrough.in_flight)
-        await self.attendance.tell_now()
+        await self.attendance.push_status()
         await self.clock.sleep_ms(self.node.entry.leave_delay_ms)
         drained = await self.passthrough.drain(self.node.entry.stop_timeout_ms)
         logger.info('drained', whole=drained)
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -8,14 +8,14 @@
 from wrenspoke import arguments
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.limiting import endpoint_gate
-from wrenspoke.coordination.membership import askers
-from wrenspoke.coordination.membership import leaving
+from wrenspoke.coordination.membership import configuration_puller
+from wrenspoke.coordination.membership import host_list_poller
+from wrenspoke.coordination.membership import host_pinger
+from wrenspoke.coordination.membership import load_poller
 from wrenspoke.coordination.membership import loads
 from wrenspoke.coordination.membership import member_roster
 from wrenspoke.coordination.membership import members
-from wrenspoke.coordination.membership import polls
-from wrenspoke.coordination.membership import pulls
-from wrenspoke.coordination.membership import reach
+from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.quarantine import guard
 from wrenspoke.coordination.quarantine import reporter
@@ -75,7 +75,7 @@
         )
         self.replica = replica.Replica()
         self.decisions = decisions.Decisions(self._clock)
-        self.loads = loads.Loads(self._clock)
+        self.loads = loads.LoadTable(self._clock)
         self._limits = limits.Limits(self._clock)
         self._build_membership()
         self._build_limits()
@@ -96,7 +96,7 @@
             self._limits,
             self._clock,
         )
-        self._puller = pulls.Puller(
+        self._puller = configuration_puller.ConfigurationPuller(
             self._host,
             self._deployment,
             self.peers,
@@ -104,7 +104,7 @@
             self.replica,
             self._clock,
         )
-        self._leaving = leaving.LeavingWatcher(
+        self._leaving = host_list_poller.HostListPoller(
             self._settings.platform_url,
             self._host,
             self._client,
@@ -112,7 +112,7 @@
             self.replica,
             self._clock,
         )
-        self._reach = reach.Reach(
+        self._reach = host_pinger.HostPinger(
             self._settings,
             self.peers,
             self._clock,
@@ -129,7 +129,7 @@
 
     def _build_limits(self) -> None:
         """Build what keeps to what endpoints say that they take."""
-        self._askers = askers.Askers(
+        self._askers = region_pollers.RegionPollers(
             self._region,
             self._host,
             member_roster.MemberRoster(self._deployment, self.members),
@@ -137,14 +137,14 @@
         )
         self._gate = endpoint_gate.EndpointGate(
             self._host,
-            self._askers.order,
+            self._askers.rendezvous_order,
             lambda life: life.endpoint in self.replica.current.endpoints,
-            self._askers.tell,
+            self._askers.broadcast,
             self.peers,
             self._clock,
             LEAVING_KEPT_MS,
         )
-        self._askers.listen(self._gate.merge)
+        self._askers.add_listener(self._gate.merge)
 
     def _build_guard(self) -> None:
         """Build what holds back requests that end endpoints.
@@ -179,11 +179,11 @@
             self.replica,
             self._client,
             self._clock,
-            lambda: self.members.awake,
+            lambda: self.members.recently_ran,
             self._guard,
             self._gate,
         )
-        self._poller = polls.LoadPoller(
+        self._poller = load_poller.LoadPoller(
             self._settings,
             self._region,
             self._own.data_centre,
@@ -280,7 +280,7 @@
         self._metrics = metrics.Metrics(self._host)
         # Endpoints with gauges of backoffs and leaves.
         self._shown: set[ids.EndpointId] = set()
-        self.loads.on_first = self._metrics.observe_first_ms
+        self.loads.on_first_token = self._metrics.observe_first_ms
         application = entry_surface.application()
         application.router.add_get('/metrics', self._show_metrics)
         self._web = web.HttpServer(application)
@@ -371,7 +371,7 @@
         after that it turns new work away, unrun.
         """
         self.members.draining = True
-        await self.members.tell_now()
+        await self.members.broadcast_beat()
         logger.info('draining', in_flight=self.gateway.in_flight)
         await self._clock.sleep_ms(self._settings.leave_delay_ms)
         drained = await self.gateway.drain(self._settings.stop_timeout_ms)
