--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -55,7 +55,9 @@
             made = backlog.Backlog(self._clock)
             made.host_count = hosts
             self._backlogs.append(made)
-        self._engines = [test_engine_loads.registered(n) for n in range(engines)]
+        self._engines = [
+            test_engine_loads.registered(n) for n in range(engines)
+        ]
         names = [found.said.endpoint for found in self._engines]
         self._ends_ms = {name: [] for name in names}
         self._reports = [(0.0, dict.fromkeys(names, 0))]
--- a/tests/test_warmth.py
+++ b/tests/test_warmth.py
@@ -24,7 +24,9 @@
     held = roster.Roster(1_000, clock)
     for number in range(20):
         held.merge_record(test_engine_loads.record(number))
-    asking = region_pollers.RegionPollers('north', 'h1', held, test_engine_loads.NoPeers())
+    asking = region_pollers.RegionPollers(
+        'north', 'h1', held, test_engine_loads.NoPeers()
+    )
     # One that two other hosts ask.
     number = next(n for n in range(99) if not asking.is_poller_of(f'e{n}'))
     endpoint = test_engine_loads.registered(number)
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -58,7 +58,9 @@
 class Estimator:
     """Estimate first pieces by reports, own sends and what was learned."""
 
-    def __init__(self, engine_loads: engine_loads.EngineLoads, clock: clocks.Clock):
+    def __init__(
+        self, engine_loads: engine_loads.EngineLoads, clock: clocks.Clock
+    ):
         self._engine_loads = engine_loads
         self.prefixes = prefix_index.PrefixIndex()
         self.backlog = backlog.Backlog(clock)
