--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -22,7 +22,7 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.membership import loads
 from wrenspoke.coordination.membership import replica
-from wrenspoke.coordination.serving import limits
+from wrenspoke.coordination.serving import concurrency_limits
 from wrenspoke.coordination.serving import routing
 from wrenspoke import logs
 from wrenspoke.protocol import messages
@@ -62,7 +62,7 @@
             )
             for n in range(endpoints)
         },
-        limits={
+        concurrency_limits={
             f'team-{n}': configuration.TeamLimit(f'team-{n}', 5.0, 10)
             for n in range(team_limits)
         },
@@ -145,7 +145,7 @@
     candidates = held.active('s', 'region-1')
     view = routing.View(
         loads.Loads(clock),
-        limits.Limits(clock),
+        concurrency_limits.Limits(clock),
         routing.Sessions(),
         held.current.services['s'],
         random.Random(1),
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -4,7 +4,7 @@
 import pytest
 
 from wrenspoke.coordination.serving import dispatch
-from wrenspoke.coordination.serving import limits
+from wrenspoke.coordination.serving import concurrency_limits
 from wrenspoke.coordination.serving import placement
 from wrenspoke.protocol import requests
 from wrenspoke.state import configuration
@@ -40,7 +40,7 @@
     """Return a place at an endpoint."""
     made = placement.Slot(
         endpoint,
-        limits.AdaptiveLimit(4, FakeClock()),
+        concurrency_limits.AdaptiveLimit(4, FakeClock()),
         lambda _name: False,
         lambda: None,
     )
--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -9,7 +9,7 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.membership import loads
 from wrenspoke.coordination.membership import replica
-from wrenspoke.coordination.serving import limits
+from wrenspoke.coordination.serving import concurrency_limits
 from wrenspoke.coordination.serving import routing
 from wrenspoke import ids
 from wrenspoke.protocol import messages
@@ -50,7 +50,7 @@
         peers: peer_calls.Peers,
         held: replica.Replica,
         load_table: loads.Loads,
-        limit_table: limits.Limits,
+        limit_table: concurrency_limits.Limits,
         clock: clocks.Clock,
     ):
         self._settings = deployment.entry
--- a/wrenspoke/coordination/membership/polls.py
+++ b/wrenspoke/coordination/membership/polls.py
@@ -11,7 +11,7 @@
 from wrenspoke.coordination.membership import members
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.serving import dispatch
-from wrenspoke.coordination.serving import limits
+from wrenspoke.coordination.serving import concurrency_limits
 from wrenspoke import ids
 from wrenspoke.protocol import messages
 from wrenspoke import runtime
@@ -36,7 +36,7 @@
         watched: members.Members,
         held: replica.Replica,
         load_table: loads.Loads,
-        limit_table: limits.Limits,
+        limit_table: concurrency_limits.Limits,
         clock: clocks.Clock,
     ):
         self._interval_ms = limits_settings.load_poll_interval_ms
--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -14,7 +14,7 @@
 from wrenspoke.coordination.membership import loads
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.serving import decisions
-from wrenspoke.coordination.serving import limits
+from wrenspoke.coordination.serving import concurrency_limits
 from wrenspoke.coordination.serving import return_line
 from wrenspoke.coordination.serving import routing
 from wrenspoke import ids
@@ -35,7 +35,7 @@
     def __init__(
         self,
         endpoint: configuration.Endpoint,
-        limit: limits.AdaptiveLimit,
+        limit: concurrency_limits.AdaptiveLimit,
         crowded: collections.abc.Callable[[ids.EndpointId], bool],
         wake: collections.abc.Callable[[], None],
     ):
@@ -122,7 +122,7 @@
         limits_settings: settings.EntrySettings,
         held: replica.Replica,
         load_table: loads.Loads,
-        limit_table: limits.Limits,
+        limit_table: concurrency_limits.Limits,
         gate: endpoint_gate.EndpointGate,
         noted: decisions.Decisions,
         clock: clocks.Clock,
@@ -215,7 +215,7 @@
     def _view(self, head: requests.RequestHead) -> routing.View:
         return routing.View(
             loads=self._loads,
-            limits=self._limits,
+            concurrency_limits=self._limits,
             sessions=self.sessions,
             service=self._replica.current.services[head.service],
             random=self._random,
--- a/wrenspoke/coordination/serving/routing.py
+++ b/wrenspoke/coordination/serving/routing.py
@@ -10,7 +10,7 @@
 import xxhash
 
 from wrenspoke.coordination.membership import loads
-from wrenspoke.coordination.serving import limits
+from wrenspoke.coordination.serving import concurrency_limits
 from wrenspoke import ids
 from wrenspoke.protocol import requests
 from wrenspoke.state import configuration
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -24,7 +24,7 @@
 from wrenspoke.coordination.serving import forwarding
 from wrenspoke.coordination.serving import gateway
 from wrenspoke.coordination.serving import ledger
-from wrenspoke.coordination.serving import limits
+from wrenspoke.coordination.serving import concurrency_limits
 from wrenspoke.coordination.serving import local
 from wrenspoke.coordination.serving import once
 from wrenspoke.coordination.serving import placement
@@ -76,7 +76,7 @@
         self.replica = replica.Replica()
         self.decisions = decisions.Decisions(self._clock)
         self.loads = loads.Loads(self._clock)
-        self._limits = limits.Limits(self._clock)
+        self._limits = concurrency_limits.Limits(self._clock)
         self._build_membership()
         self._build_limits()
         self._build_guard()
