--- a/wrenspoke/coordination/serving/concurrency_limits.py
+++ b/wrenspoke/coordination/serving/concurrency_limits.py
@@ -5,7 +5,7 @@
 from wrenspoke import clock as clocks
 from wrenspoke import ids
 
-DECREASE = 0.7
+DECREASE_FACTOR = 0.7
 DECREASE_INTERVAL_MS = 200
 SMALLEST_LIMIT = 1.0
 HEADROOM = 4
@@ -60,7 +60,7 @@
         if now_ms - self._decreased_ms < DECREASE_INTERVAL_MS:
             return
         self._decreased_ms = now_ms
-        self.limit = max(least, self.limit * DECREASE)
+        self.limit = max(least, self.limit * DECREASE_FACTOR)
 
 
 class Limits:
