--- a/wrenspoke/coordination/serving/concurrency_limits.py
+++ b/wrenspoke/coordination/serving/concurrency_limits.py
@@ -7,7 +7,7 @@
 
 DECREASE_FACTOR = 0.7
 DECREASE_INTERVAL_MS = 200
-SMALLEST_LIMIT = 1.0
+MIN_LIMIT = 1.0
 HEADROOM = 4
 BUSY_SHARE = 0.8
 
@@ -48,7 +48,7 @@
         busy = self.in_flight >= self.limit * BUSY_SHARE
         self.in_flight -= 1
         if overloaded:
-            self._decrease(SMALLEST_LIMIT)
+            self._decrease(MIN_LIMIT)
         elif crowded:
             self._decrease(min(self.limit, self._slots))
         elif succeeded and busy:
