--- a/wrenspoke/coordination/serving/concurrency_limits.py
+++ b/wrenspoke/coordination/serving/concurrency_limits.py
@@ -8,7 +8,7 @@
 DECREASE_FACTOR = 0.7
 DECREASE_INTERVAL_MS = 200
 MIN_LIMIT = 1.0
-HEADROOM = 4
+MAX_LIMIT_FACTOR = 4
 BUSY_SHARE = 0.8
 
 
@@ -24,7 +24,7 @@
     def __init__(self, slots: int, clock: clocks.Clock):
         self._clock = clock
         self._slots = float(slots)
-        self._most = float(slots * HEADROOM)
+        self._most = float(slots * MAX_LIMIT_FACTOR)
         self._decreased_ms = -DECREASE_INTERVAL_MS
         self.limit = float(slots)
         self.in_flight = 0
