--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -145,7 +145,7 @@
     candidates = held.active('s', 'region-1')
     view = routing.View(
         loads.Loads(clock),
-        concurrency_limits.Limits(clock),
+        concurrency_limits.ConcurrencyLimits(clock),
         routing.Sessions(),
         held.current.services['s'],
         random.Random(1),
--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -50,7 +50,7 @@
         peers: peer_calls.Peers,
         held: replica.Replica,
         load_table: loads.Loads,
-        limit_table: concurrency_limits.Limits,
+        limit_table: concurrency_limits.ConcurrencyLimits,
         clock: clocks.Clock,
     ):
         self._settings = deployment.entry
--- a/wrenspoke/coordination/membership/polls.py
+++ b/wrenspoke/coordination/membership/polls.py
@@ -36,7 +36,7 @@
         watched: members.Members,
         held: replica.Replica,
         load_table: loads.Loads,
-        limit_table: concurrency_limits.Limits,
+        limit_table: concurrency_limits.ConcurrencyLimits,
         clock: clocks.Clock,
     ):
         self._interval_ms = limits_settings.load_poll_interval_ms
--- a/wrenspoke/coordination/serving/concurrency_limits.py
+++ b/wrenspoke/coordination/serving/concurrency_limits.py
@@ -63,7 +63,7 @@
         self.limit = max(least, self.limit * DECREASE_FACTOR)
 
 
-class Limits:
+class ConcurrencyLimits:
     """Hold the limit of every endpoint that this host sends to."""
 
     def __init__(self, clock: clocks.Clock):
--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -122,7 +122,7 @@
         limits_settings: settings.EntrySettings,
         held: replica.Replica,
         load_table: loads.Loads,
-        limit_table: concurrency_limits.Limits,
+        limit_table: concurrency_limits.ConcurrencyLimits,
         gate: endpoint_gate.EndpointGate,
         noted: decisions.Decisions,
         clock: clocks.Clock,
--- a/wrenspoke/coordination/serving/routing.py
+++ b/wrenspoke/coordination/serving/routing.py
@@ -27,7 +27,7 @@
     """Hold what a policy may look at."""
 
     loads: loads.Loads
-    limits: limits.Limits
+    limits: limits.ConcurrencyLimits
     sessions: 'Sessions'
     service: configuration.Service
     random: random.Random
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -76,7 +76,7 @@
         self.replica = replica.Replica()
         self.decisions = decisions.Decisions(self._clock)
         self.loads = loads.Loads(self._clock)
-        self._limits = concurrency_limits.Limits(self._clock)
+        self._limits = concurrency_limits.ConcurrencyLimits(self._clock)
         self._build_membership()
         self._build_limits()
         self._build_guard()
