--- a/wrenspoke/cli.py
+++ b/wrenspoke/cli.py
@@ -281,11 +281,15 @@
 async def run_team_key(arguments: argparse.Namespace) -> int:
     """Print a key once, and its digest for ``plan issue-key``."""
     deployment = settings.read(arguments.file)
-    key = sys.stdin.readline().strip() if arguments.of else teams.new_key()
+    key = (
+        sys.stdin.readline().strip()
+        if arguments.limit_for
+        else teams.new_key()
+    )
     if not key:
         print('standard input: no key', file=sys.stderr)
         return FAILED
-    if not arguments.of:
+    if not arguments.limit_for:
         print(f'key: {key}')
     digest = teams.digest_of(key, teams.secret_of(deployment.cluster))
     print(f'digest: {digest.hex()}')
--- a/wrenspoke/coordination/serving/concurrency_limits.py
+++ b/wrenspoke/coordination/serving/concurrency_limits.py
@@ -70,7 +70,7 @@
         self._clock = clock
         self._limits: dict[ids.EndpointId, AdaptiveLimit] = {}
 
-    def of(self, endpoint: ids.EndpointId, slots: int) -> AdaptiveLimit:
+    def limit_for(self, endpoint: ids.EndpointId, slots: int) -> AdaptiveLimit:
         """Return an endpoint's limit, made on first use."""
         limit = self._limits.get(endpoint)
         if limit is None:
--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -191,7 +191,7 @@
         found = self._replica.current.endpoints.get(endpoint)
         if found is None:
             return None
-        limit = self._limits.of(endpoint, found.slots)
+        limit = self._limits.limit_for(endpoint, found.slots)
         return Slot(
             found,
             limit,
@@ -257,7 +257,7 @@
             return None
         for place, item in enumerate(ranked):
             endpoint = item.endpoint
-            limit = self._limits.of(endpoint.endpoint, endpoint.slots)
+            limit = self._limits.limit_for(endpoint.endpoint, endpoint.slots)
             if not limit.free or self._spent_ms(endpoint.endpoint):
                 continue
             self._decisions.note(
@@ -328,7 +328,7 @@
     ) -> float:
         per_ms = 0.0
         for endpoint in endpoints:
-            limit = self._limits.of(endpoint.endpoint, endpoint.slots)
+            limit = self._limits.limit_for(endpoint.endpoint, endpoint.slots)
             hold_ms = self._loads.speed(endpoint.endpoint).hold_ms
             own_per_ms = limit.limit / max(hold_ms, 1.0)
             stated_per_s = self._gate.limits.share_per_s(
