--- a/wrenspoke/coordination/serving/concurrency_limits.py
+++ b/wrenspoke/coordination/serving/concurrency_limits.py
@@ -83,7 +83,7 @@
         limit = self._limits.get(endpoint)
         return 0 if limit is None else limit.in_flight
 
-    def keep_only(
+    def retain_endpoints(
         self, endpoints: collections.abc.Container[ids.EndpointId]
     ) -> None:
         """Forget endpoints that are gone and idle."""
