--- a/wrenspoke/coordination/serving/concurrency_limits.py
+++ b/wrenspoke/coordination/serving/concurrency_limits.py
@@ -24,7 +24,7 @@
     def __init__(self, slots: int, clock: clocks.Clock):
         self._clock = clock
         self._slots = float(slots)
-        self._most = float(slots * MAX_LIMIT_FACTOR)
+        self._max_limit = float(slots * MAX_LIMIT_FACTOR)
         self._decreased_ms = -DECREASE_INTERVAL_MS
         self.limit = float(slots)
         self.in_flight = 0
@@ -53,7 +53,7 @@
             self._decrease(min(self.limit, self._slots))
         elif succeeded and busy:
             grown = self.limit + 1 / self.limit
-            self.limit = min(self._most, grown)
+            self.limit = min(self._max_limit, grown)
 
     def _decrease(self, least: float) -> None:
         now_ms = self._clock.mono_ms()
