--- a/wrenspoke/coordination/serving/concurrency_limits.py
+++ b/wrenspoke/coordination/serving/concurrency_limits.py
@@ -30,7 +30,7 @@
         self.in_flight = 0
 
     @property
-    def free(self) -> bool:
+    def has_capacity(self) -> bool:
         """Tell whether one more request may be sent."""
         return self.in_flight + 1 <= self.limit
 
--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -258,7 +258,7 @@
         for place, item in enumerate(ranked):
             endpoint = item.endpoint
             limit = self._limits.limit_for(endpoint.endpoint, endpoint.slots)
-            if not limit.free or self._spent_ms(endpoint.endpoint):
+            if not limit.has_capacity or self._spent_ms(endpoint.endpoint):
                 continue
             self._decisions.note(
                 'placed',
