--- a/wrenspoke/coordination/serving/concurrency_limits.py
+++ b/wrenspoke/coordination/serving/concurrency_limits.py
@@ -39,7 +39,7 @@
         self.in_flight += 1
 
     def release(
-        self, succeeded: bool, overloaded: bool, crowded: bool
+        self, succeeded: bool, overloaded: bool, has_queue: bool
     ) -> None:
         """Count a request out and learn from its end.
 
@@ -49,7 +49,7 @@
         self.in_flight -= 1
         if overloaded:
             self._decrease(MIN_LIMIT)
-        elif crowded:
+        elif has_queue:
             self._decrease(min(self.limit, self._slots))
         elif succeeded and busy:
             grown = self.limit + 1 / self.limit
--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -195,7 +195,7 @@
         return Slot(
             found,
             limit,
-            self._loads.crowded,
+            self._loads.has_queue,
             self._queue(found.service).wake,
         )
 
@@ -271,7 +271,7 @@
                 in_flight=limit.in_flight,
                 limit=round(limit.limit, 1),
             )
-            return Slot(endpoint, limit, self._loads.crowded, queue.wake)
+            return Slot(endpoint, limit, self._loads.has_queue, queue.wake)
         return None
 
     def _refuse_hopeless(
