--- a/wrenspoke/coordination/serving/concurrency_limits.py
+++ b/wrenspoke/coordination/serving/concurrency_limits.py
@@ -55,12 +55,12 @@
             grown = self.limit + 1 / self.limit
             self.limit = min(self._max_limit, grown)
 
-    def _decrease(self, least: float) -> None:
+    def _decrease(self, floor: float) -> None:
         now_ms = self._clock.mono_ms()
         if now_ms - self._decreased_ms < DECREASE_INTERVAL_MS:
             return
         self._decreased_ms = now_ms
-        self.limit = max(least, self.limit * DECREASE_FACTOR)
+        self.limit = max(floor, self.limit * DECREASE_FACTOR)
 
 
 class ConcurrencyLimits:
