--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -20,7 +20,7 @@
 from wrenspoke.coordination.limiting import endpoint_limits
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.quarantine import guard as guards
-from wrenspoke.coordination.serving import bodies
+from wrenspoke.coordination.serving import response_body
 from wrenspoke.coordination.serving import placement
 from wrenspoke import ids
 from wrenspoke.protocol import advertised
@@ -215,7 +215,7 @@
     return None
 
 
-class Answer(bodies.Body):
+class Answer(response_body.Body):
     """Hold the head of an endpoint's answer; the body is read from it."""
 
     def __init__(self, response: aiohttp.ClientResponse, name: str):
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -21,7 +21,7 @@
 from wrenspoke.coordination.limiting import endpoint_gate
 from wrenspoke.coordination.quarantine import guard as guards
 from wrenspoke.coordination.serving import access
-from wrenspoke.coordination.serving import bodies
+from wrenspoke.coordination.serving import response_body
 from wrenspoke.coordination.serving import choice
 from wrenspoke import ids
 from wrenspoke.protocol import advertised
@@ -95,7 +95,7 @@
         return self.endpoint or self.host
 
 
-class Answer(bodies.Body):
+class Answer(response_body.Body):
     """Hold the head of an answer; the body is read from it.
 
     ``runs`` is how many endpoints a host that answers for others used.
