--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -215,7 +215,7 @@
     return None
 
 
-class Answer(response_body.Body):
+class Answer(response_body.ResponseBody):
     """Hold the head of an endpoint's answer; the body is read from it."""
 
     def __init__(self, response: aiohttp.ClientResponse, name: str):
--- a/wrenspoke/coordination/serving/response_body.py
+++ b/wrenspoke/coordination/serving/response_body.py
@@ -9,7 +9,7 @@
 from wrenspoke.transport import web
 
 
-class Body:
+class ResponseBody:
     """Read a body to its stated end, whole or as it comes."""
 
     def __init__(self, response: aiohttp.ClientResponse):
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -95,7 +95,7 @@
         return self.endpoint or self.host
 
 
-class Answer(response_body.Body):
+class Answer(response_body.ResponseBody):
     """Hold the head of an answer; the body is read from it.
 
     ``runs`` is how many endpoints a host that answers for others used.
