--- a/wrenspoke/coordination/serving/response_body.py
+++ b/wrenspoke/coordination/serving/response_body.py
@@ -16,7 +16,7 @@
         self._response = response
         self.read_bytes = 0
 
-    async def whole(self, limit_bytes: int) -> bytes:
+    async def read_all(self, limit_bytes: int) -> bytes:
         """Return the whole body.
 
         :raises MaybeSentError: it was cut short, too long or unending
