--- a/wrenspoke/coordination/serving/response_body.py
+++ b/wrenspoke/coordination/serving/response_body.py
@@ -14,7 +14,7 @@
 
     def __init__(self, response: aiohttp.ClientResponse):
         self._response = response
-        self.read_bytes = 0
+        self.bytes_read = 0
 
     async def read_all(self, limit_bytes: int) -> bytes:
         """Return the whole body.
@@ -23,7 +23,7 @@
         """
         try:
             body = await web.read_whole(self._response, limit_bytes)
-            self.read_bytes += len(body)
+            self.bytes_read += len(body)
             return body
         except transport_errors.TransportError as error:
             raise errors.MaybeSentError(str(error)) from error
@@ -35,7 +35,7 @@
         """
         try:
             async for chunk in web.read_chunks(self._response):
-                self.read_bytes += len(chunk)
+                self.bytes_read += len(chunk)
                 yield chunk
         except transport_errors.TransportError as error:
             raise errors.MaybeSentError(str(error)) from error
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -265,7 +265,7 @@
             return
         there = locations.Location(place.stands_in, ids.DataCentreId(''))
         self._traffic.note(CALL, there, len(call.body))
-        self._traffic.note(ANSWER, there, answer.read_bytes)
+        self._traffic.note(ANSWER, there, answer.bytes_read)
 
     def _fields(
         self,
--- a/wrenspoke/history.py
+++ b/wrenspoke/history.py
@@ -121,5 +121,5 @@
 
 def read(path: pathlib.Path) -> list[Asked]:
     """Read a history."""
-    lines = path.read_bytes().splitlines()
+    lines = path.bytes_read().splitlines()
     return [msgspec.json.decode(line, type=Asked) for line in lines]
