--- a/wrenspoke/coordination/serving/decisions.py
+++ b/wrenspoke/coordination/serving/decisions.py
@@ -13,7 +13,7 @@
 KEPT_PER_REQUEST = 32
 
 
-class Decisions:
+class DecisionLog:
     """Write a line a decision and remember the latest requests'."""
 
     def __init__(self, clock: clocks.Clock):
--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -73,7 +73,7 @@
         reached: reach.Reach,
         client: web.HttpClient,
         signer: hops.HopSigner,
-        noted: decisions.Decisions,
+        noted: decisions.DecisionLog,
         clock: clocks.Clock,
     ):
         self._host = host
--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -67,7 +67,7 @@
         forwarder: forwarding.Forwarder,
         team_shares: shares.TeamShares,
         book: ledger.Ledger,
-        noted: decisions.Decisions,
+        noted: decisions.DecisionLog,
         guard: guards.Guard,
         clock: clocks.Clock,
     ):
--- a/wrenspoke/coordination/serving/local.py
+++ b/wrenspoke/coordination/serving/local.py
@@ -66,7 +66,7 @@
         head: requests.RequestHead,
         limit: int,
         budget: retries.RetryBudget,
-        noted: decisions.Decisions,
+        noted: decisions.DecisionLog,
         clock: clocks.Clock,
     ):
         self.excluded: set[ids.EndpointId] = set()
@@ -196,7 +196,7 @@
         dispatcher: dispatch.Dispatcher,
         placer: placement.Placer,
         load_table: loads.Loads,
-        noted: decisions.Decisions,
+        noted: decisions.DecisionLog,
         clock: clocks.Clock,
     ):
         self.settings = limits
--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -37,7 +37,7 @@
         book: ledger.Ledger,
         server: local.LocalServer,
         watched: members.Members,
-        noted: decisions.Decisions,
+        noted: decisions.DecisionLog,
         clock: clocks.Clock,
     ):
         self._host = host
--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -124,7 +124,7 @@
         load_table: loads.Loads,
         limit_table: concurrency_limits.ConcurrencyLimits,
         gate: endpoint_gate.EndpointGate,
-        noted: decisions.Decisions,
+        noted: decisions.DecisionLog,
         clock: clocks.Clock,
     ):
         self._region = region
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -74,7 +74,7 @@
             self._clock,
         )
         self.replica = replica.Replica()
-        self.decisions = decisions.Decisions(self._clock)
+        self.decisions = decisions.DecisionLog(self._clock)
         self.loads = loads.Loads(self._clock)
         self._limits = concurrency_limits.ConcurrencyLimits(self._clock)
         self._build_membership()
