--- a/wrenspoke/coordination/serving/decisions.py
+++ b/wrenspoke/coordination/serving/decisions.py
@@ -22,7 +22,7 @@
             collections.OrderedDict()
         )
 
-    def note(self, event: str, request: str, **fields: typing.Any) -> None:
+    def record(self, event: str, request: str, **fields: typing.Any) -> None:
         """Log one decision on one request."""
         logger.info(event, request=request, **fields)
         kept = self._kept.get(request)
