--- a/wrenspoke/coordination/serving/decisions.py
+++ b/wrenspoke/coordination/serving/decisions.py
@@ -9,7 +9,7 @@
 
 logger = structlog.get_logger(__name__)
 
-KEPT_REQUESTS = 4096
+MAX_REQUESTS = 4096
 KEPT_PER_REQUEST = 32
 
 
@@ -28,7 +28,7 @@
         kept = self._kept.get(request)
         if kept is None:
             kept = self._kept[request] = []
-            if len(self._kept) > KEPT_REQUESTS:
+            if len(self._kept) > MAX_REQUESTS:
                 self._kept.popitem(last=False)
         if len(kept) < KEPT_PER_REQUEST:
             kept.append(
