--- a/wrenspoke/coordination/serving/decisions.py
+++ b/wrenspoke/coordination/serving/decisions.py
@@ -10,7 +10,7 @@
 logger = structlog.get_logger(__name__)
 
 MAX_REQUESTS = 4096
-KEPT_PER_REQUEST = 32
+MAX_ENTRIES_PER_REQUEST = 32
 
 
 class DecisionLog:
@@ -30,7 +30,7 @@
             kept = self._kept[request] = []
             if len(self._kept) > MAX_REQUESTS:
                 self._kept.popitem(last=False)
-        if len(kept) < KEPT_PER_REQUEST:
+        if len(kept) < MAX_ENTRIES_PER_REQUEST:
             kept.append(
                 {'at_ms': self._clock.wall_ms(), 'event': event}
                 | {name: str(value) for name, value in fields.items()}
