--- a/wrenspoke/coordination/serving/decisions.py
+++ b/wrenspoke/coordination/serving/decisions.py
@@ -18,18 +18,18 @@
 
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
-        self._kept: collections.OrderedDict[str, list] = (
+        self._recent: collections.OrderedDict[str, list] = (
             collections.OrderedDict()
         )
 
     def record(self, event: str, request: str, **fields: typing.Any) -> None:
         """Log one decision on one request."""
         logger.info(event, request=request, **fields)
-        kept = self._kept.get(request)
+        kept = self._recent.get(request)
         if kept is None:
-            kept = self._kept[request] = []
-            if len(self._kept) > MAX_REQUESTS:
-                self._kept.popitem(last=False)
+            kept = self._recent[request] = []
+            if len(self._recent) > MAX_REQUESTS:
+                self._recent.popitem(last=False)
         if len(kept) < MAX_ENTRIES_PER_REQUEST:
             kept.append(
                 {'at_ms': self._clock.wall_ms(), 'event': event}
@@ -38,4 +38,4 @@
 
     def explain(self, request: str) -> list[dict[str, typing.Any]]:
         """Return the decisions on a request, oldest first."""
-        return list(self._kept.get(request, []))
+        return list(self._recent.get(request, []))
