--- a/wrenspoke/coordination/serving/decisions.py
+++ b/wrenspoke/coordination/serving/decisions.py
@@ -25,13 +25,13 @@
     def record(self, event: str, request: str, **fields: typing.Any) -> None:
         """Log one decision on one request."""
         logger.info(event, request=request, **fields)
-        kept = self._recent.get(request)
-        if kept is None:
-            kept = self._recent[request] = []
+        entries = self._recent.get(request)
+        if entries is None:
+            entries = self._recent[request] = []
             if len(self._recent) > MAX_REQUESTS:
                 self._recent.popitem(last=False)
-        if len(kept) < MAX_ENTRIES_PER_REQUEST:
-            kept.append(
+        if len(entries) < MAX_ENTRIES_PER_REQUEST:
+            entries.append(
                 {'at_ms': self._clock.wall_ms(), 'event': event}
                 | {name: str(value) for name, value in fields.items()}
             )
