--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -243,7 +243,7 @@
     ),
     Switch(
         'budget off',
-        DECISIONS + 'serving/retries.py',
+        DECISIONS + 'serving/retry_budget.py',
         ('        if self._tokens < 1:'),
         ('        if False:'),
         ('tests/test_endpoints.py::test_retries_stay_within_their_budget'),
--- a/wrenspoke/coordination/serving/local.py
+++ b/wrenspoke/coordination/serving/local.py
@@ -10,7 +10,7 @@
 from wrenspoke.coordination.serving import decisions
 from wrenspoke.coordination.serving import dispatch
 from wrenspoke.coordination.serving import placement
-from wrenspoke.coordination.serving import retries
+from wrenspoke.coordination.serving import retry_budget
 from wrenspoke import ids
 from wrenspoke.protocol import headers
 from wrenspoke.protocol import outcomes
@@ -65,7 +65,7 @@
         self,
         head: requests.RequestHead,
         limit: int,
-        budget: retries.RetryBudget,
+        budget: retry_budget.RetryBudget,
         noted: decisions.DecisionLog,
         clock: clocks.Clock,
     ):
@@ -205,7 +205,7 @@
         self.loads = load_table
         self.decisions = noted
         self.clock = clock
-        self.budget = retries.RetryBudget(
+        self.budget = retry_budget.RetryBudget(
             limits.retry_ratio, limits.retry_burst
         )
 
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -94,7 +94,9 @@
         self.spending = spending.Spending(
             node.host,
             spending.RetryBounds(
-                node.retries.ratio, node.retries.fixed, node.retries.window_ms
+                node.retry_budget.ratio,
+                node.retry_budget.fixed,
+                node.retry_budget.window_ms,
             ),
             self.clock,
         )
