--- a/wrenspoke/coordination/serving/local.py
+++ b/wrenspoke/coordination/serving/local.py
@@ -79,7 +79,7 @@
         self._budget = budget
         self._decisions = noted
         self._clock = clock
-        budget.first_attempt()
+        budget.record_first_attempt()
 
     @property
     def purpose(self) -> dispatch.Purpose:
--- a/wrenspoke/coordination/serving/retry_budget.py
+++ b/wrenspoke/coordination/serving/retry_budget.py
@@ -16,7 +16,7 @@
         self.spent = 0
         self.denied = 0
 
-    def first_attempt(self) -> None:
+    def record_first_attempt(self) -> None:
         """Earn a share of a retry."""
         self._tokens = min(self._burst, self._tokens + self._ratio)
 
