--- a/wrenspoke/coordination/serving/retry_budget.py
+++ b/wrenspoke/coordination/serving/retry_budget.py
@@ -20,7 +20,7 @@
         """Earn a share of a retry."""
         self._tokens = min(self._burst, self._tokens + self._ratio)
 
-    def spend(self) -> bool:
+    def try_spend(self) -> bool:
         """Take a retry from the budget; False when there is none."""
         if self._tokens < 1:
             self.denied += 1
