--- a/tests/test_endpoint_gate.py
+++ b/tests/test_endpoint_gate.py
@@ -6,7 +6,7 @@
 from tests import test_health
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.limiting import endpoint_gate
-from wrenspoke.coordination.serving import return_line
+from wrenspoke.coordination.serving import retry_schedule
 from wrenspoke.protocol import advertised
 from wrenspoke.protocol import limiting
 
@@ -135,8 +135,10 @@
 @pytest.mark.parametrize('urgency', range(3))
 def test_callers_return_by_urgency(urgency):
     """Those of one urgency are all back before the next begin."""
-    waits_ms = [return_line.spread_ms(1_000, urgency) for _ in range(200)]
-    later_ms = [return_line.spread_ms(1_000, urgency + 1) for _ in range(200)]
+    waits_ms = [retry_schedule.spread_ms(1_000, urgency) for _ in range(200)]
+    later_ms = [
+        retry_schedule.spread_ms(1_000, urgency + 1) for _ in range(200)
+    ]
     assert max(waits_ms) <= min(later_ms)
     assert max(waits_ms) > min(waits_ms)
 
--- a/tests/test_stated_limits.py
+++ b/tests/test_stated_limits.py
@@ -10,7 +10,7 @@
 from wrenspoke.coordination.limiting import advertised_limits
 from wrenspoke.coordination.limiting import endpoint_lender
 from wrenspoke.coordination.limiting import lenders as region_lenders
-from wrenspoke.coordination.serving import return_line
+from wrenspoke.coordination.serving import retry_schedule
 from wrenspoke.protocol import errors
 from wrenspoke.protocol import limiting
 from wrenspoke.protocol import rates
@@ -211,11 +211,11 @@
 
 def test_callers_that_are_turned_away_come_back_one_by_one():
     clock = test_registry.FakeClock()
-    line = return_line.ReturnLine(clock)
+    line = retry_schedule.ReturnLine(clock)
     assert [line.join(5, 2.0) for _number in range(3)] == [500, 1_000, 1_500]
     # The more urgent goes before them, the less urgent behind.
     assert line.join(1, 2.0) == 500
     assert line.join(9, 2.0) == 2_500
     clock.now_ms += 2_500
     assert line.join(9, 2.0) == 500
-    assert line.join(9, 0.001) == return_line.LONGEST_RETURN_MS
+    assert line.join(9, 0.001) == retry_schedule.LONGEST_RETURN_MS
--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -15,7 +15,7 @@
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.serving import decisions
 from wrenspoke.coordination.serving import concurrency_limits
-from wrenspoke.coordination.serving import return_line
+from wrenspoke.coordination.serving import retry_schedule
 from wrenspoke.coordination.serving import routing
 from wrenspoke import ids
 from wrenspoke.protocol import limiting
@@ -317,7 +317,7 @@
                 outcomes.Outcome.NOT_RUN,
                 outcomes.Reason.OVERLOAD,
                 'every endpoint asked for backoff',
-                return_line.spread_ms(soonest_ms, urgency),
+                retry_schedule.spread_ms(soonest_ms, urgency),
             )
         )
 
--- a/wrenspoke/coordination/serving/placing.py
+++ b/wrenspoke/coordination/serving/placing.py
@@ -17,7 +17,7 @@
 from wrenspoke.coordination.serving import choice
 from wrenspoke.coordination.serving import costs
 from wrenspoke.coordination.serving import regions
-from wrenspoke.coordination.serving import return_line
+from wrenspoke.coordination.serving import retry_schedule
 from wrenspoke.coordination.serving import sending
 from wrenspoke.coordination.serving import work as works
 from wrenspoke import ids
@@ -137,7 +137,9 @@
             end_ms=round(end_ms),
             left_ms=round(bounds.deadline_left_ms),
         )
-        retry_after_ms = return_line.spread_ms(first_ms - work.route.target_ms)
+        retry_after_ms = retry_schedule.spread_ms(
+            first_ms - work.route.target_ms
+        )
         raise HopelessError(
             first_ms, max(retry_after_ms, LEAST_RETRY_AFTER_MS)
         )
