--- a/tests/test_stated_limits.py
+++ b/tests/test_stated_limits.py
@@ -218,4 +218,4 @@
     assert line.join(9, 2.0) == 2_500
     clock.now_ms += 2_500
     assert line.join(9, 2.0) == 500
-    assert line.join(9, 0.001) == retry_schedule.LONGEST_RETURN_MS
+    assert line.join(9, 0.001) == retry_schedule.MAX_RETRY_AFTER_MS
--- a/wrenspoke/coordination/serving/retry_schedule.py
+++ b/wrenspoke/coordination/serving/retry_schedule.py
@@ -6,7 +6,7 @@
 
 MS_PER_S = 1_000
 # Longer than callers wait, as a rule; what is reckoned for later is a guess.
-LONGEST_RETURN_MS = 10_000
+MAX_RETRY_AFTER_MS = 10_000
 # Callers that are turned away come back spread over this much longer.
 RETRY_SPREAD = 0.5
 # Beyond it the times would be longer than callers wait.
@@ -42,7 +42,7 @@
         self._due = [entry for entry in self._due if entry[0] > now_ms]
         ahead = sum(other <= urgency for _due_ms, other in self._due)
         wait_ms = (ahead + 1) * MS_PER_S / rate_per_s
-        if wait_ms >= LONGEST_RETURN_MS:
-            return LONGEST_RETURN_MS
+        if wait_ms >= MAX_RETRY_AFTER_MS:
+            return MAX_RETRY_AFTER_MS
         self._due.append((now_ms + wait_ms, urgency))
         return wait_ms
