--- a/wrenspoke/coordination/serving/retry_schedule.py
+++ b/wrenspoke/coordination/serving/retry_schedule.py
@@ -8,7 +8,7 @@
 # Longer than callers wait, as a rule; what is reckoned for later is a guess.
 MAX_RETRY_AFTER_MS = 10_000
 # Callers that are turned away come back spread over this much longer.
-RETRY_SPREAD = 0.5
+RETRY_JITTER = 0.5
 # Beyond it the times would be longer than callers wait.
 MOST_STEPS = 3
 
@@ -18,8 +18,8 @@
 
     The waits of each urgency begin where those of the one before end.
     """
-    step = (1.0 + RETRY_SPREAD) ** min(urgency, MOST_STEPS)
-    return int(wait_ms * step * random.uniform(1.0, 1.0 + RETRY_SPREAD))
+    step = (1.0 + RETRY_JITTER) ** min(urgency, MOST_STEPS)
+    return int(wait_ms * step * random.uniform(1.0, 1.0 + RETRY_JITTER))
 
 
 class ReturnLine:
