--- a/benches/switches_backoffs.py
+++ b/benches/switches_backoffs.py
@@ -137,7 +137,7 @@
     Switch(
         'callers return in any order',
         SERVING + 'retry_schedule.py',
-        'step = (1.0 + RETRY_JITTER) ** min(urgency, MOST_STEPS)',
+        'step = (1.0 + RETRY_JITTER) ** min(urgency, MAX_URGENCY_STEPS)',
         'step = 1.0',
         f'{PERMITS}::test_callers_return_by_urgency',
     ),
--- a/wrenspoke/coordination/serving/retry_schedule.py
+++ b/wrenspoke/coordination/serving/retry_schedule.py
@@ -10,7 +10,7 @@
 # Callers that are turned away come back spread over this much longer.
 RETRY_JITTER = 0.5
 # Beyond it the times would be longer than callers wait.
-MOST_STEPS = 3
+MAX_URGENCY_STEPS = 3
 
 
 def spread_ms(wait_ms: float, urgency: int = 0) -> int:
@@ -18,7 +18,7 @@
 
     The waits of each urgency begin where those of the one before end.
     """
-    step = (1.0 + RETRY_JITTER) ** min(urgency, MOST_STEPS)
+    step = (1.0 + RETRY_JITTER) ** min(urgency, MAX_URGENCY_STEPS)
     return int(wait_ms * step * random.uniform(1.0, 1.0 + RETRY_JITTER))
 
 
