--- a/tests/test_endpoint_gate.py
+++ b/tests/test_endpoint_gate.py
@@ -135,9 +135,9 @@
 @pytest.mark.parametrize('urgency', range(3))
 def test_callers_return_by_urgency(urgency):
     """Those of one urgency are all back before the next begin."""
-    waits_ms = [retry_schedule.spread_ms(1_000, urgency) for _ in range(200)]
+    waits_ms = [retry_schedule.jittered_ms(1_000, urgency) for _ in range(200)]
     later_ms = [
-        retry_schedule.spread_ms(1_000, urgency + 1) for _ in range(200)
+        retry_schedule.jittered_ms(1_000, urgency + 1) for _ in range(200)
     ]
     assert max(waits_ms) <= min(later_ms)
     assert max(waits_ms) > min(waits_ms)
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -217,7 +217,7 @@
         await reply.refuse(
             TOO_MANY_REQUESTS,
             passing.Refusal.OVER_LIMIT,
-            retry_schedule.spread_ms(error.wait_ms),
+            retry_schedule.jittered_ms(error.wait_ms),
         )
 
     async def _permit(self, call: dialects.Call) -> access.Permit:
@@ -259,7 +259,7 @@
         retry_after_ms = None
         if status == UNAVAILABLE:
             lease = self._attended.lease
-            retry_after_ms = retry_schedule.spread_ms(lease.return_in_ms())
+            retry_after_ms = retry_schedule.jittered_ms(lease.return_in_ms())
         await reply.refuse(status, reason, retry_after_ms)
 
     async def _refuse(
@@ -446,7 +446,7 @@
         urgency = 0
         if self._choice.backs_off(work.service):
             urgency = work.permit.urgency
-        return retry_schedule.spread_ms(known_ms, urgency)
+        return retry_schedule.jittered_ms(known_ms, urgency)
 
     async def drain(self, timeout_ms: int) -> bool:
         """Take nothing new and wait; True if all of it ended."""
--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -317,7 +317,7 @@
                 outcomes.Outcome.NOT_RUN,
                 outcomes.Reason.OVERLOAD,
                 'every endpoint asked for backoff',
-                retry_schedule.spread_ms(soonest_ms, urgency),
+                retry_schedule.jittered_ms(soonest_ms, urgency),
             )
         )
 
--- a/wrenspoke/coordination/serving/placing.py
+++ b/wrenspoke/coordination/serving/placing.py
@@ -137,7 +137,7 @@
             end_ms=round(end_ms),
             left_ms=round(bounds.deadline_left_ms),
         )
-        retry_after_ms = retry_schedule.spread_ms(
+        retry_after_ms = retry_schedule.jittered_ms(
             first_ms - work.route.target_ms
         )
         raise HopelessError(
--- a/wrenspoke/coordination/serving/retry_schedule.py
+++ b/wrenspoke/coordination/serving/retry_schedule.py
@@ -13,7 +13,7 @@
 MAX_URGENCY_STEPS = 3
 
 
-def spread_ms(wait_ms: float, urgency: int = 0) -> int:
+def jittered_ms(wait_ms: float, urgency: int = 0) -> int:
     """Return a wait that spreads callers; 0 is the most urgent.
 
     The waits of each urgency begin where those of the one before end.
