--- a/wrenspoke/coordination/serving/choice.py
+++ b/wrenspoke/coordination/serving/choice.py
@@ -89,7 +89,7 @@
         self._switched_off = switched_off
         self._clock = clock
         self._random = random.Random()
-        self._lines: dict[ids.ServiceId, retry_schedule.ReturnLine] = {}
+        self._lines: dict[ids.ServiceId, retry_schedule.RetrySchedule] = {}
         self.in_flight: dict[ids.EndpointId, int] = {}
 
     def regions_for(self, route: routes.Route) -> list[ids.RegionId]:
@@ -282,7 +282,7 @@
         if not waits_ms or None in shares:
             return min(waits_ms, default=None)
         line = self._lines.setdefault(
-            service.service, retry_schedule.ReturnLine(self._clock)
+            service.service, retry_schedule.RetrySchedule(self._clock)
         )
         return max(min(waits_ms), line.join(urgency, sum(shares)))
 
--- a/wrenspoke/coordination/serving/retry_schedule.py
+++ b/wrenspoke/coordination/serving/retry_schedule.py
@@ -22,7 +22,7 @@
     return int(wait_ms * step * random.uniform(1.0, 1.0 + RETRY_JITTER))
 
 
-class ReturnLine:
+class RetrySchedule:
     """Hold when callers that were turned away are to come back.
 
     The more urgent come before those that are less, whoever came first.
