--- a/tests/test_stated_limits.py
+++ b/tests/test_stated_limits.py
@@ -212,10 +212,14 @@
 def test_callers_that_are_turned_away_come_back_one_by_one():
     clock = test_registry.FakeClock()
     line = retry_schedule.RetrySchedule(clock)
-    assert [line.join(5, 2.0) for _number in range(3)] == [500, 1_000, 1_500]
+    assert [line.schedule(5, 2.0) for _number in range(3)] == [
+        500,
+        1_000,
+        1_500,
+    ]
     # The more urgent goes before them, the less urgent behind.
-    assert line.join(1, 2.0) == 500
-    assert line.join(9, 2.0) == 2_500
+    assert line.schedule(1, 2.0) == 500
+    assert line.schedule(9, 2.0) == 2_500
     clock.now_ms += 2_500
-    assert line.join(9, 2.0) == 500
-    assert line.join(9, 0.001) == retry_schedule.MAX_RETRY_AFTER_MS
+    assert line.schedule(9, 2.0) == 500
+    assert line.schedule(9, 0.001) == retry_schedule.MAX_RETRY_AFTER_MS
--- a/wrenspoke/coordination/serving/retry_schedule.py
+++ b/wrenspoke/coordination/serving/retry_schedule.py
@@ -33,7 +33,7 @@
         # When each comes back, and how urgent its call is.
         self._due: list[tuple[float, int]] = []
 
-    def join(self, urgency: int, rate_per_s: float) -> float:
+    def schedule(self, urgency: int, rate_per_s: float) -> float:
         """Return how long a caller is to stay away.
 
         ``rate_per_s`` is what can be served of those that come back.
