--- a/wrenspoke/coordination/serving/retry_schedule.py
+++ b/wrenspoke/coordination/serving/retry_schedule.py
@@ -31,7 +31,7 @@
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
         # When each comes back, and how urgent its call is.
-        self._due: list[tuple[float, int]] = []
+        self._scheduled: list[tuple[float, int]] = []
 
     def schedule(self, urgency: int, rate_per_s: float) -> float:
         """Return how long a caller is to stay away.
@@ -39,10 +39,12 @@
         ``rate_per_s`` is what can be served of those that come back.
         """
         now_ms = self._clock.mono_ms()
-        self._due = [entry for entry in self._due if entry[0] > now_ms]
-        ahead = sum(other <= urgency for _due_ms, other in self._due)
+        self._scheduled = [
+            entry for entry in self._scheduled if entry[0] > now_ms
+        ]
+        ahead = sum(other <= urgency for _due_ms, other in self._scheduled)
         wait_ms = (ahead + 1) * MS_PER_S / rate_per_s
         if wait_ms >= MAX_RETRY_AFTER_MS:
             return MAX_RETRY_AFTER_MS
-        self._due.append((now_ms + wait_ms, urgency))
+        self._scheduled.append((now_ms + wait_ms, urgency))
         return wait_ms
