--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -143,7 +143,7 @@
     """Return the time to rank one region's engines for a request."""
     clock = clocks.Clock()
     candidates = held.active('s', 'region-1')
-    view = routing.View(
+    view = routing.RankingContext(
         loads.Loads(clock),
         concurrency_limits.ConcurrencyLimits(clock),
         routing.Sessions(),
--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -212,8 +212,8 @@
         waiting = len(self._queue(head.service))
         return best_ms + self._wait_ms(candidates, waiting)
 
-    def _view(self, head: requests.RequestHead) -> routing.View:
-        return routing.View(
+    def _view(self, head: requests.RequestHead) -> routing.RankingContext:
+        return routing.RankingContext(
             loads=self._loads,
             concurrency_limits=self._limits,
             sessions=self.sessions,
--- a/wrenspoke/coordination/serving/routing.py
+++ b/wrenspoke/coordination/serving/routing.py
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class View:
+class RankingContext:
     """Hold what a policy may look at."""
 
     loads: loads.Loads
@@ -45,7 +45,7 @@
     [
         requests.RequestHead,
         typing.Sequence[configuration.Endpoint],
-        View,
+        RankingContext,
     ],
     list[Ranked],
 ]
@@ -158,7 +158,7 @@
 
 
 def estimate_first_ms(
-    endpoint: configuration.Endpoint, view: View, warm_share: float
+    endpoint: configuration.Endpoint, view: RankingContext, warm_share: float
 ) -> float:
     """Estimate when the first token would come from an endpoint."""
     speed = view.loads.speed(endpoint.endpoint)
@@ -171,7 +171,9 @@
     return LOCAL_LINK_MS + wait_ms + work_ms
 
 
-def _expected_load(endpoint: configuration.Endpoint, view: View) -> int:
+def _expected_load(
+    endpoint: configuration.Endpoint, view: RankingContext
+) -> int:
     own = view.limits.in_flight(endpoint.endpoint)
     reported = _reported_total(view.loads.reported(endpoint.endpoint))
     return max(own, reported)
