--- a/wrenspoke/coordination/serving/routing.py
+++ b/wrenspoke/coordination/serving/routing.py
@@ -15,7 +15,7 @@
 from wrenspoke.protocol import requests
 from wrenspoke.state import configuration
 
-KEPT_SESSIONS = 65_536
+MAX_SESSIONS = 65_536
 WARM_SAVES_SHARE = 0.6
 EXPECTED_WARM_SHARE = 0.3
 PRICE_TO_MS = 40.0
@@ -78,7 +78,7 @@
             return
         self._endpoints[session] = endpoint
         self._endpoints.move_to_end(session)
-        if len(self._endpoints) > KEPT_SESSIONS:
+        if len(self._endpoints) > MAX_SESSIONS:
             self._endpoints.popitem(last=False)
 
     def endpoint(self, session: ids.SessionId | None) -> ids.EndpointId | None:
