--- a/wrenspoke/coordination/serving/routing.py
+++ b/wrenspoke/coordination/serving/routing.py
@@ -16,7 +16,7 @@
 from wrenspoke.state import configuration
 
 MAX_SESSIONS = 65_536
-WARM_SAVES_SHARE = 0.6
+WARM_CACHE_SAVING = 0.6
 EXPECTED_WARM_SHARE = 0.3
 PRICE_TO_MS = 40.0
 LOCAL_LINK_MS = 1.0
@@ -167,7 +167,7 @@
     wait_ms = ahead * speed.hold_ms / endpoint.slots
     crowding = 1 + total / endpoint.slots
     work_ms = speed.first_ms * crowding
-    work_ms *= 1 - WARM_SAVES_SHARE * warm_share
+    work_ms *= 1 - WARM_CACHE_SAVING * warm_share
     return LOCAL_LINK_MS + wait_ms + work_ms
 
 
