--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -146,7 +146,7 @@
     view = routing.RankingContext(
         loads.Loads(clock),
         concurrency_limits.ConcurrencyLimits(clock),
-        routing.Sessions(),
+        routing.SessionAffinity(),
         held.current.services['s'],
         random.Random(1),
     )
@@ -311,7 +311,7 @@
     for count in (1_000, 10_000, 65_536):
 
         def fill(count=count):
-            held = routing.Sessions()
+            held = routing.SessionAffinity()
             for number in range(count):
                 held.used(f'team-17-session-{number}', 'engine-1')
             return held
--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -137,7 +137,7 @@
         self._clock = clock
         self._queues: dict[ids.ServiceId, Queue] = {}
         self._random = random.Random()
-        self.sessions = routing.Sessions()
+        self.sessions = routing.SessionAffinity()
 
     async def place(
         self,
--- a/wrenspoke/coordination/serving/routing.py
+++ b/wrenspoke/coordination/serving/routing.py
@@ -62,7 +62,7 @@
     return register
 
 
-class Sessions:
+class SessionAffinity:
     """Remember at which endpoint a session's prefix was last used."""
 
     def __init__(self):
@@ -182,7 +182,7 @@
 def _warm_share(
     head: requests.RequestHead,
     endpoints: typing.Sequence[configuration.Endpoint],
-    sessions: Sessions,
+    sessions: SessionAffinity,
 ) -> dict[ids.EndpointId, float]:
     if head.session is None or not endpoints:
         return {}
