--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -313,7 +313,7 @@
         def fill(count=count):
             held = routing.SessionAffinity()
             for number in range(count):
-                held.used(f'team-17-session-{number}', 'engine-1')
+                held.record_use(f'team-17-session-{number}', 'engine-1')
             return held
 
         found.append({'sessions': count, 'memory_mb': held_mb(fill)})
--- a/wrenspoke/coordination/serving/routing.py
+++ b/wrenspoke/coordination/serving/routing.py
@@ -70,7 +70,7 @@
             ids.SessionId, ids.EndpointId
         ] = collections.OrderedDict()
 
-    def used(
+    def record_use(
         self, session: ids.SessionId | None, endpoint: ids.EndpointId
     ) -> None:
         """Note that a session was served."""
