--- a/wrenspoke/coordination/serving/routing.py
+++ b/wrenspoke/coordination/serving/routing.py
@@ -81,7 +81,9 @@
         if len(self._endpoints) > MAX_SESSIONS:
             self._endpoints.popitem(last=False)
 
-    def endpoint(self, session: ids.SessionId | None) -> ids.EndpointId | None:
+    def last_endpoint(
+        self, session: ids.SessionId | None
+    ) -> ids.EndpointId | None:
         """Return where a session was served last, as far as known."""
         return self._endpoints.get(session)
 
