--- a/wrenspoke/coordination/serving/routing.py
+++ b/wrenspoke/coordination/serving/routing.py
@@ -87,7 +87,7 @@
         """Return where a session was served last, as far as known."""
         return self._endpoints.get(session)
 
-    def forget(self, endpoint: ids.EndpointId) -> None:
+    def evict_endpoint(self, endpoint: ids.EndpointId) -> None:
         """Forget the sessions of an endpoint whose cache is gone."""
         gone = [
             session
