--- a/wrenspoke/coordination/serving/routing.py
+++ b/wrenspoke/coordination/serving/routing.py
@@ -89,12 +89,12 @@
 
     def evict_endpoint(self, endpoint: ids.EndpointId) -> None:
         """Forget the sessions of an endpoint whose cache is gone."""
-        gone = [
+        evicted = [
             session
             for session, used in self._endpoints.items()
             if used == endpoint
         ]
-        for session in gone:
+        for session in evicted:
             del self._endpoints[session]
 
 
