--- a/wrenspoke/coordination/serving/routing.py
+++ b/wrenspoke/coordination/serving/routing.py
@@ -113,13 +113,13 @@
     return [Ranked(endpoint, view.random.random()) for endpoint in endpoints]
 
 
-_TURNS = itertools.count()
+_ROUND_ROBIN_COUNTER = itertools.count()
 
 
 @policy('round_robin')
 def rank_round_robin(_head, endpoints, _view):
     """Rank in turn: a baseline."""
-    turn = next(_TURNS)
+    turn = next(_ROUND_ROBIN_COUNTER)
     count = len(endpoints)
     return [
         Ranked(endpoint, (number - turn) % count)
