--- a/wrenspoke/coordination/serving/routing.py
+++ b/wrenspoke/coordination/serving/routing.py
@@ -167,8 +167,8 @@
     total = _expected_load(endpoint, view)
     ahead = max(0, total + 1 - endpoint.slots)
     wait_ms = ahead * speed.hold_ms / endpoint.slots
-    crowding = 1 + total / endpoint.slots
-    work_ms = speed.first_ms * crowding
+    load_factor = 1 + total / endpoint.slots
+    work_ms = speed.first_ms * load_factor
     work_ms *= 1 - WARM_CACHE_SAVING * warm_share
     return LOCAL_LINK_MS + wait_ms + work_ms
 
