--- a/wrenspoke/coordination/serving/routing.py
+++ b/wrenspoke/coordination/serving/routing.py
@@ -188,8 +188,8 @@
 ) -> dict[ids.EndpointId, float]:
     if head.session is None or not endpoints:
         return {}
-    known = sessions.endpoint(head.session)
-    if known is not None:
-        return {known: 1.0}
+    last_used = sessions.endpoint(head.session)
+    if last_used is not None:
+        return {last_used: 1.0}
     names = [endpoint.endpoint for endpoint in endpoints]
     return {rendezvous(head.session, names)[0]: EXPECTED_WARM_SHARE}
