--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -25,7 +25,7 @@
 from wrenspoke.state import configuration
 
 RECHECK_MS = 250
-NEVER = float('inf')
+INFINITE_MS = float('inf')
 MS_PER_S = 1_000
 
 
@@ -203,7 +203,7 @@
         """Estimate the first token's time here; infinite without any."""
         candidates = self._candidates(head)
         if not candidates:
-            return NEVER
+            return INFINITE_MS
         view = self._view(head)
         best_ms = min(
             routing.estimate_first_ms(endpoint, view, 0.0)
