--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -42,7 +42,7 @@
         self.endpoint = endpoint
         self.open = True
         self._limit = limit
-        self._crowded = crowded
+        self._has_queue = crowded
         self._wake = wake
         limit.acquire()
 
@@ -53,7 +53,7 @@
         if not self.open:
             return
         self.open = False
-        crowded = self._crowded(self.endpoint.endpoint)
+        crowded = self._has_queue(self.endpoint.endpoint)
         self._limit.release(succeeded, overloaded, crowded)
         self._wake()
 
