--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -36,13 +36,13 @@
         self,
         endpoint: configuration.Endpoint,
         limit: concurrency_limits.AdaptiveLimit,
-        crowded: collections.abc.Callable[[ids.EndpointId], bool],
+        has_queue: collections.abc.Callable[[ids.EndpointId], bool],
         wake: collections.abc.Callable[[], None],
     ):
         self.endpoint = endpoint
         self.open = True
         self._limit = limit
-        self._has_queue = crowded
+        self._has_queue = has_queue
         self._wake = wake
         limit.acquire()
 
