--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -53,8 +53,8 @@
         if not self.open:
             return
         self.open = False
-        crowded = self._has_queue(self.endpoint.endpoint)
-        self._limit.release(succeeded, overloaded, crowded)
+        has_queue = self._has_queue(self.endpoint.endpoint)
+        self._limit.release(succeeded, overloaded, has_queue)
         self._wake()
 
 
