--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -43,7 +43,7 @@
         self.open = True
         self._limit = limit
         self._has_queue = has_queue
-        self._wake = wake
+        self._wake_next_waiter = wake
         limit.acquire()
 
     def release(
@@ -55,7 +55,7 @@
         self.open = False
         has_queue = self._has_queue(self.endpoint.endpoint)
         self._limit.release(succeeded, overloaded, has_queue)
-        self._wake()
+        self._wake_next_waiter()
 
 
 @dataclasses.dataclass(order=True)
