--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -37,13 +37,13 @@
         endpoint: configuration.Endpoint,
         limit: concurrency_limits.AdaptiveLimit,
         has_queue: collections.abc.Callable[[ids.EndpointId], bool],
-        wake: collections.abc.Callable[[], None],
+        wake_next_waiter: collections.abc.Callable[[], None],
     ):
         self.endpoint = endpoint
         self.open = True
         self._limit = limit
         self._has_queue = has_queue
-        self._wake_next_waiter = wake
+        self._wake_next_waiter = wake_next_waiter
         limit.acquire()
 
     def release(
