--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -62,7 +62,7 @@
 class _Waiter:
     rank: int
     deadline_ms: int
-    number: int
+    sequence: int
     woken: asyncio.Future = dataclasses.field(compare=False)
 
 
