--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -72,7 +72,7 @@
     def __init__(self, limit: int):
         self._limit = limit
         self._waiters = sortedcontainers.SortedList()
-        self._number = 0
+        self._next_sequence = 0
 
     def __len__(self) -> int:
         return len(self._waiters)
@@ -83,11 +83,11 @@
 
     def enter(self, head: requests.RequestHead) -> _Waiter | None:
         """Add a request; None when those that wait go before it."""
-        self._number += 1
+        self._next_sequence += 1
         waiter = _Waiter(
             -head.priority,
             head.deadline_ms,
-            self._number,
+            self._next_sequence,
             asyncio.get_running_loop().create_future(),
         )
         if len(self._waiters) >= self._limit:
