--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -77,7 +77,7 @@
     def __len__(self) -> int:
         return len(self._waiters)
 
-    def ahead(self, head: requests.RequestHead) -> int:
+    def count_ahead(self, head: requests.RequestHead) -> int:
         """Return how many of those that wait go before a request."""
         return sum(waiter.rank <= -head.priority for waiter in self._waiters)
 
