--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -81,7 +81,7 @@
         """Return how many of those that wait go before a request."""
         return sum(waiter.rank <= -head.priority for waiter in self._waiters)
 
-    def enter(self, head: requests.RequestHead) -> _Waiter | None:
+    def enqueue(self, head: requests.RequestHead) -> _Waiter | None:
         """Add a request; None when those that wait go before it."""
         self._next_sequence += 1
         waiter = _Waiter(
@@ -163,7 +163,7 @@
                     self._refuse_hopeless(head, ranked, queue)
                 else:
                     queue.leave(waiter)
-                waiter = queue.enter(head)
+                waiter = queue.enqueue(head)
                 if waiter is None:
                     raise self._overload(ranked, queue, 'queue is full')
                 await self._sleep(head, waiter, ranked, queue)
