--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -94,13 +94,13 @@
             last = self._waiters[-1]
             if last.rank <= waiter.rank:
                 return None
-            self.leave(last)
+            self.dequeue(last)
             if not last.woken.done():
                 last.woken.set_result(False)
         self._waiters.add(waiter)
         return waiter
 
-    def leave(self, waiter: _Waiter) -> None:
+    def dequeue(self, waiter: _Waiter) -> None:
         """Take a request out."""
         self._waiters.discard(waiter)
 
@@ -162,14 +162,14 @@
                 if waiter is None:
                     self._refuse_hopeless(head, ranked, queue)
                 else:
-                    queue.leave(waiter)
+                    queue.dequeue(waiter)
                 waiter = queue.enqueue(head)
                 if waiter is None:
                     raise self._overload(ranked, queue, 'queue is full')
                 await self._sleep(head, waiter, ranked, queue)
         finally:
             if waiter is not None:
-                queue.leave(waiter)
+                queue.dequeue(waiter)
 
     def endpoints(self, head: requests.RequestHead) -> set[ids.EndpointId]:
         """Return this region's endpoints that take such a request."""
