--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -104,7 +104,7 @@
         """Take a request out."""
         self._waiters.discard(waiter)
 
-    def wake(self) -> None:
+    def wake_next(self) -> None:
         """Let the first that sleeps look again."""
         for waiter in self._waiters:
             if waiter.woken.done():
@@ -196,7 +196,7 @@
             found,
             limit,
             self._loads.has_queue,
-            self._queue(found.service).wake,
+            self._queue(found.service).wake_next,
         )
 
     def estimate_ms(self, head: requests.RequestHead) -> float:
