--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -60,7 +60,7 @@
         host: settings.HostSettings,
         held: replica.Replica,
         watched: members.Members,
-        placer: placement.Placer,
+        placer: placement.EndpointScheduler,
         server: local.LocalServer,
         streamer: streams.StreamServer,
         once_server: once.OnceServer,
--- a/wrenspoke/coordination/serving/local.py
+++ b/wrenspoke/coordination/serving/local.py
@@ -194,7 +194,7 @@
         self,
         limits: settings.EntrySettings,
         dispatcher: dispatch.Dispatcher,
-        placer: placement.Placer,
+        placer: placement.EndpointScheduler,
         load_table: loads.Loads,
         noted: decisions.DecisionLog,
         clock: clocks.Clock,
--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -113,7 +113,7 @@
             return
 
 
-class Placer:
+class EndpointScheduler:
     """Give requests a place at an endpoint of this region."""
 
     def __init__(
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -194,7 +194,7 @@
             self._limits,
             self._clock,
         )
-        self._placer = placement.Placer(
+        self._placer = placement.EndpointScheduler(
             self._region,
             self._settings,
             self.replica,
