--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -120,7 +120,7 @@
         self,
         region: ids.RegionId,
         limits_settings: settings.EntrySettings,
-        held: replica.Replica,
+        config_replica: replica.Replica,
         load_table: loads.Loads,
         limit_table: concurrency_limits.ConcurrencyLimits,
         gate: endpoint_gate.EndpointGate,
@@ -129,7 +129,7 @@
     ):
         self._region = region
         self._settings = limits_settings
-        self._replica = held
+        self._replica = config_replica
         self._loads = load_table
         self._limits = limit_table
         self._gate = gate
