--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -124,7 +124,7 @@
         load_table: loads.Loads,
         limit_table: concurrency_limits.ConcurrencyLimits,
         gate: endpoint_gate.EndpointGate,
-        noted: decisions.DecisionLog,
+        decision_log: decisions.DecisionLog,
         clock: clocks.Clock,
     ):
         self._region = region
@@ -133,7 +133,7 @@
         self._loads = load_table
         self._limits = limit_table
         self._gate = gate
-        self._decisions = noted
+        self._decisions = decision_log
         self._clock = clock
         self._queues: dict[ids.ServiceId, Queue] = {}
         self._random = random.Random()
