--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -139,7 +139,7 @@
         self._random = random.Random()
         self.sessions = routing.SessionAffinity()
 
-    async def place(
+    async def acquire_slot(
         self,
         head: requests.RequestHead,
         excluded: collections.abc.Set[ids.EndpointId] = frozenset(),
