--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -186,7 +186,7 @@
             and not self._leaves(endpoint.endpoint)
         ]
 
-    def take(self, endpoint: ids.EndpointId) -> Slot | None:
+    def acquire_slot_at(self, endpoint: ids.EndpointId) -> Slot | None:
         """Return a place at one endpoint for work it already has."""
         found = self._replica.current.endpoints.get(endpoint)
         if found is None:
