--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -171,7 +171,9 @@
             if waiter is not None:
                 queue.dequeue(waiter)
 
-    def endpoints(self, head: requests.RequestHead) -> set[ids.EndpointId]:
+    def eligible_endpoints(
+        self, head: requests.RequestHead
+    ) -> set[ids.EndpointId]:
         """Return this region's endpoints that take such a request."""
         return {item.endpoint for item in self._candidates(head)}
 
