--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -357,7 +357,7 @@
         if head.forwarded:
             return own
         left_ms = head.deadline_ms - self._clock.mono_ms()
-        if self._placer.estimate_ms(head) <= left_ms:
+        if self._placer.estimate_response_ms(head) <= left_ms:
             return own
         return self._nearest_with(head) or own
 
--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -201,7 +201,7 @@
             self._queue(found.service).wake_next,
         )
 
-    def estimate_ms(self, head: requests.RequestHead) -> float:
+    def estimate_response_ms(self, head: requests.RequestHead) -> float:
         """Estimate the first token's time here; infinite without any."""
         candidates = self._candidates(head)
         if not candidates:
