--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -206,7 +206,7 @@
         candidates = self._candidates(head)
         if not candidates:
             return INFINITE_MS
-        view = self._view(head)
+        view = self._ranking_context(head)
         best_ms = min(
             routing.estimate_first_ms(endpoint, view, 0.0)
             for endpoint in candidates
@@ -214,7 +214,9 @@
         waiting = len(self._queue(head.service))
         return best_ms + self._wait_ms(candidates, waiting)
 
-    def _view(self, head: requests.RequestHead) -> routing.RankingContext:
+    def _ranking_context(
+        self, head: requests.RequestHead
+    ) -> routing.RankingContext:
         return routing.RankingContext(
             loads=self._loads,
             concurrency_limits=self._limits,
@@ -245,7 +247,7 @@
                 )
             )
         rank = routing.POLICIES[self._settings.policy]
-        ranked = rank(head, candidates, self._view(head))
+        ranked = rank(head, candidates, self._ranking_context(head))
         return sorted(ranked, key=lambda item: item.score)
 
     def _first_free(
