--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -230,12 +230,14 @@
         head: requests.RequestHead,
         excluded: collections.abc.Set[ids.EndpointId],
     ) -> list[routing.Ranked]:
-        every = self._candidates(head)
+        eligible = self._candidates(head)
         candidates = [
-            endpoint for endpoint in every if endpoint.endpoint not in excluded
+            endpoint
+            for endpoint in eligible
+            if endpoint.endpoint not in excluded
         ]
-        if every and not candidates:
-            self._refuse_backing_off(head, every)
+        if eligible and not candidates:
+            self._refuse_backing_off(head, eligible)
         if not candidates:
             raise errors.EndedError(
                 outcomes.Ending(
