--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -153,7 +153,7 @@
         try:
             while True:
                 ranked = self._rank(head, excluded)
-                slot = self._first_free(head, ranked, queue, waiter)
+                slot = self._acquire_first_free(head, ranked, queue, waiter)
                 if slot is not None:
                     return slot
                 self._refuse_backing_off(
@@ -252,7 +252,7 @@
         ranked = rank(head, candidates, self._ranking_context(head))
         return sorted(ranked, key=lambda item: item.score)
 
-    def _first_free(
+    def _acquire_first_free(
         self,
         head: requests.RequestHead,
         ranked: typing.Sequence[routing.Ranked],
