--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -261,7 +261,7 @@
     ) -> Slot | None:
         if waiter is None and len(queue):
             return None
-        for place, item in enumerate(ranked):
+        for position, item in enumerate(ranked):
             endpoint = item.endpoint
             limit = self._limits.limit_for(endpoint.endpoint, endpoint.slots)
             if not limit.has_capacity or self._spent_ms(endpoint.endpoint):
@@ -272,7 +272,7 @@
                 endpoint=endpoint.endpoint,
                 policy=self._settings.policy,
                 score=round(item.score, 1),
-                place=place,
+                position=position,
                 candidates=len(ranked),
                 in_flight=limit.in_flight,
                 limit=round(limit.limit, 1),
