--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -160,7 +160,7 @@
                     head, [item.endpoint for item in ranked]
                 )
                 if waiter is None:
-                    self._refuse_hopeless(head, ranked, queue)
+                    self._reject_if_too_late(head, ranked, queue)
                 else:
                     queue.dequeue(waiter)
                 waiter = queue.enqueue(head)
@@ -280,7 +280,7 @@
             return Slot(endpoint, limit, self._loads.has_queue, queue.wake)
         return None
 
-    def _refuse_hopeless(
+    def _reject_if_too_late(
         self,
         head: requests.RequestHead,
         ranked: typing.Sequence[routing.Ranked],
