--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -156,7 +156,7 @@
                 slot = self._acquire_first_free(head, ranked, queue, waiter)
                 if slot is not None:
                     return slot
-                self._refuse_backing_off(
+                self._reject_if_all_back_off(
                     head, [item.endpoint for item in ranked]
                 )
                 if waiter is None:
@@ -237,7 +237,7 @@
             if endpoint.endpoint not in excluded
         ]
         if eligible and not candidates:
-            self._refuse_backing_off(head, eligible)
+            self._reject_if_all_back_off(head, eligible)
         if not candidates:
             raise errors.EndedError(
                 outcomes.Ending(
@@ -298,7 +298,7 @@
             return
         raise self._overload(ranked, queue, 'would wait past its deadline')
 
-    def _refuse_backing_off(
+    def _reject_if_all_back_off(
         self,
         head: requests.RequestHead,
         endpoints: typing.Sequence[configuration.Endpoint],
