--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -264,7 +264,7 @@
         for position, item in enumerate(ranked):
             endpoint = item.endpoint
             limit = self._limits.limit_for(endpoint.endpoint, endpoint.slots)
-            if not limit.has_capacity or self._spent_ms(endpoint.endpoint):
+            if not limit.has_capacity or self._blocked_ms(endpoint.endpoint):
                 continue
             self._decisions.note(
                 'placed',
@@ -349,7 +349,7 @@
         life = _life_of(endpoint.endpoint)
         return self._gate.limits.rate_per_s(life) is not None
 
-    def _spent_ms(self, endpoint: ids.EndpointId) -> int:
+    def _blocked_ms(self, endpoint: ids.EndpointId) -> int:
         """Return for how long an endpoint is sent nothing more, in ms."""
         if self._gate.is_idle:
             return 0
@@ -387,7 +387,9 @@
         left_ms = head.deadline_ms - self._clock.mono_ms()
         if left_ms <= 0:
             raise self._overload(ranked, queue, 'deadline passed waiting')
-        spent_ms = [self._spent_ms(item.endpoint.endpoint) for item in ranked]
+        spent_ms = [
+            self._blocked_ms(item.endpoint.endpoint) for item in ranked
+        ]
         soonest_ms = min(
             (wait_ms for wait_ms in spent_ms if wait_ms), default=0
         )
