--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -387,11 +387,11 @@
         left_ms = head.deadline_ms - self._clock.mono_ms()
         if left_ms <= 0:
             raise self._overload(ranked, queue, 'deadline passed waiting')
-        spent_ms = [
+        blocked_ms = [
             self._blocked_ms(item.endpoint.endpoint) for item in ranked
         ]
         soonest_ms = min(
-            (wait_ms for wait_ms in spent_ms if wait_ms), default=0
+            (wait_ms for wait_ms in blocked_ms if wait_ms), default=0
         )
         recheck_ms = min(left_ms, soonest_ms or RECHECK_MS, RECHECK_MS)
         try:
