--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -396,10 +396,10 @@
         recheck_ms = min(left_ms, soonest_ms or RECHECK_MS, RECHECK_MS)
         try:
             async with clocks.timeout_ms(recheck_ms):
-                kept = await asyncio.shield(waiter.woken)
+                still_queued = await asyncio.shield(waiter.woken)
         except TimeoutError:
             return
-        if not kept:
+        if not still_queued:
             raise self._overload(ranked, queue, 'gave way to others')
 
     def _queue(self, service: ids.ServiceId) -> Queue:
