--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -166,7 +166,7 @@
                 waiter = queue.enqueue(head)
                 if waiter is None:
                     raise self._overload(ranked, queue, 'queue is full')
-                await self._sleep(head, waiter, ranked, queue)
+                await self._wait_in_queue(head, waiter, ranked, queue)
         finally:
             if waiter is not None:
                 queue.dequeue(waiter)
@@ -377,7 +377,7 @@
             )
         )
 
-    async def _sleep(
+    async def _wait_in_queue(
         self,
         head: requests.RequestHead,
         waiter: _Waiter,
