--- a/benches/switches_backoffs.py
+++ b/benches/switches_backoffs.py
@@ -39,7 +39,7 @@
     Switch(
         'leaves of chats not asked for',
         SERVING + 'placement.py',
-        'and not self._leaves(endpoint.endpoint)',
+        'and not self._is_draining(endpoint.endpoint)',
         '',
         f'{INCIDENT}::test_streams_end_well_at_an_engine_that_begins_to_leave',
     ),
--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -185,7 +185,7 @@
             for endpoint in self._replica.active(head.service, self._region)
             if (head.model is None or head.model in endpoint.models)
             and not self._loads.is_down(endpoint.endpoint)
-            and not self._leaves(endpoint.endpoint)
+            and not self._is_draining(endpoint.endpoint)
         ]
 
     def acquire_slot_at(self, endpoint: ids.EndpointId) -> Slot | None:
@@ -355,7 +355,7 @@
             return 0
         return self._gate.remaining_ms(_life_of(endpoint))
 
-    def _leaves(self, endpoint: ids.EndpointId) -> bool:
+    def _is_draining(self, endpoint: ids.EndpointId) -> bool:
         """Return whether an endpoint said in an answer that it leaves."""
         leaving = self._gate.leaving
         return not leaving.is_idle and leaving.is_leaving(_life_of(endpoint))
