--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -165,7 +165,7 @@
                     queue.dequeue(waiter)
                 waiter = queue.enqueue(head)
                 if waiter is None:
-                    raise self._overload(ranked, queue, 'queue is full')
+                    raise self._overload_error(ranked, queue, 'queue is full')
                 await self._wait_in_queue(head, waiter, ranked, queue)
         finally:
             if waiter is not None:
@@ -296,7 +296,9 @@
         urgent = head.priority is requests.Priority.HIGH
         if urgent and not all(map(self._is_limited, endpoints)):
             return
-        raise self._overload(ranked, queue, 'would wait past its deadline')
+        raise self._overload_error(
+            ranked, queue, 'would wait past its deadline'
+        )
 
     def _reject_if_all_back_off(
         self,
@@ -360,7 +362,7 @@
         leaving = self._gate.leaving
         return not leaving.is_idle and leaving.is_leaving(_life_of(endpoint))
 
-    def _overload(
+    def _overload_error(
         self,
         ranked: typing.Sequence[routing.Ranked],
         queue: Queue,
@@ -386,7 +388,9 @@
     ) -> None:
         left_ms = head.deadline_ms - self._clock.mono_ms()
         if left_ms <= 0:
-            raise self._overload(ranked, queue, 'deadline passed waiting')
+            raise self._overload_error(
+                ranked, queue, 'deadline passed waiting'
+            )
         blocked_ms = [
             self._blocked_ms(item.endpoint.endpoint) for item in ranked
         ]
@@ -400,7 +404,7 @@
         except TimeoutError:
             return
         if not still_queued:
-            raise self._overload(ranked, queue, 'gave way to others')
+            raise self._overload_error(ranked, queue, 'gave way to others')
 
     def _queue(self, service: ids.ServiceId) -> Queue:
         queue = self._queues.get(service)
