--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -148,7 +148,7 @@
 
         :raises EndedError: there is no endpoint, or none in time
         """
-        queue = self._queue(head.service)
+        queue = self._queue_for(head.service)
         waiter = None
         try:
             while True:
@@ -198,7 +198,7 @@
             found,
             limit,
             self._loads.has_queue,
-            self._queue(found.service).wake_next,
+            self._queue_for(found.service).wake_next,
         )
 
     def estimate_response_ms(self, head: requests.RequestHead) -> float:
@@ -211,7 +211,7 @@
             routing.estimate_first_ms(endpoint, view, 0.0)
             for endpoint in candidates
         )
-        waiting = len(self._queue(head.service))
+        waiting = len(self._queue_for(head.service))
         return best_ms + self._wait_ms(candidates, waiting)
 
     def _ranking_context(
@@ -406,7 +406,7 @@
         if not still_queued:
             raise self._overload_error(ranked, queue, 'gave way to others')
 
-    def _queue(self, service: ids.ServiceId) -> Queue:
+    def _queue_for(self, service: ids.ServiceId) -> Queue:
         queue = self._queues.get(service)
         if queue is None:
             queue = self._queues[service] = Queue(self._settings.queue_limit)
