--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -334,7 +334,7 @@
         endpoints: typing.Sequence[configuration.Endpoint],
         waiting: int,
     ) -> float:
-        per_ms = 0.0
+        total_per_ms = 0.0
         for endpoint in endpoints:
             limit = self._limits.limit_for(endpoint.endpoint, endpoint.slots)
             hold_ms = self._loads.speed(endpoint.endpoint).hold_ms
@@ -344,8 +344,8 @@
             )
             if stated_per_s is not None:
                 own_per_ms = min(own_per_ms, stated_per_s / MS_PER_S)
-            per_ms += own_per_ms
-        return waiting / per_ms if per_ms else 0.0
+            total_per_ms += own_per_ms
+        return waiting / total_per_ms if total_per_ms else 0.0
 
     def _is_limited(self, endpoint: configuration.Endpoint) -> bool:
         life = _life_of(endpoint.endpoint)
