--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -135,5 +135,5 @@
     fields = {'ticket': shown}
     assert refusing({'once': True}, fields) is None
     assert refusing({'once': True}, fields) == 'claim'
-    shown.unsent()
+    shown.mark_unsent()
     assert refusing({'once': True}, fields) is None
--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -67,7 +67,7 @@
         self.attempt_id = attempt_id
         self.used = False
 
-    def unsent(self) -> None:
+    def mark_unsent(self) -> None:
         """Take back a use that sent nothing."""
         self.used = False
 
@@ -286,7 +286,7 @@
                 self._guard.ended_well(run)
         except transport_errors.NotSentError as error:
             if send.ticket is not None:
-                send.ticket.unsent()
+                send.ticket.mark_unsent()
             if send_permit is not None and not send_permit.is_valid():
                 # It says nothing of the endpoint: the permit has ended.
                 raise errors.EndpointBackoffError(send.endpoint, 0) from error
