--- a/tests/test_execution.py
+++ b/tests/test_execution.py
@@ -63,7 +63,7 @@
     async def send(self, send):
         if send.method == 'POST':
             order = msgspec.json.decode(send.body)
-            number = int(send.extra['X-Fencing-Number'])
+            number = int(send.extra_headers['X-Fencing-Number'])
             self.sent.append((number, self._clock.now_ms))
             self.models.append(order['model'])
         yield FakeAnswer(self.models)
--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -298,7 +298,7 @@
             'POST',
             ORDERS_PATH,
             msgspec.json.encode(body),
-            extra={headers.FENCE: str(number)},
+            extra_headers={headers.FENCE: str(number)},
         )
         # The last look before the order goes out. What is left of the
         # lease bounds how late it can arrive from here.
--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -84,7 +84,7 @@
     head: requests.RequestHead | None = None
     slot: placement.Slot | None = None
     ticket: ClaimTicket | None = None
-    extra: dict[str, str] = dataclasses.field(default_factory=dict)
+    extra_headers: dict[str, str] = dataclasses.field(default_factory=dict)
     attempt_id: ids.AttemptId = dataclasses.field(
         default_factory=lambda: ids.AttemptId(ids.new_unique())
     )
@@ -393,7 +393,7 @@
         return self._gate is None or not self._gate.leaving.is_leaving(life)
 
     def _headers(self, send: Send) -> dict[str, str]:
-        sent = {headers.ECHO: send.name, **send.extra}
+        sent = {headers.ECHO: send.name, **send.extra_headers}
         if send.head is None:
             return sent
         left_ms = send.head.deadline_ms - self._clock.mono_ms()
--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -178,7 +178,9 @@
             slot,
         )
         if transcript.last_event:
-            send.extra[headers.LAST_EVENT_ID] = str(transcript.last_event)
+            send.extra_headers[headers.LAST_EVENT_ID] = str(
+                transcript.last_event
+            )
         try:
             await self._relay(send, transcript, reply, tries)
         except errors.MaybeSentError as error:
@@ -219,7 +221,7 @@
             None,
             head,
             slot,
-            extra={headers.LAST_EVENT_ID: str(transcript.last_event)},
+            extra_headers={headers.LAST_EVENT_ID: str(transcript.last_event)},
         )
         await self._relay(send, transcript, reply, tries)
         self._server.decisions.note(
