--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -90,7 +90,7 @@
     )
 
     @property
-    def name(self) -> str:
+    def echo_id(self) -> str:
         """Return the id that the endpoint is to echo."""
         request = 'control' if self.head is None else self.head.request
         return f'{request}/{self.attempt_id}'
