--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -72,7 +72,7 @@
         **(context or {}),
     }
     for name, check in dispatch.CHECKS.items():
-        if check(made, dispatch.Context(**around)) is not None:
+        if check(made, dispatch.CheckContext(**around)) is not None:
             return name
     return None
 
--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -97,7 +97,7 @@
 
 
 @dataclasses.dataclass
-class Context:
+class CheckContext:
     """Hold what the checks look at besides the send itself."""
 
     host: ids.HostId
@@ -110,7 +110,7 @@
     admitted: bool = True
 
 
-Check = collections.abc.Callable[[Send, Context], str | None]
+Check = collections.abc.Callable[[Send, CheckContext], str | None]
 CHECKS: dict[str, Check] = {}
 
 
@@ -125,7 +125,7 @@
 
 
 @check('configuration')
-def check_configuration(send: Send, context: Context) -> str | None:
+def check_configuration(send: Send, context: CheckContext) -> str | None:
     """Send nothing by a configuration that may have been left behind."""
     if send.purpose in WORK and not context.current:
         return 'this host was stopped and has to look for changes first'
@@ -133,7 +133,7 @@
 
 
 @check('quarantine')
-def check_quarantine(send: Send, context: Context) -> str | None:
+def check_quarantine(send: Send, context: CheckContext) -> str | None:
     """Send no endpoint what endpoints ended under."""
     if send.purpose in WORK and context.held_ms is not None:
         return f'endpoints ended under it; held for {context.held_ms} ms'
@@ -141,7 +141,7 @@
 
 
 @check('residency')
-def check_residency(send: Send, context: Context) -> str | None:
+def check_residency(send: Send, context: CheckContext) -> str | None:
     """Keep work in this region, and bound work in its home."""
     region = context.endpoint.region
     if send.purpose in WORK and region != context.region:
@@ -153,7 +153,7 @@
 
 
 @check('hops')
-def check_hops(send: Send, context: Context) -> str | None:
+def check_hops(send: Send, context: CheckContext) -> str | None:
     """Refuse what was passed on too often or came back."""
     if send.head is None:
         return None
@@ -166,7 +166,7 @@
 
 
 @check('deadline')
-def check_deadline(send: Send, context: Context) -> str | None:
+def check_deadline(send: Send, context: CheckContext) -> str | None:
     """Refuse what nobody waits for."""
     if send.head is not None and send.head.deadline_ms <= context.now_ms:
         return 'deadline has passed'
@@ -174,7 +174,7 @@
 
 
 @check('endpoint_state')
-def check_endpoint_state(send: Send, context: Context) -> str | None:
+def check_endpoint_state(send: Send, context: CheckContext) -> str | None:
     """Give no new work to an endpoint that leaves."""
     if send.purpose in NEW_WORK and not context.takes_work:
         return f'{send.endpoint} takes no new work'
@@ -182,7 +182,7 @@
 
 
 @check('limits')
-def check_limits(send: Send, _context: Context) -> str | None:
+def check_limits(send: Send, _context: CheckContext) -> str | None:
     """Refuse work without a place at its endpoint."""
     if send.purpose not in WORK:
         return None
@@ -194,7 +194,7 @@
 
 
 @check('endpoint_limit')
-def check_endpoint_limit(send: Send, context: Context) -> str | None:
+def check_endpoint_limit(send: Send, context: CheckContext) -> str | None:
     """Send no work without a permit that is still valid."""
     if send.purpose in WORK and not context.admitted:
         return 'no valid permit'
@@ -202,7 +202,7 @@
 
 
 @check('claim')
-def check_claim(send: Send, _context: Context) -> str | None:
+def check_claim(send: Send, _context: CheckContext) -> str | None:
     """Let a once-only request through once, by its claim."""
     if send.head is None or not send.head.once:
         return None
@@ -369,7 +369,7 @@
         endpoint = self._replica.current.endpoints.get(send.endpoint)
         if endpoint is None:
             raise errors.SendRefusedError('endpoint_state', 'is gone')
-        context = Context(
+        context = CheckContext(
             host=self._host,
             region=self._region,
             now_ms=self._clock.mono_ms(),
