--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -106,7 +106,7 @@
     endpoint: configuration.Endpoint
     takes_work: bool
     current: bool
-    held_ms: int | None = None
+    quarantined_ms: int | None = None
     admitted: bool = True
 
 
