--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -105,7 +105,7 @@
     now_ms: int
     endpoint: configuration.Endpoint
     takes_work: bool
-    current: bool
+    configuration_current: bool
     quarantined_ms: int | None = None
     admitted: bool = True
 
