--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -215,7 +215,7 @@
     return None
 
 
-class Answer(response_body.ResponseBody):
+class EndpointResponse(response_body.ResponseBody):
     """Hold the head of an endpoint's answer; the body is read from it."""
 
     def __init__(self, response: aiohttp.ClientResponse, name: str):
@@ -250,7 +250,9 @@
         self.sent = 0
 
     @contextlib.asynccontextmanager
-    async def send(self, send: Send) -> collections.abc.AsyncIterator[Answer]:
+    async def send(
+        self, send: Send
+    ) -> collections.abc.AsyncIterator[EndpointResponse]:
         """Send once and yield the answer's head.
 
         Leaving the block early cancels the work at the endpoint.
@@ -281,7 +283,7 @@
                 self._refuse_overload(send, response)
                 self._refuse_crossed(send, endpoint, response)
                 _refuse_endless(send, response)
-                yield Answer(response, send.name)
+                yield EndpointResponse(response, send.name)
             if run is not None:
                 self._guard.ended_well(run)
         except transport_errors.NotSentError as error:
--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -286,7 +286,7 @@
     @contextlib.asynccontextmanager
     async def _open(
         self, send: dispatch.Send, reply: replies.Reply, stall_ms: float
-    ) -> collections.abc.AsyncIterator[dispatch.Answer]:
+    ) -> collections.abc.AsyncIterator[dispatch.EndpointResponse]:
         async with contextlib.AsyncExitStack() as stack:
             try:
                 async with clocks.timeout_ms(stall_ms):
