--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -232,7 +232,7 @@
         self,
         host: ids.HostId,
         region: ids.RegionId,
-        held: replica.Replica,
+        config_replica: replica.Replica,
         client: web.HttpClient,
         clock: clocks.Clock,
         awake: collections.abc.Callable[[], bool] = lambda: True,
@@ -241,7 +241,7 @@
     ):
         self._host = host
         self._region = region
-        self._replica = held
+        self._replica = config_replica
         self._client = client
         self._clock = clock
         self._awake = awake
