--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -263,7 +263,7 @@
         :raises OverloadedError: the endpoint turned it away unrun
         :raises MaybeSentError: it may have been run
         """
-        send_permit = await self._admitted(send)
+        send_permit = await self._acquire_permit(send)
         endpoint = self._checked(send, send_permit)
         self.sent += send.purpose in WORK
         once = send.head is not None and send.head.once
@@ -296,7 +296,9 @@
         except transport_errors.MaybeSentError as error:
             raise errors.MaybeSentError(str(error)) from error
 
-    async def _admitted(self, send: Send) -> endpoint_gate.GatePermit | None:
+    async def _acquire_permit(
+        self, send: Send
+    ) -> endpoint_gate.GatePermit | None:
         """Acquire a permit to send to an endpoint.
 
         A stream that the endpoint has begun goes before all others.
