--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -264,7 +264,7 @@
         :raises MaybeSentError: it may have been run
         """
         send_permit = await self._acquire_permit(send)
-        endpoint = self._checked(send, send_permit)
+        endpoint = self._run_checks(send, send_permit)
         self.sent += send.purpose in WORK
         once = send.head is not None and send.head.once
         try:
@@ -367,7 +367,7 @@
             return None
         return self._guard.held_ms(send.head.digest)
 
-    def _checked(
+    def _run_checks(
         self, send: Send, send_permit: endpoint_gate.GatePermit | None
     ) -> configuration.Endpoint:
         endpoint = self._replica.current.endpoints.get(send.endpoint)
