--- a/benches/switches_quarantine.py
+++ b/benches/switches_quarantine.py
@@ -154,7 +154,7 @@
     Switch(
         'chats leave unasked',
         DECISIONS + 'serving/dispatch.py',
-        'may_leave=lambda: self._may_leave(send, send_permit),',
+        'may_leave=lambda: self._may_send(send, send_permit),',
         'may_leave=None,',
         f'{UNITS}::test_chat_that_waits_for_a_connection_is_held_back',
     ),
--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -276,7 +276,7 @@
                     self._headers(send),
                     send.body,
                     fresh=once,
-                    may_leave=lambda: self._may_leave(send, send_permit),
+                    may_leave=lambda: self._may_send(send, send_permit),
                 ) as response,
             ):
                 self._note_advertised(send, endpoint, send_permit, response)
@@ -320,7 +320,7 @@
             life, rank, continues=send.purpose is Purpose.RESUME
         )
 
-    def _may_leave(
+    def _may_send(
         self, send: Send, send_permit: endpoint_gate.GatePermit | None
     ) -> bool:
         """Tell, as the first byte is about to leave, whether it still may."""
