--- a/benches/switches_limits.py
+++ b/benches/switches_limits.py
@@ -21,7 +21,7 @@
     Switch(
         'limits of chats unread',
         SERVING + 'dispatch.py',
-        'self._note_advertised(send, endpoint, send_permit, response)',
+        'self._record_advertised(send, endpoint, send_permit, response)',
         'pass',
         f'{INCIDENT}::test_chats_keep_to_what_an_engine_says',
     ),
--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -279,7 +279,7 @@
                     may_leave=lambda: self._may_send(send, send_permit),
                 ) as response,
             ):
-                self._note_advertised(send, endpoint, send_permit, response)
+                self._record_advertised(send, endpoint, send_permit, response)
                 self._refuse_overload(send, response)
                 self._refuse_crossed(send, endpoint, response)
                 _refuse_endless(send, response)
@@ -328,7 +328,7 @@
             return False
         return send_permit is None or send_permit.is_valid()
 
-    def _note_advertised(
+    def _record_advertised(
         self,
         send: Send,
         endpoint: configuration.Endpoint,
