--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -269,7 +269,7 @@
         once = send.head is not None and send.head.once
         try:
             async with (
-                self._watched(send, endpoint) as run,
+                self._tracked_run(send, endpoint) as run,
                 self._client.send(
                     send.method,
                     endpoint.url + send.path,
@@ -352,7 +352,7 @@
             return False
         return send.purpose in WORK
 
-    def _watched(
+    def _tracked_run(
         self, send: Send, endpoint: configuration.Endpoint
     ) -> contextlib.AbstractAsyncContextManager:
         """Return what watches a send; nothing where it gives no work."""
