--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -324,7 +324,7 @@
         self, send: Send, send_permit: endpoint_gate.GatePermit | None
     ) -> bool:
         """Tell, as the first byte is about to leave, whether it still may."""
-        if self._held_ms(send) is not None:
+        if self._quarantined_ms(send) is not None:
             return False
         return send_permit is None or send_permit.is_valid()
 
@@ -361,7 +361,7 @@
         address = urllib.parse.urlsplit(endpoint.url).netloc
         return self._guard.watching(send.head.digest, send.endpoint, address)
 
-    def _held_ms(self, send: Send) -> int | None:
+    def _quarantined_ms(self, send: Send) -> int | None:
         """Return for how long endpoints are sent no such work."""
         if not self._is_guarded(send):
             return None
@@ -380,7 +380,7 @@
             endpoint=endpoint,
             takes_work=self._takes_work(endpoint),
             current=self._replica.serving and self._awake(),
-            held_ms=self._held_ms(send),
+            held_ms=self._quarantined_ms(send),
             admitted=send_permit is None or send_permit.is_valid(),
         )
         for name, function in CHECKS.items():
