--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -280,7 +280,7 @@
                 ) as response,
             ):
                 self._record_advertised(send, endpoint, send_permit, response)
-                self._refuse_overload(send, response)
+                self._raise_if_overloaded(send, response)
                 self._refuse_crossed(send, endpoint, response)
                 _refuse_endless(send, response)
                 yield EndpointResponse(response, send.name)
@@ -409,7 +409,7 @@
             sent[headers.SESSION] = send.head.session
         return sent
 
-    def _refuse_overload(
+    def _raise_if_overloaded(
         self, send: Send, response: aiohttp.ClientResponse
     ) -> None:
         if response.status not in advertised.REFUSALS:
