--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -281,7 +281,7 @@
             ):
                 self._record_advertised(send, endpoint, send_permit, response)
                 self._raise_if_overloaded(send, response)
-                self._refuse_crossed(send, endpoint, response)
+                self._reject_mismatched_echo(send, endpoint, response)
                 _refuse_endless(send, response)
                 yield EndpointResponse(response, send.name)
             if run is not None:
@@ -424,7 +424,7 @@
         )
         raise errors.OverloadedError(response.status, backs_off)
 
-    def _refuse_crossed(
+    def _reject_mismatched_echo(
         self,
         send: Send,
         endpoint: configuration.Endpoint,
