--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -99,7 +99,7 @@
     Switch(
         'crossed answers taken',
         DECISIONS + 'serving/dispatch.py',
-        ('        if _is_own(send, endpoint, response):\n            return\n'),
+        ('        if _echo_matches(send, endpoint, response):\n            return\n'),
         ('        return\n'),
         ('tests/test_endpoints.py -k another'),
     ),
--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -430,7 +430,7 @@
         endpoint: configuration.Endpoint,
         response: aiohttp.ClientResponse,
     ) -> None:
-        if _is_own(send, endpoint, response):
+        if _echo_matches(send, endpoint, response):
             return
         logger.warning(
             'answer_crossed',
@@ -441,7 +441,7 @@
         raise errors.MaybeSentError("answer is another request's")
 
 
-def _is_own(
+def _echo_matches(
     send: Send,
     endpoint: configuration.Endpoint,
     response: aiohttp.ClientResponse,
