--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -282,7 +282,7 @@
                 self._record_advertised(send, endpoint, send_permit, response)
                 self._raise_if_overloaded(send, response)
                 self._reject_mismatched_echo(send, endpoint, response)
-                _refuse_endless(send, response)
+                _reject_unframed(send, response)
                 yield EndpointResponse(response, send.name)
             if run is not None:
                 self._guard.ended_well(run)
@@ -452,7 +452,7 @@
     return response.headers.get(headers.ECHO) == send.name
 
 
-def _refuse_endless(send: Send, response: aiohttp.ClientResponse) -> None:
+def _reject_unframed(send: Send, response: aiohttp.ClientResponse) -> None:
     """Refuse a body whose end can't be told from a broken connection."""
     if send.method == 'HEAD' or response.status in BODILESS_STATUSES:
         return
