--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -45,7 +45,7 @@
 
     ANSWERED = 'answered'
     NOT_RUN = 'not_run'
-    NOT_HERE = 'not_here'
+    MISDIRECTED = 'not_here'
 
 
 @dataclasses.dataclass
@@ -323,7 +323,7 @@
             response.status == advertised.MISDIRECTED
             and place.endpoint is not None
         ):
-            return Verdict.NOT_HERE
+            return Verdict.MISDIRECTED
         if self._dialect.not_run in response.headers:
             return Verdict.NOT_RUN
         if passing.REFUSED in response.headers and place.host is not None:
--- a/wrenspoke/coordination/serving/tries.py
+++ b/wrenspoke/coordination/serving/tries.py
@@ -225,7 +225,7 @@
             self._repeats.note(work.route.name, answer.status in OK_STATUSES)
         if place.host is not None:
             work.count_runs(answer.runs - 1)
-        if answer.verdict is sending.Verdict.NOT_HERE:
+        if answer.verdict is sending.Verdict.MISDIRECTED:
             work.was_not_run()
             work.cause = 'not here any more'
             # Nothing of this life of it will come back.
