--- a/wrenspoke/coordination/serving/placing.py
+++ b/wrenspoke/coordination/serving/placing.py
@@ -75,7 +75,7 @@
         self._switched_off = switched_off
         self._clock = clock
 
-    def next_place(self, work: works.Work) -> sending.Place | None:
+    def next_place(self, work: works.Work) -> sending.Destination | None:
         """Return where to send a call, None where nothing takes it.
 
         :raises BusyError: who passed it on can do better
@@ -166,7 +166,7 @@
         self,
         work: works.Work,
         chosen: choice.Chosen | None,
-    ) -> sending.Place | None:
+    ) -> sending.Destination | None:
         if chosen is None:
             return None
         said = chosen.found.said
@@ -189,7 +189,7 @@
             candidates=chosen.candidates,
             version=self._replica.current.routes.version,
         )
-        return sending.Place(
+        return sending.Destination(
             said.address,
             self._region,
             endpoint=said.endpoint,
@@ -235,7 +235,7 @@
 
     def _relay(
         self, work: works.Work, region: ids.RegionId
-    ) -> sending.Place | None:
+    ) -> sending.Destination | None:
         """Return the host that a call for a third region goes on to."""
         if region in work.regions_out or not work.route.allows(region):
             return None
@@ -256,7 +256,7 @@
             region=None,
             attempts_left=work.runs_limit - work.runs,
         )
-        return sending.Place(
+        return sending.Destination(
             host.passing_address,
             host.region,
             host=host.host,
@@ -269,7 +269,7 @@
         work: works.Work,
         found: regions.Offered,
         local: choice.Chosen | None,
-    ) -> sending.Place:
+    ) -> sending.Destination:
         # Where it is turned back, the way there and back is lost as well.
         limit_ms = work.deadline_ms - self._clock.mono_ms()
         if local is not None:
@@ -298,7 +298,7 @@
             int(limit_ms),
             found.region,
         )
-        return sending.Place(
+        return sending.Destination(
             found.host.passing_address,
             found.host.region,
             host=found.host.host,
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -49,7 +49,7 @@
 
 
 @dataclasses.dataclass
-class Place:
+class Destination:
     """Say where a call is sent: an endpoint, or a host elsewhere.
 
     ``stands_in`` is the region of who takes it, ``region`` the one that a
@@ -167,7 +167,7 @@
         self._guard = guard
         self._gate = gate
 
-    async def admit(self, place: Place, rank: int) -> None:
+    async def admit(self, place: Destination, rank: int) -> None:
         """Acquire a permit to send to a place's endpoint.
 
         :raises EndpointBusyError: it is sent nothing more for now
@@ -180,7 +180,7 @@
         self,
         call: dialects.Call,
         permit: access.Permit,
-        place: Place,
+        place: Destination,
         left_ms: int,
         last_event: str | None,
     ) -> collections.abc.AsyncIterator[Answer]:
@@ -231,7 +231,7 @@
             raise errors.MaybeSentError(str(error)) from error
 
     def _may_leave(
-        self, call: dialects.Call, permit: access.Permit, place: Place
+        self, call: dialects.Call, permit: access.Permit, place: Destination
     ) -> bool:
         """Tell, as the first byte is about to leave, whether it still may."""
         if self._guard.held_ms(call.digest) is not None:
@@ -243,7 +243,7 @@
     def _note_advertised(
         self,
         call: dialects.Call,
-        place: Place,
+        place: Destination,
         response: aiohttp.ClientResponse,
     ) -> None:
         """Note what an endpoint says of itself, whatever it answered."""
@@ -258,7 +258,7 @@
         )
 
     def _note_traffic(
-        self, call: dialects.Call, place: Place, answer: Answer
+        self, call: dialects.Call, place: Destination, answer: Answer
     ) -> None:
         """Count what went to a host elsewhere and came back from it."""
         if place.host is None:
@@ -271,7 +271,7 @@
         self,
         call: dialects.Call,
         permit: access.Permit,
-        place: Place,
+        place: Destination,
         left_ms: int,
         last_event: str | None,
     ) -> dialects.Fields:
@@ -312,7 +312,7 @@
     def _verdict(
         self,
         call: dialects.Call,
-        place: Place,
+        place: Destination,
         response: aiohttp.ClientResponse,
     ) -> Verdict:
         """Judge a head; another request's answer counts as none.
--- a/wrenspoke/coordination/serving/tries.py
+++ b/wrenspoke/coordination/serving/tries.py
@@ -66,7 +66,7 @@
         self._repeats = repeats.Repeats()
         self._clock = clock
 
-    async def make(self, work: works.Work, place: sending.Place) -> bool:
+    async def make(self, work: works.Work, place: sending.Destination) -> bool:
         """Send once; return whether the caller has its answer."""
         counts = self._choice.in_flight
         counts[place.name] = counts.get(place.name, 0) + 1
@@ -104,7 +104,9 @@
                 del counts[place.name]
         return False
 
-    async def admit(self, work: works.Work, place: sending.Place) -> bool:
+    async def admit(
+        self, work: works.Work, place: sending.Destination
+    ) -> bool:
         """Acquire a permit to send; False where the endpoint takes no more."""
         try:
             await self._sender.admit(place, _rank(work, place))
@@ -124,7 +126,7 @@
     def _left_ms(self, work: works.Work) -> int:
         return work.deadline_ms - self._clock.mono_ms()
 
-    def _note_sent(self, work: works.Work, place: sending.Place) -> None:
+    def _note_sent(self, work: works.Work, place: sending.Destination) -> None:
         place.sent_ms = self._clock.mono_ms()
         if place.chosen is None:
             return
@@ -139,7 +141,9 @@
                 work.call.tokens_expected,
             )
 
-    def _note_first(self, work: works.Work, place: sending.Place) -> None:
+    def _note_first(
+        self, work: works.Work, place: sending.Destination
+    ) -> None:
         """Record the time to the first piece of a response."""
         work.first_at_ms = self._clock.mono_ms()
         took_ms = work.first_at_ms - place.sent_ms
@@ -152,7 +156,7 @@
 
     @contextlib.asynccontextmanager
     async def _watched(
-        self, work: works.Work, place: sending.Place
+        self, work: works.Work, place: sending.Destination
     ) -> collections.abc.AsyncIterator[None]:
         """Give up on a host that falls silent, if the call may be retried.
 
@@ -180,7 +184,7 @@
     def _failed(
         self,
         work: works.Work,
-        place: sending.Place,
+        place: sending.Destination,
         cause: str,
         certain: bool = False,
     ) -> None:
@@ -198,7 +202,7 @@
             left_ms=self._left_ms(work),
         )
 
-    def _held_back(self, work: works.Work, place: sending.Place) -> None:
+    def _held_back(self, work: works.Work, place: sending.Destination) -> None:
         """Record that a send was rejected by a check at send time.
 
         Where another team holds its key now, the place may be tried again;
@@ -217,7 +221,10 @@
         )
 
     async def _take(
-        self, work: works.Work, place: sending.Place, answer: sending.Answer
+        self,
+        work: works.Work,
+        place: sending.Destination,
+        answer: sending.Answer,
     ) -> bool:
         """Pass a response on, or hold it back where another attempt is due."""
         place.answered = True
@@ -267,7 +274,10 @@
         return True
 
     async def _take_refusal(
-        self, work: works.Work, place: sending.Place, answer: sending.Answer
+        self,
+        work: works.Work,
+        place: sending.Destination,
+        answer: sending.Answer,
     ) -> bool:
         """Take the refusal of a host of another region.
 
@@ -304,7 +314,10 @@
     # Streams.
 
     async def _stream(
-        self, work: works.Work, place: sending.Place, answer: sending.Answer
+        self,
+        work: works.Work,
+        place: sending.Destination,
+        answer: sending.Answer,
     ) -> None:
         """Pass a stream on; the head is sent with the first piece."""
         tracker = events.EventTracker(whole_only=work.route.resumable)
@@ -314,7 +327,7 @@
     async def _pass_events(
         self,
         work: works.Work,
-        place: sending.Place,
+        place: sending.Destination,
         answer: sending.Answer,
         tracker: events.EventTracker,
     ) -> None:
@@ -333,7 +346,7 @@
                 await work.reply.write(data)
 
     def _paced(
-        self, work: works.Work, place: sending.Place
+        self, work: works.Work, place: sending.Destination
     ) -> paces.PacedStream:
         tokens = 1
         if work.service.batch is not None:
@@ -348,7 +361,7 @@
     async def _end_stream(
         self,
         work: works.Work,
-        place: sending.Place,
+        place: sending.Destination,
         answer: sending.Answer,
         tracker: events.EventTracker,
     ) -> None:
@@ -361,7 +374,10 @@
         self._log_end(work, place, answer.status, tracker.count)
 
     async def _go_on(
-        self, work: works.Work, place: sending.Place, answer: sending.Answer
+        self,
+        work: works.Work,
+        place: sending.Destination,
+        answer: sending.Answer,
     ) -> bool:
         """Continue a stream that another endpoint began."""
         if answer.status not in OK_STATUSES:
@@ -380,7 +396,7 @@
     def _log_end(
         self,
         work: works.Work,
-        place: sending.Place,
+        place: sending.Destination,
         status: int,
         pieces: int = 1,
     ) -> None:
@@ -405,7 +421,7 @@
         )
 
     @staticmethod
-    def _took_ms(work: works.Work, place: sending.Place) -> int | None:
+    def _took_ms(work: works.Work, place: sending.Destination) -> int | None:
         """Return how long the first piece took after the call was sent.
 
         None where another endpoint gave it.
@@ -415,7 +431,7 @@
         return work.first_at_ms - place.sent_ms
 
 
-def _rank(work: works.Work, place: sending.Place) -> int:
+def _rank(work: works.Work, place: sending.Destination) -> int:
     """Return a call's rank among those that want the same endpoint.
 
     A stream that another endpoint began goes first.
