--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -57,7 +57,7 @@
     """
 
     address: str
-    stands_in: ids.RegionId
+    located_in: ids.RegionId
     endpoint: ids.EndpointId | None = None
     host: ids.HostId | None = None
     region: ids.RegionId | None = None
@@ -86,8 +86,8 @@
     def regions(self) -> tuple[ids.RegionId, ...]:
         """Return the regions that a call enters by going there."""
         if self.region is None:
-            return (self.stands_in,)
-        return (self.stands_in, self.region)
+            return (self.located_in,)
+        return (self.located_in, self.region)
 
     @property
     def name(self) -> str:
@@ -263,7 +263,7 @@
         """Count what went to a host elsewhere and came back from it."""
         if place.host is None:
             return
-        there = locations.Location(place.stands_in, ids.DataCentreId(''))
+        there = locations.Location(place.located_in, ids.DataCentreId(''))
         self._traffic.note(CALL, there, len(call.body))
         self._traffic.note(ANSWER, there, answer.bytes_read)
 
