--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -60,7 +60,7 @@
     located_in: ids.RegionId
     endpoint: ids.EndpointId | None = None
     host: ids.HostId | None = None
-    region: ids.RegionId | None = None
+    serving_region: ids.RegionId | None = None
     hop: passing.Hop | None = None
     chosen: choice.Chosen | None = None
     sent_ms: int = 0
@@ -85,9 +85,9 @@
     @property
     def regions(self) -> tuple[ids.RegionId, ...]:
         """Return the regions that a call enters by going there."""
-        if self.region is None:
+        if self.serving_region is None:
             return (self.located_in,)
-        return (self.located_in, self.region)
+        return (self.located_in, self.serving_region)
 
     @property
     def name(self) -> str:
