--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -65,7 +65,7 @@
     chosen: choice.Chosen | None = None
     sent_ms: int = 0
     answered: bool = False
-    reading: int | None = None
+    prompt_number: int | None = None
     send_permit: endpoint_gate.GatePermit | None = None
 
     @property
--- a/wrenspoke/coordination/serving/tries.py
+++ b/wrenspoke/coordination/serving/tries.py
@@ -98,7 +98,7 @@
         except errors.MaybeSentError as error:
             self._failed(work, place, str(error))
         finally:
-            self._estimator.note_read(place.endpoint, place.reading)
+            self._estimator.note_read(place.endpoint, place.prompt_number)
             counts[place.name] -= 1
             if not counts[place.name]:
                 del counts[place.name]
@@ -130,10 +130,10 @@
         place.sent_ms = self._clock.mono_ms()
         if place.chosen is None:
             return
-        place.reading = self._estimator.note_sent(
+        place.prompt_number = self._estimator.note_sent(
             place.endpoint, work.service, work.call, place.chosen.prospect
         )
-        if self._sent_calls is not None and place.reading is not None:
+        if self._sent_calls is not None and place.prompt_number is not None:
             self._sent_calls.note(
                 place.endpoint,
                 place.chosen.prospect.unread_tokens,
@@ -149,7 +149,7 @@
         took_ms = work.first_at_ms - place.sent_ms
         if place.region is not None:
             return
-        self._estimator.note_read(place.endpoint, place.reading)
+        self._estimator.note_read(place.endpoint, place.prompt_number)
         self._estimator.note_first(
             place.endpoint, work.service, place.chosen.prospect, took_ms
         )
