--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -95,7 +95,7 @@
         return self.endpoint or self.host
 
 
-class Answer(response_body.ResponseBody):
+class UpstreamResponse(response_body.ResponseBody):
     """Hold the head of an answer; the body is read from it.
 
     ``runs`` is how many endpoints a host that answers for others used.
@@ -183,7 +183,7 @@
         place: Destination,
         left_ms: int,
         last_event: str | None,
-    ) -> collections.abc.AsyncIterator[Answer]:
+    ) -> collections.abc.AsyncIterator[UpstreamResponse]:
         """Send once and yield the answer's head.
 
         Leaving the block early closes the connection, which ends the
@@ -216,7 +216,9 @@
             ):
                 self._note_advertised(call, place, response)
                 verdict = self._verdict(call, place, response)
-                answer = Answer(response, verdict, place.host is not None)
+                answer = UpstreamResponse(
+                    response, verdict, place.host is not None
+                )
                 try:
                     yield answer
                 finally:
@@ -258,7 +260,7 @@
         )
 
     def _note_traffic(
-        self, call: dialects.Call, place: Destination, answer: Answer
+        self, call: dialects.Call, place: Destination, answer: UpstreamResponse
     ) -> None:
         """Count what went to a host elsewhere and came back from it."""
         if place.host is None:
--- a/wrenspoke/coordination/serving/tries.py
+++ b/wrenspoke/coordination/serving/tries.py
@@ -224,7 +224,7 @@
         self,
         work: works.Work,
         place: sending.Destination,
-        answer: sending.Answer,
+        answer: sending.UpstreamResponse,
     ) -> bool:
         """Pass a response on, or hold it back where another attempt is due."""
         place.answered = True
@@ -277,7 +277,7 @@
         self,
         work: works.Work,
         place: sending.Destination,
-        answer: sending.Answer,
+        answer: sending.UpstreamResponse,
     ) -> bool:
         """Take the refusal of a host of another region.
 
@@ -317,7 +317,7 @@
         self,
         work: works.Work,
         place: sending.Destination,
-        answer: sending.Answer,
+        answer: sending.UpstreamResponse,
     ) -> None:
         """Pass a stream on; the head is sent with the first piece."""
         tracker = events.EventTracker(whole_only=work.route.resumable)
@@ -328,7 +328,7 @@
         self,
         work: works.Work,
         place: sending.Destination,
-        answer: sending.Answer,
+        answer: sending.UpstreamResponse,
         tracker: events.EventTracker,
     ) -> None:
         """Pass events on, and record the engine's pace."""
@@ -362,7 +362,7 @@
         self,
         work: works.Work,
         place: sending.Destination,
-        answer: sending.Answer,
+        answer: sending.UpstreamResponse,
         tracker: events.EventTracker,
     ) -> None:
         if not work.reply.started:
@@ -377,7 +377,7 @@
         self,
         work: works.Work,
         place: sending.Destination,
-        answer: sending.Answer,
+        answer: sending.UpstreamResponse,
     ) -> bool:
         """Continue a stream that another endpoint began."""
         if answer.status not in OK_STATUSES:
