--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -111,7 +111,7 @@
         self.verdict = verdict
         self.status = response.status
         self.fields = dialects.answer_fields(response.raw_headers)
-        self.refused = _refusal(response.headers.get(passing.REFUSED))
+        self.refused = _parse_refusal(response.headers.get(passing.REFUSED))
         self.retry_after_ms = _retry_after_ms(response.headers)
         self.runs = 1
         if from_host:
@@ -136,7 +136,7 @@
     return 1 if found is None else found
 
 
-def _refusal(text: str | None) -> passing.Refusal | None:
+def _parse_refusal(text: str | None) -> passing.Refusal | None:
     """Return why a host gave its own word; what is unknown is a failure."""
     if text is None:
         return None
