--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -115,7 +115,7 @@
         self.retry_after_ms = _retry_after_ms(response.headers)
         self.runs = 1
         if from_host:
-            self.runs = _runs(response.headers.get(passing.RUNS))
+            self.runs = _parse_runs(response.headers.get(passing.RUNS))
             self.fields = [
                 item for item in self.fields if item[0] != passing.RUNS
             ]
@@ -127,7 +127,7 @@
     return 0.0 if found_s is None else found_s * passing.MS_PER_S
 
 
-def _runs(text: str | None) -> int:
+def _parse_runs(text: str | None) -> int:
     """Return how many endpoints ran a call, by a host's own word.
 
     Where it says nothing, one is taken to have run it.
