--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -112,7 +112,7 @@
         self.status = response.status
         self.fields = dialects.answer_fields(response.raw_headers)
         self.refused = _parse_refusal(response.headers.get(passing.REFUSED))
-        self.retry_after_ms = _retry_after_ms(response.headers)
+        self.retry_after_ms = _parse_retry_after_ms(response.headers)
         self.runs = 1
         if from_host:
             self.runs = _parse_runs(response.headers.get(passing.RUNS))
@@ -121,7 +121,7 @@
             ]
 
 
-def _retry_after_ms(fields: collections.abc.Mapping[str, str]) -> float:
+def _parse_retry_after_ms(fields: collections.abc.Mapping[str, str]) -> float:
     """Return how long a host says that a call would wait, 0 if not."""
     found_s = numerals.decimal(fields.get('Retry-After', ''))
     return 0.0 if found_s is None else found_s * passing.MS_PER_S
