--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -161,7 +161,7 @@
     ):
         self._dialect = dialect
         self._access = permitted
-        self._endpoints = endpoints
+        self._endpoint_client = endpoints
         self._hosts = hosts
         self._traffic = sent
         self._guard = guard
@@ -196,7 +196,7 @@
         may_leave = functools.partial(self._may_leave, call, permit, place)
         fields = self._fields(call, permit, place, left_ms, last_event)
         body = call.body or None
-        client = self._endpoints if place.host is None else self._hosts
+        client = self._endpoint_client if place.host is None else self._hosts
         watched = contextlib.nullcontext()
         if place.endpoint is not None:
             watched = self._guard.watching(
