--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -162,7 +162,7 @@
         self._dialect = dialect
         self._access = permitted
         self._endpoint_client = endpoints
-        self._hosts = hosts
+        self._host_client = hosts
         self._traffic = sent
         self._guard = guard
         self._gate = gate
@@ -196,7 +196,9 @@
         may_leave = functools.partial(self._may_leave, call, permit, place)
         fields = self._fields(call, permit, place, left_ms, last_event)
         body = call.body or None
-        client = self._endpoint_client if place.host is None else self._hosts
+        client = (
+            self._endpoint_client if place.host is None else self._host_client
+        )
         watched = contextlib.nullcontext()
         if place.endpoint is not None:
             watched = self._guard.watching(
