--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -152,7 +152,7 @@
     def __init__(
         self,
         dialect: dialects.Dialect,
-        endpoints: web.HttpClient,
+        endpoint_client: web.HttpClient,
         hosts: web.HttpClient,
         permitted: access.Access,
         sent: traffic.Traffic,
@@ -161,7 +161,7 @@
     ):
         self._dialect = dialect
         self._access = permitted
-        self._endpoint_client = endpoints
+        self._endpoint_client = endpoint_client
         self._host_client = hosts
         self._traffic = sent
         self._guard = guard
