--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -153,7 +153,7 @@
         self,
         dialect: dialects.Dialect,
         endpoint_client: web.HttpClient,
-        hosts: web.HttpClient,
+        host_client: web.HttpClient,
         permitted: access.Access,
         sent: traffic.Traffic,
         guard: guards.Guard,
@@ -162,7 +162,7 @@
         self._dialect = dialect
         self._access = permitted
         self._endpoint_client = endpoint_client
-        self._host_client = hosts
+        self._host_client = host_client
         self._traffic = sent
         self._guard = guard
         self._gate = gate
