--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -154,13 +154,13 @@
         dialect: dialects.Dialect,
         endpoint_client: web.HttpClient,
         host_client: web.HttpClient,
-        permitted: access.Access,
+        access_control: access.Access,
         sent: traffic.Traffic,
         guard: guards.Guard,
         gate: endpoint_gate.EndpointGate,
     ):
         self._dialect = dialect
-        self._access = permitted
+        self._access = access_control
         self._endpoint_client = endpoint_client
         self._host_client = host_client
         self._traffic = sent
