--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -155,7 +155,7 @@
         endpoint_client: web.HttpClient,
         host_client: web.HttpClient,
         access_control: access.Access,
-        sent: traffic.Traffic,
+        traffic_counter: traffic.Traffic,
         guard: guards.Guard,
         gate: endpoint_gate.EndpointGate,
     ):
@@ -163,7 +163,7 @@
         self._access = access_control
         self._endpoint_client = endpoint_client
         self._host_client = host_client
-        self._traffic = sent
+        self._traffic = traffic_counter
         self._guard = guard
         self._gate = gate
 
