--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -167,7 +167,7 @@
         self._guard = guard
         self._gate = gate
 
-    async def admit(self, place: Destination, rank: int) -> None:
+    async def acquire_permit(self, place: Destination, rank: int) -> None:
         """Acquire a permit to send to a place's endpoint.
 
         :raises EndpointBusyError: it is sent nothing more for now
