--- a/wrenspoke/coordination/serving/access.py
+++ b/wrenspoke/coordination/serving/access.py
@@ -188,7 +188,9 @@
         return {pair: _on_scale(pair[0]) for pair in pairs}
     ranked = sorted(pairs)
     step = max(math.ceil(len(ranked) / URGENCIES), 1)
-    return {pair: place // step for place, pair in enumerate(ranked)}
+    return {
+        pair: destination // step for destination, pair in enumerate(ranked)
+    }
 
 
 def _name_of(team: teams.Team | None) -> ids.TeamId | None:
--- a/wrenspoke/coordination/serving/local.py
+++ b/wrenspoke/coordination/serving/local.py
@@ -224,7 +224,7 @@
     ) -> placement.Slot:
         """Return a place; after failures the reason given is theirs."""
         try:
-            return await self.placer.place(head, tries.excluded)
+            return await self.placer.destination(head, tries.excluded)
         except errors.EndedError as error:
             if tries.count == 0:
                 raise
--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -113,7 +113,7 @@
         body: bytes,
     ) -> local.Whole | registers.Claim:
         """Claim and send; return the claim where it is another's."""
-        slot = await self._server.placer.place(head)
+        slot = await self._server.placer.destination(head)
         try:
             ticket, claim = await self._claim(head, key)
         except BaseException:
@@ -245,7 +245,7 @@
         """Return another place, as nothing has been sent yet."""
         try:
             await tries.after(send.endpoint, error)
-            return await self._server.place(head, tries)
+            return await self._server.destination(head, tries)
         except errors.EndedError:
             await self._give_back(key, send.ticket)
             raise
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -167,13 +167,17 @@
         self._guard = guard
         self._gate = gate
 
-    async def acquire_permit(self, place: Destination, rank: int) -> None:
+    async def acquire_permit(
+        self, destination: Destination, rank: int
+    ) -> None:
         """Acquire a permit to send to a place's endpoint.
 
         :raises EndpointBusyError: it is sent nothing more for now
         """
-        if place.endpoint is not None:
-            place.send_permit = await self._gate.acquire(place.life, rank)
+        if destination.endpoint is not None:
+            destination.send_permit = await self._gate.acquire(
+                destination.life, rank
+            )
 
     @contextlib.asynccontextmanager
     async def send(
--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -151,7 +151,7 @@
             return await self._resume_asked(head, transcript, reply, tries)
         while True:
             tries.check_deadline()
-            slot = await self._server.place(head, tries)
+            slot = await self._server.destination(head, tries)
             try:
                 await self._stream(head, transcript, reply, slot, tries)
                 return slot.endpoint.endpoint
