--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -184,7 +184,7 @@
         self,
         call: dialects.Call,
         permit: access.Permit,
-        place: Destination,
+        destination: Destination,
         left_ms: int,
         last_event: str | None,
     ) -> collections.abc.AsyncIterator[UpstreamResponse]:
@@ -197,38 +197,42 @@
         :raises HeldBackError: it may not go there now; nothing was sent
         :raises MaybeSentError: it may have been run
         """
-        may_leave = functools.partial(self._may_leave, call, permit, place)
-        fields = self._fields(call, permit, place, left_ms, last_event)
+        may_leave = functools.partial(
+            self._may_leave, call, permit, destination
+        )
+        fields = self._fields(call, permit, destination, left_ms, last_event)
         body = call.body or None
         client = (
-            self._endpoint_client if place.host is None else self._host_client
+            self._endpoint_client
+            if destination.host is None
+            else self._host_client
         )
         watched = contextlib.nullcontext()
-        if place.endpoint is not None:
+        if destination.endpoint is not None:
             watched = self._guard.watching(
-                call.digest, place.endpoint, place.address
+                call.digest, destination.endpoint, destination.address
             )
         try:
             async with (
                 watched as run,
                 client.pass_on(
                     call.method,
-                    place.address,
+                    destination.address,
                     call.target,
                     fields,
                     body,
                     may_leave,
                 ) as response,
             ):
-                self._note_advertised(call, place, response)
-                verdict = self._verdict(call, place, response)
+                self._note_advertised(call, destination, response)
+                verdict = self._verdict(call, destination, response)
                 answer = UpstreamResponse(
-                    response, verdict, place.host is not None
+                    response, verdict, destination.host is not None
                 )
                 try:
                     yield answer
                 finally:
-                    self._note_traffic(call, place, answer)
+                    self._note_traffic(call, destination, answer)
             if run is not None and verdict is Verdict.ANSWERED:
                 self._guard.ended_well(run)
         except transport_errors.HeldBackError as error:
