--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -207,14 +207,14 @@
             if destination.host is None
             else self._host_client
         )
-        watched = contextlib.nullcontext()
+        tracked = contextlib.nullcontext()
         if destination.endpoint is not None:
-            watched = self._guard.watching(
+            tracked = self._guard.watching(
                 call.digest, destination.endpoint, destination.address
             )
         try:
             async with (
-                watched as run,
+                tracked as run,
                 client.pass_on(
                     call.method,
                     destination.address,
