--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -198,7 +198,7 @@
         :raises MaybeSentError: it may have been run
         """
         may_leave = functools.partial(
-            self._may_leave, call, permit, destination
+            self._may_send, call, permit, destination
         )
         fields = self._fields(call, permit, destination, left_ms, last_event)
         body = call.body or None
@@ -242,7 +242,7 @@
         except transport_errors.MaybeSentError as error:
             raise errors.MaybeSentError(str(error)) from error
 
-    def _may_leave(
+    def _may_send(
         self, call: dialects.Call, permit: access.Permit, place: Destination
     ) -> bool:
         """Tell, as the first byte is about to leave, whether it still may."""
