--- a/benches/switches_limits.py
+++ b/benches/switches_limits.py
@@ -28,7 +28,7 @@
     Switch(
         'leave not looked at as a call leaves',
         SERVING + 'sending.py',
-        'if place.endpoint is not None and not place.send_permit.is_valid():',
+        'if destination.endpoint is not None and not destination.send_permit.is_valid():',
         'if False:',
         f'{INCIDENT}::test_leave_that_ended_on_the_way_sends_nothing',
     ),
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -243,14 +243,22 @@
             raise errors.MaybeSentError(str(error)) from error
 
     def _may_send(
-        self, call: dialects.Call, permit: access.Permit, place: Destination
+        self,
+        call: dialects.Call,
+        permit: access.Permit,
+        destination: Destination,
     ) -> bool:
         """Tell, as the first byte is about to leave, whether it still may."""
         if self._guard.held_ms(call.digest) is not None:
             return False
-        if place.endpoint is not None and not place.send_permit.is_valid():
+        if (
+            destination.endpoint is not None
+            and not destination.send_permit.is_valid()
+        ):
             return False
-        return self._access.may_enter(call, permit, place.host, place.regions)
+        return self._access.may_enter(
+            call, permit, destination.host, destination.regions
+        )
 
     def _note_advertised(
         self,
