--- a/benches/switches_limits.py
+++ b/benches/switches_limits.py
@@ -14,7 +14,7 @@
     Switch(
         'limits of passed calls unread',
         SERVING + 'sending.py',
-        'self._note_advertised(call, destination, response)',
+        'self._record_advertised(call, destination, response)',
         'pass',
         f'{INCIDENT}::test_passed_calls_keep_to_what_an_engine_says',
     ),
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -224,7 +224,7 @@
                     may_leave,
                 ) as response,
             ):
-                self._note_advertised(call, destination, response)
+                self._record_advertised(call, destination, response)
                 verdict = self._verdict(call, destination, response)
                 answer = UpstreamResponse(
                     response, verdict, destination.host is not None
@@ -260,7 +260,7 @@
             call, permit, destination.host, destination.regions
         )
 
-    def _note_advertised(
+    def _record_advertised(
         self,
         call: dialects.Call,
         place: Destination,
