--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -263,15 +263,15 @@
     def _record_advertised(
         self,
         call: dialects.Call,
-        place: Destination,
+        destination: Destination,
         response: aiohttp.ClientResponse,
     ) -> None:
         """Note what an endpoint says of itself, whatever it answered."""
-        if place.endpoint is None:
+        if destination.endpoint is None:
             return
         echoed = response.headers.get(self._dialect.request)
         source = advertised.origin(response.status, call.request, echoed)
-        place.send_permit.on_response(
+        destination.send_permit.on_response(
             advertised.read(
                 source, response.status, response.headers, self._dialect
             )
