--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -232,7 +232,7 @@
                 try:
                     yield answer
                 finally:
-                    self._note_traffic(call, destination, answer)
+                    self._count_traffic(call, destination, answer)
             if run is not None and verdict is Verdict.ANSWERED:
                 self._guard.ended_well(run)
         except transport_errors.HeldBackError as error:
@@ -277,7 +277,7 @@
             )
         )
 
-    def _note_traffic(
+    def _count_traffic(
         self, call: dialects.Call, place: Destination, answer: UpstreamResponse
     ) -> None:
         """Count what went to a host elsewhere and came back from it."""
