--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -278,12 +278,17 @@
         )
 
     def _count_traffic(
-        self, call: dialects.Call, place: Destination, answer: UpstreamResponse
+        self,
+        call: dialects.Call,
+        destination: Destination,
+        answer: UpstreamResponse,
     ) -> None:
         """Count what went to a host elsewhere and came back from it."""
-        if place.host is None:
+        if destination.host is None:
             return
-        there = locations.Location(place.located_in, ids.DataCentreId(''))
+        there = locations.Location(
+            destination.located_in, ids.DataCentreId('')
+        )
         self._traffic.note(CALL, there, len(call.body))
         self._traffic.note(ANSWER, there, answer.bytes_read)
 
