--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -286,11 +286,11 @@
         """Count what went to a host elsewhere and came back from it."""
         if destination.host is None:
             return
-        there = locations.Location(
+        peer_location = locations.Location(
             destination.located_in, ids.DataCentreId('')
         )
-        self._traffic.note(CALL, there, len(call.body))
-        self._traffic.note(ANSWER, there, answer.bytes_read)
+        self._traffic.note(CALL, peer_location, len(call.body))
+        self._traffic.note(ANSWER, peer_location, answer.bytes_read)
 
     def _fields(
         self,
