--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -200,7 +200,9 @@
         may_leave = functools.partial(
             self._may_send, call, permit, destination
         )
-        fields = self._fields(call, permit, destination, left_ms, last_event)
+        fields = self._request_fields(
+            call, permit, destination, left_ms, last_event
+        )
         body = call.body or None
         client = (
             self._endpoint_client
@@ -292,7 +294,7 @@
         self._traffic.note(CALL, peer_location, len(call.body))
         self._traffic.note(ANSWER, peer_location, answer.bytes_read)
 
-    def _fields(
+    def _request_fields(
         self,
         call: dialects.Call,
         permit: access.Permit,
