--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -298,7 +298,7 @@
         self,
         call: dialects.Call,
         permit: access.Permit,
-        place: Destination,
+        destination: Destination,
         left_ms: int,
         last_event: str | None,
     ) -> dialects.Fields:
@@ -309,15 +309,18 @@
             fields = [item for item in fields if item[0].lower() != name]
             fields.append((dialect.last_event, last_event))
         fields.append((dialect.deadline_ms, str(max(left_ms, 0))))
-        if place.hop is not None:
-            hop = msgspec.json.encode(place.hop).decode()
+        if destination.hop is not None:
+            hop = msgspec.json.encode(destination.hop).decode()
             fields.append((passing.HOP, hop))
             # The host there looks the key up itself.
             return fields + call.credentials
         fields += self._on_behalf(call, permit)
-        fields.append((dialect.endpoint, place.endpoint))
-        if place.chosen is not None and place.chosen.source is not None:
-            source = place.chosen.source.said
+        fields.append((dialect.endpoint, destination.endpoint))
+        if (
+            destination.chosen is not None
+            and destination.chosen.source is not None
+        ):
+            source = destination.chosen.source.said
             fields.append((dialect.fetch_from, source.address))
         if call.parts:
             fields.append((dialect.priority, str(permit.urgency)))
