--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -10,7 +10,7 @@
     Switch(
         'key shown to endpoints',
         DECISIONS + 'serving/sending.py',
-        ('        fields += self._on_behalf(call, permit)\n'),
+        ('        fields += self._identity_fields(call, permit)\n'),
         ('        fields += call.credentials\n'),
         (
             'tests/test_keys.py::test_endpoint_is_told_the_team_and_never_the_key'
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -314,7 +314,7 @@
             fields.append((passing.HOP, hop))
             # The host there looks the key up itself.
             return fields + call.credentials
-        fields += self._on_behalf(call, permit)
+        fields += self._identity_fields(call, permit)
         fields.append((dialect.endpoint, destination.endpoint))
         if (
             destination.chosen is not None
@@ -326,7 +326,7 @@
             fields.append((dialect.priority, str(permit.urgency)))
         return fields
 
-    def _on_behalf(
+    def _identity_fields(
         self, call: dialects.Call, permit: access.Permit
     ) -> dialects.Fields:
         """Return what tells an endpoint whose call it is.
