--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -227,7 +227,7 @@
                 ) as response,
             ):
                 self._record_advertised(call, destination, response)
-                verdict = self._verdict(call, destination, response)
+                verdict = self._classify_response(call, destination, response)
                 answer = UpstreamResponse(
                     response, verdict, destination.host is not None
                 )
@@ -339,7 +339,7 @@
             return [(self._dialect.team, permit.team.team)]
         return call.credentials if permit.anyone else []
 
-    def _verdict(
+    def _classify_response(
         self,
         call: dialects.Call,
         place: Destination,
