--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -342,7 +342,7 @@
     def _classify_response(
         self,
         call: dialects.Call,
-        place: Destination,
+        destination: Destination,
         response: aiohttp.ClientResponse,
     ) -> Verdict:
         """Judge a head; another request's answer counts as none.
@@ -351,19 +351,22 @@
         """
         if (
             response.status == advertised.MISDIRECTED
-            and place.endpoint is not None
+            and destination.endpoint is not None
         ):
             return Verdict.MISDIRECTED
         if self._dialect.not_run in response.headers:
             return Verdict.NOT_RUN
-        if passing.REFUSED in response.headers and place.host is not None:
+        if (
+            passing.REFUSED in response.headers
+            and destination.host is not None
+        ):
             return Verdict.ANSWERED
         echoed = response.headers.get(self._dialect.request)
         if echoed != call.request:
             logger.warning(
                 'answer_crossed',
                 request=call.request,
-                place=place.name,
+                destination=destination.name,
                 found=echoed,
                 status=response.status,
             )
