--- a/wrenspoke/coordination/serving/access.py
+++ b/wrenspoke/coordination/serving/access.py
@@ -21,7 +21,7 @@
 from wrenspoke.state import teams
 
 # Places on the scale of urgencies, 0 for the most urgent.
-URGENCIES = 10
+URGENCY_LEVELS = 10
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -175,7 +175,7 @@
 
 
 def _on_scale(priority: int) -> int:
-    return min(max(priority, 0), URGENCIES - 1)
+    return min(max(priority, 0), URGENCY_LEVELS - 1)
 
 
 def _urgencies(pairs: set[tuple[int, int]]) -> dict[tuple[int, int], int]:
@@ -187,7 +187,7 @@
     if all(team == route for team, route in pairs):
         return {pair: _on_scale(pair[0]) for pair in pairs}
     ranked = sorted(pairs)
-    step = max(math.ceil(len(ranked) / URGENCIES), 1)
+    step = max(math.ceil(len(ranked) / URGENCY_LEVELS), 1)
     return {
         pair: destination // step for destination, pair in enumerate(ranked)
     }
