--- a/wrenspoke/coordination/serving/access.py
+++ b/wrenspoke/coordination/serving/access.py
@@ -25,7 +25,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Permit:
+class RoutePermit:
     """Say by which route a call may be served, and for which team.
 
     The route's homes are those that the team allows as well. ``anyone``
@@ -55,7 +55,7 @@
         self._teams: teams.TeamIndex | None = None
         self._urgencies: dict[tuple[int, int], int] = {}
 
-    def permit(self, call: dialects.Call) -> Permit:
+    def permit(self, call: dialects.Call) -> RoutePermit:
         """Return what a call may do.
 
         :raises NoRouteError: there is no route for it
@@ -68,15 +68,17 @@
             raise errors.NoRouteError(f'no route for {call.path}')
         return self._permit_by(call, route)
 
-    def _permit_by(self, call: dialects.Call, route: routes.Route) -> Permit:
+    def _permit_by(
+        self, call: dialects.Call, route: routes.Route
+    ) -> RoutePermit:
         if self._teams is None:
-            return Permit(
+            return RoutePermit(
                 route, anyone=True, urgency=self._urgency(route, None)
             )
         team = self._teams.find(call.key)
         if route.open:
             if team is None or not self._lease.held:
-                return Permit(route, urgency=self._urgency(route, None))
+                return RoutePermit(route, urgency=self._urgency(route, None))
             return self._permit_of(team, route)
         if not self._lease.held:
             raise errors.NoLeaseError('no lease on the configuration')
@@ -84,9 +86,9 @@
             raise errors.UnknownKeyError('no team holds this key')
         return self._permit_of(team, route)
 
-    def _permit_of(self, team: teams.Team, route: routes.Route) -> Permit:
+    def _permit_of(self, team: teams.Team, route: routes.Route) -> RoutePermit:
         urgency = self._urgency(route, team)
-        return Permit(route.bound_to(team.homes), team, urgency=urgency)
+        return RoutePermit(route.bound_to(team.homes), team, urgency=urgency)
 
     def _urgency(self, route: routes.Route, team: teams.Team | None) -> int:
         """Return a call's urgency: its team's goes before its route's.
@@ -122,7 +124,7 @@
         found = self._teams.named(team)
         return None if found is None else found.limit
 
-    def renewed(self, call: dialects.Call, permit: Permit) -> Permit:
+    def renewed(self, call: dialects.Call, permit: RoutePermit) -> RoutePermit:
         """Return a call's permit with the team and homes that hold now.
 
         All else stays as it was when the call came, also where the route
@@ -142,7 +144,7 @@
     def may_enter(
         self,
         call: dialects.Call,
-        permit: Permit,
+        permit: RoutePermit,
         host: ids.HostId | None,
         regions: tuple[ids.RegionId, ...],
     ) -> bool:
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -186,7 +186,7 @@
     async def _take(
         self,
         call: dialects.Call,
-        permit: access.Permit,
+        permit: access.RoutePermit,
         hop: passing.Hop | None,
     ) -> limiters.Taken | None:
         """Take what a call needs of its team's limit.
@@ -220,7 +220,7 @@
             retry_schedule.jittered_ms(error.wait_ms),
         )
 
-    async def _permit(self, call: dialects.Call) -> access.Permit:
+    async def _permit(self, call: dialects.Call) -> access.RoutePermit:
         """Return what a call may do.
 
         A host that has just started is waited for; one that lost its
@@ -459,7 +459,7 @@
 
 
 def _digest_of(
-    call: dialects.Call, permit: access.Permit
+    call: dialects.Call, permit: access.RoutePermit
 ) -> ids.RequestDigest:
     """Return what a call asks for; a team may show another key each time."""
     if permit.team is not None:
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -183,7 +183,7 @@
     async def send(
         self,
         call: dialects.Call,
-        permit: access.Permit,
+        permit: access.RoutePermit,
         destination: Destination,
         left_ms: int,
         last_event: str | None,
@@ -247,7 +247,7 @@
     def _may_send(
         self,
         call: dialects.Call,
-        permit: access.Permit,
+        permit: access.RoutePermit,
         destination: Destination,
     ) -> bool:
         """Tell, as the first byte is about to leave, whether it still may."""
@@ -297,7 +297,7 @@
     def _request_fields(
         self,
         call: dialects.Call,
-        permit: access.Permit,
+        permit: access.RoutePermit,
         destination: Destination,
         left_ms: int,
         last_event: str | None,
@@ -327,7 +327,7 @@
         return fields
 
     def _identity_fields(
-        self, call: dialects.Call, permit: access.Permit
+        self, call: dialects.Call, permit: access.RoutePermit
     ) -> dialects.Fields:
         """Return what tells an endpoint whose call it is.
 
--- a/wrenspoke/coordination/serving/work.py
+++ b/wrenspoke/coordination/serving/work.py
@@ -25,7 +25,7 @@
     """Hold how far serving one call has come."""
 
     call: dialects.Call
-    permit: access.Permit
+    permit: access.RoutePermit
     service: routes.RoutedService
     deadline_ms: int
     reply: passing.Reply
