--- a/wrenspoke/coordination/serving/access.py
+++ b/wrenspoke/coordination/serving/access.py
@@ -35,7 +35,7 @@
 
     route: routes.Route
     team: teams.Team | None = None
-    anyone: bool = False
+    teams_disabled: bool = False
     urgency: int = 0
 
 
@@ -73,7 +73,7 @@
     ) -> RoutePermit:
         if self._teams is None:
             return RoutePermit(
-                route, anyone=True, urgency=self._urgency(route, None)
+                route, teams_disabled=True, urgency=self._urgency(route, None)
             )
         team = self._teams.find(call.key)
         if route.open:
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -337,7 +337,7 @@
         """
         if permit.team is not None:
             return [(self._dialect.team, permit.team.team)]
-        return call.credentials if permit.anyone else []
+        return call.credentials if permit.teams_disabled else []
 
     def _classify_response(
         self,
