--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -388,7 +388,7 @@
     ]
     held = replica.Replica()
     lease_of = lease.ConfigurationLease(None, clocks.Clock())
-    permits = access.Access(held, None, lease_of)
+    permits = access.AccessControl(held, None, lease_of)
     held.current = configuration.Configuration(
         index=1,
         routes=routes.RouteTable(
--- a/wrenspoke/coordination/serving/access.py
+++ b/wrenspoke/coordination/serving/access.py
@@ -39,7 +39,7 @@
     urgency: int = 0
 
 
-class Access:
+class AccessControl:
     """Look calls up in the table that is in force now."""
 
     def __init__(
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -74,7 +74,7 @@
         placed: placing.Placing,
         tried: tries.Tries,
         budget: spending.Spending,
-        permitted: access.Access,
+        permitted: access.AccessControl,
         limiter: limiters.Limiter,
         guard: guards.Guard,
         switched_off: collections.abc.Set[mechanisms.Mechanism],
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -154,7 +154,7 @@
         dialect: dialects.Dialect,
         endpoint_client: web.HttpClient,
         host_client: web.HttpClient,
-        access_control: access.Access,
+        access_control: access.AccessControl,
         traffic_counter: traffic.Traffic,
         guard: guards.Guard,
         gate: endpoint_gate.EndpointGate,
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -120,7 +120,7 @@
             self.clock,
         )
         self._tasks = runtime.Tasks()
-        self._access = access.Access(
+        self._access = access.AccessControl(
             self.replica, self.attendance.roster, self.lease
         )
         self._build_limits()
