--- a/wrenspoke/coordination/serving/access.py
+++ b/wrenspoke/coordination/serving/access.py
@@ -44,11 +44,11 @@
 
     def __init__(
         self,
-        held: replica.Replica,
+        config_replica: replica.Replica,
         known: roster.Roster,
         lease: leases.ConfigurationLease,
     ):
-        self._replica = held
+        self._replica = config_replica
         self._roster = known
         self._lease = lease
         self._routes = routes.RouteIndex(routes.RouteTable())
