--- a/wrenspoke/coordination/serving/access.py
+++ b/wrenspoke/coordination/serving/access.py
@@ -45,11 +45,11 @@
     def __init__(
         self,
         config_replica: replica.Replica,
-        known: roster.Roster,
+        host_roster: roster.Roster,
         lease: leases.ConfigurationLease,
     ):
         self._replica = config_replica
-        self._roster = known
+        self._roster = host_roster
         self._lease = lease
         self._routes = routes.RouteIndex(routes.RouteTable())
         self._teams: teams.TeamIndex | None = None
