--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -408,4 +408,4 @@
             0,
             key=f'k{of_team}',
         )
-        assert permits.permit(asked).urgency == urgency
+        assert permits.authorize(asked).urgency == urgency
--- a/wrenspoke/coordination/serving/access.py
+++ b/wrenspoke/coordination/serving/access.py
@@ -55,7 +55,7 @@
         self._teams: teams.TeamIndex | None = None
         self._urgencies: dict[tuple[int, int], int] = {}
 
-    def permit(self, call: dialects.Call) -> RoutePermit:
+    def authorize(self, call: dialects.Call) -> RoutePermit:
         """Return what a call may do.
 
         :raises NoRouteError: there is no route for it
