--- a/wrenspoke/coordination/serving/access.py
+++ b/wrenspoke/coordination/serving/access.py
@@ -66,9 +66,9 @@
         route = self._routes.find(call.host, call.path)
         if route is None:
             raise errors.NoRouteError(f'no route for {call.path}')
-        return self._permit_by(call, route)
+        return self._authorize_route(call, route)
 
-    def _permit_by(
+    def _authorize_route(
         self, call: dialects.Call, route: routes.Route
     ) -> RoutePermit:
         if self._teams is None:
@@ -135,7 +135,7 @@
         """
         self._look_again()
         route = self._routes.find(call.host, call.path) or permit.route
-        now = self._permit_by(call, route)
+        now = self._authorize_route(call, route)
         if now.route.homes == permit.route.homes and now.team == permit.team:
             return permit
         kept = msgspec.structs.replace(permit.route, homes=now.route.homes)
