--- a/wrenspoke/coordination/serving/access.py
+++ b/wrenspoke/coordination/serving/access.py
@@ -79,14 +79,16 @@
         if route.open:
             if team is None or not self._lease.held:
                 return RoutePermit(route, urgency=self._urgency(route, None))
-            return self._permit_of(team, route)
+            return self._permit_for_team(team, route)
         if not self._lease.held:
             raise errors.NoLeaseError('no lease on the configuration')
         if team is None:
             raise errors.UnknownKeyError('no team holds this key')
-        return self._permit_of(team, route)
+        return self._permit_for_team(team, route)
 
-    def _permit_of(self, team: teams.Team, route: routes.Route) -> RoutePermit:
+    def _permit_for_team(
+        self, team: teams.Team, route: routes.Route
+    ) -> RoutePermit:
         urgency = self._urgency(route, team)
         return RoutePermit(route.bound_to(team.homes), team, urgency=urgency)
 
