--- a/wrenspoke/coordination/serving/access.py
+++ b/wrenspoke/coordination/serving/access.py
@@ -62,7 +62,7 @@
         :raises UnknownKeyError: it needs a key that a team holds
         :raises NoLeaseError: whether its key still holds is not known here
         """
-        self._look_again()
+        self._refresh_indexes()
         route = self._routes.find(call.host, call.path)
         if route is None:
             raise errors.NoRouteError(f'no route for {call.path}')
@@ -100,7 +100,7 @@
         pair = _priorities(route, team)
         return self._urgencies.get(pair, _on_scale(pair[0]))
 
-    def _look_again(self) -> None:
+    def _refresh_indexes(self) -> None:
         table = self._replica.current.routes
         if self._routes.table is table:
             return
@@ -120,7 +120,7 @@
 
     def limit_of(self, team: ids.TeamId) -> teams.TeamLimit | None:
         """Return a team's limit, None without one or without that team."""
-        self._look_again()
+        self._refresh_indexes()
         if self._teams is None:
             return None
         found = self._teams.named(team)
@@ -135,7 +135,7 @@
         :raises UnknownKeyError: its key was withdrawn
         :raises NoLeaseError: whether its key still holds is not known here
         """
-        self._look_again()
+        self._refresh_indexes()
         route = self._routes.find(call.host, call.path) or permit.route
         now = self._authorize_route(call, route)
         if now.route.homes == permit.route.homes and now.team == permit.team:
