--- a/wrenspoke/coordination/serving/access.py
+++ b/wrenspoke/coordination/serving/access.py
@@ -106,15 +106,15 @@
             return
         self._routes = routes.RouteIndex(table)
         self._teams = None
-        known: tuple[teams.Team | None, ...] = (None,)
+        possible_teams: tuple[teams.Team | None, ...] = (None,)
         if table.teams is not None:
             self._teams = teams.TeamIndex(table.teams)
-            known += table.teams.teams
+            possible_teams += table.teams.teams
         self._urgencies = _urgencies(
             {
                 _priorities(route, team)
                 for route in table.routes
-                for team in known
+                for team in possible_teams
             }
         )
 
