--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -445,7 +445,7 @@
         'a call keeps the homes of its arrival',
         DECISIONS + 'serving/passthrough.py',
         (
-            '            work.permit = self._access.renewed(work.call, work.permit)\n'
+            '            work.permit = self._access.reauthorize(work.call, work.permit)\n'
         ),
         (''),
         (
--- a/wrenspoke/coordination/serving/access.py
+++ b/wrenspoke/coordination/serving/access.py
@@ -126,7 +126,9 @@
         found = self._teams.named(team)
         return None if found is None else found.limit
 
-    def renewed(self, call: dialects.Call, permit: RoutePermit) -> RoutePermit:
+    def reauthorize(
+        self, call: dialects.Call, permit: RoutePermit
+    ) -> RoutePermit:
         """Return a call's permit with the team and homes that hold now.
 
         All else stays as it was when the call came, also where the route
@@ -156,7 +158,7 @@
         takes it must stand in one that is allowed by its own word, too.
         """
         try:
-            now = self.renewed(call, permit)
+            now = self.reauthorize(call, permit)
         except errors.DeniedError:
             return False
         if _name_of(now.team) != _name_of(permit.team):
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -372,7 +372,7 @@
             held_ms = self._guard.refuse(work.call.digest)
             if held_ms is not None:
                 raise errors.QuarantinedError(held_ms)
-            work.permit = self._access.renewed(work.call, work.permit)
+            work.permit = self._access.reauthorize(work.call, work.permit)
             place = self._placing.next_place(work)
             if place is None:
                 work.cause = work.cause or 'no_endpoint'
