--- a/wrenspoke/coordination/serving/access.py
+++ b/wrenspoke/coordination/serving/access.py
@@ -139,11 +139,14 @@
         """
         self._refresh_indexes()
         route = self._routes.find(call.host, call.path) or permit.route
-        now = self._authorize_route(call, route)
-        if now.route.homes == permit.route.homes and now.team == permit.team:
+        current = self._authorize_route(call, route)
+        if (
+            current.route.homes == permit.route.homes
+            and current.team == permit.team
+        ):
             return permit
-        kept = msgspec.structs.replace(permit.route, homes=now.route.homes)
-        return dataclasses.replace(now, route=kept)
+        kept = msgspec.structs.replace(permit.route, homes=current.route.homes)
+        return dataclasses.replace(current, route=kept)
 
     def may_enter(
         self,
