--- a/wrenspoke/coordination/serving/access.py
+++ b/wrenspoke/coordination/serving/access.py
@@ -145,8 +145,10 @@
             and current.team == permit.team
         ):
             return permit
-        kept = msgspec.structs.replace(permit.route, homes=current.route.homes)
-        return dataclasses.replace(current, route=kept)
+        original_route = msgspec.structs.replace(
+            permit.route, homes=current.route.homes
+        )
+        return dataclasses.replace(current, route=original_route)
 
     def may_enter(
         self,
