--- a/wrenspoke/coordination/serving/access.py
+++ b/wrenspoke/coordination/serving/access.py
@@ -150,7 +150,7 @@
         )
         return dataclasses.replace(current, route=original_route)
 
-    def may_enter(
+    def may_enter_regions(
         self,
         call: dialects.Call,
         permit: RoutePermit,
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -258,7 +258,7 @@
             and not destination.send_permit.is_valid()
         ):
             return False
-        return self._access.may_enter(
+        return self._access.may_enter_regions(
             call, permit, destination.host, destination.regions
         )
 
