--- a/wrenspoke/coordination/serving/access.py
+++ b/wrenspoke/coordination/serving/access.py
@@ -163,17 +163,17 @@
         takes it must stand in one that is allowed by its own word, too.
         """
         try:
-            now = self.reauthorize(call, permit)
+            current = self.reauthorize(call, permit)
         except errors.DeniedError:
             return False
-        if _name_of(now.team) != _name_of(permit.team):
+        if _name_of(current.team) != _name_of(permit.team):
             return False
         entered = {*regions}
         if host is not None:
             told = self._roster.region_of(host)
             if told is not None:
                 entered.add(told)
-        return all(now.route.allows(region) for region in entered)
+        return all(current.route.allows(region) for region in entered)
 
 
 def _priorities(
