--- a/wrenspoke/coordination/serving/access.py
+++ b/wrenspoke/coordination/serving/access.py
@@ -170,9 +170,9 @@
             return False
         entered = {*regions}
         if host is not None:
-            told = self._roster.region_of(host)
-            if told is not None:
-                entered.add(told)
+            reported_region = self._roster.region_of(host)
+            if reported_region is not None:
+                entered.add(reported_region)
         return all(current.route.allows(region) for region in entered)
 
 
