--- a/wrenspoke/coordination/serving/access.py
+++ b/wrenspoke/coordination/serving/access.py
@@ -97,7 +97,7 @@
 
         A route that was dropped while its call was tried is ranked alone.
         """
-        pair = _priorities(route, team)
+        pair = _priority_pair(route, team)
         return self._urgencies.get(pair, _on_scale(pair[0]))
 
     def _refresh_indexes(self) -> None:
@@ -112,7 +112,7 @@
             possible_teams += table.teams.teams
         self._urgencies = _urgencies(
             {
-                _priorities(route, team)
+                _priority_pair(route, team)
                 for route in table.routes
                 for team in possible_teams
             }
@@ -176,7 +176,7 @@
         return all(current.route.allows(region) for region in entered)
 
 
-def _priorities(
+def _priority_pair(
     route: routes.Route, team: teams.Team | None
 ) -> tuple[int, int]:
     """Return what a call is ranked by; a team may have no priority."""
