--- a/wrenspoke/coordination/serving/access.py
+++ b/wrenspoke/coordination/serving/access.py
@@ -98,7 +98,7 @@
         A route that was dropped while its call was tried is ranked alone.
         """
         pair = _priority_pair(route, team)
-        return self._urgencies.get(pair, _on_scale(pair[0]))
+        return self._urgencies.get(pair, _clamp_urgency(pair[0]))
 
     def _refresh_indexes(self) -> None:
         table = self._replica.current.routes
@@ -185,7 +185,7 @@
     return team.priority, route.priority
 
 
-def _on_scale(priority: int) -> int:
+def _clamp_urgency(priority: int) -> int:
     return min(max(priority, 0), URGENCY_LEVELS - 1)
 
 
@@ -196,7 +196,7 @@
     teams' priorities an urgency is the route's priority, as far as it goes.
     """
     if all(team == route for team, route in pairs):
-        return {pair: _on_scale(pair[0]) for pair in pairs}
+        return {pair: _clamp_urgency(pair[0]) for pair in pairs}
     ranked = sorted(pairs)
     step = max(math.ceil(len(ranked) / URGENCY_LEVELS), 1)
     return {
