--- a/wrenspoke/coordination/serving/access.py
+++ b/wrenspoke/coordination/serving/access.py
@@ -110,7 +110,7 @@
         if table.teams is not None:
             self._teams = teams.TeamIndex(table.teams)
             possible_teams += table.teams.teams
-        self._urgencies = _urgencies(
+        self._urgencies = _assign_urgencies(
             {
                 _priority_pair(route, team)
                 for route in table.routes
@@ -189,7 +189,9 @@
     return min(max(priority, 0), URGENCY_LEVELS - 1)
 
 
-def _urgencies(pairs: set[tuple[int, int]]) -> dict[tuple[int, int], int]:
+def _assign_urgencies(
+    pairs: set[tuple[int, int]],
+) -> dict[tuple[int, int], int]:
     """Give each pair of priorities a place on the scale of urgencies.
 
     Where there are more pairs than places, neighbours share one. Without
