--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -39,7 +39,7 @@
     Switch(
         'team not looked at as a body leaves',
         DECISIONS + 'serving/access.py',
-        ('        if _name_of(current.team) != _name_of(permit.team):\n'),
+        ('        if _team_id(current.team) != _team_id(permit.team):\n'),
         ('        if False:\n'),
         ('tests/test_keys.py::test_key_counts_as_its_body_leaves'),
     ),
--- a/wrenspoke/coordination/serving/access.py
+++ b/wrenspoke/coordination/serving/access.py
@@ -166,7 +166,7 @@
             current = self.reauthorize(call, permit)
         except errors.DeniedError:
             return False
-        if _name_of(current.team) != _name_of(permit.team):
+        if _team_id(current.team) != _team_id(permit.team):
             return False
         entered = {*regions}
         if host is not None:
@@ -206,5 +206,5 @@
     }
 
 
-def _name_of(team: teams.Team | None) -> ids.TeamId | None:
+def _team_id(team: teams.Team | None) -> ids.TeamId | None:
     return None if team is None else team.team
