--- a/benches/switches_backoffs.py
+++ b/benches/switches_backoffs.py
@@ -157,7 +157,7 @@
     ),
     Switch(
         'refusals spend retries',
-        SERVING + 'local.py',
+        SERVING + 'local_server.py',
         'return error.backs_off',
         'return False',
         f'{INCIDENT}::test_refused_chat_costs_no_retry_where_its_engine_is_'
--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -115,7 +115,7 @@
     ),
     Switch(
         'no resume',
-        DECISIONS + 'serving/local.py',
+        DECISIONS + 'serving/local_server.py',
         ('allowed = self.count < self._limit and'),
         ('allowed = False and'),
         ('tests/test_regions.py::test_stream_survives_its_engine'),
--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -14,7 +14,7 @@
 from wrenspoke.coordination.serving import decisions
 from wrenspoke.coordination.serving import forwarding
 from wrenspoke.coordination.serving import ledger
-from wrenspoke.coordination.serving import local
+from wrenspoke.coordination.serving import local_server
 from wrenspoke.coordination.serving import once
 from wrenspoke.coordination.serving import placement
 from wrenspoke.coordination.serving import shares
@@ -61,7 +61,7 @@
         held: replica.Replica,
         watched: members.Members,
         placer: placement.EndpointScheduler,
-        server: local.LocalServer,
+        server: local_server.LocalServer,
         streamer: streams.StreamServer,
         once_server: once.OnceServer,
         forwarder: forwarding.Forwarder,
--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -10,7 +10,7 @@
 from wrenspoke.coordination.serving import decisions
 from wrenspoke.coordination.serving import dispatch
 from wrenspoke.coordination.serving import ledger
-from wrenspoke.coordination.serving import local
+from wrenspoke.coordination.serving import local_server
 from wrenspoke.coordination.serving import placement
 from wrenspoke import ids
 from wrenspoke.protocol import headers
@@ -35,7 +35,7 @@
         host: ids.HostId,
         limits: settings.LedgerSettings,
         book: ledger.Ledger,
-        server: local.LocalServer,
+        server: local_server.LocalServer,
         watched: members.Members,
         noted: decisions.DecisionLog,
         clock: clocks.Clock,
@@ -92,7 +92,7 @@
 
     async def _wait(
         self, head: requests.RequestHead, task: asyncio.Task
-    ) -> local.Whole | registers.Claim:
+    ) -> local_server.Whole | registers.Claim:
         """Wait for an attempt, which outlives a caller that leaves."""
         left_ms = head.deadline_ms - self._clock.mono_ms()
         try:
@@ -111,7 +111,7 @@
         head: requests.RequestHead,
         key: requests.OnceKey,
         body: bytes,
-    ) -> local.Whole | registers.Claim:
+    ) -> local_server.Whole | registers.Claim:
         """Claim and send; return the claim where it is another's."""
         slot = await self._server.placer.destination(head)
         try:
@@ -205,7 +205,7 @@
         body: bytes,
         slot: placement.Slot,
         ticket: dispatch.ClaimTicket,
-    ) -> local.Whole:
+    ) -> local_server.Whole:
         tries = self._server.tries(head)
         while True:
             send = dispatch.Send(
@@ -238,7 +238,7 @@
         self,
         head: requests.RequestHead,
         key: requests.OnceKey,
-        tries: local.Tries,
+        tries: local_server.Tries,
         send: dispatch.Send,
         error: errors.CoordinationError,
     ) -> placement.Slot:
@@ -265,7 +265,7 @@
         self,
         key: requests.OnceKey,
         ticket: dispatch.ClaimTicket,
-        answer: local.Whole | None,
+        answer: local_server.Whole | None,
     ) -> None:
         kept = None
         limit_bytes = self._settings.kept_answer_bytes
@@ -318,7 +318,7 @@
                 self._server.settings.retry_after_ms,
             )
         kept = claim.answer
-        whole = local.Whole(
+        whole = local_server.Whole(
             kept.status, kept.headers, kept.body, ids.EndpointId('')
         )
         await reply.whole(
--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -17,7 +17,7 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.serving import dispatch
-from wrenspoke.coordination.serving import local
+from wrenspoke.coordination.serving import local_server
 from wrenspoke.coordination.serving import placement
 from wrenspoke import ids
 from wrenspoke.protocol import errors as protocol_errors
@@ -127,7 +127,7 @@
 class StreamServer:
     """Stream chats from this region's engines."""
 
-    def __init__(self, server: local.LocalServer):
+    def __init__(self, server: local_server.LocalServer):
         self._server = server
         self._cancels = runtime.Tasks()
 
@@ -155,7 +155,7 @@
             try:
                 await self._stream(head, transcript, reply, slot, tries)
                 return slot.endpoint.endpoint
-            except local.FAILURES as error:
+            except local_server.FAILURES as error:
                 await tries.after(slot.endpoint.endpoint, error)
             finally:
                 slot.release()
@@ -166,7 +166,7 @@
         transcript: Transcript,
         reply: replies.Reply,
         slot: placement.Slot,
-        tries: local.Tries,
+        tries: local_server.Tries,
     ) -> None:
         send = dispatch.Send(
             tries.purpose,
@@ -211,7 +211,7 @@
         slot: placement.Slot,
         transcript: Transcript,
         reply: replies.Reply,
-        tries: local.Tries,
+        tries: local_server.Tries,
     ) -> None:
         send = dispatch.Send(
             dispatch.Purpose.RESUME,
@@ -235,7 +235,7 @@
         send: dispatch.Send,
         transcript: Transcript,
         reply: replies.Reply,
-        tries: local.Tries,
+        tries: local_server.Tries,
     ) -> None:
         clock = self._server.clock
         started_ms = clock.mono_ms()
@@ -309,7 +309,7 @@
         head: requests.RequestHead,
         transcript: Transcript,
         reply: replies.Reply,
-        tries: local.Tries,
+        tries: local_server.Tries,
     ) -> ids.EndpointId:
         """Resume a stream that broke before the caller asked again."""
         for endpoint in sorted(self._server.placer.endpoints(head)):
@@ -340,7 +340,7 @@
         slot: placement.Slot,
         transcript: Transcript,
         reply: replies.Reply,
-        tries: local.Tries,
+        tries: local_server.Tries,
     ) -> None:
         """Resume at an endpoint as soon as its limit lets it.
 
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -25,7 +25,7 @@
 from wrenspoke.coordination.serving import gateway
 from wrenspoke.coordination.serving import ledger
 from wrenspoke.coordination.serving import concurrency_limits
-from wrenspoke.coordination.serving import local
+from wrenspoke.coordination.serving import local_server
 from wrenspoke.coordination.serving import once
 from wrenspoke.coordination.serving import placement
 from wrenspoke.coordination.serving import shares
@@ -204,7 +204,7 @@
             self.decisions,
             self._clock,
         )
-        self._server = local.LocalServer(
+        self._server = local_server.LocalServer(
             self._settings,
             dispatcher,
             self._placer,
