--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -20,7 +20,7 @@
 logger = structlog.get_logger(__name__)
 
 SERVER_ERROR = 500
-FAILURES = (
+SEND_ERRORS = (
     errors.SendRefusedError,
     errors.NotSentError,
     errors.OverloadedError,
@@ -254,7 +254,7 @@
             )
             try:
                 answer = await self._try(send, tries)
-            except FAILURES as error:
+            except SEND_ERRORS as error:
                 await tries.after(send.endpoint, error)
                 continue
             if answer.status < SERVER_ERROR:
--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -155,7 +155,7 @@
             try:
                 await self._stream(head, transcript, reply, slot, tries)
                 return slot.endpoint.endpoint
-            except local_server.FAILURES as error:
+            except local_server.SEND_ERRORS as error:
                 await tries.after(slot.endpoint.endpoint, error)
             finally:
                 slot.release()
