--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -30,7 +30,7 @@
 FIRST_TRY_SHARE = 0.5
 # Looks at whether this host may send again after it was stopped: 2 s, in
 # which a pull from a peer or a leader comes back.
-LOOKS = 20
+CONFIG_RECHECKS = 20
 LOOK_INTERVAL_MS = 100
 # Checks of a send that fail for every endpoint alike.
 HOPELESS = {
@@ -72,7 +72,7 @@
         self.excluded: set[ids.EndpointId] = set()
         self.may_have_run = False
         self.last_error = ''
-        self._looks = LOOKS
+        self._looks = CONFIG_RECHECKS
         self.count = 0
         self._head = head
         self._limit = limit
