--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -31,7 +31,7 @@
 # Looks at whether this host may send again after it was stopped: 2 s, in
 # which a pull from a peer or a leader comes back.
 CONFIG_RECHECKS = 20
-LOOK_INTERVAL_MS = 100
+CONFIG_RECHECK_INTERVAL_MS = 100
 # Checks of a send that fail for every endpoint alike.
 HOPELESS = {
     'configuration': outcomes.Reason.NO_CONFIGURATION,
@@ -124,7 +124,7 @@
         refused = isinstance(error, errors.SendRefusedError)
         if refused and error.check == 'configuration' and self._looks:
             self._looks -= 1
-            await self._clock.sleep_ms(LOOK_INTERVAL_MS)
+            await self._clock.sleep_ms(CONFIG_RECHECK_INTERVAL_MS)
             return
         self.failed(endpoint, error)
 
