--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -33,7 +33,7 @@
 CONFIG_RECHECKS = 20
 CONFIG_RECHECK_INTERVAL_MS = 100
 # Checks of a send that fail for every endpoint alike.
-HOPELESS = {
+NON_RETRIABLE_CHECKS = {
     'configuration': outcomes.Reason.NO_CONFIGURATION,
     'deadline': outcomes.Reason.DEADLINE,
     'hops': outcomes.Reason.HOP_LIMIT,
@@ -158,7 +158,7 @@
 
     def _end_if_hopeless(self, error: errors.SendRefusedError) -> None:
         """Give up on what no other endpoint would be sent either."""
-        reason = HOPELESS.get(error.check)
+        reason = NON_RETRIABLE_CHECKS.get(error.check)
         if reason is not None:
             raise self.ended(reason, str(error))
 
