--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -42,7 +42,7 @@
 
 
 @dataclasses.dataclass
-class Whole:
+class BufferedResponse:
     """Hold an endpoint's whole answer."""
 
     status: int
@@ -234,7 +234,9 @@
                 error.ending.retry_after_ms,
             ) from error
 
-    async def serve(self, head: requests.RequestHead, body: bytes) -> Whole:
+    async def serve(
+        self, head: requests.RequestHead, body: bytes
+    ) -> BufferedResponse:
         """Return a whole answer to a request that may be repeated.
 
         :raises EndedError: there is none, and how that ended
@@ -262,7 +264,9 @@
             if not self._may_repeat_answer(tries, answer, head):
                 return answer
 
-    async def _try(self, send: dispatch.Send, tries: Tries) -> Whole:
+    async def _try(
+        self, send: dispatch.Send, tries: Tries
+    ) -> BufferedResponse:
         others = tries.count + 1 < self.settings.attempts_limit
         try:
             async with clocks.timeout_ms(tries.try_ms(others)):
@@ -271,7 +275,10 @@
             raise errors.MaybeSentError('no answer in time') from error
 
     def _may_repeat_answer(
-        self, tries: Tries, answer: Whole, head: requests.RequestHead
+        self,
+        tries: Tries,
+        answer: BufferedResponse,
+        head: requests.RequestHead,
     ) -> bool:
         error = errors.MaybeSentError(f'endpoint answered {answer.status}')
         try:
@@ -280,7 +287,7 @@
             return False
         return bool(self.placer.endpoints(head) - tries.excluded)
 
-    async def exchange(self, send: dispatch.Send) -> Whole:
+    async def exchange(self, send: dispatch.Send) -> BufferedResponse:
         """Send once and read the whole answer, minding the place.
 
         :raises CoordinationError: as ``Dispatcher.send`` does
@@ -298,7 +305,7 @@
             self.placer.sessions.used(send.head.session, send.endpoint)
             found = dict(answer.headers)
             found[headers.ENDPOINT] = send.endpoint
-            return Whole(answer.status, found, body, send.endpoint)
+            return BufferedResponse(answer.status, found, body, send.endpoint)
         except errors.OverloadedError:
             overloaded = True
             raise
--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -92,7 +92,7 @@
 
     async def _wait(
         self, head: requests.RequestHead, task: asyncio.Task
-    ) -> local_server.Whole | registers.Claim:
+    ) -> local_server.BufferedResponse | registers.Claim:
         """Wait for an attempt, which outlives a caller that leaves."""
         left_ms = head.deadline_ms - self._clock.mono_ms()
         try:
@@ -111,7 +111,7 @@
         head: requests.RequestHead,
         key: requests.OnceKey,
         body: bytes,
-    ) -> local_server.Whole | registers.Claim:
+    ) -> local_server.BufferedResponse | registers.Claim:
         """Claim and send; return the claim where it is another's."""
         slot = await self._server.placer.destination(head)
         try:
@@ -205,7 +205,7 @@
         body: bytes,
         slot: placement.Slot,
         ticket: dispatch.ClaimTicket,
-    ) -> local_server.Whole:
+    ) -> local_server.BufferedResponse:
         tries = self._server.tries(head)
         while True:
             send = dispatch.Send(
@@ -265,7 +265,7 @@
         self,
         key: requests.OnceKey,
         ticket: dispatch.ClaimTicket,
-        answer: local_server.Whole | None,
+        answer: local_server.BufferedResponse | None,
     ) -> None:
         kept = None
         limit_bytes = self._settings.kept_answer_bytes
@@ -318,7 +318,7 @@
                 self._server.settings.retry_after_ms,
             )
         kept = claim.answer
-        whole = local_server.Whole(
+        whole = local_server.BufferedResponse(
             kept.status, kept.headers, kept.body, ids.EndpointId('')
         )
         await reply.whole(
