--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -58,7 +58,7 @@
         return outcomes.Outcome.WHOLE
 
 
-class Tries:
+class RetryState:
     """Count the sends of one request and judge each failure."""
 
     def __init__(
@@ -209,9 +209,9 @@
             limits.retry_ratio, limits.retry_burst
         )
 
-    def tries(self, head: requests.RequestHead) -> Tries:
+    def tries(self, head: requests.RequestHead) -> RetryState:
         """Return a new count of one request's sends."""
-        return Tries(
+        return RetryState(
             head,
             self.settings.attempts_limit,
             self.budget,
@@ -220,7 +220,7 @@
         )
 
     async def place(
-        self, head: requests.RequestHead, tries: Tries
+        self, head: requests.RequestHead, tries: RetryState
     ) -> placement.Slot:
         """Return a place; after failures the reason given is theirs."""
         try:
@@ -265,7 +265,7 @@
                 return answer
 
     async def _try(
-        self, send: dispatch.Send, tries: Tries
+        self, send: dispatch.Send, tries: RetryState
     ) -> BufferedResponse:
         others = tries.count + 1 < self.settings.attempts_limit
         try:
@@ -276,7 +276,7 @@
 
     def _may_repeat_answer(
         self,
-        tries: Tries,
+        tries: RetryState,
         answer: BufferedResponse,
         head: requests.RequestHead,
     ) -> bool:
--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -238,7 +238,7 @@
         self,
         head: requests.RequestHead,
         key: requests.OnceKey,
-        tries: local_server.Tries,
+        tries: local_server.RetryState,
         send: dispatch.Send,
         error: errors.CoordinationError,
     ) -> placement.Slot:
--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -166,7 +166,7 @@
         transcript: Transcript,
         reply: replies.Reply,
         slot: placement.Slot,
-        tries: local_server.Tries,
+        tries: local_server.RetryState,
     ) -> None:
         send = dispatch.Send(
             tries.purpose,
@@ -211,7 +211,7 @@
         slot: placement.Slot,
         transcript: Transcript,
         reply: replies.Reply,
-        tries: local_server.Tries,
+        tries: local_server.RetryState,
     ) -> None:
         send = dispatch.Send(
             dispatch.Purpose.RESUME,
@@ -235,7 +235,7 @@
         send: dispatch.Send,
         transcript: Transcript,
         reply: replies.Reply,
-        tries: local_server.Tries,
+        tries: local_server.RetryState,
     ) -> None:
         clock = self._server.clock
         started_ms = clock.mono_ms()
@@ -309,7 +309,7 @@
         head: requests.RequestHead,
         transcript: Transcript,
         reply: replies.Reply,
-        tries: local_server.Tries,
+        tries: local_server.RetryState,
     ) -> ids.EndpointId:
         """Resume a stream that broke before the caller asked again."""
         for endpoint in sorted(self._server.placer.endpoints(head)):
@@ -340,7 +340,7 @@
         slot: placement.Slot,
         transcript: Transcript,
         reply: replies.Reply,
-        tries: local_server.Tries,
+        tries: local_server.RetryState,
     ) -> None:
         """Resume at an endpoint as soon as its limit lets it.
 
