--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -66,7 +66,7 @@
         head: requests.RequestHead,
         limit: int,
         budget: retry_budget.RetryBudget,
-        noted: decisions.DecisionLog,
+        decision_log: decisions.DecisionLog,
         clock: clocks.Clock,
     ):
         self.excluded: set[ids.EndpointId] = set()
@@ -77,7 +77,7 @@
         self._head = head
         self._limit = limit
         self._budget = budget
-        self._decisions = noted
+        self._decisions = decision_log
         self._clock = clock
         budget.record_first_attempt()
 
