--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -72,7 +72,7 @@
         self.excluded: set[ids.EndpointId] = set()
         self.may_have_run = False
         self.last_error = ''
-        self._looks = CONFIG_RECHECKS
+        self._config_rechecks_left = CONFIG_RECHECKS
         self.count = 0
         self._head = head
         self._limit = limit
@@ -122,8 +122,12 @@
             )
             return
         refused = isinstance(error, errors.SendRefusedError)
-        if refused and error.check == 'configuration' and self._looks:
-            self._looks -= 1
+        if (
+            refused
+            and error.check == 'configuration'
+            and self._config_rechecks_left
+        ):
+            self._config_rechecks_left -= 1
             await self._clock.sleep_ms(CONFIG_RECHECK_INTERVAL_MS)
             return
         self.failed(endpoint, error)
