--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -69,7 +69,7 @@
         decision_log: decisions.DecisionLog,
         clock: clocks.Clock,
     ):
-        self.excluded: set[ids.EndpointId] = set()
+        self.excluded_endpoints: set[ids.EndpointId] = set()
         self.may_have_run = False
         self.last_error = ''
         self._config_rechecks_left = CONFIG_RECHECKS
@@ -141,7 +141,7 @@
         """
         self.count += 1
         self.last_error = str(error)
-        self.excluded.add(endpoint)
+        self.excluded_endpoints.add(endpoint)
         if isinstance(error, errors.SendRefusedError):
             self._end_if_hopeless(error)
         sent = isinstance(error, errors.MaybeSentError)
@@ -228,7 +228,9 @@
     ) -> placement.Slot:
         """Return a place; after failures the reason given is theirs."""
         try:
-            return await self.placer.destination(head, tries.excluded)
+            return await self.placer.destination(
+                head, tries.excluded_endpoints
+            )
         except errors.EndedError as error:
             if tries.count == 0:
                 raise
@@ -289,7 +291,7 @@
             tries.failed(answer.endpoint, error)
         except errors.EndedError:
             return False
-        return bool(self.placer.endpoints(head) - tries.excluded)
+        return bool(self.placer.endpoints(head) - tries.excluded_endpoints)
 
     async def exchange(self, send: dispatch.Send) -> BufferedResponse:
         """Send once and read the whole answer, minding the place.
