--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -96,7 +96,7 @@
         if self._clock.mono_ms() >= self._head.deadline_ms:
             raise self.ended(outcomes.Reason.DEADLINE, 'deadline passed')
 
-    def try_ms(self, others: bool) -> float:
+    def try_timeout_ms(self, others: bool) -> float:
         """Return the time for one try; the first leaves some for more."""
         left_ms = self._head.deadline_ms - self._clock.mono_ms()
         if others and self.count == 0:
@@ -275,7 +275,7 @@
     ) -> BufferedResponse:
         others = tries.count + 1 < self.settings.attempts_limit
         try:
-            async with clocks.timeout_ms(tries.try_ms(others)):
+            async with clocks.timeout_ms(tries.try_timeout_ms(others)):
                 return await self.exchange(send)
         except TimeoutError as error:
             raise errors.MaybeSentError('no answer in time') from error
