--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -96,10 +96,10 @@
         if self._clock.mono_ms() >= self._head.deadline_ms:
             raise self.ended(outcomes.Reason.DEADLINE, 'deadline passed')
 
-    def try_timeout_ms(self, others: bool) -> float:
+    def try_timeout_ms(self, has_more_tries: bool) -> float:
         """Return the time for one try; the first leaves some for more."""
         left_ms = self._head.deadline_ms - self._clock.mono_ms()
-        if others and self.count == 0:
+        if has_more_tries and self.count == 0:
             return left_ms * FIRST_TRY_SHARE
         return left_ms
 
