--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -103,7 +103,7 @@
             return left_ms * FIRST_TRY_SHARE
         return left_ms
 
-    async def after(
+    async def handle_failure(
         self, endpoint: ids.EndpointId, error: errors.CoordinationError
     ) -> None:
         """Do what a failure asks for before the next try.
@@ -263,7 +263,7 @@
             try:
                 answer = await self._try(send, tries)
             except SEND_ERRORS as error:
-                await tries.after(send.endpoint, error)
+                await tries.handle_failure(send.endpoint, error)
                 continue
             if answer.status < SERVER_ERROR:
                 return answer
