--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -130,9 +130,9 @@
             self._config_rechecks_left -= 1
             await self._clock.sleep_ms(CONFIG_RECHECK_INTERVAL_MS)
             return
-        self.failed(endpoint, error)
+        self.record_failure(endpoint, error)
 
-    def failed(
+    def record_failure(
         self, endpoint: ids.EndpointId, error: errors.CoordinationError
     ) -> None:
         """Note a failure; return if another try is allowed.
