--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -143,7 +143,7 @@
         self.last_error = str(error)
         self.excluded_endpoints.add(endpoint)
         if isinstance(error, errors.SendRefusedError):
-            self._end_if_hopeless(error)
+            self._raise_if_non_retriable(error)
         sent = isinstance(error, errors.MaybeSentError)
         self.may_have_run |= sent
         allowed = self.count < self._limit and (
@@ -160,7 +160,7 @@
         if not allowed:
             raise self.ended(outcomes.Reason.ENDPOINT_FAILED, str(error))
 
-    def _end_if_hopeless(self, error: errors.SendRefusedError) -> None:
+    def _raise_if_non_retriable(self, error: errors.SendRefusedError) -> None:
         """Give up on what no other endpoint would be sent either."""
         reason = NON_RETRIABLE_CHECKS.get(error.check)
         if reason is not None:
