--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -94,7 +94,7 @@
         :raises EndedError: it has
         """
         if self._clock.mono_ms() >= self._head.deadline_ms:
-            raise self.ended(outcomes.Reason.DEADLINE, 'deadline passed')
+            raise self.ended_error(outcomes.Reason.DEADLINE, 'deadline passed')
 
     def try_timeout_ms(self, has_more_tries: bool) -> float:
         """Return the time for one try; the first leaves some for more."""
@@ -158,15 +158,15 @@
             retry=allowed,
         )
         if not allowed:
-            raise self.ended(outcomes.Reason.ENDPOINT_FAILED, str(error))
+            raise self.ended_error(outcomes.Reason.ENDPOINT_FAILED, str(error))
 
     def _raise_if_non_retriable(self, error: errors.SendRefusedError) -> None:
         """Give up on what no other endpoint would be sent either."""
         reason = NON_RETRIABLE_CHECKS.get(error.check)
         if reason is not None:
-            raise self.ended(reason, str(error))
+            raise self.ended_error(reason, str(error))
 
-    def ended(
+    def ended_error(
         self, reason: outcomes.Reason, detail: str, retry_after_ms: int = 1000
     ) -> errors.EndedError:
         """Return the end of a request that is given up on."""
