--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -147,7 +147,7 @@
         sent = isinstance(error, errors.MaybeSentError)
         self.may_have_run |= sent
         allowed = self.count < self._limit and (
-            _is_free(error) or self._budget.spend()
+            _is_budget_exempt(error) or self._budget.spend()
         )
         self._decisions.note(
             'try_failed',
@@ -180,7 +180,7 @@
         )
 
 
-def _is_free(error: errors.CoordinationError) -> bool:
+def _is_budget_exempt(error: errors.CoordinationError) -> bool:
     """Return whether a retry adds no load to endpoints.
 
     A refused request was not run, and where its endpoint is sent nothing
