--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -196,21 +196,21 @@
 
     def __init__(
         self,
-        limits: settings.EntrySettings,
+        entry_settings: settings.EntrySettings,
         dispatcher: dispatch.Dispatcher,
         placer: placement.EndpointScheduler,
         load_table: loads.Loads,
         noted: decisions.DecisionLog,
         clock: clocks.Clock,
     ):
-        self.settings = limits
+        self.settings = entry_settings
         self.dispatcher = dispatcher
         self.placer = placer
         self.loads = load_table
         self.decisions = noted
         self.clock = clock
         self.budget = retry_budget.RetryBudget(
-            limits.retry_ratio, limits.retry_burst
+            entry_settings.retry_ratio, entry_settings.retry_burst
         )
 
     def tries(self, head: requests.RequestHead) -> RetryState:
