--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -198,14 +198,14 @@
         self,
         entry_settings: settings.EntrySettings,
         dispatcher: dispatch.Dispatcher,
-        placer: placement.EndpointScheduler,
+        scheduler: placement.EndpointScheduler,
         load_table: loads.Loads,
         noted: decisions.DecisionLog,
         clock: clocks.Clock,
     ):
         self.settings = entry_settings
         self.dispatcher = dispatcher
-        self.placer = placer
+        self.placer = scheduler
         self.loads = load_table
         self.decisions = noted
         self.clock = clock
--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -113,7 +113,7 @@
         body: bytes,
     ) -> local_server.BufferedResponse | registers.Claim:
         """Claim and send; return the claim where it is another's."""
-        slot = await self._server.placer.destination(head)
+        slot = await self._server.scheduler.destination(head)
         try:
             ticket, claim = await self._claim(head, key)
         except BaseException:
--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -279,7 +279,7 @@
             raise
         taken_ms = clock.mono_ms() - started_ms
         self._server.loads.observe_hold(send.endpoint, taken_ms)
-        self._server.placer.sessions.used(send.head.session, send.endpoint)
+        self._server.scheduler.sessions.used(send.head.session, send.endpoint)
         send.slot.release(succeeded=True)
         await reply.close()
 
@@ -312,8 +312,8 @@
         tries: local_server.RetryState,
     ) -> ids.EndpointId:
         """Resume a stream that broke before the caller asked again."""
-        for endpoint in sorted(self._server.placer.endpoints(head)):
-            slot = self._server.placer.take(endpoint)
+        for endpoint in sorted(self._server.scheduler.endpoints(head)):
+            slot = self._server.scheduler.take(endpoint)
             if slot is None:
                 continue
             try:
