--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -205,7 +205,7 @@
     ):
         self.settings = entry_settings
         self.dispatcher = dispatcher
-        self.placer = scheduler
+        self.scheduler = scheduler
         self.loads = load_table
         self.decisions = noted
         self.clock = clock
@@ -228,7 +228,7 @@
     ) -> placement.Slot:
         """Return a place; after failures the reason given is theirs."""
         try:
-            return await self.placer.destination(
+            return await self.scheduler.destination(
                 head, tries.excluded_endpoints
             )
         except errors.EndedError as error:
@@ -291,7 +291,7 @@
             tries.failed(answer.endpoint, error)
         except errors.EndedError:
             return False
-        return bool(self.placer.endpoints(head) - tries.excluded_endpoints)
+        return bool(self.scheduler.endpoints(head) - tries.excluded_endpoints)
 
     async def exchange(self, send: dispatch.Send) -> BufferedResponse:
         """Send once and read the whole answer, minding the place.
@@ -308,7 +308,7 @@
             self.loads.answered(send.endpoint)
             self.loads.observe_first(send.endpoint, taken_ms)
             self.loads.observe_hold(send.endpoint, taken_ms)
-            self.placer.sessions.used(send.head.session, send.endpoint)
+            self.scheduler.sessions.used(send.head.session, send.endpoint)
             found = dict(answer.headers)
             found[headers.ENDPOINT] = send.endpoint
             return BufferedResponse(answer.status, found, body, send.endpoint)
