--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -200,14 +200,14 @@
         dispatcher: dispatch.Dispatcher,
         scheduler: placement.EndpointScheduler,
         load_table: loads.Loads,
-        noted: decisions.DecisionLog,
+        decision_log: decisions.DecisionLog,
         clock: clocks.Clock,
     ):
         self.settings = entry_settings
         self.dispatcher = dispatcher
         self.scheduler = scheduler
         self.loads = load_table
-        self.decisions = noted
+        self.decisions = decision_log
         self.clock = clock
         self.budget = retry_budget.RetryBudget(
             entry_settings.retry_ratio, entry_settings.retry_burst
