--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -154,7 +154,7 @@
             self._head.request,
             endpoint=endpoint,
             error=error,
-            tries=self.count,
+            new_retry_state=self.count,
             retry=allowed,
         )
         if not allowed:
@@ -213,7 +213,7 @@
             entry_settings.retry_ratio, entry_settings.retry_burst
         )
 
-    def tries(self, head: requests.RequestHead) -> RetryState:
+    def new_retry_state(self, head: requests.RequestHead) -> RetryState:
         """Return a new count of one request's sends."""
         return RetryState(
             head,
@@ -247,7 +247,7 @@
 
         :raises EndedError: there is none, and how that ended
         """
-        tries = self.tries(head)
+        tries = self.new_retry_state(head)
         while True:
             tries.check_deadline()
             slot = await self.place(head, tries)
--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -206,7 +206,7 @@
         slot: placement.Slot,
         ticket: dispatch.ClaimTicket,
     ) -> local_server.BufferedResponse:
-        tries = self._server.tries(head)
+        tries = self._server.new_retry_state(head)
         while True:
             send = dispatch.Send(
                 tries.purpose,
--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -145,7 +145,7 @@
 
         :raises EndedError: it could not be finished
         """
-        tries = self._server.tries(head)
+        tries = self._server.new_retry_state(head)
         transcript = Transcript(body, head.last_event or 0)
         if head.last_event is not None:
             return await self._resume_asked(head, transcript, reply, tries)
