--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -223,7 +223,7 @@
             self.clock,
         )
 
-    async def place(
+    async def acquire_slot(
         self, head: requests.RequestHead, tries: RetryState
     ) -> placement.Slot:
         """Return a place; after failures the reason given is theirs."""
@@ -250,7 +250,7 @@
         tries = self.new_retry_state(head)
         while True:
             tries.check_deadline()
-            slot = await self.place(head, tries)
+            slot = await self.acquire_slot(head, tries)
             send = dispatch.Send(
                 tries.purpose,
                 slot.endpoint.endpoint,
