--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -224,19 +224,19 @@
         )
 
     async def acquire_slot(
-        self, head: requests.RequestHead, tries: RetryState
+        self, head: requests.RequestHead, retry_state: RetryState
     ) -> placement.Slot:
         """Return a place; after failures the reason given is theirs."""
         try:
             return await self.scheduler.destination(
-                head, tries.excluded_endpoints
+                head, retry_state.excluded_endpoints
             )
         except errors.EndedError as error:
-            if tries.count == 0:
+            if retry_state.count == 0:
                 raise
-            raise tries.ended(
+            raise retry_state.ended(
                 outcomes.Reason.ENDPOINT_FAILED,
-                f'{tries.last_error}; {error.ending.detail}',
+                f'{retry_state.last_error}; {error.ending.detail}',
                 error.ending.retry_after_ms,
             ) from error
 
