--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -247,12 +247,12 @@
 
         :raises EndedError: there is none, and how that ended
         """
-        tries = self.new_retry_state(head)
+        retry_state = self.new_retry_state(head)
         while True:
-            tries.check_deadline()
-            slot = await self.acquire_slot(head, tries)
+            retry_state.check_deadline()
+            slot = await self.acquire_slot(head, retry_state)
             send = dispatch.Send(
-                tries.purpose,
+                retry_state.purpose,
                 slot.endpoint.endpoint,
                 head.method,
                 head.path,
@@ -261,13 +261,13 @@
                 slot,
             )
             try:
-                answer = await self._try(send, tries)
+                answer = await self._try(send, retry_state)
             except SEND_ERRORS as error:
-                await tries.handle_failure(send.endpoint, error)
+                await retry_state.handle_failure(send.endpoint, error)
                 continue
             if answer.status < SERVER_ERROR:
                 return answer
-            if not self._may_repeat_answer(tries, answer, head):
+            if not self._may_repeat_answer(retry_state, answer, head):
                 return answer
 
     async def _try(
