--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -261,7 +261,7 @@
                 slot,
             )
             try:
-                answer = await self._try(send, retry_state)
+                answer = await self._try_once(send, retry_state)
             except SEND_ERRORS as error:
                 await retry_state.handle_failure(send.endpoint, error)
                 continue
@@ -270,7 +270,7 @@
             if not self._may_repeat_answer(retry_state, answer, head):
                 return answer
 
-    async def _try(
+    async def _try_once(
         self, send: dispatch.Send, tries: RetryState
     ) -> BufferedResponse:
         others = tries.count + 1 < self.settings.attempts_limit
