--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -271,11 +271,11 @@
                 return answer
 
     async def _try_once(
-        self, send: dispatch.Send, tries: RetryState
+        self, send: dispatch.Send, retry_state: RetryState
     ) -> BufferedResponse:
-        others = tries.count + 1 < self.settings.attempts_limit
+        others = retry_state.count + 1 < self.settings.attempts_limit
         try:
-            async with clocks.timeout_ms(tries.try_timeout_ms(others)):
+            async with clocks.timeout_ms(retry_state.try_timeout_ms(others)):
                 return await self.exchange(send)
         except TimeoutError as error:
             raise errors.MaybeSentError('no answer in time') from error
