--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -273,9 +273,11 @@
     async def _try_once(
         self, send: dispatch.Send, retry_state: RetryState
     ) -> BufferedResponse:
-        others = retry_state.count + 1 < self.settings.attempts_limit
+        has_more_tries = retry_state.count + 1 < self.settings.attempts_limit
         try:
-            async with clocks.timeout_ms(retry_state.try_timeout_ms(others)):
+            async with clocks.timeout_ms(
+                retry_state.try_timeout_ms(has_more_tries)
+            ):
                 return await self.exchange(send)
         except TimeoutError as error:
             raise errors.MaybeSentError('no answer in time') from error
