--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -267,7 +267,7 @@
                 continue
             if answer.status < SERVER_ERROR:
                 return answer
-            if not self._may_repeat_answer(retry_state, answer, head):
+            if not self._may_retry_response(retry_state, answer, head):
                 return answer
 
     async def _try_once(
@@ -282,7 +282,7 @@
         except TimeoutError as error:
             raise errors.MaybeSentError('no answer in time') from error
 
-    def _may_repeat_answer(
+    def _may_retry_response(
         self,
         tries: RetryState,
         answer: BufferedResponse,
