--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -284,16 +284,18 @@
 
     def _may_retry_response(
         self,
-        tries: RetryState,
+        retry_state: RetryState,
         answer: BufferedResponse,
         head: requests.RequestHead,
     ) -> bool:
         error = errors.MaybeSentError(f'endpoint answered {answer.status}')
         try:
-            tries.failed(answer.endpoint, error)
+            retry_state.failed(answer.endpoint, error)
         except errors.EndedError:
             return False
-        return bool(self.scheduler.endpoints(head) - tries.excluded_endpoints)
+        return bool(
+            self.scheduler.endpoints(head) - retry_state.excluded_endpoints
+        )
 
     async def exchange(self, send: dispatch.Send) -> BufferedResponse:
         """Send once and read the whole answer, minding the place.
