--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -313,9 +313,11 @@
             self.loads.observe_first(send.endpoint, taken_ms)
             self.loads.observe_hold(send.endpoint, taken_ms)
             self.scheduler.sessions.used(send.head.session, send.endpoint)
-            found = dict(answer.headers)
-            found[headers.ENDPOINT] = send.endpoint
-            return BufferedResponse(answer.status, found, body, send.endpoint)
+            response_headers = dict(answer.headers)
+            response_headers[headers.ENDPOINT] = send.endpoint
+            return BufferedResponse(
+                answer.status, response_headers, body, send.endpoint
+            )
         except errors.OverloadedError:
             overloaded = True
             raise
