--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -44,7 +44,7 @@
         self.last_event = last_event
         self.finished = False
 
-    def add(self, event: sse.SseEvent) -> sse.SseEvent:
+    def add_event(self, event: sse.SseEvent) -> sse.SseEvent:
         """Take an event in and return it as the caller is to see it."""
         if event.data == sse.DONE:
             self.finished = True
