--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -155,7 +155,7 @@
             passing.head.method,
             url + _path(passing.head),
             self._headers(passing),
-            passing.transcript.continued_body()
+            passing.transcript.continuation_body()
             if passing.head.stream
             else passing.body,
             fresh=passing.head.once,
--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -53,7 +53,7 @@
         self._parts.append(_text_of(event.data))
         return sse.SseEvent(data=event.data, number=self.last_event)
 
-    def continued_body(self) -> bytes:
+    def continuation_body(self) -> bytes:
         """Return the request to be sent for the rest of the stream."""
         text = ''.join(self._parts)
         if not text:
@@ -173,7 +173,7 @@
             slot.endpoint.endpoint,
             'POST',
             head.path,
-            transcript.continued_body(),
+            transcript.continuation_body(),
             head,
             slot,
         )
