--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -50,7 +50,7 @@
             self.finished = True
             return sse.SseEvent(data=event.data)
         self.last_event += 1
-        self._parts.append(_text_of(event.data))
+        self._parts.append(_delta_text(event.data))
         return sse.SseEvent(data=event.data, number=self.last_event)
 
     def continuation_body(self) -> bytes:
@@ -72,7 +72,7 @@
         return msgspec.json.encode(body)
 
 
-def _text_of(data: str) -> str:
+def _delta_text(data: str) -> str:
     try:
         chunk = msgspec.json.decode(data)
         return chunk['choices'][0]['delta'].get('content') or ''
