--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -140,7 +140,7 @@
         ) as error:
             passing.sent = True
             cause = repr(error)
-        except streams.EndingEventError as error:
+        except streams.OutcomeEventError as error:
             raise errors.EndedError(_ending_of(error.data)) from error
         self._members.failed(host)
         self._decisions.note(
--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -80,7 +80,7 @@
         return ''
 
 
-class EndingEventError(errors.CoordinationError):
+class OutcomeEventError(errors.CoordinationError):
     """Carry the outcome event that another host ended its stream by."""
 
     def __init__(self, data: str):
@@ -118,7 +118,7 @@
             if event is None:
                 raise errors.MaybeSentError('stream ended early')
             if event.event == replies.OUTCOME_EVENT:
-                raise EndingEventError(event.data)
+                raise OutcomeEventError(event.data)
             first()
             patience_ms = stall_ms
             await reply.event(transcript.add(event))
