--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -177,7 +177,7 @@
             await reply.open(response.headers)
         chunks = _chunks(response)
         async with contextlib.aclosing(chunks):
-            await streams.relay(
+            await streams.relay_events(
                 chunks,
                 passing.transcript,
                 reply,
--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -88,7 +88,7 @@
         self.data = data
 
 
-async def relay(
+async def relay_events(
     chunks: collections.abc.AsyncIterator[bytes],
     transcript: Transcript,
     reply: replies.Reply,
@@ -254,7 +254,7 @@
         try:
             async with clocks.timeout_ms(left_ms):
                 async with self._open(send, reply, first_ms) as answer:
-                    await relay(
+                    await relay_events(
                         answer.chunks(),
                         transcript,
                         reply,
