--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -105,11 +105,11 @@
     :raises EndingEventError: its sender said how it ended
     """
     events = sse.decode(chunks)
-    patience_ms = first_ms
+    event_timeout_ms = first_ms
     async with contextlib.aclosing(events):
         while not transcript.finished:
             try:
-                async with clocks.timeout_ms(patience_ms):
+                async with clocks.timeout_ms(event_timeout_ms):
                     event = await anext(events, None)
             except TimeoutError as error:
                 raise errors.MaybeSentError('stream is silent') from error
@@ -120,7 +120,7 @@
             if event.event == replies.OUTCOME_EVENT:
                 raise OutcomeEventError(event.data)
             first()
-            patience_ms = stall_ms
+            event_timeout_ms = stall_ms
             await reply.event(transcript.add(event))
 
 
