--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -94,7 +94,7 @@
     reply: replies.Reply,
     stall_ms: float,
     first_ms: float,
-    first: collections.abc.Callable[[], None],
+    on_event: collections.abc.Callable[[], None],
 ) -> None:
     """Pass events on until the stream is finished.
 
@@ -119,7 +119,7 @@
                 raise errors.MaybeSentError('stream ended early')
             if event.event == replies.OUTCOME_EVENT:
                 raise OutcomeEventError(event.data)
-            first()
+            on_event()
             event_timeout_ms = stall_ms
             await reply.event(transcript.add(event))
 
