--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -129,11 +129,11 @@
 
     def __init__(self, server: local_server.LocalServer):
         self._server = server
-        self._cancels = runtime.Tasks()
+        self._cancel_tasks = runtime.Tasks()
 
     async def close(self) -> None:
         """Wait for nothing; drop what is still being cancelled."""
-        await self._cancels.close()
+        await self._cancel_tasks.close()
 
     async def serve(
         self,
@@ -359,7 +359,7 @@
 
     def _cancel(self, send: dispatch.Send) -> None:
         """Tell the engine that nobody waits for this stream."""
-        self._cancels.start(self._send_cancel(send), fatal=False)
+        self._cancel_tasks.start(self._send_cancel(send), fatal=False)
 
     async def _send_cancel(self, send: dispatch.Send) -> None:
         cancel = dispatch.Send(
