--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -145,18 +145,20 @@
 
         :raises EndedError: it could not be finished
         """
-        tries = self._server.new_retry_state(head)
+        retry_state = self._server.new_retry_state(head)
         transcript = Transcript(body, head.last_event or 0)
         if head.last_event is not None:
-            return await self._resume_asked(head, transcript, reply, tries)
+            return await self._resume_asked(
+                head, transcript, reply, retry_state
+            )
         while True:
-            tries.check_deadline()
-            slot = await self._server.destination(head, tries)
+            retry_state.check_deadline()
+            slot = await self._server.destination(head, retry_state)
             try:
-                await self._stream(head, transcript, reply, slot, tries)
+                await self._stream(head, transcript, reply, slot, retry_state)
                 return slot.endpoint.endpoint
             except local_server.SEND_ERRORS as error:
-                await tries.after(slot.endpoint.endpoint, error)
+                await retry_state.after(slot.endpoint.endpoint, error)
             finally:
                 slot.release()
 
