--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -155,14 +155,16 @@
             retry_state.check_deadline()
             slot = await self._server.destination(head, retry_state)
             try:
-                await self._stream(head, transcript, reply, slot, retry_state)
+                await self._stream_once(
+                    head, transcript, reply, slot, retry_state
+                )
                 return slot.endpoint.endpoint
             except local_server.SEND_ERRORS as error:
                 await retry_state.after(slot.endpoint.endpoint, error)
             finally:
                 slot.release()
 
-    async def _stream(
+    async def _stream_once(
         self,
         head: requests.RequestHead,
         transcript: Transcript,
