--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -170,10 +170,10 @@
         transcript: Transcript,
         reply: replies.Reply,
         slot: placement.Slot,
-        tries: local_server.RetryState,
+        retry_state: local_server.RetryState,
     ) -> None:
         send = dispatch.Send(
-            tries.purpose,
+            retry_state.purpose,
             slot.endpoint.endpoint,
             'POST',
             head.path,
@@ -186,13 +186,13 @@
                 transcript.last_event
             )
         try:
-            await self._relay(send, transcript, reply, tries)
+            await self._relay(send, transcript, reply, retry_state)
         except errors.MaybeSentError as error:
-            tries.may_have_run = True
+            retry_state.may_have_run = True
             if not transcript.last_event or not reply.started:
                 raise
             self._note_broken(head, slot, transcript, error)
-            await self._resume(head, slot, transcript, reply, tries)
+            await self._resume(head, slot, transcript, reply, retry_state)
 
     def _note_broken(
         self,
