--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -191,10 +191,10 @@
             retry_state.may_have_run = True
             if not transcript.last_event or not reply.started:
                 raise
-            self._note_broken(head, slot, transcript, error)
+            self._record_broken(head, slot, transcript, error)
             await self._resume(head, slot, transcript, reply, retry_state)
 
-    def _note_broken(
+    def _record_broken(
         self,
         head: requests.RequestHead,
         slot: placement.Slot,
