--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -215,7 +215,7 @@
         slot: placement.Slot,
         transcript: Transcript,
         reply: replies.Reply,
-        tries: local_server.RetryState,
+        retry_state: local_server.RetryState,
     ) -> None:
         send = dispatch.Send(
             dispatch.Purpose.RESUME,
@@ -227,7 +227,7 @@
             slot,
             extra_headers={headers.LAST_EVENT_ID: str(transcript.last_event)},
         )
-        await self._relay(send, transcript, reply, tries)
+        await self._relay(send, transcript, reply, retry_state)
         self._server.decisions.note(
             'stream_resumed',
             head.request,
