--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -186,7 +186,7 @@
                 transcript.last_event
             )
         try:
-            await self._relay(send, transcript, reply, retry_state)
+            await self._relay_from(send, transcript, reply, retry_state)
         except errors.MaybeSentError as error:
             retry_state.may_have_run = True
             if not transcript.last_event or not reply.started:
@@ -227,14 +227,14 @@
             slot,
             extra_headers={headers.LAST_EVENT_ID: str(transcript.last_event)},
         )
-        await self._relay(send, transcript, reply, retry_state)
+        await self._relay_from(send, transcript, reply, retry_state)
         self._server.decisions.note(
             'stream_resumed',
             head.request,
             endpoint=slot.endpoint.endpoint,
         )
 
-    async def _relay(
+    async def _relay_from(
         self,
         send: dispatch.Send,
         transcript: Transcript,
