--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -239,7 +239,7 @@
         send: dispatch.Send,
         transcript: Transcript,
         reply: replies.Reply,
-        tries: local_server.RetryState,
+        retry_state: local_server.RetryState,
     ) -> None:
         clock = self._server.clock
         started_ms = clock.mono_ms()
@@ -267,9 +267,9 @@
                         first,
                     )
         except TimeoutError as error:
-            tries.may_have_run = True
+            retry_state.may_have_run = True
             self._cancel(send)
-            raise tries.ended(
+            raise retry_state.ended(
                 outcomes.Reason.DEADLINE, 'deadline passed'
             ) from error
         except errors.OverloadedError:
