--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -245,7 +245,7 @@
         started_ms = clock.mono_ms()
         seen: list[int] = []
 
-        def first() -> None:
+        def record_first_event() -> None:
             if not seen:
                 seen.append(clock.mono_ms() - started_ms)
                 self._server.loads.observe_first(send.endpoint, seen[0])
@@ -264,7 +264,7 @@
                         reply,
                         stall_ms,
                         first_ms,
-                        first,
+                        record_first_event,
                     )
         except TimeoutError as error:
             retry_state.may_have_run = True
