--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -243,12 +243,14 @@
     ) -> None:
         clock = self._server.clock
         started_ms = clock.mono_ms()
-        seen: list[int] = []
+        first_event_ms: list[int] = []
 
         def record_first_event() -> None:
-            if not seen:
-                seen.append(clock.mono_ms() - started_ms)
-                self._server.loads.observe_first(send.endpoint, seen[0])
+            if not first_event_ms:
+                first_event_ms.append(clock.mono_ms() - started_ms)
+                self._server.loads.observe_first(
+                    send.endpoint, first_event_ms[0]
+                )
 
         stall_ms = self._server.settings.stall_timeout_ms
         first_ms = self._server.loads.first_patience_ms(
