--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -259,7 +259,7 @@
         left_ms = send.head.deadline_ms - started_ms
         try:
             async with clocks.timeout_ms(left_ms):
-                async with self._open(send, reply, first_ms) as answer:
+                async with self._open_stream(send, reply, first_ms) as answer:
                     await relay_events(
                         answer.chunks(),
                         transcript,
@@ -290,7 +290,7 @@
         await reply.close()
 
     @contextlib.asynccontextmanager
-    async def _open(
+    async def _open_stream(
         self, send: dispatch.Send, reply: replies.Reply, stall_ms: float
     ) -> collections.abc.AsyncIterator[dispatch.EndpointResponse]:
         async with contextlib.AsyncExitStack() as stack:
