--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -306,8 +306,11 @@
                     f'endpoint answered {answer.status}'
                 )
             if not reply.started:
-                found = {**answer.headers, headers.ENDPOINT: send.endpoint}
-                await reply.open(found)
+                response_headers = {
+                    **answer.headers,
+                    headers.ENDPOINT: send.endpoint,
+                }
+                await reply.open(response_headers)
             yield answer
 
     async def _resume_asked(
