--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -148,7 +148,7 @@
         retry_state = self._server.new_retry_state(head)
         transcript = Transcript(body, head.last_event or 0)
         if head.last_event is not None:
-            return await self._resume_asked(
+            return await self._resume_for_caller(
                 head, transcript, reply, retry_state
             )
         while True:
@@ -313,7 +313,7 @@
                 await reply.open(response_headers)
             yield answer
 
-    async def _resume_asked(
+    async def _resume_for_caller(
         self,
         head: requests.RequestHead,
         transcript: Transcript,
