--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -318,7 +318,7 @@
         head: requests.RequestHead,
         transcript: Transcript,
         reply: replies.Reply,
-        tries: local_server.RetryState,
+        retry_state: local_server.RetryState,
     ) -> ids.EndpointId:
         """Resume a stream that broke before the caller asked again."""
         for endpoint in sorted(self._server.scheduler.endpoints(head)):
@@ -327,7 +327,7 @@
                 continue
             try:
                 await self._resume_once_taken(
-                    head, slot, transcript, reply, tries
+                    head, slot, transcript, reply, retry_state
                 )
                 return slot.endpoint.endpoint
             except (errors.SendRefusedError, errors.NotSentError):
@@ -337,8 +337,8 @@
                     break
             finally:
                 slot.release()
-        tries.may_have_run = True
-        raise tries.ended(
+        retry_state.may_have_run = True
+        raise retry_state.ended(
             outcomes.Reason.STREAM_BROKEN,
             'no engine holds this stream any more; ask anew',
         )
