--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -326,7 +326,7 @@
             if slot is None:
                 continue
             try:
-                await self._resume_once_taken(
+                await self._resume_when_admitted(
                     head, slot, transcript, reply, retry_state
                 )
                 return slot.endpoint.endpoint
@@ -343,7 +343,7 @@
             'no engine holds this stream any more; ask anew',
         )
 
-    async def _resume_once_taken(
+    async def _resume_when_admitted(
         self,
         head: requests.RequestHead,
         slot: placement.Slot,
