--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -349,16 +349,16 @@
         slot: placement.Slot,
         transcript: Transcript,
         reply: replies.Reply,
-        tries: local_server.RetryState,
+        retry_state: local_server.RetryState,
     ) -> None:
         """Resume at an endpoint as soon as its limit lets it.
 
         No other one has the stream, and it goes before all that begin.
         """
         while True:
-            tries.check_deadline()
+            retry_state.check_deadline()
             try:
-                await self._resume(head, slot, transcript, reply, tries)
+                await self._resume(head, slot, transcript, reply, retry_state)
                 return
             except errors.EndpointBusyError as error:
                 now_ms = self._server.clock.mono_ms()
