--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -270,7 +270,7 @@
                     )
         except TimeoutError as error:
             retry_state.may_have_run = True
-            self._cancel(send)
+            self._start_cancel(send)
             raise retry_state.ended(
                 outcomes.Reason.DEADLINE, 'deadline passed'
             ) from error
@@ -281,7 +281,7 @@
             self._server.loads.failed(send.endpoint)
             raise
         except (asyncio.CancelledError, protocol_errors.CallerGoneError):
-            self._cancel(send)
+            self._start_cancel(send)
             raise
         taken_ms = clock.mono_ms() - started_ms
         self._server.loads.observe_hold(send.endpoint, taken_ms)
@@ -366,7 +366,7 @@
                     raise
                 await self._server.clock.sleep_ms(error.wait_ms)
 
-    def _cancel(self, send: dispatch.Send) -> None:
+    def _start_cancel(self, send: dispatch.Send) -> None:
         """Tell the engine that nobody waits for this stream."""
         self._cancel_tasks.start(self._send_cancel(send), fatal=False)
 
