--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -276,7 +276,7 @@
 
 
 def _ending_of(data: str) -> outcomes.Ending:
-    found = streams.caller_error(data)
+    found = streams.parse_outcome_error(data)
     try:
         return outcomes.Ending(
             outcomes.Outcome(found['outcome']),
--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -387,7 +387,7 @@
             )
 
 
-def caller_error(data: str) -> dict[str, typing.Any]:
+def parse_outcome_error(data: str) -> dict[str, typing.Any]:
     """Return the error within an outcome event's JSON."""
     try:
         return msgspec.json.decode(data)['error']
