--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -29,7 +29,7 @@
 logger = structlog.get_logger(__name__)
 
 # Of a region; beyond these it counts as cut off.
-HOSTS_TRIED = 3
+MAX_HOSTS_TRIED = 3
 # Part of the time that is left, so that a second try has as much.
 FIRST_TRY_SHARE = 0.5
 EVENT_STREAM = 'text/event-stream'
@@ -102,7 +102,7 @@
         transcript = streams.Transcript(body, head.last_event or 0)
         passing = _Pass(head, body, region, reply, transcript)
         hosts = await self._reach.reachable(
-            self._members.entries_of(region)[:HOSTS_TRIED]
+            self._members.entries_of(region)[:MAX_HOSTS_TRIED]
         )
         for number, host in enumerate(hosts):
             last = number + 1 == len(hosts)
