--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -36,7 +36,7 @@
 
 
 @dataclasses.dataclass
-class _Pass:
+class _ForwardState:
     """Hold how far passing a request on has come."""
 
     head: requests.RequestHead
@@ -100,7 +100,7 @@
         :raises EndedError: no host there gave an answer
         """
         transcript = streams.Transcript(body, head.last_event or 0)
-        passing = _Pass(head, body, region, reply, transcript)
+        passing = _ForwardState(head, body, region, reply, transcript)
         hosts = await self._reach.reachable(
             self._members.entries_of(region)[:MAX_HOSTS_TRIED]
         )
@@ -115,7 +115,9 @@
     def _left_ms(self, head: requests.RequestHead) -> int:
         return head.deadline_ms - self._clock.mono_ms()
 
-    async def _try(self, passing: _Pass, host: ids.HostId, last: bool) -> bool:
+    async def _try(
+        self, passing: _ForwardState, host: ids.HostId, last: bool
+    ) -> bool:
         """Return whether the request has been answered through a host."""
         self._decisions.note(
             'forwarded',
@@ -148,7 +150,7 @@
         )
         return False
 
-    async def _pass_on(self, passing: _Pass, host: ids.HostId) -> None:
+    async def _pass_on(self, passing: _ForwardState, host: ids.HostId) -> None:
         entry = self._entries[host]
         url = f'http://{_bracketed(str(entry.ip))}:{entry.http_port}'
         async with self._client.send(
@@ -170,7 +172,7 @@
             await self._answer(passing, response, body)
 
     async def _relay(
-        self, passing: _Pass, response: aiohttp.ClientResponse
+        self, passing: _ForwardState, response: aiohttp.ClientResponse
     ) -> None:
         reply = passing.reply
         if not reply.started:
@@ -189,7 +191,7 @@
 
     async def _answer(
         self,
-        passing: _Pass,
+        passing: _ForwardState,
         response: aiohttp.ClientResponse,
         body: bytes,
     ) -> None:
@@ -207,14 +209,14 @@
         )
 
     def _retries_again(
-        self, passing: _Pass, outcome: outcomes.Outcome
+        self, passing: _ForwardState, outcome: outcomes.Outcome
     ) -> bool:
         """Tell whether a failure that has an owner is retried here too."""
         if self._settings.retry_owner == 'nearest' or passing.head.once:
             return False
         return outcome in (outcomes.Outcome.FAILED, outcomes.Outcome.UNKNOWN)
 
-    def _headers(self, passing: _Pass) -> dict[str, str]:
+    def _headers(self, passing: _ForwardState) -> dict[str, str]:
         head = passing.head
         if passing.sent:
             # The host that failed may have run it. As a resend, a
@@ -238,7 +240,7 @@
             sent[headers.LAST_EVENT_ID] = str(head.last_event)
         return sent
 
-    def _gave_up(self, passing: _Pass) -> errors.EndedError:
+    def _gave_up(self, passing: _ForwardState) -> errors.EndedError:
         reason = outcomes.Reason.REGION_UNREACHABLE
         if passing.head.bound:
             reason = outcomes.Reason.HOME_UNREACHABLE
