--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -44,7 +44,7 @@
     region: ids.RegionId
     reply: replies.Reply
     transcript: streams.Transcript
-    sent: bool = False
+    maybe_sent: bool = False
     bound: asyncio.Timeout | None = None
 
     def lost(self) -> None:
