--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -45,16 +45,16 @@
     reply: replies.Reply
     transcript: streams.Transcript
     maybe_sent: bool = False
-    bound: asyncio.Timeout | None = None
+    timeout: asyncio.Timeout | None = None
 
     def lost(self) -> None:
         """Give up at once on a host that can't be reached any more."""
-        self.bound.reschedule(asyncio.get_running_loop().time())
+        self.timeout.reschedule(asyncio.get_running_loop().time())
 
     def flowing(self, left_ms: float) -> None:
         """Let a stream that has begun take all the time there is."""
         loop = asyncio.get_running_loop()
-        self.bound.reschedule(loop.time() + left_ms / 1000)
+        self.timeout.reschedule(loop.time() + left_ms / 1000)
 
 
 class Forwarder:
