--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -47,7 +47,7 @@
     maybe_sent: bool = False
     timeout: asyncio.Timeout | None = None
 
-    def lost(self) -> None:
+    def abort(self) -> None:
         """Give up at once on a host that can't be reached any more."""
         self.timeout.reschedule(asyncio.get_running_loop().time())
 
