--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -51,7 +51,7 @@
         """Give up at once on a host that can't be reached any more."""
         self.timeout.reschedule(asyncio.get_running_loop().time())
 
-    def flowing(self, left_ms: float) -> None:
+    def extend_timeout(self, left_ms: float) -> None:
         """Let a stream that has begun take all the time there is."""
         loop = asyncio.get_running_loop()
         self.timeout.reschedule(loop.time() + left_ms / 1000)
@@ -185,7 +185,7 @@
                 reply,
                 self._settings.stall_timeout_ms,
                 self._left_ms(passing.head),
-                lambda: passing.flowing(self._left_ms(passing.head)),
+                lambda: passing.extend_timeout(self._left_ms(passing.head)),
             )
         await reply.close()
 
