--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -69,7 +69,7 @@
         self,
         host: ids.HostId,
         deployment: settings.Deployment,
-        watched: members.Members,
+        host_members: members.Members,
         reached: reach.Reach,
         client: web.HttpClient,
         signer: hops.HopSigner,
@@ -81,7 +81,7 @@
         self._entries = {
             entry.host: entry for entry in deployment.with_role('entry')
         }
-        self._members = watched
+        self._members = host_members
         self._reach = reached
         self._client = client
         self._signer = signer
