--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -70,7 +70,7 @@
         host: ids.HostId,
         deployment: settings.Deployment,
         host_members: members.Members,
-        reached: reach.Reach,
+        pinger: reach.Reach,
         client: web.HttpClient,
         signer: hops.HopSigner,
         noted: decisions.DecisionLog,
@@ -82,7 +82,7 @@
             entry.host: entry for entry in deployment.with_role('entry')
         }
         self._members = host_members
-        self._reach = reached
+        self._reach = pinger
         self._client = client
         self._signer = signer
         self._decisions = noted
