--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -73,7 +73,7 @@
         pinger: reach.Reach,
         client: web.HttpClient,
         signer: hops.HopSigner,
-        noted: decisions.DecisionLog,
+        decision_log: decisions.DecisionLog,
         clock: clocks.Clock,
     ):
         self._host = host
@@ -85,7 +85,7 @@
         self._reach = pinger
         self._client = client
         self._signer = signer
-        self._decisions = noted
+        self._decisions = decision_log
         self._clock = clock
 
     async def forward(
