--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -100,7 +100,7 @@
         :raises EndedError: no host there gave an answer
         """
         transcript = streams.Transcript(body, head.last_event or 0)
-        passing = _ForwardState(head, body, region, reply, transcript)
+        forward_state = _ForwardState(head, body, region, reply, transcript)
         hosts = await self._reach.reachable(
             self._members.entries_of(region)[:MAX_HOSTS_TRIED]
         )
@@ -108,9 +108,9 @@
             last = number + 1 == len(hosts)
             if self._left_ms(head) <= 0:
                 break
-            if await self._try(passing, host, last):
+            if await self._try(forward_state, host, last):
                 return
-        raise self._gave_up(passing)
+        raise self._gave_up(forward_state)
 
     def _left_ms(self, head: requests.RequestHead) -> int:
         return head.deadline_ms - self._clock.mono_ms()
