--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -108,14 +108,14 @@
             last = number + 1 == len(hosts)
             if self._left_ms(head) <= 0:
                 break
-            if await self._try(forward_state, host, last):
+            if await self._try_host(forward_state, host, last):
                 return
         raise self._gave_up(forward_state)
 
     def _left_ms(self, head: requests.RequestHead) -> int:
         return head.deadline_ms - self._clock.mono_ms()
 
-    async def _try(
+    async def _try_host(
         self, passing: _ForwardState, host: ids.HostId, last: bool
     ) -> bool:
         """Return whether the request has been answered through a host."""
