--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -116,22 +116,22 @@
         return head.deadline_ms - self._clock.mono_ms()
 
     async def _try_host(
-        self, passing: _ForwardState, host: ids.HostId, last: bool
+        self, forward_state: _ForwardState, host: ids.HostId, last: bool
     ) -> bool:
         """Return whether the request has been answered through a host."""
         self._decisions.note(
             'forwarded',
-            passing.head.request,
+            forward_state.head.request,
             peer=host,
-            region=passing.region,
+            region=forward_state.region,
         )
-        left_ms = self._left_ms(passing.head)
+        left_ms = self._left_ms(forward_state.head)
         try_ms = left_ms if last else left_ms * FIRST_TRY_SHARE
         try:
             async with clocks.timeout_ms(try_ms) as bound:
-                passing.bound = bound
-                with self._reach.watching(host, passing.lost):
-                    await self._pass_on(passing, host)
+                forward_state.bound = bound
+                with self._reach.watching(host, forward_state.lost):
+                    await self._pass_on(forward_state, host)
             return True
         except transport_errors.NotSentError as error:
             cause = str(error)
@@ -140,13 +140,16 @@
             errors.MaybeSentError,
             TimeoutError,
         ) as error:
-            passing.sent = True
+            forward_state.sent = True
             cause = repr(error)
         except streams.OutcomeEventError as error:
             raise errors.EndedError(_ending_of(error.data)) from error
         self._members.failed(host)
         self._decisions.note(
-            'forward_failed', passing.head.request, peer=host, error=cause
+            'forward_failed',
+            forward_state.head.request,
+            peer=host,
+            error=cause,
         )
         return False
 
