--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -128,8 +128,8 @@
         left_ms = self._left_ms(forward_state.head)
         try_ms = left_ms if last else left_ms * FIRST_TRY_SHARE
         try:
-            async with clocks.timeout_ms(try_ms) as bound:
-                forward_state.bound = bound
+            async with clocks.timeout_ms(try_ms) as timeout:
+                forward_state.bound = timeout
                 with self._reach.watching(host, forward_state.lost):
                     await self._pass_on(forward_state, host)
             return True
