--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -131,7 +131,7 @@
             async with clocks.timeout_ms(try_ms) as timeout:
                 forward_state.bound = timeout
                 with self._reach.watching(host, forward_state.lost):
-                    await self._pass_on(forward_state, host)
+                    await self._send_to(forward_state, host)
             return True
         except transport_errors.NotSentError as error:
             cause = str(error)
@@ -153,7 +153,7 @@
         )
         return False
 
-    async def _pass_on(self, passing: _ForwardState, host: ids.HostId) -> None:
+    async def _send_to(self, passing: _ForwardState, host: ids.HostId) -> None:
         entry = self._entries[host]
         url = f'http://{_bracketed(str(entry.ip))}:{entry.http_port}'
         async with self._client.send(
