--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -153,26 +153,28 @@
         )
         return False
 
-    async def _send_to(self, passing: _ForwardState, host: ids.HostId) -> None:
+    async def _send_to(
+        self, forward_state: _ForwardState, host: ids.HostId
+    ) -> None:
         entry = self._entries[host]
         url = f'http://{_bracketed(str(entry.ip))}:{entry.http_port}'
         async with self._client.send(
-            passing.head.method,
-            url + _path(passing.head),
-            self._headers(passing),
-            passing.transcript.continuation_body()
-            if passing.head.stream
-            else passing.body,
-            fresh=passing.head.once,
+            forward_state.head.method,
+            url + _path(forward_state.head),
+            self._headers(forward_state),
+            forward_state.transcript.continuation_body()
+            if forward_state.head.stream
+            else forward_state.body,
+            fresh=forward_state.head.once,
         ) as response:
             kind = response.headers.get('Content-Type', '')
             if response.status == 200 and kind.startswith(EVENT_STREAM):
-                await self._relay(passing, response)
+                await self._relay(forward_state, response)
                 return
             body = await web.read_whole(
                 response, self._settings.answer_limit_bytes
             )
-            await self._answer(passing, response, body)
+            await self._answer(forward_state, response, body)
 
     async def _relay(
         self, passing: _ForwardState, response: aiohttp.ClientResponse
