--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -169,14 +169,14 @@
         ) as response:
             kind = response.headers.get('Content-Type', '')
             if response.status == 200 and kind.startswith(EVENT_STREAM):
-                await self._relay(forward_state, response)
+                await self._relay_stream(forward_state, response)
                 return
             body = await web.read_whole(
                 response, self._settings.answer_limit_bytes
             )
             await self._answer(forward_state, response, body)
 
-    async def _relay(
+    async def _relay_stream(
         self, passing: _ForwardState, response: aiohttp.ClientResponse
     ) -> None:
         reply = passing.reply
