--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -177,20 +177,22 @@
             await self._answer(forward_state, response, body)
 
     async def _relay_stream(
-        self, passing: _ForwardState, response: aiohttp.ClientResponse
+        self, forward_state: _ForwardState, response: aiohttp.ClientResponse
     ) -> None:
-        reply = passing.reply
+        reply = forward_state.reply
         if not reply.started:
             await reply.open(response.headers)
         chunks = _chunks(response)
         async with contextlib.aclosing(chunks):
             await streams.relay_events(
                 chunks,
-                passing.transcript,
+                forward_state.transcript,
                 reply,
                 self._settings.stall_timeout_ms,
-                self._left_ms(passing.head),
-                lambda: passing.extend_timeout(self._left_ms(passing.head)),
+                self._left_ms(forward_state.head),
+                lambda: forward_state.extend_timeout(
+                    self._left_ms(forward_state.head)
+                ),
             )
         await reply.close()
 
