--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -174,7 +174,7 @@
             body = await web.read_whole(
                 response, self._settings.answer_limit_bytes
             )
-            await self._answer(forward_state, response, body)
+            await self._relay_response(forward_state, response, body)
 
     async def _relay_stream(
         self, forward_state: _ForwardState, response: aiohttp.ClientResponse
@@ -196,7 +196,7 @@
             )
         await reply.close()
 
-    async def _answer(
+    async def _relay_response(
         self,
         passing: _ForwardState,
         response: aiohttp.ClientResponse,
