--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -198,20 +198,20 @@
 
     async def _relay_response(
         self,
-        passing: _ForwardState,
+        forward_state: _ForwardState,
         response: aiohttp.ClientResponse,
         body: bytes,
     ) -> None:
         """Pass on an answer, or the end that the other host reports."""
-        if passing.reply.started:
+        if forward_state.reply.started:
             raise errors.EndedError(_ending_of(body.decode()))
         text = response.headers.get(headers.OUTCOME)
         if text is None:
             raise errors.MaybeSentError('answer has no outcome')
         outcome = outcomes.Outcome(text)
-        if self._retries_again(passing, outcome):
+        if self._retries_again(forward_state, outcome):
             raise errors.MaybeSentError(f'the other host told {text}')
-        await passing.reply.whole(
+        await forward_state.reply.whole(
             response.status, response.headers, body, outcome
         )
 
