--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -209,13 +209,13 @@
         if text is None:
             raise errors.MaybeSentError('answer has no outcome')
         outcome = outcomes.Outcome(text)
-        if self._retries_again(forward_state, outcome):
+        if self._may_retry_outcome(forward_state, outcome):
             raise errors.MaybeSentError(f'the other host told {text}')
         await forward_state.reply.whole(
             response.status, response.headers, body, outcome
         )
 
-    def _retries_again(
+    def _may_retry_outcome(
         self, passing: _ForwardState, outcome: outcomes.Outcome
     ) -> bool:
         """Tell whether a failure that has an owner is retried here too."""
