--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -216,10 +216,10 @@
         )
 
     def _may_retry_outcome(
-        self, passing: _ForwardState, outcome: outcomes.Outcome
+        self, forward_state: _ForwardState, outcome: outcomes.Outcome
     ) -> bool:
         """Tell whether a failure that has an owner is retried here too."""
-        if self._settings.retry_owner == 'nearest' or passing.head.once:
+        if self._settings.retry_owner == 'nearest' or forward_state.head.once:
             return False
         return outcome in (outcomes.Outcome.FAILED, outcomes.Outcome.UNKNOWN)
 
