--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -223,9 +223,9 @@
             return False
         return outcome in (outcomes.Outcome.FAILED, outcomes.Outcome.UNKNOWN)
 
-    def _headers(self, passing: _ForwardState) -> dict[str, str]:
-        head = passing.head
-        if passing.sent:
+    def _headers(self, forward_state: _ForwardState) -> dict[str, str]:
+        head = forward_state.head
+        if forward_state.sent:
             # The host that failed may have run it. As a resend, a
             # once-only request is not run again and gets the kept
             # answer, and none is told as not run.
