--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -110,7 +110,7 @@
                 break
             if await self._try_host(forward_state, host, last):
                 return
-        raise self._gave_up(forward_state)
+        raise self._unanswered_error(forward_state)
 
     def _left_ms(self, head: requests.RequestHead) -> int:
         return head.deadline_ms - self._clock.mono_ms()
@@ -247,7 +247,7 @@
             sent[headers.LAST_EVENT_ID] = str(head.last_event)
         return sent
 
-    def _gave_up(self, passing: _ForwardState) -> errors.EndedError:
+    def _unanswered_error(self, passing: _ForwardState) -> errors.EndedError:
         reason = outcomes.Reason.REGION_UNREACHABLE
         if passing.head.bound:
             reason = outcomes.Reason.HOME_UNREACHABLE
