--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -247,18 +247,20 @@
             sent[headers.LAST_EVENT_ID] = str(head.last_event)
         return sent
 
-    def _unanswered_error(self, passing: _ForwardState) -> errors.EndedError:
+    def _unanswered_error(
+        self, forward_state: _ForwardState
+    ) -> errors.EndedError:
         reason = outcomes.Reason.REGION_UNREACHABLE
-        if passing.head.bound:
+        if forward_state.head.bound:
             reason = outcomes.Reason.HOME_UNREACHABLE
         outcome = outcomes.Outcome.NOT_RUN
-        if passing.sent:
+        if forward_state.sent:
             outcome = outcomes.Outcome.UNKNOWN
         return errors.EndedError(
             outcomes.Ending(
                 outcome,
                 reason,
-                f'no host of {passing.region} gave an answer',
+                f'no host of {forward_state.region} gave an answer',
                 self._settings.retry_after_ms,
             )
         )
