--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -157,7 +157,7 @@
         self, forward_state: _ForwardState, host: ids.HostId
     ) -> None:
         entry = self._entries[host]
-        url = f'http://{_bracketed(str(entry.ip))}:{entry.http_port}'
+        url = f'http://{_url_host(str(entry.ip))}:{entry.http_port}'
         async with self._client.send(
             forward_state.head.method,
             url + _path(forward_state.head),
@@ -272,7 +272,7 @@
     return f'/services/{head.service}{head.path}'
 
 
-def _bracketed(ip: str) -> str:
+def _url_host(ip: str) -> str:
     return f'[{ip}]' if ':' in ip else ip
 
 
