--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -143,7 +143,7 @@
             forward_state.sent = True
             cause = repr(error)
         except streams.OutcomeEventError as error:
-            raise errors.EndedError(_ending_of(error.data)) from error
+            raise errors.EndedError(_parse_ending(error.data)) from error
         self._members.failed(host)
         self._decisions.note(
             'forward_failed',
@@ -204,7 +204,7 @@
     ) -> None:
         """Pass on an answer, or the end that the other host reports."""
         if forward_state.reply.started:
-            raise errors.EndedError(_ending_of(body.decode()))
+            raise errors.EndedError(_parse_ending(body.decode()))
         text = response.headers.get(headers.OUTCOME)
         if text is None:
             raise errors.MaybeSentError('answer has no outcome')
@@ -286,7 +286,7 @@
         raise errors.MaybeSentError(str(error)) from error
 
 
-def _ending_of(data: str) -> outcomes.Ending:
+def _parse_ending(data: str) -> outcomes.Ending:
     found = streams.parse_outcome_error(data)
     try:
         return outcomes.Ending(
