--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -22,7 +22,7 @@
 
 logger = structlog.get_logger(__name__)
 
-LATE_ANSWER_MS = 60_000
+LATE_RESPONSE_TIMEOUT_MS = 60_000
 RESEND_POLL_MS = 100
 RESEND_WAIT_MS = 3_000
 
@@ -219,7 +219,7 @@
                 ticket,
             )
             try:
-                async with clocks.timeout_ms(LATE_ANSWER_MS):
+                async with clocks.timeout_ms(LATE_RESPONSE_TIMEOUT_MS):
                     answer = await self._server.exchange(send)
                 break
             except (errors.MaybeSentError, TimeoutError) as error:
