--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -33,7 +33,7 @@
     def __init__(
         self,
         host: ids.HostId,
-        limits: settings.LedgerSettings,
+        ledger_settings: settings.LedgerSettings,
         book: ledger.Ledger,
         server: local_server.LocalServer,
         watched: members.Members,
@@ -41,7 +41,7 @@
         clock: clocks.Clock,
     ):
         self._host = host
-        self._settings = limits
+        self._settings = ledger_settings
         self._ledger = book
         self._server = server
         self._members = watched
