--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -34,7 +34,7 @@
         self,
         host: ids.HostId,
         ledger_settings: settings.LedgerSettings,
-        book: ledger.Ledger,
+        once_ledger: ledger.Ledger,
         server: local_server.LocalServer,
         watched: members.Members,
         noted: decisions.DecisionLog,
@@ -42,7 +42,7 @@
     ):
         self._host = host
         self._settings = ledger_settings
-        self._ledger = book
+        self._ledger = once_ledger
         self._server = server
         self._members = watched
         self._decisions = noted
