--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -36,7 +36,7 @@
         ledger_settings: settings.LedgerSettings,
         once_ledger: ledger.Ledger,
         server: local_server.LocalServer,
-        watched: members.Members,
+        host_members: members.Members,
         noted: decisions.DecisionLog,
         clock: clocks.Clock,
     ):
@@ -44,7 +44,7 @@
         self._settings = ledger_settings
         self._ledger = once_ledger
         self._server = server
-        self._members = watched
+        self._members = host_members
         self._decisions = noted
         self._clock = clock
         self._running: set[asyncio.Task] = set()
