--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -37,7 +37,7 @@
         once_ledger: ledger.Ledger,
         server: local_server.LocalServer,
         host_members: members.Members,
-        noted: decisions.DecisionLog,
+        decision_log: decisions.DecisionLog,
         clock: clocks.Clock,
     ):
         self._host = host
@@ -45,7 +45,7 @@
         self._ledger = once_ledger
         self._server = server
         self._members = host_members
-        self._decisions = noted
+        self._decisions = decision_log
         self._clock = clock
         self._running: set[asyncio.Task] = set()
 
