--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -47,12 +47,12 @@
         self._members = host_members
         self._decisions = decision_log
         self._clock = clock
-        self._running: set[asyncio.Task] = set()
+        self._attempt_tasks: set[asyncio.Task] = set()
 
     async def close(self) -> None:
         """Wait until every answer that is due has been recorded."""
-        if self._running:
-            await asyncio.wait(self._running)
+        if self._attempt_tasks:
+            await asyncio.wait(self._attempt_tasks)
 
     async def serve(
         self,
@@ -74,7 +74,7 @@
         task = asyncio.get_running_loop().create_task(
             self._attempt(head, key, body)
         )
-        self._running.add(task)
+        self._attempt_tasks.add(task)
         task.add_done_callback(self._forget)
         answer = await self._wait(head, task)
         if isinstance(answer, registers.Claim):
@@ -86,7 +86,7 @@
 
     def _forget(self, task: asyncio.Task) -> None:
         """Let go of an attempt; a caller that left hears no error."""
-        self._running.discard(task)
+        self._attempt_tasks.discard(task)
         if not task.cancelled():
             task.exception()
 
