--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -75,7 +75,7 @@
             self._attempt(head, key, body)
         )
         self._attempt_tasks.add(task)
-        task.add_done_callback(self._forget)
+        task.add_done_callback(self._discard_task)
         answer = await self._wait(head, task)
         if isinstance(answer, registers.Claim):
             await self._answer_known(head, key, answer, reply)
@@ -84,7 +84,7 @@
             answer.status, answer.headers, answer.body, answer.outcome
         )
 
-    def _forget(self, task: asyncio.Task) -> None:
+    def _discard_task(self, task: asyncio.Task) -> None:
         """Let go of an attempt; a caller that left hears no error."""
         self._attempt_tasks.discard(task)
         if not task.cancelled():
