--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -76,7 +76,7 @@
         )
         self._attempt_tasks.add(task)
         task.add_done_callback(self._discard_task)
-        answer = await self._wait(head, task)
+        answer = await self._wait_for_attempt(head, task)
         if isinstance(answer, registers.Claim):
             await self._answer_known(head, key, answer, reply)
             return
@@ -90,7 +90,7 @@
         if not task.cancelled():
             task.exception()
 
-    async def _wait(
+    async def _wait_for_attempt(
         self, head: requests.RequestHead, task: asyncio.Task
     ) -> local_server.BufferedResponse | registers.Claim:
         """Wait for an attempt, which outlives a caller that leaves."""
