--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -72,7 +72,7 @@
                 await self._answer_known(head, key, claim, reply)
                 return
         task = asyncio.get_running_loop().create_task(
-            self._attempt(head, key, body)
+            self._run_attempt(head, key, body)
         )
         self._attempt_tasks.add(task)
         task.add_done_callback(self._discard_task)
@@ -106,7 +106,7 @@
                 'for the answer',
             ) from error
 
-    async def _attempt(
+    async def _run_attempt(
         self,
         head: requests.RequestHead,
         key: requests.OnceKey,
