--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -67,7 +67,7 @@
         """
         self._check_age(head, key)
         if head.resend:
-            claim = await self._read(head, key)
+            claim = await self._read_claim(head, key)
             if not _is_open(claim, head.attempt):
                 await self._answer_known(head, key, claim, reply)
                 return
@@ -144,7 +144,7 @@
                 'in the future',
             )
 
-    async def _read(
+    async def _read_claim(
         self, head: requests.RequestHead, key: requests.OnceKey
     ) -> registers.Claim:
         try:
@@ -299,7 +299,7 @@
             if self._clock.mono_ms() + RESEND_POLL_MS >= until_ms:
                 break
             await self._clock.sleep_ms(RESEND_POLL_MS)
-            claim = await self._read(head, key)
+            claim = await self._read_claim(head, key)
         self._decisions.note(
             'resend', head.request, state=claim.state, by=claim.host
         )
