--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -150,7 +150,7 @@
         try:
             return await self._ledger.read(key)
         except errors.LedgerUnreachableError as error:
-            raise self._unreachable(head, error) from error
+            raise self._ledger_unreachable_error(head, error) from error
 
     async def _claim(
         self, head: requests.RequestHead, key: requests.OnceKey
@@ -164,7 +164,7 @@
                 ),
             )
         except errors.LedgerUnreachableError as error:
-            raise self._unreachable(head, error) from error
+            raise self._ledger_unreachable_error(head, error) from error
         won = claim.attempt_id == attempt_id
         self._decisions.note(
             'claim',
@@ -177,7 +177,7 @@
             return None, claim
         return dispatch.ClaimTicket(head.request, attempt_id), claim
 
-    def _unreachable(
+    def _ledger_unreachable_error(
         self,
         head: requests.RequestHead,
         error: errors.LedgerUnreachableError,
