--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -122,7 +122,7 @@
         if ticket is None:
             slot.release()
             return claim
-        return await self._exchange(head, key, body, slot, ticket)
+        return await self._send_claimed(head, key, body, slot, ticket)
 
     def _check_age(
         self, head: requests.RequestHead, key: requests.OnceKey
@@ -198,7 +198,7 @@
             self._server.settings.retry_after_ms,
         )
 
-    async def _exchange(
+    async def _send_claimed(
         self,
         head: requests.RequestHead,
         key: requests.OnceKey,
