--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -206,10 +206,10 @@
         slot: placement.Slot,
         ticket: dispatch.ClaimTicket,
     ) -> local_server.BufferedResponse:
-        tries = self._server.new_retry_state(head)
+        retry_state = self._server.new_retry_state(head)
         while True:
             send = dispatch.Send(
-                tries.purpose,
+                retry_state.purpose,
                 slot.endpoint.endpoint,
                 head.method,
                 head.path,
@@ -230,7 +230,9 @@
                     f'it may have run: {error}',
                 ) from error
             except (errors.NotSentError, errors.SendRefusedError) as error:
-                slot = await self._next_slot(head, key, tries, send, error)
+                slot = await self._next_slot(
+                    head, key, retry_state, send, error
+                )
         await self._record(key, ticket, answer)
         return answer
 
