--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -240,14 +240,14 @@
         self,
         head: requests.RequestHead,
         key: requests.OnceKey,
-        tries: local_server.RetryState,
+        retry_state: local_server.RetryState,
         send: dispatch.Send,
         error: errors.CoordinationError,
     ) -> placement.Slot:
         """Return another place, as nothing has been sent yet."""
         try:
-            await tries.after(send.endpoint, error)
-            return await self._server.destination(head, tries)
+            await retry_state.after(send.endpoint, error)
+            return await self._server.destination(head, retry_state)
         except errors.EndedError:
             await self._give_back(key, send.ticket)
             raise
