--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -249,10 +249,10 @@
             await retry_state.after(send.endpoint, error)
             return await self._server.destination(head, retry_state)
         except errors.EndedError:
-            await self._give_back(key, send.ticket)
+            await self._release_claim(key, send.ticket)
             raise
 
-    async def _give_back(
+    async def _release_claim(
         self, key: requests.OnceKey, ticket: dispatch.ClaimTicket
     ) -> None:
         try:
