--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -223,7 +223,7 @@
                     answer = await self._server.exchange(send)
                 break
             except (errors.MaybeSentError, TimeoutError) as error:
-                await self._record(key, ticket, None)
+                await self._record_response(key, ticket, None)
                 raise _ended(
                     outcomes.Outcome.UNKNOWN,
                     outcomes.Reason.ENDPOINT_FAILED,
@@ -233,7 +233,7 @@
                 slot = await self._next_slot(
                     head, key, retry_state, send, error
                 )
-        await self._record(key, ticket, answer)
+        await self._record_response(key, ticket, answer)
         return answer
 
     async def _next_slot(
@@ -263,7 +263,7 @@
         except errors.LedgerUnreachableError:
             logger.warning('claim_kept', request=key)
 
-    async def _record(
+    async def _record_response(
         self,
         key: requests.OnceKey,
         ticket: dispatch.ClaimTicket,
