--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -269,16 +269,18 @@
         ticket: dispatch.ClaimTicket,
         answer: local_server.BufferedResponse | None,
     ) -> None:
-        kept = None
+        kept_answer = None
         limit_bytes = self._settings.kept_answer_bytes
         if answer is not None and len(answer.body) <= limit_bytes:
-            kept = registers.KeptAnswer(
+            kept_answer = registers.KeptAnswer(
                 answer.status, answer.headers, answer.body
             )
         try:
             await self._ledger.change(
                 key,
-                lambda old: registers.answered(old, ticket.attempt_id, kept),
+                lambda old: registers.answered(
+                    old, ticket.attempt_id, kept_answer
+                ),
             )
         except errors.LedgerUnreachableError:
             logger.warning('answer_not_recorded', request=key)
