--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -69,7 +69,7 @@
         if head.resend:
             claim = await self._read_claim(head, key)
             if not _is_open(claim, head.attempt):
-                await self._answer_known(head, key, claim, reply)
+                await self._reply_from_claim(head, key, claim, reply)
                 return
         task = asyncio.get_running_loop().create_task(
             self._run_attempt(head, key, body)
@@ -78,7 +78,7 @@
         task.add_done_callback(self._discard_task)
         answer = await self._wait_for_attempt(head, task)
         if isinstance(answer, registers.Claim):
-            await self._answer_known(head, key, answer, reply)
+            await self._reply_from_claim(head, key, answer, reply)
             return
         await reply.whole(
             answer.status, answer.headers, answer.body, answer.outcome
@@ -285,7 +285,7 @@
         except errors.LedgerUnreachableError:
             logger.warning('answer_not_recorded', request=key)
 
-    async def _answer_known(
+    async def _reply_from_claim(
         self,
         head: requests.RequestHead,
         key: requests.OnceKey,
