--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -321,9 +321,12 @@
                 'it was sent before and its answer is not known here',
                 self._server.settings.retry_after_ms,
             )
-        kept = claim.answer
+        kept_answer = claim.answer
         whole = local_server.BufferedResponse(
-            kept.status, kept.headers, kept.body, ids.EndpointId('')
+            kept_answer.status,
+            kept_answer.headers,
+            kept_answer.body,
+            ids.EndpointId(''),
         )
         await reply.whole(
             whole.status, whole.headers, whole.body, whole.outcome
