--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -322,14 +322,14 @@
                 self._server.settings.retry_after_ms,
             )
         kept_answer = claim.answer
-        whole = local_server.BufferedResponse(
+        response = local_server.BufferedResponse(
             kept_answer.status,
             kept_answer.headers,
             kept_answer.body,
             ids.EndpointId(''),
         )
         await reply.whole(
-            whole.status, whole.headers, whole.body, whole.outcome
+            response.status, response.headers, response.body, response.outcome
         )
 
 
