--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -68,7 +68,7 @@
         self._check_age(head, key)
         if head.resend:
             claim = await self._read_claim(head, key)
-            if not _is_open(claim, head.attempt):
+            if not _is_claimable(claim, head.attempt):
                 await self._reply_from_claim(head, key, claim, reply)
                 return
         task = asyncio.get_running_loop().create_task(
@@ -333,7 +333,7 @@
         )
 
 
-def _is_open(claim: registers.Claim, attempt: int) -> bool:
+def _is_claimable(claim: registers.Claim, attempt: int) -> bool:
     if claim.state is registers.ClaimState.FREE:
         return True
     refused = claim.state is registers.ClaimState.REFUSED
