--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -99,7 +99,7 @@
             async with clocks.timeout_ms(left_ms):
                 return await asyncio.shield(task)
         except TimeoutError as error:
-            raise _ended(
+            raise _ending_error(
                 outcomes.Outcome.UNKNOWN,
                 outcomes.Reason.DEADLINE,
                 'deadline passed while it may have been sent; ask again '
@@ -129,7 +129,7 @@
     ) -> None:
         problem = self._ledger.check_age(key)
         if problem == 'expired':
-            raise _ended(
+            raise _ending_error(
                 outcomes.Outcome.UNKNOWN,
                 outcomes.Reason.KEY_EXPIRED,
                 'the key is older than '
@@ -137,7 +137,7 @@
                 'is not known any more',
             )
         if problem == 'future':
-            raise _ended(
+            raise _ending_error(
                 outcomes.Outcome.NOT_RUN,
                 outcomes.Reason.BAD_REQUEST,
                 f'{headers.REQUEST}: the issue time of {head.request} is '
@@ -191,7 +191,7 @@
         outcome = outcomes.Outcome.NOT_RUN
         if head.resend:
             outcome = outcomes.Outcome.UNKNOWN
-        return _ended(
+        return _ending_error(
             outcome,
             outcomes.Reason.LEDGER_UNREACHABLE,
             'too few ledger hosts can be reached',
@@ -224,7 +224,7 @@
                 break
             except (errors.MaybeSentError, TimeoutError) as error:
                 await self._record_response(key, ticket, None)
-                raise _ended(
+                raise _ending_error(
                     outcomes.Outcome.UNKNOWN,
                     outcomes.Reason.ENDPOINT_FAILED,
                     f'it may have run: {error}',
@@ -308,14 +308,14 @@
             'resend', head.request, state=claim.state, by=claim.host
         )
         if claim.state is registers.ClaimState.REFUSED:
-            raise _ended(
+            raise _ending_error(
                 outcomes.Outcome.NOT_RUN,
                 outcomes.Reason.CLAIM_REFUSED,
                 f'attempts up to {claim.attempt} were refused unrun; '
                 'send a higher one',
             )
         if claim.answer is None:
-            raise _ended(
+            raise _ending_error(
                 outcomes.Outcome.UNKNOWN,
                 outcomes.Reason.CLAIM_EXISTS,
                 'it was sent before and its answer is not known here',
@@ -340,7 +340,7 @@
     return refused and claim.attempt < attempt
 
 
-def _ended(
+def _ending_error(
     outcome: outcomes.Outcome,
     reason: outcomes.Reason,
     detail: str,
