--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -36,13 +36,13 @@
         self,
         host: ids.HostId,
         members: collections.abc.Sequence[ids.HostId],
-        limits: settings.LedgerSettings,
+        ledger_settings: settings.LedgerSettings,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
         self._host = host
         self._members = list(members)
-        self._settings = limits
+        self._settings = ledger_settings
         self._peers = peers
         self._clock = clock
         self._ballot = 0
@@ -50,7 +50,7 @@
         now_ms = clock.wall_ms()
         self._registers = None
         if host in self._members:
-            since_ms = now_ms + SKEW_MARGIN * limits.clock_skew_ms
+            since_ms = now_ms + SKEW_MARGIN * ledger_settings.clock_skew_ms
             self._registers = registers.Registers(host, now_ms, since_ms)
         self._register_answers()
 
