--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -60,7 +60,7 @@
         return len(self._members) // 2 + 1
 
     @property
-    def held(self) -> int:
+    def key_count(self) -> int:
         """Return how many keys this host holds a copy of."""
         return 0 if self._registers is None else len(self._registers)
 
