--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -52,7 +52,7 @@
         if host in self._members:
             since_ms = now_ms + SKEW_MARGIN * ledger_settings.clock_skew_ms
             self._registers = registers.Registers(host, now_ms, since_ms)
-        self._register_answers()
+        self._register_handlers()
 
     @property
     def quorum(self) -> int:
@@ -64,7 +64,7 @@
         """Return how many keys this host holds a copy of."""
         return 0 if self._registers is None else len(self._registers)
 
-    def _register_answers(self) -> None:
+    def _register_handlers(self) -> None:
         self._peers.answers(messages.Prepare)(self._answer_prepare)
         self._peers.answers(messages.Accept)(self._answer_accept)
         self._peers.answers(messages.Recall)(self._answer_recall)
