--- a/wrenspoke/cli.py
+++ b/wrenspoke/cli.py
@@ -452,7 +452,7 @@
 
 
 async def _run(arguments: argparse.Namespace, codes: list[int]) -> None:
-    codes.append(await arguments.function(arguments))
+    codes.append(await arguments.transition(arguments))
 
 
 def main() -> None:
--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -90,7 +90,7 @@
         return None
 
     async def change(
-        self, key: requests.OnceKey, function: Change
+        self, key: requests.OnceKey, transition: Change
     ) -> registers.Claim:
         """Apply ``function`` to a key's claim and return the result.
 
@@ -100,7 +100,7 @@
         for _round in range(ROUNDS_LIMIT):
             self._ballot += 1
             ballot = registers.Ballot(self._ballot, self._host)
-            claim = await self._round(key, ballot, function)
+            claim = await self._round(key, ballot, transition)
             if claim is not None:
                 return claim
             await self._clock.sleep_ms(random.uniform(0, backoff_ms))
