--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -100,7 +100,7 @@
         for _round in range(ROUNDS_LIMIT):
             self._ballot += 1
             ballot = registers.Ballot(self._ballot, self._host)
-            claim = await self._round(key, ballot, transition)
+            claim = await self._run_round(key, ballot, transition)
             if claim is not None:
                 return claim
             await self._clock.sleep_ms(random.uniform(0, backoff_ms))
@@ -111,7 +111,7 @@
         """Return a key's claim as the majority has it."""
         return await self.change(key, lambda claim: claim)
 
-    async def _round(
+    async def _run_round(
         self,
         key: requests.OnceKey,
         ballot: registers.Ballot,
