--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -115,7 +115,7 @@
         self,
         key: requests.OnceKey,
         ballot: registers.Ballot,
-        function: Change,
+        transition: Change,
     ) -> registers.Claim | None:
         prepare = messages.Prepare(str(key), key.issued_ms, ballot)
         promises = await self._ask(key, prepare)
@@ -123,7 +123,7 @@
             return None
         newest = max(promises.values(), key=lambda vote: vote.accepted)
         old = newest.claim
-        new = function(old)
+        new = transition(old)
         settled = all(
             vote.accepted == newest.accepted for vote in promises.values()
         )
