--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -118,7 +118,7 @@
         transition: Change,
     ) -> registers.Claim | None:
         prepare = messages.Prepare(str(key), key.issued_ms, ballot)
-        promises = await self._ask(key, prepare)
+        promises = await self._gather_votes(key, prepare)
         if promises is None:
             return None
         newest = max(promises.values(), key=lambda vote: vote.accepted)
@@ -135,10 +135,10 @@
             ballot,
             new,
         )
-        accepted = await self._ask(key, accept)
+        accepted = await self._gather_votes(key, accept)
         return None if accepted is None else new
 
-    async def _ask(
+    async def _gather_votes(
         self,
         key: requests.OnceKey,
         message: messages.Prepare | messages.Accept,
