--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -146,7 +146,7 @@
         """Return a majority's grants, or None if a higher ballot stands."""
         tasks = [
             asyncio.get_running_loop().create_task(
-                self._ask_one(host, message)
+                self._gather_vote(host, message)
             )
             for host in self._members
         ]
@@ -171,7 +171,7 @@
             return None
         raise errors.LedgerUnreachableError(f'{key}: no majority')
 
-    async def _ask_one(
+    async def _gather_vote(
         self, host: ids.HostId, message: messages.Prepare | messages.Accept
     ) -> tuple[ids.HostId, registers.Vote | None]:
         if host == self._host:
