--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -175,7 +175,7 @@
         self, host: ids.HostId, message: messages.Prepare | messages.Accept
     ) -> tuple[ids.HostId, registers.Vote | None]:
         if host == self._host:
-            return host, self._vote(message)
+            return host, self._vote_locally(message)
         try:
             answer = await self._peers.call(
                 host, message, self._settings.call_timeout_ms
@@ -186,7 +186,7 @@
             return host, None
         return host, answer.vote
 
-    def _vote(
+    def _vote_locally(
         self, message: messages.Prepare | messages.Accept
     ) -> registers.Vote:
         if isinstance(message, messages.Prepare):
@@ -211,7 +211,7 @@
     ) -> messages.Message:
         if self._registers is None:
             return messages.Refusal('no ledger on this host')
-        return messages.LedgerVote(self._vote(message))
+        return messages.LedgerVote(self._vote_locally(message))
 
     async def _answer_recall(
         self, sender: ids.HostId, message: messages.Recall
