--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -65,7 +65,7 @@
         return 0 if self._registers is None else len(self._registers)
 
     def _register_handlers(self) -> None:
-        self._peers.answers(messages.Prepare)(self._answer_prepare)
+        self._peers.answers(messages.Prepare)(self._handle_prepare)
         self._peers.answers(messages.Accept)(self._answer_accept)
         self._peers.answers(messages.Recall)(self._answer_recall)
 
@@ -200,7 +200,7 @@
             message.claim,
         )
 
-    async def _answer_prepare(self, _sender, message: messages.Prepare):
+    async def _handle_prepare(self, _sender, message: messages.Prepare):
         return self._answer_vote(message)
 
     async def _answer_accept(self, _sender, message: messages.Accept):
