--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -66,7 +66,7 @@
 
     def _register_handlers(self) -> None:
         self._peers.answers(messages.Prepare)(self._handle_prepare)
-        self._peers.answers(messages.Accept)(self._answer_accept)
+        self._peers.answers(messages.Accept)(self._handle_accept)
         self._peers.answers(messages.Recall)(self._answer_recall)
 
     def start(self) -> None:
@@ -203,7 +203,7 @@
     async def _handle_prepare(self, _sender, message: messages.Prepare):
         return self._answer_vote(message)
 
-    async def _answer_accept(self, _sender, message: messages.Accept):
+    async def _handle_accept(self, _sender, message: messages.Accept):
         return self._answer_vote(message)
 
     def _answer_vote(
