--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -201,12 +201,12 @@
         )
 
     async def _handle_prepare(self, _sender, message: messages.Prepare):
-        return self._answer_vote(message)
+        return self._vote_reply(message)
 
     async def _handle_accept(self, _sender, message: messages.Accept):
-        return self._answer_vote(message)
+        return self._vote_reply(message)
 
-    def _answer_vote(
+    def _vote_reply(
         self, message: messages.Prepare | messages.Accept
     ) -> messages.Message:
         if self._registers is None:
