--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -67,7 +67,7 @@
     def _register_handlers(self) -> None:
         self._peers.answers(messages.Prepare)(self._handle_prepare)
         self._peers.answers(messages.Accept)(self._handle_accept)
-        self._peers.answers(messages.Recall)(self._answer_recall)
+        self._peers.answers(messages.Recall)(self._handle_recall)
 
     def start(self) -> None:
         """Read back what this host forgot, and forget what is old."""
@@ -213,7 +213,7 @@
             return messages.Refusal('no ledger on this host')
         return messages.LedgerVote(self._vote_locally(message))
 
-    async def _answer_recall(
+    async def _handle_recall(
         self, sender: ids.HostId, message: messages.Recall
     ) -> messages.Message:
         if self._registers is None:
