--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -225,10 +225,10 @@
         others = [host for host in self._members if host != self._host]
         if not others:
             return
-        while not await self._recall(others):
+        while not await self._recover_once(others):
             await self._clock.sleep_ms(RECALL_INTERVAL_MS)
 
-    async def _recall(self, others: list[ids.HostId]) -> bool:
+    async def _recover_once(self, others: list[ids.HostId]) -> bool:
         epoch = self._registers.epoch
         answers = await asyncio.gather(
             *(self._recall_one(host, epoch) for host in others)
