--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -234,9 +234,11 @@
             *(self._recall_one(host, epoch) for host in others)
         )
         memories = [memory for memory in answers if memory is not None]
-        known = max((memory.epoch_known for memory in memories), default=0)
-        if known > epoch:
-            self._registers.learn_epochs({self._host: known + 1})
+        latest_epoch = max(
+            (memory.epoch_known for memory in memories), default=0
+        )
+        if latest_epoch > epoch:
+            self._registers.learn_epochs({self._host: latest_epoch + 1})
             return False
         if len(memories) < self.quorum:
             return False
