--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -233,16 +233,16 @@
         answers = await asyncio.gather(
             *(self._recall_one(host, epoch) for host in others)
         )
-        memories = [memory for memory in answers if memory is not None]
+        snapshots = [memory for memory in answers if memory is not None]
         latest_epoch = max(
-            (memory.epoch_known for memory in memories), default=0
+            (memory.epoch_known for memory in snapshots), default=0
         )
         if latest_epoch > epoch:
             self._registers.learn_epochs({self._host: latest_epoch + 1})
             return False
-        if len(memories) < self.quorum:
+        if len(snapshots) < self.quorum:
             return False
-        self._registers.restore(memories)
+        self._registers.restore(snapshots)
         logger.info(
             'ledger_recalled',
             keys=len(self._registers),
