--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -231,7 +231,7 @@
     async def _recover_once(self, others: list[ids.HostId]) -> bool:
         epoch = self._registers.epoch
         answers = await asyncio.gather(
-            *(self._recall_one(host, epoch) for host in others)
+            *(self._fetch_snapshot(host, epoch) for host in others)
         )
         snapshots = [memory for memory in answers if memory is not None]
         latest_epoch = max(
@@ -251,7 +251,7 @@
         )
         return True
 
-    async def _recall_one(
+    async def _fetch_snapshot(
         self, host: ids.HostId, epoch: int
     ) -> registers.Memory | None:
         """Return all that a host remembers, asked for part by part."""
