--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -255,18 +255,18 @@
         self, host: ids.HostId, epoch: int
     ) -> registers.Memory | None:
         """Return all that a host remembers, asked for part by part."""
-        whole: registers.Memory | None = None
+        snapshot: registers.Memory | None = None
         after = registers.FIRST
         while True:
             part = await self._recall_part(host, epoch, after)
             if part is None:
                 return None
-            if whole is None:
-                whole = part
+            if snapshot is None:
+                snapshot = part
             else:
-                whole.registers += part.registers
+                snapshot.registers += part.registers
             if not part.more:
-                return whole
+                return snapshot
             after = part.registers[-1][:2]
 
     async def _recall_part(
