--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -258,16 +258,16 @@
         snapshot: registers.Memory | None = None
         after = registers.FIRST
         while True:
-            part = await self._recall_part(host, epoch, after)
-            if part is None:
+            page = await self._recall_part(host, epoch, after)
+            if page is None:
                 return None
             if snapshot is None:
-                snapshot = part
+                snapshot = page
             else:
-                snapshot.registers += part.registers
-            if not part.more:
+                snapshot.registers += page.registers
+            if not page.more:
                 return snapshot
-            after = part.registers[-1][:2]
+            after = page.registers[-1][:2]
 
     async def _recall_part(
         self, host: ids.HostId, epoch: int, after: tuple[int, str]
