--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -258,7 +258,7 @@
         snapshot: registers.Memory | None = None
         after = registers.FIRST
         while True:
-            page = await self._recall_part(host, epoch, after)
+            page = await self._fetch_snapshot_page(host, epoch, after)
             if page is None:
                 return None
             if snapshot is None:
@@ -269,7 +269,7 @@
                 return snapshot
             after = page.registers[-1][:2]
 
-    async def _recall_part(
+    async def _fetch_snapshot_page(
         self, host: ids.HostId, epoch: int, after: tuple[int, str]
     ) -> registers.Memory | None:
         try:
