--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -74,7 +74,7 @@
         if self._registers is None:
             return
         self._tasks.start(self._recover())
-        self._tasks.start(self._expire())
+        self._tasks.start(self._expire_claims())
 
     async def close(self) -> None:
         """End the tasks."""
@@ -284,7 +284,7 @@
             return None
         return answer.memory
 
-    async def _expire(self) -> None:
+    async def _expire_claims(self) -> None:
         while True:
             await self._clock.sleep_ms(EXPIRE_INTERVAL_MS)
             before_ms = (
