--- a/benches/endpoint_limits.py
+++ b/benches/endpoint_limits.py
@@ -21,7 +21,7 @@
 from tests import stated_fleet
 from tests import test_stated_fleet
 from wrenspoke.coordination.limiting import endpoint_lender
-from wrenspoke.coordination.serving import shares
+from wrenspoke.coordination.serving import team_rate_limits
 
 MS_PER_S = 1_000
 RENEW_MS = 500
@@ -91,7 +91,7 @@
         now_ms = self.clock.mono_ms()
         bucket = self.buckets.get(engine.life)
         if bucket is None:
-            bucket = shares.Bucket(0.0, 1.0, 0.0, now_ms)
+            bucket = team_rate_limits.Bucket(0.0, 1.0, 0.0, now_ms)
             self.buckets[engine.life] = bucket
         rate_per_s = max(rate_per_s, endpoint_lender.LEAST_RATE_PER_S)
         bucket.asked += 1
@@ -112,7 +112,7 @@
 
     def __init__(self, fleet, name):
         super().__init__(fleet, name)
-        self.lender = shares.Lender(self.clock)
+        self.lender = team_rate_limits.Lender(self.clock)
         self.leased = {}
         self.renewed_ms = {}
 
--- a/benches/limits.py
+++ b/benches/limits.py
@@ -18,7 +18,7 @@
 from tests import group
 from tests import limited_fleet
 from tests import test_limits
-from wrenspoke.coordination.serving import shares
+from wrenspoke.coordination.serving import team_rate_limits
 
 MS_PER_S = 1_000
 FILLED_SHARE = 0.85
@@ -64,7 +64,7 @@
         super().__init__(fleet, name)
         region = (id(fleet), limited_fleet.region_of(name))
         self._lender = self.lenders.setdefault(
-            region, shares.Lender(self.clock)
+            region, team_rate_limits.Lender(self.clock)
         )
         self._name = name
         self._whole_per_s = fleet.limit.rate_per_s / limited_fleet.REGIONS
@@ -76,7 +76,7 @@
     async def admit(self, amount):
         self._asked += amount
         now_ms = self.clock.mono_ms()
-        if now_ms - self._asked_ms >= shares.RENEW_MS:
+        if now_ms - self._asked_ms >= team_rate_limits.RENEW_MS:
             passed_s = (now_ms - self._asked_ms) / MS_PER_S
             wanted_per_s = self._asked / passed_s
             self._asked, self._asked_ms = 0.0, now_ms
--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -295,7 +295,7 @@
     ),
     Switch(
         'leases not counted',
-        DECISIONS + 'serving/shares.py',
+        DECISIONS + 'serving/team_rate_limits.py',
         ('min(fair, whole_per_s - taken)'),
         ('fair'),
         (
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests import fleet
-from wrenspoke.coordination.serving import shares
+from wrenspoke.coordination.serving import team_rate_limits
 from wrenspoke.protocol import headers
 
 HOSTS = ('a', 'b', 'c')
@@ -36,22 +36,22 @@
 )
 def test_leases_never_add_up_to_more_than_the_whole(asks):
     clock = FakeClock()
-    lender = shares.Lender(clock)
+    lender = team_rate_limits.Lender(clock)
     held = {}
     for host, wanted, later_ms in asks:
         clock.now_ms += later_ms
         rate = lender.grant('blue', host, wanted, 30.0)
-        held[host] = (rate, clock.now_ms + shares.LEASE_MS)
+        held[host] = (rate, clock.now_ms + team_rate_limits.LEASE_MS)
         live = [r for r, until in held.values() if until > clock.now_ms]
         assert sum(live) <= 30.0 + 1e-6
 
 
 def test_host_that_asks_alone_gets_the_whole():
     clock = FakeClock()
-    lender = shares.Lender(clock)
+    lender = team_rate_limits.Lender(clock)
     for host in HOSTS:
         lender.grant('blue', host, 5.0, 30.0)
-    clock.now_ms += shares.LEASE_MS + 1
+    clock.now_ms += team_rate_limits.LEASE_MS + 1
     assert lender.grant('blue', 'a', 50.0, 30.0) == 30.0
 
 
@@ -60,7 +60,7 @@
     [(1.0, 4, 3, 4), (10.0, 10, 2, 10)],
 )
 def test_bucket_admits_its_burst(rate, burst, count, admitted):
-    bucket = shares.Bucket(rate, burst, burst, 0)
+    bucket = team_rate_limits.Bucket(rate, burst, burst, 0)
     taken = [bucket.take(0) for _number in range(admitted * count)]
     assert taken.count(0) == admitted
     wait_ms = max(taken)
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -22,7 +22,7 @@
 from wrenspoke.coordination.membership import roster
 from wrenspoke.coordination.quarantine import ended_runs
 from wrenspoke.coordination.quarantine import good_ends
-from wrenspoke.coordination.serving import shares
+from wrenspoke.coordination.serving import team_rate_limits
 from wrenspoke.coordination.serving import spending
 from wrenspoke.protocol import attending
 from wrenspoke.protocol import limiting
@@ -156,7 +156,7 @@
 
 
 def share_within_a_data_centre(clock):
-    made = shares.Lender(clock)
+    made = team_rate_limits.Lender(clock)
     made.grant('t', 'a', 10.0, 10.0)
     return lambda: made.grant('t', 'b', 10.0, 10.0) < 10.0
 
--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -17,7 +17,7 @@
 from wrenspoke.coordination.serving import local_server
 from wrenspoke.coordination.serving import once
 from wrenspoke.coordination.serving import placement
-from wrenspoke.coordination.serving import shares
+from wrenspoke.coordination.serving import team_rate_limits
 from wrenspoke.coordination.serving import streams
 from wrenspoke import ids
 from wrenspoke.protocol import errors as protocol_errors
@@ -65,7 +65,7 @@
         streamer: streams.StreamServer,
         once_server: once.OnceServer,
         forwarder: forwarding.Forwarder,
-        team_shares: shares.TeamShares,
+        team_shares: team_rate_limits.TeamShares,
         book: ledger.Ledger,
         noted: decisions.DecisionLog,
         guard: guards.Guard,
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -28,7 +28,7 @@
 from wrenspoke.coordination.serving import local_server
 from wrenspoke.coordination.serving import once
 from wrenspoke.coordination.serving import placement
-from wrenspoke.coordination.serving import shares
+from wrenspoke.coordination.serving import team_rate_limits
 from wrenspoke.coordination.serving import streams
 from wrenspoke import ids
 from wrenspoke import keys
@@ -118,7 +118,7 @@
             self._clock,
             lambda _ping: messages.Pong(self.members.draining),
         )
-        self._shares = shares.TeamShares(
+        self._shares = team_rate_limits.TeamShares(
             self._deployment,
             self._own,
             self.peers,
