--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -28,7 +28,7 @@
 RENEW_MS = 1_500
 CALL_TIMEOUT_MS = 500
 MS_PER_S = 1000
-LEAST_WANTED_PER_S = 0.1
+MIN_DEMAND_PER_S = 0.1
 
 
 @dataclasses.dataclass
@@ -89,7 +89,7 @@
             if lease.until_ms > now_ms
         }
         others = [lease for name, lease in leases.items() if name != host]
-        wanted = max(wanted_per_s, LEAST_WANTED_PER_S)
+        wanted = max(wanted_per_s, MIN_DEMAND_PER_S)
         all_wanted = wanted + sum(one.wanted_per_s for one in others)
         taken = sum(one.rate_per_s for one in others)
         fair = whole_per_s * wanted / all_wanted
