--- a/benches/endpoint_limits.py
+++ b/benches/endpoint_limits.py
@@ -91,7 +91,7 @@
         now_ms = self.clock.mono_ms()
         bucket = self.buckets.get(engine.life)
         if bucket is None:
-            bucket = team_rate_limits.Bucket(0.0, 1.0, 0.0, now_ms)
+            bucket = team_rate_limits.TeamTokenBucket(0.0, 1.0, 0.0, now_ms)
             self.buckets[engine.life] = bucket
         rate_per_s = max(rate_per_s, endpoint_lender.LEAST_RATE_PER_S)
         bucket.asked += 1
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -60,7 +60,7 @@
     [(1.0, 4, 3, 4), (10.0, 10, 2, 10)],
 )
 def test_bucket_admits_its_burst(rate, burst, count, admitted):
-    bucket = team_rate_limits.Bucket(rate, burst, burst, 0)
+    bucket = team_rate_limits.TeamTokenBucket(rate, burst, burst, 0)
     taken = [bucket.take(0) for _number in range(admitted * count)]
     assert taken.count(0) == admitted
     wait_ms = max(taken)
--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass
-class Bucket:
+class TeamTokenBucket:
     """Hold one team's tokens on this host."""
 
     rate_per_s: float
@@ -124,7 +124,7 @@
         self._members = watched
         self._replica = held
         self._clock = clock
-        self._buckets: dict[str, Bucket] = {}
+        self._buckets: dict[str, TeamTokenBucket] = {}
         self._lender = Lender(clock)
         self._tasks = runtime.Tasks()
         peers.answers(messages.AskLeases)(self._answer)
@@ -166,10 +166,10 @@
 
     def _first_bucket(
         self, limit: configuration.TeamLimit, now_ms: int
-    ) -> Bucket:
+    ) -> TeamTokenBucket:
         part = self._equal_part(limit) / limit.requests_per_s
         burst = max(1.0, limit.burst * part)
-        return Bucket(self._equal_part(limit), burst, burst, now_ms)
+        return TeamTokenBucket(self._equal_part(limit), burst, burst, now_ms)
 
     def _lender_of(self, team: str) -> ids.HostId:
         live = [
