--- a/benches/endpoint_limits.py
+++ b/benches/endpoint_limits.py
@@ -94,7 +94,7 @@
             bucket = team_rate_limits.TeamTokenBucket(0.0, 1.0, 0.0, now_ms)
             self.buckets[engine.life] = bucket
         rate_per_s = max(rate_per_s, endpoint_lender.LEAST_RATE_PER_S)
-        bucket.asked += 1
+        bucket.request_count += 1
         bucket.rate_per_s = self.part_per_s(engine, rate_per_s)
         wait_ms = bucket.take(now_ms)
         if not wait_ms:
--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -39,7 +39,7 @@
     burst: float
     tokens: float
     filled_ms: int
-    asked: int = 0
+    request_count: int = 0
     leased_until_ms: int = 0
 
     def take(self, now_ms: int) -> int:
@@ -146,7 +146,7 @@
         bucket = self._buckets.get(team)
         if bucket is None:
             bucket = self._buckets[team] = self._first_bucket(limit, now_ms)
-        bucket.asked += 1
+        bucket.request_count += 1
         if bucket.leased_until_ms < now_ms:
             bucket.rate_per_s = self._equal_part(limit)
         return bucket.take(now_ms)
