--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -38,15 +38,15 @@
     rate_per_s: float
     burst: float
     tokens: float
-    filled_ms: int
+    last_refill_ms: int
     request_count: int = 0
     leased_until_ms: int = 0
 
     def take(self, now_ms: int) -> int:
         """Take a token; return 0, or the time until there is one."""
-        grown = (now_ms - self.filled_ms) * self.rate_per_s / MS_PER_S
+        grown = (now_ms - self.last_refill_ms) * self.rate_per_s / MS_PER_S
         self.tokens = min(self.burst, self.tokens + grown)
-        self.filled_ms = now_ms
+        self.last_refill_ms = now_ms
         if self.tokens >= 1:
             self.tokens -= 1
             return 0
