--- a/benches/endpoint_limits.py
+++ b/benches/endpoint_limits.py
@@ -96,7 +96,7 @@
         rate_per_s = max(rate_per_s, endpoint_lender.LEAST_RATE_PER_S)
         bucket.request_count += 1
         bucket.rate_per_s = self.part_per_s(engine, rate_per_s)
-        wait_ms = bucket.take(now_ms)
+        wait_ms = bucket.take_token(now_ms)
         if not wait_ms:
             return SendPermit(self, engine)
         self.alone_until_ms[engine.life] = now_ms + min(wait_ms, MS_PER_S)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -61,10 +61,10 @@
 )
 def test_bucket_admits_its_burst(rate, burst, count, admitted):
     bucket = team_rate_limits.TeamTokenBucket(rate, burst, burst, 0)
-    taken = [bucket.take(0) for _number in range(admitted * count)]
+    taken = [bucket.take_token(0) for _number in range(admitted * count)]
     assert taken.count(0) == admitted
     wait_ms = max(taken)
-    assert bucket.take(wait_ms + 1) == 0
+    assert bucket.take_token(wait_ms + 1) == 0
 
 
 async def test_team_over_its_limit_is_told_when_to_come_back(tmp_path):
--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -42,7 +42,7 @@
     request_count: int = 0
     leased_until_ms: int = 0
 
-    def take(self, now_ms: int) -> int:
+    def take_token(self, now_ms: int) -> int:
         """Take a token; return 0, or the time until there is one."""
         grown = (now_ms - self.last_refill_ms) * self.rate_per_s / MS_PER_S
         self.tokens = min(self.burst, self.tokens + grown)
@@ -149,7 +149,7 @@
         bucket.request_count += 1
         if bucket.leased_until_ms < now_ms:
             bucket.rate_per_s = self._equal_part(limit)
-        return bucket.take(now_ms)
+        return bucket.take_token(now_ms)
 
     def _whole_per_s(self, limit: configuration.TeamLimit) -> float:
         """Return the part of a limit that this data centre has."""
