--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -44,8 +44,8 @@
 
     def take_token(self, now_ms: int) -> int:
         """Take a token; return 0, or the time until there is one."""
-        grown = (now_ms - self.last_refill_ms) * self.rate_per_s / MS_PER_S
-        self.tokens = min(self.burst, self.tokens + grown)
+        refill = (now_ms - self.last_refill_ms) * self.rate_per_s / MS_PER_S
+        self.tokens = min(self.burst, self.tokens + refill)
         self.last_refill_ms = now_ms
         if self.tokens >= 1:
             self.tokens -= 1
