--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -50,8 +50,8 @@
         if self.tokens >= 1:
             self.tokens -= 1
             return 0
-        lacking = 1 - self.tokens
-        return int(lacking * MS_PER_S / max(self.rate_per_s, 0.001)) + 1
+        missing = 1 - self.tokens
+        return int(missing * MS_PER_S / max(self.rate_per_s, 0.001)) + 1
 
 
 @dataclasses.dataclass
