--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -55,7 +55,7 @@
 
 
 @dataclasses.dataclass
-class Lease:
+class RateLease:
     """Hold what a lender has granted one host of one team."""
 
     wanted_per_s: float
@@ -68,7 +68,7 @@
 
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
-        self._leases: dict[str, dict[ids.HostId, Lease]] = {}
+        self._leases: dict[str, dict[ids.HostId, RateLease]] = {}
 
     def grant(
         self,
@@ -94,7 +94,7 @@
         taken = sum(one.rate_per_s for one in others)
         fair = whole_per_s * wanted / all_wanted
         rate = max(0.0, min(fair, whole_per_s - taken))
-        leases[host] = Lease(wanted, rate, now_ms + LEASE_MS)
+        leases[host] = RateLease(wanted, rate, now_ms + LEASE_MS)
         self._leases[team] = leases
         return rate
 
