--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -58,7 +58,7 @@
 class RateLease:
     """Hold what a lender has granted one host of one team."""
 
-    wanted_per_s: float
+    demand_per_s: float
     rate_per_s: float
     until_ms: int
 
@@ -90,7 +90,7 @@
         }
         others = [lease for name, lease in leases.items() if name != host]
         wanted = max(wanted_per_s, MIN_DEMAND_PER_S)
-        all_wanted = wanted + sum(one.wanted_per_s for one in others)
+        all_wanted = wanted + sum(one.demand_per_s for one in others)
         taken = sum(one.rate_per_s for one in others)
         fair = whole_per_s * wanted / all_wanted
         rate = max(0.0, min(fair, whole_per_s - taken))
