--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -60,7 +60,7 @@
 
     demand_per_s: float
     rate_per_s: float
-    until_ms: int
+    expires_at_ms: int
 
 
 class Lender:
