--- a/benches/endpoint_limits.py
+++ b/benches/endpoint_limits.py
@@ -112,7 +112,7 @@
 
     def __init__(self, fleet, name):
         super().__init__(fleet, name)
-        self.lender = team_rate_limits.Lender(self.clock)
+        self.lender = team_rate_limits.RateLeaseManager(self.clock)
         self.leased = {}
         self.renewed_ms = {}
 
--- a/benches/limits.py
+++ b/benches/limits.py
@@ -64,7 +64,7 @@
         super().__init__(fleet, name)
         region = (id(fleet), limited_fleet.region_of(name))
         self._lender = self.lenders.setdefault(
-            region, team_rate_limits.Lender(self.clock)
+            region, team_rate_limits.RateLeaseManager(self.clock)
         )
         self._name = name
         self._whole_per_s = fleet.limit.rate_per_s / limited_fleet.REGIONS
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -36,7 +36,7 @@
 )
 def test_leases_never_add_up_to_more_than_the_whole(asks):
     clock = FakeClock()
-    lender = team_rate_limits.Lender(clock)
+    lender = team_rate_limits.RateLeaseManager(clock)
     held = {}
     for host, wanted, later_ms in asks:
         clock.now_ms += later_ms
@@ -48,7 +48,7 @@
 
 def test_host_that_asks_alone_gets_the_whole():
     clock = FakeClock()
-    lender = team_rate_limits.Lender(clock)
+    lender = team_rate_limits.RateLeaseManager(clock)
     for host in HOSTS:
         lender.grant('blue', host, 5.0, 30.0)
     clock.now_ms += team_rate_limits.LEASE_MS + 1
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -156,7 +156,7 @@
 
 
 def share_within_a_data_centre(clock):
-    made = team_rate_limits.Lender(clock)
+    made = team_rate_limits.RateLeaseManager(clock)
     made.grant('t', 'a', 10.0, 10.0)
     return lambda: made.grant('t', 'b', 10.0, 10.0) < 10.0
 
--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -63,7 +63,7 @@
     expires_at_ms: int
 
 
-class Lender:
+class RateLeaseManager:
     """Split teams' rates among the hosts that ask for them."""
 
     def __init__(self, clock: clocks.Clock):
@@ -125,7 +125,7 @@
         self._replica = held
         self._clock = clock
         self._buckets: dict[str, TeamTokenBucket] = {}
-        self._lender = Lender(clock)
+        self._lender = RateLeaseManager(clock)
         self._tasks = runtime.Tasks()
         peers.answers(messages.AskLeases)(self._answer)
 
