--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -74,7 +74,7 @@
         self,
         team: str,
         host: ids.HostId,
-        wanted_per_s: float,
+        demand_per_s: float,
         whole_per_s: float,
     ) -> float:
         """Lease a host its part of ``whole_per_s``, by what is wanted.
@@ -89,7 +89,7 @@
             if lease.until_ms > now_ms
         }
         others = [lease for name, lease in leases.items() if name != host]
-        wanted = max(wanted_per_s, MIN_DEMAND_PER_S)
+        wanted = max(demand_per_s, MIN_DEMAND_PER_S)
         all_wanted = wanted + sum(one.demand_per_s for one in others)
         taken = sum(one.rate_per_s for one in others)
         fair = whole_per_s * wanted / all_wanted
