--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -75,7 +75,7 @@
         team: str,
         host: ids.HostId,
         demand_per_s: float,
-        whole_per_s: float,
+        total_per_s: float,
     ) -> float:
         """Lease a host its part of ``whole_per_s``, by what is wanted.
 
@@ -92,8 +92,8 @@
         wanted = max(demand_per_s, MIN_DEMAND_PER_S)
         all_wanted = wanted + sum(one.demand_per_s for one in others)
         taken = sum(one.rate_per_s for one in others)
-        fair = whole_per_s * wanted / all_wanted
-        rate = max(0.0, min(fair, whole_per_s - taken))
+        fair = total_per_s * wanted / all_wanted
+        rate = max(0.0, min(fair, total_per_s - taken))
         leases[host] = RateLease(wanted, rate, now_ms + LEASE_MS)
         self._leases[team] = leases
         return rate
