--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -89,12 +89,12 @@
             if lease.until_ms > now_ms
         }
         others = [lease for name, lease in leases.items() if name != host]
-        wanted = max(demand_per_s, MIN_DEMAND_PER_S)
-        all_wanted = wanted + sum(one.demand_per_s for one in others)
+        demand = max(demand_per_s, MIN_DEMAND_PER_S)
+        all_wanted = demand + sum(one.demand_per_s for one in others)
         taken = sum(one.rate_per_s for one in others)
-        fair = total_per_s * wanted / all_wanted
+        fair = total_per_s * demand / all_wanted
         rate = max(0.0, min(fair, total_per_s - taken))
-        leases[host] = RateLease(wanted, rate, now_ms + LEASE_MS)
+        leases[host] = RateLease(demand, rate, now_ms + LEASE_MS)
         self._leases[team] = leases
         return rate
 
