--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -90,9 +90,9 @@
         }
         others = [lease for name, lease in leases.items() if name != host]
         demand = max(demand_per_s, MIN_DEMAND_PER_S)
-        all_wanted = demand + sum(one.demand_per_s for one in others)
+        total_demand = demand + sum(one.demand_per_s for one in others)
         taken = sum(one.rate_per_s for one in others)
-        fair = total_per_s * demand / all_wanted
+        fair = total_per_s * demand / total_demand
         rate = max(0.0, min(fair, total_per_s - taken))
         leases[host] = RateLease(demand, rate, now_ms + LEASE_MS)
         self._leases[team] = leases
