--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -296,7 +296,7 @@
     Switch(
         'leases not counted',
         DECISIONS + 'serving/team_rate_limits.py',
-        ('min(fair, total_per_s - taken)'),
+        ('min(fair, total_per_s - leased)'),
         ('fair'),
         (
             'tests/test_shares.py::test_leases_never_add_up_to_more_'
