--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -296,8 +296,8 @@
     Switch(
         'leases not counted',
         DECISIONS + 'serving/team_rate_limits.py',
-        ('min(fair, total_per_s - leased)'),
-        ('fair'),
+        ('min(fair_share, total_per_s - leased)'),
+        ('fair_share'),
         (
             'tests/test_shares.py::test_leases_never_add_up_to_more_'
             'than_the_whole'
--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -92,8 +92,8 @@
         demand = max(demand_per_s, MIN_DEMAND_PER_S)
         total_demand = demand + sum(one.demand_per_s for one in others)
         leased = sum(one.rate_per_s for one in others)
-        fair = total_per_s * demand / total_demand
-        rate = max(0.0, min(fair, total_per_s - leased))
+        fair_share = total_per_s * demand / total_demand
+        rate = max(0.0, min(fair_share, total_per_s - leased))
         leases[host] = RateLease(demand, rate, now_ms + LEASE_MS)
         self._leases[team] = leases
         return rate
