--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -65,7 +65,7 @@
         streamer: streams.StreamServer,
         once_server: once.OnceServer,
         forwarder: forwarding.Forwarder,
-        team_shares: team_rate_limits.TeamShares,
+        team_shares: team_rate_limits.TeamRateLimiter,
         book: ledger.Ledger,
         noted: decisions.DecisionLog,
         guard: guards.Guard,
--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -99,7 +99,7 @@
         return rate
 
 
-class TeamShares:
+class TeamRateLimiter:
     """Admit requests of teams within this host's share of their limits."""
 
     def __init__(
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -118,7 +118,7 @@
             self._clock,
             lambda _ping: messages.Pong(self.members.draining),
         )
-        self._shares = team_rate_limits.TeamShares(
+        self._shares = team_rate_limits.TeamRateLimiter(
             self._deployment,
             self._own,
             self.peers,
