--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -107,7 +107,7 @@
         deployment: settings.Deployment,
         host: settings.HostSettings,
         peers: peer_calls.Peers,
-        watched: members.Members,
+        host_members: members.Members,
         held: replica.Replica,
         clock: clocks.Clock,
     ):
@@ -121,7 +121,7 @@
         self._data_centre_share = self._in_data_centre / len(in_region)
         self._regions = {one.region for one in entries}
         self._peers = peers
-        self._members = watched
+        self._members = host_members
         self._replica = held
         self._clock = clock
         self._buckets: dict[str, TeamTokenBucket] = {}
