--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -108,7 +108,7 @@
         host: settings.HostSettings,
         peers: peer_calls.Peers,
         host_members: members.Members,
-        held: replica.Replica,
+        config_replica: replica.Replica,
         clock: clocks.Clock,
     ):
         self._host = ids.HostId(host.host)
@@ -122,7 +122,7 @@
         self._regions = {one.region for one in entries}
         self._peers = peers
         self._members = host_members
-        self._replica = held
+        self._replica = config_replica
         self._clock = clock
         self._buckets: dict[str, TeamTokenBucket] = {}
         self._lender = RateLeaseManager(clock)
