--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -115,10 +115,10 @@
         self._region = host.region
         entries = deployment.with_role('entry')
         in_region = [one for one in entries if one.region == host.region]
-        self._in_data_centre = sum(
+        self._data_centre_hosts = sum(
             one.data_centre == host.data_centre for one in in_region
         )
-        self._data_centre_share = self._in_data_centre / len(in_region)
+        self._data_centre_share = self._data_centre_hosts / len(in_region)
         self._regions = {one.region for one in entries}
         self._peers = peers
         self._members = host_members
@@ -162,7 +162,7 @@
         return limit.requests_per_s * share
 
     def _equal_part(self, limit: configuration.TeamLimit) -> float:
-        return self._whole_per_s(limit) / self._in_data_centre
+        return self._whole_per_s(limit) / self._data_centre_hosts
 
     def _first_bucket(
         self, limit: configuration.TeamLimit, now_ms: int
