--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -125,7 +125,7 @@
         self._replica = config_replica
         self._clock = clock
         self._buckets: dict[str, TeamTokenBucket] = {}
-        self._lender = RateLeaseManager(clock)
+        self._lease_manager = RateLeaseManager(clock)
         self._tasks = runtime.Tasks()
         peers.answers(messages.AskLeases)(self._answer)
 
@@ -232,7 +232,7 @@
             limit = self._replica.current.limits.get(asked.team)
             if limit is None:
                 continue
-            rate = self._lender.grant(
+            rate = self._lease_manager.grant(
                 asked.team, host, asked.rate_per_s, self._whole_per_s(limit)
             )
             granted.append(messages.TeamRate(asked.team, rate))
