--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -151,7 +151,7 @@
             bucket.rate_per_s = self._equal_part(limit)
         return bucket.take_token(now_ms)
 
-    def _whole_per_s(self, limit: configuration.TeamLimit) -> float:
+    def _data_centre_rate_per_s(self, limit: configuration.TeamLimit) -> float:
         """Return the part of a limit that this data centre has."""
         weights = limit.regions or dict.fromkeys(self._regions, 1.0)
         whole = sum(weights.values())
@@ -162,7 +162,7 @@
         return limit.requests_per_s * share
 
     def _equal_part(self, limit: configuration.TeamLimit) -> float:
-        return self._whole_per_s(limit) / self._data_centre_hosts
+        return self._data_centre_rate_per_s(limit) / self._data_centre_hosts
 
     def _first_bucket(
         self, limit: configuration.TeamLimit, now_ms: int
@@ -233,7 +233,10 @@
             if limit is None:
                 continue
             rate = self._lease_manager.grant(
-                asked.team, host, asked.rate_per_s, self._whole_per_s(limit)
+                asked.team,
+                host,
+                asked.rate_per_s,
+                self._data_centre_rate_per_s(limit),
             )
             granted.append(messages.TeamRate(asked.team, rate))
         return granted
