--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -154,10 +154,10 @@
     def _data_centre_rate_per_s(self, limit: configuration.TeamLimit) -> float:
         """Return the part of a limit that this data centre has."""
         weights = limit.regions or dict.fromkeys(self._regions, 1.0)
-        whole = sum(weights.values())
-        if not whole:
+        total_weight = sum(weights.values())
+        if not total_weight:
             return 0.0
-        region_share = weights.get(self._region, 0.0) / whole
+        region_share = weights.get(self._region, 0.0) / total_weight
         share = region_share * self._data_centre_share
         return limit.requests_per_s * share
 
