--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -148,7 +148,7 @@
             bucket = self._buckets[team] = self._first_bucket(limit, now_ms)
         bucket.request_count += 1
         if bucket.leased_until_ms < now_ms:
-            bucket.rate_per_s = self._equal_part(limit)
+            bucket.rate_per_s = self._equal_share_per_s(limit)
         return bucket.take_token(now_ms)
 
     def _data_centre_rate_per_s(self, limit: configuration.TeamLimit) -> float:
@@ -161,15 +161,17 @@
         share = region_share * self._data_centre_share
         return limit.requests_per_s * share
 
-    def _equal_part(self, limit: configuration.TeamLimit) -> float:
+    def _equal_share_per_s(self, limit: configuration.TeamLimit) -> float:
         return self._data_centre_rate_per_s(limit) / self._data_centre_hosts
 
     def _first_bucket(
         self, limit: configuration.TeamLimit, now_ms: int
     ) -> TeamTokenBucket:
-        part = self._equal_part(limit) / limit.requests_per_s
+        part = self._equal_share_per_s(limit) / limit.requests_per_s
         burst = max(1.0, limit.burst * part)
-        return TeamTokenBucket(self._equal_part(limit), burst, burst, now_ms)
+        return TeamTokenBucket(
+            self._equal_share_per_s(limit), burst, burst, now_ms
+        )
 
     def _lender_of(self, team: str) -> ids.HostId:
         live = [
