--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -145,7 +145,7 @@
         now_ms = self._clock.mono_ms()
         bucket = self._buckets.get(team)
         if bucket is None:
-            bucket = self._buckets[team] = self._first_bucket(limit, now_ms)
+            bucket = self._buckets[team] = self._new_bucket(limit, now_ms)
         bucket.request_count += 1
         if bucket.leased_until_ms < now_ms:
             bucket.rate_per_s = self._equal_share_per_s(limit)
@@ -164,7 +164,7 @@
     def _equal_share_per_s(self, limit: configuration.TeamLimit) -> float:
         return self._data_centre_rate_per_s(limit) / self._data_centre_hosts
 
-    def _first_bucket(
+    def _new_bucket(
         self, limit: configuration.TeamLimit, now_ms: int
     ) -> TeamTokenBucket:
         part = self._equal_share_per_s(limit) / limit.requests_per_s
