--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -173,7 +173,7 @@
             self._equal_share_per_s(limit), burst, burst, now_ms
         )
 
-    def _lender_of(self, team: str) -> ids.HostId:
+    def _lender_host(self, team: str) -> ids.HostId:
         live = [
             host for host in self._members.near if self._members.alive(host)
         ]
@@ -191,7 +191,7 @@
                 bucket.asked = 0
                 if rate == 0 and bucket.leased_until_ms == 0:
                     continue
-                lender = self._lender_of(team)
+                lender = self._lender_host(team)
                 wanted.setdefault(lender, []).append(
                     messages.TeamRate(team, rate)
                 )
