--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -131,7 +131,7 @@
 
     def start(self) -> None:
         """Begin to renew leases."""
-        self._tasks.start(self._renew())
+        self._tasks.start(self._renew_leases())
 
     async def close(self) -> None:
         """End the task."""
@@ -179,7 +179,7 @@
         ]
         return ids.HostId(routing.rendezvous(team, [*live, self._host])[0])
 
-    async def _renew(self) -> None:
+    async def _renew_leases(self) -> None:
         while True:
             await self._clock.sleep_ms(RENEW_MS)
             wanted: dict[ids.HostId, list[messages.TeamRate]] = {}
