--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -196,9 +196,9 @@
                     messages.TeamRate(team, rate)
                 )
             for lender, rates in wanted.items():
-                await self._ask(lender, rates)
+                await self._request_leases(lender, rates)
 
-    async def _ask(
+    async def _request_leases(
         self, lender: ids.HostId, rates: list[messages.TeamRate]
     ) -> None:
         if lender == self._host:
