--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -204,7 +204,7 @@
         if lender == self._host:
             granted = self._lend(self._host, rates)
         else:
-            granted = await self._ask_peer(lender, rates)
+            granted = await self._request_leases_from_peer(lender, rates)
         until_ms = self._clock.mono_ms() + LEASE_MS
         for grant in granted:
             bucket = self._buckets.get(grant.team)
@@ -213,7 +213,7 @@
             bucket.rate_per_s = grant.rate_per_s
             bucket.leased_until_ms = until_ms
 
-    async def _ask_peer(
+    async def _request_leases_from_peer(
         self, lender: ids.HostId, rates: list[messages.TeamRate]
     ) -> list[messages.TeamRate]:
         try:
