--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -202,7 +202,7 @@
         self, lender: ids.HostId, rates: list[messages.TeamRate]
     ) -> None:
         if lender == self._host:
-            granted = self._lend(self._host, rates)
+            granted = self._grant_leases(self._host, rates)
         else:
             granted = await self._request_leases_from_peer(lender, rates)
         until_ms = self._clock.mono_ms() + LEASE_MS
@@ -226,7 +226,7 @@
             return []
         return answer.granted
 
-    def _lend(
+    def _grant_leases(
         self, host: ids.HostId, rates: list[messages.TeamRate]
     ) -> list[messages.TeamRate]:
         granted = []
@@ -246,4 +246,4 @@
     async def _answer(
         self, sender: ids.HostId, message: messages.AskLeases
     ) -> messages.Leases:
-        return messages.Leases(self._lend(sender, message.wanted))
+        return messages.Leases(self._grant_leases(sender, message.wanted))
