--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -127,7 +127,7 @@
         self._buckets: dict[str, TeamTokenBucket] = {}
         self._lease_manager = RateLeaseManager(clock)
         self._tasks = runtime.Tasks()
-        peers.answers(messages.AskLeases)(self._answer)
+        peers.answers(messages.AskLeases)(self._handle_ask_leases)
 
     def start(self) -> None:
         """Begin to renew leases."""
@@ -243,7 +243,7 @@
             granted.append(messages.TeamRate(asked.team, rate))
         return granted
 
-    async def _answer(
+    async def _handle_ask_leases(
         self, sender: ids.HostId, message: messages.AskLeases
     ) -> messages.Leases:
         return messages.Leases(self._grant_leases(sender, message.wanted))
