--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -33,7 +33,7 @@
 logger = structlog.get_logger(__name__)
 
 # Reasons given by the ledger, or before any attempt could have run.
-BY_LEDGER = frozenset(
+DEFINITIVE_REASONS = frozenset(
     [
         outcomes.Reason.CLAIM_REFUSED,
         outcomes.Reason.LEDGER_UNREACHABLE,
@@ -484,7 +484,7 @@
     """
     if ending.outcome is not outcomes.Outcome.NOT_RUN or not head.resend:
         return ending
-    if ending.reason in BY_LEDGER:
+    if ending.reason in DEFINITIVE_REASONS:
         return ending
     return msgspec.structs.replace(ending, outcome=outcomes.Outcome.UNKNOWN)
 
