--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -350,7 +350,7 @@
     Switch(
         'not leaving home',
         DECISIONS + 'serving/gateway.py',
-        ('        if ending.reason not in NO_CAPACITY:'),
+        ('        if ending.reason not in FAILOVER_REASONS:'),
         ('        if True:'),
         (
             'tests/test_regions.py::test_work_goes_away_from_a_home_'
--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -42,7 +42,7 @@
 )
 
 # Reasons for which another region may do better.
-NO_CAPACITY = frozenset(
+FAILOVER_REASONS = frozenset(
     [
         outcomes.Reason.NO_ENDPOINT,
         outcomes.Reason.OVERLOAD,
@@ -211,7 +211,7 @@
         """Return a region for what this one could not even begin."""
         if ending.outcome is not outcomes.Outcome.NOT_RUN or reply.started:
             return None
-        if ending.reason not in NO_CAPACITY:
+        if ending.reason not in FAILOVER_REASONS:
             return None
         if head.bound or head.once or head.forwarded:
             return None
