--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -58,7 +58,7 @@
         self,
         deployment: settings.Deployment,
         host: settings.HostSettings,
-        held: replica.Replica,
+        config_replica: replica.Replica,
         watched: members.Members,
         placer: placement.EndpointScheduler,
         server: local_server.LocalServer,
@@ -74,7 +74,7 @@
         self._deployment = deployment
         self._settings = deployment.entry
         self._host = host
-        self._replica = held
+        self._replica = config_replica
         self._members = watched
         self._placer = placer
         self._server = server
