--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -59,7 +59,7 @@
         deployment: settings.Deployment,
         host: settings.HostSettings,
         config_replica: replica.Replica,
-        watched: members.Members,
+        host_members: members.Members,
         placer: placement.EndpointScheduler,
         server: local_server.LocalServer,
         streamer: streams.StreamServer,
@@ -75,7 +75,7 @@
         self._settings = deployment.entry
         self._host = host
         self._replica = config_replica
-        self._members = watched
+        self._members = host_members
         self._placer = placer
         self._server = server
         self._streams = streamer
