--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -60,7 +60,7 @@
         host: settings.HostSettings,
         config_replica: replica.Replica,
         host_members: members.Members,
-        placer: placement.EndpointScheduler,
+        scheduler: placement.EndpointScheduler,
         server: local_server.LocalServer,
         streamer: streams.StreamServer,
         once_server: once.OnceServer,
@@ -76,7 +76,7 @@
         self._host = host
         self._replica = config_replica
         self._members = host_members
-        self._placer = placer
+        self._placer = scheduler
         self._server = server
         self._streams = streamer
         self._once = once_server
