--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -65,7 +65,7 @@
         streamer: streams.StreamServer,
         once_server: once.OnceServer,
         forwarder: forwarding.Forwarder,
-        team_shares: team_rate_limits.TeamRateLimiter,
+        team_limiter: team_rate_limits.TeamRateLimiter,
         book: ledger.Ledger,
         noted: decisions.DecisionLog,
         guard: guards.Guard,
@@ -81,7 +81,7 @@
         self._streams = streamer
         self._once = once_server
         self._forwarder = forwarder
-        self._shares = team_shares
+        self._shares = team_limiter
         self._ledger = book
         self._decisions = noted
         self._guard = guard
