--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -66,7 +66,7 @@
         once_server: once.OnceServer,
         forwarder: forwarding.Forwarder,
         team_limiter: team_rate_limits.TeamRateLimiter,
-        book: ledger.Ledger,
+        once_ledger: ledger.Ledger,
         noted: decisions.DecisionLog,
         guard: guards.Guard,
         clock: clocks.Clock,
@@ -82,7 +82,7 @@
         self._once = once_server
         self._forwarder = forwarder
         self._shares = team_limiter
-        self._ledger = book
+        self._ledger = once_ledger
         self._decisions = noted
         self._guard = guard
         self._clock = clock
