--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -67,7 +67,7 @@
         forwarder: forwarding.Forwarder,
         team_limiter: team_rate_limits.TeamRateLimiter,
         once_ledger: ledger.Ledger,
-        noted: decisions.DecisionLog,
+        decision_log: decisions.DecisionLog,
         guard: guards.Guard,
         clock: clocks.Clock,
     ):
@@ -83,7 +83,7 @@
         self._forwarder = forwarder
         self._shares = team_limiter
         self._ledger = once_ledger
-        self._decisions = noted
+        self._decisions = decision_log
         self._guard = guard
         self._clock = clock
         self._in_flight = 0
