--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -76,7 +76,7 @@
         self._host = host
         self._replica = config_replica
         self._members = host_members
-        self._placer = scheduler
+        self._scheduler = scheduler
         self._server = server
         self._streams = streamer
         self._once = once_server
@@ -357,7 +357,7 @@
         if head.forwarded:
             return own
         left_ms = head.deadline_ms - self._clock.mono_ms()
-        if self._placer.estimate_response_ms(head) <= left_ms:
+        if self._scheduler.estimate_response_ms(head) <= left_ms:
             return own
         return self._nearest_with(head) or own
 
