--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -81,7 +81,7 @@
         self._streams = streamer
         self._once = once_server
         self._forwarder = forwarder
-        self._shares = team_limiter
+        self._team_limiter = team_limiter
         self._ledger = once_ledger
         self._decisions = decision_log
         self._guard = guard
@@ -261,7 +261,7 @@
         """
         if head.forwarded:
             return
-        wait_ms = self._shares.admit(head.team)
+        wait_ms = self._team_limiter.admit(head.team)
         if wait_ms:
             raise errors.EndedError(
                 outcomes.Ending(
