--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -90,7 +90,7 @@
         self._idle = asyncio.Event()
         self._idle.set()
         self._closing = False
-        self.ended: dict[str, int] = {}
+        self.outcome_counts: dict[str, int] = {}
 
     @property
     def in_flight(self) -> int:
@@ -138,7 +138,7 @@
     ) -> None:
         whole = isinstance(ending, str)
         outcome = ending if whole else ending.outcome.value
-        self.ended[outcome] = self.ended.get(outcome, 0) + 1
+        self.outcome_counts[outcome] = self.outcome_counts.get(outcome, 0) + 1
         self._decisions.note(
             'ended',
             head.request,
@@ -448,7 +448,7 @@
             'serving': self._replica.serving,
             'draining': self._members.draining,
             'in_flight': self._in_flight,
-            'ended': self.ended,
+            'ended': self.outcome_counts,
             'ledger_keys': self._ledger.held,
             'sent_to_endpoints': self._server.dispatcher.sent,
             'retries_spent': self._server.budget.spent,
