--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -120,17 +120,17 @@
         started_ms = self._clock.mono_ms()
         try:
             await self._route(head, body, reply)
-            self._note_end(head, 'whole', started_ms)
+            self._record_outcome(head, 'whole', started_ms)
         except errors.EndedError as error:
             ending = _truthful(head, error.ending)
-            self._note_end(head, ending, started_ms)
+            self._record_outcome(head, ending, started_ms)
             await reply.end(ending)
         finally:
             self._in_flight -= 1
             if self._in_flight == 0:
                 self._idle.set()
 
-    def _note_end(
+    def _record_outcome(
         self,
         head: requests.RequestHead,
         ending: outcomes.Ending | str,
