--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -191,7 +191,7 @@
         try:
             await self._serve_here(head, key, body, reply)
         except errors.EndedError as error:
-            other = self._way_out(head, error.ending, reply)
+            other = self._failover_region(head, error.ending, reply)
             if other is None:
                 raise
             self._decisions.note(
@@ -202,7 +202,7 @@
             )
             await self._forwarder.forward(head, body, other, reply)
 
-    def _way_out(
+    def _failover_region(
         self,
         head: requests.RequestHead,
         ending: outcomes.Ending,
