--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -191,16 +191,16 @@
         try:
             await self._serve_here(head, key, body, reply)
         except errors.EndedError as error:
-            other = self._failover_region(head, error.ending, reply)
-            if other is None:
+            failover_region = self._failover_region(head, error.ending, reply)
+            if failover_region is None:
                 raise
             self._decisions.note(
                 'sent_away',
                 head.request,
-                region=other,
+                region=failover_region,
                 reason=error.ending.reason,
             )
-            await self._forwarder.forward(head, body, other, reply)
+            await self._forwarder.forward(head, body, failover_region, reply)
 
     def _failover_region(
         self,
