--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -164,7 +164,7 @@
             raise self._bad_request(
                 'service', f'{head.service!r} is unknown here'
             )
-        head = _with_digest(self._with_team(head), body)
+        head = _with_digest(self._authenticate(head), body)
         self._check_quarantine(head)
         self._check_team(head)
         head, key = self._with_rules(head)
@@ -219,7 +219,9 @@
             return None
         return self._nearest_with(head)
 
-    def _with_team(self, head: requests.RequestHead) -> requests.RequestHead:
+    def _authenticate(
+        self, head: requests.RequestHead
+    ) -> requests.RequestHead:
         """Return a request of the team that its key proves.
 
         Until a key was issued callers name their teams themselves. A
