--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -166,7 +166,7 @@
             )
         head = _with_digest(self._authenticate(head), body)
         self._check_quarantine(head)
-        self._check_team(head)
+        self._check_team_limit(head)
         head, key = self._with_rules(head)
         reply.request_id = head.request
         region = self._region_for(head, key)
@@ -255,7 +255,7 @@
                 )
             )
 
-    def _check_team(self, head: requests.RequestHead) -> None:
+    def _check_team_limit(self, head: requests.RequestHead) -> None:
         """Turn a request away that is over its team's limit.
 
         The host that a caller asked counts it; a forwarded one has been
