--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -189,7 +189,7 @@
             await self._forwarder.forward(head, body, region, reply)
             return
         try:
-            await self._serve_here(head, key, body, reply)
+            await self._serve_locally(head, key, body, reply)
         except errors.EndedError as error:
             failover_region = self._failover_region(head, error.ending, reply)
             if failover_region is None:
@@ -274,7 +274,7 @@
                 )
             )
 
-    async def _serve_here(
+    async def _serve_locally(
         self,
         head: requests.RequestHead,
         key: requests.OnceKey | None,
