--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -167,7 +167,7 @@
         head = _with_digest(self._authenticate(head), body)
         self._check_quarantine(head)
         self._check_team_limit(head)
-        head, key = self._with_rules(head)
+        head, key = self._apply_rules(head)
         reply.request_id = head.request
         region = self._region_for(head, key)
         self._decisions.note(
@@ -292,7 +292,7 @@
             answer.status, answer.headers, answer.body, answer.outcome
         )
 
-    def _with_rules(
+    def _apply_rules(
         self, head: requests.RequestHead
     ) -> tuple[requests.RequestHead, requests.OnceKey | None]:
         """Apply the operators' rules, which a caller can't loosen."""
