--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -313,7 +313,7 @@
                 headers.HOME,
                 f'found {head.home!r}; one of {sorted(regions)} is allowed',
             )
-        key = self._key(head, bound) if is_once else None
+        key = self._once_key(head, bound) if is_once else None
         changed = msgspec.structs.replace(
             head,
             bound=bound,
@@ -323,7 +323,7 @@
         )
         return changed, key
 
-    def _key(
+    def _once_key(
         self, head: requests.RequestHead, bound: bool
     ) -> requests.OnceKey:
         if head.minted:
