--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -169,7 +169,7 @@
         self._check_team_limit(head)
         head, key = self._apply_rules(head)
         reply.request_id = head.request
-        region = self._region_for(head, key)
+        region = self._select_region(head, key)
         self._decisions.note(
             'routed',
             head.request,
@@ -348,7 +348,7 @@
             )
         return key
 
-    def _region_for(
+    def _select_region(
         self, head: requests.RequestHead, key: requests.OnceKey | None
     ) -> ids.RegionId:
         if head.bound:
