--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -217,7 +217,7 @@
             return None
         if head.priority is requests.Priority.LOW:
             return None
-        return self._nearest_with(head)
+        return self._nearest_region_serving(head)
 
     def _authenticate(
         self, head: requests.RequestHead
@@ -361,9 +361,11 @@
         left_ms = head.deadline_ms - self._clock.mono_ms()
         if self._scheduler.estimate_response_ms(head) <= left_ms:
             return own
-        return self._nearest_with(head) or own
+        return self._nearest_region_serving(head) or own
 
-    def _nearest_with(self, head: requests.RequestHead) -> ids.RegionId | None:
+    def _nearest_region_serving(
+        self, head: requests.RequestHead
+    ) -> ids.RegionId | None:
         """Return the nearest other region that could serve a request."""
         own = self._host.region
         regions = {
