--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -151,12 +151,12 @@
         self, head: requests.RequestHead, body: bytes, reply: replies.Reply
     ) -> None:
         if not self._replica.serving:
-            raise self._not_run(
+            raise self._not_run_error(
                 outcomes.Reason.NO_CONFIGURATION,
                 'this host holds no configuration yet; ask another',
             )
         if self._closing:
-            raise self._not_run(
+            raise self._not_run_error(
                 outcomes.Reason.DRAINING,
                 'this host is leaving; ask the directory for another',
             )
@@ -182,7 +182,7 @@
         )
         if region != self._host.region:
             if head.forwarded:
-                raise self._not_run(
+                raise self._not_run_error(
                     outcomes.Reason.HOP_LIMIT,
                     f'was passed on already and belongs in {region}',
                 )
@@ -393,7 +393,7 @@
             default=None,
         )
 
-    def _not_run(
+    def _not_run_error(
         self, reason: outcomes.Reason, detail: str
     ) -> errors.EndedError:
         return errors.EndedError(
