--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -161,7 +161,7 @@
                 'this host is leaving; ask the directory for another',
             )
         if head.service not in self._replica.current.services:
-            raise self._bad_request(
+            raise self._bad_request_error(
                 'service', f'{head.service!r} is unknown here'
             )
         head = _with_digest(self._authenticate(head), body)
@@ -304,12 +304,12 @@
             is_once |= rule.once
         regions = {host.region for host in self._deployment.hosts}
         if bound and head.home is None:
-            raise self._bad_request(
+            raise self._bad_request_error(
                 headers.HOME,
                 'required: this request must stay in its home region',
             )
         if head.home is not None and head.home not in regions:
-            raise self._bad_request(
+            raise self._bad_request_error(
                 headers.HOME,
                 f'found {head.home!r}; one of {sorted(regions)} is allowed',
             )
@@ -332,16 +332,18 @@
         try:
             key = requests.parse_once_key(head.request)
         except protocol_errors.BadRequestError as error:
-            raise self._bad_request(error.field, error.problem) from error
+            raise self._bad_request_error(
+                error.field, error.problem
+            ) from error
         regions = {host.region for host in self._deployment.hosts}
         if key.region not in regions:
-            raise self._bad_request(
+            raise self._bad_request_error(
                 headers.REQUEST,
                 f'found region {key.region!r}; one of {sorted(regions)} '
                 'is allowed',
             )
         if bound and key.region != head.home:
-            raise self._bad_request(
+            raise self._bad_request_error(
                 headers.REQUEST,
                 f'found region {key.region!r}; a request bound to '
                 f'{head.home} needs a key of that region',
@@ -405,7 +407,9 @@
             )
         )
 
-    def _bad_request(self, field: str, problem: str) -> errors.EndedError:
+    def _bad_request_error(
+        self, field: str, problem: str
+    ) -> errors.EndedError:
         return errors.EndedError(
             outcomes.Ending(
                 outcomes.Outcome.NOT_RUN,
