--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -122,7 +122,7 @@
             await self._route(head, body, reply)
             self._record_outcome(head, 'whole', started_ms)
         except errors.EndedError as error:
-            ending = _truthful(head, error.ending)
+            ending = _adjust_for_resend(head, error.ending)
             self._record_outcome(head, ending, started_ms)
             await reply.end(ending)
         finally:
@@ -482,7 +482,7 @@
         return None
 
 
-def _truthful(
+def _adjust_for_resend(
     head: requests.RequestHead, ending: outcomes.Ending
 ) -> outcomes.Ending:
     """Say of a resend only what is known of the attempts before it.
