--- a/tests/endpoints.py
+++ b/tests/endpoints.py
@@ -27,7 +27,7 @@
     def __init__(self, answer):
         self.answer = answer
         self.requests = []
-        self.gone = asyncio.Event()
+        self.peer_closed = asyncio.Event()
         self.address = ''
         self._server = None
         self._writers = set()
@@ -63,7 +63,7 @@
                     if not await self._write(piece, reader, writer):
                         return
         except (asyncio.IncompleteReadError, ConnectionError):
-            self.gone.set()
+            self.peer_closed.set()
         finally:
             self._writers.discard(writer)
             writer.close()
@@ -79,7 +79,7 @@
         if piece is self.STALL:
             # Until the other side closes.
             await reader.read()
-            self.gone.set()
+            self.peer_closed.set()
             return False
         writer.write(piece)
         await writer.drain()
