--- a/tests/endpoints.py
+++ b/tests/endpoints.py
@@ -38,7 +38,7 @@
         self.address = f'{ip}:{port}'
         return self
 
-    def stop_listening(self):
+    def abort_all(self):
         """End as a process does: break all off, refuse new ones."""
         self._server.close()
         for writer in list(self._writers):
@@ -50,7 +50,7 @@
         self._server = await asyncio.start_server(self._serve, ip, int(port))
 
     async def close(self):
-        self.stop_listening()
+        self.abort_all()
 
     async def _serve(self, reader, writer):
         self._writers.add(writer)
--- a/tests/test_fatal_requests.py
+++ b/tests/test_fatal_requests.py
@@ -68,7 +68,7 @@
             return
         self._ends.append(sent)
         self.ended = True
-        self._endpoint.stop_listening()
+        self._endpoint.abort_all()
         yield RESET
 
     async def come_back(self):
