--- a/tests/endpoints.py
+++ b/tests/endpoints.py
@@ -44,7 +44,7 @@
         for writer in list(self._writers):
             writer.transport.abort()
 
-    async def listen_again(self):
+    async def listen_at_same_address(self):
         """Be back at the same address."""
         ip, _, port = self.address.rpartition(':')
         self._server = await asyncio.start_server(self._serve, ip, int(port))
--- a/tests/test_fatal_requests.py
+++ b/tests/test_fatal_requests.py
@@ -74,7 +74,7 @@
     async def come_back(self):
         if self.ended:
             self.ended = False
-            await self._endpoint.listen_again()
+            await self._endpoint.listen_at_same_address()
 
     async def close(self):
         await self._endpoint.close()
