--- a/tests/endpoints.py
+++ b/tests/endpoints.py
@@ -116,7 +116,7 @@
     the bytes and the reset together.
     """
 
-    HOLD_S = 0.3
+    BLOCK_LOOP_S = 0.3
 
     def __init__(self, answer):
         self._answer = answer
@@ -134,7 +134,7 @@
 
         def hold():
             held.set()
-            time.sleep(self.HOLD_S)
+            time.sleep(self.BLOCK_LOOP_S)
 
         self._loop.call_soon_threadsafe(hold)
         held.wait()
