--- a/tests/endpoints.py
+++ b/tests/endpoints.py
@@ -130,14 +130,14 @@
     def _serve(self):
         opened, _address = self._listening.accept()
         request = opened.recv(65536)
-        held = threading.Event()
+        loop_blocked = threading.Event()
 
         def hold():
-            held.set()
+            loop_blocked.set()
             time.sleep(self.BLOCK_LOOP_S)
 
         self._loop.call_soon_threadsafe(hold)
-        held.wait()
+        loop_blocked.wait()
         opened.sendall(self._answer(request))
         opened.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_0)
         opened.close()
