--- a/tests/endpoints.py
+++ b/tests/endpoints.py
@@ -132,11 +132,11 @@
         request = opened.recv(65536)
         loop_blocked = threading.Event()
 
-        def hold():
+        def block_loop():
             loop_blocked.set()
             time.sleep(self.BLOCK_LOOP_S)
 
-        self._loop.call_soon_threadsafe(hold)
+        self._loop.call_soon_threadsafe(block_loop)
         loop_blocked.wait()
         opened.sendall(self._answer(request))
         opened.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_0)
