--- a/tests/endpoints.py
+++ b/tests/endpoints.py
@@ -167,7 +167,7 @@
     return None if found is None else found.group(1).decode()
 
 
-def echo(request, name):
+def echo_header(request, name):
     """Return the header by which an answer names its request."""
     return f'{name}: {header(request, name)}\r\n'.encode()
 
--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -57,7 +57,7 @@
     """Return a whole answer's bytes."""
     return (
         f'HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n'.encode()
-        + endpoints.echo(sent, ID)
+        + endpoints.echo_header(sent, ID)
         + extra
         + b'\r\n'
         + body
@@ -68,7 +68,9 @@
     """Return a stream's head and its pieces, without the end."""
     head = (
         b'HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n'
-        b'Transfer-Encoding: chunked\r\n' + endpoints.echo(sent, ID) + b'\r\n'
+        b'Transfer-Encoding: chunked\r\n'
+        + endpoints.echo_header(sent, ID)
+        + b'\r\n'
     )
     return [head, *(b'%x\r\n%s\r\n' % (len(p), p) for p in pieces)]
 
@@ -208,7 +210,7 @@
     'cut short': lambda sent: [answer(sent)[:-2], CLOSE],
     'reset in the body': lambda sent: [answer(sent)[:-2], RESET],
     'no length and reset': lambda sent: [
-        b'HTTP/1.1 200 OK\r\n' + endpoints.echo(sent, ID) + b'\r\nwho',
+        b'HTTP/1.1 200 OK\r\n' + endpoints.echo_header(sent, ID) + b'\r\nwho',
         RESET,
     ],
     "another request's": lambda sent: [
@@ -246,7 +248,7 @@
     endpoint = endpoints.ResettingEndpoint(
         lambda sent: (
             b'HTTP/1.1 200 OK\r\nConnection: close\r\n'
-            + endpoints.echo(sent, ID)
+            + endpoints.echo_header(sent, ID)
             + b'\r\nwho'
         )
     )
@@ -261,7 +263,9 @@
     await system.add(
         'e',
         lambda sent, _number: [
-            b'HTTP/1.1 200 OK\r\n' + endpoints.echo(sent, ID) + b'\r\nwhole',
+            b'HTTP/1.1 200 OK\r\n'
+            + endpoints.echo_header(sent, ID)
+            + b'\r\nwhole',
             CLOSE,
         ],
     )
