--- a/tests/endpoints.py
+++ b/tests/endpoints.py
@@ -172,7 +172,7 @@
     return f'{name}: {header(request, name)}\r\n'.encode()
 
 
-async def ask(address, request, timeout_s=20):
+async def send_raw(address, request, timeout_s=20):
     """Send bytes and return what comes until the other side closes.
 
     An answer that is broken off by a reset ends with ``RESET``.
--- a/tests/test_endpoint_backoffs.py
+++ b/tests/test_endpoint_backoffs.py
@@ -112,7 +112,7 @@
                 **changes,
             )
             address = system.entries[host].node.callers_address
-            return await endpoints.ask(address, sent)
+            return await endpoints.send_raw(address, sent)
 
         system.ask = ask
         yield system
--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -107,7 +107,7 @@
         async def ask(host, number):
             sent = test_passing.request(request_id=f'q{number}')
             address = system.entries[host].node.callers_address
-            return await endpoints.ask(address, sent)
+            return await endpoints.send_raw(address, sent)
 
         system.ask = ask
         yield system
--- a/tests/test_far.py
+++ b/tests/test_far.py
@@ -83,7 +83,7 @@
     there = await system.add('e2', 'south-hall')
     await know_each_other(system)
     for number in range(6):
-        got = await endpoints.ask(
+        got = await endpoints.send_raw(
             system.north, request(request_id=f'q{number}')
         )
         assert got.endswith(b'whole')
@@ -103,7 +103,7 @@
         for number in range(3)
     ]
     await know_each_other(system)
-    got = await endpoints.ask(system.north, request())
+    got = await endpoints.send_raw(system.north, request())
     assert got.startswith(b'HTTP/1.1 500 ')
     assert passing.RUNS.encode() not in got
     assert sum(len(endpoint.requests) for endpoint in failing) == 2
@@ -113,7 +113,7 @@
     await system.put(route())
     there = await system.add('e2', 'south-hall')
     await know_each_other(system)
-    got = await endpoints.ask(system.north, request())
+    got = await endpoints.send_raw(system.north, request())
     assert got.endswith(b'whole') and len(there.requests) == 1
 
 
@@ -152,7 +152,7 @@
     await system.put(route(homes=homes))
     there = await system.add('e2', 'south-hall')
     await cut_north_from_south(system, monkeypatch)
-    got = await endpoints.ask(system.north, request())
+    got = await endpoints.send_raw(system.north, request())
     assert got.endswith(b'whole') is served
     assert len(there.requests) == served
     if not served:
@@ -167,9 +167,9 @@
     there = await system.add('e2', 'south-hall')
     west = await cut_north_from_south(system, monkeypatch)
     cold = await system.add('e3', 'west-hall', warmup_left_ms=60_000)
-    got = await endpoints.ask(system.north, request())
+    got = await endpoints.send_raw(system.north, request())
     assert got.endswith(b'whole') and len(there.requests) == 1
-    got = await endpoints.ask(
+    got = await endpoints.send_raw(
         west.node.callers_address, request(request_id='q2')
     )
     assert got.endswith(b'whole') and len(cold.requests) == 1
@@ -205,7 +205,7 @@
     gone = system.entries.pop()
     await gone.close()
     for number in range(6):
-        got = await endpoints.ask(
+        got = await endpoints.send_raw(
             system.north, request(request_id=f'q{number}')
         )
         assert got.endswith(b'whole')
@@ -214,7 +214,7 @@
 async def test_bound_call_is_not_run_where_home_has_no_endpoint(system):
     await system.put(route(homes=('south',)))
     here = await system.add('e1', 'north-hall')
-    got = await endpoints.ask(system.north, request())
+    got = await endpoints.send_raw(system.north, request())
     assert got.startswith(b'HTTP/1.1 503 ') and b'Retry-After' in got
     assert here.requests == []
 
@@ -274,7 +274,7 @@
     loop = asyncio.get_running_loop()
     began = loop.time()
     for number in range(30):
-        await endpoints.ask(
+        await endpoints.send_raw(
             south[number % 2], request(request_id=f'q{number}')
         )
     took_s = loop.time() - began
@@ -318,12 +318,12 @@
         await nodes.until(lambda: gauges.load('e1') and gauges.load('e2'))
         asked = request(headers=['Wrenspoke-Tokens: 3100,10', parts])
         address = system.entries[0].node.callers_address
-        await endpoints.ask(address, asked)
+        await endpoints.send_raw(address, asked)
         keeper = next(name for name in made if made[name].calls)
         [other] = made.keys() - {keeper}
         made[keeper].load = b'9 8 9 90000'
         await nodes.until(lambda: gauges.load(keeper).queued)
-        await endpoints.ask(address, asked)
+        await endpoints.send_raw(address, asked)
         [second] = made[other].calls
         named = endpoints.header(second, 'Wrenspoke-Fetch-From')
         expected = made[keeper].endpoint.address if moves else None
@@ -353,7 +353,7 @@
         await know_each_other(system)
         for entry, name in zip(system.entries, made):
             await nodes.until(lambda e=entry, n=name: e._gauges.load(n))
-        got = await endpoints.ask(
+        got = await endpoints.send_raw(
             system.entries[0].node.callers_address,
             request(headers=['Wrenspoke-Tokens: 100,10']),
         )
@@ -378,7 +378,7 @@
         await nodes.until(lambda: gauges.load('full') and gauges.load('free'))
         headers = ['Wrenspoke-Tokens: 100,10']
         for number in range(6):
-            await endpoints.ask(
+            await endpoints.send_raw(
                 system.entries[0].node.callers_address,
                 request(headers=headers, request_id=f'q{number}'),
             )
@@ -403,7 +403,7 @@
         await system.register('e', await engine.endpoint.start())
         gauges = system.entries[0]._gauges
         await nodes.until(lambda: gauges.load('e'))
-        got = await endpoints.ask(
+        got = await endpoints.send_raw(
             system.entries[0].node.callers_address,
             request(
                 headers=[
--- a/tests/test_fatal_requests.py
+++ b/tests/test_fatal_requests.py
@@ -111,7 +111,7 @@
         name,
     )
     address = system.entries[host].node.callers_address
-    return await endpoints.ask(address, sent)
+    return await endpoints.send_raw(address, sent)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -25,7 +25,7 @@
     """Ask the north's host for a call with a body."""
     headers = [f'Content-Length: {len(BODY)}', *changes.pop('headers', ())]
     sent = request(POST, headers, BODY, **changes)
-    return asyncio.ensure_future(endpoints.ask(system.north, sent))
+    return asyncio.ensure_future(endpoints.send_raw(system.north, sent))
 
 
 def bodies_taken(monkeypatch, *entries):
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -111,7 +111,7 @@
     found = test_passing.route(open=opened)
     await put(system, found, [team('a', KEY), team('b', OTHER_KEY)])
     endpoint = await system.add('e', 'north-hall')
-    got = await endpoints.ask(system.north, call(key, headers=headers))
+    got = await endpoints.send_raw(system.north, call(key, headers=headers))
     assert got.startswith(b'HTTP/1.1 %d ' % status)
     assert len(endpoint.requests) == (0 if seen is None else 1)
     for sent in endpoint.requests:
@@ -123,7 +123,7 @@
 async def test_without_teams_the_callers_own_headers_are_passed_on(system):
     await system.put(test_passing.route())
     endpoint = await system.add('e', 'north-hall')
-    got = await endpoints.ask(
+    got = await endpoints.send_raw(
         system.north, call(headers=['Wrenspoke-Team: theirs'])
     )
     assert got.endswith(b'whole')
@@ -151,7 +151,7 @@
     here = await system.add('e1', 'north-hall')
     there = await system.add('e2', 'south-hall')
     await test_far.know_each_other(system)
-    got = await endpoints.ask(system.north, call())
+    got = await endpoints.send_raw(system.north, call())
     assert (len(here.requests), len(there.requests)) == (
         north_gets,
         south_gets,
@@ -190,7 +190,7 @@
         return made
 
     monkeypatch.setattr(connector, '_create_connection', connect_late)
-    got = await endpoints.ask(system.north, call_with_body())
+    got = await endpoints.send_raw(system.north, call_with_body())
     assert got.startswith(b'HTTP/1.1 %d ' % status)
     assert [fields_of(one, TEAM)[0] for one in endpoint.requests] == seen
 
@@ -218,7 +218,7 @@
                 other.replica.current.routes.version == newer.version
             )
         )
-    got = await endpoints.ask(system.north, call())
+    got = await endpoints.send_raw(system.north, call())
     assert got.startswith(b'HTTP/1.1 401 ')
     assert there.requests == []
 
@@ -235,7 +235,7 @@
     lease = system.entries[0].lease
     lease.granted.set()
     lease._length_ms, lease._as_of_ms = 0, system.entries[0].clock.mono_ms()
-    got = await endpoints.ask(system.north, call())
+    got = await endpoints.send_raw(system.north, call())
     assert got.startswith(b'HTTP/1.1 %d ' % status)
     assert len(endpoint.requests) == (status == 200)
     if status == 503:
@@ -262,7 +262,7 @@
 
     monkeypatch.setattr(connector, '_create_connection', connect_late)
     sent = call_with_body() if with_body else call()
-    got = await endpoints.ask(system.north, sent)
+    got = await endpoints.send_raw(system.north, sent)
     assert got.startswith(b'HTTP/1.1 503 ')
     assert endpoint.requests == []
 
@@ -298,7 +298,7 @@
         return await wait(asked)
 
     monkeypatch.setattr(north.passthrough, '_permit', wait_long)
-    got = await endpoints.ask(system.north, call())
+    got = await endpoints.send_raw(system.north, call())
     assert got.endswith(b'whole') and len(endpoint.requests) == 1
 
 
--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -91,7 +91,7 @@
             return endpoint
 
         running.add = add
-        running.ask = lambda sent: endpoints.ask(
+        running.ask = lambda sent: endpoints.send_raw(
             running.entries[0].node.callers_address, sent
         )
         yield running
