--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -56,7 +56,7 @@
     return made
 
 
-def refusing(head=None, send=None, context=None):
+def first_failing_check(head=None, send=None, context=None):
     """Return the first check that refuses, or None."""
     changed = msgspec.structs.replace(HEAD, **(head or {}))
     fields = {'head': changed, 'slot': slot(), **(send or {})}
@@ -123,7 +123,7 @@
     'what, head, send, context, check', TABLE, ids=[row[0] for row in TABLE]
 )
 def test_checks(what, head, send, context, check):
-    assert refusing(head, send, context) == check
+    assert first_failing_check(head, send, context) == check
 
 
 def test_checks_stand_in_their_order():
@@ -133,7 +133,7 @@
 def test_ticket_is_good_for_one_send():
     shown = ticket()
     fields = {'ticket': shown}
-    assert refusing({'once': True}, fields) is None
-    assert refusing({'once': True}, fields) == 'claim'
+    assert first_failing_check({'once': True}, fields) is None
+    assert first_failing_check({'once': True}, fields) == 'claim'
     shown.mark_unsent()
-    assert refusing({'once': True}, fields) is None
+    assert first_failing_check({'once': True}, fields) is None
