--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -62,7 +62,7 @@
     fields = {'head': changed, 'slot': slot(), **(send or {})}
     purpose = fields.pop('purpose', dispatch.Purpose.FIRST)
     made = dispatch.Send(purpose, 'e1', 'GET', '/', **fields)
-    around = {
+    context_fields = {
         'host': 'north-1',
         'region': 'north',
         'now_ms': NOW_MS,
@@ -72,7 +72,7 @@
         **(context or {}),
     }
     for name, check in dispatch.CHECKS.items():
-        if check(made, dispatch.CheckContext(**around)) is not None:
+        if check(made, dispatch.CheckContext(**context_fields)) is not None:
             return name
     return None
 
