--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -126,7 +126,7 @@
     assert first_failing_check(head, send, context) == check
 
 
-def test_checks_stand_in_their_order():
+def test_checks_run_in_fixed_order():
     assert list(dispatch.CHECKS) == ORDER
 
 
