--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -28,7 +28,7 @@
         yield started
 
 
-async def release(running, host, request, attempt=1):
+async def send_release(running, host, request, attempt=1):
     """Send one attempt to one host; a lost one tells nothing."""
     caller = running.caller(host)
     try:
@@ -48,7 +48,7 @@
 
 async def resend(running, host, request, attempt=2):
     """Send a later attempt."""
-    return await release(running, host, request, attempt)
+    return await send_release(running, host, request, attempt)
 
 
 async def ran(running, request):
@@ -59,7 +59,7 @@
 
 async def test_resend_through_another_host_gets_the_kept_answer(running):
     request = once_id()
-    first = await release(running, 'north-1', request)
+    first = await send_release(running, 'north-1', request)
     assert first.outcome == 'whole'
     for host in HOSTS:
         again = await resend(running, host, request)
@@ -85,7 +85,7 @@
     """Send to a slow service and lose the host before it answers."""
     for number in (1, 2):
         await running.faults(f'north-records-{number}', **SLOW)
-    task = asyncio.create_task(release(running, host, request))
+    task = asyncio.create_task(send_release(running, host, request))
 
     async def begun():
         return await ran(running, request) == 1
@@ -133,7 +133,7 @@
 async def test_restarted_hosts_forget_no_claim(running, hosts):
     """Each restart empties a memory; a majority must be read back."""
     request = once_id()
-    first = await release(running, 'north-1', request)
+    first = await send_release(running, 'north-1', request)
     assert first.outcome == 'whole'
     for host in hosts:
         await restart(running, host)
@@ -145,7 +145,7 @@
 
 async def test_hosts_that_forgot_together_do_not_run_it_again(running):
     request = once_id()
-    assert (await release(running, 'north-1', request)).outcome == 'whole'
+    assert (await send_release(running, 'north-1', request)).outcome == 'whole'
     for host in HOSTS[1:]:
         running.kill(host)
     for host in HOSTS[1:]:
@@ -159,7 +159,7 @@
     running.thaw('north-1')
     assert await ran(running, request) == 1
     fresh = once_id()
-    assert (await release(running, 'north-2', fresh)).outcome == 'whole'
+    assert (await send_release(running, 'north-2', fresh)).outcome == 'whole'
 
 
 @pytest.mark.parametrize('attempt, outcome', [(1, 'not_run'), (2, 'unknown')])
@@ -180,10 +180,10 @@
 async def test_old_and_future_keys_are_not_run(running):
     retention_ms = running.settings.ledger.claim_retention_ms
     old = once_id(age_ms=retention_ms + 5000)
-    result = await release(running, 'north-1', old)
+    result = await send_release(running, 'north-1', old)
     assert (result.status, result.outcome) == (410, 'unknown')
     future = once_id(age_ms=-60_000)
-    result = await release(running, 'north-1', future)
+    result = await send_release(running, 'north-1', future)
     assert (result.status, result.outcome) == (400, 'not_run')
     assert await ran(running, old) == 0
     assert await ran(running, future) == 0
