--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -51,7 +51,7 @@
     return await send_release(running, host, request, attempt)
 
 
-async def ran(running, request):
+async def run_count(running, request):
     """Return how often a request was run."""
     runs = await running.all_runs('records')
     return len(runs.get(request, []))
@@ -64,7 +64,7 @@
     for host in HOSTS:
         again = await resend(running, host, request)
         assert (again.outcome, again.body) == ('whole', first.body)
-    assert await ran(running, request) == 1
+    assert await run_count(running, request) == 1
 
 
 async def test_racing_sends_run_once(running):
@@ -76,7 +76,7 @@
             for attempt in (1, 2, 3)
         )
     )
-    assert await ran(running, request) == 1
+    assert await run_count(running, request) == 1
     for result in results:
         assert result.outcome in ('whole', 'unknown'), result
 
@@ -88,7 +88,7 @@
     task = asyncio.create_task(send_release(running, host, request))
 
     async def begun():
-        return await ran(running, request) == 1
+        return await run_count(running, request) == 1
 
     await fleet.until(begun, 'the request to reach the service')
     lose(host)
@@ -110,7 +110,7 @@
         running.thaw('north-1')
     running.heal()
     await asyncio.gather(task, return_exceptions=True)
-    assert await ran(running, request) == 1
+    assert await run_count(running, request) == 1
 
 
 async def restart(running, host):
@@ -140,7 +140,7 @@
     for host in HOSTS:
         again = await resend(running, host, request)
         assert again.body == first.body
-    assert await ran(running, request) == 1
+    assert await run_count(running, request) == 1
 
 
 async def test_hosts_that_forgot_together_do_not_run_it_again(running):
@@ -157,7 +157,7 @@
         again = await resend(running, host, request)
         assert again.outcome == 'unknown'
     running.thaw('north-1')
-    assert await ran(running, request) == 1
+    assert await run_count(running, request) == 1
     fresh = once_id()
     assert (await send_release(running, 'north-2', fresh)).outcome == 'whole'
 
@@ -174,7 +174,7 @@
     other = once_id()
     assert (await resend(running, 'north-2', other, 1)).outcome == 'whole'
     running.heal()
-    assert await ran(running, request) == 0
+    assert await run_count(running, request) == 0
 
 
 async def test_old_and_future_keys_are_not_run(running):
@@ -185,8 +185,8 @@
     future = once_id(age_ms=-60_000)
     result = await send_release(running, 'north-1', future)
     assert (result.status, result.outcome) == (400, 'not_run')
-    assert await ran(running, old) == 0
-    assert await ran(running, future) == 0
+    assert await run_count(running, old) == 0
+    assert await run_count(running, future) == 0
 
 
 async def test_refused_attempt_may_be_sent_again_under_a_higher_number(
@@ -209,4 +209,4 @@
     assert late.outcome == 'not_run'
     second = await resend(running, 'north-2', request, 2)
     assert second.outcome == 'whole', second
-    assert await ran(running, request) == 1
+    assert await run_count(running, request) == 1
