--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -81,7 +81,7 @@
         assert result.outcome in ('whole', 'unknown'), result
 
 
-async def send_and_lose(running, host, request, lose):
+async def send_then_lose_host(running, host, request, lose):
     """Send to a slow service and lose the host before it answers."""
     for number in (1, 2):
         await running.faults(f'north-records-{number}', **SLOW)
@@ -103,7 +103,7 @@
         'freeze': running.freeze,
         'cut': running.isolate,
     }[loss]
-    task = await send_and_lose(running, 'north-1', request, lose)
+    task = await send_then_lose_host(running, 'north-1', request, lose)
     again = await resend(running, 'north-2', request)
     assert again.outcome == 'unknown'
     if loss == 'freeze':
