--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -87,10 +87,10 @@
         await running.faults(f'north-records-{number}', **SLOW)
     task = asyncio.create_task(send_release(running, host, request))
 
-    async def begun():
+    async def has_started():
         return await run_count(running, request) == 1
 
-    await fleet.until(begun, 'the request to reach the service')
+    await fleet.until(has_started, 'the request to reach the service')
     lose(host)
     return task
 
