--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -198,13 +198,13 @@
     assert first.outcome == 'not_run'
     running.start_standins()
 
-    async def answers():
+    async def standin_runs():
         try:
             return await running.runs('north-records-1')
         except Exception:
             return None
 
-    await fleet.until(answers, 'stand-ins')
+    await fleet.until(standin_runs, 'stand-ins')
     late = await resend(running, 'north-2', request, 1)
     assert late.outcome == 'not_run'
     second = await resend(running, 'north-2', request, 2)
