--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -143,7 +143,7 @@
     assert await run_count(running, request) == 1
 
 
-async def test_hosts_that_forgot_together_do_not_run_it_again(running):
+async def test_majority_restarted_together_does_not_run_it_again(running):
     request = once_id()
     assert (await send_release(running, 'north-1', request)).outcome == 'whole'
     for host in HOSTS[1:]:
