--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -67,7 +67,7 @@
     assert bucket.take_token(wait_ms + 1) == 0
 
 
-async def test_team_over_its_limit_is_told_when_to_come_back(tmp_path):
+async def test_team_over_its_limit_gets_retry_after(tmp_path):
     made = fleet.deployment(regions=('north',), entries=2)
     made['limits'] = [{'team': 'blue', 'requests_per_s': 2, 'burst': 6}]
     async with fleet.running(tmp_path, made) as running:
