--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -299,7 +299,7 @@
         ('min(fair_share, total_per_s - leased)'),
         ('fair_share'),
         (
-            'tests/test_shares.py::test_leases_never_add_up_to_more_'
+            'tests/test_team_rate_limits.py::test_leases_never_add_up_to_more_'
             'than_the_whole'
         ),
     ),
