--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -20,7 +20,7 @@
 SLOW = {'token_ms': 30}
 
 
-def signed(running, host, path_of_hosts, **fields):
+def signed_hop(running, host, path_of_hosts, **fields):
     """Return a hop header as a host of the cluster would write it."""
     key = keys.read_cluster_key(running.folder / 'keys')
     signer = hops.HopSigner('test', key)
@@ -45,7 +45,7 @@
     ]
     async with fleet.running(tmp_path, made) as running:
         caller = running.caller('south-1')
-        sent = {headers.HOP: signed(running, 'north-1', [])}
+        sent = {headers.HOP: signed_hop(running, 'north-1', [])}
         result = await caller.call('GET', 'records', '/map', sent)
         assert (result.outcome, result.reason) == ('not_run', 'no_endpoint')
         assert not await running.all_runs('records')
@@ -62,7 +62,7 @@
 async def test_loops_are_refused(tmp_path, path, reason):
     async with fleet.running(tmp_path, fleet.deployment()) as running:
         caller = running.caller('south-1')
-        hop = signed(running, 'north-1', path)
+        hop = signed_hop(running, 'north-1', path)
         result = await caller.call(
             'GET', 'records', '/map', {headers.HOP: hop}
         )
