--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -122,30 +122,30 @@
 @pytest.mark.parametrize('loss', ['kill', 'freeze'])
 async def test_stream_survives_its_engine(tmp_path, loss):
     made = fleet.deployment(regions=('north',), engines=2, plains=0)
-    fleet_made = fleet.Fleet(tmp_path, made, SLOW)
+    started_fleet = fleet.Fleet(tmp_path, made, SLOW)
     try:
         for number in (1, 2):
             name = f'north-chat-{number}'
-            fleet_made.spawn(
+            started_fleet.spawn(
                 name, 'wrenspoke.standin.main', '--endpoint', name,
                 '--model', '{"token_ms": 30}',
             )  # fmt: skip
-        fleet_made.start_entry('north-1')
-        await fleet_made.wait_serving()
-        caller = fleet_made.caller('north-1')
+        started_fleet.start_entry('north-1')
+        await started_fleet.wait_serving()
+        caller = started_fleet.caller('north-1')
         seen = []
         task = asyncio.create_task(caller.chat(CHAT, {}, seen.append))
         await fleet.until(lambda: len(seen) > 3, 'the stream to flow')
-        log = fleet_made.log('north-1')
+        log = started_fleet.log('north-1')
         used = 'north-chat-1'
         if 'endpoint=north-chat-2' in log.split('event=placed')[-1]:
             used = 'north-chat-2'
-        getattr(fleet_made, loss)(used)
+        getattr(started_fleet, loss)(used)
         result = await task
         assert result.outcome == 'whole', result
         assert result.text == WHOLE
     finally:
-        await fleet_made.close()
+        await started_fleet.close()
 
 
 async def test_stream_of_a_killed_entry_host_goes_on_at_another(tmp_path):
