--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -175,13 +175,13 @@
         assert result.reason in ('no_endpoint', 'endpoint_failed')
         running.start_standins('south')
 
-        async def at_home_again():
+        async def served_at_home():
             request = ids.new_unique()
             await caller.chat(CHAT, {headers.REQUEST: request})
             explained = await caller.get(f'/explain/{request}')
             return 'forwarded' not in str(explained)
 
-        await fleet.until(at_home_again, 'work to come home')
+        await fleet.until(served_at_home, 'work to come home')
 
 
 @pytest.mark.parametrize('known', [True, False])
