--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -71,7 +71,7 @@
         assert not await running.all_runs('records')
 
 
-async def test_cut_region_serves_on_and_says_at_once_what_it_cannot(
+async def test_partitioned_region_serves_locally_and_fails_fast(
     tmp_path,
 ):
     made = fleet.deployment(entries=2, controls=3)
