--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -161,7 +161,7 @@
         assert result.text == WHOLE
 
 
-async def test_work_goes_away_from_a_home_without_engines(tmp_path):
+async def test_unbound_work_leaves_a_region_without_engines(tmp_path):
     """Only what may leave, and only while home can't serve it."""
     async with fleet.running(tmp_path, fleet.deployment()) as running:
         running.kill('standin-south')
