--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -15,7 +15,7 @@
 MESSAGES = [{'role': 'user', 'content': 'Is bay 4 free?'}]
 
 
-def expected(count=engine.DEFAULT_TOKENS, messages=None):
+def expected_text(count=engine.DEFAULT_TOKENS, messages=None):
     """Return the text that a whole answer has."""
     return ''.join(engine.answer_words(messages or MESSAGES, count))
 
@@ -43,7 +43,7 @@
         }
         result = await caller.chat(body, sent)
         assert result.outcome == 'whole', result
-        assert result.text == expected()
+        assert result.text == expected_text()
         region = home or 'north'
         runs = await running.all_runs('chat')
         assert runs[sent[headers.REQUEST]] == [f'{region}-chat-1']
@@ -58,7 +58,7 @@
             subprocess.run, command, capture_output=True, text=True
         )
         assert done.returncode == 0, done.stderr
-        assert done.stdout == expected() + '\n'
+        assert done.stdout == expected_text() + '\n'
 
 
 async def test_no_daemon_uses_io_uring(tmp_path):
--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -435,7 +435,7 @@
         logger.warning(
             'answer_crossed',
             endpoint=send.endpoint,
-            expected=send.name,
+            expected_text=send.name,
             found=response.headers.get(headers.ECHO),
         )
         raise errors.MaybeSentError("answer is another request's")
