--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -16,7 +16,7 @@
 WHOLE = ''.join(engine.answer_words(MESSAGES, engine.DEFAULT_TOKENS))
 
 
-def chat(stream=True, **fields):
+def chat_body(stream=True, **fields):
     """Return the body of a chat request."""
     return {'messages': MESSAGES, 'stream': stream, **fields}
 
@@ -120,7 +120,7 @@
     await running.faults('north-chat-1', **fault)
     for number in range(4):
         result = await caller.chat(
-            chat(stream), {'Wrenspoke-Session': f's{number}'}
+            chat_body(stream), {'Wrenspoke-Session': f's{number}'}
         )
         assert result.outcome == 'whole', result
         assert result.text == WHOLE
@@ -137,7 +137,7 @@
             break_times=1,
             end_early=end_early,
         )
-    result = await caller.chat(chat())
+    result = await caller.chat(chat_body())
     assert result.outcome == 'whole', result
     assert result.text == WHOLE
     assert result.events == engine.DEFAULT_TOKENS
@@ -171,7 +171,7 @@
 
 async def test_leaving_caller_cancels_its_stream(running):
     caller = running.caller('north-1')
-    body = chat(max_tokens=100_000)
+    body = chat_body(max_tokens=100_000)
     task = asyncio.create_task(caller.chat(body))
     await asyncio.sleep(0.5)
     task.cancel()
@@ -211,7 +211,7 @@
     async with fleet.running(tmp_path, made, model) as running:
         callers_made = [running.caller('north-1') for _number in range(24)]
         results = await asyncio.gather(
-            *(one.chat(chat()) for one in callers_made)
+            *(one.chat(chat_body()) for one in callers_made)
         )
         outcomes = {result.outcome for result in results}
         assert outcomes == {'whole', 'not_run'}
