--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -94,7 +94,7 @@
     assert len(runs[request]) == 1
 
 
-async def test_nothing_listening_is_told_not_run(running):
+async def test_refused_connection_is_reported_not_run(running):
     running.kill('standin-north')
     caller = running.caller('north-1')
     result = await caller.call(
