--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -223,7 +223,7 @@
                 assert result.text == WHOLE
 
 
-async def test_late_failure_of_a_once_only_attempt_is_no_error_of_ours(
+async def test_late_failure_of_a_once_only_attempt_logs_no_unhandled_error(
     running,
 ):
     """The caller was told unknown at its deadline; nobody waits any more."""
