--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -204,7 +204,7 @@
         assert sends <= total + 2 + total * 0.1
 
 
-async def test_overload_is_shed_at_once_and_says_when_to_return(tmp_path):
+async def test_overload_is_shed_at_once_with_retry_after(tmp_path):
     made = fleet.deployment(regions=('north',), entry={'queue_limit': 4})
     made['endpoints'][0]['slots'] = 1
     model = {'token_ms': 30, 'cold_first_ms': 300}
