--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -36,7 +36,7 @@
     return text
 
 
-def show(found, body):
+def format_response(found, body):
     """Return an answer's status, headers and body as text."""
     lines = [f'< {found.status}']
     for name in sorted(found.headers):
@@ -61,7 +61,7 @@
                     parts.append(chunk)
             except errors.MaybeSentError:
                 parts.append(b'(connection broken)\n')
-            told = show(found, b''.join(parts).decode())
+            told = format_response(found, b''.join(parts).decode())
     finally:
         await client.close()
     return '\n'.join(lines) + '\n' + told + '\n'
