--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -45,7 +45,7 @@
     return '\n'.join(lines) + '\n\n' + body
 
 
-async def session(running, host, method, path, body=None, sent=None):
+async def record_exchange(running, host, method, path, body=None, sent=None):
     """Send one request and return the whole exchange as text."""
     client = web.HttpClient(1000)
     data = None if body is None else msgspec.json.encode(body)
@@ -68,7 +68,7 @@
 
 
 async def chat_stream(running):
-    return await session(
+    return await record_exchange(
         running,
         'north-1',
         'POST',
@@ -78,14 +78,14 @@
 
 
 async def chat_whole(running):
-    return await session(
+    return await record_exchange(
         running, 'north-1', 'POST', '/v1/chat/completions', CHAT
     )
 
 
 async def forwarded(running):
     sent = {headers.HOME: 'south', headers.BOUND: 'true'}
-    return await session(
+    return await record_exchange(
         running,
         'north-1',
         'POST',
@@ -106,30 +106,32 @@
 
 
 async def plain(running):
-    return await session(
+    return await record_exchange(
         running, 'north-1', 'PUT', '/services/records/map?x=1', {'a': 1}
     )
 
 
 async def once(running):
-    return await session(
+    return await record_exchange(
         running, 'north-1', 'POST', '/services/records/release/7', {}
     )
 
 
 async def refused(running):
     sent = {headers.BOUND: 'true'}
-    told = await session(
+    told = await record_exchange(
         running, 'north-1', 'GET', '/services/records/member/1', None, sent
     )
-    return told + await session(
+    return told + await record_exchange(
         running, 'north-1', 'GET', '/services/nowhere/x'
     )
 
 
 async def models_and_directory(running):
-    told = await session(running, 'north-1', 'GET', '/v1/models')
-    return told + await session(running, 'north-1', 'GET', '/directory')
+    told = await record_exchange(running, 'north-1', 'GET', '/v1/models')
+    return told + await record_exchange(
+        running, 'north-1', 'GET', '/directory'
+    )
 
 
 async def plan_and_confirm(running):
