--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -166,11 +166,13 @@
 @pytest.mark.parametrize(
     'play', SESSIONS, ids=[play.__name__ for play in SESSIONS]
 )
-async def test_session(tmp_path, play):
+async def test_session(tmp_path, record_scenario):
     made = fleet.deployment(controls=1)
     async with fleet.running(tmp_path, made) as running:
-        text = normalise(await play(running))
-    options = approvaltests.Options().with_namer(_Namer(play.__name__))
+        text = normalise(await record_scenario(running))
+    options = approvaltests.Options().with_namer(
+        _Namer(record_scenario.__name__)
+    )
     approvaltests.verify(text, options=options)
 
 
