--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -48,7 +48,7 @@
     return teams.TeamTable(SECRET, found)
 
 
-async def put(running, found, teams_found, version=None):
+async def put_with_teams(running, found, teams_found, version=None):
     """Put a route in force together with teams."""
     await running.put(found, version=version, teams=table(*teams_found))
 
@@ -109,7 +109,7 @@
     system, key, headers, opened, status, seen
 ):
     found = test_passing.route(open=opened)
-    await put(system, found, [team('a', KEY), team('b', OTHER_KEY)])
+    await put_with_teams(system, found, [team('a', KEY), team('b', OTHER_KEY)])
     endpoint = await system.add('e', 'north-hall')
     got = await endpoints.send_raw(system.north, call(key, headers=headers))
     assert got.startswith(b'HTTP/1.1 %d ' % status)
@@ -147,7 +147,7 @@
     system, of_route, of_team, north_gets, south_gets
 ):
     found = test_far.route(homes=of_route)
-    await put(system, found, [team('a', KEY, homes=of_team)])
+    await put_with_teams(system, found, [team('a', KEY, homes=of_team)])
     here = await system.add('e1', 'north-hall')
     there = await system.add('e2', 'south-hall')
     await test_far.know_each_other(system)
@@ -176,7 +176,7 @@
     """Teams change while the connection to the endpoint is made."""
     after, status, seen = MOVES[name]
     found = test_passing.route()
-    await put(system, found, [team('a', KEY), team('b', OTHER_KEY)])
+    await put_with_teams(system, found, [team('a', KEY), team('b', OTHER_KEY)])
     endpoint = await system.add('e', 'north-hall')
     connector = system.entries[0]._client._pooled.connector
     connect = connector._create_connection
@@ -185,8 +185,8 @@
         made = await connect(*arguments)
         monkeypatch.undo()
         if name == 'dropped and back':
-            await put(system, found, [team('b', OTHER_KEY)])
-        await put(system, found, after)
+            await put_with_teams(system, found, [team('b', OTHER_KEY)])
+        await put_with_teams(system, found, after)
         return made
 
     monkeypatch.setattr(connector, '_create_connection', connect_late)
@@ -197,7 +197,7 @@
 
 async def test_host_elsewhere_goes_by_its_own_newer_keys(system, monkeypatch):
     """The first host has not heard that a key was withdrawn."""
-    await put(system, test_far.route(), [team('a', KEY)])
+    await put_with_teams(system, test_far.route(), [team('a', KEY)])
     there = await system.add('e2', 'south-hall')
     await test_far.know_each_other(system)
     north = system.entries[0]
@@ -230,7 +230,7 @@
     system, opened, status
 ):
     found = test_passing.route(open=opened)
-    await put(system, found, [team('a', KEY)])
+    await put_with_teams(system, found, [team('a', KEY)])
     endpoint = await system.add('e', 'north-hall')
     lease = system.entries[0].lease
     lease.granted.set()
@@ -248,7 +248,7 @@
 async def test_lease_that_ends_while_a_connection_is_made_sends_nothing(
     system, monkeypatch, with_body
 ):
-    await put(system, test_passing.route(), [team('a', KEY)])
+    await put_with_teams(system, test_passing.route(), [team('a', KEY)])
     endpoint = await system.add('e', 'north-hall')
     north = system.entries[0]
     connector = north._client._pooled.connector
@@ -271,7 +271,7 @@
     system, monkeypatch
 ):
     """The table changes to other services while a lease is waited for."""
-    await put(system, test_passing.route(), [team('a', KEY)])
+    await put_with_teams(system, test_passing.route(), [team('a', KEY)])
     endpoint = await system.add('e', 'north-hall', service='later')
     north = system.entries[0]
     wait = north.passthrough._permit
@@ -308,7 +308,7 @@
         running.changes = {'withdrawn_keys_ms': 2_000}
         for _number in range(2):
             await running.start_entry()
-        await put(running, test_passing.route(), [team('a', KEY)])
+        await put_with_teams(running, test_passing.route(), [team('a', KEY)])
         for entry in running.entries:
             await asyncio.wait_for(entry.lease.granted.wait(), nodes.WAIT_S)
         seen = [entry.lease._as_of_ms for entry in running.entries]
