--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -43,14 +43,14 @@
     return teams.Team(name, digests, **changes)
 
 
-def table(*found):
+def team_table(*found):
     """Return a table of teams."""
     return teams.TeamTable(SECRET, found)
 
 
 async def put_with_teams(running, found, teams_found, version=None):
     """Put a route in force together with teams."""
-    await running.put(found, version=version, teams=table(*teams_found))
+    await running.put(found, version=version, teams=team_table(*teams_found))
 
 
 def call(key=KEY, line='GET /a/x HTTP/1.1', headers=(), **changes):
@@ -209,7 +209,7 @@
         held.routes,
         held.services,
         digest='newer',
-        teams=table(team('b', OTHER_KEY)),
+        teams=team_table(team('b', OTHER_KEY)),
     )
     await leader.decisions.replace_routes(newer)
     for other in system.entries[1:]:
@@ -343,7 +343,7 @@
 )
 def test_teams_that_are_wrong_are_named(found, named):
     with pytest.raises(errors.InvalidChangeError) as raised:
-        routes.check(routes.RouteTable(1, teams=table(*found)))
+        routes.check(routes.RouteTable(1, teams=team_table(*found)))
     for text in named:
         assert text in str(raised.value)
 
@@ -351,7 +351,7 @@
 def test_key_is_held_as_a_digest_under_a_secret():
     first, second = teams.new_secret(), teams.new_secret()
     assert teams.digest_of(KEY, first) != teams.digest_of(KEY, second)
-    held = teams.TeamIndex(table(team('a', KEY)))
+    held = teams.TeamIndex(team_table(team('a', KEY)))
     assert held.find(KEY).team == 'a'
     assert held.find('') is None and held.find(OTHER_KEY) is None
     assert KEY not in repr(held.table)
@@ -394,7 +394,7 @@
         routes=routes.RouteTable(
             1,
             tuple(found),
-            teams=table(*teams_found) if of_teams else None,
+            teams=team_table(*teams_found) if of_teams else None,
         ),
     )
     for (of_team, of_route), urgency in urgencies.items():
