--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -67,7 +67,7 @@
     )
 
 
-def fields_of(sent, name):
+def values_of_header(sent, name):
     """Return the values of a header in what an endpoint was sent."""
     head = sent.partition(b'\r\n\r\n')[0]
     lines = [line.partition(b': ') for line in head.split(b'\r\n')[1:]]
@@ -119,8 +119,8 @@
     assert got.startswith(b'HTTP/1.1 %d ' % status)
     assert len(endpoint.requests) == (0 if seen is None else 1)
     for sent in endpoint.requests:
-        assert fields_of(sent, TEAM) == seen
-        assert fields_of(sent, b'authorization') == []
+        assert values_of_header(sent, TEAM) == seen
+        assert values_of_header(sent, b'authorization') == []
         assert KEY.encode() not in sent and OTHER_KEY.encode() not in sent
 
 
@@ -132,8 +132,10 @@
     )
     assert got.endswith(b'whole')
     [sent] = endpoint.requests
-    assert fields_of(sent, TEAM) == [b'theirs']
-    assert fields_of(sent, b'authorization') == [b'Bearer ' + KEY.encode()]
+    assert values_of_header(sent, TEAM) == [b'theirs']
+    assert values_of_header(sent, b'authorization') == [
+        b'Bearer ' + KEY.encode()
+    ]
 
 
 @pytest.mark.parametrize(
@@ -163,8 +165,8 @@
     if not north_gets + south_gets:
         assert got.startswith(b'HTTP/1.1 503 ')
     for sent in there.requests:
-        assert fields_of(sent, TEAM) == [b'a']
-        assert fields_of(sent, b'authorization') == []
+        assert values_of_header(sent, TEAM) == [b'a']
+        assert values_of_header(sent, b'authorization') == []
 
 
 MOVES = {
@@ -196,7 +198,9 @@
     monkeypatch.setattr(connector, '_create_connection', connect_late)
     got = await endpoints.send_raw(system.north, call_with_body())
     assert got.startswith(b'HTTP/1.1 %d ' % status)
-    assert [fields_of(one, TEAM)[0] for one in endpoint.requests] == seen
+    assert [
+        values_of_header(one, TEAM)[0] for one in endpoint.requests
+    ] == seen
 
 
 async def test_host_elsewhere_goes_by_its_own_newer_keys(system, monkeypatch):
