--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -169,7 +169,7 @@
         assert values_of_header(sent, b'authorization') == []
 
 
-MOVES = {
+KEY_CHANGES = {
     'to another team': ([team('a'), team('b', KEY)], 200, [b'b']),
     'withdrawn': ([team('a'), team('b', OTHER_KEY)], 401, []),
     'team dropped': ([team('b', OTHER_KEY)], 401, []),
@@ -177,10 +177,10 @@
 }
 
 
-@pytest.mark.parametrize('name', MOVES)
+@pytest.mark.parametrize('name', KEY_CHANGES)
 async def test_key_counts_as_its_body_leaves(system, name, monkeypatch):
     """Teams change while the connection to the endpoint is made."""
-    after, status, seen = MOVES[name]
+    after, status, seen = KEY_CHANGES[name]
     found = test_passing.route()
     await put_with_teams(system, found, [team('a', KEY), team('b', OTHER_KEY)])
     endpoint = await system.add('e', 'north-hall')
