--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -13,7 +13,7 @@
         ('        fields += self._identity_fields(call, permit)\n'),
         ('        fields += call.credentials\n'),
         (
-            'tests/test_keys.py::test_endpoint_is_told_the_team_and_never_the_key'
+            'tests/test_keys.py::test_endpoint_gets_the_team_and_never_the_key'
         ),
     ),
     Switch(
@@ -24,7 +24,7 @@
         ),
         ('        if team is None:\n            return Permit(route)\n'),
         (
-            'tests/test_keys.py::test_endpoint_is_told_the_team_and_never_the_key'
+            'tests/test_keys.py::test_endpoint_gets_the_team_and_never_the_key'
         ),
     ),
     Switch(
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -107,7 +107,7 @@
         'open, known',
     ],
 )
-async def test_endpoint_is_told_the_team_and_never_the_key(
+async def test_endpoint_gets_the_team_and_never_the_key(
     system, key, headers, opened, status, seen
 ):
     found = test_passing.route(open=opened)
