--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -203,7 +203,9 @@
     ] == seen
 
 
-async def test_host_elsewhere_goes_by_its_own_newer_keys(system, monkeypatch):
+async def test_other_region_host_applies_its_own_newer_keys(
+    system, monkeypatch
+):
     """The first host has not heard that a key was withdrawn."""
     await put_with_teams(system, test_far.route(), [team('a', KEY)])
     there = await system.add('e2', 'south-hall')
