--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -277,7 +277,7 @@
     assert endpoint.requests == []
 
 
-async def test_call_that_waited_goes_by_the_table_of_its_permit(
+async def test_call_that_waited_uses_the_table_of_its_permit(
     system, monkeypatch
 ):
     """The table changes to other services while a lease is waited for."""
