--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -312,7 +312,7 @@
     assert got.endswith(b'whole') and len(endpoint.requests) == 1
 
 
-async def test_lease_is_renewed_by_what_is_sent_already(tmp_path):
+async def test_lease_is_renewed_without_calls_of_its_own(tmp_path):
     """A host far from the leader holds one without any call of its own."""
     async with nodes.running(tmp_path, controls=3, entries=0) as running:
         running.changes = {'withdrawn_keys_ms': 2_000}
