--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -24,7 +24,7 @@
         yield started
 
 
-async def send(running, body, sent=None, path='/v1/chat/completions'):
+async def post_raw(running, body, sent=None, path='/v1/chat/completions'):
     """Send raw bytes as a body; return the status and the error."""
     client = web.HttpClient(1000)
     try:
@@ -69,7 +69,7 @@
     running, what, body, sent, status, field
 ):
     body = msgspec.json.encode(GOOD) if body is None else body
-    found, answer = await send(running, body, sent)
+    found, answer = await post_raw(running, body, sent)
     assert found == status, answer
     assert field in answer['error']['message']
     assert answer['error']['outcome'] == 'not_run'
