--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -10,7 +10,7 @@
 from wrenspoke.transport import web
 
 GOOD = {'messages': [{'role': 'user', 'content': 'hi'}]}
-IDLE = 400
+IDLE_CONNECTIONS = 400
 
 
 @pytest.fixture
@@ -101,7 +101,7 @@
     port = running.settings.host('north-1').http_port
     idle = [
         await asyncio.open_connection('127.0.0.1', port)
-        for _number in range(IDLE)
+        for _number in range(IDLE_CONNECTIONS)
     ]
     slow_reader, slow_writer = await asyncio.open_connection('127.0.0.1', port)
     slow_writer.write(
