--- a/tests/test_team_keys.py
+++ b/tests/test_team_keys.py
@@ -20,7 +20,7 @@
 DIGEST, OTHER = 'a' * 32, 'b' * 32
 
 
-def held(**keys):
+def configuration_with_keys(**keys):
     """Return a configuration in which teams hold keys."""
     made = configuration.Configuration(index=1)
     for team, digest in keys.items():
@@ -30,7 +30,7 @@
 
 
 def test_withdrawn_key_is_held_by_nobody():
-    made = held(blue=DIGEST, red=OTHER)
+    made = configuration_with_keys(blue=DIGEST, red=OTHER)
     change = configuration.WithdrawKey(DIGEST)
     made = configuration.apply(made, change, made.index + 1)
     assert made.keys == {OTHER: 'red'}
@@ -48,13 +48,13 @@
 )
 def test_wrong_changes_of_keys_are_named(change, named):
     with pytest.raises(errors.StateError) as raised:
-        configuration.apply(held(blue=DIGEST), change, 9)
+        configuration.apply(configuration_with_keys(blue=DIGEST), change, 9)
     for text in named:
         assert text in str(raised.value)
 
 
 def test_plan_says_how_many_keys_a_team_has_left():
-    made = held(blue=DIGEST)
+    made = configuration_with_keys(blue=DIGEST)
     draft = plans._PLANNERS[plans.WithdrawKey](plans.WithdrawKey(DIGEST), made)
     assert 'blue' in draft.summary and '0 left' in draft.summary
 
