--- a/tests/test_team_keys.py
+++ b/tests/test_team_keys.py
@@ -73,7 +73,7 @@
     assert requests.HeaderReader(found).key() == key
 
 
-def command(tmp_path, made, *more, given=None):
+def run_team_key_cli(tmp_path, made, *more, given=None):
     """Run ``wrenspoke team-key``; return what it says, by name."""
     path = tmp_path / 'deployment.json'
     path.write_text(json.dumps(made))
@@ -89,10 +89,10 @@
 
 def test_command_tells_the_digest_of_the_key_that_it_made(tmp_path):
     made = fleet.deployment()
-    drawn = command(tmp_path, made)
-    again = command(tmp_path, made, '--of', given=drawn['key'] + '\n')
+    drawn = run_team_key_cli(tmp_path, made)
+    again = run_team_key_cli(tmp_path, made, '--of', given=drawn['key'] + '\n')
     assert again == {'digest': drawn['digest']}
-    assert command(tmp_path, made)['key'] != drawn['key']
+    assert run_team_key_cli(tmp_path, made)['key'] != drawn['key']
 
 
 async def test_callers_need_a_key_once_one_was_issued(tmp_path):
