--- a/tests/test_team_keys.py
+++ b/tests/test_team_keys.py
@@ -87,7 +87,7 @@
     return dict(line.split(': ') for line in done.stdout.splitlines())
 
 
-def test_command_tells_the_digest_of_the_key_that_it_made(tmp_path):
+def test_command_prints_the_digest_of_the_key_it_generated(tmp_path):
     made = fleet.deployment()
     drawn = run_team_key_cli(tmp_path, made)
     again = run_team_key_cli(tmp_path, made, '--of', given=drawn['key'] + '\n')
