--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -62,7 +62,7 @@
             )
             for n in range(endpoints)
         },
-        concurrency_limits={
+        limits={
             f'team-{n}': configuration.TeamLimit(f'team-{n}', 5.0, 10)
             for n in range(team_limits)
         },
--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -137,7 +137,7 @@
     Switch(
         'frozen host goes on',
         DECISIONS + 'serving/dispatch.py',
-        ('if send.purpose in WORK and not context.current:'),
+        ('if send.purpose in WORK and not context.configuration_current:'),
         ('if False:'),
         ('tests/test_dispatch.py::test_checks'),
     ),
@@ -456,7 +456,7 @@
         'homes not looked at as a body leaves',
         DECISIONS + 'serving/sending.py',
         (
-            'return self._access.may_enter_regions(call_bytes, authorize, destination.host, destination.regions)'
+            'return self._access.may_enter_regions(call, permit, destination.host, destination.regions)'
         ),
         ('return True'),
         (
--- a/benches/switches_limits.py
+++ b/benches/switches_limits.py
@@ -42,7 +42,7 @@
     Switch(
         'callers come back together',
         SERVING + 'choice.py',
-        'return max(min(waits_ms), line.join(urgency, sum(shares)))',
+        'return max(min(waits_ms), line.schedule(urgency, sum(shares)))',
         'return min(waits_ms)',
         f'{INCIDENT}::test_what_no_engine_takes_is_refused_at_once',
     ),
--- a/benches/switches_quarantine.py
+++ b/benches/switches_quarantine.py
@@ -147,7 +147,7 @@
     Switch(
         'chats do not ask',
         DECISIONS + 'serving/dispatch.py',
-        'if send.purpose in WORK and context.held_ms is not None:',
+        'if send.purpose in WORK and context.quarantined_ms is not None:',
         'if False:',
         'tests/test_dispatch.py',
     ),
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -487,7 +487,7 @@
     assert node.host == '10.1.0.35:7660'
     assert node.seed_hosts == ['10.1.0.38:7660']
     assert node.control.voters_limit == 3
-    assert node.retry_budget.window_ms == 10_000
+    assert node.retries.window_ms == 10_000
     assert node.entry.grace_ms == 8_000
     assert (node.data_folder is None) == (role is ENTRY)
 
@@ -495,7 +495,7 @@
 def test_budgets_fixed_number_may_be_a_fraction():
     bounds = {**GIVEN['bounds'], 'retrySlack': 4.7}
     node = settings.parse(filled({**GIVEN, **ENTRY, 'bounds': bounds}))
-    assert node.retry_budget.fixed == 4.7
+    assert node.retries.fixed == 4.7
 
 
 @pytest.mark.parametrize(
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -3,8 +3,8 @@
 import msgspec
 import pytest
 
-from wrenspoke.coordination.serving import dispatch
 from wrenspoke.coordination.serving import concurrency_limits
+from wrenspoke.coordination.serving import dispatch
 from wrenspoke.coordination.serving import placement
 from wrenspoke.protocol import requests
 from wrenspoke.state import configuration
@@ -68,7 +68,7 @@
         'now_ms': NOW_MS,
         'endpoint': ENDPOINT,
         'takes_work': True,
-        'current': True,
+        'configuration_current': True,
         **(context or {}),
     }
     for name, check in dispatch.CHECKS.items():
@@ -82,13 +82,13 @@
 LOAD = dispatch.Purpose.LOAD
 TABLE = [
     ('all is well', {}, {}, {}, None),
-    ('was stopped', {}, {}, {'current': False}, 'configuration'),
+    ('was stopped', {}, {}, {'configuration_current': False}, 'configuration'),
     ('load poll of a stopped host', {}, {'purpose': LOAD},
-     {'current': False}, None),
-    ('held', {}, {}, {'held_ms': 5}, 'quarantine'),
-    ('resumed though held', {}, {'purpose': RESUME}, {'held_ms': 5},
+     {'configuration_current': False}, None),
+    ('held', {}, {}, {'quarantined_ms': 5}, 'quarantine'),
+    ('resumed though held', {}, {'purpose': RESUME}, {'quarantined_ms': 5},
      'quarantine'),
-    ('load poll', {}, {'purpose': LOAD}, {'held_ms': 5}, None),
+    ('load poll', {}, {'purpose': LOAD}, {'quarantined_ms': 5}, None),
     ('another region', {}, {}, {'region': 'south'}, 'residency'),
     ('bound at home', BOUND, {}, {}, None),
     ('bound elsewhere', {**BOUND, 'home': 'south'}, {}, {}, 'residency'),
--- a/tests/test_execution.py
+++ b/tests/test_execution.py
@@ -77,7 +77,7 @@
     def __init__(self, models):
         self._models = models
 
-    async def whole(self, _limit_bytes):
+    async def read_all(self, _limit_bytes):
         return msgspec.json.encode({'models': self._models})
 
 
--- a/tests/test_far.py
+++ b/tests/test_far.py
@@ -192,7 +192,7 @@
     writer.close()
     used = there if there.requests else other
     async with asyncio.timeout(nodes.WAIT_S):
-        await used.evicted.wait()
+        await used.peer_closed.wait()
     served = [entry.passthrough for entry in system.entries]
     await nodes.until(lambda: not any(one.in_flight for one in served))
     assert len(there.requests) + len(other.requests) == 1
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -86,7 +86,7 @@
         kept.save_meta()
     if case == 'torn':
         path = tmp_path / storage.COMMITTED
-        path.write_bytes(path.bytes_read()[:-1])
+        path.write_bytes(path.read_bytes()[:-1])
     assert kept_in(tmp_path).known_committed() == known
 
 
@@ -156,7 +156,7 @@
         await nodes.until(path.exists)
         await control.close()
         if not kept:
-            path.write_bytes(path.bytes_read()[:-1])
+            path.write_bytes(path.read_bytes()[:-1])
         system.controls.clear()
         again = await system.start_control(control.node.ip, first_start=False)
         held = again.registrar.registry.held
--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -418,7 +418,7 @@
     await nodes.until(lambda: endpoint.requests)
     writer.close()
     async with asyncio.timeout(nodes.WAIT_S):
-        await endpoint.evicted.wait()
+        await endpoint.peer_closed.wait()
 
 
 async def test_stream_flows_piece_by_piece(system):
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -22,8 +22,8 @@
 from wrenspoke.coordination.membership import roster
 from wrenspoke.coordination.quarantine import ended_runs
 from wrenspoke.coordination.quarantine import good_ends
-from wrenspoke.coordination.serving import team_rate_limits
 from wrenspoke.coordination.serving import spending
+from wrenspoke.coordination.serving import team_rate_limits
 from wrenspoke.protocol import attending
 from wrenspoke.protocol import limiting
 from wrenspoke.state import registry
--- a/wrenspoke/cli.py
+++ b/wrenspoke/cli.py
@@ -281,15 +281,11 @@
 async def run_team_key(arguments: argparse.Namespace) -> int:
     """Print a key once, and its digest for ``plan issue-key``."""
     deployment = settings.read(arguments.file)
-    key = (
-        sys.stdin.readline().strip()
-        if arguments.limit_for
-        else teams.new_key()
-    )
+    key = sys.stdin.readline().strip() if arguments.of else teams.new_key()
     if not key:
         print('standard input: no key', file=sys.stderr)
         return FAILED
-    if not arguments.limit_for:
+    if not arguments.of:
         print(f'key: {key}')
     digest = teams.digest_of(key, teams.secret_of(deployment.cluster))
     print(f'digest: {digest.hex()}')
@@ -452,7 +448,7 @@
 
 
 async def _run(arguments: argparse.Namespace, codes: list[int]) -> None:
-    codes.append(await arguments.transition(arguments))
+    codes.append(await arguments.function(arguments))
 
 
 def main() -> None:
--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -318,7 +318,7 @@
         try:
             async with clocks.timeout_ms(self._settings.order_timeout_ms):
                 async with self._dispatcher.send(send) as answer:
-                    body = await answer.whole(ANSWER_LIMIT_BYTES)
+                    body = await answer.read_all(ANSWER_LIMIT_BYTES)
         except (errors.CoordinationError, TimeoutError) as error:
             raise OrderFailedError(repr(error)) from error
         if into is not None:
--- a/wrenspoke/coordination/membership/polls.py
+++ b/wrenspoke/coordination/membership/polls.py
@@ -10,8 +10,8 @@
 from wrenspoke.coordination.membership import loads
 from wrenspoke.coordination.membership import members
 from wrenspoke.coordination.membership import replica
-from wrenspoke.coordination.serving import dispatch
 from wrenspoke.coordination.serving import concurrency_limits
+from wrenspoke.coordination.serving import dispatch
 from wrenspoke import ids
 from wrenspoke.protocol import messages
 from wrenspoke import runtime
@@ -62,7 +62,7 @@
         while True:
             await self._clock.sleep_ms(self._interval_ms)
             current = self._replica.current
-            self._limits.keep_only(current.endpoints)
+            self._limits.retain_endpoints(current.endpoints)
             due = [
                 endpoint.endpoint
                 for endpoint in current.endpoints.values()
@@ -88,7 +88,7 @@
         try:
             async with clocks.timeout_ms(self._interval_ms):
                 async with self._dispatcher.send(send) as answer:
-                    body = await answer.whole(ANSWER_LIMIT_BYTES)
+                    body = await answer.read_all(ANSWER_LIMIT_BYTES)
             found = msgspec.json.decode(body, type=loads.EngineLoad)
         except (
             errors.CoordinationError,
--- a/wrenspoke/coordination/serving/choice.py
+++ b/wrenspoke/coordination/serving/choice.py
@@ -117,7 +117,7 @@
             found
             for found in self._available.usable(service.service, self._region)
             if found.said.endpoint not in excluded
-            and not self._available.blocked_ms(found)
+            and not self._available.spent_ms(found)
         ]
         warm = [found for found in every if not self._available.cold(found)]
         sound = [found for found in warm if not self._available.doubted(found)]
@@ -274,7 +274,7 @@
             wait_ms = max(
                 found.warm_ms - now_ms,
                 until_ms - now_ms,
-                self._available.blocked_ms(found),
+                self._available.spent_ms(found),
             )
             if wait_ms > 0:
                 waits_ms.append(wait_ms)
@@ -284,7 +284,7 @@
         line = self._lines.setdefault(
             service.service, retry_schedule.RetrySchedule(self._clock)
         )
-        return max(min(waits_ms), line.join(urgency, sum(shares)))
+        return max(min(waits_ms), line.schedule(urgency, sum(shares)))
 
     def backs_off(self, service: routes.RoutedService) -> bool:
         """Return whether every endpoint of a service asked for backoff."""
--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -20,8 +20,8 @@
 from wrenspoke.coordination.limiting import endpoint_limits
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.quarantine import guard as guards
-from wrenspoke.coordination.serving import response_body
 from wrenspoke.coordination.serving import placement
+from wrenspoke.coordination.serving import response_body
 from wrenspoke import ids
 from wrenspoke.protocol import advertised
 from wrenspoke.protocol import dialect as dialects
@@ -127,7 +127,7 @@
 @check('configuration')
 def check_configuration(send: Send, context: CheckContext) -> str | None:
     """Send nothing by a configuration that may have been left behind."""
-    if send.purpose in WORK and not context.current:
+    if send.purpose in WORK and not context.configuration_current:
         return 'this host was stopped and has to look for changes first'
     return None
 
@@ -135,8 +135,10 @@
 @check('quarantine')
 def check_quarantine(send: Send, context: CheckContext) -> str | None:
     """Send no endpoint what endpoints ended under."""
-    if send.purpose in WORK and context.held_ms is not None:
-        return f'endpoints ended under it; held for {context.held_ms} ms'
+    if send.purpose in WORK and context.quarantined_ms is not None:
+        return (
+            f'endpoints ended under it; held for {context.quarantined_ms} ms'
+        )
     return None
 
 
@@ -283,7 +285,7 @@
                 self._raise_if_overloaded(send, response)
                 self._reject_mismatched_echo(send, endpoint, response)
                 _reject_unframed(send, response)
-                yield EndpointResponse(response, send.name)
+                yield EndpointResponse(response, send.echo_id)
             if run is not None:
                 self._guard.ended_well(run)
         except transport_errors.NotSentError as error:
@@ -338,10 +340,10 @@
         """Note what an endpoint says of itself, whatever it answered."""
         if send_permit is None:
             return
-        echoed = send.name
+        echoed = send.echo_id
         if endpoint.echoes_request_id:
             echoed = response.headers.get(headers.ECHO)
-        source = advertised.origin(response.status, send.name, echoed)
+        source = advertised.origin(response.status, send.echo_id, echoed)
         send_permit.on_response(
             advertised.read(source, response.status, response.headers, DIALECT)
         )
@@ -379,8 +381,8 @@
             now_ms=self._clock.mono_ms(),
             endpoint=endpoint,
             takes_work=self._takes_work(endpoint),
-            current=self._replica.serving and self._awake(),
-            held_ms=self._quarantined_ms(send),
+            configuration_current=self._replica.serving and self._awake(),
+            quarantined_ms=self._quarantined_ms(send),
             admitted=send_permit is None or send_permit.is_valid(),
         )
         for name, function in CHECKS.items():
@@ -397,7 +399,7 @@
         return self._gate is None or not self._gate.leaving.is_leaving(life)
 
     def _headers(self, send: Send) -> dict[str, str]:
-        sent = {headers.ECHO: send.name, **send.extra_headers}
+        sent = {headers.ECHO: send.echo_id, **send.extra_headers}
         if send.head is None:
             return sent
         left_ms = send.head.deadline_ms - self._clock.mono_ms()
@@ -435,7 +437,7 @@
         logger.warning(
             'answer_crossed',
             endpoint=send.endpoint,
-            expected_text=send.name,
+            expected=send.echo_id,
             found=response.headers.get(headers.ECHO),
         )
         raise errors.MaybeSentError("answer is another request's")
@@ -449,7 +451,7 @@
     """Tell whether an answer is to what was sent."""
     if not endpoint.echoes_request_id:
         return True
-    return response.headers.get(headers.ECHO) == send.name
+    return response.headers.get(headers.ECHO) == send.echo_id
 
 
 def _reject_unframed(send: Send, response: aiohttp.ClientResponse) -> None:
--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -119,7 +119,7 @@
         self, forward_state: _ForwardState, host: ids.HostId, last: bool
     ) -> bool:
         """Return whether the request has been answered through a host."""
-        self._decisions.note(
+        self._decisions.record(
             'forwarded',
             forward_state.head.request,
             peer=host,
@@ -129,8 +129,8 @@
         try_ms = left_ms if last else left_ms * FIRST_TRY_SHARE
         try:
             async with clocks.timeout_ms(try_ms) as timeout:
-                forward_state.bound = timeout
-                with self._reach.watching(host, forward_state.lost):
+                forward_state.timeout = timeout
+                with self._reach.watching(host, forward_state.abort):
                     await self._send_to(forward_state, host)
             return True
         except transport_errors.NotSentError as error:
@@ -140,12 +140,12 @@
             errors.MaybeSentError,
             TimeoutError,
         ) as error:
-            forward_state.sent = True
+            forward_state.maybe_sent = True
             cause = repr(error)
         except streams.OutcomeEventError as error:
             raise errors.EndedError(_parse_ending(error.data)) from error
         self._members.failed(host)
-        self._decisions.note(
+        self._decisions.record(
             'forward_failed',
             forward_state.head.request,
             peer=host,
@@ -225,7 +225,7 @@
 
     def _headers(self, forward_state: _ForwardState) -> dict[str, str]:
         head = forward_state.head
-        if forward_state.sent:
+        if forward_state.maybe_sent:
             # The host that failed may have run it. As a resend, a
             # once-only request is not run again and gets the kept
             # answer, and none is told as not run.
@@ -254,7 +254,7 @@
         if forward_state.head.bound:
             reason = outcomes.Reason.HOME_UNREACHABLE
         outcome = outcomes.Outcome.NOT_RUN
-        if forward_state.sent:
+        if forward_state.maybe_sent:
             outcome = outcomes.Outcome.UNKNOWN
         return errors.EndedError(
             outcomes.Ending(
--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -17,8 +17,8 @@
 from wrenspoke.coordination.serving import local_server
 from wrenspoke.coordination.serving import once
 from wrenspoke.coordination.serving import placement
-from wrenspoke.coordination.serving import team_rate_limits
 from wrenspoke.coordination.serving import streams
+from wrenspoke.coordination.serving import team_rate_limits
 from wrenspoke import ids
 from wrenspoke.protocol import errors as protocol_errors
 from wrenspoke.protocol import fingerprints
@@ -139,7 +139,7 @@
         whole = isinstance(ending, str)
         outcome = ending if whole else ending.outcome.value
         self.outcome_counts[outcome] = self.outcome_counts.get(outcome, 0) + 1
-        self._decisions.note(
+        self._decisions.record(
             'ended',
             head.request,
             outcome=outcome,
@@ -170,7 +170,7 @@
         head, key = self._apply_rules(head)
         reply.request_id = head.request
         region = self._select_region(head, key)
-        self._decisions.note(
+        self._decisions.record(
             'routed',
             head.request,
             service=head.service,
@@ -194,7 +194,7 @@
             failover_region = self._failover_region(head, error.ending, reply)
             if failover_region is None:
                 raise
-            self._decisions.note(
+            self._decisions.record(
                 'sent_away',
                 head.request,
                 region=failover_region,
@@ -457,7 +457,7 @@
             'draining': self._members.draining,
             'in_flight': self._in_flight,
             'ended': self.outcome_counts,
-            'ledger_keys': self._ledger.held,
+            'ledger_keys': self._ledger.key_count,
             'sent_to_endpoints': self._server.dispatcher.sent,
             'retries_spent': self._server.budget.spent,
             'retries_denied': self._server.budget.denied,
--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -114,7 +114,7 @@
         """
         if isinstance(error, errors.EndpointBusyError):
             # Others take it; the placer leaves this one alone meanwhile.
-            self._decisions.note(
+            self._decisions.record(
                 'over_endpoint_limit',
                 self._head.request,
                 endpoint=endpoint,
@@ -147,9 +147,9 @@
         sent = isinstance(error, errors.MaybeSentError)
         self.may_have_run |= sent
         allowed = self.count < self._limit and (
-            _is_budget_exempt(error) or self._budget.spend()
+            _is_budget_exempt(error) or self._budget.try_spend()
         )
-        self._decisions.note(
+        self._decisions.record(
             'try_failed',
             self._head.request,
             endpoint=endpoint,
@@ -234,7 +234,7 @@
         except errors.EndedError as error:
             if retry_state.count == 0:
                 raise
-            raise retry_state.ended(
+            raise retry_state.ended_error(
                 outcomes.Reason.ENDPOINT_FAILED,
                 f'{retry_state.last_error}; {error.ending.detail}',
                 error.ending.retry_after_ms,
@@ -290,11 +290,12 @@
     ) -> bool:
         error = errors.MaybeSentError(f'endpoint answered {answer.status}')
         try:
-            retry_state.failed(answer.endpoint, error)
+            retry_state.record_failure(answer.endpoint, error)
         except errors.EndedError:
             return False
         return bool(
-            self.scheduler.endpoints(head) - retry_state.excluded_endpoints
+            self.scheduler.eligible_endpoints(head)
+            - retry_state.excluded_endpoints
         )
 
     async def exchange(self, send: dispatch.Send) -> BufferedResponse:
@@ -306,13 +307,15 @@
         succeeded = overloaded = False
         try:
             async with self.dispatcher.send(send) as answer:
-                body = await answer.whole(self.settings.answer_limit_bytes)
+                body = await answer.read_all(self.settings.answer_limit_bytes)
             succeeded = answer.status < SERVER_ERROR
             taken_ms = self.clock.mono_ms() - started_ms
             self.loads.answered(send.endpoint)
             self.loads.observe_first(send.endpoint, taken_ms)
             self.loads.observe_hold(send.endpoint, taken_ms)
-            self.scheduler.sessions.used(send.head.session, send.endpoint)
+            self.scheduler.sessions.record_use(
+                send.head.session, send.endpoint
+            )
             response_headers = dict(answer.headers)
             response_headers[headers.ENDPOINT] = send.endpoint
             return BufferedResponse(
--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -166,7 +166,7 @@
         except errors.LedgerUnreachableError as error:
             raise self._ledger_unreachable_error(head, error) from error
         won = claim.attempt_id == attempt_id
-        self._decisions.note(
+        self._decisions.record(
             'claim',
             head.request,
             won=won,
@@ -187,7 +187,7 @@
         The attempt itself has not left this host. Only of a first one
         does that mean that the request was not run.
         """
-        self._decisions.note('ledger_unreachable', head.request, error=error)
+        self._decisions.record('ledger_unreachable', head.request, error=error)
         outcome = outcomes.Outcome.NOT_RUN
         if head.resend:
             outcome = outcomes.Outcome.UNKNOWN
@@ -246,7 +246,7 @@
     ) -> placement.Slot:
         """Return another place, as nothing has been sent yet."""
         try:
-            await retry_state.after(send.endpoint, error)
+            await retry_state.handle_failure(send.endpoint, error)
             return await self._server.destination(head, retry_state)
         except errors.EndedError:
             await self._release_claim(key, send.ticket)
@@ -304,7 +304,7 @@
                 break
             await self._clock.sleep_ms(RESEND_POLL_MS)
             claim = await self._read_claim(head, key)
-        self._decisions.note(
+        self._decisions.record(
             'resend', head.request, state=claim.state, by=claim.host
         )
         if claim.state is registers.ClaimState.REFUSED:
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -133,7 +133,7 @@
             await self._serve(work)
         finally:
             if not work.may_have_run:
-                self._limiter.give_back(work.leased)
+                self._limiter.give_back(work.taken)
 
     async def _begin(
         self,
@@ -229,7 +229,7 @@
         :raises DeniedError: it may not be served, or not here
         """
         try:
-            return self._access.permit(call)
+            return self._access.authorize(call)
         except errors.NoLeaseError:
             lease = self._attended.lease
             if lease.ever_held or not self._waits:
@@ -239,7 +239,7 @@
                 await lease.granted.wait()
         except TimeoutError:
             pass
-        return self._access.permit(call)
+        return self._access.authorize(call)
 
     async def _deny(
         self,
--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -13,8 +13,8 @@
 from wrenspoke.coordination.limiting import endpoint_gate
 from wrenspoke.coordination.membership import loads
 from wrenspoke.coordination.membership import replica
-from wrenspoke.coordination.serving import decisions
 from wrenspoke.coordination.serving import concurrency_limits
+from wrenspoke.coordination.serving import decisions
 from wrenspoke.coordination.serving import retry_schedule
 from wrenspoke.coordination.serving import routing
 from wrenspoke import ids
@@ -219,7 +219,7 @@
     ) -> routing.RankingContext:
         return routing.RankingContext(
             loads=self._loads,
-            concurrency_limits=self._limits,
+            limits=self._limits,
             sessions=self.sessions,
             service=self._replica.current.services[head.service],
             random=self._random,
@@ -266,18 +266,20 @@
             limit = self._limits.limit_for(endpoint.endpoint, endpoint.slots)
             if not limit.has_capacity or self._blocked_ms(endpoint.endpoint):
                 continue
-            self._decisions.note(
+            self._decisions.record(
                 'placed',
                 head.request,
                 endpoint=endpoint.endpoint,
                 policy=self._settings.policy,
                 score=round(item.score, 1),
-                position=position,
+                place=position,
                 candidates=len(ranked),
                 in_flight=limit.in_flight,
                 limit=round(limit.limit, 1),
             )
-            return Slot(endpoint, limit, self._loads.has_queue, queue.wake)
+            return Slot(
+                endpoint, limit, self._loads.has_queue, queue.wake_next
+            )
         return None
 
     def _reject_if_too_late(
@@ -288,7 +290,7 @@
     ) -> None:
         left_ms = head.deadline_ms - self._clock.mono_ms()
         endpoints = [item.endpoint for item in ranked]
-        wait_ms = self._wait_ms(endpoints, queue.ahead(head) + 1)
+        wait_ms = self._wait_ms(endpoints, queue.count_ahead(head) + 1)
         if wait_ms <= left_ms:
             return
         # The most urgent wait where it is reckoned that they are late, and
--- a/wrenspoke/coordination/serving/placing.py
+++ b/wrenspoke/coordination/serving/placing.py
@@ -260,7 +260,7 @@
             host.passing_address,
             host.region,
             host=host.host,
-            region=region,
+            serving_region=region,
             hop=hop,
         )
 
@@ -302,6 +302,6 @@
             found.host.passing_address,
             found.host.region,
             host=found.host.host,
-            region=found.region,
+            serving_region=found.region,
             hop=hop,
         )
--- a/wrenspoke/coordination/serving/routing.py
+++ b/wrenspoke/coordination/serving/routing.py
@@ -27,8 +27,8 @@
     """Hold what a policy may look at."""
 
     loads: loads.Loads
-    limits: limits.ConcurrencyLimits
-    sessions: 'Sessions'
+    limits: concurrency_limits.ConcurrencyLimits
+    sessions: 'SessionAffinity'
     service: configuration.Service
     random: random.Random
 
@@ -188,7 +188,7 @@
 ) -> dict[ids.EndpointId, float]:
     if head.session is None or not endpoints:
         return {}
-    last_used = sessions.endpoint(head.session)
+    last_used = sessions.last_endpoint(head.session)
     if last_used is not None:
         return {last_used: 1.0}
     names = [endpoint.endpoint for endpoint in endpoints]
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -21,8 +21,8 @@
 from wrenspoke.coordination.limiting import endpoint_gate
 from wrenspoke.coordination.quarantine import guard as guards
 from wrenspoke.coordination.serving import access
-from wrenspoke.coordination.serving import response_body
 from wrenspoke.coordination.serving import choice
+from wrenspoke.coordination.serving import response_body
 from wrenspoke import ids
 from wrenspoke.protocol import advertised
 from wrenspoke.protocol import dialect as dialects
@@ -366,7 +366,7 @@
             logger.warning(
                 'answer_crossed',
                 request=call.request,
-                destination=destination.name,
+                place=destination.name,
                 found=echoed,
                 status=response.status,
             )
--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -121,7 +121,7 @@
                 raise OutcomeEventError(event.data)
             on_event()
             event_timeout_ms = stall_ms
-            await reply.event(transcript.add(event))
+            await reply.event(transcript.add_event(event))
 
 
 class StreamServer:
@@ -160,7 +160,7 @@
                 )
                 return slot.endpoint.endpoint
             except local_server.SEND_ERRORS as error:
-                await retry_state.after(slot.endpoint.endpoint, error)
+                await retry_state.handle_failure(slot.endpoint.endpoint, error)
             finally:
                 slot.release()
 
@@ -201,7 +201,7 @@
         transcript: Transcript,
         error: errors.MaybeSentError,
     ) -> None:
-        self._server.decisions.note(
+        self._server.decisions.record(
             'stream_broken',
             head.request,
             endpoint=slot.endpoint.endpoint,
@@ -228,7 +228,7 @@
             extra_headers={headers.LAST_EVENT_ID: str(transcript.last_event)},
         )
         await self._relay_from(send, transcript, reply, retry_state)
-        self._server.decisions.note(
+        self._server.decisions.record(
             'stream_resumed',
             head.request,
             endpoint=slot.endpoint.endpoint,
@@ -271,7 +271,7 @@
         except TimeoutError as error:
             retry_state.may_have_run = True
             self._start_cancel(send)
-            raise retry_state.ended(
+            raise retry_state.ended_error(
                 outcomes.Reason.DEADLINE, 'deadline passed'
             ) from error
         except errors.OverloadedError:
@@ -285,7 +285,9 @@
             raise
         taken_ms = clock.mono_ms() - started_ms
         self._server.loads.observe_hold(send.endpoint, taken_ms)
-        self._server.scheduler.sessions.used(send.head.session, send.endpoint)
+        self._server.scheduler.sessions.record_use(
+            send.head.session, send.endpoint
+        )
         send.slot.release(succeeded=True)
         await reply.close()
 
@@ -321,8 +323,10 @@
         retry_state: local_server.RetryState,
     ) -> ids.EndpointId:
         """Resume a stream that broke before the caller asked again."""
-        for endpoint in sorted(self._server.scheduler.endpoints(head)):
-            slot = self._server.scheduler.take(endpoint)
+        for endpoint in sorted(
+            self._server.scheduler.eligible_endpoints(head)
+        ):
+            slot = self._server.scheduler.acquire_slot_at(endpoint)
             if slot is None:
                 continue
             try:
@@ -338,7 +342,7 @@
             finally:
                 slot.release()
         retry_state.may_have_run = True
-        raise retry_state.ended(
+        raise retry_state.ended_error(
             outcomes.Reason.STREAM_BROKEN,
             'no engine holds this stream any more; ask anew',
         )
--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -86,7 +86,7 @@
         leases = {
             name: lease
             for name, lease in self._leases.get(team, {}).items()
-            if lease.until_ms > now_ms
+            if lease.expires_at_ms > now_ms
         }
         others = [lease for name, lease in leases.items() if name != host]
         demand = max(demand_per_s, MIN_DEMAND_PER_S)
@@ -187,8 +187,8 @@
                 if team not in self._replica.current.limits:
                     del self._buckets[team]
                     continue
-                rate = bucket.asked * MS_PER_S / RENEW_MS
-                bucket.asked = 0
+                rate = bucket.request_count * MS_PER_S / RENEW_MS
+                bucket.request_count = 0
                 if rate == 0 and bucket.leased_until_ms == 0:
                     continue
                 lender = self._lender_host(team)
--- a/wrenspoke/coordination/serving/tries.py
+++ b/wrenspoke/coordination/serving/tries.py
@@ -109,7 +109,7 @@
     ) -> bool:
         """Acquire a permit to send; False where the endpoint takes no more."""
         try:
-            await self._sender.admit(place, _rank(work, place))
+            await self._sender.acquire_permit(place, _rank(work, place))
         except errors.EndpointBusyError as error:
             work.over_limit += 1
             work.cause = str(error)
@@ -147,7 +147,7 @@
         """Record the time to the first piece of a response."""
         work.first_at_ms = self._clock.mono_ms()
         took_ms = work.first_at_ms - place.sent_ms
-        if place.region is not None:
+        if place.serving_region is not None:
             return
         self._estimator.note_read(place.endpoint, place.prompt_number)
         self._estimator.note_first(
@@ -252,7 +252,7 @@
             )
             if self._may_repeat(work) and self._repeats.pays(work.route.name):
                 work.cause = f'status {answer.status}'
-                body = await answer.whole(WHOLE_LIMIT_BYTES)
+                body = await answer.read_all(WHOLE_LIMIT_BYTES)
                 work.kept = works.KeptAnswer(
                     answer.status, answer.fields, body
                 )
@@ -266,7 +266,7 @@
         ):
             await self._stream(work, place, answer)
             return True
-        body = await answer.whole(WHOLE_LIMIT_BYTES)
+        body = await answer.read_all(WHOLE_LIMIT_BYTES)
         if answer.status in OK_STATUSES:
             self._note_first(work, place)
         await work.reply.whole(answer.status, answer.fields, body)
@@ -292,14 +292,16 @@
         if answer.refused is passing.Refusal.UNSENT:
             work.told_return_ms = int(answer.retry_after_ms) or None
         if answer.refused in (passing.Refusal.UNSENT, passing.Refusal.BUSY):
-            work.regions_out.add(place.region)
+            work.regions_out.add(place.serving_region)
         if answer.refused == passing.Refusal.UNKNOWN_KEY:
             raise errors.UnknownKeyError(work.cause)
         if answer.refused == passing.Refusal.QUARANTINED:
             raise errors.QuarantinedError(int(answer.retry_after_ms))
         if answer.refused == passing.Refusal.BUSY:
             self._regions.note_told(
-                place.region, work.service.service, answer.retry_after_ms
+                place.serving_region,
+                work.service.service,
+                answer.retry_after_ms,
             )
         return False
 
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -94,9 +94,9 @@
         self.spending = spending.Spending(
             node.host,
             spending.RetryBounds(
-                node.retry_budget.ratio,
-                node.retry_budget.fixed,
-                node.retry_budget.window_ms,
+                node.retries.ratio,
+                node.retries.fixed,
+                node.retries.window_ms,
             ),
             self.clock,
         )
--- a/wrenspoke/history.py
+++ b/wrenspoke/history.py
@@ -121,5 +121,5 @@
 
 def read(path: pathlib.Path) -> list[Asked]:
     """Read a history."""
-    lines = path.bytes_read().splitlines()
+    lines = path.read_bytes().splitlines()
     return [msgspec.json.decode(line, type=Asked) for line in lines]
--- a/wrenspoke/settings.py
+++ b/wrenspoke/settings.py
@@ -31,7 +31,7 @@
 
 
 class _Section(pydantic.BaseModel):
-    model_config = pydantic.ConfigDict(extra_headers='forbid', frozen=True)
+    model_config = pydantic.ConfigDict(extra='forbid', frozen=True)
 
 
 class RegionLink(_Section):
--- a/wrenspoke/state/disk.py
+++ b/wrenspoke/state/disk.py
@@ -80,7 +80,7 @@
     def read(self, name: str) -> bytes | None:
         """Return a file's content, or None if it is not there."""
         try:
-            return (self._folder / name).bytes_read()
+            return (self._folder / name).read_bytes()
         except FileNotFoundError:
             return None
         except OSError as error:
--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -127,7 +127,7 @@
         self._silence = silence
         self._offsets_ms: dict[tuple[str, str], int] = {}
         self._epoch = ids.new_unique()
-        self._context = zmq.asyncio.CheckContext()
+        self._context = zmq.asyncio.Context()
         self._authenticator = None
         self._router = None
         self._dealers: dict[ids.HostId, zmq.asyncio.Socket] = {}
