--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -456,9 +456,11 @@
         'homes not looked at as a body leaves',
         DECISIONS + 'serving/sending.py',
         (
-            'return self._access.may_enter_regions(call, permit, destination.host, destination.regions)'
+            '        return self._access.may_enter_regions(\n'
+            '            call, permit, destination.host, destination.regions\n'
+            '        )\n'
         ),
-        ('return True'),
+        ('        return True\n'),
         (
             'tests/test_homes.py::test_homes_are_looked_at_again_once_there_is_a_connection'
         ),
--- a/benches/switches_limits.py
+++ b/benches/switches_limits.py
@@ -28,8 +28,11 @@
     Switch(
         'leave not looked at as a call leaves',
         SERVING + 'sending.py',
-        'if destination.endpoint is not None and not destination.send_permit.is_valid():',
-        'if False:',
+        (
+            '        if (\n            destination.endpoint is not None\n'
+            '            and not destination.send_permit.is_valid()\n        ):\n'
+        ),
+        '        if False:\n',
         f'{INCIDENT}::test_leave_that_ended_on_the_way_sends_nothing',
     ),
     Switch(
--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -154,7 +154,7 @@
             self._head.request,
             endpoint=endpoint,
             error=error,
-            new_retry_state=self.count,
+            tries=self.count,
             retry=allowed,
         )
         if not allowed:
@@ -228,7 +228,7 @@
     ) -> placement.Slot:
         """Return a place; after failures the reason given is theirs."""
         try:
-            return await self.scheduler.destination(
+            return await self.scheduler.acquire_slot(
                 head, retry_state.excluded_endpoints
             )
         except errors.EndedError as error:
--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -113,7 +113,7 @@
         body: bytes,
     ) -> local_server.BufferedResponse | registers.Claim:
         """Claim and send; return the claim where it is another's."""
-        slot = await self._server.scheduler.destination(head)
+        slot = await self._server.scheduler.acquire_slot(head)
         try:
             ticket, claim = await self._claim(head, key)
         except BaseException:
@@ -247,7 +247,7 @@
         """Return another place, as nothing has been sent yet."""
         try:
             await retry_state.handle_failure(send.endpoint, error)
-            return await self._server.destination(head, retry_state)
+            return await self._server.acquire_slot(head, retry_state)
         except errors.EndedError:
             await self._release_claim(key, send.ticket)
             raise
--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -197,7 +197,7 @@
         return Slot(
             found,
             limit,
-            self._loads.has_queue,
+            self._loads.crowded,
             self._queue_for(found.service).wake_next,
         )
 
@@ -277,9 +277,7 @@
                 in_flight=limit.in_flight,
                 limit=round(limit.limit, 1),
             )
-            return Slot(
-                endpoint, limit, self._loads.has_queue, queue.wake_next
-            )
+            return Slot(endpoint, limit, self._loads.crowded, queue.wake_next)
         return None
 
     def _reject_if_too_late(
--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -153,7 +153,7 @@
             )
         while True:
             retry_state.check_deadline()
-            slot = await self._server.destination(head, retry_state)
+            slot = await self._server.acquire_slot(head, retry_state)
             try:
                 await self._stream_once(
                     head, transcript, reply, slot, retry_state
