--- a/wrenspoke/coordination/serving/access.py
+++ b/wrenspoke/coordination/serving/access.py
@@ -201,9 +201,7 @@
         return {pair: _clamp_urgency(pair[0]) for pair in pairs}
     ranked = sorted(pairs)
     step = max(math.ceil(len(ranked) / URGENCY_LEVELS), 1)
-    return {
-        pair: destination // step for destination, pair in enumerate(ranked)
-    }
+    return {pair: position // step for position, pair in enumerate(ranked)}
 
 
 def _team_id(team: teams.Team | None) -> ids.TeamId | None:
