--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -164,7 +164,7 @@
 
 
 @pytest.mark.parametrize(
-    'play', SESSIONS, ids=[play.__name__ for play in SESSIONS]
+    'record_scenario', SESSIONS, ids=[play.__name__ for play in SESSIONS]
 )
 async def test_session(tmp_path, record_scenario):
     made = fleet.deployment(controls=1)
