--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -67,7 +67,7 @@
         self._clock = clock
 
     async def run_attempt(
-        self, context: call_context.CallContext, destination: sending.Place
+        self, context: call_context.CallContext, destination: sending.Destination
     ) -> bool:
         """Send once; return whether the caller has its answer."""
         counts = self._selector.in_flight
@@ -105,7 +105,7 @@
             self._on_failure(context, destination, str(error))
         finally:
             self._estimator.record_prefilled(
-                destination.endpoint, destination.reading
+                destination.endpoint, destination.prompt_number
             )
             counts[destination.name] -= 1
             if not counts[destination.name]:
@@ -113,11 +113,11 @@
         return False
 
     async def acquire_permit(
-        self, context: call_context.CallContext, destination: sending.Place
+        self, context: call_context.CallContext, destination: sending.Destination
     ) -> bool:
         """Acquire a permit to send; False where the endpoint takes no more."""
         try:
-            await self._sender.admit(
+            await self._sender.acquire_permit(
                 destination, _permit_rank(context, destination)
             )
         except errors.EndpointBusyError as error:
@@ -137,18 +137,18 @@
         return context.deadline_ms - self._clock.mono_ms()
 
     def _record_send(
-        self, context: call_context.CallContext, destination: sending.Place
+        self, context: call_context.CallContext, destination: sending.Destination
     ) -> None:
         destination.sent_ms = self._clock.mono_ms()
         if destination.chosen is None:
             return
-        destination.reading = self._estimator.record_sent(
+        destination.prompt_number = self._estimator.record_sent(
             destination.endpoint,
             context.service,
             context.call,
             destination.chosen.estimate,
         )
-        if self._broadcaster is not None and destination.reading is not None:
+        if self._broadcaster is not None and destination.prompt_number is not None:
             self._broadcaster.publish(
                 destination.endpoint,
                 destination.chosen.estimate.uncached_tokens,
@@ -157,15 +157,15 @@
             )
 
     def _record_first_piece(
-        self, context: call_context.CallContext, destination: sending.Place
+        self, context: call_context.CallContext, destination: sending.Destination
     ) -> None:
         """Record the time to the first piece of a response."""
         context.first_piece_at_ms = self._clock.mono_ms()
         took_ms = context.first_piece_at_ms - destination.sent_ms
-        if destination.region is not None:
+        if destination.serving_region is not None:
             return
         self._estimator.record_prefilled(
-            destination.endpoint, destination.reading
+            destination.endpoint, destination.prompt_number
         )
         self._estimator.record_first_piece(
             destination.endpoint,
@@ -176,7 +176,7 @@
 
     @contextlib.asynccontextmanager
     async def _abort_if_host_unreachable(
-        self, context: call_context.CallContext, destination: sending.Place
+        self, context: call_context.CallContext, destination: sending.Destination
     ) -> collections.abc.AsyncIterator[None]:
         """Give up on a host that falls silent, if the call may be retried.
 
@@ -204,7 +204,7 @@
     def _on_failure(
         self,
         context: call_context.CallContext,
-        destination: sending.Place,
+        destination: sending.Destination,
         cause: str,
         certain: bool = False,
     ) -> None:
@@ -225,7 +225,7 @@
         )
 
     def _on_send_aborted(
-        self, context: call_context.CallContext, destination: sending.Place
+        self, context: call_context.CallContext, destination: sending.Destination
     ) -> None:
         """Record that a send was rejected by a check at send time.
 
@@ -250,8 +250,8 @@
     async def _handle_response(
         self,
         context: call_context.CallContext,
-        destination: sending.Place,
-        answer: sending.Answer,
+        destination: sending.Destination,
+        answer: sending.UpstreamResponse,
     ) -> bool:
         """Pass a response on, or hold it back where another attempt is due."""
         destination.answered = True
@@ -261,7 +261,7 @@
             )
         if destination.host is not None:
             context.count_runs(answer.runs - 1)
-        if answer.verdict is sending.Verdict.NOT_HERE:
+        if answer.verdict is sending.Verdict.MISDIRECTED:
             context.mark_not_run()
             context.cause = 'not here any more'
             # Nothing of this life of it will come back.
@@ -286,7 +286,7 @@
                 context
             ) and self._retry_outcomes.is_worthwhile(context.route.name):
                 context.cause = f'status {answer.status}'
-                body = await answer.whole(BUFFERED_BODY_LIMIT_BYTES)
+                body = await answer.read_all(BUFFERED_BODY_LIMIT_BYTES)
                 context.retained_response = call_context.RetainedResponse(
                     answer.status, answer.fields, body
                 )
@@ -300,7 +300,7 @@
         ):
             await self._forward_stream(context, destination, answer)
             return True
-        body = await answer.whole(BUFFERED_BODY_LIMIT_BYTES)
+        body = await answer.read_all(BUFFERED_BODY_LIMIT_BYTES)
         if answer.status in OK_STATUSES:
             self._record_first_piece(context, destination)
         await context.reply.whole(answer.status, answer.fields, body)
@@ -310,8 +310,8 @@
     async def _handle_refusal(
         self,
         context: call_context.CallContext,
-        destination: sending.Place,
-        answer: sending.Answer,
+        destination: sending.Destination,
+        answer: sending.UpstreamResponse,
     ) -> bool:
         """Take the refusal of a host of another region.
 
@@ -326,14 +326,14 @@
         if answer.refused is passing.Refusal.UNSENT:
             context.remote_retry_after_ms = int(answer.retry_after_ms) or None
         if answer.refused in (passing.Refusal.UNSENT, passing.Refusal.BUSY):
-            context.refusing_regions.add(destination.region)
+            context.refusing_regions.add(destination.serving_region)
         if answer.refused == passing.Refusal.UNKNOWN_KEY:
             raise errors.UnknownKeyError(context.cause)
         if answer.refused == passing.Refusal.QUARANTINED:
             raise errors.QuarantinedError(int(answer.retry_after_ms))
         if answer.refused == passing.Refusal.BUSY:
             self._remote_regions.record_busy(
-                destination.region,
+                destination.serving_region,
                 context.service.service,
                 answer.retry_after_ms,
             )
@@ -352,8 +352,8 @@
     async def _forward_stream(
         self,
         context: call_context.CallContext,
-        destination: sending.Place,
-        answer: sending.Answer,
+        destination: sending.Destination,
+        answer: sending.UpstreamResponse,
     ) -> None:
         """Pass a stream on; the head is sent with the first piece."""
         tracker = event_tracker.EventTracker(
@@ -365,8 +365,8 @@
     async def _forward_events(
         self,
         context: call_context.CallContext,
-        destination: sending.Place,
-        answer: sending.Answer,
+        destination: sending.Destination,
+        answer: sending.UpstreamResponse,
         tracker: event_tracker.EventTracker,
     ) -> None:
         """Pass events on, and record the engine's pace."""
@@ -384,7 +384,7 @@
                 await context.reply.write(data)
 
     def _gap_recorder(
-        self, context: call_context.CallContext, destination: sending.Place
+        self, context: call_context.CallContext, destination: sending.Destination
     ) -> engine_pace.StreamGapRecorder:
         tokens = 1
         if context.service.batch is not None:
@@ -399,8 +399,8 @@
     async def _end_stream(
         self,
         context: call_context.CallContext,
-        destination: sending.Place,
-        answer: sending.Answer,
+        destination: sending.Destination,
+        answer: sending.UpstreamResponse,
         tracker: event_tracker.EventTracker,
     ) -> None:
         if not context.reply.started:
@@ -416,8 +416,8 @@
     async def _resume_stream(
         self,
         context: call_context.CallContext,
-        destination: sending.Place,
-        answer: sending.Answer,
+        destination: sending.Destination,
+        answer: sending.UpstreamResponse,
     ) -> bool:
         """Continue a stream that another endpoint began."""
         if answer.status not in OK_STATUSES:
@@ -438,7 +438,7 @@
     def _log_answered(
         self,
         context: call_context.CallContext,
-        destination: sending.Place,
+        destination: sending.Destination,
         status: int,
         pieces: int = 1,
     ) -> None:
@@ -466,7 +466,7 @@
 
     @staticmethod
     def _time_to_first_ms(
-        context: call_context.CallContext, destination: sending.Place
+        context: call_context.CallContext, destination: sending.Destination
     ) -> int | None:
         """Return how long the first piece took after the call was sent.
 
@@ -481,7 +481,7 @@
 
 
 def _permit_rank(
-    context: call_context.CallContext, destination: sending.Place
+    context: call_context.CallContext, destination: sending.Destination
 ) -> int:
     """Return a call's rank among those that want the same endpoint.
 
--- a/wrenspoke/coordination/serving/call_context.py
+++ b/wrenspoke/coordination/serving/call_context.py
@@ -25,7 +25,7 @@
     """Hold how far serving one call has come."""
 
     call: dialects.Call
-    permit: access.Permit
+    permit: access.RoutePermit
     service: routes.RoutedService
     deadline_ms: int
     reply: passing.Reply
--- a/wrenspoke/coordination/serving/limits.py
+++ b/wrenspoke/coordination/serving/concurrency_limits.py
@@ -5,10 +5,10 @@
 from wrenspoke import clock as clocks
 from wrenspoke import ids
 
-DECREASE = 0.7
+DECREASE_FACTOR = 0.7
 DECREASE_INTERVAL_MS = 200
-SMALLEST_LIMIT = 1.0
-HEADROOM = 4
+MIN_LIMIT = 1.0
+MAX_LIMIT_FACTOR = 4
 BUSY_SHARE = 0.8
 
 
@@ -24,13 +24,13 @@
     def __init__(self, slots: int, clock: clocks.Clock):
         self._clock = clock
         self._slots = float(slots)
-        self._most = float(slots * HEADROOM)
+        self._max_limit = float(slots * MAX_LIMIT_FACTOR)
         self._decreased_ms = -DECREASE_INTERVAL_MS
         self.limit = float(slots)
         self.in_flight = 0
 
     @property
-    def free(self) -> bool:
+    def has_capacity(self) -> bool:
         """Tell whether one more request may be sent."""
         return self.in_flight + 1 <= self.limit
 
@@ -39,7 +39,7 @@
         self.in_flight += 1
 
     def release(
-        self, succeeded: bool, overloaded: bool, crowded: bool
+        self, succeeded: bool, overloaded: bool, has_queue: bool
     ) -> None:
         """Count a request out and learn from its end.
 
@@ -48,29 +48,29 @@
         busy = self.in_flight >= self.limit * BUSY_SHARE
         self.in_flight -= 1
         if overloaded:
-            self._decrease(SMALLEST_LIMIT)
-        elif crowded:
+            self._decrease(MIN_LIMIT)
+        elif has_queue:
             self._decrease(min(self.limit, self._slots))
         elif succeeded and busy:
             grown = self.limit + 1 / self.limit
-            self.limit = min(self._most, grown)
+            self.limit = min(self._max_limit, grown)
 
-    def _decrease(self, least: float) -> None:
+    def _decrease(self, floor: float) -> None:
         now_ms = self._clock.mono_ms()
         if now_ms - self._decreased_ms < DECREASE_INTERVAL_MS:
             return
         self._decreased_ms = now_ms
-        self.limit = max(least, self.limit * DECREASE)
+        self.limit = max(floor, self.limit * DECREASE_FACTOR)
 
 
-class Limits:
+class ConcurrencyLimits:
     """Hold the limit of every endpoint that this host sends to."""
 
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
         self._limits: dict[ids.EndpointId, AdaptiveLimit] = {}
 
-    def of(self, endpoint: ids.EndpointId, slots: int) -> AdaptiveLimit:
+    def limit_for(self, endpoint: ids.EndpointId, slots: int) -> AdaptiveLimit:
         """Return an endpoint's limit, made on first use."""
         limit = self._limits.get(endpoint)
         if limit is None:
@@ -83,7 +83,7 @@
         limit = self._limits.get(endpoint)
         return 0 if limit is None else limit.in_flight
 
-    def keep_only(
+    def retain_endpoints(
         self, endpoints: collections.abc.Container[ids.EndpointId]
     ) -> None:
         """Forget endpoints that are gone and idle."""
--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -18,7 +18,7 @@
 from wrenspoke.coordination.serving import costs
 from wrenspoke.coordination.serving import endpoint_selector
 from wrenspoke.coordination.serving import remote_regions
-from wrenspoke.coordination.serving import return_line
+from wrenspoke.coordination.serving import retry_schedule
 from wrenspoke.coordination.serving import sending
 from wrenspoke import ids
 from wrenspoke import mechanisms
@@ -77,7 +77,7 @@
 
     def next_destination(
         self, context: call_context.CallContext
-    ) -> sending.Place | None:
+    ) -> sending.Destination | None:
         """Return where to send a call, None where nothing takes it.
 
         :raises BusyError: who passed it on can do better
@@ -145,7 +145,7 @@
             end_ms=round(end_ms),
             left_ms=round(bounds.deadline_left_ms),
         )
-        retry_after_ms = return_line.spread_ms(
+        retry_after_ms = retry_schedule.jittered_ms(
             first_ms - context.route.target_ms
         )
         raise UnmeetableDeadlineError(
@@ -180,7 +180,7 @@
         self,
         context: call_context.CallContext,
         chosen: endpoint_selector.EndpointSelection | None,
-    ) -> sending.Place | None:
+    ) -> sending.Destination | None:
         if chosen is None:
             return None
         said = chosen.registered.said
@@ -203,7 +203,7 @@
             candidates=chosen.candidates,
             version=self._replica.current.routes.version,
         )
-        return sending.Place(
+        return sending.Destination(
             said.address,
             self._region,
             endpoint=said.endpoint,
@@ -251,7 +251,7 @@
 
     def _relay_destination(
         self, context: call_context.CallContext, region: ids.RegionId
-    ) -> sending.Place | None:
+    ) -> sending.Destination | None:
         """Return the host that a call for a third region goes on to."""
         if region in context.refusing_regions or not context.route.allows(
             region
@@ -274,11 +274,11 @@
             region=None,
             attempts_left=context.runs_limit - context.runs,
         )
-        return sending.Place(
+        return sending.Destination(
             host.passing_address,
             host.region,
             host=host.host,
-            region=region,
+            serving_region=region,
             hop=hop,
         )
 
@@ -287,7 +287,7 @@
         context: call_context.CallContext,
         found: remote_regions.RegionOffer,
         local: endpoint_selector.EndpointSelection | None,
-    ) -> sending.Place:
+    ) -> sending.Destination:
         # Where it is turned back, the way there and back is lost as well.
         limit_ms = context.deadline_ms - self._clock.mono_ms()
         if local is not None:
@@ -318,10 +318,10 @@
             int(limit_ms),
             found.region,
         )
-        return sending.Place(
+        return sending.Destination(
             found.host.passing_address,
             found.host.region,
             host=found.host.host,
-            region=found.region,
+            serving_region=found.region,
             hop=hop,
         )
--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -20,8 +20,8 @@
 from wrenspoke.coordination.limiting import endpoint_limits
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.quarantine import guard as guards
-from wrenspoke.coordination.serving import bodies
 from wrenspoke.coordination.serving import placement
+from wrenspoke.coordination.serving import response_body
 from wrenspoke import ids
 from wrenspoke.protocol import advertised
 from wrenspoke.protocol import dialect as dialects
@@ -67,7 +67,7 @@
         self.attempt_id = attempt_id
         self.used = False
 
-    def unsent(self) -> None:
+    def mark_unsent(self) -> None:
         """Take back a use that sent nothing."""
         self.used = False
 
@@ -84,20 +84,20 @@
     head: requests.RequestHead | None = None
     slot: placement.Slot | None = None
     ticket: ClaimTicket | None = None
-    extra: dict[str, str] = dataclasses.field(default_factory=dict)
+    extra_headers: dict[str, str] = dataclasses.field(default_factory=dict)
     attempt_id: ids.AttemptId = dataclasses.field(
         default_factory=lambda: ids.AttemptId(ids.new_unique())
     )
 
     @property
-    def name(self) -> str:
+    def echo_id(self) -> str:
         """Return the id that the endpoint is to echo."""
         request = 'control' if self.head is None else self.head.request
         return f'{request}/{self.attempt_id}'
 
 
 @dataclasses.dataclass
-class Context:
+class CheckContext:
     """Hold what the checks look at besides the send itself."""
 
     host: ids.HostId
@@ -105,12 +105,12 @@
     now_ms: int
     endpoint: configuration.Endpoint
     takes_work: bool
-    current: bool
-    held_ms: int | None = None
+    configuration_current: bool
+    quarantined_ms: int | None = None
     admitted: bool = True
 
 
-Check = collections.abc.Callable[[Send, Context], str | None]
+Check = collections.abc.Callable[[Send, CheckContext], str | None]
 CHECKS: dict[str, Check] = {}
 
 
@@ -125,23 +125,25 @@
 
 
 @check('configuration')
-def check_configuration(send: Send, context: Context) -> str | None:
+def check_configuration(send: Send, context: CheckContext) -> str | None:
     """Send nothing by a configuration that may have been left behind."""
-    if send.purpose in WORK and not context.current:
+    if send.purpose in WORK and not context.configuration_current:
         return 'this host was stopped and has to look for changes first'
     return None
 
 
 @check('quarantine')
-def check_quarantine(send: Send, context: Context) -> str | None:
+def check_quarantine(send: Send, context: CheckContext) -> str | None:
     """Send no endpoint what endpoints ended under."""
-    if send.purpose in WORK and context.held_ms is not None:
-        return f'endpoints ended under it; held for {context.held_ms} ms'
+    if send.purpose in WORK and context.quarantined_ms is not None:
+        return (
+            f'endpoints ended under it; held for {context.quarantined_ms} ms'
+        )
     return None
 
 
 @check('residency')
-def check_residency(send: Send, context: Context) -> str | None:
+def check_residency(send: Send, context: CheckContext) -> str | None:
     """Keep work in this region, and bound work in its home."""
     region = context.endpoint.region
     if send.purpose in WORK and region != context.region:
@@ -153,7 +155,7 @@
 
 
 @check('hops')
-def check_hops(send: Send, context: Context) -> str | None:
+def check_hops(send: Send, context: CheckContext) -> str | None:
     """Refuse what was passed on too often or came back."""
     if send.head is None:
         return None
@@ -166,7 +168,7 @@
 
 
 @check('deadline')
-def check_deadline(send: Send, context: Context) -> str | None:
+def check_deadline(send: Send, context: CheckContext) -> str | None:
     """Refuse what nobody waits for."""
     if send.head is not None and send.head.deadline_ms <= context.now_ms:
         return 'deadline has passed'
@@ -174,7 +176,7 @@
 
 
 @check('endpoint_state')
-def check_endpoint_state(send: Send, context: Context) -> str | None:
+def check_endpoint_state(send: Send, context: CheckContext) -> str | None:
     """Give no new work to an endpoint that leaves."""
     if send.purpose in NEW_WORK and not context.takes_work:
         return f'{send.endpoint} takes no new work'
@@ -182,7 +184,7 @@
 
 
 @check('limits')
-def check_limits(send: Send, _context: Context) -> str | None:
+def check_limits(send: Send, _context: CheckContext) -> str | None:
     """Refuse work without a place at its endpoint."""
     if send.purpose not in WORK:
         return None
@@ -194,7 +196,7 @@
 
 
 @check('endpoint_limit')
-def check_endpoint_limit(send: Send, context: Context) -> str | None:
+def check_endpoint_limit(send: Send, context: CheckContext) -> str | None:
     """Send no work without a permit that is still valid."""
     if send.purpose in WORK and not context.admitted:
         return 'no valid permit'
@@ -202,7 +204,7 @@
 
 
 @check('claim')
-def check_claim(send: Send, _context: Context) -> str | None:
+def check_claim(send: Send, _context: CheckContext) -> str | None:
     """Let a once-only request through once, by its claim."""
     if send.head is None or not send.head.once:
         return None
@@ -215,7 +217,7 @@
     return None
 
 
-class Answer(bodies.Body):
+class EndpointResponse(response_body.ResponseBody):
     """Hold the head of an endpoint's answer; the body is read from it."""
 
     def __init__(self, response: aiohttp.ClientResponse, name: str):
@@ -232,7 +234,7 @@
         self,
         host: ids.HostId,
         region: ids.RegionId,
-        held: replica.Replica,
+        config_replica: replica.Replica,
         client: web.HttpClient,
         clock: clocks.Clock,
         awake: collections.abc.Callable[[], bool] = lambda: True,
@@ -241,7 +243,7 @@
     ):
         self._host = host
         self._region = region
-        self._replica = held
+        self._replica = config_replica
         self._client = client
         self._clock = clock
         self._awake = awake
@@ -250,7 +252,9 @@
         self.sent = 0
 
     @contextlib.asynccontextmanager
-    async def send(self, send: Send) -> collections.abc.AsyncIterator[Answer]:
+    async def send(
+        self, send: Send
+    ) -> collections.abc.AsyncIterator[EndpointResponse]:
         """Send once and yield the answer's head.
 
         Leaving the block early cancels the work at the endpoint.
@@ -261,32 +265,32 @@
         :raises OverloadedError: the endpoint turned it away unrun
         :raises MaybeSentError: it may have been run
         """
-        send_permit = await self._admitted(send)
-        endpoint = self._checked(send, send_permit)
+        send_permit = await self._acquire_permit(send)
+        endpoint = self._run_checks(send, send_permit)
         self.sent += send.purpose in WORK
         once = send.head is not None and send.head.once
         try:
             async with (
-                self._watched(send, endpoint) as run,
+                self._tracked_run(send, endpoint) as run,
                 self._client.send(
                     send.method,
                     endpoint.url + send.path,
                     self._headers(send),
                     send.body,
                     fresh=once,
-                    may_leave=lambda: self._may_leave(send, send_permit),
+                    may_leave=lambda: self._may_send(send, send_permit),
                 ) as response,
             ):
-                self._note_advertised(send, endpoint, send_permit, response)
-                self._refuse_overload(send, response)
-                self._refuse_crossed(send, endpoint, response)
-                _refuse_endless(send, response)
-                yield Answer(response, send.name)
+                self._record_advertised(send, endpoint, send_permit, response)
+                self._raise_if_overloaded(send, response)
+                self._reject_mismatched_echo(send, endpoint, response)
+                _reject_unframed(send, response)
+                yield EndpointResponse(response, send.echo_id)
             if run is not None:
                 self._guard.ended_well(run)
         except transport_errors.NotSentError as error:
             if send.ticket is not None:
-                send.ticket.unsent()
+                send.ticket.mark_unsent()
             if send_permit is not None and not send_permit.is_valid():
                 # It says nothing of the endpoint: the permit has ended.
                 raise errors.EndpointBackoffError(send.endpoint, 0) from error
@@ -294,7 +298,9 @@
         except transport_errors.MaybeSentError as error:
             raise errors.MaybeSentError(str(error)) from error
 
-    async def _admitted(self, send: Send) -> endpoint_gate.GatePermit | None:
+    async def _acquire_permit(
+        self, send: Send
+    ) -> endpoint_gate.GatePermit | None:
         """Acquire a permit to send to an endpoint.
 
         A stream that the endpoint has begun goes before all others.
@@ -316,15 +322,15 @@
             life, rank, continues=send.purpose is Purpose.RESUME
         )
 
-    def _may_leave(
+    def _may_send(
         self, send: Send, send_permit: endpoint_gate.GatePermit | None
     ) -> bool:
         """Tell, as the first byte is about to leave, whether it still may."""
-        if self._held_ms(send) is not None:
+        if self._quarantined_ms(send) is not None:
             return False
         return send_permit is None or send_permit.is_valid()
 
-    def _note_advertised(
+    def _record_advertised(
         self,
         send: Send,
         endpoint: configuration.Endpoint,
@@ -334,10 +340,10 @@
         """Note what an endpoint says of itself, whatever it answered."""
         if send_permit is None:
             return
-        echoed = send.name
+        echoed = send.echo_id
         if endpoint.echoes_request_id:
             echoed = response.headers.get(headers.ECHO)
-        source = advertised.origin(response.status, send.name, echoed)
+        source = advertised.origin(response.status, send.echo_id, echoed)
         send_permit.on_response(
             advertised.read(source, response.status, response.headers, DIALECT)
         )
@@ -348,7 +354,7 @@
             return False
         return send.purpose in WORK
 
-    def _watched(
+    def _tracked_run(
         self, send: Send, endpoint: configuration.Endpoint
     ) -> contextlib.AbstractAsyncContextManager:
         """Return what watches a send; nothing where it gives no work."""
@@ -357,26 +363,26 @@
         address = urllib.parse.urlsplit(endpoint.url).netloc
         return self._guard.watching(send.head.digest, send.endpoint, address)
 
-    def _held_ms(self, send: Send) -> int | None:
+    def _quarantined_ms(self, send: Send) -> int | None:
         """Return for how long endpoints are sent no such work."""
         if not self._is_guarded(send):
             return None
         return self._guard.held_ms(send.head.digest)
 
-    def _checked(
+    def _run_checks(
         self, send: Send, send_permit: endpoint_gate.GatePermit | None
     ) -> configuration.Endpoint:
         endpoint = self._replica.current.endpoints.get(send.endpoint)
         if endpoint is None:
             raise errors.SendRefusedError('endpoint_state', 'is gone')
-        context = Context(
+        context = CheckContext(
             host=self._host,
             region=self._region,
             now_ms=self._clock.mono_ms(),
             endpoint=endpoint,
             takes_work=self._takes_work(endpoint),
-            current=self._replica.serving and self._awake(),
-            held_ms=self._held_ms(send),
+            configuration_current=self._replica.serving and self._awake(),
+            quarantined_ms=self._quarantined_ms(send),
             admitted=send_permit is None or send_permit.is_valid(),
         )
         for name, function in CHECKS.items():
@@ -393,7 +399,7 @@
         return self._gate is None or not self._gate.leaving.is_leaving(life)
 
     def _headers(self, send: Send) -> dict[str, str]:
-        sent = {headers.ECHO: send.name, **send.extra}
+        sent = {headers.ECHO: send.echo_id, **send.extra_headers}
         if send.head is None:
             return sent
         left_ms = send.head.deadline_ms - self._clock.mono_ms()
@@ -405,7 +411,7 @@
             sent[headers.SESSION] = send.head.session
         return sent
 
-    def _refuse_overload(
+    def _raise_if_overloaded(
         self, send: Send, response: aiohttp.ClientResponse
     ) -> None:
         if response.status not in advertised.REFUSALS:
@@ -420,24 +426,24 @@
         )
         raise errors.OverloadedError(response.status, backs_off)
 
-    def _refuse_crossed(
+    def _reject_mismatched_echo(
         self,
         send: Send,
         endpoint: configuration.Endpoint,
         response: aiohttp.ClientResponse,
     ) -> None:
-        if _is_own(send, endpoint, response):
+        if _echo_matches(send, endpoint, response):
             return
         logger.warning(
             'answer_crossed',
             endpoint=send.endpoint,
-            expected=send.name,
+            expected=send.echo_id,
             found=response.headers.get(headers.ECHO),
         )
         raise errors.MaybeSentError("answer is another request's")
 
 
-def _is_own(
+def _echo_matches(
     send: Send,
     endpoint: configuration.Endpoint,
     response: aiohttp.ClientResponse,
@@ -445,10 +451,10 @@
     """Tell whether an answer is to what was sent."""
     if not endpoint.echoes_request_id:
         return True
-    return response.headers.get(headers.ECHO) == send.name
+    return response.headers.get(headers.ECHO) == send.echo_id
 
 
-def _refuse_endless(send: Send, response: aiohttp.ClientResponse) -> None:
+def _reject_unframed(send: Send, response: aiohttp.ClientResponse) -> None:
     """Refuse a body whose end can't be told from a broken connection."""
     if send.method == 'HEAD' or response.status in BODILESS_STATUSES:
         return
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -18,7 +18,7 @@
 from wrenspoke.coordination.serving import estimate
 from wrenspoke.coordination.serving import outlier_detection
 from wrenspoke.coordination.serving import prefix_index
-from wrenspoke.coordination.serving import return_line
+from wrenspoke.coordination.serving import retry_schedule
 from wrenspoke.coordination.serving import sampling
 from wrenspoke import ids
 from wrenspoke import mechanisms
@@ -89,7 +89,7 @@
         self._switched_off = switched_off
         self._clock = clock
         self._random = random.Random()
-        self._lines: dict[ids.ServiceId, return_line.ReturnLine] = {}
+        self._lines: dict[ids.ServiceId, retry_schedule.RetrySchedule] = {}
         self.in_flight: dict[ids.EndpointId, int] = {}
 
     def serving_regions(self, route: routes.Route) -> list[ids.RegionId]:
@@ -311,9 +311,9 @@
         if not waits_ms or None in shares:
             return min(waits_ms, default=None)
         line = self._lines.setdefault(
-            service.service, return_line.ReturnLine(self._clock)
+            service.service, retry_schedule.RetrySchedule(self._clock)
         )
-        return max(min(waits_ms), line.join(urgency, sum(shares)))
+        return max(min(waits_ms), line.schedule(urgency, sum(shares)))
 
     def all_in_backoff(self, service: routes.RoutedService) -> bool:
         """Return whether every endpoint of a service asked for backoff."""
--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -29,14 +29,14 @@
 logger = structlog.get_logger(__name__)
 
 # Of a region; beyond these it counts as cut off.
-HOSTS_TRIED = 3
+MAX_HOSTS_TRIED = 3
 # Part of the time that is left, so that a second try has as much.
 FIRST_TRY_SHARE = 0.5
 EVENT_STREAM = 'text/event-stream'
 
 
 @dataclasses.dataclass
-class _Pass:
+class _ForwardState:
     """Hold how far passing a request on has come."""
 
     head: requests.RequestHead
@@ -44,17 +44,17 @@
     region: ids.RegionId
     reply: replies.Reply
     transcript: streams.Transcript
-    sent: bool = False
-    bound: asyncio.Timeout | None = None
+    maybe_sent: bool = False
+    timeout: asyncio.Timeout | None = None
 
-    def lost(self) -> None:
+    def abort(self) -> None:
         """Give up at once on a host that can't be reached any more."""
-        self.bound.reschedule(asyncio.get_running_loop().time())
+        self.timeout.reschedule(asyncio.get_running_loop().time())
 
-    def flowing(self, left_ms: float) -> None:
+    def extend_timeout(self, left_ms: float) -> None:
         """Let a stream that has begun take all the time there is."""
         loop = asyncio.get_running_loop()
-        self.bound.reschedule(loop.time() + left_ms / 1000)
+        self.timeout.reschedule(loop.time() + left_ms / 1000)
 
 
 class Forwarder:
@@ -69,11 +69,11 @@
         self,
         host: ids.HostId,
         deployment: settings.Deployment,
-        watched: members.Members,
-        reached: host_pinger.HostPinger,
+        host_members: members.Members,
+        pinger: host_pinger.HostPinger,
         client: web.HttpClient,
         signer: hops.HopSigner,
-        noted: decisions.Decisions,
+        decision_log: decisions.DecisionLog,
         clock: clocks.Clock,
     ):
         self._host = host
@@ -81,11 +81,11 @@
         self._entries = {
             entry.host: entry for entry in deployment.with_role('entry')
         }
-        self._members = watched
-        self._reach = reached
+        self._members = host_members
+        self._reach = pinger
         self._client = client
         self._signer = signer
-        self._decisions = noted
+        self._decisions = decision_log
         self._clock = clock
 
     async def forward(
@@ -100,36 +100,36 @@
         :raises EndedError: no host there gave an answer
         """
         transcript = streams.Transcript(body, head.last_event or 0)
-        passing = _Pass(head, body, region, reply, transcript)
+        forward_state = _ForwardState(head, body, region, reply, transcript)
         hosts = await self._reach.reachable(
-            self._members.entry_hosts_in(region)[:HOSTS_TRIED]
+            self._members.entry_hosts_in(region)[:MAX_HOSTS_TRIED]
         )
         for number, host in enumerate(hosts):
             last = number + 1 == len(hosts)
             if self._left_ms(head) <= 0:
                 break
-            if await self._try(passing, host, last):
+            if await self._try_host(forward_state, host, last):
                 return
-        raise self._gave_up(passing)
+        raise self._unanswered_error(forward_state)
 
     def _left_ms(self, head: requests.RequestHead) -> int:
         return head.deadline_ms - self._clock.mono_ms()
 
-    async def _try(self, passing: _Pass, host: ids.HostId, last: bool) -> bool:
+    async def _try_host(self, forward_state: _ForwardState, host: ids.HostId, last: bool) -> bool:
         """Return whether the request has been answered through a host."""
-        self._decisions.note(
+        self._decisions.record(
             'forwarded',
-            passing.head.request,
+            forward_state.head.request,
             peer=host,
-            region=passing.region,
+            region=forward_state.region,
         )
-        left_ms = self._left_ms(passing.head)
+        left_ms = self._left_ms(forward_state.head)
         try_ms = left_ms if last else left_ms * FIRST_TRY_SHARE
         try:
-            async with clocks.timeout_ms(try_ms) as bound:
-                passing.bound = bound
-                with self._reach.watch_host(host, passing.lost):
-                    await self._pass_on(passing, host)
+            async with clocks.timeout_ms(try_ms) as timeout:
+                forward_state.timeout = timeout
+                with self._reach.watch_host(host, forward_state.abort):
+                    await self._send_to(forward_state, host)
             return True
         except transport_errors.NotSentError as error:
             cause = str(error)
@@ -138,85 +138,85 @@
             errors.MaybeSentError,
             TimeoutError,
         ) as error:
-            passing.sent = True
+            forward_state.maybe_sent = True
             cause = repr(error)
-        except streams.EndingEventError as error:
-            raise errors.EndedError(_ending_of(error.data)) from error
+        except streams.OutcomeEventError as error:
+            raise errors.EndedError(_parse_ending(error.data)) from error
         self._members.record_request_failure(host)
-        self._decisions.note(
-            'forward_failed', passing.head.request, peer=host, error=cause
+        self._decisions.record(
+            'forward_failed', forward_state.head.request, peer=host, error=cause
         )
         return False
 
-    async def _pass_on(self, passing: _Pass, host: ids.HostId) -> None:
+    async def _send_to(self, forward_state: _ForwardState, host: ids.HostId) -> None:
         entry = self._entries[host]
-        url = f'http://{_bracketed(str(entry.ip))}:{entry.http_port}'
+        url = f'http://{_url_host(str(entry.ip))}:{entry.http_port}'
         async with self._client.send(
-            passing.head.method,
-            url + _path(passing.head),
-            self._headers(passing),
-            passing.transcript.continued_body()
-            if passing.head.stream
-            else passing.body,
-            fresh=passing.head.once,
+            forward_state.head.method,
+            url + _path(forward_state.head),
+            self._headers(forward_state),
+            forward_state.transcript.continuation_body()
+            if forward_state.head.stream
+            else forward_state.body,
+            fresh=forward_state.head.once,
         ) as response:
             kind = response.headers.get('Content-Type', '')
             if response.status == 200 and kind.startswith(EVENT_STREAM):
-                await self._relay(passing, response)
+                await self._relay_stream(forward_state, response)
                 return
             body = await web.read_whole(
                 response, self._settings.answer_limit_bytes
             )
-            await self._answer(passing, response, body)
+            await self._relay_response(forward_state, response, body)
 
-    async def _relay(
-        self, passing: _Pass, response: aiohttp.ClientResponse
+    async def _relay_stream(
+        self, forward_state: _ForwardState, response: aiohttp.ClientResponse
     ) -> None:
-        reply = passing.reply
+        reply = forward_state.reply
         if not reply.started:
             await reply.open(response.headers)
         chunks = _chunks(response)
         async with contextlib.aclosing(chunks):
-            await streams.relay(
+            await streams.relay_events(
                 chunks,
-                passing.transcript,
+                forward_state.transcript,
                 reply,
                 self._settings.stall_timeout_ms,
-                self._left_ms(passing.head),
-                lambda: passing.flowing(self._left_ms(passing.head)),
+                self._left_ms(forward_state.head),
+                lambda: forward_state.extend_timeout(self._left_ms(forward_state.head)),
             )
         await reply.close()
 
-    async def _answer(
+    async def _relay_response(
         self,
-        passing: _Pass,
+        forward_state: _ForwardState,
         response: aiohttp.ClientResponse,
         body: bytes,
     ) -> None:
         """Pass on an answer, or the end that the other host reports."""
-        if passing.reply.started:
-            raise errors.EndedError(_ending_of(body.decode()))
+        if forward_state.reply.started:
+            raise errors.EndedError(_parse_ending(body.decode()))
         text = response.headers.get(headers.OUTCOME)
         if text is None:
             raise errors.MaybeSentError('answer has no outcome')
         outcome = outcomes.Outcome(text)
-        if self._retries_again(passing, outcome):
+        if self._may_retry_outcome(forward_state, outcome):
             raise errors.MaybeSentError(f'the other host told {text}')
-        await passing.reply.whole(
+        await forward_state.reply.whole(
             response.status, response.headers, body, outcome
         )
 
-    def _retries_again(
-        self, passing: _Pass, outcome: outcomes.Outcome
+    def _may_retry_outcome(
+        self, forward_state: _ForwardState, outcome: outcomes.Outcome
     ) -> bool:
         """Tell whether a failure that has an owner is retried here too."""
-        if self._settings.retry_owner == 'nearest' or passing.head.once:
+        if self._settings.retry_owner == 'nearest' or forward_state.head.once:
             return False
         return outcome in (outcomes.Outcome.FAILED, outcomes.Outcome.UNKNOWN)
 
-    def _headers(self, passing: _Pass) -> dict[str, str]:
-        head = passing.head
-        if passing.sent:
+    def _headers(self, forward_state: _ForwardState) -> dict[str, str]:
+        head = forward_state.head
+        if forward_state.maybe_sent:
             # The host that failed may have run it. As a resend, a
             # once-only request is not run again and gets the kept
             # answer, and none is told as not run.
@@ -238,18 +238,18 @@
             sent[headers.LAST_EVENT_ID] = str(head.last_event)
         return sent
 
-    def _gave_up(self, passing: _Pass) -> errors.EndedError:
+    def _unanswered_error(self, forward_state: _ForwardState) -> errors.EndedError:
         reason = outcomes.Reason.REGION_UNREACHABLE
-        if passing.head.bound:
+        if forward_state.head.bound:
             reason = outcomes.Reason.HOME_UNREACHABLE
         outcome = outcomes.Outcome.NOT_RUN
-        if passing.sent:
+        if forward_state.maybe_sent:
             outcome = outcomes.Outcome.UNKNOWN
         return errors.EndedError(
             outcomes.Ending(
                 outcome,
                 reason,
-                f'no host of {passing.region} gave an answer',
+                f'no host of {forward_state.region} gave an answer',
                 self._settings.retry_after_ms,
             )
         )
@@ -261,7 +261,7 @@
     return f'/services/{head.service}{head.path}'
 
 
-def _bracketed(ip: str) -> str:
+def _url_host(ip: str) -> str:
     return f'[{ip}]' if ':' in ip else ip
 
 
@@ -275,8 +275,8 @@
         raise errors.MaybeSentError(str(error)) from error
 
 
-def _ending_of(data: str) -> outcomes.Ending:
-    found = streams.caller_error(data)
+def _parse_ending(data: str) -> outcomes.Ending:
+    found = streams.parse_outcome_error(data)
     try:
         return outcomes.Ending(
             outcomes.Outcome(found['outcome']),
--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -14,11 +14,11 @@
 from wrenspoke.coordination.serving import decisions
 from wrenspoke.coordination.serving import forwarding
 from wrenspoke.coordination.serving import ledger
-from wrenspoke.coordination.serving import local
+from wrenspoke.coordination.serving import local_server
 from wrenspoke.coordination.serving import once
 from wrenspoke.coordination.serving import placement
-from wrenspoke.coordination.serving import shares
 from wrenspoke.coordination.serving import streams
+from wrenspoke.coordination.serving import team_rate_limits
 from wrenspoke import ids
 from wrenspoke.protocol import errors as protocol_errors
 from wrenspoke.protocol import fingerprints
@@ -33,7 +33,7 @@
 logger = structlog.get_logger(__name__)
 
 # Reasons given by the ledger, or before any attempt could have run.
-BY_LEDGER = frozenset(
+DEFINITIVE_REASONS = frozenset(
     [
         outcomes.Reason.CLAIM_REFUSED,
         outcomes.Reason.LEDGER_UNREACHABLE,
@@ -42,7 +42,7 @@
 )
 
 # Reasons for which another region may do better.
-NO_CAPACITY = frozenset(
+FAILOVER_REASONS = frozenset(
     [
         outcomes.Reason.NO_ENDPOINT,
         outcomes.Reason.OVERLOAD,
@@ -58,39 +58,39 @@
         self,
         deployment: settings.Deployment,
         host: settings.HostSettings,
-        held: replica.Replica,
-        watched: members.Members,
-        placer: placement.Placer,
-        server: local.LocalServer,
+        config_replica: replica.Replica,
+        host_members: members.Members,
+        scheduler: placement.EndpointScheduler,
+        server: local_server.LocalServer,
         streamer: streams.StreamServer,
         once_server: once.OnceServer,
         forwarder: forwarding.Forwarder,
-        team_shares: shares.TeamShares,
-        book: ledger.Ledger,
-        noted: decisions.Decisions,
+        team_limiter: team_rate_limits.TeamRateLimiter,
+        once_ledger: ledger.Ledger,
+        decision_log: decisions.DecisionLog,
         guard: guards.Guard,
         clock: clocks.Clock,
     ):
         self._deployment = deployment
         self._settings = deployment.entry
         self._host = host
-        self._replica = held
-        self._members = watched
-        self._placer = placer
+        self._replica = config_replica
+        self._members = host_members
+        self._scheduler = scheduler
         self._server = server
         self._streams = streamer
         self._once = once_server
         self._forwarder = forwarder
-        self._shares = team_shares
-        self._ledger = book
-        self._decisions = noted
+        self._team_limiter = team_limiter
+        self._ledger = once_ledger
+        self._decisions = decision_log
         self._guard = guard
         self._clock = clock
         self._in_flight = 0
         self._idle = asyncio.Event()
         self._idle.set()
         self._closing = False
-        self.ended: dict[str, int] = {}
+        self.outcome_counts: dict[str, int] = {}
 
     @property
     def in_flight(self) -> int:
@@ -120,17 +120,17 @@
         started_ms = self._clock.mono_ms()
         try:
             await self._route(head, body, reply)
-            self._note_end(head, 'whole', started_ms)
+            self._record_outcome(head, 'whole', started_ms)
         except errors.EndedError as error:
-            ending = _truthful(head, error.ending)
-            self._note_end(head, ending, started_ms)
+            ending = _adjust_for_resend(head, error.ending)
+            self._record_outcome(head, ending, started_ms)
             await reply.end(ending)
         finally:
             self._in_flight -= 1
             if self._in_flight == 0:
                 self._idle.set()
 
-    def _note_end(
+    def _record_outcome(
         self,
         head: requests.RequestHead,
         ending: outcomes.Ending | str,
@@ -138,8 +138,8 @@
     ) -> None:
         whole = isinstance(ending, str)
         outcome = ending if whole else ending.outcome.value
-        self.ended[outcome] = self.ended.get(outcome, 0) + 1
-        self._decisions.note(
+        self.outcome_counts[outcome] = self.outcome_counts.get(outcome, 0) + 1
+        self._decisions.record(
             'ended',
             head.request,
             outcome=outcome,
@@ -151,26 +151,26 @@
         self, head: requests.RequestHead, body: bytes, reply: replies.Reply
     ) -> None:
         if not self._replica.serving:
-            raise self._not_run(
+            raise self._not_run_error(
                 outcomes.Reason.NO_CONFIGURATION,
                 'this host holds no configuration yet; ask another',
             )
         if self._closing:
-            raise self._not_run(
+            raise self._not_run_error(
                 outcomes.Reason.DRAINING,
                 'this host is leaving; ask the directory for another',
             )
         if head.service not in self._replica.current.services:
-            raise self._bad_request(
+            raise self._bad_request_error(
                 'service', f'{head.service!r} is unknown here'
             )
-        head = _with_digest(self._with_team(head), body)
+        head = _with_digest(self._authenticate(head), body)
         self._check_quarantine(head)
-        self._check_team(head)
-        head, key = self._with_rules(head)
+        self._check_team_limit(head)
+        head, key = self._apply_rules(head)
         reply.request_id = head.request
-        region = self._region_for(head, key)
-        self._decisions.note(
+        region = self._select_region(head, key)
+        self._decisions.record(
             'routed',
             head.request,
             service=head.service,
@@ -182,27 +182,27 @@
         )
         if region != self._host.region:
             if head.forwarded:
-                raise self._not_run(
+                raise self._not_run_error(
                     outcomes.Reason.HOP_LIMIT,
                     f'was passed on already and belongs in {region}',
                 )
             await self._forwarder.forward(head, body, region, reply)
             return
         try:
-            await self._serve_here(head, key, body, reply)
+            await self._serve_locally(head, key, body, reply)
         except errors.EndedError as error:
-            other = self._way_out(head, error.ending, reply)
-            if other is None:
+            failover_region = self._failover_region(head, error.ending, reply)
+            if failover_region is None:
                 raise
-            self._decisions.note(
+            self._decisions.record(
                 'sent_away',
                 head.request,
-                region=other,
+                region=failover_region,
                 reason=error.ending.reason,
             )
-            await self._forwarder.forward(head, body, other, reply)
+            await self._forwarder.forward(head, body, failover_region, reply)
 
-    def _way_out(
+    def _failover_region(
         self,
         head: requests.RequestHead,
         ending: outcomes.Ending,
@@ -211,15 +211,17 @@
         """Return a region for what this one could not even begin."""
         if ending.outcome is not outcomes.Outcome.NOT_RUN or reply.started:
             return None
-        if ending.reason not in NO_CAPACITY:
+        if ending.reason not in FAILOVER_REASONS:
             return None
         if head.bound or head.once or head.forwarded:
             return None
         if head.priority is requests.Priority.LOW:
             return None
-        return self._nearest_with(head)
+        return self._nearest_region_serving(head)
 
-    def _with_team(self, head: requests.RequestHead) -> requests.RequestHead:
+    def _authenticate(
+        self, head: requests.RequestHead
+    ) -> requests.RequestHead:
         """Return a request of the team that its key proves.
 
         Until a key was issued callers name their teams themselves. A
@@ -253,7 +255,7 @@
                 )
             )
 
-    def _check_team(self, head: requests.RequestHead) -> None:
+    def _check_team_limit(self, head: requests.RequestHead) -> None:
         """Turn a request away that is over its team's limit.
 
         The host that a caller asked counts it; a forwarded one has been
@@ -261,7 +263,7 @@
         """
         if head.forwarded:
             return
-        wait_ms = self._shares.admit(head.team)
+        wait_ms = self._team_limiter.admit(head.team)
         if wait_ms:
             raise errors.EndedError(
                 outcomes.Ending(
@@ -272,7 +274,7 @@
                 )
             )
 
-    async def _serve_here(
+    async def _serve_locally(
         self,
         head: requests.RequestHead,
         key: requests.OnceKey | None,
@@ -290,7 +292,7 @@
             answer.status, answer.headers, answer.body, answer.outcome
         )
 
-    def _with_rules(
+    def _apply_rules(
         self, head: requests.RequestHead
     ) -> tuple[requests.RequestHead, requests.OnceKey | None]:
         """Apply the operators' rules, which a caller can't loosen."""
@@ -302,16 +304,16 @@
             is_once |= rule.once
         regions = {host.region for host in self._deployment.hosts}
         if bound and head.home is None:
-            raise self._bad_request(
+            raise self._bad_request_error(
                 headers.HOME,
                 'required: this request must stay in its home region',
             )
         if head.home is not None and head.home not in regions:
-            raise self._bad_request(
+            raise self._bad_request_error(
                 headers.HOME,
                 f'found {head.home!r}; one of {sorted(regions)} is allowed',
             )
-        key = self._key(head, bound) if is_once else None
+        key = self._once_key(head, bound) if is_once else None
         changed = msgspec.structs.replace(
             head,
             bound=bound,
@@ -321,7 +323,7 @@
         )
         return changed, key
 
-    def _key(
+    def _once_key(
         self, head: requests.RequestHead, bound: bool
     ) -> requests.OnceKey:
         if head.minted:
@@ -330,23 +332,25 @@
         try:
             key = requests.parse_once_key(head.request)
         except protocol_errors.BadRequestError as error:
-            raise self._bad_request(error.field, error.problem) from error
+            raise self._bad_request_error(
+                error.field, error.problem
+            ) from error
         regions = {host.region for host in self._deployment.hosts}
         if key.region not in regions:
-            raise self._bad_request(
+            raise self._bad_request_error(
                 headers.REQUEST,
                 f'found region {key.region!r}; one of {sorted(regions)} '
                 'is allowed',
             )
         if bound and key.region != head.home:
-            raise self._bad_request(
+            raise self._bad_request_error(
                 headers.REQUEST,
                 f'found region {key.region!r}; a request bound to '
                 f'{head.home} needs a key of that region',
             )
         return key
 
-    def _region_for(
+    def _select_region(
         self, head: requests.RequestHead, key: requests.OnceKey | None
     ) -> ids.RegionId:
         if head.bound:
@@ -357,11 +361,13 @@
         if head.forwarded:
             return own
         left_ms = head.deadline_ms - self._clock.mono_ms()
-        if self._placer.estimate_ms(head) <= left_ms:
+        if self._scheduler.estimate_response_ms(head) <= left_ms:
             return own
-        return self._nearest_with(head) or own
+        return self._nearest_region_serving(head) or own
 
-    def _nearest_with(self, head: requests.RequestHead) -> ids.RegionId | None:
+    def _nearest_region_serving(
+        self, head: requests.RequestHead
+    ) -> ids.RegionId | None:
         """Return the nearest other region that could serve a request."""
         own = self._host.region
         regions = {
@@ -389,7 +395,7 @@
             default=None,
         )
 
-    def _not_run(
+    def _not_run_error(
         self, reason: outcomes.Reason, detail: str
     ) -> errors.EndedError:
         return errors.EndedError(
@@ -401,7 +407,9 @@
             )
         )
 
-    def _bad_request(self, field: str, problem: str) -> errors.EndedError:
+    def _bad_request_error(
+        self, field: str, problem: str
+    ) -> errors.EndedError:
         return errors.EndedError(
             outcomes.Ending(
                 outcomes.Outcome.NOT_RUN,
@@ -448,8 +456,8 @@
             'serving': self._replica.serving,
             'draining': self._members.draining,
             'in_flight': self._in_flight,
-            'ended': self.ended,
-            'ledger_keys': self._ledger.held,
+            'ended': self.outcome_counts,
+            'ledger_keys': self._ledger.key_count,
             'sent_to_endpoints': self._server.dispatcher.sent,
             'retries_spent': self._server.budget.spent,
             'retries_denied': self._server.budget.denied,
@@ -475,7 +483,7 @@
         return None
 
 
-def _truthful(
+def _adjust_for_resend(
     head: requests.RequestHead, ending: outcomes.Ending
 ) -> outcomes.Ending:
     """Say of a resend only what is known of the attempts before it.
@@ -485,7 +493,7 @@
     """
     if ending.outcome is not outcomes.Outcome.NOT_RUN or not head.resend:
         return ending
-    if ending.reason in BY_LEDGER:
+    if ending.reason in DEFINITIVE_REASONS:
         return ending
     return msgspec.structs.replace(ending, outcome=outcomes.Outcome.UNKNOWN)
 
--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -36,13 +36,13 @@
         self,
         host: ids.HostId,
         members: collections.abc.Sequence[ids.HostId],
-        limits: settings.LedgerSettings,
+        ledger_settings: settings.LedgerSettings,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
         self._host = host
         self._members = list(members)
-        self._settings = limits
+        self._settings = ledger_settings
         self._peers = peers
         self._clock = clock
         self._ballot = 0
@@ -50,9 +50,9 @@
         now_ms = clock.wall_ms()
         self._registers = None
         if host in self._members:
-            since_ms = now_ms + SKEW_MARGIN * limits.clock_skew_ms
+            since_ms = now_ms + SKEW_MARGIN * ledger_settings.clock_skew_ms
             self._registers = registers.Registers(host, now_ms, since_ms)
-        self._register_answers()
+        self._register_handlers()
 
     @property
     def quorum(self) -> int:
@@ -60,21 +60,21 @@
         return len(self._members) // 2 + 1
 
     @property
-    def held(self) -> int:
+    def key_count(self) -> int:
         """Return how many keys this host holds a copy of."""
         return 0 if self._registers is None else len(self._registers)
 
-    def _register_answers(self) -> None:
-        self._peers.answers(messages.Prepare)(self._answer_prepare)
-        self._peers.answers(messages.Accept)(self._answer_accept)
-        self._peers.answers(messages.Recall)(self._answer_recall)
+    def _register_handlers(self) -> None:
+        self._peers.answers(messages.Prepare)(self._handle_prepare)
+        self._peers.answers(messages.Accept)(self._handle_accept)
+        self._peers.answers(messages.Recall)(self._handle_recall)
 
     def start(self) -> None:
         """Read back what this host forgot, and forget what is old."""
         if self._registers is None:
             return
         self._tasks.start(self._recover())
-        self._tasks.start(self._expire())
+        self._tasks.start(self._expire_claims())
 
     async def close(self) -> None:
         """End the tasks."""
@@ -90,7 +90,7 @@
         return None
 
     async def change(
-        self, key: requests.OnceKey, function: Change
+        self, key: requests.OnceKey, transition: Change
     ) -> registers.Claim:
         """Apply ``function`` to a key's claim and return the result.
 
@@ -100,7 +100,7 @@
         for _round in range(ROUNDS_LIMIT):
             self._ballot += 1
             ballot = registers.Ballot(self._ballot, self._host)
-            claim = await self._round(key, ballot, function)
+            claim = await self._run_round(key, ballot, transition)
             if claim is not None:
                 return claim
             await self._clock.sleep_ms(random.uniform(0, backoff_ms))
@@ -111,19 +111,19 @@
         """Return a key's claim as the majority has it."""
         return await self.change(key, lambda claim: claim)
 
-    async def _round(
+    async def _run_round(
         self,
         key: requests.OnceKey,
         ballot: registers.Ballot,
-        function: Change,
+        transition: Change,
     ) -> registers.Claim | None:
         prepare = messages.Prepare(str(key), key.issued_ms, ballot)
-        promises = await self._ask(key, prepare)
+        promises = await self._gather_votes(key, prepare)
         if promises is None:
             return None
         newest = max(promises.values(), key=lambda vote: vote.accepted)
         old = newest.claim
-        new = function(old)
+        new = transition(old)
         settled = all(
             vote.accepted == newest.accepted for vote in promises.values()
         )
@@ -135,10 +135,10 @@
             ballot,
             new,
         )
-        accepted = await self._ask(key, accept)
+        accepted = await self._gather_votes(key, accept)
         return None if accepted is None else new
 
-    async def _ask(
+    async def _gather_votes(
         self,
         key: requests.OnceKey,
         message: messages.Prepare | messages.Accept,
@@ -146,7 +146,7 @@
         """Return a majority's grants, or None if a higher ballot stands."""
         tasks = [
             asyncio.get_running_loop().create_task(
-                self._ask_one(host, message)
+                self._gather_vote(host, message)
             )
             for host in self._members
         ]
@@ -171,11 +171,11 @@
             return None
         raise errors.LedgerUnreachableError(f'{key}: no majority')
 
-    async def _ask_one(
+    async def _gather_vote(
         self, host: ids.HostId, message: messages.Prepare | messages.Accept
     ) -> tuple[ids.HostId, registers.Vote | None]:
         if host == self._host:
-            return host, self._vote(message)
+            return host, self._vote_locally(message)
         try:
             answer = await self._peers.call(
                 host, message, self._settings.call_timeout_ms
@@ -186,7 +186,7 @@
             return host, None
         return host, answer.vote
 
-    def _vote(
+    def _vote_locally(
         self, message: messages.Prepare | messages.Accept
     ) -> registers.Vote:
         if isinstance(message, messages.Prepare):
@@ -200,20 +200,20 @@
             message.claim,
         )
 
-    async def _answer_prepare(self, _sender, message: messages.Prepare):
-        return self._answer_vote(message)
+    async def _handle_prepare(self, _sender, message: messages.Prepare):
+        return self._vote_reply(message)
 
-    async def _answer_accept(self, _sender, message: messages.Accept):
-        return self._answer_vote(message)
+    async def _handle_accept(self, _sender, message: messages.Accept):
+        return self._vote_reply(message)
 
-    def _answer_vote(
+    def _vote_reply(
         self, message: messages.Prepare | messages.Accept
     ) -> messages.Message:
         if self._registers is None:
             return messages.Refusal('no ledger on this host')
-        return messages.LedgerVote(self._vote(message))
+        return messages.LedgerVote(self._vote_locally(message))
 
-    async def _answer_recall(
+    async def _handle_recall(
         self, sender: ids.HostId, message: messages.Recall
     ) -> messages.Message:
         if self._registers is None:
@@ -225,22 +225,24 @@
         others = [host for host in self._members if host != self._host]
         if not others:
             return
-        while not await self._recall(others):
+        while not await self._recover_once(others):
             await self._clock.sleep_ms(RECALL_INTERVAL_MS)
 
-    async def _recall(self, others: list[ids.HostId]) -> bool:
+    async def _recover_once(self, others: list[ids.HostId]) -> bool:
         epoch = self._registers.epoch
         answers = await asyncio.gather(
-            *(self._recall_one(host, epoch) for host in others)
+            *(self._fetch_snapshot(host, epoch) for host in others)
         )
-        memories = [memory for memory in answers if memory is not None]
-        known = max((memory.epoch_known for memory in memories), default=0)
-        if known > epoch:
-            self._registers.learn_epochs({self._host: known + 1})
+        snapshots = [memory for memory in answers if memory is not None]
+        latest_epoch = max(
+            (memory.epoch_known for memory in snapshots), default=0
+        )
+        if latest_epoch > epoch:
+            self._registers.learn_epochs({self._host: latest_epoch + 1})
             return False
-        if len(memories) < self.quorum:
+        if len(snapshots) < self.quorum:
             return False
-        self._registers.restore(memories)
+        self._registers.restore(snapshots)
         logger.info(
             'ledger_recalled',
             keys=len(self._registers),
@@ -249,25 +251,25 @@
         )
         return True
 
-    async def _recall_one(
+    async def _fetch_snapshot(
         self, host: ids.HostId, epoch: int
     ) -> registers.Memory | None:
         """Return all that a host remembers, asked for part by part."""
-        whole: registers.Memory | None = None
+        snapshot: registers.Memory | None = None
         after = registers.FIRST
         while True:
-            part = await self._recall_part(host, epoch, after)
-            if part is None:
+            page = await self._fetch_snapshot_page(host, epoch, after)
+            if page is None:
                 return None
-            if whole is None:
-                whole = part
+            if snapshot is None:
+                snapshot = page
             else:
-                whole.registers += part.registers
-            if not part.more:
-                return whole
-            after = part.registers[-1][:2]
+                snapshot.registers += page.registers
+            if not page.more:
+                return snapshot
+            after = page.registers[-1][:2]
 
-    async def _recall_part(
+    async def _fetch_snapshot_page(
         self, host: ids.HostId, epoch: int, after: tuple[int, str]
     ) -> registers.Memory | None:
         try:
@@ -282,7 +284,7 @@
             return None
         return answer.memory
 
-    async def _expire(self) -> None:
+    async def _expire_claims(self) -> None:
         while True:
             await self._clock.sleep_ms(EXPIRE_INTERVAL_MS)
             before_ms = (
--- a/wrenspoke/coordination/serving/local.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -10,7 +10,7 @@
 from wrenspoke.coordination.serving import decisions
 from wrenspoke.coordination.serving import dispatch
 from wrenspoke.coordination.serving import placement
-from wrenspoke.coordination.serving import retries
+from wrenspoke.coordination.serving import retry_budget
 from wrenspoke import ids
 from wrenspoke.protocol import headers
 from wrenspoke.protocol import outcomes
@@ -20,7 +20,7 @@
 logger = structlog.get_logger(__name__)
 
 SERVER_ERROR = 500
-FAILURES = (
+SEND_ERRORS = (
     errors.SendRefusedError,
     errors.NotSentError,
     errors.OverloadedError,
@@ -30,10 +30,10 @@
 FIRST_TRY_SHARE = 0.5
 # Looks at whether this host may send again after it was stopped: 2 s, in
 # which a pull from a peer or a leader comes back.
-LOOKS = 20
-LOOK_INTERVAL_MS = 100
+CONFIG_RECHECKS = 20
+CONFIG_RECHECK_INTERVAL_MS = 100
 # Checks of a send that fail for every endpoint alike.
-HOPELESS = {
+NON_RETRIABLE_CHECKS = {
     'configuration': outcomes.Reason.NO_CONFIGURATION,
     'deadline': outcomes.Reason.DEADLINE,
     'hops': outcomes.Reason.HOP_LIMIT,
@@ -42,7 +42,7 @@
 
 
 @dataclasses.dataclass
-class Whole:
+class BufferedResponse:
     """Hold an endpoint's whole answer."""
 
     status: int
@@ -58,28 +58,28 @@
         return outcomes.Outcome.WHOLE
 
 
-class Tries:
+class RetryState:
     """Count the sends of one request and judge each failure."""
 
     def __init__(
         self,
         head: requests.RequestHead,
         limit: int,
-        budget: retries.RetryBudget,
-        noted: decisions.Decisions,
+        budget: retry_budget.RetryBudget,
+        decision_log: decisions.DecisionLog,
         clock: clocks.Clock,
     ):
-        self.excluded: set[ids.EndpointId] = set()
+        self.excluded_endpoints: set[ids.EndpointId] = set()
         self.may_have_run = False
         self.last_error = ''
-        self._looks = LOOKS
+        self._config_rechecks_left = CONFIG_RECHECKS
         self.count = 0
         self._head = head
         self._limit = limit
         self._budget = budget
-        self._decisions = noted
+        self._decisions = decision_log
         self._clock = clock
-        budget.first_attempt()
+        budget.record_first_attempt()
 
     @property
     def purpose(self) -> dispatch.Purpose:
@@ -94,16 +94,16 @@
         :raises EndedError: it has
         """
         if self._clock.mono_ms() >= self._head.deadline_ms:
-            raise self.ended(outcomes.Reason.DEADLINE, 'deadline passed')
+            raise self.ended_error(outcomes.Reason.DEADLINE, 'deadline passed')
 
-    def try_ms(self, others: bool) -> float:
+    def try_timeout_ms(self, has_more_tries: bool) -> float:
         """Return the time for one try; the first leaves some for more."""
         left_ms = self._head.deadline_ms - self._clock.mono_ms()
-        if others and self.count == 0:
+        if has_more_tries and self.count == 0:
             return left_ms * FIRST_TRY_SHARE
         return left_ms
 
-    async def after(
+    async def handle_failure(
         self, endpoint: ids.EndpointId, error: errors.CoordinationError
     ) -> None:
         """Do what a failure asks for before the next try.
@@ -114,7 +114,7 @@
         """
         if isinstance(error, errors.EndpointBusyError):
             # Others take it; the placer leaves this one alone meanwhile.
-            self._decisions.note(
+            self._decisions.record(
                 'over_endpoint_limit',
                 self._head.request,
                 endpoint=endpoint,
@@ -122,13 +122,13 @@
             )
             return
         refused = isinstance(error, errors.SendRefusedError)
-        if refused and error.check == 'configuration' and self._looks:
-            self._looks -= 1
-            await self._clock.sleep_ms(LOOK_INTERVAL_MS)
+        if refused and error.check == 'configuration' and self._config_rechecks_left:
+            self._config_rechecks_left -= 1
+            await self._clock.sleep_ms(CONFIG_RECHECK_INTERVAL_MS)
             return
-        self.failed(endpoint, error)
+        self.record_failure(endpoint, error)
 
-    def failed(
+    def record_failure(
         self, endpoint: ids.EndpointId, error: errors.CoordinationError
     ) -> None:
         """Note a failure; return if another try is allowed.
@@ -137,15 +137,15 @@
         """
         self.count += 1
         self.last_error = str(error)
-        self.excluded.add(endpoint)
+        self.excluded_endpoints.add(endpoint)
         if isinstance(error, errors.SendRefusedError):
-            self._end_if_hopeless(error)
+            self._raise_if_non_retriable(error)
         sent = isinstance(error, errors.MaybeSentError)
         self.may_have_run |= sent
         allowed = self.count < self._limit and (
-            _is_free(error) or self._budget.spend()
+            _is_budget_exempt(error) or self._budget.try_spend()
         )
-        self._decisions.note(
+        self._decisions.record(
             'try_failed',
             self._head.request,
             endpoint=endpoint,
@@ -154,15 +154,15 @@
             retry=allowed,
         )
         if not allowed:
-            raise self.ended(outcomes.Reason.ENDPOINT_FAILED, str(error))
+            raise self.ended_error(outcomes.Reason.ENDPOINT_FAILED, str(error))
 
-    def _end_if_hopeless(self, error: errors.SendRefusedError) -> None:
+    def _raise_if_non_retriable(self, error: errors.SendRefusedError) -> None:
         """Give up on what no other endpoint would be sent either."""
-        reason = HOPELESS.get(error.check)
+        reason = NON_RETRIABLE_CHECKS.get(error.check)
         if reason is not None:
-            raise self.ended(reason, str(error))
+            raise self.ended_error(reason, str(error))
 
-    def ended(
+    def ended_error(
         self, reason: outcomes.Reason, detail: str, retry_after_ms: int = 1000
     ) -> errors.EndedError:
         """Return the end of a request that is given up on."""
@@ -176,7 +176,7 @@
         )
 
 
-def _is_free(error: errors.CoordinationError) -> bool:
+def _is_budget_exempt(error: errors.CoordinationError) -> bool:
     """Return whether a retry adds no load to endpoints.
 
     A refused request was not run, and where its endpoint is sent nothing
@@ -192,26 +192,26 @@
 
     def __init__(
         self,
-        limits: settings.EntrySettings,
+        entry_settings: settings.EntrySettings,
         dispatcher: dispatch.Dispatcher,
-        placer: placement.Placer,
+        scheduler: placement.EndpointScheduler,
         load_table: loads.LoadTable,
-        noted: decisions.Decisions,
+        decision_log: decisions.DecisionLog,
         clock: clocks.Clock,
     ):
-        self.settings = limits
+        self.settings = entry_settings
         self.dispatcher = dispatcher
-        self.placer = placer
+        self.scheduler = scheduler
         self.loads = load_table
-        self.decisions = noted
+        self.decisions = decision_log
         self.clock = clock
-        self.budget = retries.RetryBudget(
-            limits.retry_ratio, limits.retry_burst
+        self.budget = retry_budget.RetryBudget(
+            entry_settings.retry_ratio, entry_settings.retry_burst
         )
 
-    def tries(self, head: requests.RequestHead) -> Tries:
+    def new_retry_state(self, head: requests.RequestHead) -> RetryState:
         """Return a new count of one request's sends."""
-        return Tries(
+        return RetryState(
             head,
             self.settings.attempts_limit,
             self.budget,
@@ -219,32 +219,32 @@
             self.clock,
         )
 
-    async def place(
-        self, head: requests.RequestHead, tries: Tries
+    async def acquire_slot(
+        self, head: requests.RequestHead, retry_state: RetryState
     ) -> placement.Slot:
         """Return a place; after failures the reason given is theirs."""
         try:
-            return await self.placer.place(head, tries.excluded)
+            return await self.scheduler.acquire_slot(head, retry_state.excluded_endpoints)
         except errors.EndedError as error:
-            if tries.count == 0:
+            if retry_state.count == 0:
                 raise
-            raise tries.ended(
+            raise retry_state.ended_error(
                 outcomes.Reason.ENDPOINT_FAILED,
-                f'{tries.last_error}; {error.ending.detail}',
+                f'{retry_state.last_error}; {error.ending.detail}',
                 error.ending.retry_after_ms,
             ) from error
 
-    async def serve(self, head: requests.RequestHead, body: bytes) -> Whole:
+    async def serve(self, head: requests.RequestHead, body: bytes) -> BufferedResponse:
         """Return a whole answer to a request that may be repeated.
 
         :raises EndedError: there is none, and how that ended
         """
-        tries = self.tries(head)
+        retry_state = self.new_retry_state(head)
         while True:
-            tries.check_deadline()
-            slot = await self.place(head, tries)
+            retry_state.check_deadline()
+            slot = await self.acquire_slot(head, retry_state)
             send = dispatch.Send(
-                tries.purpose,
+                retry_state.purpose,
                 slot.endpoint.endpoint,
                 head.method,
                 head.path,
@@ -253,34 +253,34 @@
                 slot,
             )
             try:
-                answer = await self._try(send, tries)
-            except FAILURES as error:
-                await tries.after(send.endpoint, error)
+                answer = await self._try_once(send, retry_state)
+            except SEND_ERRORS as error:
+                await retry_state.handle_failure(send.endpoint, error)
                 continue
             if answer.status < SERVER_ERROR:
                 return answer
-            if not self._may_repeat_answer(tries, answer, head):
+            if not self._may_retry_response(retry_state, answer, head):
                 return answer
 
-    async def _try(self, send: dispatch.Send, tries: Tries) -> Whole:
-        others = tries.count + 1 < self.settings.attempts_limit
+    async def _try_once(self, send: dispatch.Send, retry_state: RetryState) -> BufferedResponse:
+        has_more_tries = retry_state.count + 1 < self.settings.attempts_limit
         try:
-            async with clocks.timeout_ms(tries.try_ms(others)):
+            async with clocks.timeout_ms(retry_state.try_timeout_ms(has_more_tries)):
                 return await self.exchange(send)
         except TimeoutError as error:
             raise errors.MaybeSentError('no answer in time') from error
 
-    def _may_repeat_answer(
-        self, tries: Tries, answer: Whole, head: requests.RequestHead
+    def _may_retry_response(
+        self, retry_state: RetryState, answer: BufferedResponse, head: requests.RequestHead
     ) -> bool:
         error = errors.MaybeSentError(f'endpoint answered {answer.status}')
         try:
-            tries.failed(answer.endpoint, error)
+            retry_state.record_failure(answer.endpoint, error)
         except errors.EndedError:
             return False
-        return bool(self.placer.endpoints(head) - tries.excluded)
+        return bool(self.scheduler.eligible_endpoints(head) - retry_state.excluded_endpoints)
 
-    async def exchange(self, send: dispatch.Send) -> Whole:
+    async def exchange(self, send: dispatch.Send) -> BufferedResponse:
         """Send once and read the whole answer, minding the place.
 
         :raises CoordinationError: as ``Dispatcher.send`` does
@@ -289,16 +289,16 @@
         succeeded = overloaded = False
         try:
             async with self.dispatcher.send(send) as answer:
-                body = await answer.whole(self.settings.answer_limit_bytes)
+                body = await answer.read_all(self.settings.answer_limit_bytes)
             succeeded = answer.status < SERVER_ERROR
             taken_ms = self.clock.mono_ms() - started_ms
             self.loads.record_answer(send.endpoint)
             self.loads.observe_first_token(send.endpoint, taken_ms)
             self.loads.observe_occupancy(send.endpoint, taken_ms)
-            self.placer.sessions.used(send.head.session, send.endpoint)
-            found = dict(answer.headers)
-            found[headers.ENDPOINT] = send.endpoint
-            return Whole(answer.status, found, body, send.endpoint)
+            self.scheduler.sessions.record_use(send.head.session, send.endpoint)
+            response_headers = dict(answer.headers)
+            response_headers[headers.ENDPOINT] = send.endpoint
+            return BufferedResponse(answer.status, response_headers, body, send.endpoint)
         except errors.OverloadedError:
             overloaded = True
             raise
--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -10,7 +10,7 @@
 from wrenspoke.coordination.serving import decisions
 from wrenspoke.coordination.serving import dispatch
 from wrenspoke.coordination.serving import ledger
-from wrenspoke.coordination.serving import local
+from wrenspoke.coordination.serving import local_server
 from wrenspoke.coordination.serving import placement
 from wrenspoke import ids
 from wrenspoke.protocol import headers
@@ -22,7 +22,7 @@
 
 logger = structlog.get_logger(__name__)
 
-LATE_ANSWER_MS = 60_000
+LATE_RESPONSE_TIMEOUT_MS = 60_000
 RESEND_POLL_MS = 100
 RESEND_WAIT_MS = 3_000
 
@@ -33,26 +33,26 @@
     def __init__(
         self,
         host: ids.HostId,
-        limits: settings.LedgerSettings,
-        book: ledger.Ledger,
-        server: local.LocalServer,
-        watched: members.Members,
-        noted: decisions.Decisions,
+        ledger_settings: settings.LedgerSettings,
+        once_ledger: ledger.Ledger,
+        server: local_server.LocalServer,
+        host_members: members.Members,
+        decision_log: decisions.DecisionLog,
         clock: clocks.Clock,
     ):
         self._host = host
-        self._settings = limits
-        self._ledger = book
+        self._settings = ledger_settings
+        self._ledger = once_ledger
         self._server = server
-        self._members = watched
-        self._decisions = noted
+        self._members = host_members
+        self._decisions = decision_log
         self._clock = clock
-        self._running: set[asyncio.Task] = set()
+        self._attempt_tasks: set[asyncio.Task] = set()
 
     async def close(self) -> None:
         """Wait until every answer that is due has been recorded."""
-        if self._running:
-            await asyncio.wait(self._running)
+        if self._attempt_tasks:
+            await asyncio.wait(self._attempt_tasks)
 
     async def serve(
         self,
@@ -67,53 +67,53 @@
         """
         self._check_age(head, key)
         if head.resend:
-            claim = await self._read(head, key)
-            if not _is_open(claim, head.attempt):
-                await self._answer_known(head, key, claim, reply)
+            claim = await self._read_claim(head, key)
+            if not _is_claimable(claim, head.attempt):
+                await self._reply_from_claim(head, key, claim, reply)
                 return
         task = asyncio.get_running_loop().create_task(
-            self._attempt(head, key, body)
+            self._run_attempt(head, key, body)
         )
-        self._running.add(task)
-        task.add_done_callback(self._forget)
-        answer = await self._wait(head, task)
+        self._attempt_tasks.add(task)
+        task.add_done_callback(self._discard_task)
+        answer = await self._wait_for_attempt(head, task)
         if isinstance(answer, registers.Claim):
-            await self._answer_known(head, key, answer, reply)
+            await self._reply_from_claim(head, key, answer, reply)
             return
         await reply.whole(
             answer.status, answer.headers, answer.body, answer.outcome
         )
 
-    def _forget(self, task: asyncio.Task) -> None:
+    def _discard_task(self, task: asyncio.Task) -> None:
         """Let go of an attempt; a caller that left hears no error."""
-        self._running.discard(task)
+        self._attempt_tasks.discard(task)
         if not task.cancelled():
             task.exception()
 
-    async def _wait(
+    async def _wait_for_attempt(
         self, head: requests.RequestHead, task: asyncio.Task
-    ) -> local.Whole | registers.Claim:
+    ) -> local_server.BufferedResponse | registers.Claim:
         """Wait for an attempt, which outlives a caller that leaves."""
         left_ms = head.deadline_ms - self._clock.mono_ms()
         try:
             async with clocks.timeout_ms(left_ms):
                 return await asyncio.shield(task)
         except TimeoutError as error:
-            raise _ended(
+            raise _ending_error(
                 outcomes.Outcome.UNKNOWN,
                 outcomes.Reason.DEADLINE,
                 'deadline passed while it may have been sent; ask again '
                 'for the answer',
             ) from error
 
-    async def _attempt(
+    async def _run_attempt(
         self,
         head: requests.RequestHead,
         key: requests.OnceKey,
         body: bytes,
-    ) -> local.Whole | registers.Claim:
+    ) -> local_server.BufferedResponse | registers.Claim:
         """Claim and send; return the claim where it is another's."""
-        slot = await self._server.placer.place(head)
+        slot = await self._server.scheduler.acquire_slot(head)
         try:
             ticket, claim = await self._claim(head, key)
         except BaseException:
@@ -122,14 +122,14 @@
         if ticket is None:
             slot.release()
             return claim
-        return await self._exchange(head, key, body, slot, ticket)
+        return await self._send_claimed(head, key, body, slot, ticket)
 
     def _check_age(
         self, head: requests.RequestHead, key: requests.OnceKey
     ) -> None:
         problem = self._ledger.check_age(key)
         if problem == 'expired':
-            raise _ended(
+            raise _ending_error(
                 outcomes.Outcome.UNKNOWN,
                 outcomes.Reason.KEY_EXPIRED,
                 'the key is older than '
@@ -137,20 +137,20 @@
                 'is not known any more',
             )
         if problem == 'future':
-            raise _ended(
+            raise _ending_error(
                 outcomes.Outcome.NOT_RUN,
                 outcomes.Reason.BAD_REQUEST,
                 f'{headers.REQUEST}: the issue time of {head.request} is '
                 'in the future',
             )
 
-    async def _read(
+    async def _read_claim(
         self, head: requests.RequestHead, key: requests.OnceKey
     ) -> registers.Claim:
         try:
             return await self._ledger.read(key)
         except errors.LedgerUnreachableError as error:
-            raise self._unreachable(head, error) from error
+            raise self._ledger_unreachable_error(head, error) from error
 
     async def _claim(
         self, head: requests.RequestHead, key: requests.OnceKey
@@ -164,9 +164,9 @@
                 ),
             )
         except errors.LedgerUnreachableError as error:
-            raise self._unreachable(head, error) from error
+            raise self._ledger_unreachable_error(head, error) from error
         won = claim.attempt_id == attempt_id
-        self._decisions.note(
+        self._decisions.record(
             'claim',
             head.request,
             won=won,
@@ -177,7 +177,7 @@
             return None, claim
         return dispatch.ClaimTicket(head.request, attempt_id), claim
 
-    def _unreachable(
+    def _ledger_unreachable_error(
         self,
         head: requests.RequestHead,
         error: errors.LedgerUnreachableError,
@@ -187,29 +187,29 @@
         The attempt itself has not left this host. Only of a first one
         does that mean that the request was not run.
         """
-        self._decisions.note('ledger_unreachable', head.request, error=error)
+        self._decisions.record('ledger_unreachable', head.request, error=error)
         outcome = outcomes.Outcome.NOT_RUN
         if head.resend:
             outcome = outcomes.Outcome.UNKNOWN
-        return _ended(
+        return _ending_error(
             outcome,
             outcomes.Reason.LEDGER_UNREACHABLE,
             'too few ledger hosts can be reached',
             self._server.settings.retry_after_ms,
         )
 
-    async def _exchange(
+    async def _send_claimed(
         self,
         head: requests.RequestHead,
         key: requests.OnceKey,
         body: bytes,
         slot: placement.Slot,
         ticket: dispatch.ClaimTicket,
-    ) -> local.Whole:
-        tries = self._server.tries(head)
+    ) -> local_server.BufferedResponse:
+        retry_state = self._server.new_retry_state(head)
         while True:
             send = dispatch.Send(
-                tries.purpose,
+                retry_state.purpose,
                 slot.endpoint.endpoint,
                 head.method,
                 head.path,
@@ -219,38 +219,40 @@
                 ticket,
             )
             try:
-                async with clocks.timeout_ms(LATE_ANSWER_MS):
+                async with clocks.timeout_ms(LATE_RESPONSE_TIMEOUT_MS):
                     answer = await self._server.exchange(send)
                 break
             except (errors.MaybeSentError, TimeoutError) as error:
-                await self._record(key, ticket, None)
-                raise _ended(
+                await self._record_response(key, ticket, None)
+                raise _ending_error(
                     outcomes.Outcome.UNKNOWN,
                     outcomes.Reason.ENDPOINT_FAILED,
                     f'it may have run: {error}',
                 ) from error
             except (errors.NotSentError, errors.SendRefusedError) as error:
-                slot = await self._next_slot(head, key, tries, send, error)
-        await self._record(key, ticket, answer)
+                slot = await self._next_slot(
+                    head, key, retry_state, send, error
+                )
+        await self._record_response(key, ticket, answer)
         return answer
 
     async def _next_slot(
         self,
         head: requests.RequestHead,
         key: requests.OnceKey,
-        tries: local.Tries,
+        retry_state: local_server.RetryState,
         send: dispatch.Send,
         error: errors.CoordinationError,
     ) -> placement.Slot:
         """Return another place, as nothing has been sent yet."""
         try:
-            await tries.after(send.endpoint, error)
-            return await self._server.place(head, tries)
+            await retry_state.handle_failure(send.endpoint, error)
+            return await self._server.acquire_slot(head, retry_state)
         except errors.EndedError:
-            await self._give_back(key, send.ticket)
+            await self._release_claim(key, send.ticket)
             raise
 
-    async def _give_back(
+    async def _release_claim(
         self, key: requests.OnceKey, ticket: dispatch.ClaimTicket
     ) -> None:
         try:
@@ -261,27 +263,29 @@
         except errors.LedgerUnreachableError:
             logger.warning('claim_kept', request=key)
 
-    async def _record(
+    async def _record_response(
         self,
         key: requests.OnceKey,
         ticket: dispatch.ClaimTicket,
-        answer: local.Whole | None,
+        answer: local_server.BufferedResponse | None,
     ) -> None:
-        kept = None
+        kept_answer = None
         limit_bytes = self._settings.kept_answer_bytes
         if answer is not None and len(answer.body) <= limit_bytes:
-            kept = registers.KeptAnswer(
+            kept_answer = registers.KeptAnswer(
                 answer.status, answer.headers, answer.body
             )
         try:
             await self._ledger.change(
                 key,
-                lambda old: registers.answered(old, ticket.attempt_id, kept),
+                lambda old: registers.answered(
+                    old, ticket.attempt_id, kept_answer
+                ),
             )
         except errors.LedgerUnreachableError:
             logger.warning('answer_not_recorded', request=key)
 
-    async def _answer_known(
+    async def _reply_from_claim(
         self,
         head: requests.RequestHead,
         key: requests.OnceKey,
@@ -299,41 +303,44 @@
             if self._clock.mono_ms() + RESEND_POLL_MS >= until_ms:
                 break
             await self._clock.sleep_ms(RESEND_POLL_MS)
-            claim = await self._read(head, key)
-        self._decisions.note(
+            claim = await self._read_claim(head, key)
+        self._decisions.record(
             'resend', head.request, state=claim.state, by=claim.host
         )
         if claim.state is registers.ClaimState.REFUSED:
-            raise _ended(
+            raise _ending_error(
                 outcomes.Outcome.NOT_RUN,
                 outcomes.Reason.CLAIM_REFUSED,
                 f'attempts up to {claim.attempt} were refused unrun; '
                 'send a higher one',
             )
         if claim.answer is None:
-            raise _ended(
+            raise _ending_error(
                 outcomes.Outcome.UNKNOWN,
                 outcomes.Reason.CLAIM_EXISTS,
                 'it was sent before and its answer is not known here',
                 self._server.settings.retry_after_ms,
             )
-        kept = claim.answer
-        whole = local.Whole(
-            kept.status, kept.headers, kept.body, ids.EndpointId('')
+        kept_answer = claim.answer
+        response = local_server.BufferedResponse(
+            kept_answer.status,
+            kept_answer.headers,
+            kept_answer.body,
+            ids.EndpointId(''),
         )
         await reply.whole(
-            whole.status, whole.headers, whole.body, whole.outcome
+            response.status, response.headers, response.body, response.outcome
         )
 
 
-def _is_open(claim: registers.Claim, attempt: int) -> bool:
+def _is_claimable(claim: registers.Claim, attempt: int) -> bool:
     if claim.state is registers.ClaimState.FREE:
         return True
     refused = claim.state is registers.ClaimState.REFUSED
     return refused and claim.attempt < attempt
 
 
-def _ended(
+def _ending_error(
     outcome: outcomes.Outcome,
     reason: outcomes.Reason,
     detail: str,
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -22,7 +22,7 @@
 from wrenspoke.coordination.serving import call_context
 from wrenspoke.coordination.serving import destinations
 from wrenspoke.coordination.serving import endpoint_selector
-from wrenspoke.coordination.serving import return_line
+from wrenspoke.coordination.serving import retry_schedule
 from wrenspoke.coordination.serving import shared_retry_budget
 from wrenspoke import ids
 from wrenspoke import mechanisms
@@ -74,7 +74,7 @@
         destination_selector: destinations.DestinationSelector,
         runner: attempts.AttemptRunner,
         budget: shared_retry_budget.SharedRetryBudget,
-        access_control: access.Access,
+        access_control: access.AccessControl,
         limiter: limiters.Limiter,
         guard: guards.Guard,
         switched_off: collections.abc.Set[mechanisms.Mechanism],
@@ -188,7 +188,7 @@
     async def _charge_team_limit(
         self,
         call: dialects.Call,
-        permit: access.Permit,
+        permit: access.RoutePermit,
         hop: passing.Hop | None,
     ) -> limiters.Taken | None:
         """Take what a call needs of its team's limit.
@@ -219,10 +219,10 @@
         await reply.refuse(
             TOO_MANY_REQUESTS,
             passing.Refusal.OVER_LIMIT,
-            return_line.spread_ms(error.wait_ms),
+            retry_schedule.jittered_ms(error.wait_ms),
         )
 
-    async def _permit(self, call: dialects.Call) -> access.Permit:
+    async def _permit(self, call: dialects.Call) -> access.RoutePermit:
         """Return what a call may do.
 
         A host that has just started is waited for; one that lost its
@@ -231,7 +231,7 @@
         :raises DeniedError: it may not be served, or not here
         """
         try:
-            return self._access_control.permit(call)
+            return self._access_control.authorize(call)
         except errors.NoLeaseError:
             lease = self._discovery.lease
             if lease.ever_held or not self._waits:
@@ -241,7 +241,7 @@
                 await lease.granted.wait()
         except TimeoutError:
             pass
-        return self._access_control.permit(call)
+        return self._access_control.authorize(call)
 
     async def _deny(
         self,
@@ -261,7 +261,7 @@
         retry_after_ms = None
         if status == UNAVAILABLE:
             lease = self._discovery.lease
-            retry_after_ms = return_line.spread_ms(lease.retry_delay_ms())
+            retry_after_ms = retry_schedule.jittered_ms(lease.retry_delay_ms())
         await reply.refuse(status, reason, retry_after_ms)
 
     async def _refuse(
@@ -376,7 +376,7 @@
             held_ms = self._guard.refuse(context.call.digest)
             if held_ms is not None:
                 raise errors.QuarantinedError(held_ms)
-            context.permit = self._access_control.renewed(
+            context.permit = self._access_control.reauthorize(
                 context.call, context.permit
             )
             destination = self._destinations.next_destination(context)
@@ -464,7 +464,7 @@
         urgency = 0
         if self._selector.all_in_backoff(context.service):
             urgency = context.permit.urgency
-        return return_line.spread_ms(known_ms, urgency)
+        return retry_schedule.jittered_ms(known_ms, urgency)
 
     async def drain(self, timeout_ms: int) -> bool:
         """Take nothing new and wait; True if all of it ended."""
@@ -477,7 +477,7 @@
 
 
 def _digest_of(
-    call: dialects.Call, permit: access.Permit
+    call: dialects.Call, permit: access.RoutePermit
 ) -> ids.RequestDigest:
     """Return what a call asks for; a team may show another key each time."""
     if permit.team is not None:
--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -13,9 +13,9 @@
 from wrenspoke.coordination.limiting import endpoint_gate
 from wrenspoke.coordination.membership import loads
 from wrenspoke.coordination.membership import replica
+from wrenspoke.coordination.serving import concurrency_limits
 from wrenspoke.coordination.serving import decisions
-from wrenspoke.coordination.serving import limits
-from wrenspoke.coordination.serving import return_line
+from wrenspoke.coordination.serving import retry_schedule
 from wrenspoke.coordination.serving import routing
 from wrenspoke import ids
 from wrenspoke.protocol import limiting
@@ -25,7 +25,7 @@
 from wrenspoke.state import configuration
 
 RECHECK_MS = 250
-NEVER = float('inf')
+INFINITE_MS = float('inf')
 MS_PER_S = 1_000
 
 
@@ -35,15 +35,15 @@
     def __init__(
         self,
         endpoint: configuration.Endpoint,
-        limit: limits.AdaptiveLimit,
-        crowded: collections.abc.Callable[[ids.EndpointId], bool],
-        wake: collections.abc.Callable[[], None],
+        limit: concurrency_limits.AdaptiveLimit,
+        has_queue: collections.abc.Callable[[ids.EndpointId], bool],
+        wake_next_waiter: collections.abc.Callable[[], None],
     ):
         self.endpoint = endpoint
         self.open = True
         self._limit = limit
-        self._crowded = crowded
-        self._wake = wake
+        self._has_queue = has_queue
+        self._wake_next_waiter = wake_next_waiter
         limit.acquire()
 
     def release(
@@ -53,16 +53,16 @@
         if not self.open:
             return
         self.open = False
-        crowded = self._crowded(self.endpoint.endpoint)
-        self._limit.release(succeeded, overloaded, crowded)
-        self._wake()
+        has_queue = self._has_queue(self.endpoint.endpoint)
+        self._limit.release(succeeded, overloaded, has_queue)
+        self._wake_next_waiter()
 
 
 @dataclasses.dataclass(order=True)
 class _Waiter:
     rank: int
     deadline_ms: int
-    number: int
+    sequence: int
     woken: asyncio.Future = dataclasses.field(compare=False)
 
 
@@ -72,39 +72,39 @@
     def __init__(self, limit: int):
         self._limit = limit
         self._waiters = sortedcontainers.SortedList()
-        self._number = 0
+        self._next_sequence = 0
 
     def __len__(self) -> int:
         return len(self._waiters)
 
-    def ahead(self, head: requests.RequestHead) -> int:
+    def count_ahead(self, head: requests.RequestHead) -> int:
         """Return how many of those that wait go before a request."""
         return sum(waiter.rank <= -head.priority for waiter in self._waiters)
 
-    def enter(self, head: requests.RequestHead) -> _Waiter | None:
+    def enqueue(self, head: requests.RequestHead) -> _Waiter | None:
         """Add a request; None when those that wait go before it."""
-        self._number += 1
+        self._next_sequence += 1
         waiter = _Waiter(
             -head.priority,
             head.deadline_ms,
-            self._number,
+            self._next_sequence,
             asyncio.get_running_loop().create_future(),
         )
         if len(self._waiters) >= self._limit:
             last = self._waiters[-1]
             if last.rank <= waiter.rank:
                 return None
-            self.leave(last)
+            self.dequeue(last)
             if not last.woken.done():
                 last.woken.set_result(False)
         self._waiters.add(waiter)
         return waiter
 
-    def leave(self, waiter: _Waiter) -> None:
+    def dequeue(self, waiter: _Waiter) -> None:
         """Take a request out."""
         self._waiters.discard(waiter)
 
-    def wake(self) -> None:
+    def wake_next(self) -> None:
         """Let the first that sleeps look again."""
         for waiter in self._waiters:
             if waiter.woken.done():
@@ -113,33 +113,33 @@
             return
 
 
-class Placer:
+class EndpointScheduler:
     """Give requests a place at an endpoint of this region."""
 
     def __init__(
         self,
         region: ids.RegionId,
         limits_settings: settings.EntrySettings,
-        held: replica.Replica,
+        config_replica: replica.Replica,
         load_table: loads.LoadTable,
-        limit_table: limits.Limits,
+        limit_table: concurrency_limits.ConcurrencyLimits,
         gate: endpoint_gate.EndpointGate,
-        noted: decisions.Decisions,
+        decision_log: decisions.DecisionLog,
         clock: clocks.Clock,
     ):
         self._region = region
         self._settings = limits_settings
-        self._replica = held
+        self._replica = config_replica
         self._loads = load_table
         self._limits = limit_table
         self._gate = gate
-        self._decisions = noted
+        self._decisions = decision_log
         self._clock = clock
         self._queues: dict[ids.ServiceId, Queue] = {}
         self._random = random.Random()
-        self.sessions = routing.Sessions()
+        self.sessions = routing.SessionAffinity()
 
-    async def place(
+    async def acquire_slot(
         self,
         head: requests.RequestHead,
         excluded: collections.abc.Set[ids.EndpointId] = frozenset(),
@@ -148,30 +148,30 @@
 
         :raises EndedError: there is no endpoint, or none in time
         """
-        queue = self._queue(head.service)
+        queue = self._queue_for(head.service)
         waiter = None
         try:
             while True:
                 ranked = self._rank(head, excluded)
-                slot = self._first_free(head, ranked, queue, waiter)
+                slot = self._acquire_first_free(head, ranked, queue, waiter)
                 if slot is not None:
                     return slot
-                self._refuse_backing_off(
+                self._reject_if_all_back_off(
                     head, [item.endpoint for item in ranked]
                 )
                 if waiter is None:
-                    self._refuse_hopeless(head, ranked, queue)
+                    self._reject_if_too_late(head, ranked, queue)
                 else:
-                    queue.leave(waiter)
-                waiter = queue.enter(head)
+                    queue.dequeue(waiter)
+                waiter = queue.enqueue(head)
                 if waiter is None:
-                    raise self._overload(ranked, queue, 'queue is full')
-                await self._sleep(head, waiter, ranked, queue)
+                    raise self._overload_error(ranked, queue, 'queue is full')
+                await self._wait_in_queue(head, waiter, ranked, queue)
         finally:
             if waiter is not None:
-                queue.leave(waiter)
+                queue.dequeue(waiter)
 
-    def endpoints(self, head: requests.RequestHead) -> set[ids.EndpointId]:
+    def eligible_endpoints(self, head: requests.RequestHead) -> set[ids.EndpointId]:
         """Return this region's endpoints that take such a request."""
         return {item.endpoint for item in self._candidates(head)}
 
@@ -185,37 +185,37 @@
             )
             if (head.model is None or head.model in endpoint.models)
             and not self._loads.is_down(endpoint.endpoint)
-            and not self._leaves(endpoint.endpoint)
+            and not self._is_draining(endpoint.endpoint)
         ]
 
-    def take(self, endpoint: ids.EndpointId) -> Slot | None:
+    def acquire_slot_at(self, endpoint: ids.EndpointId) -> Slot | None:
         """Return a place at one endpoint for work it already has."""
         found = self._replica.current.endpoints.get(endpoint)
         if found is None:
             return None
-        limit = self._limits.of(endpoint, found.slots)
+        limit = self._limits.limit_for(endpoint, found.slots)
         return Slot(
             found,
             limit,
             self._loads.has_queue,
-            self._queue(found.service).wake,
+            self._queue_for(found.service).wake_next,
         )
 
-    def estimate_ms(self, head: requests.RequestHead) -> float:
+    def estimate_response_ms(self, head: requests.RequestHead) -> float:
         """Estimate the first token's time here; infinite without any."""
         candidates = self._candidates(head)
         if not candidates:
-            return NEVER
-        view = self._view(head)
+            return INFINITE_MS
+        view = self._ranking_context(head)
         best_ms = min(
             routing.estimate_first_ms(endpoint, view, 0.0)
             for endpoint in candidates
         )
-        waiting = len(self._queue(head.service))
+        waiting = len(self._queue_for(head.service))
         return best_ms + self._wait_ms(candidates, waiting)
 
-    def _view(self, head: requests.RequestHead) -> routing.View:
-        return routing.View(
+    def _ranking_context(self, head: requests.RequestHead) -> routing.RankingContext:
+        return routing.RankingContext(
             loads=self._loads,
             limits=self._limits,
             sessions=self.sessions,
@@ -228,12 +228,12 @@
         head: requests.RequestHead,
         excluded: collections.abc.Set[ids.EndpointId],
     ) -> list[routing.Ranked]:
-        every = self._candidates(head)
+        eligible = self._candidates(head)
         candidates = [
-            endpoint for endpoint in every if endpoint.endpoint not in excluded
+            endpoint for endpoint in eligible if endpoint.endpoint not in excluded
         ]
-        if every and not candidates:
-            self._refuse_backing_off(head, every)
+        if eligible and not candidates:
+            self._reject_if_all_back_off(head, eligible)
         if not candidates:
             raise errors.EndedError(
                 outcomes.Ending(
@@ -245,10 +245,10 @@
                 )
             )
         rank = routing.POLICIES[self._settings.policy]
-        ranked = rank(head, candidates, self._view(head))
+        ranked = rank(head, candidates, self._ranking_context(head))
         return sorted(ranked, key=lambda item: item.score)
 
-    def _first_free(
+    def _acquire_first_free(
         self,
         head: requests.RequestHead,
         ranked: typing.Sequence[routing.Ranked],
@@ -257,26 +257,26 @@
     ) -> Slot | None:
         if waiter is None and len(queue):
             return None
-        for place, item in enumerate(ranked):
+        for position, item in enumerate(ranked):
             endpoint = item.endpoint
-            limit = self._limits.of(endpoint.endpoint, endpoint.slots)
-            if not limit.free or self._spent_ms(endpoint.endpoint):
+            limit = self._limits.limit_for(endpoint.endpoint, endpoint.slots)
+            if not limit.has_capacity or self._blocked_ms(endpoint.endpoint):
                 continue
-            self._decisions.note(
+            self._decisions.record(
                 'placed',
                 head.request,
                 endpoint=endpoint.endpoint,
                 policy=self._settings.policy,
                 score=round(item.score, 1),
-                place=place,
+                place=position,
                 candidates=len(ranked),
                 in_flight=limit.in_flight,
                 limit=round(limit.limit, 1),
             )
-            return Slot(endpoint, limit, self._loads.has_queue, queue.wake)
+            return Slot(endpoint, limit, self._loads.has_queue, queue.wake_next)
         return None
 
-    def _refuse_hopeless(
+    def _reject_if_too_late(
         self,
         head: requests.RequestHead,
         ranked: typing.Sequence[routing.Ranked],
@@ -284,7 +284,7 @@
     ) -> None:
         left_ms = head.deadline_ms - self._clock.mono_ms()
         endpoints = [item.endpoint for item in ranked]
-        wait_ms = self._wait_ms(endpoints, queue.ahead(head) + 1)
+        wait_ms = self._wait_ms(endpoints, queue.count_ahead(head) + 1)
         if wait_ms <= left_ms:
             return
         # The most urgent wait where it is reckoned that they are late, and
@@ -292,9 +292,9 @@
         urgent = head.priority is requests.Priority.HIGH
         if urgent and not all(map(self._is_limited, endpoints)):
             return
-        raise self._overload(ranked, queue, 'would wait past its deadline')
+        raise self._overload_error(ranked, queue, 'would wait past its deadline')
 
-    def _refuse_backing_off(
+    def _reject_if_all_back_off(
         self,
         head: requests.RequestHead,
         endpoints: typing.Sequence[configuration.Endpoint],
@@ -319,7 +319,7 @@
                 outcomes.Outcome.NOT_RUN,
                 outcomes.Reason.OVERLOAD,
                 'every endpoint asked for backoff',
-                return_line.spread_ms(soonest_ms, urgency),
+                retry_schedule.jittered_ms(soonest_ms, urgency),
             )
         )
 
@@ -328,9 +328,9 @@
         endpoints: typing.Sequence[configuration.Endpoint],
         waiting: int,
     ) -> float:
-        per_ms = 0.0
+        total_per_ms = 0.0
         for endpoint in endpoints:
-            limit = self._limits.of(endpoint.endpoint, endpoint.slots)
+            limit = self._limits.limit_for(endpoint.endpoint, endpoint.slots)
             hold_ms = self._loads.latency(endpoint.endpoint).occupancy_ms
             own_per_ms = limit.limit / max(hold_ms, 1.0)
             stated_per_s = self._gate.limits.share_per_s(
@@ -338,25 +338,25 @@
             )
             if stated_per_s is not None:
                 own_per_ms = min(own_per_ms, stated_per_s / MS_PER_S)
-            per_ms += own_per_ms
-        return waiting / per_ms if per_ms else 0.0
+            total_per_ms += own_per_ms
+        return waiting / total_per_ms if total_per_ms else 0.0
 
     def _is_limited(self, endpoint: configuration.Endpoint) -> bool:
         life = _life_of(endpoint.endpoint)
         return self._gate.limits.rate_per_s(life) is not None
 
-    def _spent_ms(self, endpoint: ids.EndpointId) -> int:
+    def _blocked_ms(self, endpoint: ids.EndpointId) -> int:
         """Return for how long an endpoint is sent nothing more, in ms."""
         if self._gate.is_idle:
             return 0
         return self._gate.remaining_ms(_life_of(endpoint))
 
-    def _leaves(self, endpoint: ids.EndpointId) -> bool:
+    def _is_draining(self, endpoint: ids.EndpointId) -> bool:
         """Return whether an endpoint said in an answer that it leaves."""
         leaving = self._gate.leaving
         return not leaving.is_idle and leaving.is_leaving(_life_of(endpoint))
 
-    def _overload(
+    def _overload_error(
         self,
         ranked: typing.Sequence[routing.Ranked],
         queue: Queue,
@@ -373,7 +373,7 @@
             )
         )
 
-    async def _sleep(
+    async def _wait_in_queue(
         self,
         head: requests.RequestHead,
         waiter: _Waiter,
@@ -382,21 +382,21 @@
     ) -> None:
         left_ms = head.deadline_ms - self._clock.mono_ms()
         if left_ms <= 0:
-            raise self._overload(ranked, queue, 'deadline passed waiting')
-        spent_ms = [self._spent_ms(item.endpoint.endpoint) for item in ranked]
+            raise self._overload_error(ranked, queue, 'deadline passed waiting')
+        blocked_ms = [self._blocked_ms(item.endpoint.endpoint) for item in ranked]
         soonest_ms = min(
-            (wait_ms for wait_ms in spent_ms if wait_ms), default=0
+            (wait_ms for wait_ms in blocked_ms if wait_ms), default=0
         )
         recheck_ms = min(left_ms, soonest_ms or RECHECK_MS, RECHECK_MS)
         try:
             async with clocks.timeout_ms(recheck_ms):
-                kept = await asyncio.shield(waiter.woken)
+                still_queued = await asyncio.shield(waiter.woken)
         except TimeoutError:
             return
-        if not kept:
-            raise self._overload(ranked, queue, 'gave way to others')
+        if not still_queued:
+            raise self._overload_error(ranked, queue, 'gave way to others')
 
-    def _queue(self, service: ids.ServiceId) -> Queue:
+    def _queue_for(self, service: ids.ServiceId) -> Queue:
         queue = self._queues.get(service)
         if queue is None:
             queue = self._queues[service] = Queue(self._settings.queue_limit)
--- a/wrenspoke/coordination/serving/routing.py
+++ b/wrenspoke/coordination/serving/routing.py
@@ -10,25 +10,25 @@
 import xxhash
 
 from wrenspoke.coordination.membership import loads
-from wrenspoke.coordination.serving import limits
+from wrenspoke.coordination.serving import concurrency_limits
 from wrenspoke import ids
 from wrenspoke.protocol import requests
 from wrenspoke.state import configuration
 
-KEPT_SESSIONS = 65_536
-WARM_SAVES_SHARE = 0.6
+MAX_SESSIONS = 65_536
+WARM_CACHE_SAVING = 0.6
 EXPECTED_WARM_SHARE = 0.3
 PRICE_TO_MS = 40.0
 LOCAL_LINK_MS = 1.0
 
 
 @dataclasses.dataclass(frozen=True)
-class View:
+class RankingContext:
     """Hold what a policy may look at."""
 
     loads: loads.LoadTable
-    limits: limits.Limits
-    sessions: 'Sessions'
+    limits: concurrency_limits.ConcurrencyLimits
+    sessions: 'SessionAffinity'
     service: configuration.Service
     random: random.Random
 
@@ -45,7 +45,7 @@
     [
         requests.RequestHead,
         typing.Sequence[configuration.Endpoint],
-        View,
+        RankingContext,
     ],
     list[Ranked],
 ]
@@ -62,7 +62,7 @@
     return register
 
 
-class Sessions:
+class SessionAffinity:
     """Remember at which endpoint a session's prefix was last used."""
 
     def __init__(self):
@@ -70,7 +70,7 @@
             ids.SessionId, ids.EndpointId
         ] = collections.OrderedDict()
 
-    def used(
+    def record_use(
         self, session: ids.SessionId | None, endpoint: ids.EndpointId
     ) -> None:
         """Note that a session was served."""
@@ -78,21 +78,21 @@
             return
         self._endpoints[session] = endpoint
         self._endpoints.move_to_end(session)
-        if len(self._endpoints) > KEPT_SESSIONS:
+        if len(self._endpoints) > MAX_SESSIONS:
             self._endpoints.popitem(last=False)
 
-    def endpoint(self, session: ids.SessionId | None) -> ids.EndpointId | None:
+    def last_endpoint(self, session: ids.SessionId | None) -> ids.EndpointId | None:
         """Return where a session was served last, as far as known."""
         return self._endpoints.get(session)
 
-    def forget(self, endpoint: ids.EndpointId) -> None:
+    def evict_endpoint(self, endpoint: ids.EndpointId) -> None:
         """Forget the sessions of an endpoint whose cache is gone."""
-        gone = [
+        evicted = [
             session
             for session, used in self._endpoints.items()
             if used == endpoint
         ]
-        for session in gone:
+        for session in evicted:
             del self._endpoints[session]
 
 
@@ -111,13 +111,13 @@
     return [Ranked(endpoint, view.random.random()) for endpoint in endpoints]
 
 
-_TURNS = itertools.count()
+_ROUND_ROBIN_COUNTER = itertools.count()
 
 
 @policy('round_robin')
 def rank_round_robin(_head, endpoints, _view):
     """Rank in turn: a baseline."""
-    turn = next(_TURNS)
+    turn = next(_ROUND_ROBIN_COUNTER)
     count = len(endpoints)
     return [
         Ranked(endpoint, (number - turn) % count)
@@ -158,20 +158,20 @@
 
 
 def estimate_first_ms(
-    endpoint: configuration.Endpoint, view: View, warm_share: float
+    endpoint: configuration.Endpoint, view: RankingContext, warm_share: float
 ) -> float:
     """Estimate when the first token would come from an endpoint."""
     speed = view.loads.latency(endpoint.endpoint)
     total = _expected_load(endpoint, view)
     ahead = max(0, total + 1 - endpoint.slots)
     wait_ms = ahead * speed.occupancy_ms / endpoint.slots
-    crowding = 1 + total / endpoint.slots
-    work_ms = speed.first_token_ms * crowding
-    work_ms *= 1 - WARM_SAVES_SHARE * warm_share
+    load_factor = 1 + total / endpoint.slots
+    work_ms = speed.first_token_ms * load_factor
+    work_ms *= 1 - WARM_CACHE_SAVING * warm_share
     return LOCAL_LINK_MS + wait_ms + work_ms
 
 
-def _expected_load(endpoint: configuration.Endpoint, view: View) -> int:
+def _expected_load(endpoint: configuration.Endpoint, view: RankingContext) -> int:
     own = view.limits.in_flight(endpoint.endpoint)
     reported = _reported_total(view.loads.latest_report(endpoint.endpoint))
     return max(own, reported)
@@ -180,12 +180,12 @@
 def _warm_share(
     head: requests.RequestHead,
     endpoints: typing.Sequence[configuration.Endpoint],
-    sessions: Sessions,
+    sessions: SessionAffinity,
 ) -> dict[ids.EndpointId, float]:
     if head.session is None or not endpoints:
         return {}
-    known = sessions.endpoint(head.session)
-    if known is not None:
-        return {known: 1.0}
+    last_used = sessions.last_endpoint(head.session)
+    if last_used is not None:
+        return {last_used: 1.0}
     names = [endpoint.endpoint for endpoint in endpoints]
     return {rendezvous(head.session, names)[0]: EXPECTED_WARM_SHARE}
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -21,8 +21,8 @@
 from wrenspoke.coordination.limiting import endpoint_gate
 from wrenspoke.coordination.quarantine import guard as guards
 from wrenspoke.coordination.serving import access
-from wrenspoke.coordination.serving import bodies
 from wrenspoke.coordination.serving import endpoint_selector
+from wrenspoke.coordination.serving import response_body
 from wrenspoke import ids
 from wrenspoke.protocol import advertised
 from wrenspoke.protocol import dialect as dialects
@@ -45,11 +45,11 @@
 
     ANSWERED = 'answered'
     NOT_RUN = 'not_run'
-    NOT_HERE = 'not_here'
+    MISDIRECTED = 'not_here'
 
 
 @dataclasses.dataclass
-class Place:
+class Destination:
     """Say where a call is sent: an endpoint, or a host elsewhere.
 
     ``stands_in`` is the region of who takes it, ``region`` the one that a
@@ -57,15 +57,15 @@
     """
 
     address: str
-    stands_in: ids.RegionId
+    located_in: ids.RegionId
     endpoint: ids.EndpointId | None = None
     host: ids.HostId | None = None
-    region: ids.RegionId | None = None
+    serving_region: ids.RegionId | None = None
     hop: passing.Hop | None = None
     chosen: endpoint_selector.EndpointSelection | None = None
     sent_ms: int = 0
     answered: bool = False
-    reading: int | None = None
+    prompt_number: int | None = None
     send_permit: endpoint_gate.GatePermit | None = None
 
     @property
@@ -85,9 +85,9 @@
     @property
     def regions(self) -> tuple[ids.RegionId, ...]:
         """Return the regions that a call enters by going there."""
-        if self.region is None:
-            return (self.stands_in,)
-        return (self.stands_in, self.region)
+        if self.serving_region is None:
+            return (self.located_in,)
+        return (self.located_in, self.serving_region)
 
     @property
     def name(self) -> str:
@@ -95,7 +95,7 @@
         return self.endpoint or self.host
 
 
-class Answer(bodies.Body):
+class UpstreamResponse(response_body.ResponseBody):
     """Hold the head of an answer; the body is read from it.
 
     ``runs`` is how many endpoints a host that answers for others used.
@@ -111,23 +111,23 @@
         self.verdict = verdict
         self.status = response.status
         self.fields = dialects.answer_fields(response.raw_headers)
-        self.refused = _refusal(response.headers.get(passing.REFUSED))
-        self.retry_after_ms = _retry_after_ms(response.headers)
+        self.refused = _parse_refusal(response.headers.get(passing.REFUSED))
+        self.retry_after_ms = _parse_retry_after_ms(response.headers)
         self.runs = 1
         if from_host:
-            self.runs = _runs(response.headers.get(passing.RUNS))
+            self.runs = _parse_runs(response.headers.get(passing.RUNS))
             self.fields = [
                 item for item in self.fields if item[0] != passing.RUNS
             ]
 
 
-def _retry_after_ms(fields: collections.abc.Mapping[str, str]) -> float:
+def _parse_retry_after_ms(fields: collections.abc.Mapping[str, str]) -> float:
     """Return how long a host says that a call would wait, 0 if not."""
     found_s = numerals.decimal(fields.get('Retry-After', ''))
     return 0.0 if found_s is None else found_s * passing.MS_PER_S
 
 
-def _runs(text: str | None) -> int:
+def _parse_runs(text: str | None) -> int:
     """Return how many endpoints ran a call, by a host's own word.
 
     Where it says nothing, one is taken to have run it.
@@ -136,7 +136,7 @@
     return 1 if found is None else found
 
 
-def _refusal(text: str | None) -> passing.Refusal | None:
+def _parse_refusal(text: str | None) -> passing.Refusal | None:
     """Return why a host gave its own word; what is unknown is a failure."""
     if text is None:
         return None
@@ -152,38 +152,38 @@
     def __init__(
         self,
         dialect: dialects.Dialect,
-        endpoints: web.HttpClient,
-        hosts: web.HttpClient,
-        permitted: access.Access,
-        sent: traffic.Traffic,
+        endpoint_client: web.HttpClient,
+        host_client: web.HttpClient,
+        access_control: access.AccessControl,
+        traffic_counter: traffic.Traffic,
         guard: guards.Guard,
         gate: endpoint_gate.EndpointGate,
     ):
         self._dialect = dialect
-        self._access = permitted
-        self._endpoints = endpoints
-        self._hosts = hosts
-        self._traffic = sent
+        self._access = access_control
+        self._endpoint_client = endpoint_client
+        self._host_client = host_client
+        self._traffic = traffic_counter
         self._guard = guard
         self._gate = gate
 
-    async def admit(self, place: Place, rank: int) -> None:
+    async def acquire_permit(self, destination: Destination, rank: int) -> None:
         """Acquire a permit to send to a place's endpoint.
 
         :raises EndpointBusyError: it is sent nothing more for now
         """
-        if place.endpoint is not None:
-            place.send_permit = await self._gate.acquire(place.life, rank)
+        if destination.endpoint is not None:
+            destination.send_permit = await self._gate.acquire(destination.life, rank)
 
     @contextlib.asynccontextmanager
     async def send(
         self,
         call: dialects.Call,
-        permit: access.Permit,
-        place: Place,
+        permit: access.RoutePermit,
+        destination: Destination,
         left_ms: int,
         last_event: str | None,
-    ) -> collections.abc.AsyncIterator[Answer]:
+    ) -> collections.abc.AsyncIterator[UpstreamResponse]:
         """Send once and yield the answer's head.
 
         Leaving the block early closes the connection, which ends the
@@ -193,34 +193,34 @@
         :raises HeldBackError: it may not go there now; nothing was sent
         :raises MaybeSentError: it may have been run
         """
-        may_leave = functools.partial(self._may_leave, call, permit, place)
-        fields = self._fields(call, permit, place, left_ms, last_event)
+        may_leave = functools.partial(self._may_send, call, permit, destination)
+        fields = self._request_fields(call, permit, destination, left_ms, last_event)
         body = call.body or None
-        client = self._endpoints if place.host is None else self._hosts
-        watched = contextlib.nullcontext()
-        if place.endpoint is not None:
-            watched = self._guard.watching(
-                call.digest, place.endpoint, place.address
+        client = self._endpoint_client if destination.host is None else self._host_client
+        tracked = contextlib.nullcontext()
+        if destination.endpoint is not None:
+            tracked = self._guard.watching(
+                call.digest, destination.endpoint, destination.address
             )
         try:
             async with (
-                watched as run,
+                tracked as run,
                 client.pass_on(
                     call.method,
-                    place.address,
+                    destination.address,
                     call.target,
                     fields,
                     body,
                     may_leave,
                 ) as response,
             ):
-                self._note_advertised(call, place, response)
-                verdict = self._verdict(call, place, response)
-                answer = Answer(response, verdict, place.host is not None)
+                self._record_advertised(call, destination, response)
+                verdict = self._classify_response(call, destination, response)
+                answer = UpstreamResponse(response, verdict, destination.host is not None)
                 try:
                     yield answer
                 finally:
-                    self._note_traffic(call, place, answer)
+                    self._count_traffic(call, destination, answer)
             if run is not None and verdict is Verdict.ANSWERED:
                 self._guard.ended_well(run)
         except transport_errors.HeldBackError as error:
@@ -230,48 +230,48 @@
         except transport_errors.MaybeSentError as error:
             raise errors.MaybeSentError(str(error)) from error
 
-    def _may_leave(
-        self, call: dialects.Call, permit: access.Permit, place: Place
+    def _may_send(
+        self, call: dialects.Call, permit: access.RoutePermit, destination: Destination
     ) -> bool:
         """Tell, as the first byte is about to leave, whether it still may."""
         if self._guard.held_ms(call.digest) is not None:
             return False
-        if place.endpoint is not None and not place.send_permit.is_valid():
+        if destination.endpoint is not None and not destination.send_permit.is_valid():
             return False
-        return self._access.may_enter(call, permit, place.host, place.regions)
+        return self._access.may_enter_regions(call, permit, destination.host, destination.regions)
 
-    def _note_advertised(
+    def _record_advertised(
         self,
         call: dialects.Call,
-        place: Place,
+        destination: Destination,
         response: aiohttp.ClientResponse,
     ) -> None:
         """Note what an endpoint says of itself, whatever it answered."""
-        if place.endpoint is None:
+        if destination.endpoint is None:
             return
         echoed = response.headers.get(self._dialect.request)
         source = advertised.origin(response.status, call.request, echoed)
-        place.send_permit.on_response(
+        destination.send_permit.on_response(
             advertised.read(
                 source, response.status, response.headers, self._dialect
             )
         )
 
-    def _note_traffic(
-        self, call: dialects.Call, place: Place, answer: Answer
+    def _count_traffic(
+        self, call: dialects.Call, destination: Destination, answer: UpstreamResponse
     ) -> None:
         """Count what went to a host elsewhere and came back from it."""
-        if place.host is None:
+        if destination.host is None:
             return
-        there = locations.Location(place.stands_in, ids.DataCentreId(''))
-        self._traffic.note(CALL, there, len(call.body))
-        self._traffic.note(ANSWER, there, answer.read_bytes)
+        peer_location = locations.Location(destination.located_in, ids.DataCentreId(''))
+        self._traffic.note(CALL, peer_location, len(call.body))
+        self._traffic.note(ANSWER, peer_location, answer.bytes_read)
 
-    def _fields(
+    def _request_fields(
         self,
         call: dialects.Call,
-        permit: access.Permit,
-        place: Place,
+        permit: access.RoutePermit,
+        destination: Destination,
         left_ms: int,
         last_event: str | None,
     ) -> dialects.Fields:
@@ -282,22 +282,22 @@
             fields = [item for item in fields if item[0].lower() != name]
             fields.append((dialect.last_event, last_event))
         fields.append((dialect.deadline_ms, str(max(left_ms, 0))))
-        if place.hop is not None:
-            hop = msgspec.json.encode(place.hop).decode()
+        if destination.hop is not None:
+            hop = msgspec.json.encode(destination.hop).decode()
             fields.append((passing.HOP, hop))
             # The host there looks the key up itself.
             return fields + call.credentials
-        fields += self._on_behalf(call, permit)
-        fields.append((dialect.endpoint, place.endpoint))
-        if place.chosen is not None and place.chosen.source is not None:
-            source = place.chosen.source.said
+        fields += self._identity_fields(call, permit)
+        fields.append((dialect.endpoint, destination.endpoint))
+        if destination.chosen is not None and destination.chosen.source is not None:
+            source = destination.chosen.source.said
             fields.append((dialect.fetch_from, source.address))
         if call.parts:
             fields.append((dialect.priority, str(permit.urgency)))
         return fields
 
-    def _on_behalf(
-        self, call: dialects.Call, permit: access.Permit
+    def _identity_fields(
+        self, call: dialects.Call, permit: access.RoutePermit
     ) -> dialects.Fields:
         """Return what tells an endpoint whose call it is.
 
@@ -307,12 +307,12 @@
         """
         if permit.team is not None:
             return [(self._dialect.team, permit.team.team)]
-        return call.credentials if permit.anyone else []
+        return call.credentials if permit.teams_disabled else []
 
-    def _verdict(
+    def _classify_response(
         self,
         call: dialects.Call,
-        place: Place,
+        destination: Destination,
         response: aiohttp.ClientResponse,
     ) -> Verdict:
         """Judge a head; another request's answer counts as none.
@@ -321,19 +321,19 @@
         """
         if (
             response.status == advertised.MISDIRECTED
-            and place.endpoint is not None
+            and destination.endpoint is not None
         ):
-            return Verdict.NOT_HERE
+            return Verdict.MISDIRECTED
         if self._dialect.not_run in response.headers:
             return Verdict.NOT_RUN
-        if passing.REFUSED in response.headers and place.host is not None:
+        if passing.REFUSED in response.headers and destination.host is not None:
             return Verdict.ANSWERED
         echoed = response.headers.get(self._dialect.request)
         if echoed != call.request:
             logger.warning(
                 'answer_crossed',
                 request=call.request,
-                place=place.name,
+                place=destination.name,
                 found=echoed,
                 status=response.status,
             )
--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -17,7 +17,7 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.serving import dispatch
-from wrenspoke.coordination.serving import local
+from wrenspoke.coordination.serving import local_server
 from wrenspoke.coordination.serving import placement
 from wrenspoke import ids
 from wrenspoke.protocol import errors as protocol_errors
@@ -44,16 +44,16 @@
         self.last_event = last_event
         self.finished = False
 
-    def add(self, event: sse.SseEvent) -> sse.SseEvent:
+    def add_event(self, event: sse.SseEvent) -> sse.SseEvent:
         """Take an event in and return it as the caller is to see it."""
         if event.data == sse.DONE:
             self.finished = True
             return sse.SseEvent(data=event.data)
         self.last_event += 1
-        self._parts.append(_text_of(event.data))
+        self._parts.append(_delta_text(event.data))
         return sse.SseEvent(data=event.data, number=self.last_event)
 
-    def continued_body(self) -> bytes:
+    def continuation_body(self) -> bytes:
         """Return the request to be sent for the rest of the stream."""
         text = ''.join(self._parts)
         if not text:
@@ -72,7 +72,7 @@
         return msgspec.json.encode(body)
 
 
-def _text_of(data: str) -> str:
+def _delta_text(data: str) -> str:
     try:
         chunk = msgspec.json.decode(data)
         return chunk['choices'][0]['delta'].get('content') or ''
@@ -80,7 +80,7 @@
         return ''
 
 
-class EndingEventError(errors.CoordinationError):
+class OutcomeEventError(errors.CoordinationError):
     """Carry the outcome event that another host ended its stream by."""
 
     def __init__(self, data: str):
@@ -88,13 +88,13 @@
         self.data = data
 
 
-async def relay(
+async def relay_events(
     chunks: collections.abc.AsyncIterator[bytes],
     transcript: Transcript,
     reply: replies.Reply,
     stall_ms: float,
     first_ms: float,
-    first: collections.abc.Callable[[], None],
+    on_event: collections.abc.Callable[[], None],
 ) -> None:
     """Pass events on until the stream is finished.
 
@@ -105,11 +105,11 @@
     :raises EndingEventError: its sender said how it ended
     """
     events = sse.decode(chunks)
-    patience_ms = first_ms
+    event_timeout_ms = first_ms
     async with contextlib.aclosing(events):
         while not transcript.finished:
             try:
-                async with clocks.timeout_ms(patience_ms):
+                async with clocks.timeout_ms(event_timeout_ms):
                     event = await anext(events, None)
             except TimeoutError as error:
                 raise errors.MaybeSentError('stream is silent') from error
@@ -118,22 +118,22 @@
             if event is None:
                 raise errors.MaybeSentError('stream ended early')
             if event.event == replies.OUTCOME_EVENT:
-                raise EndingEventError(event.data)
-            first()
-            patience_ms = stall_ms
-            await reply.event(transcript.add(event))
+                raise OutcomeEventError(event.data)
+            on_event()
+            event_timeout_ms = stall_ms
+            await reply.event(transcript.add_event(event))
 
 
 class StreamServer:
     """Stream chats from this region's engines."""
 
-    def __init__(self, server: local.LocalServer):
+    def __init__(self, server: local_server.LocalServer):
         self._server = server
-        self._cancels = runtime.Tasks()
+        self._cancel_tasks = runtime.Tasks()
 
     async def close(self) -> None:
         """Wait for nothing; drop what is still being cancelled."""
-        await self._cancels.close()
+        await self._cancel_tasks.close()
 
     async def serve(
         self,
@@ -145,57 +145,57 @@
 
         :raises EndedError: it could not be finished
         """
-        tries = self._server.tries(head)
+        retry_state = self._server.new_retry_state(head)
         transcript = Transcript(body, head.last_event or 0)
         if head.last_event is not None:
-            return await self._resume_asked(head, transcript, reply, tries)
+            return await self._resume_for_caller(head, transcript, reply, retry_state)
         while True:
-            tries.check_deadline()
-            slot = await self._server.place(head, tries)
+            retry_state.check_deadline()
+            slot = await self._server.acquire_slot(head, retry_state)
             try:
-                await self._stream(head, transcript, reply, slot, tries)
+                await self._stream_once(head, transcript, reply, slot, retry_state)
                 return slot.endpoint.endpoint
-            except local.FAILURES as error:
-                await tries.after(slot.endpoint.endpoint, error)
+            except local_server.SEND_ERRORS as error:
+                await retry_state.handle_failure(slot.endpoint.endpoint, error)
             finally:
                 slot.release()
 
-    async def _stream(
+    async def _stream_once(
         self,
         head: requests.RequestHead,
         transcript: Transcript,
         reply: replies.Reply,
         slot: placement.Slot,
-        tries: local.Tries,
+        retry_state: local_server.RetryState,
     ) -> None:
         send = dispatch.Send(
-            tries.purpose,
+            retry_state.purpose,
             slot.endpoint.endpoint,
             'POST',
             head.path,
-            transcript.continued_body(),
+            transcript.continuation_body(),
             head,
             slot,
         )
         if transcript.last_event:
-            send.extra[headers.LAST_EVENT_ID] = str(transcript.last_event)
+            send.extra_headers[headers.LAST_EVENT_ID] = str(transcript.last_event)
         try:
-            await self._relay(send, transcript, reply, tries)
+            await self._relay_from(send, transcript, reply, retry_state)
         except errors.MaybeSentError as error:
-            tries.may_have_run = True
+            retry_state.may_have_run = True
             if not transcript.last_event or not reply.started:
                 raise
-            self._note_broken(head, slot, transcript, error)
-            await self._resume(head, slot, transcript, reply, tries)
+            self._record_broken(head, slot, transcript, error)
+            await self._resume(head, slot, transcript, reply, retry_state)
 
-    def _note_broken(
+    def _record_broken(
         self,
         head: requests.RequestHead,
         slot: placement.Slot,
         transcript: Transcript,
         error: errors.MaybeSentError,
     ) -> None:
-        self._server.decisions.note(
+        self._server.decisions.record(
             'stream_broken',
             head.request,
             endpoint=slot.endpoint.endpoint,
@@ -209,7 +209,7 @@
         slot: placement.Slot,
         transcript: Transcript,
         reply: replies.Reply,
-        tries: local.Tries,
+        retry_state: local_server.RetryState,
     ) -> None:
         send = dispatch.Send(
             dispatch.Purpose.RESUME,
@@ -219,30 +219,30 @@
             None,
             head,
             slot,
-            extra={headers.LAST_EVENT_ID: str(transcript.last_event)},
+            extra_headers={headers.LAST_EVENT_ID: str(transcript.last_event)},
         )
-        await self._relay(send, transcript, reply, tries)
-        self._server.decisions.note(
+        await self._relay_from(send, transcript, reply, retry_state)
+        self._server.decisions.record(
             'stream_resumed',
             head.request,
             endpoint=slot.endpoint.endpoint,
         )
 
-    async def _relay(
+    async def _relay_from(
         self,
         send: dispatch.Send,
         transcript: Transcript,
         reply: replies.Reply,
-        tries: local.Tries,
+        retry_state: local_server.RetryState,
     ) -> None:
         clock = self._server.clock
         started_ms = clock.mono_ms()
-        seen: list[int] = []
+        first_event_ms: list[int] = []
 
-        def first() -> None:
-            if not seen:
-                seen.append(clock.mono_ms() - started_ms)
-                self._server.loads.observe_first_token(send.endpoint, seen[0])
+        def record_first_event() -> None:
+            if not first_event_ms:
+                first_event_ms.append(clock.mono_ms() - started_ms)
+                self._server.loads.observe_first_token(send.endpoint, first_event_ms[0])
 
         stall_ms = self._server.settings.stall_timeout_ms
         first_ms = self._server.loads.first_event_timeout_ms(
@@ -251,19 +251,19 @@
         left_ms = send.head.deadline_ms - started_ms
         try:
             async with clocks.timeout_ms(left_ms):
-                async with self._open(send, reply, first_ms) as answer:
-                    await relay(
+                async with self._open_stream(send, reply, first_ms) as answer:
+                    await relay_events(
                         answer.chunks(),
                         transcript,
                         reply,
                         stall_ms,
                         first_ms,
-                        first,
+                        record_first_event,
                     )
         except TimeoutError as error:
-            tries.may_have_run = True
-            self._cancel(send)
-            raise tries.ended(
+            retry_state.may_have_run = True
+            self._start_cancel(send)
+            raise retry_state.ended_error(
                 outcomes.Reason.DEADLINE, 'deadline passed'
             ) from error
         except errors.OverloadedError:
@@ -273,18 +273,18 @@
             self._server.loads.record_connect_failure(send.endpoint)
             raise
         except (asyncio.CancelledError, protocol_errors.CallerGoneError):
-            self._cancel(send)
+            self._start_cancel(send)
             raise
         taken_ms = clock.mono_ms() - started_ms
         self._server.loads.observe_occupancy(send.endpoint, taken_ms)
-        self._server.placer.sessions.used(send.head.session, send.endpoint)
+        self._server.scheduler.sessions.record_use(send.head.session, send.endpoint)
         send.slot.release(succeeded=True)
         await reply.close()
 
     @contextlib.asynccontextmanager
-    async def _open(
+    async def _open_stream(
         self, send: dispatch.Send, reply: replies.Reply, stall_ms: float
-    ) -> collections.abc.AsyncIterator[dispatch.Answer]:
+    ) -> collections.abc.AsyncIterator[dispatch.EndpointResponse]:
         async with contextlib.AsyncExitStack() as stack:
             try:
                 async with clocks.timeout_ms(stall_ms):
@@ -298,25 +298,25 @@
                     f'endpoint answered {answer.status}'
                 )
             if not reply.started:
-                found = {**answer.headers, headers.ENDPOINT: send.endpoint}
-                await reply.open(found)
+                response_headers = {**answer.headers, headers.ENDPOINT: send.endpoint}
+                await reply.open(response_headers)
             yield answer
 
-    async def _resume_asked(
+    async def _resume_for_caller(
         self,
         head: requests.RequestHead,
         transcript: Transcript,
         reply: replies.Reply,
-        tries: local.Tries,
+        retry_state: local_server.RetryState,
     ) -> ids.EndpointId:
         """Resume a stream that broke before the caller asked again."""
-        for endpoint in sorted(self._server.placer.endpoints(head)):
-            slot = self._server.placer.take(endpoint)
+        for endpoint in sorted(self._server.scheduler.eligible_endpoints(head)):
+            slot = self._server.scheduler.acquire_slot_at(endpoint)
             if slot is None:
                 continue
             try:
-                await self._resume_once_taken(
-                    head, slot, transcript, reply, tries
+                await self._resume_when_admitted(
+                    head, slot, transcript, reply, retry_state
                 )
                 return slot.endpoint.endpoint
             except (errors.SendRefusedError, errors.NotSentError):
@@ -326,28 +326,28 @@
                     break
             finally:
                 slot.release()
-        tries.may_have_run = True
-        raise tries.ended(
+        retry_state.may_have_run = True
+        raise retry_state.ended_error(
             outcomes.Reason.STREAM_BROKEN,
             'no engine holds this stream any more; ask anew',
         )
 
-    async def _resume_once_taken(
+    async def _resume_when_admitted(
         self,
         head: requests.RequestHead,
         slot: placement.Slot,
         transcript: Transcript,
         reply: replies.Reply,
-        tries: local.Tries,
+        retry_state: local_server.RetryState,
     ) -> None:
         """Resume at an endpoint as soon as its limit lets it.
 
         No other one has the stream, and it goes before all that begin.
         """
         while True:
-            tries.check_deadline()
+            retry_state.check_deadline()
             try:
-                await self._resume(head, slot, transcript, reply, tries)
+                await self._resume(head, slot, transcript, reply, retry_state)
                 return
             except errors.EndpointBusyError as error:
                 now_ms = self._server.clock.mono_ms()
@@ -355,9 +355,9 @@
                     raise
                 await self._server.clock.sleep_ms(error.wait_ms)
 
-    def _cancel(self, send: dispatch.Send) -> None:
+    def _start_cancel(self, send: dispatch.Send) -> None:
         """Tell the engine that nobody waits for this stream."""
-        self._cancels.start(self._send_cancel(send), fatal=False)
+        self._cancel_tasks.start(self._send_cancel(send), fatal=False)
 
     async def _send_cancel(self, send: dispatch.Send) -> None:
         cancel = dispatch.Send(
@@ -376,7 +376,7 @@
             )
 
 
-def caller_error(data: str) -> dict[str, typing.Any]:
+def parse_outcome_error(data: str) -> dict[str, typing.Any]:
     """Return the error within an outcome event's JSON."""
     try:
         return msgspec.json.decode(data)['error']
