--- a/wrenspoke/coordination/serving/shares.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -28,54 +28,54 @@
 RENEW_MS = 1_500
 CALL_TIMEOUT_MS = 500
 MS_PER_S = 1000
-LEAST_WANTED_PER_S = 0.1
+MIN_DEMAND_PER_S = 0.1
 
 
 @dataclasses.dataclass
-class Bucket:
+class TeamTokenBucket:
     """Hold one team's tokens on this host."""
 
     rate_per_s: float
     burst: float
     tokens: float
-    filled_ms: int
-    asked: int = 0
+    last_refill_ms: int
+    request_count: int = 0
     leased_until_ms: int = 0
 
-    def take(self, now_ms: int) -> int:
+    def take_token(self, now_ms: int) -> int:
         """Take a token; return 0, or the time until there is one."""
-        grown = (now_ms - self.filled_ms) * self.rate_per_s / MS_PER_S
-        self.tokens = min(self.burst, self.tokens + grown)
-        self.filled_ms = now_ms
+        refill = (now_ms - self.last_refill_ms) * self.rate_per_s / MS_PER_S
+        self.tokens = min(self.burst, self.tokens + refill)
+        self.last_refill_ms = now_ms
         if self.tokens >= 1:
             self.tokens -= 1
             return 0
-        lacking = 1 - self.tokens
-        return int(lacking * MS_PER_S / max(self.rate_per_s, 0.001)) + 1
+        missing = 1 - self.tokens
+        return int(missing * MS_PER_S / max(self.rate_per_s, 0.001)) + 1
 
 
 @dataclasses.dataclass
-class Lease:
+class RateLease:
     """Hold what a lender has granted one host of one team."""
 
-    wanted_per_s: float
+    demand_per_s: float
     rate_per_s: float
-    until_ms: int
+    expires_at_ms: int
 
 
-class Lender:
+class RateLeaseManager:
     """Split teams' rates among the hosts that ask for them."""
 
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
-        self._leases: dict[str, dict[ids.HostId, Lease]] = {}
+        self._leases: dict[str, dict[ids.HostId, RateLease]] = {}
 
     def grant(
         self,
         team: str,
         host: ids.HostId,
-        wanted_per_s: float,
-        whole_per_s: float,
+        demand_per_s: float,
+        total_per_s: float,
     ) -> float:
         """Lease a host its part of ``whole_per_s``, by what is wanted.
 
@@ -86,20 +86,20 @@
         leases = {
             name: lease
             for name, lease in self._leases.get(team, {}).items()
-            if lease.until_ms > now_ms
+            if lease.expires_at_ms > now_ms
         }
         others = [lease for name, lease in leases.items() if name != host]
-        wanted = max(wanted_per_s, LEAST_WANTED_PER_S)
-        all_wanted = wanted + sum(one.wanted_per_s for one in others)
-        taken = sum(one.rate_per_s for one in others)
-        fair = whole_per_s * wanted / all_wanted
-        rate = max(0.0, min(fair, whole_per_s - taken))
-        leases[host] = Lease(wanted, rate, now_ms + LEASE_MS)
+        demand = max(demand_per_s, MIN_DEMAND_PER_S)
+        total_demand = demand + sum(one.demand_per_s for one in others)
+        leased = sum(one.rate_per_s for one in others)
+        fair_share = total_per_s * demand / total_demand
+        rate = max(0.0, min(fair_share, total_per_s - leased))
+        leases[host] = RateLease(demand, rate, now_ms + LEASE_MS)
         self._leases[team] = leases
         return rate
 
 
-class TeamShares:
+class TeamRateLimiter:
     """Admit requests of teams within this host's share of their limits."""
 
     def __init__(
@@ -107,31 +107,31 @@
         deployment: settings.Deployment,
         host: settings.HostSettings,
         peers: peer_calls.Peers,
-        watched: members.Members,
-        held: replica.Replica,
+        host_members: members.Members,
+        config_replica: replica.Replica,
         clock: clocks.Clock,
     ):
         self._host = ids.HostId(host.host)
         self._region = host.region
         entries = deployment.with_role('entry')
         in_region = [one for one in entries if one.region == host.region]
-        self._in_data_centre = sum(
+        self._data_centre_hosts = sum(
             one.data_centre == host.data_centre for one in in_region
         )
-        self._data_centre_share = self._in_data_centre / len(in_region)
+        self._data_centre_share = self._data_centre_hosts / len(in_region)
         self._regions = {one.region for one in entries}
         self._peers = peers
-        self._members = watched
-        self._replica = held
+        self._members = host_members
+        self._replica = config_replica
         self._clock = clock
-        self._buckets: dict[str, Bucket] = {}
-        self._lender = Lender(clock)
+        self._buckets: dict[str, TeamTokenBucket] = {}
+        self._lease_manager = RateLeaseManager(clock)
         self._tasks = runtime.Tasks()
-        peers.answers(messages.AskLeases)(self._answer)
+        peers.answers(messages.AskLeases)(self._handle_ask_leases)
 
     def start(self) -> None:
         """Begin to renew leases."""
-        self._tasks.start(self._renew())
+        self._tasks.start(self._renew_leases())
 
     async def close(self) -> None:
         """End the task."""
@@ -145,33 +145,35 @@
         now_ms = self._clock.mono_ms()
         bucket = self._buckets.get(team)
         if bucket is None:
-            bucket = self._buckets[team] = self._first_bucket(limit, now_ms)
-        bucket.asked += 1
+            bucket = self._buckets[team] = self._new_bucket(limit, now_ms)
+        bucket.request_count += 1
         if bucket.leased_until_ms < now_ms:
-            bucket.rate_per_s = self._equal_part(limit)
-        return bucket.take(now_ms)
+            bucket.rate_per_s = self._equal_share_per_s(limit)
+        return bucket.take_token(now_ms)
 
-    def _whole_per_s(self, limit: configuration.TeamLimit) -> float:
+    def _data_centre_rate_per_s(self, limit: configuration.TeamLimit) -> float:
         """Return the part of a limit that this data centre has."""
         weights = limit.regions or dict.fromkeys(self._regions, 1.0)
-        whole = sum(weights.values())
-        if not whole:
+        total_weight = sum(weights.values())
+        if not total_weight:
             return 0.0
-        region_share = weights.get(self._region, 0.0) / whole
+        region_share = weights.get(self._region, 0.0) / total_weight
         share = region_share * self._data_centre_share
         return limit.requests_per_s * share
 
-    def _equal_part(self, limit: configuration.TeamLimit) -> float:
-        return self._whole_per_s(limit) / self._in_data_centre
+    def _equal_share_per_s(self, limit: configuration.TeamLimit) -> float:
+        return self._data_centre_rate_per_s(limit) / self._data_centre_hosts
 
-    def _first_bucket(
+    def _new_bucket(
         self, limit: configuration.TeamLimit, now_ms: int
-    ) -> Bucket:
-        part = self._equal_part(limit) / limit.requests_per_s
+    ) -> TeamTokenBucket:
+        part = self._equal_share_per_s(limit) / limit.requests_per_s
         burst = max(1.0, limit.burst * part)
-        return Bucket(self._equal_part(limit), burst, burst, now_ms)
+        return TeamTokenBucket(
+            self._equal_share_per_s(limit), burst, burst, now_ms
+        )
 
-    def _lender_of(self, team: str) -> ids.HostId:
+    def _lender_host(self, team: str) -> ids.HostId:
         live = [
             host
             for host in self._members.local_peers
@@ -179,7 +181,7 @@
         ]
         return ids.HostId(routing.rendezvous(team, [*live, self._host])[0])
 
-    async def _renew(self) -> None:
+    async def _renew_leases(self) -> None:
         while True:
             await self._clock.sleep_ms(RENEW_MS)
             wanted: dict[ids.HostId, list[messages.TeamRate]] = {}
@@ -187,24 +189,24 @@
                 if team not in self._replica.current.limits:
                     del self._buckets[team]
                     continue
-                rate = bucket.asked * MS_PER_S / RENEW_MS
-                bucket.asked = 0
+                rate = bucket.request_count * MS_PER_S / RENEW_MS
+                bucket.request_count = 0
                 if rate == 0 and bucket.leased_until_ms == 0:
                     continue
-                lender = self._lender_of(team)
+                lender = self._lender_host(team)
                 wanted.setdefault(lender, []).append(
                     messages.TeamRate(team, rate)
                 )
             for lender, rates in wanted.items():
-                await self._ask(lender, rates)
+                await self._request_leases(lender, rates)
 
-    async def _ask(
+    async def _request_leases(
         self, lender: ids.HostId, rates: list[messages.TeamRate]
     ) -> None:
         if lender == self._host:
-            granted = self._lend(self._host, rates)
+            granted = self._grant_leases(self._host, rates)
         else:
-            granted = await self._ask_peer(lender, rates)
+            granted = await self._request_leases_from_peer(lender, rates)
         until_ms = self._clock.mono_ms() + LEASE_MS
         for grant in granted:
             bucket = self._buckets.get(grant.team)
@@ -213,7 +215,7 @@
             bucket.rate_per_s = grant.rate_per_s
             bucket.leased_until_ms = until_ms
 
-    async def _ask_peer(
+    async def _request_leases_from_peer(
         self, lender: ids.HostId, rates: list[messages.TeamRate]
     ) -> list[messages.TeamRate]:
         try:
@@ -226,7 +228,7 @@
             return []
         return answer.granted
 
-    def _lend(
+    def _grant_leases(
         self, host: ids.HostId, rates: list[messages.TeamRate]
     ) -> list[messages.TeamRate]:
         granted = []
@@ -234,13 +236,16 @@
             limit = self._replica.current.limits.get(asked.team)
             if limit is None:
                 continue
-            rate = self._lender.grant(
-                asked.team, host, asked.rate_per_s, self._whole_per_s(limit)
+            rate = self._lease_manager.grant(
+                asked.team,
+                host,
+                asked.rate_per_s,
+                self._data_centre_rate_per_s(limit),
             )
             granted.append(messages.TeamRate(asked.team, rate))
         return granted
 
-    async def _answer(
+    async def _handle_ask_leases(
         self, sender: ids.HostId, message: messages.AskLeases
     ) -> messages.Leases:
-        return messages.Leases(self._lend(sender, message.wanted))
+        return messages.Leases(self._grant_leases(sender, message.wanted))
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -19,17 +19,17 @@
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.quarantine import guard
 from wrenspoke.coordination.quarantine import reporter
+from wrenspoke.coordination.serving import concurrency_limits
 from wrenspoke.coordination.serving import decisions
 from wrenspoke.coordination.serving import dispatch
 from wrenspoke.coordination.serving import forwarding
 from wrenspoke.coordination.serving import gateway
 from wrenspoke.coordination.serving import ledger
-from wrenspoke.coordination.serving import limits
-from wrenspoke.coordination.serving import local
+from wrenspoke.coordination.serving import local_server
 from wrenspoke.coordination.serving import once
 from wrenspoke.coordination.serving import placement
-from wrenspoke.coordination.serving import shares
 from wrenspoke.coordination.serving import streams
+from wrenspoke.coordination.serving import team_rate_limits
 from wrenspoke import ids
 from wrenspoke import keys
 from wrenspoke import metrics
@@ -74,9 +74,9 @@
             self._clock,
         )
         self.replica = replica.Replica()
-        self.decisions = decisions.Decisions(self._clock)
+        self.decisions = decisions.DecisionLog(self._clock)
         self.loads = loads.LoadTable(self._clock)
-        self._limits = limits.Limits(self._clock)
+        self._limits = concurrency_limits.ConcurrencyLimits(self._clock)
         self._build_membership()
         self._build_limits()
         self._build_guard()
@@ -118,7 +118,7 @@
             self._clock,
             lambda _ping: messages.Pong(self.members.draining),
         )
-        self._shares = shares.TeamShares(
+        self._shares = team_rate_limits.TeamRateLimiter(
             self._deployment,
             self._own,
             self.peers,
@@ -194,7 +194,7 @@
             self._limits,
             self._clock,
         )
-        self._placer = placement.Placer(
+        self._placer = placement.EndpointScheduler(
             self._region,
             self._settings,
             self.replica,
@@ -204,7 +204,7 @@
             self.decisions,
             self._clock,
         )
-        self._server = local.LocalServer(
+        self._server = local_server.LocalServer(
             self._settings,
             dispatcher,
             self._placer,
