--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -62,7 +62,9 @@
 def call_with_body():
     """Return a request that has a body and shows a key."""
     length = f'Content-Length: {len(test_homes.BODY)}'
-    return call_bytes(line=test_homes.POST, headers=[length], body=test_homes.BODY)
+    return call_bytes(
+        line=test_homes.POST, headers=[length], body=test_homes.BODY
+    )
 
 
 def values_of_header(sent, name):
@@ -111,7 +113,9 @@
     found = test_passing.route(open=opened)
     await put_with_teams(system, found, [team('a', KEY), team('b', OTHER_KEY)])
     endpoint = await system.add('e', 'north-hall')
-    got = await endpoints.send_raw(system.north, call_bytes(key, headers=headers))
+    got = await endpoints.send_raw(
+        system.north, call_bytes(key, headers=headers)
+    )
     assert got.startswith(b'HTTP/1.1 %d ' % status)
     assert len(endpoint.requests) == (0 if seen is None else 1)
     for sent in endpoint.requests:
@@ -129,7 +133,9 @@
     assert got.endswith(b'whole')
     [sent] = endpoint.requests
     assert values_of_header(sent, TEAM) == [b'theirs']
-    assert values_of_header(sent, b'authorization') == [b'Bearer ' + KEY.encode()]
+    assert values_of_header(sent, b'authorization') == [
+        b'Bearer ' + KEY.encode()
+    ]
 
 
 @pytest.mark.parametrize(
@@ -192,10 +198,14 @@
     monkeypatch.setattr(connector, '_create_connection', connect_late)
     got = await endpoints.send_raw(system.north, call_with_body())
     assert got.startswith(b'HTTP/1.1 %d ' % status)
-    assert [values_of_header(one, TEAM)[0] for one in endpoint.requests] == seen
+    assert [
+        values_of_header(one, TEAM)[0] for one in endpoint.requests
+    ] == seen
 
 
-async def test_other_region_host_applies_its_own_newer_keys(system, monkeypatch):
+async def test_other_region_host_applies_its_own_newer_keys(
+    system, monkeypatch
+):
     """The first host has not heard that a key was withdrawn."""
     await put_with_teams(system, test_far.route(), [team('a', KEY)])
     there = await system.add('e2', 'south-hall')
--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -67,7 +67,9 @@
         self._clock = clock
 
     async def run_attempt(
-        self, context: call_context.CallContext, destination: sending.Destination
+        self,
+        context: call_context.CallContext,
+        destination: sending.Destination,
     ) -> bool:
         """Send once; return whether the caller has its answer."""
         counts = self._selector.in_flight
@@ -113,7 +115,9 @@
         return False
 
     async def acquire_permit(
-        self, context: call_context.CallContext, destination: sending.Destination
+        self,
+        context: call_context.CallContext,
+        destination: sending.Destination,
     ) -> bool:
         """Acquire a permit to send; False where the endpoint takes no more."""
         try:
@@ -137,7 +141,9 @@
         return context.deadline_ms - self._clock.mono_ms()
 
     def _record_send(
-        self, context: call_context.CallContext, destination: sending.Destination
+        self,
+        context: call_context.CallContext,
+        destination: sending.Destination,
     ) -> None:
         destination.sent_ms = self._clock.mono_ms()
         if destination.chosen is None:
@@ -148,7 +154,10 @@
             context.call,
             destination.chosen.estimate,
         )
-        if self._broadcaster is not None and destination.prompt_number is not None:
+        if (
+            self._broadcaster is not None
+            and destination.prompt_number is not None
+        ):
             self._broadcaster.publish(
                 destination.endpoint,
                 destination.chosen.estimate.uncached_tokens,
@@ -157,7 +166,9 @@
             )
 
     def _record_first_piece(
-        self, context: call_context.CallContext, destination: sending.Destination
+        self,
+        context: call_context.CallContext,
+        destination: sending.Destination,
     ) -> None:
         """Record the time to the first piece of a response."""
         context.first_piece_at_ms = self._clock.mono_ms()
@@ -176,7 +187,9 @@
 
     @contextlib.asynccontextmanager
     async def _abort_if_host_unreachable(
-        self, context: call_context.CallContext, destination: sending.Destination
+        self,
+        context: call_context.CallContext,
+        destination: sending.Destination,
     ) -> collections.abc.AsyncIterator[None]:
         """Give up on a host that falls silent, if the call may be retried.
 
@@ -225,7 +238,9 @@
         )
 
     def _on_send_aborted(
-        self, context: call_context.CallContext, destination: sending.Destination
+        self,
+        context: call_context.CallContext,
+        destination: sending.Destination,
     ) -> None:
         """Record that a send was rejected by a check at send time.
 
@@ -384,7 +399,9 @@
                 await context.reply.write(data)
 
     def _gap_recorder(
-        self, context: call_context.CallContext, destination: sending.Destination
+        self,
+        context: call_context.CallContext,
+        destination: sending.Destination,
     ) -> engine_pace.StreamGapRecorder:
         tokens = 1
         if context.service.batch is not None:
--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -115,7 +115,9 @@
     def _left_ms(self, head: requests.RequestHead) -> int:
         return head.deadline_ms - self._clock.mono_ms()
 
-    async def _try_host(self, forward_state: _ForwardState, host: ids.HostId, last: bool) -> bool:
+    async def _try_host(
+        self, forward_state: _ForwardState, host: ids.HostId, last: bool
+    ) -> bool:
         """Return whether the request has been answered through a host."""
         self._decisions.record(
             'forwarded',
@@ -144,11 +146,16 @@
             raise errors.EndedError(_parse_ending(error.data)) from error
         self._members.record_request_failure(host)
         self._decisions.record(
-            'forward_failed', forward_state.head.request, peer=host, error=cause
+            'forward_failed',
+            forward_state.head.request,
+            peer=host,
+            error=cause,
         )
         return False
 
-    async def _send_to(self, forward_state: _ForwardState, host: ids.HostId) -> None:
+    async def _send_to(
+        self, forward_state: _ForwardState, host: ids.HostId
+    ) -> None:
         entry = self._entries[host]
         url = f'http://{_url_host(str(entry.ip))}:{entry.http_port}'
         async with self._client.send(
@@ -183,7 +190,9 @@
                 reply,
                 self._settings.stall_timeout_ms,
                 self._left_ms(forward_state.head),
-                lambda: forward_state.extend_timeout(self._left_ms(forward_state.head)),
+                lambda: forward_state.extend_timeout(
+                    self._left_ms(forward_state.head)
+                ),
             )
         await reply.close()
 
@@ -238,7 +247,9 @@
             sent[headers.LAST_EVENT_ID] = str(head.last_event)
         return sent
 
-    def _unanswered_error(self, forward_state: _ForwardState) -> errors.EndedError:
+    def _unanswered_error(
+        self, forward_state: _ForwardState
+    ) -> errors.EndedError:
         reason = outcomes.Reason.REGION_UNREACHABLE
         if forward_state.head.bound:
             reason = outcomes.Reason.HOME_UNREACHABLE
--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -122,7 +122,11 @@
             )
             return
         refused = isinstance(error, errors.SendRefusedError)
-        if refused and error.check == 'configuration' and self._config_rechecks_left:
+        if (
+            refused
+            and error.check == 'configuration'
+            and self._config_rechecks_left
+        ):
             self._config_rechecks_left -= 1
             await self._clock.sleep_ms(CONFIG_RECHECK_INTERVAL_MS)
             return
@@ -224,7 +228,9 @@
     ) -> placement.Slot:
         """Return a place; after failures the reason given is theirs."""
         try:
-            return await self.scheduler.acquire_slot(head, retry_state.excluded_endpoints)
+            return await self.scheduler.acquire_slot(
+                head, retry_state.excluded_endpoints
+            )
         except errors.EndedError as error:
             if retry_state.count == 0:
                 raise
@@ -234,7 +240,9 @@
                 error.ending.retry_after_ms,
             ) from error
 
-    async def serve(self, head: requests.RequestHead, body: bytes) -> BufferedResponse:
+    async def serve(
+        self, head: requests.RequestHead, body: bytes
+    ) -> BufferedResponse:
         """Return a whole answer to a request that may be repeated.
 
         :raises EndedError: there is none, and how that ended
@@ -262,23 +270,33 @@
             if not self._may_retry_response(retry_state, answer, head):
                 return answer
 
-    async def _try_once(self, send: dispatch.Send, retry_state: RetryState) -> BufferedResponse:
+    async def _try_once(
+        self, send: dispatch.Send, retry_state: RetryState
+    ) -> BufferedResponse:
         has_more_tries = retry_state.count + 1 < self.settings.attempts_limit
         try:
-            async with clocks.timeout_ms(retry_state.try_timeout_ms(has_more_tries)):
+            async with clocks.timeout_ms(
+                retry_state.try_timeout_ms(has_more_tries)
+            ):
                 return await self.exchange(send)
         except TimeoutError as error:
             raise errors.MaybeSentError('no answer in time') from error
 
     def _may_retry_response(
-        self, retry_state: RetryState, answer: BufferedResponse, head: requests.RequestHead
+        self,
+        retry_state: RetryState,
+        answer: BufferedResponse,
+        head: requests.RequestHead,
     ) -> bool:
         error = errors.MaybeSentError(f'endpoint answered {answer.status}')
         try:
             retry_state.record_failure(answer.endpoint, error)
         except errors.EndedError:
             return False
-        return bool(self.scheduler.eligible_endpoints(head) - retry_state.excluded_endpoints)
+        return bool(
+            self.scheduler.eligible_endpoints(head)
+            - retry_state.excluded_endpoints
+        )
 
     async def exchange(self, send: dispatch.Send) -> BufferedResponse:
         """Send once and read the whole answer, minding the place.
@@ -295,10 +313,14 @@
             self.loads.record_answer(send.endpoint)
             self.loads.observe_first_token(send.endpoint, taken_ms)
             self.loads.observe_occupancy(send.endpoint, taken_ms)
-            self.scheduler.sessions.record_use(send.head.session, send.endpoint)
+            self.scheduler.sessions.record_use(
+                send.head.session, send.endpoint
+            )
             response_headers = dict(answer.headers)
             response_headers[headers.ENDPOINT] = send.endpoint
-            return BufferedResponse(answer.status, response_headers, body, send.endpoint)
+            return BufferedResponse(
+                answer.status, response_headers, body, send.endpoint
+            )
         except errors.OverloadedError:
             overloaded = True
             raise
--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -171,7 +171,9 @@
             if waiter is not None:
                 queue.dequeue(waiter)
 
-    def eligible_endpoints(self, head: requests.RequestHead) -> set[ids.EndpointId]:
+    def eligible_endpoints(
+        self, head: requests.RequestHead
+    ) -> set[ids.EndpointId]:
         """Return this region's endpoints that take such a request."""
         return {item.endpoint for item in self._candidates(head)}
 
@@ -214,7 +216,9 @@
         waiting = len(self._queue_for(head.service))
         return best_ms + self._wait_ms(candidates, waiting)
 
-    def _ranking_context(self, head: requests.RequestHead) -> routing.RankingContext:
+    def _ranking_context(
+        self, head: requests.RequestHead
+    ) -> routing.RankingContext:
         return routing.RankingContext(
             loads=self._loads,
             limits=self._limits,
@@ -230,7 +234,9 @@
     ) -> list[routing.Ranked]:
         eligible = self._candidates(head)
         candidates = [
-            endpoint for endpoint in eligible if endpoint.endpoint not in excluded
+            endpoint
+            for endpoint in eligible
+            if endpoint.endpoint not in excluded
         ]
         if eligible and not candidates:
             self._reject_if_all_back_off(head, eligible)
@@ -273,7 +279,9 @@
                 in_flight=limit.in_flight,
                 limit=round(limit.limit, 1),
             )
-            return Slot(endpoint, limit, self._loads.has_queue, queue.wake_next)
+            return Slot(
+                endpoint, limit, self._loads.has_queue, queue.wake_next
+            )
         return None
 
     def _reject_if_too_late(
@@ -292,7 +300,9 @@
         urgent = head.priority is requests.Priority.HIGH
         if urgent and not all(map(self._is_limited, endpoints)):
             return
-        raise self._overload_error(ranked, queue, 'would wait past its deadline')
+        raise self._overload_error(
+            ranked, queue, 'would wait past its deadline'
+        )
 
     def _reject_if_all_back_off(
         self,
@@ -382,8 +392,12 @@
     ) -> None:
         left_ms = head.deadline_ms - self._clock.mono_ms()
         if left_ms <= 0:
-            raise self._overload_error(ranked, queue, 'deadline passed waiting')
-        blocked_ms = [self._blocked_ms(item.endpoint.endpoint) for item in ranked]
+            raise self._overload_error(
+                ranked, queue, 'deadline passed waiting'
+            )
+        blocked_ms = [
+            self._blocked_ms(item.endpoint.endpoint) for item in ranked
+        ]
         soonest_ms = min(
             (wait_ms for wait_ms in blocked_ms if wait_ms), default=0
         )
--- a/wrenspoke/coordination/serving/routing.py
+++ b/wrenspoke/coordination/serving/routing.py
@@ -81,7 +81,9 @@
         if len(self._endpoints) > MAX_SESSIONS:
             self._endpoints.popitem(last=False)
 
-    def last_endpoint(self, session: ids.SessionId | None) -> ids.EndpointId | None:
+    def last_endpoint(
+        self, session: ids.SessionId | None
+    ) -> ids.EndpointId | None:
         """Return where a session was served last, as far as known."""
         return self._endpoints.get(session)
 
@@ -171,7 +173,9 @@
     return LOCAL_LINK_MS + wait_ms + work_ms
 
 
-def _expected_load(endpoint: configuration.Endpoint, view: RankingContext) -> int:
+def _expected_load(
+    endpoint: configuration.Endpoint, view: RankingContext
+) -> int:
     own = view.limits.in_flight(endpoint.endpoint)
     reported = _reported_total(view.loads.latest_report(endpoint.endpoint))
     return max(own, reported)
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -167,13 +167,17 @@
         self._guard = guard
         self._gate = gate
 
-    async def acquire_permit(self, destination: Destination, rank: int) -> None:
+    async def acquire_permit(
+        self, destination: Destination, rank: int
+    ) -> None:
         """Acquire a permit to send to a place's endpoint.
 
         :raises EndpointBusyError: it is sent nothing more for now
         """
         if destination.endpoint is not None:
-            destination.send_permit = await self._gate.acquire(destination.life, rank)
+            destination.send_permit = await self._gate.acquire(
+                destination.life, rank
+            )
 
     @contextlib.asynccontextmanager
     async def send(
@@ -193,10 +197,18 @@
         :raises HeldBackError: it may not go there now; nothing was sent
         :raises MaybeSentError: it may have been run
         """
-        may_leave = functools.partial(self._may_send, call, permit, destination)
-        fields = self._request_fields(call, permit, destination, left_ms, last_event)
+        may_leave = functools.partial(
+            self._may_send, call, permit, destination
+        )
+        fields = self._request_fields(
+            call, permit, destination, left_ms, last_event
+        )
         body = call.body or None
-        client = self._endpoint_client if destination.host is None else self._host_client
+        client = (
+            self._endpoint_client
+            if destination.host is None
+            else self._host_client
+        )
         tracked = contextlib.nullcontext()
         if destination.endpoint is not None:
             tracked = self._guard.watching(
@@ -216,7 +228,9 @@
             ):
                 self._record_advertised(call, destination, response)
                 verdict = self._classify_response(call, destination, response)
-                answer = UpstreamResponse(response, verdict, destination.host is not None)
+                answer = UpstreamResponse(
+                    response, verdict, destination.host is not None
+                )
                 try:
                     yield answer
                 finally:
@@ -231,14 +245,22 @@
             raise errors.MaybeSentError(str(error)) from error
 
     def _may_send(
-        self, call: dialects.Call, permit: access.RoutePermit, destination: Destination
+        self,
+        call: dialects.Call,
+        permit: access.RoutePermit,
+        destination: Destination,
     ) -> bool:
         """Tell, as the first byte is about to leave, whether it still may."""
         if self._guard.held_ms(call.digest) is not None:
             return False
-        if destination.endpoint is not None and not destination.send_permit.is_valid():
+        if (
+            destination.endpoint is not None
+            and not destination.send_permit.is_valid()
+        ):
             return False
-        return self._access.may_enter_regions(call, permit, destination.host, destination.regions)
+        return self._access.may_enter_regions(
+            call, permit, destination.host, destination.regions
+        )
 
     def _record_advertised(
         self,
@@ -258,12 +280,17 @@
         )
 
     def _count_traffic(
-        self, call: dialects.Call, destination: Destination, answer: UpstreamResponse
+        self,
+        call: dialects.Call,
+        destination: Destination,
+        answer: UpstreamResponse,
     ) -> None:
         """Count what went to a host elsewhere and came back from it."""
         if destination.host is None:
             return
-        peer_location = locations.Location(destination.located_in, ids.DataCentreId(''))
+        peer_location = locations.Location(
+            destination.located_in, ids.DataCentreId('')
+        )
         self._traffic.note(CALL, peer_location, len(call.body))
         self._traffic.note(ANSWER, peer_location, answer.bytes_read)
 
@@ -289,7 +316,10 @@
             return fields + call.credentials
         fields += self._identity_fields(call, permit)
         fields.append((dialect.endpoint, destination.endpoint))
-        if destination.chosen is not None and destination.chosen.source is not None:
+        if (
+            destination.chosen is not None
+            and destination.chosen.source is not None
+        ):
             source = destination.chosen.source.said
             fields.append((dialect.fetch_from, source.address))
         if call.parts:
@@ -326,7 +356,10 @@
             return Verdict.MISDIRECTED
         if self._dialect.not_run in response.headers:
             return Verdict.NOT_RUN
-        if passing.REFUSED in response.headers and destination.host is not None:
+        if (
+            passing.REFUSED in response.headers
+            and destination.host is not None
+        ):
             return Verdict.ANSWERED
         echoed = response.headers.get(self._dialect.request)
         if echoed != call.request:
--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -148,12 +148,16 @@
         retry_state = self._server.new_retry_state(head)
         transcript = Transcript(body, head.last_event or 0)
         if head.last_event is not None:
-            return await self._resume_for_caller(head, transcript, reply, retry_state)
+            return await self._resume_for_caller(
+                head, transcript, reply, retry_state
+            )
         while True:
             retry_state.check_deadline()
             slot = await self._server.acquire_slot(head, retry_state)
             try:
-                await self._stream_once(head, transcript, reply, slot, retry_state)
+                await self._stream_once(
+                    head, transcript, reply, slot, retry_state
+                )
                 return slot.endpoint.endpoint
             except local_server.SEND_ERRORS as error:
                 await retry_state.handle_failure(slot.endpoint.endpoint, error)
@@ -178,7 +182,9 @@
             slot,
         )
         if transcript.last_event:
-            send.extra_headers[headers.LAST_EVENT_ID] = str(transcript.last_event)
+            send.extra_headers[headers.LAST_EVENT_ID] = str(
+                transcript.last_event
+            )
         try:
             await self._relay_from(send, transcript, reply, retry_state)
         except errors.MaybeSentError as error:
@@ -242,7 +248,9 @@
         def record_first_event() -> None:
             if not first_event_ms:
                 first_event_ms.append(clock.mono_ms() - started_ms)
-                self._server.loads.observe_first_token(send.endpoint, first_event_ms[0])
+                self._server.loads.observe_first_token(
+                    send.endpoint, first_event_ms[0]
+                )
 
         stall_ms = self._server.settings.stall_timeout_ms
         first_ms = self._server.loads.first_event_timeout_ms(
@@ -277,7 +285,9 @@
             raise
         taken_ms = clock.mono_ms() - started_ms
         self._server.loads.observe_occupancy(send.endpoint, taken_ms)
-        self._server.scheduler.sessions.record_use(send.head.session, send.endpoint)
+        self._server.scheduler.sessions.record_use(
+            send.head.session, send.endpoint
+        )
         send.slot.release(succeeded=True)
         await reply.close()
 
@@ -298,7 +308,10 @@
                     f'endpoint answered {answer.status}'
                 )
             if not reply.started:
-                response_headers = {**answer.headers, headers.ENDPOINT: send.endpoint}
+                response_headers = {
+                    **answer.headers,
+                    headers.ENDPOINT: send.endpoint,
+                }
                 await reply.open(response_headers)
             yield answer
 
@@ -310,7 +323,9 @@
         retry_state: local_server.RetryState,
     ) -> ids.EndpointId:
         """Resume a stream that broke before the caller asked again."""
-        for endpoint in sorted(self._server.scheduler.eligible_endpoints(head)):
+        for endpoint in sorted(
+            self._server.scheduler.eligible_endpoints(head)
+        ):
             slot = self._server.scheduler.acquire_slot_at(endpoint)
             if slot is None:
                 continue
