--- a/wrenspoke/coordination/limiting/endpoint_lender.py
+++ b/wrenspoke/coordination/limiting/endpoint_lender.py
@@ -17,7 +17,7 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.limiting import advertised_limits
 from wrenspoke.coordination.limiting import lenders as region_lenders
-from wrenspoke.coordination.limiting import levels
+from wrenspoke.coordination.limiting import token_bucket
 from wrenspoke import ids
 from wrenspoke.protocol import limiting
 from wrenspoke.protocol import peers as peer_calls
@@ -62,7 +62,7 @@
     """
 
     life: limiting.EndpointLife
-    level: levels.Level
+    level: token_bucket.Level
     granted: int = 0
     named: int = 0
     turned_away_ms: dict[int, int] = dataclasses.field(default_factory=dict)
@@ -155,7 +155,7 @@
         lent = self._lent.get(limit.life.endpoint)
         if lent is None or lent.life != limit.life:
             # Empty: another host may have granted permits before.
-            lent = _Lent(limit.life, levels.endless(now_ms))
+            lent = _Lent(limit.life, token_bucket.endless(now_ms))
             self._lent[limit.life.endpoint] = lent
         share = self._share(limit.life.endpoint)
         lent.level.fill(now_ms)
--- a/wrenspoke/coordination/limiting/lender.py
+++ b/wrenspoke/coordination/limiting/lender.py
@@ -17,7 +17,7 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.limiting import allocator
 from wrenspoke.coordination.limiting import bounds
-from wrenspoke.coordination.limiting import levels
+from wrenspoke.coordination.limiting import token_bucket
 from wrenspoke.coordination.membership import attendance
 from wrenspoke import ids
 from wrenspoke.protocol import errors as protocol_errors
@@ -107,7 +107,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Holding(levels.Level):
+class Holding(token_bucket.Level):
     """Hold this lender's share of one team's limit, and its level.
 
     ``short`` says that the last answer granted less than was wanted.
