--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -317,14 +317,14 @@
         assert not first.done()
         assert (await first).granted[0].share == pytest.approx(0.5)
         assert (await other).granted[0].share == pytest.approx(0.4)
-        assert voter.state.lenders == ('a', 'b')
+        assert voter.state.bucket_owners == ('a', 'b')
         late = group.asyncio.ensure_future(
             heard(allocated, 'c', asked(0.0, 0.1))
         )
         await group.asyncio.sleep(0.1)
         voter.has_lease = False
         assert not isinstance(await late, limiting.SharesGranted)
-        assert voter.state.lenders == ('a', 'b')
+        assert voter.state.bucket_owners == ('a', 'b')
         await allocated.close()
 
     group.run(run())
@@ -337,7 +337,7 @@
         await group.asyncio.sleep(allocator.FORGOTTEN_AFTER_MS / 1_000 + 1)
         await heard(allocated, 'a', asked(0.5, 0.5))
         await heard(allocated, 'b', asked(0.0, 0.5))
-        assert voter.state.lenders == ('a', 'b')
+        assert voter.state.bucket_owners == ('a', 'b')
         await allocated.close()
 
     group.run(run())
--- a/tests/test_stated_limits.py
+++ b/tests/test_stated_limits.py
@@ -9,7 +9,7 @@
 from tests import test_registry
 from wrenspoke.coordination.limiting import advertised_limits
 from wrenspoke.coordination.limiting import endpoint_lender
-from wrenspoke.coordination.limiting import lenders as region_lenders
+from wrenspoke.coordination.limiting import bucket_owners as region_lenders
 from wrenspoke.coordination.serving import return_line
 from wrenspoke.protocol import errors
 from wrenspoke.protocol import limiting
--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -233,13 +233,14 @@
 
     async def _is_noted(self, lender: ids.HostId) -> bool:
         """Have a lender noted in the log before it is granted anything."""
-        if lender in self._elected.state.lenders:
+        if lender in self._elected.state.bucket_owners:
             return True
         if self._noting is None or self._noting.done():
             self._noting = self._tasks.start(self._note(), fatal=False)
         await asyncio.shield(self._noting)
         return (
-            lender in self._elected.state.lenders and self._elected.has_lease
+            lender in self._elected.state.bucket_owners
+            and self._elected.has_lease
         )
 
     async def _note(self) -> None:
@@ -251,7 +252,7 @@
             for host, heard_ms in self._heard_ms.items()
             if now_ms - heard_ms < FORGOTTEN_AFTER_MS
         }
-        kept = set(self._elected.state.lenders)
+        kept = set(self._elected.state.bucket_owners)
         if now_ms - self._since_ms > FORGOTTEN_AFTER_MS:
             # Those have had the time to be heard in this lead.
             kept &= lately
@@ -287,7 +288,10 @@
         ended_ms = self._since_ms + LEASE_KEPT_MS
         if self._settled_early_ms is not None:
             return min(self._settled_early_ms, ended_ms)
-        if all(host in self._heard_ms for host in self._elected.state.lenders):
+        if all(
+            host in self._heard_ms
+            for host in self._elected.state.bucket_owners
+        ):
             self._settled_early_ms = self._clock.mono_ms()
             return min(self._settled_early_ms, ended_ms)
         return ended_ms
--- a/wrenspoke/coordination/limiting/endpoint_lender.py
+++ b/wrenspoke/coordination/limiting/endpoint_lender.py
@@ -16,7 +16,7 @@
 
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.limiting import advertised_limits
-from wrenspoke.coordination.limiting import lenders as region_lenders
+from wrenspoke.coordination.limiting import bucket_owners as region_lenders
 from wrenspoke.coordination.limiting import token_bucket
 from wrenspoke import ids
 from wrenspoke.protocol import limiting
--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -13,7 +13,7 @@
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.limiting import advertised_limits
 from wrenspoke.coordination.limiting import endpoint_lender
-from wrenspoke.coordination.limiting import lenders as region_lenders
+from wrenspoke.coordination.limiting import bucket_owners as region_lenders
 from wrenspoke import ids
 from wrenspoke.protocol import errors as protocol_errors
 from wrenspoke.protocol import limiting
--- a/wrenspoke/coordination/limiting/limiter.py
+++ b/wrenspoke/coordination/limiting/limiter.py
@@ -11,7 +11,7 @@
 from wrenspoke.coordination.limiting import allocator
 from wrenspoke.coordination.limiting import bounds
 from wrenspoke.coordination.limiting import lender as lending
-from wrenspoke.coordination.limiting import lenders
+from wrenspoke.coordination.limiting import bucket_owners
 from wrenspoke import ids
 from wrenspoke.protocol import limiting
 from wrenspoke.protocol import peers as peer_calls
@@ -51,14 +51,16 @@
     def __init__(
         self,
         host: ids.HostId,
-        order: lenders.Order,
+        order: bucket_owners.Order,
         lender: lending.Lender,
         allowed: bounds.OvershootBounds,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
         self._host = host
-        self._lenders = lenders.Lenders(order, LEFT_ALONE_MS, peers, clock)
+        self._lenders = bucket_owners.Lenders(
+            order, LEFT_ALONE_MS, peers, clock
+        )
         self._lender = lender
         self._allowed = allowed
         self._clock = clock
