--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -14,7 +14,7 @@
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.limiting import allocator
 from wrenspoke.coordination.limiting import bounds
-from wrenspoke.coordination.limiting import lender
+from wrenspoke.coordination.limiting import team_buckets
 from wrenspoke.coordination.limiting import limiter
 from wrenspoke.coordination.membership import attendance
 from wrenspoke.coordination.serving import routing
@@ -83,7 +83,7 @@
         self.clock = group.LoopClock()
         self.peers = attending_fleet.CountingPeers(name, fleet.network)
         fleet.network.hosts[name] = self.peers
-        self.lender = lender.Lender(
+        self.lender = team_buckets.Lender(
             lambda _team: fleet.limit,
             lambda: fleet.lead_of(self),
             ALLOWED,
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -14,7 +14,7 @@
 from tests import group
 from tests import limited_fleet
 from wrenspoke.coordination.limiting import allocator
-from wrenspoke.coordination.limiting import lender
+from wrenspoke.coordination.limiting import team_buckets
 from wrenspoke.protocol import limiting
 from wrenspoke.state import replicated
 
@@ -74,7 +74,9 @@
     assert fleet.most_in_a_window() <= fleet.bound
     # One question a call, and what lenders ask the leader.
     calls = len(fleet.asked) / hosts
-    assert fleet.messages_a_host() < 2.5 * calls + 34_000 / lender.RENEW_MS
+    assert (
+        fleet.messages_a_host() < 2.5 * calls + 34_000 / team_buckets.RENEW_MS
+    )
 
 
 @pytest.mark.parametrize('hosts', [20, 60])
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -14,7 +14,7 @@
 from wrenspoke.coordination.agreement import followers
 from wrenspoke.coordination.agreement import lead
 from wrenspoke.coordination.limiting import allocator
-from wrenspoke.coordination.limiting import lender
+from wrenspoke.coordination.limiting import team_buckets
 from wrenspoke.coordination.membership import attendance
 from wrenspoke.coordination.membership import controls
 from wrenspoke.coordination.membership import lease
@@ -130,8 +130,8 @@
 
 
 def share_of_a_limit(clock):
-    held = lender.Holding(
-        clock.mono_ms(), demand=lender.Demand(clock.mono_ms())
+    held = team_buckets.Holding(
+        clock.mono_ms(), demand=team_buckets.Demand(clock.mono_ms())
     )
     held.share = 1.0
     held.until_ms = clock.mono_ms() + allocator.SHARE_LEASE_MS
--- a/wrenspoke/coordination/limiting/limiter.py
+++ b/wrenspoke/coordination/limiting/limiter.py
@@ -10,7 +10,7 @@
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.limiting import allocator
 from wrenspoke.coordination.limiting import bounds
-from wrenspoke.coordination.limiting import lender as lending
+from wrenspoke.coordination.limiting import team_buckets as lending
 from wrenspoke.coordination.limiting import bucket_owners
 from wrenspoke import ids
 from wrenspoke.protocol import limiting
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -11,7 +11,7 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.limiting import bounds
 from wrenspoke.coordination.limiting import endpoint_gate
-from wrenspoke.coordination.limiting import lender
+from wrenspoke.coordination.limiting import team_buckets
 from wrenspoke.coordination.limiting import limiter
 from wrenspoke.coordination.membership import askers
 from wrenspoke.coordination.membership import attendance
@@ -203,7 +203,7 @@
         allowed = bounds.OvershootBounds(
             node.limits.window_ms, node.limits.share, node.limits.fixed
         )
-        self._lender = lender.Lender(
+        self._lender = team_buckets.Lender(
             self._access.limit_of,
             lambda: self.attendance.lead,
             allowed,
