--- a/tests/test_stated_fleet.py
+++ b/tests/test_stated_fleet.py
@@ -12,7 +12,7 @@
 
 from tests import group
 from tests import stated_fleet
-from wrenspoke.coordination.limiting import endpoint_lender
+from wrenspoke.coordination.limiting import endpoint_buckets
 
 CALLS_PER_S = 40
 NAMED_MS = 1_000
@@ -64,7 +64,7 @@
     assert engine.overrun() <= 1.0
     # The others have room.
     assert fleet.refused_share() == 0.0
-    if rate_per_s >= endpoint_lender.LEAST_RATE_PER_S:
+    if rate_per_s >= endpoint_buckets.LEAST_RATE_PER_S:
         assert engine.used_share(SETTLED_MS, PLAY_MS) >= 0.8
     # Two for a leave, one for its answer's head, and each second a word to
     # every host.
@@ -291,7 +291,7 @@
 
     async def restart(fleet):
         # Nothing has changed for long.
-        await fleet.wait_ms(endpoint_lender.ENDS_RETOLD_MS)
+        await fleet.wait_ms(endpoint_buckets.ENDS_RETOLD_MS)
         await fleet.restart_host(fleet.names[-1])
         host = fleet.hosts[fleet.names[-1]]
         # No call comes to it: it hears nothing for itself.
--- a/tests/test_stated_limits.py
+++ b/tests/test_stated_limits.py
@@ -8,7 +8,7 @@
 
 from tests import test_registry
 from wrenspoke.coordination.limiting import advertised_limits
-from wrenspoke.coordination.limiting import endpoint_lender
+from wrenspoke.coordination.limiting import endpoint_buckets
 from wrenspoke.coordination.limiting import bucket_owners as region_lenders
 from wrenspoke.coordination.serving import return_line
 from wrenspoke.protocol import errors
@@ -142,7 +142,7 @@
         return
 
     lenders = region_lenders.Lenders(lambda _key: ['h'], 0, Peers(), clock)
-    return endpoint_lender.EndpointLender(
+    return endpoint_buckets.EndpointLender(
         'h', lenders, known, tell, Peers(), clock
     )
 
@@ -205,7 +205,7 @@
     assert lends.take(now, 5).grant is not None
     # One that does not come back keeps it until the level is full.
     assert lends.take(now, 2).grant is None
-    clock.now_ms += 500 + endpoint_lender.SPARE_MS
+    clock.now_ms += 500 + endpoint_buckets.SPARE_MS
     assert lends.take(now, 5).grant is not None
 
 
--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -12,7 +12,7 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.limiting import advertised_limits
-from wrenspoke.coordination.limiting import endpoint_lender
+from wrenspoke.coordination.limiting import endpoint_buckets
 from wrenspoke.coordination.limiting import bucket_owners as region_lenders
 from wrenspoke import ids
 from wrenspoke.protocol import errors as protocol_errors
@@ -50,7 +50,7 @@
         host: ids.HostId,
         order: region_lenders.Order,
         exists: advertised_limits.Exists,
-        tell: endpoint_lender.Tell,
+        tell: endpoint_buckets.Tell,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
@@ -62,7 +62,7 @@
             order, SILENT_LEFT_ALONE_MS, peers, clock
         )
         self._stated = advertised_limits.AdvertisedLimits()
-        self._lender = endpoint_lender.EndpointLender(
+        self._lender = endpoint_buckets.EndpointLender(
             host, self._lenders, self._stated, tell, peers, clock
         )
         self._backoff_until_ms: dict[limiting.EndpointLife, int] = {}
@@ -93,7 +93,7 @@
         rate_per_s = self.rate_per_s(life)
         if rate_per_s is None:
             return None
-        taken_per_s = max(rate_per_s, endpoint_lender.LEAST_RATE_PER_S)
+        taken_per_s = max(rate_per_s, endpoint_buckets.LEAST_RATE_PER_S)
         return taken_per_s / len(self._lenders.all_of(life.endpoint))
 
     def active(self) -> list[limiting.EndpointLimit]:
