--- a/benches/limits.py
+++ b/benches/limits.py
@@ -16,7 +16,7 @@
 import tqdm
 
 from tests import group
-from tests import limited_fleet
+from tests import team_limit_fleet
 from tests import test_limits
 from wrenspoke.coordination.serving import shares
 
@@ -32,9 +32,9 @@
     def __init__(self, fleet, name):
         limit = fleet.limit
         hosts = len(fleet.names)
-        burst = limit.burst + FILLED_SHARE * limited_fleet.ALLOWED.spare(limit)
+        burst = limit.burst + FILLED_SHARE * team_limit_fleet.ALLOWED.spare(limit)
         self.clock = group.LoopClock()
-        self.peers = limited_fleet.attending_fleet.CountingPeers(
+        self.peers = team_limit_fleet.attending_fleet.CountingPeers(
             name, fleet.network
         )
         self._rate_per_s = limit.rate_per_s / hosts
@@ -62,12 +62,12 @@
 
     def __init__(self, fleet, name):
         super().__init__(fleet, name)
-        region = (id(fleet), limited_fleet.region_of(name))
+        region = (id(fleet), team_limit_fleet.region_of(name))
         self._lender = self.lenders.setdefault(
             region, shares.Lender(self.clock)
         )
         self._name = name
-        self._whole_per_s = fleet.limit.rate_per_s / limited_fleet.REGIONS
+        self._whole_per_s = fleet.limit.rate_per_s / team_limit_fleet.REGIONS
         # What a level may hold follows the rate that is leased.
         self._depth_s = self._burst / self._rate_per_s
         self._asked = 0.0
@@ -113,7 +113,7 @@
         self._own = []
         self._unseen = 0.0
         self._reported_ms = self.clock.mono_ms()
-        spare = limited_fleet.ALLOWED.spare(fleet.limit)
+        spare = team_limit_fleet.ALLOWED.spare(fleet.limit)
         self._unseen_part = FILLED_SHARE * spare / len(fleet.names)
 
     async def admit(self, amount):
@@ -123,14 +123,14 @@
             self._own, self._unseen = [], 0.0
             self._reported_ms = now_ms
             self.peers.sent['report'].messages += 1
-        since_ms = now_ms - limited_fleet.WINDOW_MS
+        since_ms = now_ms - team_limit_fleet.WINDOW_MS
         seen = sum(
             spent
             for at_ms, spent in self._told
             if since_ms <= at_ms <= now_ms - self.LAG_MS
         )
         limit = self._fleet.limit
-        window_s = limited_fleet.WINDOW_MS / MS_PER_S
+        window_s = team_limit_fleet.WINDOW_MS / MS_PER_S
         allowed = limit.rate_per_s * window_s + limit.burst
         if seen + self._unseen + amount > allowed:
             return False
@@ -145,7 +145,7 @@
     'fixed parts': FixedParts,
     'regional leases': RegionalLeases,
     'merged reports': MergedReports,
-    'shares by demand': limited_fleet.Host,
+    'shares by demand': team_limit_fleet.Host,
 }
 PATTERNS = {
     'steady': {},
@@ -164,14 +164,14 @@
 
 def play(way, hosts, rate_per_s, pattern, seed):
     """Return the figures of one play."""
-    made = limited_fleet.Fleet.__init__.__defaults__
-    limited_fleet.Fleet.__init__.__defaults__ = (seed, WAYS[way])
+    made = team_limit_fleet.Fleet.__init__.__defaults__
+    team_limit_fleet.Fleet.__init__.__defaults__ = (seed, WAYS[way])
     try:
         fleet = test_limits.play(
             hosts, rate_per_s, seed=seed, **PATTERNS[pattern]
         )
     finally:
-        limited_fleet.Fleet.__init__.__defaults__ = made
+        team_limit_fleet.Fleet.__init__.__defaults__ = made
     admitted = [one.took_ms for one in fleet.asked if one.admitted]
     over = fleet.most_in_a_window() / fleet.bound - 1.0
     return (
--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -13,7 +13,7 @@
 
 from tests import attending_fleet
 from tests import group
-from tests import limited_fleet
+from tests import team_limit_fleet
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.quarantine import gatherer
@@ -22,7 +22,7 @@
 from wrenspoke.protocol import messages
 from wrenspoke.state import replicated
 
-REGIONS = limited_fleet.REGIONS
+REGIONS = team_limit_fleet.REGIONS
 CONTROLS = 6
 MS_PER_S = 1_000
 # A majority of the control hosts of far regions.
@@ -66,11 +66,11 @@
         self._gatherer.start()
 
     def _entry_hosts(self, everywhere):
-        region = limited_fleet.region_of(self.name)
+        region = team_limit_fleet.region_of(self.name)
         return [
             name
             for name in self._fleet.hosts
-            if everywhere or limited_fleet.region_of(name) == region
+            if everywhere or team_limit_fleet.region_of(name) == region
         ]
 
     async def close(self):
@@ -83,7 +83,7 @@
 
     def __init__(self, fleet, name):
         self.name = name
-        self.region = limited_fleet.region_of(name)
+        self.region = team_limit_fleet.region_of(name)
         self.clock = group.LoopClock()
         self.began_ms = self.clock.mono_ms()
         self.peers = attending_fleet.CountingPeers(name, fleet.network)
@@ -119,7 +119,7 @@
         await self.guard.close()
 
 
-class Lossy(limited_fleet.Travel):
+class Lossy(team_limit_fleet.Travel):
     """Lose a share of the messages, for as long as a test says."""
 
     lost_share = 0.0
@@ -201,7 +201,7 @@
         return [
             control
             for control in self.controls.values()
-            if limited_fleet.region_of(control.name) == host.region
+            if team_limit_fleet.region_of(control.name) == host.region
         ]
 
     @staticmethod
@@ -228,8 +228,8 @@
         self._region_cut = region
         for one in self.network.hosts:
             for other in self.network.hosts:
-                if limited_fleet.region_of(one) == region:
-                    if limited_fleet.region_of(other) != region:
+                if team_limit_fleet.region_of(one) == region:
+                    if team_limit_fleet.region_of(other) != region:
                         self.network.cut(one, other)
 
     def heal(self):
@@ -240,10 +240,12 @@
     def join_host(self, name):
         """Let a host that was cut off be reached again."""
         for other in self.network.hosts:
-            if limited_fleet.region_of(other) != limited_fleet.region_of(name):
+            if team_limit_fleet.region_of(other) != team_limit_fleet.region_of(
+                name
+            ):
                 if self._region_cut in (
-                    limited_fleet.region_of(other),
-                    limited_fleet.region_of(name),
+                    team_limit_fleet.region_of(other),
+                    team_limit_fleet.region_of(name),
                 ):
                     continue
             self.network.join(name, other)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tests import group
-from tests import limited_fleet
+from tests import team_limit_fleet
 from wrenspoke.coordination.limiting import allocator
 from wrenspoke.coordination.limiting import team_buckets
 from wrenspoke.protocol import limiting
@@ -27,13 +27,13 @@
 
 def in_turn(region, since_ms):
     """Return a region's part where each peaks for a while, 16 to 1."""
-    peaking = int(since_ms // TURN_MS) % limited_fleet.REGIONS
+    peaking = int(since_ms // TURN_MS) % team_limit_fleet.REGIONS
     into_ms = since_ms % TURN_MS
     # The peak moves within 2 s.
     moved = min(into_ms / 2_000, 1.0)
     if region == peaking:
         return 0.17 + 2.63 * moved
-    if region == (peaking - 1) % limited_fleet.REGIONS:
+    if region == (peaking - 1) % team_limit_fleet.REGIONS:
         return 2.8 - 2.63 * moved
     return 0.17
 
@@ -43,7 +43,7 @@
     held = {}
 
     async def run():
-        fleet = await limited_fleet.Fleet(hosts, rate_per_s, seed).start()
+        fleet = await team_limit_fleet.Fleet(hosts, rate_per_s, seed).start()
         await fleet.wait_ms(8_000)
         calls = fleet.call(used * rate_per_s, 34_000, share_of)
         if mishap is None:
@@ -93,10 +93,10 @@
     async def happen():
         await fleet.wait_ms(6_000)
         for name in fleet.network.hosts:
-            if limited_fleet.region_of(name) != 2:
+            if team_limit_fleet.region_of(name) != 2:
                 continue
             for other in fleet.network.hosts:
-                if limited_fleet.region_of(other) != 2:
+                if team_limit_fleet.region_of(other) != 2:
                     fleet.network.cut(name, other)
         await fleet.wait_ms(8_000)
         fleet.network.heal()
@@ -230,10 +230,10 @@
     """A call that ran nothing leaves its amount to the next."""
 
     async def run():
-        fleet = await limited_fleet.Fleet(3, SMALL).start()
+        fleet = await team_limit_fleet.Fleet(3, SMALL).start()
         await fleet.wait_ms(8_000)
         host = fleet.hosts[fleet.names[0]]
-        team = limited_fleet.teams.Team('t', limit=fleet.limit)
+        team = team_limit_fleet.teams.Team('t', limit=fleet.limit)
         taken = await host.limiter.take(team, 500)
         host.limiter.give_back(taken)
         host.limiter.give_back(taken)
@@ -265,7 +265,7 @@
 async def leading(lenders=()):
     """Return what parts limits on a host that has just begun to lead."""
     state = replicated.ReplicatedState(lenders=tuple(lenders))
-    voter = limited_fleet.Voter(state)
+    voter = team_limit_fleet.Voter(state)
     voter.has_lease = True
     clock = group.LoopClock()
     voter.led_since_ms = clock.mono_ms()
--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tests import group
-from tests import limited_fleet
+from tests import team_limit_fleet
 from tests import quarantined_fleet
 from wrenspoke.coordination.quarantine import ended_runs
 from wrenspoke.coordination.quarantine import gatherer
@@ -246,7 +246,7 @@
 
     async def _cut_region(self):
         if self._cut is None:
-            self._cut = self._random.randrange(limited_fleet.REGIONS)
+            self._cut = self._random.randrange(team_limit_fleet.REGIONS)
             self._fleet.cut_region(self._cut)
             self._trouble_all()
 
@@ -268,7 +268,7 @@
         names = [
             name
             for name in self._fleet.controls
-            if limited_fleet.region_of(name) != self._cut
+            if team_limit_fleet.region_of(name) != self._cut
         ]
         self._fleet.lead(self._random.choice(names))
         self._trouble_all()
