--- a/benches/endpoint_limits.py
+++ b/benches/endpoint_limits.py
@@ -18,7 +18,7 @@
 import tqdm
 
 from tests import group
-from tests import stated_fleet
+from tests import endpoint_limit_fleet
 from tests import test_stated_fleet
 from wrenspoke.coordination.limiting import endpoint_buckets
 from wrenspoke.coordination.serving import shares
@@ -41,7 +41,7 @@
     return register
 
 
-way('leave for each call')(stated_fleet.AskingHost)
+way('leave for each call')(endpoint_limit_fleet.AskingHost)
 
 
 class SendPermit:
@@ -69,7 +69,7 @@
         self.fleet = fleet
         self.name = name
         self.clock = group.LoopClock()
-        self.peers = stated_fleet.Peers(name, fleet.network)
+        self.peers = endpoint_limit_fleet.Peers(name, fleet.network)
         self.frozen = False
         self.told_ms = {}
         self.rates = {}
--- a/tests/backoff_fleet.py
+++ b/tests/backoff_fleet.py
@@ -10,7 +10,7 @@
 import dataclasses
 
 from tests import group
-from tests import stated_fleet
+from tests import endpoint_limit_fleet
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.limiting import endpoint_backoffs
 from wrenspoke.protocol import attending
@@ -78,7 +78,7 @@
         return worst
 
 
-class BackoffHost(stated_fleet.AskingHost):
+class BackoffHost(endpoint_limit_fleet.AskingHost):
     """An entry host that backs off as the product does."""
 
     agreeing_hosts = endpoint_backoffs.AGREEING_HOSTS
@@ -122,7 +122,7 @@
     agreeing_hosts = 1
 
 
-class Fleet(stated_fleet.Fleet):
+class Fleet(endpoint_limit_fleet.Fleet):
     """The hosts and engines of a region, and the calls there."""
 
     def __init__(self, hosts, engines=4, seed=1, make=BackoffHost):
--- a/tests/test_advertised.py
+++ b/tests/test_advertised.py
@@ -8,7 +8,7 @@
 import multidict
 import pytest
 
-from tests import stated_fleet
+from tests import endpoint_limit_fleet
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.limiting import endpoint_backoffs
 from wrenspoke.protocol import advertised
@@ -180,7 +180,7 @@
     strategies.lists(WORDS, max_size=2),
 )
 def test_gate_takes_any_head(origin, status, delays, leavings):
-    gate = stated_fleet.unlimited(clocks.Clock())
+    gate = endpoint_limit_fleet.unlimited(clocks.Clock())
     gate.on_response(
         LIFE,
         head(
--- a/tests/test_gauges.py
+++ b/tests/test_gauges.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tests import stated_fleet
+from tests import endpoint_limit_fleet
 from tests import test_registry
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.membership import askers
@@ -82,7 +82,7 @@
         None,
         None,
         lambda _address, _asked_ms: None,
-        stated_fleet.unlimited(clocks.Clock()),
+        endpoint_limit_fleet.unlimited(clocks.Clock()),
         dialects.Dialect(),
         clocks.Clock(),
     )
@@ -198,7 +198,7 @@
         health.Health(clock),
         None,
         gauged,
-        stated_fleet.unlimited(clock),
+        endpoint_limit_fleet.unlimited(clock),
         frozenset(),
         clock,
     )
--- a/tests/test_stated_fleet.py
+++ b/tests/test_stated_fleet.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests import group
-from tests import stated_fleet
+from tests import endpoint_limit_fleet
 from wrenspoke.coordination.limiting import endpoint_buckets
 
 CALLS_PER_S = 40
@@ -27,14 +27,14 @@
     limited=1,
     calls_per_s=CALLS_PER_S,
     seed=1,
-    make=stated_fleet.AskingHost,
+    make=endpoint_limit_fleet.AskingHost,
     rank_of=lambda: 10,
 ):
     """Return a fleet whose first engines named a limit for a while."""
     held = {}
 
     async def run():
-        fleet = stated_fleet.Fleet(hosts, seed=seed, make=make)
+        fleet = endpoint_limit_fleet.Fleet(hosts, seed=seed, make=make)
 
         async def happen():
             await fleet.wait_ms(NAMED_MS)
@@ -68,7 +68,7 @@
         assert engine.used_share(SETTLED_MS, PLAY_MS) >= 0.8
     # Two for a leave, one for its answer's head, and each second a word to
     # every host.
-    sent = fleet.messages_sent() / PLAY_MS * stated_fleet.MS_PER_S
+    sent = fleet.messages_sent() / PLAY_MS * endpoint_limit_fleet.MS_PER_S
     assert sent <= 6 * (rate_per_s + hosts + 1)
 
 
@@ -79,7 +79,7 @@
         name = lender_of(fleet)
         fleet.hosts[name].frozen = True
         fleet.network.cut_off(name)
-        await fleet.wait_ms(stated_fleet.ROSTER_MS)
+        await fleet.wait_ms(endpoint_limit_fleet.ROSTER_MS)
         for other in fleet.names:
             fleet.lose(name, other)
 
@@ -151,7 +151,7 @@
         pairs = [(a, b) for a in half for b in fleet.names if b not in half]
         for one, other in pairs:
             fleet.network.cut(one, other)
-        await fleet.wait_ms(stated_fleet.ROSTER_MS)
+        await fleet.wait_ms(endpoint_limit_fleet.ROSTER_MS)
         for one, other in pairs:
             fleet.lose(one, other)
         await fleet.wait_ms(5_000)
@@ -245,7 +245,7 @@
     since_ms, _rate = engine.rates[-1]
     after = [one for one in engine.arrivals if one.at_ms > since_ms + most_ms]
     took_ms = PLAY_MS - since_ms - most_ms
-    third = CALLS_PER_S / 3 * took_ms / stated_fleet.MS_PER_S
+    third = CALLS_PER_S / 3 * took_ms / endpoint_limit_fleet.MS_PER_S
     assert len(after) >= 0.7 * third
 
 
