--- a/benches/endpoint_limits.py
+++ b/benches/endpoint_limits.py
@@ -19,15 +19,15 @@
 
 from tests import group
 from tests import endpoint_limit_fleet
-from tests import test_stated_fleet
+from tests import test_endpoint_limit_fleet
 from wrenspoke.coordination.limiting import endpoint_buckets
 from wrenspoke.coordination.serving import shares
 
 MS_PER_S = 1_000
 RENEW_MS = 500
 LOOK_MS = 5
-SETTLED_MS = test_stated_fleet.SETTLED_MS
-PLAY_MS = test_stated_fleet.PLAY_MS
+SETTLED_MS = test_endpoint_limit_fleet.SETTLED_MS
+PLAY_MS = test_endpoint_limit_fleet.PLAY_MS
 WAYS = {}
 
 
@@ -140,7 +140,7 @@
 
 def play(made, hosts, rate_per_s, limited, seed):
     """Return what one way does at one size."""
-    fleet = test_stated_fleet.play(
+    fleet = test_endpoint_limit_fleet.play(
         hosts, rate_per_s, limited=limited, seed=seed, make=made
     )
     engines = fleet.engines[:limited]
@@ -172,7 +172,7 @@
             await fleet.wait_ms(LOOK_MS)
         found.append(group.LoopClock().mono_ms() - ended_ms)
 
-    test_stated_fleet.play(hosts, rate_per_s, end, seed=seed)
+    test_endpoint_limit_fleet.play(hosts, rate_per_s, end, seed=seed)
     return found[0]
 
 
