--- a/benches/limits.py
+++ b/benches/limits.py
@@ -17,13 +17,13 @@
 
 from tests import group
 from tests import team_limit_fleet
-from tests import test_limits
+from tests import test_team_limits
 from wrenspoke.coordination.serving import shares
 
 MS_PER_S = 1_000
 FILLED_SHARE = 0.85
-RATE_PER_S = test_limits.LARGE
-SMALL_PER_S = test_limits.SMALL
+RATE_PER_S = test_team_limits.LARGE
+SMALL_PER_S = test_team_limits.SMALL
 
 
 class FixedParts:
@@ -149,15 +149,15 @@
 }
 PATTERNS = {
     'steady': {},
-    'peaks in turn': {'share_of': test_limits.in_turn},
-    'hot': {'share_of': test_limits.in_turn, 'used': 4.0},
+    'peaks in turn': {'share_of': test_team_limits.in_turn},
+    'hot': {'share_of': test_team_limits.in_turn, 'used': 4.0},
     'region cut off': {
-        'share_of': test_limits.in_turn,
-        'mishap': test_limits.cut,
+        'share_of': test_team_limits.in_turn,
+        'mishap': test_team_limits.cut,
     },
     'all hosts restart': {
-        'share_of': test_limits.in_turn,
-        'mishap': test_limits.restart,
+        'share_of': test_team_limits.in_turn,
+        'mishap': test_team_limits.restart,
     },
 }
 
@@ -167,7 +167,7 @@
     made = team_limit_fleet.Fleet.__init__.__defaults__
     team_limit_fleet.Fleet.__init__.__defaults__ = (seed, WAYS[way])
     try:
-        fleet = test_limits.play(
+        fleet = test_team_limits.play(
             hosts, rate_per_s, seed=seed, **PATTERNS[pattern]
         )
     finally:
--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -117,7 +117,7 @@
         ('            max(share, held), asked.wanted,'),
         ('            share, asked.wanted,'),
         (
-            'tests/test_limits.py::test_lower_share_counts_once_its_lender_has_heard_of_it'
+            'tests/test_team_limits.py::test_lower_share_counts_once_its_lender_has_heard_of_it'
         ),
     ),
     Switch(
@@ -126,7 +126,7 @@
         ('            if part.until_ms <= now_ms:\n'),
         ('            if part.until_ms <= now_ms + LEASE_KEPT_MS:\n'),
         (
-            'tests/test_limits.py::test_silent_lender_keeps_its_share_for_its_lease'
+            'tests/test_team_limits.py::test_silent_lender_keeps_its_share_for_its_lease'
         ),
     ),
     Switch(
@@ -135,7 +135,7 @@
         ('        whole = 1.0 if settled else min(self._told, 1.0)\n'),
         ('        whole = 1.0\n'),
         (
-            'tests/test_limits.py::test_new_leader_parts_no_more_than_it_was_told_of'
+            'tests/test_team_limits.py::test_new_leader_parts_no_more_than_it_was_told_of'
         ),
     ),
     Switch(
@@ -143,7 +143,7 @@
         DECISIONS + 'limiting/limiter.py',
         ('        if taken is None or taken.given_back:\n'),
         ('        if taken is None:\n'),
-        ('tests/test_limits.py::test_amount_is_given_back_once'),
+        ('tests/test_team_limits.py::test_amount_is_given_back_once'),
     ),
     Switch(
         'connection cancelled as it is made',
@@ -171,7 +171,7 @@
         ),
         ('        if True:\n'),
         (
-            'tests/test_limits.py::test_silent_lender_is_waited_for_until_its_lease_has_ended'
+            'tests/test_team_limits.py::test_silent_lender_is_waited_for_until_its_lease_has_ended'
         ),
     ),
     Switch(
@@ -180,7 +180,7 @@
         ('        if message.shares and not await self._is_noted(lender):\n'),
         ('        if False:\n'),
         (
-            'tests/test_limits.py::test_nothing_is_granted_before_its_lender_is_noted'
+            'tests/test_team_limits.py::test_nothing_is_granted_before_its_lender_is_noted'
         ),
     ),
     Switch(
