--- a/wrenspoke/coordination/errors.py
+++ b/wrenspoke/coordination/errors.py
@@ -9,7 +9,7 @@
     """Base of the errors of the coordination layer."""
 
 
-class EndedError(CoordinationError):
+class RequestEndedError(CoordinationError):
     """Carry how a request ends, from where that is known."""
 
     def __init__(self, ending: outcomes.Ending):
--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -141,7 +141,7 @@
             passing.sent = True
             cause = repr(error)
         except streams.EndingEventError as error:
-            raise errors.EndedError(_ending_of(error.data)) from error
+            raise errors.RequestEndedError(_ending_of(error.data)) from error
         self._members.failed(host)
         self._decisions.note(
             'forward_failed', passing.head.request, peer=host, error=cause
@@ -195,7 +195,7 @@
     ) -> None:
         """Pass on an answer, or the end that the other host reports."""
         if passing.reply.started:
-            raise errors.EndedError(_ending_of(body.decode()))
+            raise errors.RequestEndedError(_ending_of(body.decode()))
         text = response.headers.get(headers.OUTCOME)
         if text is None:
             raise errors.MaybeSentError('answer has no outcome')
@@ -238,14 +238,14 @@
             sent[headers.LAST_EVENT_ID] = str(head.last_event)
         return sent
 
-    def _gave_up(self, passing: _Pass) -> errors.EndedError:
+    def _gave_up(self, passing: _Pass) -> errors.RequestEndedError:
         reason = outcomes.Reason.REGION_UNREACHABLE
         if passing.head.bound:
             reason = outcomes.Reason.HOME_UNREACHABLE
         outcome = outcomes.Outcome.NOT_RUN
         if passing.sent:
             outcome = outcomes.Outcome.UNKNOWN
-        return errors.EndedError(
+        return errors.RequestEndedError(
             outcomes.Ending(
                 outcome,
                 reason,
--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -121,7 +121,7 @@
         try:
             await self._route(head, body, reply)
             self._note_end(head, 'whole', started_ms)
-        except errors.EndedError as error:
+        except errors.RequestEndedError as error:
             ending = _truthful(head, error.ending)
             self._note_end(head, ending, started_ms)
             await reply.end(ending)
@@ -190,7 +190,7 @@
             return
         try:
             await self._serve_here(head, key, body, reply)
-        except errors.EndedError as error:
+        except errors.RequestEndedError as error:
             other = self._way_out(head, error.ending, reply)
             if other is None:
                 raise
@@ -231,7 +231,7 @@
         secret = teams.secret_of(self._deployment.cluster)
         team = current.keys.get(teams.digest_of(head.key, secret).hex())
         if not head.key or team is None:
-            raise errors.EndedError(
+            raise errors.RequestEndedError(
                 outcomes.Ending(
                     outcomes.Outcome.NOT_RUN,
                     outcomes.Reason.UNKNOWN_KEY,
@@ -244,7 +244,7 @@
         """Turn away at once what no endpoint is sent."""
         held_ms = self._guard.refuse(head.digest)
         if held_ms is not None:
-            raise errors.EndedError(
+            raise errors.RequestEndedError(
                 outcomes.Ending(
                     outcomes.Outcome.NOT_RUN,
                     outcomes.Reason.QUARANTINED,
@@ -263,7 +263,7 @@
             return
         wait_ms = self._shares.admit(head.team)
         if wait_ms:
-            raise errors.EndedError(
+            raise errors.RequestEndedError(
                 outcomes.Ending(
                     outcomes.Outcome.NOT_RUN,
                     outcomes.Reason.TEAM_LIMIT,
@@ -391,8 +391,8 @@
 
     def _not_run(
         self, reason: outcomes.Reason, detail: str
-    ) -> errors.EndedError:
-        return errors.EndedError(
+    ) -> errors.RequestEndedError:
+        return errors.RequestEndedError(
             outcomes.Ending(
                 outcomes.Outcome.NOT_RUN,
                 reason,
@@ -401,8 +401,10 @@
             )
         )
 
-    def _bad_request(self, field: str, problem: str) -> errors.EndedError:
-        return errors.EndedError(
+    def _bad_request(
+        self, field: str, problem: str
+    ) -> errors.RequestEndedError:
+        return errors.RequestEndedError(
             outcomes.Ending(
                 outcomes.Outcome.NOT_RUN,
                 outcomes.Reason.BAD_REQUEST,
--- a/wrenspoke/coordination/serving/local.py
+++ b/wrenspoke/coordination/serving/local.py
@@ -164,12 +164,12 @@
 
     def ended(
         self, reason: outcomes.Reason, detail: str, retry_after_ms: int = 1000
-    ) -> errors.EndedError:
+    ) -> errors.RequestEndedError:
         """Return the end of a request that is given up on."""
         outcome = outcomes.Outcome.NOT_RUN
         if self.may_have_run:
             outcome = outcomes.Outcome.UNKNOWN
-        return errors.EndedError(
+        return errors.RequestEndedError(
             outcomes.Ending(
                 outcome, reason, detail, retry_after_ms, retry_owned=True
             )
@@ -225,7 +225,7 @@
         """Return a place; after failures the reason given is theirs."""
         try:
             return await self.placer.place(head, tries.excluded)
-        except errors.EndedError as error:
+        except errors.RequestEndedError as error:
             if tries.count == 0:
                 raise
             raise tries.ended(
@@ -276,7 +276,7 @@
         error = errors.MaybeSentError(f'endpoint answered {answer.status}')
         try:
             tries.failed(answer.endpoint, error)
-        except errors.EndedError:
+        except errors.RequestEndedError:
             return False
         return bool(self.placer.endpoints(head) - tries.excluded)
 
--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -181,7 +181,7 @@
         self,
         head: requests.RequestHead,
         error: errors.LedgerUnreachableError,
-    ) -> errors.EndedError:
+    ) -> errors.RequestEndedError:
         """Tell the truth without the ledger.
 
         The attempt itself has not left this host. Only of a first one
@@ -246,7 +246,7 @@
         try:
             await tries.after(send.endpoint, error)
             return await self._server.place(head, tries)
-        except errors.EndedError:
+        except errors.RequestEndedError:
             await self._give_back(key, send.ticket)
             raise
 
@@ -338,8 +338,8 @@
     reason: outcomes.Reason,
     detail: str,
     retry_after_ms: int = 0,
-) -> errors.EndedError:
-    return errors.EndedError(
+) -> errors.RequestEndedError:
+    return errors.RequestEndedError(
         outcomes.Ending(
             outcome, reason, detail, retry_after_ms, retry_owned=True
         )
--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -233,7 +233,7 @@
         if every and not candidates:
             self._refuse_backing_off(head, every)
         if not candidates:
-            raise errors.EndedError(
+            raise errors.RequestEndedError(
                 outcomes.Ending(
                     outcomes.Outcome.NOT_RUN,
                     outcomes.Reason.NO_ENDPOINT,
@@ -312,7 +312,7 @@
         if soonest_ms <= min(RECHECK_MS, left_ms):
             return
         urgency = requests.Priority.HIGH - head.priority
-        raise errors.EndedError(
+        raise errors.RequestEndedError(
             outcomes.Ending(
                 outcomes.Outcome.NOT_RUN,
                 outcomes.Reason.OVERLOAD,
@@ -359,10 +359,10 @@
         ranked: typing.Sequence[routing.Ranked],
         queue: Queue,
         detail: str,
-    ) -> errors.EndedError:
+    ) -> errors.RequestEndedError:
         endpoints = [item.endpoint for item in ranked]
         wait_ms = int(self._wait_ms(endpoints, len(queue)))
-        return errors.EndedError(
+        return errors.RequestEndedError(
             outcomes.Ending(
                 outcomes.Outcome.NOT_RUN,
                 outcomes.Reason.OVERLOAD,
