--- a/wrenspoke/coordination/errors.py
+++ b/wrenspoke/coordination/errors.py
@@ -65,7 +65,7 @@
     """Say that nothing of the request left this host."""
 
 
-class HeldBackError(CoordinationError):
+class SendAbortedError(CoordinationError):
     """Say that the request may not go there any more, and did not."""
 
 
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -224,7 +224,7 @@
             if run is not None and verdict is Verdict.ANSWERED:
                 self._guard.ended_well(run)
         except transport_errors.HeldBackError as error:
-            raise errors.HeldBackError(str(error)) from error
+            raise errors.SendAbortedError(str(error)) from error
         except transport_errors.NotSentError as error:
             raise errors.NotSentError(str(error)) from error
         except transport_errors.MaybeSentError as error:
--- a/wrenspoke/coordination/serving/tries.py
+++ b/wrenspoke/coordination/serving/tries.py
@@ -87,7 +87,7 @@
                     last_event,
                 ) as answer:
                     return await self._take(work, place, answer)
-        except errors.HeldBackError:
+        except errors.SendAbortedError:
             work.sent -= 1
             work.was_not_run()
             self._held_back(work, place)
