--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -62,7 +62,7 @@
     """
 
     life: limiting.EndpointLife
-    level: token_bucket.Level
+    level: token_bucket.TokenBucket
     granted: int = 0
     named: int = 0
     turned_away_ms: dict[int, int] = dataclasses.field(default_factory=dict)
--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -107,7 +107,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Holding(token_bucket.Level):
+class Holding(token_bucket.TokenBucket):
     """Hold this lender's share of one team's limit, and its level.
 
     ``short`` says that the last answer granted less than was wanted.
--- a/wrenspoke/coordination/limiting/token_bucket.py
+++ b/wrenspoke/coordination/limiting/token_bucket.py
@@ -5,7 +5,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Level:
+class TokenBucket:
     """Hold a share of a limit, and the amount that it has filled up.
 
     Amounts are milliseconds of the limit's rate.
@@ -41,6 +41,6 @@
         return lacking_ms / self.share
 
 
-def endless(now_ms: int) -> Level:
+def endless(now_ms: int) -> TokenBucket:
     """Return an empty level that holds all of a limit, for good."""
-    return Level(now_ms, share=1.0, until_ms=math.inf)
+    return TokenBucket(now_ms, share=1.0, until_ms=math.inf)
