--- a/wrenspoke/coordination/limiting/token_bucket.py
+++ b/wrenspoke/coordination/limiting/token_bucket.py
@@ -11,7 +11,7 @@
     Amounts are milliseconds of the limit's rate.
     """
 
-    filled_ms: int
+    refilled_ms: int
     depth_ms: float = 0.0
     share: float = 0.0
     until_ms: float = 0
@@ -22,9 +22,9 @@
         if now_ms >= self.until_ms:
             self.share = 0.0
             self.level_ms = min(self.level_ms, 0.0)
-        self.level_ms += self.share * (now_ms - self.filled_ms)
+        self.level_ms += self.share * (now_ms - self.refilled_ms)
         self.level_ms = min(self.level_ms, self.full_ms)
-        self.filled_ms = now_ms
+        self.refilled_ms = now_ms
 
     @property
     def full_ms(self) -> float:
