--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -137,7 +137,7 @@
     held.until_ms = clock.mono_ms() + allocator.SHARE_LEASE_MS
 
     def left():
-        held.fill(clock.mono_ms())
+        held.refill(clock.mono_ms())
         return held.share > 0
 
     return left
--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -158,7 +158,7 @@
             lent = _Lent(limit.life, token_bucket.endless(now_ms))
             self._lent[limit.life.endpoint] = lent
         share = self._share(limit.life.endpoint)
-        lent.level.fill(now_ms)
+        lent.level.refill(now_ms)
         lent.level.share = share
         amount_ms = _amount_ms(limit.rate_per_s)
         # A part of the limit still holds one whole request.
--- a/wrenspoke/coordination/limiting/token_bucket.py
+++ b/wrenspoke/coordination/limiting/token_bucket.py
@@ -17,7 +17,7 @@
     until_ms: float = 0
     level_ms: float = 0.0
 
-    def fill(self, now_ms: int) -> None:
+    def refill(self, now_ms: int) -> None:
         """Let the level grow, or end with the lease."""
         if now_ms >= self.until_ms:
             self.share = 0.0
