--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -142,7 +142,7 @@
         now_ms = self._clock.mono_ms()
         lacking_ms = level.wait_ms(amount_ms)
         if not lacking_ms and lent.keeps_for_others(rank, now_ms):
-            lacking_ms = level.wait_ms(level.full_ms)
+            lacking_ms = level.wait_ms(level.capacity_ms)
         if not lacking_ms:
             level.level_ms -= amount_ms
             lent.turned_away_ms.pop(rank, None)
--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -120,7 +120,9 @@
     @property
     def unused(self) -> bool:
         """Tell whether more is held than is used."""
-        return self.share > 0 and self.level_ms >= FULL_SHARE * self.full_ms
+        return (
+            self.share > 0 and self.level_ms >= FULL_SHARE * self.capacity_ms
+        )
 
     def wanted(self, now_ms: int) -> float:
         """Return the share that answers the demand."""
--- a/wrenspoke/coordination/limiting/token_bucket.py
+++ b/wrenspoke/coordination/limiting/token_bucket.py
@@ -23,11 +23,11 @@
             self.share = 0.0
             self.level_ms = min(self.level_ms, 0.0)
         self.level_ms += self.share * (now_ms - self.refilled_ms)
-        self.level_ms = min(self.level_ms, self.full_ms)
+        self.level_ms = min(self.level_ms, self.capacity_ms)
         self.refilled_ms = now_ms
 
     @property
-    def full_ms(self) -> float:
+    def capacity_ms(self) -> float:
         """Return the most that it holds."""
         return self.share * self.depth_ms
 
