--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -155,7 +155,7 @@
         lent = self._lent.get(limit.life.endpoint)
         if lent is None or lent.life != limit.life:
             # Empty: another host may have granted permits before.
-            lent = _Lent(limit.life, token_bucket.endless(now_ms))
+            lent = _Lent(limit.life, token_bucket.unexpiring(now_ms))
             self._lent[limit.life.endpoint] = lent
         share = self._share(limit.life.endpoint)
         lent.level.refill(now_ms)
--- a/wrenspoke/coordination/limiting/token_bucket.py
+++ b/wrenspoke/coordination/limiting/token_bucket.py
@@ -41,6 +41,6 @@
         return lacking_ms / self.share
 
 
-def endless(now_ms: int) -> TokenBucket:
+def unexpiring(now_ms: int) -> TokenBucket:
     """Return an empty level that holds all of a limit, for good."""
     return TokenBucket(now_ms, share=1.0, until_ms=math.inf)
