--- a/tests/test_advertised_limits.py
+++ b/tests/test_advertised_limits.py
@@ -141,7 +141,9 @@
     async def tell(_limits):
         return
 
-    lenders = region_lenders.Lenders(lambda _key: ['h'], 0, Peers(), clock)
+    lenders = region_lenders.BucketOwners(
+        lambda _key: ['h'], 0, Peers(), clock
+    )
     return endpoint_buckets.EndpointLender(
         'h', lenders, known, tell, Peers(), clock
     )
--- a/wrenspoke/coordination/limiting/bucket_owners.py
+++ b/wrenspoke/coordination/limiting/bucket_owners.py
@@ -15,7 +15,7 @@
 Order = collections.abc.Callable[[str], list[str]]
 
 
-class Lenders:
+class BucketOwners:
     """Track which hosts own each key, and which of them respond."""
 
     def __init__(
--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -81,7 +81,7 @@
     def __init__(
         self,
         host: ids.HostId,
-        lenders: region_lenders.Lenders,
+        lenders: region_lenders.BucketOwners,
         stated: advertised_limits.AdvertisedLimits,
         tell: Tell,
         peers: peer_calls.Peers,
--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -58,7 +58,7 @@
         self._peers = peers
         self._clock = clock
         self._exists = exists
-        self._lenders = region_lenders.Lenders(
+        self._lenders = region_lenders.BucketOwners(
             order, SILENT_LEFT_ALONE_MS, peers, clock
         )
         self._stated = advertised_limits.AdvertisedLimits()
--- a/wrenspoke/coordination/limiting/limiter.py
+++ b/wrenspoke/coordination/limiting/limiter.py
@@ -58,7 +58,7 @@
         clock: clocks.Clock,
     ):
         self._host = host
-        self._lenders = bucket_owners.Lenders(
+        self._lenders = bucket_owners.BucketOwners(
             order, LEFT_ALONE_MS, peers, clock
         )
         self._lender = lender
