--- a/wrenspoke/coordination/limiting/bucket_owners.py
+++ b/wrenspoke/coordination/limiting/bucket_owners.py
@@ -12,7 +12,7 @@
 logger = structlog.get_logger(__name__)
 
 # The region's hosts, this one too, in the order of a key.
-Order = collections.abc.Callable[[str], list[str]]
+HostOrder = collections.abc.Callable[[str], list[str]]
 
 
 class BucketOwners:
@@ -20,7 +20,7 @@
 
     def __init__(
         self,
-        order: Order,
+        order: HostOrder,
         left_alone_ms: int,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -48,7 +48,7 @@
     def __init__(
         self,
         host: ids.HostId,
-        order: region_lenders.Order,
+        order: region_lenders.HostOrder,
         exists: advertised_limits.Exists,
         tell: endpoint_buckets.Tell,
         peers: peer_calls.Peers,
--- a/wrenspoke/coordination/limiting/limiter.py
+++ b/wrenspoke/coordination/limiting/limiter.py
@@ -51,7 +51,7 @@
     def __init__(
         self,
         host: ids.HostId,
-        order: bucket_owners.Order,
+        order: bucket_owners.HostOrder,
         lender: lending.Lender,
         allowed: bounds.OvershootBounds,
         peers: peer_calls.Peers,
