--- a/wrenspoke/coordination/limiting/bucket_owners.py
+++ b/wrenspoke/coordination/limiting/bucket_owners.py
@@ -21,12 +21,12 @@
     def __init__(
         self,
         order: HostOrder,
-        left_alone_ms: int,
+        retry_interval_ms: int,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
         self._order = order
-        self._left_alone_ms = left_alone_ms
+        self._left_alone_ms = retry_interval_ms
         self._peers = peers
         self._clock = clock
         # When each silent host gave no response.
