--- a/wrenspoke/coordination/limiting/bucket_owners.py
+++ b/wrenspoke/coordination/limiting/bucket_owners.py
@@ -26,7 +26,7 @@
         clock: clocks.Clock,
     ):
         self._order = order
-        self._left_alone_ms = retry_interval_ms
+        self._retry_interval_ms = retry_interval_ms
         self._peers = peers
         self._clock = clock
         # When each silent host gave no response.
@@ -51,7 +51,7 @@
         silent_ms = self._silent_ms.get(host)
         if silent_ms is None:
             return False
-        if self._clock.mono_ms() - silent_ms < self._left_alone_ms:
+        if self._clock.mono_ms() - silent_ms < self._retry_interval_ms:
             return True
         del self._silent_ms[host]
         return False
