--- a/wrenspoke/coordination/limiting/bucket_owners.py
+++ b/wrenspoke/coordination/limiting/bucket_owners.py
@@ -30,7 +30,7 @@
         self._peers = peers
         self._clock = clock
         # When each silent host gave no response.
-        self._silent_ms: dict[ids.HostId, int] = {}
+        self._unresponsive_since_ms: dict[ids.HostId, int] = {}
 
     def all_of(self, key: str) -> list[ids.HostId]:
         """Return the region's hosts in a key's order."""
@@ -48,12 +48,12 @@
         return found
 
     def _is_left_alone(self, host: ids.HostId) -> bool:
-        silent_ms = self._silent_ms.get(host)
+        silent_ms = self._unresponsive_since_ms.get(host)
         if silent_ms is None:
             return False
         if self._clock.mono_ms() - silent_ms < self._retry_interval_ms:
             return True
-        del self._silent_ms[host]
+        del self._unresponsive_since_ms[host]
         return False
 
     async def ask(
@@ -63,6 +63,6 @@
         try:
             return await self._peers.call(host, message, timeout_ms)
         except protocol_errors.ProtocolError as error:
-            self._silent_ms[host] = self._clock.mono_ms()
+            self._unresponsive_since_ms[host] = self._clock.mono_ms()
             logger.info('lender_silent', peer=host, reason=str(error))
             return None
