--- a/wrenspoke/coordination/limiting/bucket_owners.py
+++ b/wrenspoke/coordination/limiting/bucket_owners.py
@@ -40,14 +40,14 @@
         """Return the first of them that were not silent recently."""
         found: list[ids.HostId] = []
         for host in self.all_of(key):
-            if self._is_left_alone(host):
+            if self._is_unresponsive(host):
                 continue
             found.append(host)
             if len(found) == count:
                 break
         return found
 
-    def _is_left_alone(self, host: ids.HostId) -> bool:
+    def _is_unresponsive(self, host: ids.HostId) -> bool:
         silent_ms = self._unresponsive_since_ms.get(host)
         if silent_ms is None:
             return False
