--- a/wrenspoke/coordination/limiting/bucket_owners.py
+++ b/wrenspoke/coordination/limiting/bucket_owners.py
@@ -32,14 +32,14 @@
         # When each silent host gave no response.
         self._unresponsive_since_ms: dict[ids.HostId, int] = {}
 
-    def all_of(self, key: str) -> list[ids.HostId]:
+    def in_order(self, key: str) -> list[ids.HostId]:
         """Return the region's hosts in a key's order."""
         return [ids.HostId(name) for name in self._order(key)]
 
     def answering(self, key: str, count: int) -> list[ids.HostId]:
         """Return the first of them that were not silent recently."""
         found: list[ids.HostId] = []
-        for host in self.all_of(key):
+        for host in self.in_order(key):
             if self._is_unresponsive(host):
                 continue
             found.append(host)
--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -167,7 +167,7 @@
 
     def _share(self, endpoint: ids.EndpointId) -> float:
         """Return the part of a limit that this host may grant."""
-        order = self._lenders.all_of(endpoint)
+        order = self._lenders.in_order(endpoint)
         share = self._seen_share(len(order))
         if order[0] != self._host:
             share *= STANDING_IN_SHARE
@@ -238,7 +238,7 @@
                     await self._news.wait()
                 await self._clock.sleep_ms(GATHER_MS)
             except TimeoutError:
-                self._seen_share(len(self._lenders.all_of(self._host)))
+                self._seen_share(len(self._lenders.in_order(self._host)))
             self._news.clear()
             told = self._told()
             if told:
@@ -252,7 +252,7 @@
                 del self._changed[life]
         lives = set(self._changed)
         for limit in self._stated.active():
-            if self._lenders.all_of(limit.life.endpoint)[0] == self._host:
+            if self._lenders.in_order(limit.life.endpoint)[0] == self._host:
                 lives.add(limit.life)
         return [self._stated.limit_of(life) for life in lives]
 
--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -94,7 +94,7 @@
         if rate_per_s is None:
             return None
         taken_per_s = max(rate_per_s, endpoint_buckets.LEAST_RATE_PER_S)
-        return taken_per_s / len(self._lenders.all_of(life.endpoint))
+        return taken_per_s / len(self._lenders.in_order(life.endpoint))
 
     def active(self) -> list[limiting.EndpointLimit]:
         """Return the limits that endpoints currently advertise."""
@@ -197,7 +197,7 @@
         unlimited = self.rate_per_s(life) is None
         if rate_per_s is None and (unlimited or not proved):
             return
-        lender = self._lenders.all_of(life.endpoint)[0]
+        lender = self._lenders.in_order(life.endpoint)[0]
         if grant is not None:
             lender = grant.lender
         if lender == self._host:
