--- a/wrenspoke/coordination/limiting/bucket_owners.py
+++ b/wrenspoke/coordination/limiting/bucket_owners.py
@@ -36,7 +36,7 @@
         """Return the region's hosts in a key's order."""
         return [ids.HostId(name) for name in self._order(key)]
 
-    def answering(self, key: str, count: int) -> list[ids.HostId]:
+    def first_responsive(self, key: str, count: int) -> list[ids.HostId]:
         """Return the first of them that were not silent recently."""
         found: list[ids.HostId] = []
         for host in self.in_order(key):
--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -147,7 +147,7 @@
     ) -> limiting.SendAnswered | None:
         """Ask the first responsive host that owns this limit's bucket."""
         known = self._stated.limit_of(life)
-        for host in self._lenders.answering(life.endpoint, 1):
+        for host in self._lenders.first_responsive(life.endpoint, 1):
             if host == self._host:
                 return self._lender.take(known, rank)
             answer = await self._lenders.ask(
--- a/wrenspoke/coordination/limiting/limiter.py
+++ b/wrenspoke/coordination/limiting/limiter.py
@@ -89,7 +89,7 @@
     ) -> limiting.AmountGranted:
         message = limiting.AskAmount(team, amount)
         timeout_ms = lending.LONGEST_WAIT_MS + ANSWER_MARGIN_MS
-        for host in self._lenders.answering(team, LENDERS_TRIED):
+        for host in self._lenders.first_responsive(team, LENDERS_TRIED):
             if host == self._host:
                 break
             answer = await self._lenders.ask(host, message, timeout_ms)
