--- a/wrenspoke/coordination/limiting/bucket_owners.py
+++ b/wrenspoke/coordination/limiting/bucket_owners.py
@@ -56,7 +56,7 @@
         del self._unresponsive_since_ms[host]
         return False
 
-    async def ask(
+    async def call(
         self, host: ids.HostId, message: peer_calls.Message, timeout_ms: float
     ) -> peer_calls.Message | None:
         """Return a host's answer, None where it gives none."""
--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -150,7 +150,7 @@
         for host in self._lenders.first_responsive(life.endpoint, 1):
             if host == self._host:
                 return self._lender.take(known, rank)
-            answer = await self._lenders.ask(
+            answer = await self._lenders.call(
                 host, limiting.AskSend(known, rank), ASK_TIMEOUT_MS
             )
             if isinstance(answer, limiting.SendAnswered):
--- a/wrenspoke/coordination/limiting/limiter.py
+++ b/wrenspoke/coordination/limiting/limiter.py
@@ -92,7 +92,7 @@
         for host in self._lenders.first_responsive(team, LENDERS_TRIED):
             if host == self._host:
                 break
-            answer = await self._lenders.ask(host, message, timeout_ms)
+            answer = await self._lenders.call(host, message, timeout_ms)
             if isinstance(answer, limiting.AmountGranted):
                 return answer
         return await self._lender.take(team, amount)
