--- a/tests/team_limit_fleet.py
+++ b/tests/team_limit_fleet.py
@@ -240,7 +240,7 @@
         """Return what a window may hold."""
         limit = self.limit
         allowed = limit.rate_per_s * WINDOW_MS / MS_PER_S + limit.burst
-        return allowed + ALLOWED.spare(limit)
+        return allowed + ALLOWED.max_overshoot(limit)
 
     def refused_share(self, since_ms=0, until_ms=10**9):
         """Return the part of the tokens asked for that was refused."""
--- a/wrenspoke/coordination/limiting/bounds.py
+++ b/wrenspoke/coordination/limiting/bounds.py
@@ -32,7 +32,7 @@
     share: float = 0.1
     fixed: float = 0.0
 
-    def spare(self, limit: teams.TeamLimit) -> float:
+    def max_overshoot(self, limit: teams.TeamLimit) -> float:
         """Return what a window may hold beyond a limit."""
         window_s = self.window_ms / MS_PER_S
         allowed = limit.rate_per_s * window_s + limit.burst
@@ -40,7 +40,7 @@
 
     def rate_per_s(self, limit: teams.TeamLimit) -> float:
         """Return the rate that all lenders of a team admit together."""
-        spare = RATE_SHARE * self.spare(limit)
+        spare = RATE_SHARE * self.max_overshoot(limit)
         return limit.rate_per_s + spare / self.window_ms * MS_PER_S
 
     def depth_ms(self, limit: teams.TeamLimit) -> float:
@@ -49,11 +49,11 @@
         In milliseconds of the rate that is admitted: the limit's burst,
         and a part of what is to spare.
         """
-        kept = limit.burst + KEPT_SHARE * self.spare(limit)
+        kept = limit.burst + KEPT_SHARE * self.max_overshoot(limit)
         return kept / self.rate_per_s(limit) * MS_PER_S
 
     def given_back_ms(self, limit: teams.TeamLimit) -> float:
         """Return for how long an amount that was given back may be used."""
-        spare = GIVEN_BACK_SHARE * self.spare(limit)
+        spare = GIVEN_BACK_SHARE * self.max_overshoot(limit)
         spare_ms = spare / self.rate_per_s(limit) * MS_PER_S
         return min(spare_ms, LONGEST_GIVEN_BACK_MS)
