--- a/wrenspoke/coordination/limiting/bounds.py
+++ b/wrenspoke/coordination/limiting/bounds.py
@@ -52,7 +52,7 @@
         kept = limit.burst + KEPT_SHARE * self.max_overshoot(limit)
         return kept / self.rate_per_s(limit) * MS_PER_S
 
-    def given_back_ms(self, limit: teams.TeamLimit) -> float:
+    def refund_ttl_ms(self, limit: teams.TeamLimit) -> float:
         """Return for how long an amount that was given back may be used."""
         spare = GIVEN_BACK_SHARE * self.max_overshoot(limit)
         spare_ms = spare / self.rate_per_s(limit) * MS_PER_S
--- a/wrenspoke/coordination/limiting/limiter.py
+++ b/wrenspoke/coordination/limiting/limiter.py
@@ -101,7 +101,7 @@
         self, team: teams.Team, amount: float, now_ms: int
     ) -> bool:
         """Take what another call gave back, if it is enough and lately."""
-        usable_ms = self._allowed.given_back_ms(team.limit)
+        usable_ms = self._allowed.refund_ttl_ms(team.limit)
         kept = [
             taken
             for taken in self._given_back.get(team.team, [])
