--- a/wrenspoke/coordination/limiting/bounds.py
+++ b/wrenspoke/coordination/limiting/bounds.py
@@ -16,7 +16,7 @@
 # Parts of what is to spare. The rest is left for calls that reach an
 # endpoint a little after they were admitted.
 RATE_SHARE = 0.4
-KEPT_SHARE = 0.3
+BURST_SHARE = 0.3
 GIVEN_BACK_SHARE = 0.15
 # A call that is refused by every place is given back within about this.
 LONGEST_GIVEN_BACK_MS = 1_000
@@ -49,7 +49,7 @@
         In milliseconds of the rate that is admitted: the limit's burst,
         and a part of what is to spare.
         """
-        kept = limit.burst + KEPT_SHARE * self.max_overshoot(limit)
+        kept = limit.burst + BURST_SHARE * self.max_overshoot(limit)
         return kept / self.rate_per_s(limit) * MS_PER_S
 
     def refund_ttl_ms(self, limit: teams.TeamLimit) -> float:
