--- a/wrenspoke/coordination/limiting/bounds.py
+++ b/wrenspoke/coordination/limiting/bounds.py
@@ -17,7 +17,7 @@
 # endpoint a little after they were admitted.
 RATE_SHARE = 0.4
 BURST_SHARE = 0.3
-GIVEN_BACK_SHARE = 0.15
+REFUND_SHARE = 0.15
 # A call that is refused by every place is given back within about this.
 LONGEST_GIVEN_BACK_MS = 1_000
 
@@ -54,6 +54,6 @@
 
     def refund_ttl_ms(self, limit: teams.TeamLimit) -> float:
         """Return for how long an amount that was given back may be used."""
-        spare = GIVEN_BACK_SHARE * self.max_overshoot(limit)
+        spare = REFUND_SHARE * self.max_overshoot(limit)
         spare_ms = spare / self.rate_per_s(limit) * MS_PER_S
         return min(spare_ms, LONGEST_GIVEN_BACK_MS)
