--- a/wrenspoke/coordination/limiting/bounds.py
+++ b/wrenspoke/coordination/limiting/bounds.py
@@ -19,7 +19,7 @@
 BURST_SHARE = 0.3
 REFUND_SHARE = 0.15
 # A call that is refused by every place is given back within about this.
-LONGEST_GIVEN_BACK_MS = 1_000
+MAX_REFUND_TTL_MS = 1_000
 
 
 class OvershootBounds(msgspec.Struct, frozen=True):
@@ -56,4 +56,4 @@
         """Return for how long an amount that was given back may be used."""
         spare = REFUND_SHARE * self.max_overshoot(limit)
         spare_ms = spare / self.rate_per_s(limit) * MS_PER_S
-        return min(spare_ms, LONGEST_GIVEN_BACK_MS)
+        return min(spare_ms, MAX_REFUND_TTL_MS)
