--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -198,7 +198,7 @@
 def test_silent_lender_keeps_its_share_for_its_lease():
     parts = allocator.TeamParts(0)
     parts.grant('a', asked(0.0, 0.9), True, 0)
-    late = allocator.LEASE_KEPT_MS
+    late = allocator.LEASE_EXPIRY_MS
     given = parts.grant('b', asked(0.0, 0.9), True, late - 1)
     assert given.share == pytest.approx(0.1)
     given = parts.grant('b', asked(given.share, 0.9), True, late)
--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -37,7 +37,7 @@
 # were lost before.
 SHARE_LEASE_MS = 4_000
 # Clocks run apart, a hundredth at most; a lender counts from its question.
-LEASE_KEPT_MS = int(SHARE_LEASE_MS * 1.02)
+LEASE_EXPIRY_MS = int(SHARE_LEASE_MS * 1.02)
 # A host that has asked for nothing for so long is a lender no more: after a
 # change of leaders it would be waited for. Longer than a restart takes.
 FORGOTTEN_AFTER_MS = 15_000
@@ -91,7 +91,7 @@
             self._level_ms -= level_ms
         # A lower share counts once its lender has heard of it.
         self._parts[lender] = Part(
-            max(share, held), asked.wanted, now_ms + LEASE_KEPT_MS
+            max(share, held), asked.wanted, now_ms + LEASE_EXPIRY_MS
         )
         return limiting.ShareGranted(asked.team, share, level_ms)
 
@@ -285,7 +285,7 @@
 
         That is once every lender was heard, or older leases have ended.
         """
-        ended_ms = self._since_ms + LEASE_KEPT_MS
+        ended_ms = self._since_ms + LEASE_EXPIRY_MS
         if self._settled_early_ms is not None:
             return min(self._settled_early_ms, ended_ms)
         if all(
