--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -336,7 +336,7 @@
     async def run():
         allocated, voter = await leading(['gone', 'a'])
         await heard(allocated, 'a', asked(0.0, 0.5))
-        await group.asyncio.sleep(allocator.FORGOTTEN_AFTER_MS / 1_000 + 1)
+        await group.asyncio.sleep(allocator.HOLDER_EXPIRY_MS / 1_000 + 1)
         await heard(allocated, 'a', asked(0.5, 0.5))
         await heard(allocated, 'b', asked(0.0, 0.5))
         assert voter.state.bucket_owners == ('a', 'b')
--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -40,7 +40,7 @@
 LEASE_EXPIRY_MS = int(SHARE_LEASE_MS * 1.02)
 # A host that has asked for nothing for so long is a lender no more: after a
 # change of leaders it would be waited for. Longer than a restart takes.
-FORGOTTEN_AFTER_MS = 15_000
+HOLDER_EXPIRY_MS = 15_000
 # Lenders that come at once, as at a start, are noted by one entry.
 GATHER_MS = 20
 # Two far ways and a commit among far regions.
@@ -250,10 +250,10 @@
         lately = {
             host
             for host, heard_ms in self._heard_ms.items()
-            if now_ms - heard_ms < FORGOTTEN_AFTER_MS
+            if now_ms - heard_ms < HOLDER_EXPIRY_MS
         }
         kept = set(self._elected.state.bucket_owners)
-        if now_ms - self._since_ms > FORGOTTEN_AFTER_MS:
+        if now_ms - self._since_ms > HOLDER_EXPIRY_MS:
             # Those have had the time to be heard in this lead.
             kept &= lately
         hosts = tuple(sorted(kept | lately))
