--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -42,7 +42,7 @@
 # change of leaders it would be waited for. Longer than a restart takes.
 HOLDER_EXPIRY_MS = 15_000
 # Lenders that come at once, as at a start, are noted by one entry.
-GATHER_MS = 20
+BATCH_DELAY_MS = 20
 # Two far ways and a commit among far regions.
 PASS_TIMEOUT_MS = 600
 
@@ -245,7 +245,7 @@
 
     async def _note(self) -> None:
         """Write who has asked of late; who has not is left out."""
-        await self._clock.sleep_ms(GATHER_MS)
+        await self._clock.sleep_ms(BATCH_DELAY_MS)
         now_ms = self._clock.mono_ms()
         lately = {
             host
