--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -44,7 +44,7 @@
 # Lenders that come at once, as at a start, are noted by one entry.
 BATCH_DELAY_MS = 20
 # Two far ways and a commit among far regions.
-PASS_TIMEOUT_MS = 600
+FORWARD_TIMEOUT_MS = 600
 
 
 @dataclasses.dataclass(slots=True)
@@ -221,7 +221,7 @@
             return messages.Refusal('no leader is known')
         passed = msgspec.structs.replace(message, lender=sender)
         try:
-            answer = await self._peers.call(leader, passed, PASS_TIMEOUT_MS)
+            answer = await self._peers.call(leader, passed, FORWARD_TIMEOUT_MS)
         except protocol_errors.ProtocolError as error:
             logger.info('not_passed_on', peer=leader, reason=str(error))
             return messages.Refusal('the leader gave no answer')
