--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -48,7 +48,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Part:
+class ShareLease:
     """Hold what one lender may go by, and what it could use."""
 
     share: float
@@ -60,7 +60,7 @@
     """Part one team's limit."""
 
     def __init__(self, now_ms: int):
-        self._parts: dict[ids.HostId, Part] = {}
+        self._parts: dict[ids.HostId, ShareLease] = {}
         # What lenders held when this host began to lead.
         self._told = 0.0
         self._level_ms = 0.0
@@ -90,7 +90,7 @@
             level_ms = self._level_ms * (share - held) / free
             self._level_ms -= level_ms
         # A lower share counts once its lender has heard of it.
-        self._parts[lender] = Part(
+        self._parts[lender] = ShareLease(
             max(share, held), asked.wanted, now_ms + LEASE_EXPIRY_MS
         )
         return limiting.ShareGranted(asked.team, share, level_ms)
@@ -115,7 +115,7 @@
         if settled or asked.held <= 0:
             return 0.0
         self._told += asked.held
-        self._parts[lender] = Part(asked.held, asked.wanted, 0)
+        self._parts[lender] = ShareLease(asked.held, asked.wanted, 0)
         return asked.held
 
     def _fill(
