--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -185,7 +185,7 @@
 
 
 def test_lower_share_counts_once_its_lender_has_heard_of_it():
-    parts = allocator.TeamParts(0)
+    parts = allocator.TeamAllocation(0)
     assert parts.grant('a', asked(0.0, 1.0), True, 0).share == 1.0
     # The answer that lowers may be lost.
     lowered = parts.grant('a', asked(1.0, 0.5), True, 100)
@@ -196,7 +196,7 @@
 
 
 def test_silent_lender_keeps_its_share_for_its_lease():
-    parts = allocator.TeamParts(0)
+    parts = allocator.TeamAllocation(0)
     parts.grant('a', asked(0.0, 0.9), True, 0)
     late = allocator.LEASE_EXPIRY_MS
     given = parts.grant('b', asked(0.0, 0.9), True, late - 1)
@@ -206,7 +206,7 @@
 
 
 def test_new_leader_parts_no_more_than_it_was_told_of():
-    parts = allocator.TeamParts(0)
+    parts = allocator.TeamAllocation(0)
     assert parts.grant('a', asked(0.0, 0.9), False, 0).share == 0.0
     assert parts.grant('b', asked(0.4, 0.9), False, 0).share < 0.4
     # What one holds no longer may go to another at once.
@@ -219,7 +219,7 @@
 
 
 def test_share_that_grows_is_given_its_part_of_what_nobody_used():
-    parts = allocator.TeamParts(0)
+    parts = allocator.TeamAllocation(0)
     first = parts.grant('a', asked(0.0, 0.5), True, 2_000)
     assert first.level_ms == pytest.approx(1_000)
     second = parts.grant('b', asked(0.0, 0.5), True, 2_000)
--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -56,7 +56,7 @@
     until_ms: int
 
 
-class TeamParts:
+class TeamAllocation:
     """Part one team's limit."""
 
     def __init__(self, now_ms: int):
@@ -176,7 +176,7 @@
         self._elected = elected
         self._peers = peers
         self._clock = clock
-        self._teams: dict[ids.TeamId, TeamParts] = {}
+        self._teams: dict[ids.TeamId, TeamAllocation] = {}
         self._since_ms: int | None = None
         self._settled_early_ms: int | None = None
         # When each host was last heard in this lead.
@@ -309,7 +309,7 @@
             parts = self._teams.get(asked.team)
             if parts is None:
                 # What nobody held has grown since that was known.
-                parts = TeamParts(min(now_ms, self._settled_ms()))
+                parts = TeamAllocation(min(now_ms, self._settled_ms()))
                 self._teams[asked.team] = parts
             granted.append(parts.grant(lender, asked, settled, now_ms))
         return granted
