--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -60,7 +60,7 @@
     """Part one team's limit."""
 
     def __init__(self, now_ms: int):
-        self._parts: dict[ids.HostId, ShareLease] = {}
+        self._leases: dict[ids.HostId, ShareLease] = {}
         # What lenders held when this host began to lead.
         self._told = 0.0
         self._level_ms = 0.0
@@ -69,7 +69,7 @@
     @property
     def held(self) -> float:
         """Return what all lenders together may go by."""
-        return sum(part.share for part in self._parts.values())
+        return sum(part.share for part in self._leases.values())
 
     def grant(
         self,
@@ -90,15 +90,15 @@
             level_ms = self._level_ms * (share - held) / free
             self._level_ms -= level_ms
         # A lower share counts once its lender has heard of it.
-        self._parts[lender] = ShareLease(
+        self._leases[lender] = ShareLease(
             max(share, held), asked.wanted, now_ms + LEASE_EXPIRY_MS
         )
         return limiting.ShareGranted(asked.team, share, level_ms)
 
     def _expire(self, now_ms: int) -> None:
-        for lender, part in list(self._parts.items()):
+        for lender, part in list(self._leases.items()):
             if part.until_ms <= now_ms:
-                del self._parts[lender]
+                del self._leases[lender]
 
     def _held_by(
         self,
@@ -107,7 +107,7 @@
         settled: bool,
     ) -> float:
         """Return what a lender holds, by its own word and this host's."""
-        part = self._parts.get(lender)
+        part = self._leases.get(lender)
         if part is not None:
             held = min(asked.held, part.share)
             part.share = held
@@ -115,7 +115,7 @@
         if settled or asked.held <= 0:
             return 0.0
         self._told += asked.held
-        self._parts[lender] = ShareLease(asked.held, asked.wanted, 0)
+        self._leases[lender] = ShareLease(asked.held, asked.wanted, 0)
         return asked.held
 
     def _fill(
@@ -133,7 +133,7 @@
         """Return what is wanted, or its part where all want too much."""
         all_wanted = wanted + sum(
             part.wanted
-            for other, part in self._parts.items()
+            for other, part in self._leases.items()
             if other != lender
         )
         if all_wanted <= whole:
