--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -132,7 +132,7 @@
     Switch(
         'new leader parts the whole',
         DECISIONS + 'limiting/allocator.py',
-        ('        whole = 1.0 if settled else min(self._told, 1.0)\n'),
+        ('        whole = 1.0 if settled else min(self._reported, 1.0)\n'),
         ('        whole = 1.0\n'),
         (
             'tests/test_team_limits.py::test_new_leader_parts_no_more_than_it_was_told_of'
--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -62,7 +62,7 @@
     def __init__(self, now_ms: int):
         self._leases: dict[ids.HostId, ShareLease] = {}
         # What lenders held when this host began to lead.
-        self._told = 0.0
+        self._reported = 0.0
         self._level_ms = 0.0
         self._filled_ms = now_ms
 
@@ -81,7 +81,7 @@
         """Return what a lender may go by from now on."""
         self._expire(now_ms)
         held = self._held_by(lender, asked, settled)
-        whole = 1.0 if settled else min(self._told, 1.0)
+        whole = 1.0 if settled else min(self._reported, 1.0)
         free = max(whole - self.held, 0.0)
         self._fill(free, asked, now_ms)
         share = min(self._fair(lender, asked.wanted, whole), held + free)
@@ -114,7 +114,7 @@
             return held
         if settled or asked.held <= 0:
             return 0.0
-        self._told += asked.held
+        self._reported += asked.held
         self._leases[lender] = ShareLease(asked.held, asked.wanted, 0)
         return asked.held
 
