--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -63,7 +63,7 @@
         self._leases: dict[ids.HostId, ShareLease] = {}
         # What lenders held when this host began to lead.
         self._reported = 0.0
-        self._level_ms = 0.0
+        self._unallocated_ms = 0.0
         self._filled_ms = now_ms
 
     @property
@@ -87,8 +87,8 @@
         share = min(self._fair(lender, asked.wanted, whole), held + free)
         level_ms = 0.0
         if share > held:
-            level_ms = self._level_ms * (share - held) / free
-            self._level_ms -= level_ms
+            level_ms = self._unallocated_ms * (share - held) / free
+            self._unallocated_ms -= level_ms
         # A lower share counts once its lender has heard of it.
         self._leases[lender] = ShareLease(
             max(share, held), asked.wanted, now_ms + LEASE_EXPIRY_MS
@@ -124,8 +124,8 @@
         """Let what nobody holds grow, and take back what is returned."""
         grown_ms = free * (now_ms - self._filled_ms)
         self._filled_ms = now_ms
-        self._level_ms = min(
-            self._level_ms + grown_ms + max(asked.returned_ms, 0.0),
+        self._unallocated_ms = min(
+            self._unallocated_ms + grown_ms + max(asked.returned_ms, 0.0),
             free * asked.depth_ms,
         )
 
