--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -64,7 +64,7 @@
         # What lenders held when this host began to lead.
         self._reported = 0.0
         self._unallocated_ms = 0.0
-        self._filled_ms = now_ms
+        self._refilled_ms = now_ms
 
     @property
     def held(self) -> float:
@@ -122,8 +122,8 @@
         self, free: float, asked: limiting.ShareAsked, now_ms: int
     ) -> None:
         """Let what nobody holds grow, and take back what is returned."""
-        grown_ms = free * (now_ms - self._filled_ms)
-        self._filled_ms = now_ms
+        grown_ms = free * (now_ms - self._refilled_ms)
+        self._refilled_ms = now_ms
         self._unallocated_ms = min(
             self._unallocated_ms + grown_ms + max(asked.returned_ms, 0.0),
             free * asked.depth_ms,
