--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -150,7 +150,7 @@
 
     def counted():
         parts._expire(clock.mono_ms())
-        return parts.held > 0
+        return parts.allocated > 0
 
     return counted
 
--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -67,7 +67,7 @@
         self._refilled_ms = now_ms
 
     @property
-    def held(self) -> float:
+    def allocated(self) -> float:
         """Return what all lenders together may go by."""
         return sum(part.share for part in self._leases.values())
 
@@ -82,7 +82,7 @@
         self._expire(now_ms)
         held = self._held_by(lender, asked, settled)
         whole = 1.0 if settled else min(self._reported, 1.0)
-        free = max(whole - self.held, 0.0)
+        free = max(whole - self.allocated, 0.0)
         self._fill(free, asked, now_ms)
         share = min(self._fair(lender, asked.wanted, whole), held + free)
         level_ms = 0.0
