--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -80,7 +80,7 @@
     ) -> limiting.ShareGranted:
         """Return what a lender may go by from now on."""
         self._expire(now_ms)
-        held = self._held_by(lender, asked, settled)
+        held = self._reconcile(lender, asked, settled)
         whole = 1.0 if settled else min(self._reported, 1.0)
         free = max(whole - self.allocated, 0.0)
         self._fill(free, asked, now_ms)
@@ -100,7 +100,7 @@
             if part.until_ms <= now_ms:
                 del self._leases[lender]
 
-    def _held_by(
+    def _reconcile(
         self,
         lender: ids.HostId,
         asked: limiting.ShareAsked,
