--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -83,7 +83,7 @@
         held = self._reconcile(lender, asked, settled)
         whole = 1.0 if settled else min(self._reported, 1.0)
         free = max(whole - self.allocated, 0.0)
-        self._fill(free, asked, now_ms)
+        self._refill(free, asked, now_ms)
         share = min(self._fair(lender, asked.wanted, whole), held + free)
         level_ms = 0.0
         if share > held:
@@ -118,7 +118,7 @@
         self._leases[lender] = ShareLease(asked.held, asked.wanted, 0)
         return asked.held
 
-    def _fill(
+    def _refill(
         self, free: float, asked: limiting.ShareAsked, now_ms: int
     ) -> None:
         """Let what nobody holds grow, and take back what is returned."""
