--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -84,7 +84,7 @@
         whole = 1.0 if settled else min(self._reported, 1.0)
         free = max(whole - self.allocated, 0.0)
         self._refill(free, asked, now_ms)
-        share = min(self._fair(lender, asked.wanted, whole), held + free)
+        share = min(self._fair_share(lender, asked.wanted, whole), held + free)
         level_ms = 0.0
         if share > held:
             level_ms = self._unallocated_ms * (share - held) / free
@@ -129,7 +129,9 @@
             free * asked.depth_ms,
         )
 
-    def _fair(self, lender: ids.HostId, wanted: float, whole: float) -> float:
+    def _fair_share(
+        self, lender: ids.HostId, wanted: float, whole: float
+    ) -> float:
         """Return what is wanted, or its part where all want too much."""
         all_wanted = wanted + sum(
             part.wanted
