--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -143,7 +143,7 @@
         return whole * wanted / all_wanted
 
 
-class Elected(typing.Protocol):
+class LocalVoter(typing.Protocol):
     """A voter that knows whether it leads."""
 
     @property
@@ -171,7 +171,7 @@
 
     def __init__(
         self,
-        elected: Elected,
+        elected: LocalVoter,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
