--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -171,11 +171,11 @@
 
     def __init__(
         self,
-        elected: LocalVoter,
+        local_voter: LocalVoter,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
-        self._elected = elected
+        self._elected = local_voter
         self._peers = peers
         self._clock = clock
         self._teams: dict[ids.TeamId, TeamAllocation] = {}
