--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -175,7 +175,7 @@
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
-        self._elected = local_voter
+        self._local_voter = local_voter
         self._peers = peers
         self._clock = clock
         self._teams: dict[ids.TeamId, TeamAllocation] = {}
@@ -192,10 +192,10 @@
     async def _answer(
         self, sender: ids.HostId, message: limiting.AskShares
     ) -> limiting.SharesGranted | messages.Refusal:
-        if not self._elected.has_lease:
+        if not self._local_voter.has_lease:
             return await self._pass_on(sender, message)
         lender = message.lender or sender
-        self.lead_since(self._elected.led_since_ms)
+        self.lead_since(self._local_voter.led_since_ms)
         if self._is_late(lender, message):
             return messages.Refusal('a later question was answered')
         self._heard_ms[lender] = self._clock.mono_ms()
@@ -218,7 +218,7 @@
         self, sender: ids.HostId, message: limiting.AskShares
     ) -> limiting.SharesGranted | messages.Refusal:
         """Ask the control host that leads, once."""
-        leader = self._elected.leader
+        leader = self._local_voter.leader
         if leader is None or message.lender is not None:
             return messages.Refusal('no leader is known')
         passed = msgspec.structs.replace(message, lender=sender)
@@ -235,14 +235,14 @@
 
     async def _is_noted(self, lender: ids.HostId) -> bool:
         """Have a lender noted in the log before it is granted anything."""
-        if lender in self._elected.state.bucket_owners:
+        if lender in self._local_voter.state.bucket_owners:
             return True
         if self._noting is None or self._noting.done():
             self._noting = self._tasks.start(self._note(), fatal=False)
         await asyncio.shield(self._noting)
         return (
-            lender in self._elected.state.bucket_owners
-            and self._elected.has_lease
+            lender in self._local_voter.state.bucket_owners
+            and self._local_voter.has_lease
         )
 
     async def _note(self) -> None:
@@ -254,13 +254,13 @@
             for host, heard_ms in self._heard_ms.items()
             if now_ms - heard_ms < HOLDER_EXPIRY_MS
         }
-        kept = set(self._elected.state.bucket_owners)
+        kept = set(self._local_voter.state.bucket_owners)
         if now_ms - self._since_ms > HOLDER_EXPIRY_MS:
             # Those have had the time to be heard in this lead.
             kept &= lately
         hosts = tuple(sorted(kept | lately))
         try:
-            await self._elected.propose(entries.SetLenders(hosts))
+            await self._local_voter.propose(entries.SetLenders(hosts))
         except errors.NotLeaderError:
             logger.info('lenders_not_noted', hosts=len(hosts))
             return
@@ -292,7 +292,7 @@
             return min(self._settled_early_ms, ended_ms)
         if all(
             host in self._heard_ms
-            for host in self._elected.state.bucket_owners
+            for host in self._local_voter.state.bucket_owners
         ):
             self._settled_early_ms = self._clock.mono_ms()
             return min(self._settled_early_ms, ended_ms)
