--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -179,7 +179,7 @@
         self._peers = peers
         self._clock = clock
         self._teams: dict[ids.TeamId, TeamAllocation] = {}
-        self._since_ms: int | None = None
+        self._leader_since_ms: int | None = None
         self._settled_early_ms: int | None = None
         # When each host was last heard in this lead.
         self._heard_ms: dict[ids.HostId, int] = {}
@@ -255,7 +255,7 @@
             if now_ms - heard_ms < HOLDER_EXPIRY_MS
         }
         kept = set(self._local_voter.state.bucket_owners)
-        if now_ms - self._since_ms > HOLDER_EXPIRY_MS:
+        if now_ms - self._leader_since_ms > HOLDER_EXPIRY_MS:
             # Those have had the time to be heard in this lead.
             kept &= lately
         hosts = tuple(sorted(kept | lately))
@@ -268,9 +268,9 @@
 
     def lead_since(self, since_ms: int) -> None:
         """Begin anew, if this lead is another than the one before."""
-        if since_ms == self._since_ms:
+        if since_ms == self._leader_since_ms:
             return
-        self._since_ms = since_ms
+        self._leader_since_ms = since_ms
         self._settled_early_ms = None
         self._heard_ms.clear()
         self._asked.clear()
@@ -287,7 +287,7 @@
 
         That is once every lender was heard, or older leases have ended.
         """
-        ended_ms = self._since_ms + LEASE_EXPIRY_MS
+        ended_ms = self._leader_since_ms + LEASE_EXPIRY_MS
         if self._settled_early_ms is not None:
             return min(self._settled_early_ms, ended_ms)
         if all(
