--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -182,7 +182,7 @@
         self._leader_since_ms: int | None = None
         self._settled_early_ms: int | None = None
         # When each host was last heard in this lead.
-        self._heard_ms: dict[ids.HostId, int] = {}
+        self._last_seen_ms: dict[ids.HostId, int] = {}
         # The life and number of each host's last question in this lead.
         self._asked: dict[ids.HostId, tuple[str, int]] = {}
         self._noting: asyncio.Task | None = None
@@ -198,7 +198,7 @@
         self.lead_since(self._local_voter.led_since_ms)
         if self._is_late(lender, message):
             return messages.Refusal('a later question was answered')
-        self._heard_ms[lender] = self._clock.mono_ms()
+        self._last_seen_ms[lender] = self._clock.mono_ms()
         if message.shares and not await self._is_noted(lender):
             return messages.Refusal('not noted as a lender')
         granted = self.grant(lender, message.shares)
@@ -251,7 +251,7 @@
         now_ms = self._clock.mono_ms()
         lately = {
             host
-            for host, heard_ms in self._heard_ms.items()
+            for host, heard_ms in self._last_seen_ms.items()
             if now_ms - heard_ms < HOLDER_EXPIRY_MS
         }
         kept = set(self._local_voter.state.bucket_owners)
@@ -272,7 +272,7 @@
             return
         self._leader_since_ms = since_ms
         self._settled_early_ms = None
-        self._heard_ms.clear()
+        self._last_seen_ms.clear()
         self._asked.clear()
         self._teams.clear()
         logger.info('limits_parted', since_ms=since_ms)
@@ -291,7 +291,7 @@
         if self._settled_early_ms is not None:
             return min(self._settled_early_ms, ended_ms)
         if all(
-            host in self._heard_ms
+            host in self._last_seen_ms
             for host in self._local_voter.state.bucket_owners
         ):
             self._settled_early_ms = self._clock.mono_ms()
