--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -184,7 +184,7 @@
         # When each host was last heard in this lead.
         self._last_seen_ms: dict[ids.HostId, int] = {}
         # The life and number of each host's last question in this lead.
-        self._asked: dict[ids.HostId, tuple[str, int]] = {}
+        self._last_request: dict[ids.HostId, tuple[str, int]] = {}
         self._noting: asyncio.Task | None = None
         self._tasks = runtime.Tasks()
         peers.answers(limiting.AskShares)(self._answer)
@@ -208,10 +208,10 @@
         self, lender: ids.HostId, message: limiting.AskShares
     ) -> bool:
         """Tell whether a lender has asked again since it asked this."""
-        life, number = self._asked.get(lender, ('', 0))
+        life, number = self._last_request.get(lender, ('', 0))
         if life == message.life and message.number <= number:
             return True
-        self._asked[lender] = (message.life, message.number)
+        self._last_request[lender] = (message.life, message.number)
         return False
 
     async def _pass_on(
@@ -273,7 +273,7 @@
         self._leader_since_ms = since_ms
         self._settled_early_ms = None
         self._last_seen_ms.clear()
-        self._asked.clear()
+        self._last_request.clear()
         self._teams.clear()
         logger.info('limits_parted', since_ms=since_ms)
 
