--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -185,7 +185,7 @@
         self._last_seen_ms: dict[ids.HostId, int] = {}
         # The life and number of each host's last question in this lead.
         self._last_request: dict[ids.HostId, tuple[str, int]] = {}
-        self._noting: asyncio.Task | None = None
+        self._registration: asyncio.Task | None = None
         self._tasks = runtime.Tasks()
         peers.answers(limiting.AskShares)(self._answer)
 
@@ -237,9 +237,9 @@
         """Have a lender noted in the log before it is granted anything."""
         if lender in self._local_voter.state.bucket_owners:
             return True
-        if self._noting is None or self._noting.done():
-            self._noting = self._tasks.start(self._note(), fatal=False)
-        await asyncio.shield(self._noting)
+        if self._registration is None or self._registration.done():
+            self._registration = self._tasks.start(self._note(), fatal=False)
+        await asyncio.shield(self._registration)
         return (
             lender in self._local_voter.state.bucket_owners
             and self._local_voter.has_lease
