--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -360,7 +360,8 @@
         # Another life of the lender counts from the start.
         again = limiting.AskShares([asked(0.0, 0.5)], 'later life', 1)
         assert isinstance(
-            await allocated._answer('a', again), limiting.SharesGranted
+            await allocated._handle_ask_shares('a', again),
+            limiting.SharesGranted,
         )
         await allocated.close()
 
--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -187,9 +187,9 @@
         self._last_request: dict[ids.HostId, tuple[str, int]] = {}
         self._registration: asyncio.Task | None = None
         self._tasks = runtime.Tasks()
-        peers.answers(limiting.AskShares)(self._answer)
+        peers.answers(limiting.AskShares)(self._handle_ask_shares)
 
-    async def _answer(
+    async def _handle_ask_shares(
         self, sender: ids.HostId, message: limiting.AskShares
     ) -> limiting.SharesGranted | messages.Refusal:
         if not self._local_voter.has_lease:
