--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -196,7 +196,7 @@
             return await self._pass_on(sender, message)
         lender = message.lender or sender
         self.lead_since(self._local_voter.led_since_ms)
-        if self._is_late(lender, message):
+        if self._is_stale(lender, message):
             return messages.Refusal('a later question was answered')
         self._last_seen_ms[lender] = self._clock.mono_ms()
         if message.shares and not await self._is_noted(lender):
@@ -204,7 +204,7 @@
         granted = self.grant(lender, message.shares)
         return limiting.SharesGranted(granted, self.unsettled_ms)
 
-    def _is_late(
+    def _is_stale(
         self, lender: ids.HostId, message: limiting.AskShares
     ) -> bool:
         """Tell whether a lender has asked again since it asked this."""
