--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -193,7 +193,7 @@
         self, sender: ids.HostId, message: limiting.AskShares
     ) -> limiting.SharesGranted | messages.Refusal:
         if not self._local_voter.has_lease:
-            return await self._pass_on(sender, message)
+            return await self._forward(sender, message)
         lender = message.lender or sender
         self.lead_since(self._local_voter.led_since_ms)
         if self._is_stale(lender, message):
@@ -214,7 +214,7 @@
         self._last_request[lender] = (message.life, message.number)
         return False
 
-    async def _pass_on(
+    async def _forward(
         self, sender: ids.HostId, message: limiting.AskShares
     ) -> limiting.SharesGranted | messages.Refusal:
         """Ask the control host that leads, once."""
