--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -199,7 +199,7 @@
         if self._is_stale(lender, message):
             return messages.Refusal('a later question was answered')
         self._last_seen_ms[lender] = self._clock.mono_ms()
-        if message.shares and not await self._is_noted(lender):
+        if message.shares and not await self._ensure_registered(lender):
             return messages.Refusal('not noted as a lender')
         granted = self.grant(lender, message.shares)
         return limiting.SharesGranted(granted, self.unsettled_ms)
@@ -233,7 +233,7 @@
         """End what is under way."""
         await self._tasks.close()
 
-    async def _is_noted(self, lender: ids.HostId) -> bool:
+    async def _ensure_registered(self, lender: ids.HostId) -> bool:
         """Have a lender noted in the log before it is granted anything."""
         if lender in self._local_voter.state.bucket_owners:
             return True
