--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -238,14 +238,16 @@
         if lender in self._local_voter.state.bucket_owners:
             return True
         if self._registration is None or self._registration.done():
-            self._registration = self._tasks.start(self._note(), fatal=False)
+            self._registration = self._tasks.start(
+                self._register_holders(), fatal=False
+            )
         await asyncio.shield(self._registration)
         return (
             lender in self._local_voter.state.bucket_owners
             and self._local_voter.has_lease
         )
 
-    async def _note(self) -> None:
+    async def _register_holders(self) -> None:
         """Write who has asked of late; who has not is left out."""
         await self._clock.sleep_ms(BATCH_DELAY_MS)
         now_ms = self._clock.mono_ms()
