--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -195,7 +195,7 @@
         if not self._local_voter.has_lease:
             return await self._forward(sender, message)
         lender = message.lender or sender
-        self.lead_since(self._local_voter.led_since_ms)
+        self.begin_leadership(self._local_voter.led_since_ms)
         if self._is_stale(lender, message):
             return messages.Refusal('a later question was answered')
         self._last_seen_ms[lender] = self._clock.mono_ms()
@@ -268,7 +268,7 @@
             return
         logger.info('lenders_noted', hosts=len(hosts))
 
-    def lead_since(self, since_ms: int) -> None:
+    def begin_leadership(self, since_ms: int) -> None:
         """Begin anew, if this lead is another than the one before."""
         if since_ms == self._leader_since_ms:
             return
