--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -31,7 +31,7 @@
 MS_PER_S = 1_000
 # Ten times within a lease, and a share that grows by a peak that moves
 # within 2 s keeps up with it.
-RENEW_MS = 400
+RENEW_INTERVAL_MS = 400
 # A leader that does not know what is held here waits for that.
 UNTOLD_MS = 100
 # A leader that has begun has mostly heard every lender after so long.
@@ -228,7 +228,7 @@
         wait_ms = held.wait_ms(amount_ms)
         if wait_ms is None:
             settled_ms = self._settled_ms - self._clock.mono_ms()
-            wait_ms = min(max(settled_ms, RENEW_MS), SETTLING_MS)
+            wait_ms = min(max(settled_ms, RENEW_INTERVAL_MS), SETTLING_MS)
             return limiting.AmountGranted(False, wait_ms)
         if not wait_ms or (wait_ms <= LONGEST_WAIT_MS and not held.short):
             held.level_ms -= amount_ms
@@ -250,7 +250,9 @@
         while True:
             told = self._lead() == self._told
             try:
-                async with clocks.timeout_ms(RENEW_MS if told else UNTOLD_MS):
+                async with clocks.timeout_ms(
+                    RENEW_INTERVAL_MS if told else UNTOLD_MS
+                ):
                     await self._urgent.wait()
             except TimeoutError:
                 pass
