--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -33,7 +33,7 @@
 # within 2 s keeps up with it.
 RENEW_INTERVAL_MS = 400
 # A leader that does not know what is held here waits for that.
-UNTOLD_MS = 100
+NEW_LEADER_INTERVAL_MS = 100
 # A leader that has begun has mostly heard every lender after so long.
 SETTLING_MS = 1_000
 # While nothing changes, a share is renewed three times within its lease.
@@ -251,7 +251,7 @@
             told = self._lead() == self._told
             try:
                 async with clocks.timeout_ms(
-                    RENEW_INTERVAL_MS if told else UNTOLD_MS
+                    RENEW_INTERVAL_MS if told else NEW_LEADER_INTERVAL_MS
                 ):
                     await self._urgent.wait()
             except TimeoutError:
