--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -35,7 +35,7 @@
 # A leader that does not know what is held here waits for that.
 NEW_LEADER_INTERVAL_MS = 100
 # A leader that has begun has mostly heard every lender after so long.
-SETTLING_MS = 1_000
+MAX_SETTLING_WAIT_MS = 1_000
 # While nothing changes, a share is renewed three times within its lease.
 CALM_MS = 1_200
 # Some far round trips of 160 ms.
@@ -228,7 +228,9 @@
         wait_ms = held.wait_ms(amount_ms)
         if wait_ms is None:
             settled_ms = self._settled_ms - self._clock.mono_ms()
-            wait_ms = min(max(settled_ms, RENEW_INTERVAL_MS), SETTLING_MS)
+            wait_ms = min(
+                max(settled_ms, RENEW_INTERVAL_MS), MAX_SETTLING_WAIT_MS
+            )
             return limiting.AmountGranted(False, wait_ms)
         if not wait_ms or (wait_ms <= LONGEST_WAIT_MS and not held.short):
             held.level_ms -= amount_ms
