--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -37,7 +37,7 @@
 # A leader that has begun has mostly heard every lender after so long.
 MAX_SETTLING_WAIT_MS = 1_000
 # While nothing changes, a share is renewed three times within its lease.
-CALM_MS = 1_200
+STABLE_INTERVAL_MS = 1_200
 # Some far round trips of 160 ms.
 CALL_TIMEOUT_MS = 800
 # A call waits for so long at the most, for its amount or for a larger share:
@@ -276,7 +276,7 @@
         if lead is None:
             return
         known = lead == self._told
-        calm = not urgent and asked_ms - self._renewed_ms < CALM_MS
+        calm = not urgent and asked_ms - self._renewed_ms < STABLE_INTERVAL_MS
         if known and calm and not self._changes(asked_ms):
             return
         shares = self._wanted(asked_ms)
