--- a/wrenspoke/coordination/limiting/limiter.py
+++ b/wrenspoke/coordination/limiting/limiter.py
@@ -88,7 +88,7 @@
         self, team: ids.TeamId, amount: float
     ) -> limiting.AmountGranted:
         message = limiting.AskAmount(team, amount)
-        timeout_ms = lending.LONGEST_WAIT_MS + ANSWER_MARGIN_MS
+        timeout_ms = lending.MAX_WAIT_MS + ANSWER_MARGIN_MS
         for host in self._lenders.first_responsive(team, LENDERS_TRIED):
             if host == self._host:
                 break
--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -42,7 +42,7 @@
 CALL_TIMEOUT_MS = 800
 # A call waits for so long at the most, for its amount or for a larger share:
 # two far round trips. More is told to its caller.
-LONGEST_WAIT_MS = 350
+MAX_WAIT_MS = 350
 # What is asked for over what is used, so that most of a growth finds its
 # share there already.
 HEADROOM = 1.4
@@ -232,7 +232,7 @@
                 max(settled_ms, RENEW_INTERVAL_MS), MAX_SETTLING_WAIT_MS
             )
             return limiting.AmountGranted(False, wait_ms)
-        if not wait_ms or (wait_ms <= LONGEST_WAIT_MS and not held.short):
+        if not wait_ms or (wait_ms <= MAX_WAIT_MS and not held.short):
             held.level_ms -= amount_ms
             return limiting.AmountGranted(True, math.ceil(wait_ms))
         return limiting.AmountGranted(False, math.ceil(wait_ms))
@@ -243,7 +243,7 @@
             self._round = asyncio.get_running_loop().create_future()
         self._urgent.set()
         try:
-            async with clocks.timeout_ms(LONGEST_WAIT_MS):
+            async with clocks.timeout_ms(MAX_WAIT_MS):
                 await asyncio.shield(self._round)
         except TimeoutError:
             return
