--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -49,7 +49,7 @@
 # Demand is the higher of a quick and a slow mean, so that a share grows at
 # once and shrinks slowly.
 FAST_DECAY_MS = 1_500
-SLOW_MS = 4_000
+SLOW_DECAY_MS = 4_000
 # A share is changed once a tenth of it is not wanted, or lacks.
 LOWERED_SHARE = 0.9
 RAISED_SHARE = 1.1
@@ -78,7 +78,7 @@
         """Note an amount, in milliseconds of the limit's rate."""
         self._fade(now_ms)
         self._quick += amount_ms / FAST_DECAY_MS
-        self._slow += amount_ms / SLOW_MS
+        self._slow += amount_ms / SLOW_DECAY_MS
         self._largest_ms = max(self._largest_ms, amount_ms)
 
     def now(self, now_ms: int) -> float:
@@ -102,7 +102,7 @@
         passed_ms = now_ms - self._noted_ms
         self._noted_ms = now_ms
         self._quick *= math.exp(-passed_ms / FAST_DECAY_MS)
-        self._slow *= math.exp(-passed_ms / SLOW_MS)
+        self._slow *= math.exp(-passed_ms / SLOW_DECAY_MS)
         self._largest_ms *= math.exp(-passed_ms / LARGEST_KEPT_MS)
 
 
