--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -51,7 +51,7 @@
 FAST_DECAY_MS = 1_500
 SLOW_DECAY_MS = 4_000
 # A share is changed once a tenth of it is not wanted, or lacks.
-LOWERED_SHARE = 0.9
+DECREASE_THRESHOLD = 0.9
 RAISED_SHARE = 1.1
 # A level that is so full is not used up.
 FULL_SHARE = 0.9
@@ -307,7 +307,7 @@
         """Tell whether any share should be another."""
         for held in self._held.values():
             wanted = held.wanted(now_ms)
-            if wanted < LOWERED_SHARE * held.share:
+            if wanted < DECREASE_THRESHOLD * held.share:
                 return True
             if wanted > RAISED_SHARE * held.share:
                 return True
@@ -327,7 +327,7 @@
             if not wanted and not held.share:
                 del self._held[team]
                 continue
-            if wanted < LOWERED_SHARE * held.share:
+            if wanted < DECREASE_THRESHOLD * held.share:
                 held.lower(wanted)
             shares.append(
                 limiting.ShareAsked(
