--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -52,7 +52,7 @@
 SLOW_DECAY_MS = 4_000
 # A share is changed once a tenth of it is not wanted, or lacks.
 DECREASE_THRESHOLD = 0.9
-RAISED_SHARE = 1.1
+INCREASE_THRESHOLD = 1.1
 # A level that is so full is not used up.
 FULL_SHARE = 0.9
 # A region keeps enough for the largest call of late, for so long: that of a
@@ -309,7 +309,7 @@
             wanted = held.wanted(now_ms)
             if wanted < DECREASE_THRESHOLD * held.share:
                 return True
-            if wanted > RAISED_SHARE * held.share:
+            if wanted > INCREASE_THRESHOLD * held.share:
                 return True
         return False
 
