--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -54,7 +54,7 @@
 DECREASE_THRESHOLD = 0.9
 INCREASE_THRESHOLD = 1.1
 # A level that is so full is not used up.
-FULL_SHARE = 0.9
+NEARLY_FULL_SHARE = 0.9
 # A region keeps enough for the largest call of late, for so long: that of a
 # team that calls seldom would else wait for the leader, 160 ms away.
 LARGEST_KEPT_MS = 10_000
@@ -121,7 +121,8 @@
     def unused(self) -> bool:
         """Tell whether more is held than is used."""
         return (
-            self.share > 0 and self.level_ms >= FULL_SHARE * self.capacity_ms
+            self.share > 0
+            and self.level_ms >= NEARLY_FULL_SHARE * self.capacity_ms
         )
 
     def wanted(self, now_ms: int) -> float:
