--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -57,7 +57,7 @@
 NEARLY_FULL_SHARE = 0.9
 # A region keeps enough for the largest call of late, for so long: that of a
 # team that calls seldom would else wait for the leader, 160 ms away.
-LARGEST_KEPT_MS = 10_000
+LARGEST_CALL_DECAY_MS = 10_000
 LARGEST_MARGIN = 1.2
 # One large call does not take most of a limit from other regions.
 LARGEST_SHARE = 0.4
@@ -103,7 +103,7 @@
         self._noted_ms = now_ms
         self._quick *= math.exp(-passed_ms / FAST_DECAY_MS)
         self._slow *= math.exp(-passed_ms / SLOW_DECAY_MS)
-        self._largest_ms *= math.exp(-passed_ms / LARGEST_KEPT_MS)
+        self._largest_ms *= math.exp(-passed_ms / LARGEST_CALL_DECAY_MS)
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
