--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -58,7 +58,7 @@
 # A region keeps enough for the largest call of late, for so long: that of a
 # team that calls seldom would else wait for the leader, 160 ms away.
 LARGEST_CALL_DECAY_MS = 10_000
-LARGEST_MARGIN = 1.2
+LARGEST_CALL_MARGIN = 1.2
 # One large call does not take most of a limit from other regions.
 LARGEST_SHARE = 0.4
 # Demand below this part of a limit is none.
@@ -94,7 +94,7 @@
         """
         highest = self.now(now_ms)
         flow = HEADROOM * (self._quick if unused else highest)
-        largest = LARGEST_MARGIN * self._largest_ms / max(depth_ms, 1.0)
+        largest = LARGEST_CALL_MARGIN * self._largest_ms / max(depth_ms, 1.0)
         wanted = max(flow, min(largest, LARGEST_SHARE))
         return 0.0 if wanted < LEAST_DEMAND else wanted
 
