--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -60,7 +60,7 @@
 LARGEST_CALL_DECAY_MS = 10_000
 LARGEST_CALL_MARGIN = 1.2
 # One large call does not take most of a limit from other regions.
-LARGEST_SHARE = 0.4
+MAX_LARGEST_CALL_SHARE = 0.4
 # Demand below this part of a limit is none.
 LEAST_DEMAND = 1e-4
 
@@ -95,7 +95,7 @@
         highest = self.now(now_ms)
         flow = HEADROOM * (self._quick if unused else highest)
         largest = LARGEST_CALL_MARGIN * self._largest_ms / max(depth_ms, 1.0)
-        wanted = max(flow, min(largest, LARGEST_SHARE))
+        wanted = max(flow, min(largest, MAX_LARGEST_CALL_SHARE))
         return 0.0 if wanted < LEAST_DEMAND else wanted
 
     def _fade(self, now_ms: int) -> None:
