--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -62,7 +62,7 @@
 # One large call does not take most of a limit from other regions.
 MAX_LARGEST_CALL_SHARE = 0.4
 # Demand below this part of a limit is none.
-LEAST_DEMAND = 1e-4
+MIN_DEMAND = 1e-4
 
 
 class Demand:
@@ -96,7 +96,7 @@
         flow = HEADROOM * (self._quick if unused else highest)
         largest = LARGEST_CALL_MARGIN * self._largest_ms / max(depth_ms, 1.0)
         wanted = max(flow, min(largest, MAX_LARGEST_CALL_SHARE))
-        return 0.0 if wanted < LEAST_DEMAND else wanted
+        return 0.0 if wanted < MIN_DEMAND else wanted
 
     def _fade(self, now_ms: int) -> None:
         passed_ms = now_ms - self._noted_ms
