--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -74,7 +74,7 @@
         self._largest_ms = 0.0
         self._noted_ms = now_ms
 
-    def note(self, amount_ms: float, now_ms: int) -> None:
+    def record(self, amount_ms: float, now_ms: int) -> None:
         """Note an amount, in milliseconds of the limit's rate."""
         self._fade(now_ms)
         self._quick += amount_ms / FAST_DECAY_MS
@@ -194,7 +194,7 @@
             return limiting.AmountGranted(True, 0)
         amount_ms = amount / self._allowed.rate_per_s(limit) * MS_PER_S
         held = self._holding(team, limit)
-        held.demand.note(amount_ms, self._clock.mono_ms())
+        held.demand.record(amount_ms, self._clock.mono_ms())
         granted = self._try(held, amount_ms)
         if not granted.granted and not held.short:
             await self._next_round()
