--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -81,7 +81,7 @@
         self._slow += amount_ms / SLOW_DECAY_MS
         self._largest_ms = max(self._largest_ms, amount_ms)
 
-    def now(self, now_ms: int) -> float:
+    def current(self, now_ms: int) -> float:
         """Return the present demand; 1 is the whole limit."""
         self._fade(now_ms)
         return max(self._quick, self._slow)
@@ -92,7 +92,7 @@
         ``unused`` says that a level is full: what a peak that has moved on
         left behind is wanted elsewhere.
         """
-        highest = self.now(now_ms)
+        highest = self.current(now_ms)
         flow = HEADROOM * (self._quick if unused else highest)
         largest = LARGEST_CALL_MARGIN * self._largest_ms / max(depth_ms, 1.0)
         wanted = max(flow, min(largest, MAX_LARGEST_CALL_SHARE))
