--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -86,7 +86,9 @@
         self._fade(now_ms)
         return max(self._quick, self._slow)
 
-    def wanted(self, depth_ms: float, now_ms: int, unused: bool) -> float:
+    def desired_share(
+        self, depth_ms: float, now_ms: int, unused: bool
+    ) -> float:
         """Return the share that answers the demand.
 
         ``unused`` says that a level is full: what a peak that has moved on
@@ -127,7 +129,7 @@
 
     def wanted(self, now_ms: int) -> float:
         """Return the share that answers the demand."""
-        return self.demand.wanted(self.depth_ms, now_ms, self.unused)
+        return self.demand.desired_share(self.depth_ms, now_ms, self.unused)
 
     def lower(self, share: float) -> None:
         """Hold less, and keep the level that goes with the rest apart."""
