--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -76,14 +76,14 @@
 
     def record(self, amount_ms: float, now_ms: int) -> None:
         """Note an amount, in milliseconds of the limit's rate."""
-        self._fade(now_ms)
+        self._decay(now_ms)
         self._quick += amount_ms / FAST_DECAY_MS
         self._slow += amount_ms / SLOW_DECAY_MS
         self._largest_ms = max(self._largest_ms, amount_ms)
 
     def current(self, now_ms: int) -> float:
         """Return the present demand; 1 is the whole limit."""
-        self._fade(now_ms)
+        self._decay(now_ms)
         return max(self._quick, self._slow)
 
     def desired_share(
@@ -100,7 +100,7 @@
         wanted = max(flow, min(largest, MAX_LARGEST_CALL_SHARE))
         return 0.0 if wanted < MIN_DEMAND else wanted
 
-    def _fade(self, now_ms: int) -> None:
+    def _decay(self, now_ms: int) -> None:
         passed_ms = now_ms - self._noted_ms
         self._noted_ms = now_ms
         self._quick *= math.exp(-passed_ms / FAST_DECAY_MS)
