--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -69,7 +69,7 @@
     """Know how fast a team's limit is asked for, as a part of it."""
 
     def __init__(self, now_ms: int):
-        self._quick = 0.0
+        self._fast_mean = 0.0
         self._slow = 0.0
         self._largest_ms = 0.0
         self._noted_ms = now_ms
@@ -77,14 +77,14 @@
     def record(self, amount_ms: float, now_ms: int) -> None:
         """Note an amount, in milliseconds of the limit's rate."""
         self._decay(now_ms)
-        self._quick += amount_ms / FAST_DECAY_MS
+        self._fast_mean += amount_ms / FAST_DECAY_MS
         self._slow += amount_ms / SLOW_DECAY_MS
         self._largest_ms = max(self._largest_ms, amount_ms)
 
     def current(self, now_ms: int) -> float:
         """Return the present demand; 1 is the whole limit."""
         self._decay(now_ms)
-        return max(self._quick, self._slow)
+        return max(self._fast_mean, self._slow)
 
     def desired_share(
         self, depth_ms: float, now_ms: int, unused: bool
@@ -95,7 +95,7 @@
         left behind is wanted elsewhere.
         """
         highest = self.current(now_ms)
-        flow = HEADROOM * (self._quick if unused else highest)
+        flow = HEADROOM * (self._fast_mean if unused else highest)
         largest = LARGEST_CALL_MARGIN * self._largest_ms / max(depth_ms, 1.0)
         wanted = max(flow, min(largest, MAX_LARGEST_CALL_SHARE))
         return 0.0 if wanted < MIN_DEMAND else wanted
@@ -103,7 +103,7 @@
     def _decay(self, now_ms: int) -> None:
         passed_ms = now_ms - self._noted_ms
         self._noted_ms = now_ms
-        self._quick *= math.exp(-passed_ms / FAST_DECAY_MS)
+        self._fast_mean *= math.exp(-passed_ms / FAST_DECAY_MS)
         self._slow *= math.exp(-passed_ms / SLOW_DECAY_MS)
         self._largest_ms *= math.exp(-passed_ms / LARGEST_CALL_DECAY_MS)
 
