--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -70,7 +70,7 @@
 
     def __init__(self, now_ms: int):
         self._fast_mean = 0.0
-        self._slow = 0.0
+        self._slow_mean = 0.0
         self._largest_ms = 0.0
         self._noted_ms = now_ms
 
@@ -78,13 +78,13 @@
         """Note an amount, in milliseconds of the limit's rate."""
         self._decay(now_ms)
         self._fast_mean += amount_ms / FAST_DECAY_MS
-        self._slow += amount_ms / SLOW_DECAY_MS
+        self._slow_mean += amount_ms / SLOW_DECAY_MS
         self._largest_ms = max(self._largest_ms, amount_ms)
 
     def current(self, now_ms: int) -> float:
         """Return the present demand; 1 is the whole limit."""
         self._decay(now_ms)
-        return max(self._fast_mean, self._slow)
+        return max(self._fast_mean, self._slow_mean)
 
     def desired_share(
         self, depth_ms: float, now_ms: int, unused: bool
@@ -104,7 +104,7 @@
         passed_ms = now_ms - self._noted_ms
         self._noted_ms = now_ms
         self._fast_mean *= math.exp(-passed_ms / FAST_DECAY_MS)
-        self._slow *= math.exp(-passed_ms / SLOW_DECAY_MS)
+        self._slow_mean *= math.exp(-passed_ms / SLOW_DECAY_MS)
         self._largest_ms *= math.exp(-passed_ms / LARGEST_CALL_DECAY_MS)
 
 
