--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -72,7 +72,7 @@
         self._fast_mean = 0.0
         self._slow_mean = 0.0
         self._largest_ms = 0.0
-        self._noted_ms = now_ms
+        self._last_decay_ms = now_ms
 
     def record(self, amount_ms: float, now_ms: int) -> None:
         """Note an amount, in milliseconds of the limit's rate."""
@@ -101,8 +101,8 @@
         return 0.0 if wanted < MIN_DEMAND else wanted
 
     def _decay(self, now_ms: int) -> None:
-        passed_ms = now_ms - self._noted_ms
-        self._noted_ms = now_ms
+        passed_ms = now_ms - self._last_decay_ms
+        self._last_decay_ms = now_ms
         self._fast_mean *= math.exp(-passed_ms / FAST_DECAY_MS)
         self._slow_mean *= math.exp(-passed_ms / SLOW_DECAY_MS)
         self._largest_ms *= math.exp(-passed_ms / LARGEST_CALL_DECAY_MS)
