--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -130,7 +130,7 @@
 
 
 def share_of_a_limit(clock):
-    held = team_buckets.Holding(
+    held = team_buckets.TeamBucket(
         clock.mono_ms(), demand=team_buckets.Demand(clock.mono_ms())
     )
     held.share = 1.0
--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -109,7 +109,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Holding(token_bucket.TokenBucket):
+class TeamBucket(token_bucket.TokenBucket):
     """Hold this lender's share of one team's limit, and its level.
 
     ``short`` says that the last answer granted less than was wanted.
@@ -162,7 +162,7 @@
         self._clock = clock
         self._life = ids.new_unique()
         self._numbers = itertools.count(1)
-        self._held: dict[ids.TeamId, Holding] = {}
+        self._held: dict[ids.TeamId, TeamBucket] = {}
         self._urgent = asyncio.Event()
         # Ends with the next round of questions that begins.
         self._round: asyncio.Future | None = None
@@ -212,15 +212,17 @@
             )
         return granted
 
-    def _holding(self, team: ids.TeamId, limit: teams.TeamLimit) -> Holding:
+    def _holding(self, team: ids.TeamId, limit: teams.TeamLimit) -> TeamBucket:
         now_ms = self._clock.mono_ms()
         held = self._held.get(team)
         if held is None:
-            held = self._held[team] = Holding(now_ms, demand=Demand(now_ms))
+            held = self._held[team] = TeamBucket(now_ms, demand=Demand(now_ms))
         held.depth_ms = self._allowed.depth_ms(limit)
         return held
 
-    def _try(self, held: Holding, amount_ms: float) -> limiting.AmountGranted:
+    def _try(
+        self, held: TeamBucket, amount_ms: float
+    ) -> limiting.AmountGranted:
         """Take an amount from the level if it is there, or soon will be.
 
         Who comes later waits behind it. Of a team that asks for more than
