--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -117,7 +117,7 @@
 
     demand: Demand
     returned_ms: float = 0.0
-    short: bool = False
+    under_granted: bool = False
 
     @property
     def unused(self) -> bool:
@@ -198,7 +198,7 @@
         held = self._holding(team, limit)
         held.demand.record(amount_ms, self._clock.mono_ms())
         granted = self._try(held, amount_ms)
-        if not granted.granted and not held.short:
+        if not granted.granted and not held.under_granted:
             await self._next_round()
             granted = self._try(held, amount_ms)
         if not granted.granted:
@@ -237,7 +237,7 @@
                 max(settled_ms, RENEW_INTERVAL_MS), MAX_SETTLING_WAIT_MS
             )
             return limiting.AmountGranted(False, wait_ms)
-        if not wait_ms or (wait_ms <= MAX_WAIT_MS and not held.short):
+        if not wait_ms or (wait_ms <= MAX_WAIT_MS and not held.under_granted):
             held.level_ms -= amount_ms
             return limiting.AmountGranted(True, math.ceil(wait_ms))
         return limiting.AmountGranted(False, math.ceil(wait_ms))
@@ -353,7 +353,7 @@
         if held is None:
             return
         held.fill(self._clock.mono_ms())
-        held.short = granted.share < wanted
+        held.under_granted = granted.share < wanted
         if granted.share < held.share:
             held.lower(granted.share)
         else:
