--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -120,7 +120,7 @@
     under_granted: bool = False
 
     @property
-    def unused(self) -> bool:
+    def is_nearly_full(self) -> bool:
         """Tell whether more is held than is used."""
         return (
             self.share > 0
@@ -129,7 +129,9 @@
 
     def wanted(self, now_ms: int) -> float:
         """Return the share that answers the demand."""
-        return self.demand.desired_share(self.depth_ms, now_ms, self.unused)
+        return self.demand.desired_share(
+            self.depth_ms, now_ms, self.is_nearly_full
+        )
 
     def lower(self, share: float) -> None:
         """Hold less, and keep the level that goes with the rest apart."""
