--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -127,7 +127,7 @@
             and self.level_ms >= NEARLY_FULL_SHARE * self.capacity_ms
         )
 
-    def wanted(self, now_ms: int) -> float:
+    def desired_share(self, now_ms: int) -> float:
         """Return the share that answers the demand."""
         return self.demand.desired_share(
             self.depth_ms, now_ms, self.is_nearly_full
