--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -133,7 +133,7 @@
             self.depth_ms, now_ms, self.is_nearly_full
         )
 
-    def lower(self, share: float) -> None:
+    def lower_share(self, share: float) -> None:
         """Hold less, and keep the level that goes with the rest apart."""
         if share >= self.share:
             return
