--- a/tests/team_limit_fleet.py
+++ b/tests/team_limit_fleet.py
@@ -83,7 +83,7 @@
         self.clock = group.LoopClock()
         self.peers = attending_fleet.CountingPeers(name, fleet.network)
         fleet.network.hosts[name] = self.peers
-        self.lender = team_buckets.Lender(
+        self.lender = team_buckets.TeamBuckets(
             lambda _team: fleet.limit,
             lambda: fleet.lead_of(self),
             ALLOWED,
--- a/wrenspoke/coordination/limiting/limiter.py
+++ b/wrenspoke/coordination/limiting/limiter.py
@@ -52,7 +52,7 @@
         self,
         host: ids.HostId,
         order: bucket_owners.HostOrder,
-        lender: lending.Lender,
+        lender: lending.TeamBuckets,
         allowed: bounds.OvershootBounds,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -144,7 +144,7 @@
         self.share = share
 
 
-class Lender:
+class TeamBuckets:
     """Admit calls of teams by shares of their limits."""
 
     def __init__(
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -203,7 +203,7 @@
         allowed = bounds.OvershootBounds(
             node.limits.window_ms, node.limits.share, node.limits.fixed
         )
-        self._lender = team_buckets.Lender(
+        self._lender = team_buckets.TeamBuckets(
             self._access.limit_of,
             lambda: self.attendance.lead,
             allowed,
