--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -153,13 +153,13 @@
             [ids.TeamId], teams.TeamLimit | None
         ],
         lead: collections.abc.Callable[[], attendance.Lead | None],
-        allowed: bounds.OvershootBounds,
+        overshoot: bounds.OvershootBounds,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
         self._limit_of = limit_of
         self._lead = lead
-        self._allowed = allowed
+        self._allowed = overshoot
         self._peers = peers
         self._clock = clock
         self._life = ids.new_unique()
