--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -159,7 +159,7 @@
     ):
         self._limit_of = limit_of
         self._lead = lead
-        self._allowed = overshoot
+        self._overshoot = overshoot
         self._peers = peers
         self._clock = clock
         self._life = ids.new_unique()
@@ -196,7 +196,7 @@
         limit = self._limit_of(team)
         if limit is None:
             return limiting.AmountGranted(True, 0)
-        amount_ms = amount / self._allowed.rate_per_s(limit) * MS_PER_S
+        amount_ms = amount / self._overshoot.rate_per_s(limit) * MS_PER_S
         held = self._holding(team, limit)
         held.demand.record(amount_ms, self._clock.mono_ms())
         granted = self._try(held, amount_ms)
@@ -219,7 +219,7 @@
         held = self._held.get(team)
         if held is None:
             held = self._held[team] = TeamBucket(now_ms, demand=Demand(now_ms))
-        held.depth_ms = self._allowed.depth_ms(limit)
+        held.depth_ms = self._overshoot.depth_ms(limit)
         return held
 
     def _try(
@@ -328,7 +328,7 @@
             if limit is None:
                 del self._held[team]
                 continue
-            held.depth_ms = self._allowed.depth_ms(limit)
+            held.depth_ms = self._overshoot.depth_ms(limit)
             held.fill(now_ms)
             wanted = held.wanted(now_ms)
             if not wanted and not held.share:
