--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -164,7 +164,7 @@
         self._clock = clock
         self._life = ids.new_unique()
         self._numbers = itertools.count(1)
-        self._held: dict[ids.TeamId, TeamBucket] = {}
+        self._buckets: dict[ids.TeamId, TeamBucket] = {}
         self._urgent = asyncio.Event()
         # Ends with the next round of questions that begins.
         self._round: asyncio.Future | None = None
@@ -216,9 +216,11 @@
 
     def _holding(self, team: ids.TeamId, limit: teams.TeamLimit) -> TeamBucket:
         now_ms = self._clock.mono_ms()
-        held = self._held.get(team)
+        held = self._buckets.get(team)
         if held is None:
-            held = self._held[team] = TeamBucket(now_ms, demand=Demand(now_ms))
+            held = self._buckets[team] = TeamBucket(
+                now_ms, demand=Demand(now_ms)
+            )
         held.depth_ms = self._overshoot.depth_ms(limit)
         return held
 
@@ -312,7 +314,7 @@
 
     def _changes(self, now_ms: int) -> bool:
         """Tell whether any share should be another."""
-        for held in self._held.values():
+        for held in self._buckets.values():
             wanted = held.wanted(now_ms)
             if wanted < DECREASE_THRESHOLD * held.share:
                 return True
@@ -323,16 +325,16 @@
     def _wanted(self, now_ms: int) -> list[limiting.ShareAsked]:
         """Return what to ask for; what is not wanted is held no longer."""
         shares = []
-        for team, held in list(self._held.items()):
+        for team, held in list(self._buckets.items()):
             limit = self._limit_of(team)
             if limit is None:
-                del self._held[team]
+                del self._buckets[team]
                 continue
             held.depth_ms = self._overshoot.depth_ms(limit)
             held.fill(now_ms)
             wanted = held.wanted(now_ms)
             if not wanted and not held.share:
-                del self._held[team]
+                del self._buckets[team]
                 continue
             if wanted < DECREASE_THRESHOLD * held.share:
                 held.lower(wanted)
@@ -351,7 +353,7 @@
     def _take_share(
         self, granted: limiting.ShareGranted, wanted: float, asked_ms: int
     ) -> None:
-        held = self._held.get(granted.team)
+        held = self._buckets.get(granted.team)
         if held is None:
             return
         held.fill(self._clock.mono_ms())
