--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -165,7 +165,7 @@
         self._life = ids.new_unique()
         self._numbers = itertools.count(1)
         self._buckets: dict[ids.TeamId, TeamBucket] = {}
-        self._urgent = asyncio.Event()
+        self._renew_now = asyncio.Event()
         # Ends with the next round of questions that begins.
         self._round: asyncio.Future | None = None
         self._renewed_ms = 0
@@ -250,7 +250,7 @@
         """Ask for shares at once, and wait for the answer."""
         if self._round is None:
             self._round = asyncio.get_running_loop().create_future()
-        self._urgent.set()
+        self._renew_now.set()
         try:
             async with clocks.timeout_ms(MAX_WAIT_MS):
                 await asyncio.shield(self._round)
@@ -264,11 +264,11 @@
                 async with clocks.timeout_ms(
                     RENEW_INTERVAL_MS if told else NEW_LEADER_INTERVAL_MS
                 ):
-                    await self._urgent.wait()
+                    await self._renew_now.wait()
             except TimeoutError:
                 pass
-            urgent = self._urgent.is_set()
-            self._urgent.clear()
+            urgent = self._renew_now.is_set()
+            self._renew_now.clear()
             begun, self._round = self._round, None
             await self._ask(urgent)
             if begun is not None and not begun.done():
