--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -167,7 +167,7 @@
         self._buckets: dict[ids.TeamId, TeamBucket] = {}
         self._renew_now = asyncio.Event()
         # Ends with the next round of questions that begins.
-        self._round: asyncio.Future | None = None
+        self._renewal: asyncio.Future | None = None
         self._renewed_ms = 0
         # The lead that knows what is held here.
         self._told: attendance.Lead | None = None
@@ -248,12 +248,12 @@
 
     async def _next_round(self) -> None:
         """Ask for shares at once, and wait for the answer."""
-        if self._round is None:
-            self._round = asyncio.get_running_loop().create_future()
+        if self._renewal is None:
+            self._renewal = asyncio.get_running_loop().create_future()
         self._renew_now.set()
         try:
             async with clocks.timeout_ms(MAX_WAIT_MS):
-                await asyncio.shield(self._round)
+                await asyncio.shield(self._renewal)
         except TimeoutError:
             return
 
@@ -269,7 +269,7 @@
                 pass
             urgent = self._renew_now.is_set()
             self._renew_now.clear()
-            begun, self._round = self._round, None
+            begun, self._renewal = self._renewal, None
             await self._ask(urgent)
             if begun is not None and not begun.done():
                 begun.set_result(None)
