--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -168,7 +168,7 @@
         self._renew_now = asyncio.Event()
         # Ends with the next round of questions that begins.
         self._renewal: asyncio.Future | None = None
-        self._renewed_ms = 0
+        self._last_renewal_ms = 0
         # The lead that knows what is held here.
         self._told: attendance.Lead | None = None
         # Until when older leaders' shares may still be held by others.
@@ -285,7 +285,10 @@
         if lead is None:
             return
         known = lead == self._told
-        calm = not urgent and asked_ms - self._renewed_ms < STABLE_INTERVAL_MS
+        calm = (
+            not urgent
+            and asked_ms - self._last_renewal_ms < STABLE_INTERVAL_MS
+        )
         if known and calm and not self._changes(asked_ms):
             return
         shares = self._wanted(asked_ms)
@@ -306,7 +309,7 @@
             logger.info('shares_refused', peer=lead.asked)
             return
         self._told = lead
-        self._renewed_ms = asked_ms
+        self._last_renewal_ms = asked_ms
         self._settled_ms = self._clock.mono_ms() + answer.unsettled_ms
         wanted = {asked.team: asked.wanted for asked in shares}
         for granted in answer.granted:
