--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -170,7 +170,7 @@
         self._renewal: asyncio.Future | None = None
         self._last_renewal_ms = 0
         # The lead that knows what is held here.
-        self._told: attendance.Lead | None = None
+        self._reported_lead: attendance.Lead | None = None
         # Until when older leaders' shares may still be held by others.
         self._settled_ms = 0
         self._tasks = runtime.Tasks()
@@ -259,7 +259,7 @@
 
     async def _run(self) -> None:
         while True:
-            told = self._lead() == self._told
+            told = self._lead() == self._reported_lead
             try:
                 async with clocks.timeout_ms(
                     RENEW_INTERVAL_MS if told else NEW_LEADER_INTERVAL_MS
@@ -284,7 +284,7 @@
         lead = self._lead()
         if lead is None:
             return
-        known = lead == self._told
+        known = lead == self._reported_lead
         calm = (
             not urgent
             and asked_ms - self._last_renewal_ms < STABLE_INTERVAL_MS
@@ -308,7 +308,7 @@
         if not isinstance(answer, limiting.SharesGranted):
             logger.info('shares_refused', peer=lead.asked)
             return
-        self._told = lead
+        self._reported_lead = lead
         self._last_renewal_ms = asked_ms
         self._settled_ms = self._clock.mono_ms() + answer.unsettled_ms
         wanted = {asked.team: asked.wanted for asked in shares}
