--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -174,7 +174,7 @@
         # Until when older leaders' shares may still be held by others.
         self._settled_ms = 0
         self._tasks = runtime.Tasks()
-        peers.answers(limiting.AskAmount)(self._answer)
+        peers.answers(limiting.AskAmount)(self._handle_ask_amount)
 
     def start(self) -> None:
         """Begin to ask for shares."""
@@ -184,7 +184,7 @@
         """End every task."""
         await self._tasks.close()
 
-    async def _answer(
+    async def _handle_ask_amount(
         self, _sender: ids.HostId, message: limiting.AskAmount
     ) -> limiting.AmountGranted:
         return await self.take(message.team, message.amount)
