--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -197,7 +197,7 @@
         if limit is None:
             return limiting.AmountGranted(True, 0)
         amount_ms = amount / self._overshoot.rate_per_s(limit) * MS_PER_S
-        held = self._holding(team, limit)
+        held = self._team_bucket(team, limit)
         held.demand.record(amount_ms, self._clock.mono_ms())
         granted = self._try(held, amount_ms)
         if not granted.granted and not held.under_granted:
@@ -214,7 +214,9 @@
             )
         return granted
 
-    def _holding(self, team: ids.TeamId, limit: teams.TeamLimit) -> TeamBucket:
+    def _team_bucket(
+        self, team: ids.TeamId, limit: teams.TeamLimit
+    ) -> TeamBucket:
         now_ms = self._clock.mono_ms()
         held = self._buckets.get(team)
         if held is None:
