--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -199,10 +199,10 @@
         amount_ms = amount / self._overshoot.rate_per_s(limit) * MS_PER_S
         held = self._team_bucket(team, limit)
         held.demand.record(amount_ms, self._clock.mono_ms())
-        granted = self._try(held, amount_ms)
+        granted = self._try_take(held, amount_ms)
         if not granted.granted and not held.under_granted:
             await self._next_round()
-            granted = self._try(held, amount_ms)
+            granted = self._try_take(held, amount_ms)
         if not granted.granted:
             logger.info(
                 'over_limit',
@@ -226,7 +226,7 @@
         held.depth_ms = self._overshoot.depth_ms(limit)
         return held
 
-    def _try(
+    def _try_take(
         self, held: TeamBucket, amount_ms: float
     ) -> limiting.AmountGranted:
         """Take an amount from the level if it is there, or soon will be.
