--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -201,7 +201,7 @@
         held.demand.record(amount_ms, self._clock.mono_ms())
         granted = self._try_take(held, amount_ms)
         if not granted.granted and not held.under_granted:
-            await self._next_round()
+            await self._await_renewal()
             granted = self._try_take(held, amount_ms)
         if not granted.granted:
             logger.info(
@@ -248,7 +248,7 @@
             return limiting.AmountGranted(True, math.ceil(wait_ms))
         return limiting.AmountGranted(False, math.ceil(wait_ms))
 
-    async def _next_round(self) -> None:
+    async def _await_renewal(self) -> None:
         """Ask for shares at once, and wait for the answer."""
         if self._renewal is None:
             self._renewal = asyncio.get_running_loop().create_future()
