--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -272,11 +272,11 @@
             urgent = self._renew_now.is_set()
             self._renew_now.clear()
             begun, self._renewal = self._renewal, None
-            await self._ask(urgent)
+            await self._renew_shares(urgent)
             if begun is not None and not begun.done():
                 begun.set_result(None)
 
-    async def _ask(self, urgent: bool) -> None:
+    async def _renew_shares(self, urgent: bool) -> None:
         """Ask the leader for shares of all teams that call here.
 
         While nothing changes that is done less often. A new leader is told
