--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -291,7 +291,7 @@
             not urgent
             and asked_ms - self._last_renewal_ms < STABLE_INTERVAL_MS
         )
-        if known and calm and not self._changes(asked_ms):
+        if known and calm and not self._needs_renewal(asked_ms):
             return
         shares = self._wanted(asked_ms)
         if known and not shares:
@@ -317,7 +317,7 @@
         for granted in answer.granted:
             self._take_share(granted, wanted[granted.team], asked_ms)
 
-    def _changes(self, now_ms: int) -> bool:
+    def _needs_renewal(self, now_ms: int) -> bool:
         """Tell whether any share should be another."""
         for held in self._buckets.values():
             wanted = held.wanted(now_ms)
