--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -293,7 +293,7 @@
         )
         if known and calm and not self._needs_renewal(asked_ms):
             return
-        shares = self._wanted(asked_ms)
+        shares = self._share_requests(asked_ms)
         if known and not shares:
             return
         try:
@@ -327,7 +327,7 @@
                 return True
         return False
 
-    def _wanted(self, now_ms: int) -> list[limiting.ShareAsked]:
+    def _share_requests(self, now_ms: int) -> list[limiting.ShareAsked]:
         """Return what to ask for; what is not wanted is held no longer."""
         shares = []
         for team, held in list(self._buckets.items()):
