--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -315,7 +315,7 @@
         self._settled_ms = self._clock.mono_ms() + answer.unsettled_ms
         wanted = {asked.team: asked.wanted for asked in shares}
         for granted in answer.granted:
-            self._take_share(granted, wanted[granted.team], asked_ms)
+            self._apply_grant(granted, wanted[granted.team], asked_ms)
 
     def _needs_renewal(self, now_ms: int) -> bool:
         """Tell whether any share should be another."""
@@ -355,7 +355,7 @@
             held.returned_ms = 0.0
         return shares
 
-    def _take_share(
+    def _apply_grant(
         self, granted: limiting.ShareGranted, wanted: float, asked_ms: int
     ) -> None:
         held = self._buckets.get(granted.team)
