--- a/wrenspoke/coordination/limiting/limiter.py
+++ b/wrenspoke/coordination/limiting/limiter.py
@@ -21,7 +21,7 @@
 ANSWER_MARGIN_MS = 150
 # A lender that gave no answer is left alone until its shares have ended:
 # another one has them then.
-LEFT_ALONE_MS = allocator.SHARE_LEASE_MS
+OWNER_RETRY_MS = allocator.SHARE_LEASE_MS
 # Lenders that are asked for one call; the last is this host itself.
 LENDERS_TRIED = 2
 
@@ -59,7 +59,7 @@
     ):
         self._host = host
         self._lenders = bucket_owners.BucketOwners(
-            order, LEFT_ALONE_MS, peers, clock
+            order, OWNER_RETRY_MS, peers, clock
         )
         self._lender = lender
         self._allowed = allowed
