--- a/wrenspoke/coordination/limiting/limiter.py
+++ b/wrenspoke/coordination/limiting/limiter.py
@@ -23,7 +23,7 @@
 # another one has them then.
 OWNER_RETRY_MS = allocator.SHARE_LEASE_MS
 # Lenders that are asked for one call; the last is this host itself.
-LENDERS_TRIED = 2
+MAX_OWNERS_TRIED = 2
 
 
 class OverLimitError(errors.CoordinationError):
@@ -89,7 +89,7 @@
     ) -> limiting.AmountGranted:
         message = limiting.AskAmount(team, amount)
         timeout_ms = lending.MAX_WAIT_MS + ANSWER_MARGIN_MS
-        for host in self._lenders.first_responsive(team, LENDERS_TRIED):
+        for host in self._lenders.first_responsive(team, MAX_OWNERS_TRIED):
             if host == self._host:
                 break
             answer = await self._lenders.call(host, message, timeout_ms)
