--- a/wrenspoke/coordination/limiting/limiter.py
+++ b/wrenspoke/coordination/limiting/limiter.py
@@ -36,7 +36,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Taken:
+class Reservation:
     """Hold what a call took of its team's limit, until it has run."""
 
     team: ids.TeamId
@@ -64,9 +64,9 @@
         self._lender = lender
         self._allowed = allowed
         self._clock = clock
-        self._given_back: dict[ids.TeamId, list[Taken]] = {}
+        self._given_back: dict[ids.TeamId, list[Reservation]] = {}
 
-    async def take(self, team: teams.Team, tokens: int) -> Taken | None:
+    async def take(self, team: teams.Team, tokens: int) -> Reservation | None:
         """Take what a call needs; None where its team has no limit.
 
         :raises OverLimitError: there is not enough now
@@ -76,13 +76,13 @@
         amount = team.limit.amount(tokens)
         now_ms = self._clock.mono_ms()
         if self._take_given_back(team, amount, now_ms):
-            return Taken(team.team, amount, now_ms)
+            return Reservation(team.team, amount, now_ms)
         answer = await self._ask(team.team, amount)
         if not answer.granted:
             raise OverLimitError(team.team, answer.wait_ms)
         if answer.wait_ms:
             await self._clock.sleep_ms(answer.wait_ms)
-        return Taken(team.team, amount, self._clock.mono_ms())
+        return Reservation(team.team, amount, self._clock.mono_ms())
 
     async def _ask(
         self, team: ids.TeamId, amount: float
@@ -114,7 +114,7 @@
                 return True
         return False
 
-    def give_back(self, taken: Taken | None) -> None:
+    def give_back(self, taken: Reservation | None) -> None:
         """Give back what a call took that ran nothing; once."""
         if taken is None or taken.given_back:
             return
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -188,7 +188,7 @@
         call: dialects.Call,
         permit: access.Permit,
         hop: passing.Hop | None,
-    ) -> limiters.Taken | None:
+    ) -> limiters.Reservation | None:
         """Take what a call needs of its team's limit.
 
         It counts where the caller sent it; open routes count for nobody.
--- a/wrenspoke/coordination/serving/work.py
+++ b/wrenspoke/coordination/serving/work.py
@@ -30,7 +30,7 @@
     deadline_ms: int
     reply: passing.Reply
     hop: passing.Hop | None = None
-    taken: limiter.Taken | None = None
+    taken: limiter.Reservation | None = None
     runs: int = 0
     unrun: int = 0
     sent: int = 0
