--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -141,7 +141,7 @@
     Switch(
         'given back twice',
         DECISIONS + 'limiting/limiter.py',
-        ('        if taken is None or taken.given_back:\n'),
+        ('        if taken is None or taken.refunded:\n'),
         ('        if taken is None:\n'),
         ('tests/test_team_limits.py::test_amount_is_given_back_once'),
     ),
--- a/wrenspoke/coordination/limiting/limiter.py
+++ b/wrenspoke/coordination/limiting/limiter.py
@@ -42,7 +42,7 @@
     team: ids.TeamId
     amount: float
     taken_ms: int
-    given_back: bool = False
+    refunded: bool = False
 
 
 class Limiter:
@@ -116,7 +116,7 @@
 
     def give_back(self, taken: Reservation | None) -> None:
         """Give back what a call took that ran nothing; once."""
-        if taken is None or taken.given_back:
+        if taken is None or taken.refunded:
             return
-        taken.given_back = True
+        taken.refunded = True
         self._given_back.setdefault(taken.team, []).append(taken)
