--- a/wrenspoke/coordination/limiting/limiter.py
+++ b/wrenspoke/coordination/limiting/limiter.py
@@ -52,7 +52,7 @@
         self,
         host: ids.HostId,
         order: bucket_owners.HostOrder,
-        lender: lending.TeamBuckets,
+        team_buckets: lending.TeamBuckets,
         allowed: bounds.OvershootBounds,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
@@ -61,7 +61,7 @@
         self._lenders = bucket_owners.BucketOwners(
             order, OWNER_RETRY_MS, peers, clock
         )
-        self._lender = lender
+        self._lender = team_buckets
         self._allowed = allowed
         self._clock = clock
         self._given_back: dict[ids.TeamId, list[Reservation]] = {}
