--- a/wrenspoke/coordination/limiting/limiter.py
+++ b/wrenspoke/coordination/limiting/limiter.py
@@ -53,7 +53,7 @@
         host: ids.HostId,
         order: bucket_owners.HostOrder,
         team_buckets: lending.TeamBuckets,
-        allowed: bounds.OvershootBounds,
+        overshoot: bounds.OvershootBounds,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
@@ -62,7 +62,7 @@
             order, OWNER_RETRY_MS, peers, clock
         )
         self._lender = team_buckets
-        self._allowed = allowed
+        self._allowed = overshoot
         self._clock = clock
         self._given_back: dict[ids.TeamId, list[Reservation]] = {}
 
