--- a/wrenspoke/coordination/limiting/limiter.py
+++ b/wrenspoke/coordination/limiting/limiter.py
@@ -58,7 +58,7 @@
         clock: clocks.Clock,
     ):
         self._host = host
-        self._lenders = bucket_owners.BucketOwners(
+        self._owners = bucket_owners.BucketOwners(
             order, OWNER_RETRY_MS, peers, clock
         )
         self._lender = team_buckets
@@ -89,10 +89,10 @@
     ) -> limiting.AmountGranted:
         message = limiting.AskAmount(team, amount)
         timeout_ms = lending.MAX_WAIT_MS + ANSWER_MARGIN_MS
-        for host in self._lenders.first_responsive(team, MAX_OWNERS_TRIED):
+        for host in self._owners.first_responsive(team, MAX_OWNERS_TRIED):
             if host == self._host:
                 break
-            answer = await self._lenders.call(host, message, timeout_ms)
+            answer = await self._owners.call(host, message, timeout_ms)
             if isinstance(answer, limiting.AmountGranted):
                 return answer
         return await self._lender.take(team, amount)
