--- a/wrenspoke/coordination/limiting/limiter.py
+++ b/wrenspoke/coordination/limiting/limiter.py
@@ -61,7 +61,7 @@
         self._owners = bucket_owners.BucketOwners(
             order, OWNER_RETRY_MS, peers, clock
         )
-        self._lender = team_buckets
+        self._buckets = team_buckets
         self._allowed = overshoot
         self._clock = clock
         self._given_back: dict[ids.TeamId, list[Reservation]] = {}
@@ -95,7 +95,7 @@
             answer = await self._owners.call(host, message, timeout_ms)
             if isinstance(answer, limiting.AmountGranted):
                 return answer
-        return await self._lender.take(team, amount)
+        return await self._buckets.take(team, amount)
 
     def _take_given_back(
         self, team: teams.Team, amount: float, now_ms: int
