--- a/wrenspoke/coordination/limiting/limiter.py
+++ b/wrenspoke/coordination/limiting/limiter.py
@@ -62,7 +62,7 @@
             order, OWNER_RETRY_MS, peers, clock
         )
         self._buckets = team_buckets
-        self._allowed = overshoot
+        self._overshoot = overshoot
         self._clock = clock
         self._given_back: dict[ids.TeamId, list[Reservation]] = {}
 
@@ -101,7 +101,7 @@
         self, team: teams.Team, amount: float, now_ms: int
     ) -> bool:
         """Take what another call gave back, if it is enough and lately."""
-        usable_ms = self._allowed.refund_ttl_ms(team.limit)
+        usable_ms = self._overshoot.refund_ttl_ms(team.limit)
         kept = [
             taken
             for taken in self._given_back.get(team.team, [])
