--- a/wrenspoke/coordination/limiting/limiter.py
+++ b/wrenspoke/coordination/limiting/limiter.py
@@ -64,7 +64,7 @@
         self._buckets = team_buckets
         self._overshoot = overshoot
         self._clock = clock
-        self._given_back: dict[ids.TeamId, list[Reservation]] = {}
+        self._refunds: dict[ids.TeamId, list[Reservation]] = {}
 
     async def take(self, team: teams.Team, tokens: int) -> Reservation | None:
         """Take what a call needs; None where its team has no limit.
@@ -104,10 +104,10 @@
         usable_ms = self._overshoot.refund_ttl_ms(team.limit)
         kept = [
             taken
-            for taken in self._given_back.get(team.team, [])
+            for taken in self._refunds.get(team.team, [])
             if now_ms - taken.taken_ms < usable_ms
         ]
-        self._given_back[team.team] = kept
+        self._refunds[team.team] = kept
         for taken in kept:
             if taken.amount >= amount:
                 kept.remove(taken)
@@ -119,4 +119,4 @@
         if taken is None or taken.refunded:
             return
         taken.refunded = True
-        self._given_back.setdefault(taken.team, []).append(taken)
+        self._refunds.setdefault(taken.team, []).append(taken)
