--- a/wrenspoke/coordination/limiting/limiter.py
+++ b/wrenspoke/coordination/limiting/limiter.py
@@ -77,14 +77,14 @@
         now_ms = self._clock.mono_ms()
         if self._take_given_back(team, amount, now_ms):
             return Reservation(team.team, amount, now_ms)
-        answer = await self._ask(team.team, amount)
+        answer = await self._take_from_owner(team.team, amount)
         if not answer.granted:
             raise OverLimitError(team.team, answer.wait_ms)
         if answer.wait_ms:
             await self._clock.sleep_ms(answer.wait_ms)
         return Reservation(team.team, amount, self._clock.mono_ms())
 
-    async def _ask(
+    async def _take_from_owner(
         self, team: ids.TeamId, amount: float
     ) -> limiting.AmountGranted:
         message = limiting.AskAmount(team, amount)
