--- a/wrenspoke/coordination/limiting/limiter.py
+++ b/wrenspoke/coordination/limiting/limiter.py
@@ -75,7 +75,7 @@
             return None
         amount = team.limit.amount(tokens)
         now_ms = self._clock.mono_ms()
-        if self._take_given_back(team, amount, now_ms):
+        if self._take_refund(team, amount, now_ms):
             return Reservation(team.team, amount, now_ms)
         answer = await self._take_from_owner(team.team, amount)
         if not answer.granted:
@@ -97,7 +97,7 @@
                 return answer
         return await self._buckets.take(team, amount)
 
-    def _take_given_back(
+    def _take_refund(
         self, team: teams.Team, amount: float, now_ms: int
     ) -> bool:
         """Take what another call gave back, if it is enough and lately."""
