--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -236,8 +236,8 @@
         host = fleet.hosts[fleet.names[0]]
         team = team_limit_fleet.teams.Team('t', limit=fleet.limit)
         taken = await host.limiter.take(team, 500)
-        host.limiter.give_back(taken)
-        host.limiter.give_back(taken)
+        host.limiter.refund(taken)
+        host.limiter.refund(taken)
         asked_of = []
 
         async def ask(_team, _amount):
--- a/wrenspoke/coordination/limiting/limiter.py
+++ b/wrenspoke/coordination/limiting/limiter.py
@@ -114,7 +114,7 @@
                 return True
         return False
 
-    def give_back(self, taken: Reservation | None) -> None:
+    def refund(self, taken: Reservation | None) -> None:
         """Give back what a call took that ran nothing; once."""
         if taken is None or taken.refunded:
             return
