--- a/wrenspoke/coordination/limiting/advertised_limits.py
+++ b/wrenspoke/coordination/limiting/advertised_limits.py
@@ -27,7 +27,7 @@
     def __init__(self):
         self._limits: dict[ids.EndpointId, limiting.EndpointLimit] = {}
         # Endpoints whose last value was malformed; logged once.
-        self._unreadable: set[ids.EndpointId] = set()
+        self._malformed: set[ids.EndpointId] = set()
 
     def limit_of(self, life: limiting.EndpointLife) -> limiting.EndpointLimit:
         """Return the known limit of one life of an endpoint."""
@@ -60,8 +60,8 @@
         try:
             rate_per_s = rates.read(texts)
         except protocol_errors.MalformedRateError as error:
-            if life.endpoint not in self._unreadable:
-                self._unreadable.add(life.endpoint)
+            if life.endpoint not in self._malformed:
+                self._malformed.add(life.endpoint)
                 logger.warning(
                     'endpoint_limit_unreadable',
                     endpoint=life.endpoint,
@@ -69,7 +69,7 @@
                     problem=str(error),
                 )
             raise
-        self._unreadable.discard(life.endpoint)
+        self._malformed.discard(life.endpoint)
         return rate_per_s
 
     def lower(self, life: limiting.EndpointLife, rate_per_s: float) -> bool:
@@ -124,7 +124,7 @@
         for endpoint, limit in list(self._limits.items()):
             if not exists(limit.life):
                 del self._limits[endpoint]
-        self._unreadable.intersection_update(self._limits)
+        self._malformed.intersection_update(self._limits)
 
 
 def _age(limit: limiting.EndpointLimit) -> tuple[int, int, float]:
