--- a/wrenspoke/coordination/limiting/advertised_limits.py
+++ b/wrenspoke/coordination/limiting/advertised_limits.py
@@ -48,7 +48,7 @@
             if limit.rate_per_s is not None
         ]
 
-    def read(
+    def parse_header(
         self,
         life: limiting.EndpointLife,
         texts: collections.abc.Sequence[str],
--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -191,7 +191,7 @@
         request; otherwise a missing header means nothing.
         """
         try:
-            rate_per_s = self._stated.read(life, texts)
+            rate_per_s = self._stated.parse_header(life, texts)
         except protocol_errors.MalformedRateError:
             return
         unlimited = self.rate_per_s(life) is None
