--- a/wrenspoke/coordination/limiting/advertised_limits.py
+++ b/wrenspoke/coordination/limiting/advertised_limits.py
@@ -72,7 +72,9 @@
         self._malformed.discard(life.endpoint)
         return rate_per_s
 
-    def lower(self, life: limiting.EndpointLife, rate_per_s: float) -> bool:
+    def apply_if_lower(
+        self, life: limiting.EndpointLife, rate_per_s: float
+    ) -> bool:
         """Apply an advertised rate, unless a lower one is known."""
         known = self.limit_of(life)
         if known.rate_per_s is not None and known.rate_per_s <= rate_per_s:
--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -198,7 +198,9 @@
         """Apply an advertised limit, unless a newer one is known."""
         self._take_over(known)
         life = known.life
-        if rate_per_s is not None and self._stated.lower(life, rate_per_s):
+        if rate_per_s is not None and self._stated.apply_if_lower(
+            life, rate_per_s
+        ):
             self._tell_soon(life)
         limit = self._stated.limit_of(life)
         if limit.rate_per_s is None:
--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -204,7 +204,7 @@
             self._lender.hear(self._stated.limit_of(life), rate_per_s, grant)
             return
         if rate_per_s is not None:
-            self._stated.lower(life, rate_per_s)
+            self._stated.apply_if_lower(life, rate_per_s)
         message = limiting.LimitHeard(
             self._stated.limit_of(life), rate_per_s, grant
         )
--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -342,7 +342,7 @@
                 del self._buckets[team]
                 continue
             if wanted < DECREASE_THRESHOLD * held.share:
-                held.lower(wanted)
+                held.apply_if_lower(wanted)
             shares.append(
                 limiting.ShareAsked(
                     team,
@@ -364,7 +364,7 @@
         held.fill(self._clock.mono_ms())
         held.under_granted = granted.share < wanted
         if granted.share < held.share:
-            held.lower(granted.share)
+            held.apply_if_lower(granted.share)
         else:
             held.share = granted.share
             held.level_ms += granted.level_ms
