--- a/tests/test_advertised_limits.py
+++ b/tests/test_advertised_limits.py
@@ -69,7 +69,7 @@
     with structlog.testing.capture_logs() as lines:
         for texts in ([], ['1.2'], ['1.2'], ['x'], ['x'], ['3'], [], []):
             try:
-                known.change(LIFE, known.parse_header(LIFE, texts))
+                known.apply_rate(LIFE, known.parse_header(LIFE, texts))
             except errors.MalformedRateError:
                 continue
     told = [(line['event'], line.get('rate_per_s')) for line in lines]
--- a/wrenspoke/coordination/limiting/advertised_limits.py
+++ b/wrenspoke/coordination/limiting/advertised_limits.py
@@ -79,9 +79,9 @@
         known = self.limit_of(life)
         if known.rate_per_s is not None and known.rate_per_s <= rate_per_s:
             return False
-        return self.change(life, rate_per_s)
+        return self.apply_rate(life, rate_per_s)
 
-    def change(
+    def apply_rate(
         self, life: limiting.EndpointLife, rate_per_s: float | None
     ) -> bool:
         """Apply a rate as the newest; return False if it is unchanged."""
