--- a/tests/test_advertised_limits.py
+++ b/tests/test_advertised_limits.py
@@ -121,7 +121,7 @@
 def test_what_is_gone_is_forgotten():
     known = advertised_limits.AdvertisedLimits()
     known.merge(limit(1.2))
-    known.keep_only(lambda life: life != LIFE)
+    known.retain_endpoints(lambda life: life != LIFE)
     assert known.active() == []
 
 
--- a/wrenspoke/coordination/limiting/advertised_limits.py
+++ b/wrenspoke/coordination/limiting/advertised_limits.py
@@ -121,7 +121,7 @@
                 version=limit.version,
             )
 
-    def keep_only(self, exists: Exists) -> None:
+    def retain_endpoints(self, exists: Exists) -> None:
         """Drop state of endpoints that no longer exist."""
         for endpoint, limit in list(self._limits.items()):
             if not exists(limit.life):
--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -214,7 +214,7 @@
         """Drop state of endpoints that no longer exist."""
         while True:
             await self._clock.sleep_ms(HOUSE_INTERVAL_MS)
-            self._stated.keep_only(self._exists)
+            self._stated.retain_endpoints(self._exists)
             self._lender.keep_only(self._exists)
             for life in list(self._backoff_until_ms):
                 if not self._exists(life):
