--- a/wrenspoke/coordination/limiting/advertised_limits.py
+++ b/wrenspoke/coordination/limiting/advertised_limits.py
@@ -98,7 +98,7 @@
         Of two limits of one version the lower rate wins.
         """
         known = self._limits.get(limit.life.endpoint)
-        if known is not None and _age(limit) <= _age(known):
+        if known is not None and _precedence(limit) <= _precedence(known):
             return False
         if known is None and not limit.version:
             return False
@@ -129,7 +129,7 @@
         self._malformed.intersection_update(self._limits)
 
 
-def _age(limit: limiting.EndpointLimit) -> tuple[int, int, float]:
+def _precedence(limit: limiting.EndpointLimit) -> tuple[int, int, float]:
     """Return the sort key of limits of one endpoint; the highest wins."""
     rate_per_s = limit.rate_per_s
     lowness = -math.inf if rate_per_s is None else -rate_per_s
