--- a/benches/endpoint_limits.py
+++ b/benches/endpoint_limits.py
@@ -93,7 +93,7 @@
         if bucket is None:
             bucket = shares.Bucket(0.0, 1.0, 0.0, now_ms)
             self.buckets[engine.life] = bucket
-        rate_per_s = max(rate_per_s, endpoint_buckets.LEAST_RATE_PER_S)
+        rate_per_s = max(rate_per_s, endpoint_buckets.MIN_RATE_PER_S)
         bucket.asked += 1
         bucket.rate_per_s = self.part_per_s(engine, rate_per_s)
         wait_ms = bucket.take(now_ms)
--- a/tests/test_endpoint_limit_fleet.py
+++ b/tests/test_endpoint_limit_fleet.py
@@ -64,7 +64,7 @@
     assert engine.overrun() <= 1.0
     # The others have room.
     assert fleet.refused_share() == 0.0
-    if rate_per_s >= endpoint_buckets.LEAST_RATE_PER_S:
+    if rate_per_s >= endpoint_buckets.MIN_RATE_PER_S:
         assert engine.used_share(SETTLED_MS, PLAY_MS) >= 0.8
     # Two for a leave, one for its answer's head, and each second a word to
     # every host.
--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -26,7 +26,7 @@
 MS_PER_S = 1_000
 # An endpoint with a limit of 0 is probed at this rate, as only a response
 # tells that the limit has changed.
-LEAST_RATE_PER_S = 0.25
+MIN_RATE_PER_S = 0.25
 # Unused tokens are kept for so long beyond one request, as requests do not
 # arrive as evenly as the bucket fills.
 SPARE_MS = 250
@@ -267,4 +267,4 @@
 
 def _amount_ms(rate_per_s: float) -> float:
     """Return the tokens of one request, in milliseconds of the limit."""
-    return MS_PER_S / max(rate_per_s, LEAST_RATE_PER_S)
+    return MS_PER_S / max(rate_per_s, MIN_RATE_PER_S)
