--- a/tests/test_advertised_limits.py
+++ b/tests/test_advertised_limits.py
@@ -207,7 +207,7 @@
     assert lends.take(now, 5).grant is not None
     # One that does not come back keeps it until the level is full.
     assert lends.take(now, 2).grant is None
-    clock.now_ms += 500 + endpoint_buckets.SPARE_MS
+    clock.now_ms += 500 + endpoint_buckets.BURST_MS
     assert lends.take(now, 5).grant is not None
 
 
--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -29,7 +29,7 @@
 MIN_RATE_PER_S = 0.25
 # Unused tokens are kept for so long beyond one request, as requests do not
 # arrive as evenly as the bucket fills.
-SPARE_MS = 250
+BURST_MS = 250
 # Where the owner does not respond to some hosts, the next in order grants
 # them a part: others may still reach the owner. It grants all once the owner
 # has left the roster.
@@ -162,7 +162,7 @@
         lent.level.share = share
         amount_ms = _amount_ms(limit.rate_per_s)
         # A part of the limit still holds one whole request.
-        lent.level.depth_ms = (amount_ms + SPARE_MS * share) / share
+        lent.level.depth_ms = (amount_ms + BURST_MS * share) / share
         return lent
 
     def _share(self, endpoint: ids.EndpointId) -> float:
