--- a/benches/switches_limits.py
+++ b/benches/switches_limits.py
@@ -71,8 +71,8 @@
     Switch(
         'who stands in lends all',
         LIMITING + 'endpoint_buckets.py',
-        'STANDING_IN_SHARE = 0.4',
-        'STANDING_IN_SHARE = 1.0',
+        'FALLBACK_SHARE = 0.4',
+        'FALLBACK_SHARE = 1.0',
         f'{FLEET}::test_mishaps_take_no_engine_over_its_limit -k hide',
     ),
     Switch(
--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -33,7 +33,7 @@
 # Where the owner does not respond to some hosts, the next in order grants
 # them a part: others may still reach the owner. It grants all once the owner
 # has left the roster.
-STANDING_IN_SHARE = 0.4
+FALLBACK_SHARE = 0.4
 # For so long after hosts have left the roster an owner grants no more than the
 # part of the region that it still sees: a partition may have an owner too.
 FEWER_KEPT_MS = 60_000
@@ -170,7 +170,7 @@
         order = self._lenders.in_order(endpoint)
         share = self._seen_share(len(order))
         if order[0] != self._host:
-            share *= STANDING_IN_SHARE
+            share *= FALLBACK_SHARE
         return share
 
     def _seen_share(self, hosts: int) -> float:
