--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -36,7 +36,7 @@
 FALLBACK_SHARE = 0.4
 # For so long after hosts have left the roster an owner grants no more than the
 # part of the region that it still sees: a partition may have an owner too.
-FEWER_KEPT_MS = 60_000
+PARTITION_GUARD_MS = 60_000
 # A host asks again after so long, however low the limit is.
 LONGEST_WAIT_MS = 1_000
 # Tokens are reserved for a more urgent call that was refused, until it has not
@@ -177,7 +177,7 @@
         """Return the part of the region's hosts that is on the roster."""
         now_ms = self._clock.mono_ms()
         if hosts >= self._most_hosts or (
-            now_ms - self._most_ms > FEWER_KEPT_MS
+            now_ms - self._most_ms > PARTITION_GUARD_MS
         ):
             self._most_hosts, self._most_ms = hosts, now_ms
         return hosts / self._most_hosts
