--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -38,7 +38,7 @@
 # part of the region that it still sees: a partition may have an owner too.
 PARTITION_GUARD_MS = 60_000
 # A host asks again after so long, however low the limit is.
-LONGEST_WAIT_MS = 1_000
+MAX_WAIT_MS = 1_000
 # Tokens are reserved for a more urgent call that was refused, until it has not
 # come back for so long.
 KEPT_FOR_MS = 1_000
@@ -148,7 +148,7 @@
             lent.turned_away_ms.pop(rank, None)
             return 0
         lent.turned_away_ms[rank] = now_ms
-        return math.ceil(min(lacking_ms, LONGEST_WAIT_MS))
+        return math.ceil(min(lacking_ms, MAX_WAIT_MS))
 
     def _lent_of(self, limit: limiting.EndpointLimit) -> _Lent:
         now_ms = self._clock.mono_ms()
