--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -41,7 +41,7 @@
 MAX_WAIT_MS = 1_000
 # Tokens are reserved for a more urgent call that was refused, until it has not
 # come back for so long.
-KEPT_FOR_MS = 1_000
+RESERVED_MS = 1_000
 # Gossiped again to hosts that started, resumed or missed an update.
 RETELL_MS = 1_000
 # The end of a limit is gossiped again for so long, as messages may be lost.
@@ -70,7 +70,7 @@
     def keeps_for_others(self, rank: int, now_ms: int) -> bool:
         """Return whether a higher-priority call was refused recently."""
         return any(
-            other < rank and now_ms - turned_away_ms < KEPT_FOR_MS
+            other < rank and now_ms - turned_away_ms < RESERVED_MS
             for other, turned_away_ms in self.turned_away_ms.items()
         )
 
