--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -43,7 +43,7 @@
 # come back for so long.
 RESERVED_MS = 1_000
 # Gossiped again to hosts that started, resumed or missed an update.
-RETELL_MS = 1_000
+GOSSIP_INTERVAL_MS = 1_000
 # The end of a limit is gossiped again for so long, as messages may be lost.
 ENDS_RETOLD_MS = 10_000
 GATHER_MS = 4
@@ -236,7 +236,7 @@
     async def _run(self) -> None:
         while True:
             try:
-                async with clocks.timeout_ms(RETELL_MS):
+                async with clocks.timeout_ms(GOSSIP_INTERVAL_MS):
                     await self._news.wait()
                 await self._clock.sleep_ms(GATHER_MS)
             except TimeoutError:
