--- a/benches/switches_limits.py
+++ b/benches/switches_limits.py
@@ -99,8 +99,8 @@
     Switch(
         'ends of limits told once',
         LIMITING + 'endpoint_buckets.py',
-        'ENDS_RETOLD_MS = 10_000',
-        'ENDS_RETOLD_MS = 0',
+        'CHANGE_GOSSIP_MS = 10_000',
+        'CHANGE_GOSSIP_MS = 0',
         f'{FLEET}::test_end_of_a_limit_reaches_who_missed_the_word',
     ),
     Switch(
--- a/tests/test_endpoint_limit_fleet.py
+++ b/tests/test_endpoint_limit_fleet.py
@@ -291,7 +291,7 @@
 
     async def restart(fleet):
         # Nothing has changed for long.
-        await fleet.wait_ms(endpoint_buckets.ENDS_RETOLD_MS)
+        await fleet.wait_ms(endpoint_buckets.CHANGE_GOSSIP_MS)
         await fleet.restart_host(fleet.names[-1])
         host = fleet.hosts[fleet.names[-1]]
         # No call comes to it: it hears nothing for itself.
--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -45,7 +45,7 @@
 # Gossiped again to hosts that started, resumed or missed an update.
 GOSSIP_INTERVAL_MS = 1_000
 # The end of a limit is gossiped again for so long, as messages may be lost.
-ENDS_RETOLD_MS = 10_000
+CHANGE_GOSSIP_MS = 10_000
 GATHER_MS = 4
 
 Tell = collections.abc.Callable[
@@ -230,7 +230,7 @@
     # Gossip.
 
     def _tell_soon(self, life: limiting.EndpointLife) -> None:
-        self._changed[life] = self._clock.mono_ms() + ENDS_RETOLD_MS
+        self._changed[life] = self._clock.mono_ms() + CHANGE_GOSSIP_MS
         self._news.set()
 
     async def _run(self) -> None:
