--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -46,7 +46,7 @@
 GOSSIP_INTERVAL_MS = 1_000
 # The end of a limit is gossiped again for so long, as messages may be lost.
 CHANGE_GOSSIP_MS = 10_000
-GATHER_MS = 4
+BATCH_DELAY_MS = 4
 
 Tell = collections.abc.Callable[
     [list[limiting.EndpointLimit]], collections.abc.Awaitable[None]
@@ -238,7 +238,7 @@
             try:
                 async with clocks.timeout_ms(GOSSIP_INTERVAL_MS):
                     await self._news.wait()
-                await self._clock.sleep_ms(GATHER_MS)
+                await self._clock.sleep_ms(BATCH_DELAY_MS)
             except TimeoutError:
                 self._seen_share(len(self._lenders.in_order(self._host)))
             self._news.clear()
