--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -48,7 +48,7 @@
 CHANGE_GOSSIP_MS = 10_000
 BATCH_DELAY_MS = 4
 
-Tell = collections.abc.Callable[
+Gossip = collections.abc.Callable[
     [list[limiting.EndpointLimit]], collections.abc.Awaitable[None]
 ]
 
@@ -83,7 +83,7 @@
         host: ids.HostId,
         lenders: region_lenders.BucketOwners,
         stated: advertised_limits.AdvertisedLimits,
-        tell: Tell,
+        tell: Gossip,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -50,7 +50,7 @@
         host: ids.HostId,
         order: region_lenders.HostOrder,
         exists: advertised_limits.Exists,
-        tell: endpoint_buckets.Tell,
+        tell: endpoint_buckets.Gossip,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
