--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -54,7 +54,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Lent:
+class _EndpointBucket:
     """The token bucket of one endpoint.
 
     ``granted`` is the number of the last permit, ``named`` that of the last
@@ -94,7 +94,7 @@
         self._peers = peers
         self._clock = clock
         self._life = ids.new_unique()
-        self._lent: dict[ids.EndpointId, _Lent] = {}
+        self._lent: dict[ids.EndpointId, _EndpointBucket] = {}
         # The largest recent number of hosts, and when it was seen.
         self._most_hosts = 0
         self._most_ms = clock.mono_ms()
@@ -136,7 +136,9 @@
         grant = limiting.GrantName(self._host, self._life, lent.granted)
         return limiting.SendAnswered(limit, grant)
 
-    def _wait_ms(self, lent: _Lent, rank: int, amount_ms: float) -> int:
+    def _wait_ms(
+        self, lent: _EndpointBucket, rank: int, amount_ms: float
+    ) -> int:
         """Take one request's tokens; return 0, or the wait in milliseconds."""
         level = lent.level
         now_ms = self._clock.mono_ms()
@@ -150,12 +152,12 @@
         lent.turned_away_ms[rank] = now_ms
         return math.ceil(min(lacking_ms, MAX_WAIT_MS))
 
-    def _lent_of(self, limit: limiting.EndpointLimit) -> _Lent:
+    def _lent_of(self, limit: limiting.EndpointLimit) -> _EndpointBucket:
         now_ms = self._clock.mono_ms()
         lent = self._lent.get(limit.life.endpoint)
         if lent is None or lent.life != limit.life:
             # Empty: another host may have granted permits before.
-            lent = _Lent(limit.life, token_bucket.unexpiring(now_ms))
+            lent = _EndpointBucket(limit.life, token_bucket.unexpiring(now_ms))
             self._lent[limit.life.endpoint] = lent
         share = self._share(limit.life.endpoint)
         lent.level.refill(now_ms)
@@ -216,7 +218,7 @@
         self._tell_soon(life)
 
     def _is_newest(
-        self, grant: limiting.GrantName | None, lent: _Lent
+        self, grant: limiting.GrantName | None, lent: _EndpointBucket
     ) -> bool:
         """Return whether a response is newer than all that named a limit."""
         if grant is None or grant.life != self._life:
