--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -62,7 +62,7 @@
     """
 
     life: limiting.EndpointLife
-    level: token_bucket.TokenBucket
+    tokens: token_bucket.TokenBucket
     granted: int = 0
     named: int = 0
     turned_away_ms: dict[int, int] = dataclasses.field(default_factory=dict)
@@ -160,11 +160,11 @@
             lent = _EndpointBucket(limit.life, token_bucket.unexpiring(now_ms))
             self._lent[limit.life.endpoint] = lent
         share = self._share(limit.life.endpoint)
-        lent.level.refill(now_ms)
-        lent.level.share = share
+        lent.tokens.refill(now_ms)
+        lent.tokens.share = share
         amount_ms = _amount_ms(limit.rate_per_s)
         # A part of the limit still holds one whole request.
-        lent.level.depth_ms = (amount_ms + BURST_MS * share) / share
+        lent.tokens.depth_ms = (amount_ms + BURST_MS * share) / share
         return lent
 
     def _share(self, endpoint: ids.EndpointId) -> float:
