--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -63,7 +63,7 @@
 
     life: limiting.EndpointLife
     tokens: token_bucket.TokenBucket
-    granted: int = 0
+    last_granted: int = 0
     named: int = 0
     turned_away_ms: dict[int, int] = dataclasses.field(default_factory=dict)
 
@@ -132,8 +132,8 @@
         wait_ms = self._wait_ms(lent, rank, _amount_ms(limit.rate_per_s))
         if wait_ms:
             return limiting.SendAnswered(limit, wait_ms=wait_ms)
-        lent.granted += 1
-        grant = limiting.GrantName(self._host, self._life, lent.granted)
+        lent.last_granted += 1
+        grant = limiting.GrantName(self._host, self._life, lent.last_granted)
         return limiting.SendAnswered(limit, grant)
 
     def _wait_ms(
@@ -209,11 +209,11 @@
             return
         lent = self._lent_of(limit)
         if rate_per_s == limit.rate_per_s:
-            lent.named = lent.granted
+            lent.named = lent.last_granted
             return
         if not self._is_newest(grant, lent):
             return
-        lent.named = lent.granted
+        lent.named = lent.last_granted
         self._stated.change(life, rate_per_s)
         self._tell_soon(life)
 
