--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -64,7 +64,7 @@
     life: limiting.EndpointLife
     tokens: token_bucket.TokenBucket
     last_granted: int = 0
-    named: int = 0
+    last_advertised: int = 0
     turned_away_ms: dict[int, int] = dataclasses.field(default_factory=dict)
 
     def keeps_for_others(self, rank: int, now_ms: int) -> bool:
@@ -209,11 +209,11 @@
             return
         lent = self._lent_of(limit)
         if rate_per_s == limit.rate_per_s:
-            lent.named = lent.last_granted
+            lent.last_advertised = lent.last_granted
             return
         if not self._is_newest(grant, lent):
             return
-        lent.named = lent.last_granted
+        lent.last_advertised = lent.last_granted
         self._stated.change(life, rate_per_s)
         self._tell_soon(life)
 
