--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -65,13 +65,13 @@
     tokens: token_bucket.TokenBucket
     last_granted: int = 0
     last_advertised: int = 0
-    turned_away_ms: dict[int, int] = dataclasses.field(default_factory=dict)
+    last_refused_ms: dict[int, int] = dataclasses.field(default_factory=dict)
 
     def keeps_for_others(self, rank: int, now_ms: int) -> bool:
         """Return whether a higher-priority call was refused recently."""
         return any(
-            other < rank and now_ms - turned_away_ms < RESERVED_MS
-            for other, turned_away_ms in self.turned_away_ms.items()
+            other < rank and now_ms - last_refused_ms < RESERVED_MS
+            for other, last_refused_ms in self.last_refused_ms.items()
         )
 
 
@@ -147,9 +147,9 @@
             lacking_ms = level.wait_ms(level.capacity_ms)
         if not lacking_ms:
             level.level_ms -= amount_ms
-            lent.turned_away_ms.pop(rank, None)
+            lent.last_refused_ms.pop(rank, None)
             return 0
-        lent.turned_away_ms[rank] = now_ms
+        lent.last_refused_ms[rank] = now_ms
         return math.ceil(min(lacking_ms, MAX_WAIT_MS))
 
     def _lent_of(self, limit: limiting.EndpointLimit) -> _EndpointBucket:
