--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -67,7 +67,7 @@
     last_advertised: int = 0
     last_refused_ms: dict[int, int] = dataclasses.field(default_factory=dict)
 
-    def keeps_for_others(self, rank: int, now_ms: int) -> bool:
+    def is_reserved(self, rank: int, now_ms: int) -> bool:
         """Return whether a higher-priority call was refused recently."""
         return any(
             other < rank and now_ms - last_refused_ms < RESERVED_MS
@@ -143,7 +143,7 @@
         level = lent.level
         now_ms = self._clock.mono_ms()
         lacking_ms = level.wait_ms(amount_ms)
-        if not lacking_ms and lent.keeps_for_others(rank, now_ms):
+        if not lacking_ms and lent.is_reserved(rank, now_ms):
             lacking_ms = level.wait_ms(level.capacity_ms)
         if not lacking_ms:
             level.level_ms -= amount_ms
