--- a/tests/test_advertised_limits.py
+++ b/tests/test_advertised_limits.py
@@ -144,7 +144,7 @@
     lenders = region_lenders.BucketOwners(
         lambda _key: ['h'], 0, Peers(), clock
     )
-    return endpoint_buckets.EndpointLender(
+    return endpoint_buckets.EndpointBuckets(
         'h', lenders, known, tell, Peers(), clock
     )
 
--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -75,7 +75,7 @@
         )
 
 
-class EndpointLender:
+class EndpointBuckets:
     """Grant permits, and decide which advertised limit is the newest."""
 
     def __init__(
--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -62,7 +62,7 @@
             order, SILENT_LEFT_ALONE_MS, peers, clock
         )
         self._stated = advertised_limits.AdvertisedLimits()
-        self._lender = endpoint_buckets.EndpointLender(
+        self._lender = endpoint_buckets.EndpointBuckets(
             host, self._lenders, self._stated, tell, peers, clock
         )
         self._backoff_until_ms: dict[limiting.EndpointLife, int] = {}
