--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -81,14 +81,14 @@
     def __init__(
         self,
         host: ids.HostId,
-        lenders: region_lenders.BucketOwners,
+        owners: region_lenders.BucketOwners,
         stated: advertised_limits.AdvertisedLimits,
         tell: Gossip,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
         self._host = host
-        self._lenders = lenders
+        self._lenders = owners
         self._stated = stated
         self._tell = tell
         self._peers = peers
