--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -82,14 +82,14 @@
         self,
         host: ids.HostId,
         owners: region_lenders.BucketOwners,
-        stated: advertised_limits.AdvertisedLimits,
+        advertised: advertised_limits.AdvertisedLimits,
         tell: Gossip,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
         self._host = host
         self._lenders = owners
-        self._stated = stated
+        self._stated = advertised
         self._tell = tell
         self._peers = peers
         self._clock = clock
