--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -83,14 +83,14 @@
         host: ids.HostId,
         owners: region_lenders.BucketOwners,
         advertised: advertised_limits.AdvertisedLimits,
-        tell: Gossip,
+        gossip: Gossip,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
         self._host = host
         self._lenders = owners
         self._stated = advertised
-        self._tell = tell
+        self._tell = gossip
         self._peers = peers
         self._clock = clock
         self._life = ids.new_unique()
