--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -88,7 +88,7 @@
         clock: clocks.Clock,
     ):
         self._host = host
-        self._lenders = owners
+        self._owners = owners
         self._stated = advertised
         self._tell = gossip
         self._peers = peers
@@ -169,7 +169,7 @@
 
     def _share(self, endpoint: ids.EndpointId) -> float:
         """Return the part of a limit that this host may grant."""
-        order = self._lenders.in_order(endpoint)
+        order = self._owners.in_order(endpoint)
         share = self._seen_share(len(order))
         if order[0] != self._host:
             share *= FALLBACK_SHARE
@@ -242,7 +242,7 @@
                     await self._news.wait()
                 await self._clock.sleep_ms(BATCH_DELAY_MS)
             except TimeoutError:
-                self._seen_share(len(self._lenders.in_order(self._host)))
+                self._seen_share(len(self._owners.in_order(self._host)))
             self._news.clear()
             told = self._told()
             if told:
@@ -256,7 +256,7 @@
                 del self._changed[life]
         lives = set(self._changed)
         for limit in self._stated.active():
-            if self._lenders.in_order(limit.life.endpoint)[0] == self._host:
+            if self._owners.in_order(limit.life.endpoint)[0] == self._host:
                 lives.add(limit.life)
         return [self._stated.limit_of(life) for life in lives]
 
