--- a/benches/switches_limits.py
+++ b/benches/switches_limits.py
@@ -92,7 +92,7 @@
     Switch(
         'limits told once',
         LIMITING + 'endpoint_buckets.py',
-        'for limit in self._stated.active():',
+        'for limit in self._advertised.active():',
         'for limit in []:',
         f'{FLEET}::test_host_that_starts_knows_within_moments',
     ),
--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -89,7 +89,7 @@
     ):
         self._host = host
         self._owners = owners
-        self._stated = advertised
+        self._advertised = advertised
         self._tell = gossip
         self._peers = peers
         self._clock = clock
@@ -125,7 +125,7 @@
     ) -> limiting.SendAnswered:
         """Return a permit for a request, or when to ask again."""
         self._take_over(known)
-        limit = self._stated.limit_of(known.life)
+        limit = self._advertised.limit_of(known.life)
         if limit.rate_per_s is None:
             return limiting.SendAnswered(limit)
         lent = self._lent_of(limit)
@@ -200,11 +200,11 @@
         """Apply an advertised limit, unless a newer one is known."""
         self._take_over(known)
         life = known.life
-        if rate_per_s is not None and self._stated.apply_if_lower(
+        if rate_per_s is not None and self._advertised.apply_if_lower(
             life, rate_per_s
         ):
             self._tell_soon(life)
-        limit = self._stated.limit_of(life)
+        limit = self._advertised.limit_of(life)
         if limit.rate_per_s is None:
             return
         lent = self._lent_of(limit)
@@ -214,7 +214,7 @@
         if not self._is_newest(grant, lent):
             return
         lent.last_advertised = lent.last_granted
-        self._stated.change(life, rate_per_s)
+        self._advertised.change(life, rate_per_s)
         self._tell_soon(life)
 
     def _is_newest(
@@ -226,7 +226,7 @@
         return grant.number > lent.named
 
     def _take_over(self, known: limiting.EndpointLimit) -> None:
-        if self._stated.merge(known):
+        if self._advertised.merge(known):
             self._tell_soon(known.life)
 
     # Gossip.
@@ -255,10 +255,10 @@
             if now_ms > until_ms:
                 del self._changed[life]
         lives = set(self._changed)
-        for limit in self._stated.active():
+        for limit in self._advertised.active():
             if self._owners.in_order(limit.life.endpoint)[0] == self._host:
                 lives.add(limit.life)
-        return [self._stated.limit_of(life) for life in lives]
+        return [self._advertised.limit_of(life) for life in lives]
 
     def keep_only(self, exists: advertised_limits.Exists) -> None:
         """Drop state of endpoints that no longer exist."""
