--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -90,7 +90,7 @@
         self._host = host
         self._owners = owners
         self._advertised = advertised
-        self._tell = gossip
+        self._gossip = gossip
         self._peers = peers
         self._clock = clock
         self._life = ids.new_unique()
@@ -246,7 +246,7 @@
             self._news.clear()
             told = self._told()
             if told:
-                await self._tell(told)
+                await self._gossip(told)
 
     def _told(self) -> list[limiting.EndpointLimit]:
         """Return limits that changed, and those that this host owns."""
