--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -94,7 +94,7 @@
         self._peers = peers
         self._clock = clock
         self._life = ids.new_unique()
-        self._lent: dict[ids.EndpointId, _EndpointBucket] = {}
+        self._buckets: dict[ids.EndpointId, _EndpointBucket] = {}
         # The largest recent number of hosts, and when it was seen.
         self._most_hosts = 0
         self._most_ms = clock.mono_ms()
@@ -154,11 +154,11 @@
 
     def _lent_of(self, limit: limiting.EndpointLimit) -> _EndpointBucket:
         now_ms = self._clock.mono_ms()
-        lent = self._lent.get(limit.life.endpoint)
+        lent = self._buckets.get(limit.life.endpoint)
         if lent is None or lent.life != limit.life:
             # Empty: another host may have granted permits before.
             lent = _EndpointBucket(limit.life, token_bucket.unexpiring(now_ms))
-            self._lent[limit.life.endpoint] = lent
+            self._buckets[limit.life.endpoint] = lent
         share = self._share(limit.life.endpoint)
         lent.tokens.refill(now_ms)
         lent.tokens.share = share
@@ -262,9 +262,9 @@
 
     def keep_only(self, exists: advertised_limits.Exists) -> None:
         """Drop state of endpoints that no longer exist."""
-        for endpoint, lent in list(self._lent.items()):
+        for endpoint, lent in list(self._buckets.items()):
             if not exists(lent.life):
-                del self._lent[endpoint]
+                del self._buckets[endpoint]
 
 
 def _amount_ms(rate_per_s: float) -> float:
