--- a/benches/switches_limits.py
+++ b/benches/switches_limits.py
@@ -64,7 +64,7 @@
     Switch(
         'part of a region lends all',
         LIMITING + 'endpoint_buckets.py',
-        'return hosts / self._most_hosts',
+        'return hosts / self._max_hosts',
         'return 1.0',
         f'{FLEET}::test_mishaps_take_no_engine_over_its_limit -k halves',
     ),
--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -96,7 +96,7 @@
         self._life = ids.new_unique()
         self._buckets: dict[ids.EndpointId, _EndpointBucket] = {}
         # The largest recent number of hosts, and when it was seen.
-        self._most_hosts = 0
+        self._max_hosts = 0
         self._most_ms = clock.mono_ms()
         # Limits that changed, and until when they are gossiped.
         self._changed: dict[limiting.EndpointLife, int] = {}
@@ -178,11 +178,11 @@
     def _seen_share(self, hosts: int) -> float:
         """Return the part of the region's hosts that is on the roster."""
         now_ms = self._clock.mono_ms()
-        if hosts >= self._most_hosts or (
+        if hosts >= self._max_hosts or (
             now_ms - self._most_ms > PARTITION_GUARD_MS
         ):
-            self._most_hosts, self._most_ms = hosts, now_ms
-        return hosts / self._most_hosts
+            self._max_hosts, self._most_ms = hosts, now_ms
+        return hosts / self._max_hosts
 
     # Advertised limits.
 
