--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -97,7 +97,7 @@
         self._buckets: dict[ids.EndpointId, _EndpointBucket] = {}
         # The largest recent number of hosts, and when it was seen.
         self._max_hosts = 0
-        self._most_ms = clock.mono_ms()
+        self._max_hosts_ms = clock.mono_ms()
         # Limits that changed, and until when they are gossiped.
         self._changed: dict[limiting.EndpointLife, int] = {}
         self._news = asyncio.Event()
@@ -179,9 +179,9 @@
         """Return the part of the region's hosts that is on the roster."""
         now_ms = self._clock.mono_ms()
         if hosts >= self._max_hosts or (
-            now_ms - self._most_ms > PARTITION_GUARD_MS
+            now_ms - self._max_hosts_ms > PARTITION_GUARD_MS
         ):
-            self._max_hosts, self._most_ms = hosts, now_ms
+            self._max_hosts, self._max_hosts_ms = hosts, now_ms
         return hosts / self._max_hosts
 
     # Advertised limits.
