--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -100,7 +100,7 @@
         self._max_hosts_ms = clock.mono_ms()
         # Limits that changed, and until when they are gossiped.
         self._changed: dict[limiting.EndpointLife, int] = {}
-        self._news = asyncio.Event()
+        self._has_changes = asyncio.Event()
         self._tasks = runtime.Tasks()
         peers.answers(limiting.AskSend)(self._answer)
         peers.answers(limiting.LimitHeard)(self._hear)
@@ -233,17 +233,17 @@
 
     def _tell_soon(self, life: limiting.EndpointLife) -> None:
         self._changed[life] = self._clock.mono_ms() + CHANGE_GOSSIP_MS
-        self._news.set()
+        self._has_changes.set()
 
     async def _run(self) -> None:
         while True:
             try:
                 async with clocks.timeout_ms(GOSSIP_INTERVAL_MS):
-                    await self._news.wait()
+                    await self._has_changes.wait()
                 await self._clock.sleep_ms(BATCH_DELAY_MS)
             except TimeoutError:
                 self._seen_share(len(self._owners.in_order(self._host)))
-            self._news.clear()
+            self._has_changes.clear()
             told = self._told()
             if told:
                 await self._gossip(told)
