--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -102,7 +102,7 @@
         self._changed: dict[limiting.EndpointLife, int] = {}
         self._has_changes = asyncio.Event()
         self._tasks = runtime.Tasks()
-        peers.answers(limiting.AskSend)(self._answer)
+        peers.answers(limiting.AskSend)(self._handle_ask_send)
         peers.answers(limiting.LimitHeard)(self._hear)
 
     def start(self) -> None:
@@ -115,7 +115,7 @@
 
     # Permits.
 
-    async def _answer(
+    async def _handle_ask_send(
         self, _sender: ids.HostId, message: limiting.AskSend
     ) -> limiting.SendAnswered:
         return self.take(message.known, message.rank)
