--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -103,7 +103,7 @@
         self._has_changes = asyncio.Event()
         self._tasks = runtime.Tasks()
         peers.answers(limiting.AskSend)(self._handle_ask_send)
-        peers.answers(limiting.LimitHeard)(self._hear)
+        peers.answers(limiting.LimitHeard)(self._handle_limit_heard)
 
     def start(self) -> None:
         """Begin to gossip limits within the region."""
@@ -186,7 +186,7 @@
 
     # Advertised limits.
 
-    async def _hear(
+    async def _handle_limit_heard(
         self, _sender: ids.HostId, message: limiting.LimitHeard
     ) -> None:
         self.hear(message.known, message.rate_per_s, message.grant)
