--- a/tests/test_advertised_limits.py
+++ b/tests/test_advertised_limits.py
@@ -154,27 +154,27 @@
     clock = test_registry.FakeClock()
     known = advertised_limits.AdvertisedLimits()
     lends = lender(clock, known)
-    lends.hear(limiting.EndpointLimit(LIFE), 1.2, None)
+    lends.on_advertised(limiting.EndpointLimit(LIFE), 1.2, None)
     grants = []
     for _number in range(3):
         clock.now_ms += 1_000
         grants.append(lends.take(known.limit_of(LIFE), 0).grant)
     # The second's answer came first and names it still.
-    lends.hear(known.limit_of(LIFE), 1.2, grants[1])
+    lends.on_advertised(known.limit_of(LIFE), 1.2, grants[1])
     for older in (None, grants[0], grants[2]):
-        lends.hear(known.limit_of(LIFE), None, older)
-        lends.hear(known.limit_of(LIFE), 5.0, older)
+        lends.on_advertised(known.limit_of(LIFE), None, older)
+        lends.on_advertised(known.limit_of(LIFE), 5.0, older)
         assert known.rate_per_s(LIFE) == 1.2
     clock.now_ms += 1_000
     newer = lends.take(known.limit_of(LIFE), 0).grant
     stranger = msgspec.structs.replace(newer, life='another')
-    lends.hear(known.limit_of(LIFE), None, stranger)
+    lends.on_advertised(known.limit_of(LIFE), None, stranger)
     assert known.rate_per_s(LIFE) == 1.2
-    lends.hear(known.limit_of(LIFE), 5.0, newer)
+    lends.on_advertised(known.limit_of(LIFE), 5.0, newer)
     assert known.rate_per_s(LIFE) == 5.0
     clock.now_ms += 1_000
     newest = lends.take(known.limit_of(LIFE), 0).grant
-    lends.hear(known.limit_of(LIFE), None, newest)
+    lends.on_advertised(known.limit_of(LIFE), None, newest)
     assert known.rate_per_s(LIFE) is None
     assert lends.take(known.limit_of(LIFE), 0).grant is None
 
@@ -183,8 +183,8 @@
     clock = test_registry.FakeClock()
     known = advertised_limits.AdvertisedLimits()
     lends = lender(clock, known)
-    lends.hear(limiting.EndpointLimit(LIFE), 4.0, None)
-    lends.hear(known.limit_of(LIFE), 1.0, None)
+    lends.on_advertised(limiting.EndpointLimit(LIFE), 4.0, None)
+    lends.on_advertised(known.limit_of(LIFE), 1.0, None)
     assert known.rate_per_s(LIFE) == 1.0
     clock.now_ms += 10_000
     taken = [lends.take(known.limit_of(LIFE), 0) for _number in range(5)]
@@ -196,7 +196,7 @@
     clock = test_registry.FakeClock()
     known = advertised_limits.AdvertisedLimits()
     lends = lender(clock, known)
-    lends.hear(limiting.EndpointLimit(LIFE), 2.0, None)
+    lends.on_advertised(limiting.EndpointLimit(LIFE), 2.0, None)
     now = known.limit_of(LIFE)
     assert lends.take(now, 2).grant is None
     clock.now_ms += 500
--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -189,9 +189,9 @@
     async def _handle_limit_heard(
         self, _sender: ids.HostId, message: limiting.LimitHeard
     ) -> None:
-        self.hear(message.known, message.rate_per_s, message.grant)
+        self.on_advertised(message.known, message.rate_per_s, message.grant)
 
-    def hear(
+    def on_advertised(
         self,
         known: limiting.EndpointLimit,
         rate_per_s: float | None,
--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -201,7 +201,9 @@
         if grant is not None:
             lender = grant.lender
         if lender == self._host:
-            self._lender.hear(self._stated.limit_of(life), rate_per_s, grant)
+            self._lender.on_advertised(
+                self._stated.limit_of(life), rate_per_s, grant
+            )
             return
         if rate_per_s is not None:
             self._stated.apply_if_lower(life, rate_per_s)
