--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -129,14 +129,16 @@
         if limit.rate_per_s is None:
             return limiting.SendAnswered(limit)
         lent = self._lent_of(limit)
-        wait_ms = self._wait_ms(lent, rank, _amount_ms(limit.rate_per_s))
+        wait_ms = self._take_or_wait_ms(
+            lent, rank, _amount_ms(limit.rate_per_s)
+        )
         if wait_ms:
             return limiting.SendAnswered(limit, wait_ms=wait_ms)
         lent.last_granted += 1
         grant = limiting.GrantName(self._host, self._life, lent.last_granted)
         return limiting.SendAnswered(limit, grant)
 
-    def _wait_ms(
+    def _take_or_wait_ms(
         self, lent: _EndpointBucket, rank: int, amount_ms: float
     ) -> int:
         """Take one request's tokens; return 0, or the wait in milliseconds."""
