--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -128,7 +128,7 @@
         limit = self._advertised.limit_of(known.life)
         if limit.rate_per_s is None:
             return limiting.SendAnswered(limit)
-        lent = self._lent_of(limit)
+        lent = self._bucket_of(limit)
         wait_ms = self._take_or_wait_ms(
             lent, rank, _amount_ms(limit.rate_per_s)
         )
@@ -154,7 +154,7 @@
         lent.last_refused_ms[rank] = now_ms
         return math.ceil(min(lacking_ms, MAX_WAIT_MS))
 
-    def _lent_of(self, limit: limiting.EndpointLimit) -> _EndpointBucket:
+    def _bucket_of(self, limit: limiting.EndpointLimit) -> _EndpointBucket:
         now_ms = self._clock.mono_ms()
         lent = self._buckets.get(limit.life.endpoint)
         if lent is None or lent.life != limit.life:
@@ -209,7 +209,7 @@
         limit = self._advertised.limit_of(life)
         if limit.rate_per_s is None:
             return
-        lent = self._lent_of(limit)
+        lent = self._bucket_of(limit)
         if rate_per_s == limit.rate_per_s:
             lent.last_advertised = lent.last_granted
             return
