--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -161,7 +161,7 @@
             # Empty: another host may have granted permits before.
             lent = _EndpointBucket(limit.life, token_bucket.unexpiring(now_ms))
             self._buckets[limit.life.endpoint] = lent
-        share = self._share(limit.life.endpoint)
+        share = self._grantable_share(limit.life.endpoint)
         lent.tokens.refill(now_ms)
         lent.tokens.share = share
         amount_ms = _amount_ms(limit.rate_per_s)
@@ -169,7 +169,7 @@
         lent.tokens.depth_ms = (amount_ms + BURST_MS * share) / share
         return lent
 
-    def _share(self, endpoint: ids.EndpointId) -> float:
+    def _grantable_share(self, endpoint: ids.EndpointId) -> float:
         """Return the part of a limit that this host may grant."""
         order = self._owners.in_order(endpoint)
         share = self._seen_share(len(order))
