--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -172,12 +172,12 @@
     def _grantable_share(self, endpoint: ids.EndpointId) -> float:
         """Return the part of a limit that this host may grant."""
         order = self._owners.in_order(endpoint)
-        share = self._seen_share(len(order))
+        share = self._visible_share(len(order))
         if order[0] != self._host:
             share *= FALLBACK_SHARE
         return share
 
-    def _seen_share(self, hosts: int) -> float:
+    def _visible_share(self, hosts: int) -> float:
         """Return the part of the region's hosts that is on the roster."""
         now_ms = self._clock.mono_ms()
         if hosts >= self._max_hosts or (
@@ -244,7 +244,7 @@
                     await self._has_changes.wait()
                 await self._clock.sleep_ms(BATCH_DELAY_MS)
             except TimeoutError:
-                self._seen_share(len(self._owners.in_order(self._host)))
+                self._visible_share(len(self._owners.in_order(self._host)))
             self._has_changes.clear()
             told = self._told()
             if told:
