--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -124,7 +124,7 @@
         self, known: limiting.EndpointLimit, rank: int
     ) -> limiting.SendAnswered:
         """Return a permit for a request, or when to ask again."""
-        self._take_over(known)
+        self._merge(known)
         limit = self._advertised.limit_of(known.life)
         if limit.rate_per_s is None:
             return limiting.SendAnswered(limit)
@@ -200,7 +200,7 @@
         grant: limiting.GrantName | None,
     ) -> None:
         """Apply an advertised limit, unless a newer one is known."""
-        self._take_over(known)
+        self._merge(known)
         life = known.life
         if rate_per_s is not None and self._advertised.apply_if_lower(
             life, rate_per_s
@@ -227,7 +227,7 @@
             return False
         return grant.number > lent.named
 
-    def _take_over(self, known: limiting.EndpointLimit) -> None:
+    def _merge(self, known: limiting.EndpointLimit) -> None:
         if self._advertised.merge(known):
             self._tell_soon(known.life)
 
