--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -205,7 +205,7 @@
         if rate_per_s is not None and self._advertised.apply_if_lower(
             life, rate_per_s
         ):
-            self._tell_soon(life)
+            self._schedule_gossip(life)
         limit = self._advertised.limit_of(life)
         if limit.rate_per_s is None:
             return
@@ -217,7 +217,7 @@
             return
         lent.last_advertised = lent.last_granted
         self._advertised.change(life, rate_per_s)
-        self._tell_soon(life)
+        self._schedule_gossip(life)
 
     def _is_newest(
         self, grant: limiting.GrantName | None, lent: _EndpointBucket
@@ -229,11 +229,11 @@
 
     def _merge(self, known: limiting.EndpointLimit) -> None:
         if self._advertised.merge(known):
-            self._tell_soon(known.life)
+            self._schedule_gossip(known.life)
 
     # Gossip.
 
-    def _tell_soon(self, life: limiting.EndpointLife) -> None:
+    def _schedule_gossip(self, life: limiting.EndpointLife) -> None:
         self._changed[life] = self._clock.mono_ms() + CHANGE_GOSSIP_MS
         self._has_changes.set()
 
