--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -246,11 +246,11 @@
             except TimeoutError:
                 self._visible_share(len(self._owners.in_order(self._host)))
             self._has_changes.clear()
-            told = self._told()
+            told = self._limits_to_gossip()
             if told:
                 await self._gossip(told)
 
-    def _told(self) -> list[limiting.EndpointLimit]:
+    def _limits_to_gossip(self) -> list[limiting.EndpointLimit]:
         """Return limits that changed, and those that this host owns."""
         now_ms = self._clock.mono_ms()
         for life, until_ms in list(self._changed.items()):
