--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -262,7 +262,7 @@
                 lives.add(limit.life)
         return [self._advertised.limit_of(life) for life in lives]
 
-    def keep_only(self, exists: advertised_limits.Exists) -> None:
+    def retain_endpoints(self, exists: advertised_limits.Exists) -> None:
         """Drop state of endpoints that no longer exist."""
         for endpoint, lent in list(self._buckets.items()):
             if not exists(lent.life):
--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -217,7 +217,7 @@
         while True:
             await self._clock.sleep_ms(HOUSE_INTERVAL_MS)
             self._stated.retain_endpoints(self._exists)
-            self._lender.keep_only(self._exists)
+            self._lender.retain_endpoints(self._exists)
             for life in list(self._backoff_until_ms):
                 if not self._exists(life):
                     del self._backoff_until_ms[life]
