--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -130,7 +130,7 @@
             return limiting.SendAnswered(limit)
         lent = self._bucket_of(limit)
         wait_ms = self._take_or_wait_ms(
-            lent, rank, _amount_ms(limit.rate_per_s)
+            lent, rank, _request_cost_ms(limit.rate_per_s)
         )
         if wait_ms:
             return limiting.SendAnswered(limit, wait_ms=wait_ms)
@@ -164,7 +164,7 @@
         share = self._grantable_share(limit.life.endpoint)
         lent.tokens.refill(now_ms)
         lent.tokens.share = share
-        amount_ms = _amount_ms(limit.rate_per_s)
+        amount_ms = _request_cost_ms(limit.rate_per_s)
         # A part of the limit still holds one whole request.
         lent.tokens.depth_ms = (amount_ms + BURST_MS * share) / share
         return lent
@@ -269,6 +269,6 @@
                 del self._buckets[endpoint]
 
 
-def _amount_ms(rate_per_s: float) -> float:
+def _request_cost_ms(rate_per_s: float) -> float:
     """Return the tokens of one request, in milliseconds of the limit."""
     return MS_PER_S / max(rate_per_s, MIN_RATE_PER_S)
