--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -21,7 +21,7 @@
 from wrenspoke import runtime
 
 # A way within the region and a busy host.
-ASK_TIMEOUT_MS = 150
+PERMIT_TIMEOUT_MS = 150
 # A silent owner is not asked again for so long; others grant a part.
 SILENT_LEFT_ALONE_MS = 1_000
 # Calls go elsewhere while the next owner is found.
@@ -151,7 +151,7 @@
             if host == self._host:
                 return self._lender.take(known, rank)
             answer = await self._lenders.call(
-                host, limiting.AskSend(known, rank), ASK_TIMEOUT_MS
+                host, limiting.AskSend(known, rank), PERMIT_TIMEOUT_MS
             )
             if isinstance(answer, limiting.SendAnswered):
                 return answer
