--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -23,7 +23,7 @@
 # A way within the region and a busy host.
 PERMIT_TIMEOUT_MS = 150
 # A silent owner is not asked again for so long; others grant a part.
-SILENT_LEFT_ALONE_MS = 1_000
+OWNER_RETRY_MS = 1_000
 # Calls go elsewhere while the next owner is found.
 UNKNOWN_WAIT_MS = 50
 # A permit lasts for the time of a new connection: a request that arrives
@@ -59,7 +59,7 @@
         self._clock = clock
         self._exists = exists
         self._lenders = region_lenders.BucketOwners(
-            order, SILENT_LEFT_ALONE_MS, peers, clock
+            order, OWNER_RETRY_MS, peers, clock
         )
         self._stated = advertised_limits.AdvertisedLimits()
         self._lender = endpoint_buckets.EndpointBuckets(
