--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -25,7 +25,7 @@
 # A silent owner is not asked again for so long; others grant a part.
 OWNER_RETRY_MS = 1_000
 # Calls go elsewhere while the next owner is found.
-UNKNOWN_WAIT_MS = 50
+NO_OWNER_BACKOFF_MS = 50
 # A permit lasts for the time of a new connection: a request that arrives
 # later would add to the permits granted by then.
 GRANT_MS = 500
@@ -134,7 +134,7 @@
         asked_ms = self._clock.mono_ms()
         answer = await self._ask(life, rank)
         if answer is None:
-            raise self._limit_exceeded(life, UNKNOWN_WAIT_MS)
+            raise self._limit_exceeded(life, NO_OWNER_BACKOFF_MS)
         self._stated.merge(answer.known)
         if answer.grant is not None:
             return SendPermit(self, life, answer.grant, asked_ms + GRANT_MS)
