--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -28,7 +28,7 @@
 NO_OWNER_BACKOFF_MS = 50
 # A permit lasts for the time of a new connection: a request that arrives
 # later would add to the permits granted by then.
-GRANT_MS = 500
+PERMIT_TTL_MS = 500
 # Calls of one urgency come one behind the other: first those whose prompt
 # the endpoint keeps.
 RANKS_AN_URGENCY = 2
@@ -137,7 +137,9 @@
             raise self._limit_exceeded(life, NO_OWNER_BACKOFF_MS)
         self._stated.merge(answer.known)
         if answer.grant is not None:
-            return SendPermit(self, life, answer.grant, asked_ms + GRANT_MS)
+            return SendPermit(
+                self, life, answer.grant, asked_ms + PERMIT_TTL_MS
+            )
         if self.rate_per_s(life) is None:
             return SendPermit(self, life)
         raise self._limit_exceeded(life, answer.wait_ms)
