--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -31,7 +31,7 @@
 PERMIT_TTL_MS = 500
 # Calls of one urgency come one behind the other: first those whose prompt
 # the endpoint keeps.
-RANKS_AN_URGENCY = 2
+RANKS_PER_URGENCY = 2
 HOUSE_INTERVAL_MS = 1_000
 FIRST_RANK = 0
 LAST_RANK = 1_000
@@ -39,7 +39,7 @@
 
 def rank_of(urgency: int, kept: bool) -> int:
     """Return a call's rank among those that want a permit; 0 goes first."""
-    return urgency * RANKS_AN_URGENCY + (not kept)
+    return urgency * RANKS_PER_URGENCY + (not kept)
 
 
 class EndpointLimits:
