--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -32,7 +32,7 @@
 # Calls of one urgency come one behind the other: first those whose prompt
 # the endpoint keeps.
 RANKS_PER_URGENCY = 2
-HOUSE_INTERVAL_MS = 1_000
+EVICT_INTERVAL_MS = 1_000
 FIRST_RANK = 0
 LAST_RANK = 1_000
 
@@ -217,7 +217,7 @@
     async def _evict_stale(self) -> None:
         """Drop state of endpoints that no longer exist."""
         while True:
-            await self._clock.sleep_ms(HOUSE_INTERVAL_MS)
+            await self._clock.sleep_ms(EVICT_INTERVAL_MS)
             self._stated.retain_endpoints(self._exists)
             self._lender.retain_endpoints(self._exists)
             for life in list(self._backoff_until_ms):
