--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -37,9 +37,9 @@
 LAST_RANK = 1_000
 
 
-def rank_of(urgency: int, kept: bool) -> int:
+def rank_of(urgency: int, prompt_cached: bool) -> int:
     """Return a call's rank among those that want a permit; 0 goes first."""
-    return urgency * RANKS_PER_URGENCY + (not kept)
+    return urgency * RANKS_PER_URGENCY + (not prompt_cached)
 
 
 class EndpointLimits:
--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -311,7 +311,7 @@
         rank = endpoint_limits.FIRST_RANK
         if send.purpose is not Purpose.RESUME and send.head is not None:
             urgency = requests.Priority.HIGH - send.head.priority
-            rank = endpoint_limits.rank_of(urgency, kept=False)
+            rank = endpoint_limits.rank_of(urgency, prompt_cached=False)
         return await self._gate.acquire(
             life, rank, continues=send.purpose is Purpose.RESUME
         )
