--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -50,7 +50,7 @@
         host: ids.HostId,
         order: region_lenders.HostOrder,
         exists: advertised_limits.Exists,
-        tell: endpoint_buckets.Gossip,
+        gossip: endpoint_buckets.Gossip,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
@@ -63,7 +63,7 @@
         )
         self._stated = advertised_limits.AdvertisedLimits()
         self._lender = endpoint_buckets.EndpointBuckets(
-            host, self._lenders, self._stated, tell, peers, clock
+            host, self._lenders, self._stated, gossip, peers, clock
         )
         self._backoff_until_ms: dict[limiting.EndpointLife, int] = {}
         # How often each endpoint took no more.
