--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -58,12 +58,12 @@
         self._peers = peers
         self._clock = clock
         self._exists = exists
-        self._lenders = region_lenders.BucketOwners(
+        self._owners = region_lenders.BucketOwners(
             order, OWNER_RETRY_MS, peers, clock
         )
         self._stated = advertised_limits.AdvertisedLimits()
         self._lender = endpoint_buckets.EndpointBuckets(
-            host, self._lenders, self._stated, gossip, peers, clock
+            host, self._owners, self._stated, gossip, peers, clock
         )
         self._backoff_until_ms: dict[limiting.EndpointLife, int] = {}
         # How often each endpoint took no more.
@@ -94,7 +94,7 @@
         if rate_per_s is None:
             return None
         taken_per_s = max(rate_per_s, endpoint_buckets.MIN_RATE_PER_S)
-        return taken_per_s / len(self._lenders.in_order(life.endpoint))
+        return taken_per_s / len(self._owners.in_order(life.endpoint))
 
     def active(self) -> list[limiting.EndpointLimit]:
         """Return the limits that endpoints currently advertise."""
@@ -149,10 +149,10 @@
     ) -> limiting.SendAnswered | None:
         """Ask the first responsive host that owns this limit's bucket."""
         known = self._stated.limit_of(life)
-        for host in self._lenders.first_responsive(life.endpoint, 1):
+        for host in self._owners.first_responsive(life.endpoint, 1):
             if host == self._host:
                 return self._lender.take(known, rank)
-            answer = await self._lenders.call(
+            answer = await self._owners.call(
                 host, limiting.AskSend(known, rank), PERMIT_TIMEOUT_MS
             )
             if isinstance(answer, limiting.SendAnswered):
@@ -199,7 +199,7 @@
         unlimited = self.rate_per_s(life) is None
         if rate_per_s is None and (unlimited or not proved):
             return
-        lender = self._lenders.in_order(life.endpoint)[0]
+        lender = self._owners.in_order(life.endpoint)[0]
         if grant is not None:
             lender = grant.lender
         if lender == self._host:
