--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -61,9 +61,9 @@
         self._owners = region_lenders.BucketOwners(
             order, OWNER_RETRY_MS, peers, clock
         )
-        self._stated = advertised_limits.AdvertisedLimits()
+        self._advertised = advertised_limits.AdvertisedLimits()
         self._lender = endpoint_buckets.EndpointBuckets(
-            host, self._owners, self._stated, gossip, peers, clock
+            host, self._owners, self._advertised, gossip, peers, clock
         )
         self._backoff_until_ms: dict[limiting.EndpointLife, int] = {}
         # How often each endpoint took no more.
@@ -86,7 +86,7 @@
 
     def rate_per_s(self, life: limiting.EndpointLife) -> float | None:
         """Return an endpoint's limit in requests a second, None without."""
-        return self._stated.rate_per_s(life)
+        return self._advertised.rate_per_s(life)
 
     def share_per_s(self, life: limiting.EndpointLife) -> float | None:
         """Return an equal host's share of the limit, None without."""
@@ -98,7 +98,7 @@
 
     def active(self) -> list[limiting.EndpointLimit]:
         """Return the limits that endpoints currently advertise."""
-        return self._stated.active()
+        return self._advertised.active()
 
     @property
     def is_idle(self) -> bool:
@@ -115,7 +115,7 @@
     def merge(self, received: list[limiting.EndpointLimit]) -> None:
         """Merge limits received from another host."""
         for limit in received:
-            self._stated.merge(limit)
+            self._advertised.merge(limit)
 
     # Requests.
 
@@ -135,7 +135,7 @@
         answer = await self._ask(life, rank)
         if answer is None:
             raise self._limit_exceeded(life, NO_OWNER_BACKOFF_MS)
-        self._stated.merge(answer.known)
+        self._advertised.merge(answer.known)
         if answer.grant is not None:
             return SendPermit(
                 self, life, answer.grant, asked_ms + PERMIT_TTL_MS
@@ -148,7 +148,7 @@
         self, life: limiting.EndpointLife, rank: int
     ) -> limiting.SendAnswered | None:
         """Ask the first responsive host that owns this limit's bucket."""
-        known = self._stated.limit_of(life)
+        known = self._advertised.limit_of(life)
         for host in self._owners.first_responsive(life.endpoint, 1):
             if host == self._host:
                 return self._lender.take(known, rank)
@@ -193,7 +193,7 @@
         request; otherwise a missing header means nothing.
         """
         try:
-            rate_per_s = self._stated.parse_header(life, texts)
+            rate_per_s = self._advertised.parse_header(life, texts)
         except protocol_errors.MalformedRateError:
             return
         unlimited = self.rate_per_s(life) is None
@@ -204,13 +204,13 @@
             lender = grant.lender
         if lender == self._host:
             self._lender.on_advertised(
-                self._stated.limit_of(life), rate_per_s, grant
+                self._advertised.limit_of(life), rate_per_s, grant
             )
             return
         if rate_per_s is not None:
-            self._stated.apply_if_lower(life, rate_per_s)
+            self._advertised.apply_if_lower(life, rate_per_s)
         message = limiting.LimitHeard(
-            self._stated.limit_of(life), rate_per_s, grant
+            self._advertised.limit_of(life), rate_per_s, grant
         )
         self._tasks.start(self._peers.tell(lender, message), fatal=False)
 
@@ -218,7 +218,7 @@
         """Drop state of endpoints that no longer exist."""
         while True:
             await self._clock.sleep_ms(EVICT_INTERVAL_MS)
-            self._stated.retain_endpoints(self._exists)
+            self._advertised.retain_endpoints(self._exists)
             self._lender.retain_endpoints(self._exists)
             for life in list(self._backoff_until_ms):
                 if not self._exists(life):
