--- a/benches/switches_limits.py
+++ b/benches/switches_limits.py
@@ -57,8 +57,8 @@
     Switch(
         'every host lends',
         LIMITING + 'endpoint_limits.py',
-        'if host == self._host:\n                return self._lender.take',
-        'if True:\n                return self._lender.take',
+        'if host == self._host:\n                return self._buckets.take',
+        'if True:\n                return self._buckets.take',
         f'{FLEET}::test_limit_is_kept_and_used',
     ),
     Switch(
--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -62,7 +62,7 @@
             order, OWNER_RETRY_MS, peers, clock
         )
         self._advertised = advertised_limits.AdvertisedLimits()
-        self._lender = endpoint_buckets.EndpointBuckets(
+        self._buckets = endpoint_buckets.EndpointBuckets(
             host, self._owners, self._advertised, gossip, peers, clock
         )
         self._backoff_until_ms: dict[limiting.EndpointLife, int] = {}
@@ -74,13 +74,13 @@
 
     def start(self) -> None:
         """Begin to gossip limits to other hosts."""
-        self._lender.start()
+        self._buckets.start()
         self._tasks.start(self._evict_stale())
 
     async def close(self) -> None:
         """End every task."""
         await self._tasks.close()
-        await self._lender.close()
+        await self._buckets.close()
 
     # What is known.
 
@@ -151,7 +151,7 @@
         known = self._advertised.limit_of(life)
         for host in self._owners.first_responsive(life.endpoint, 1):
             if host == self._host:
-                return self._lender.take(known, rank)
+                return self._buckets.take(known, rank)
             answer = await self._owners.call(
                 host, limiting.AskSend(known, rank), PERMIT_TIMEOUT_MS
             )
@@ -203,7 +203,7 @@
         if grant is not None:
             lender = grant.lender
         if lender == self._host:
-            self._lender.on_advertised(
+            self._buckets.on_advertised(
                 self._advertised.limit_of(life), rate_per_s, grant
             )
             return
@@ -219,7 +219,7 @@
         while True:
             await self._clock.sleep_ms(EVICT_INTERVAL_MS)
             self._advertised.retain_endpoints(self._exists)
-            self._lender.retain_endpoints(self._exists)
+            self._buckets.retain_endpoints(self._exists)
             for life in list(self._backoff_until_ms):
                 if not self._exists(life):
                     del self._backoff_until_ms[life]
