--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -190,7 +190,7 @@
 
     async def admit(self, engine, rank=10):
         try:
-            return await self.limits.admit(engine.life, rank)
+            return await self.limits.acquire(engine.life, rank)
         except errors.EndpointLimitError:
             return None
 
--- a/wrenspoke/coordination/limiting/endpoint_gate.py
+++ b/wrenspoke/coordination/limiting/endpoint_gate.py
@@ -111,7 +111,7 @@
         remaining_ms = self.backoffs.remaining_ms(life)
         if remaining_ms:
             raise errors.EndpointBackoffError(life.endpoint, remaining_ms)
-        limit = await self.limits.admit(life, rank)
+        limit = await self.limits.acquire(life, rank)
         # Others may have been sent, or refused, while the limit was asked.
         self.backoffs.acquire(life)
         return GatePermit(self, life, self._clock.mono_ms(), limit, continues)
--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -119,7 +119,7 @@
 
     # Requests.
 
-    async def admit(
+    async def acquire(
         self, life: limiting.EndpointLife, rank: int
     ) -> 'SendPermit':
         """Return a permit to send one request to an endpoint.
