--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -132,7 +132,7 @@
         if remaining_ms:
             raise self._limit_exceeded(life, remaining_ms)
         asked_ms = self._clock.mono_ms()
-        answer = await self._ask(life, rank)
+        answer = await self._request_permit(life, rank)
         if answer is None:
             raise self._limit_exceeded(life, NO_OWNER_BACKOFF_MS)
         self._advertised.merge(answer.known)
@@ -144,7 +144,7 @@
             return SendPermit(self, life)
         raise self._limit_exceeded(life, answer.wait_ms)
 
-    async def _ask(
+    async def _request_permit(
         self, life: limiting.EndpointLife, rank: int
     ) -> limiting.SendAnswered | None:
         """Ask the first responsive host that owns this limit's bucket."""
