--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -312,7 +312,7 @@
     async def _answer(self, host, engine, send_permit):
         """Bring an answer's head, unless its caller leaves before."""
         await self.wait_ms(min(self.random.lognormvariate(5, 1), 4_000))
-        texts = engine.texts
+        texts = engine.values
         await self.wait_ms(self.random.uniform(1, 4))
         if self.random.random() < LEFT_SHARE:
             return
--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -183,7 +183,7 @@
     def on_response(
         self,
         life: limiting.EndpointLife,
-        texts: collections.abc.Sequence[str],
+        values: collections.abc.Sequence[str],
         grant: limiting.GrantName | None,
         proved: bool,
     ) -> None:
@@ -193,7 +193,7 @@
         request; otherwise a missing header means nothing.
         """
         try:
-            rate_per_s = self._advertised.parse_header(life, texts)
+            rate_per_s = self._advertised.parse_header(life, values)
         except protocol_errors.MalformedRateError:
             return
         unlimited = self.rate_per_s(life) is None
