--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -185,7 +185,7 @@
         life: limiting.EndpointLife,
         values: collections.abc.Sequence[str],
         grant: limiting.GrantName | None,
-        proved: bool,
+        echoed: bool,
     ) -> None:
         """Update the endpoint's limit from a response header.
 
@@ -197,7 +197,7 @@
         except protocol_errors.MalformedRateError:
             return
         unlimited = self.rate_per_s(life) is None
-        if rate_per_s is None and (unlimited or not proved):
+        if rate_per_s is None and (unlimited or not echoed):
             return
         lender = self._owners.in_order(life.endpoint)[0]
         if grant is not None:
