--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -199,10 +199,10 @@
         unlimited = self.rate_per_s(life) is None
         if rate_per_s is None and (unlimited or not echoed):
             return
-        lender = self._owners.in_order(life.endpoint)[0]
+        owner = self._owners.in_order(life.endpoint)[0]
         if grant is not None:
-            lender = grant.lender
-        if lender == self._host:
+            owner = grant.lender
+        if owner == self._host:
             self._buckets.on_advertised(
                 self._advertised.limit_of(life), rate_per_s, grant
             )
@@ -212,7 +212,7 @@
         message = limiting.LimitHeard(
             self._advertised.limit_of(life), rate_per_s, grant
         )
-        self._tasks.start(self._peers.tell(lender, message), fatal=False)
+        self._tasks.start(self._peers.tell(owner, message), fatal=False)
 
     async def _evict_stale(self) -> None:
         """Drop state of endpoints that no longer exist."""
