--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -246,7 +246,7 @@
         return self._limits.is_valid(self._life, self._until_ms)
 
     def on_response(
-        self, values: collections.abc.Sequence[str], proved: bool
+        self, values: collections.abc.Sequence[str], echoed: bool
     ) -> None:
         """Update the endpoint's limit from a response header."""
-        self._limits.on_response(self._life, values, self._grant, proved)
+        self._limits.on_response(self._life, values, self._grant, echoed)
