--- a/benches/switches_backoffs.py
+++ b/benches/switches_backoffs.py
@@ -81,8 +81,8 @@
     Switch(
         'backoffs without an end',
         BACKOFFS,
-        'LONGEST_BACKOFF_MS = 60_000',
-        'LONGEST_BACKOFF_MS = 6_000_000',
+        'MAX_BACKOFF_MS = 60_000',
+        'MAX_BACKOFF_MS = 6_000_000',
         f'{UNITS}::test_nothing_is_sent_before_the_latest_time',
     ),
     Switch(
--- a/tests/test_advertised.py
+++ b/tests/test_advertised.py
@@ -192,5 +192,5 @@
         NOW_MS,
         work=True,
     )
-    longest_ms = endpoint_backoffs.LONGEST_BACKOFF_MS
+    longest_ms = endpoint_backoffs.MAX_BACKOFF_MS
     assert 0 <= gate.remaining_ms(LIFE) <= longest_ms
--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -25,7 +25,7 @@
 
 # Bounds what a single response can do to an endpoint's use; an endpoint that
 # needs longer says so again.
-LONGEST_BACKOFF_MS = 60_000
+MAX_BACKOFF_MS = 60_000
 # So many hosts have to be refused before the others back off.
 AGREEING_HOSTS = 2
 # The pause before a probe doubles with each that is refused, up to this share
@@ -263,7 +263,7 @@
             return
         now_ms = self._clock.mono_ms()
         found = self._hold(life)
-        kept_ms = min(backoff_ms, LONGEST_BACKOFF_MS)
+        kept_ms = min(backoff_ms, MAX_BACKOFF_MS)
         if not found.unserved or now_ms >= found.until_ms:
             logger.warning(
                 'endpoint_backoff_started',
@@ -334,7 +334,7 @@
             return
         now_ms = self._clock.mono_ms()
         found = self._hold(notice.life)
-        left_ms = min(notice.left_ms, LONGEST_BACKOFF_MS)
+        left_ms = min(notice.left_ms, MAX_BACKOFF_MS)
         found.others[notice.host] = now_ms + left_ms
         refused = len(found.refusing(now_ms)) + found.unserved
         if refused >= self._agreeing_hosts:
