--- a/benches/switches_backoffs.py
+++ b/benches/switches_backoffs.py
@@ -95,8 +95,8 @@
     Switch(
         'one refusal binds all hosts',
         BACKOFFS,
-        'AGREEING_HOSTS = 2',
-        'AGREEING_HOSTS = 1',
+        'REFUSAL_QUORUM = 2',
+        'REFUSAL_QUORUM = 1',
         f'{UNITS}::test_others_refusals_count_once_two_agree',
     ),
     Switch(
--- a/tests/backoff_fleet.py
+++ b/tests/backoff_fleet.py
@@ -81,7 +81,7 @@
 class BackoffHost(endpoint_limit_fleet.AskingHost):
     """An entry host that backs off as the product does."""
 
-    agreeing_hosts = endpoint_backoffs.AGREEING_HOSTS
+    agreeing_hosts = endpoint_backoffs.REFUSAL_QUORUM
 
     def __init__(self, fleet, name):
         super().__init__(fleet, name)
--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -27,7 +27,7 @@
 # needs longer says so again.
 MAX_BACKOFF_MS = 60_000
 # So many hosts have to be refused before the others back off.
-AGREEING_HOSTS = 2
+REFUSAL_QUORUM = 2
 # The pause before a probe doubles with each that is refused, up to this share
 # of the advertised backoff.
 PROBE_SHARE = 0.25
@@ -131,7 +131,7 @@
         exists: Exists,
         tell: Tell,
         clock: clocks.Clock,
-        agreeing_hosts: int = AGREEING_HOSTS,
+        agreeing_hosts: int = REFUSAL_QUORUM,
     ):
         self._agreeing_hosts = agreeing_hosts
         self._host = host
