--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -30,7 +30,7 @@
 REFUSAL_QUORUM = 2
 # The pause before a probe doubles with each that is refused, up to this share
 # of the advertised backoff.
-PROBE_SHARE = 0.25
+MAX_PROBE_SHARE = 0.25
 FIRST_PROBE_MS = 100
 # Hosts whose backoffs end together return over this time.
 RETURN_SPREAD_MS = 1_000
@@ -294,14 +294,16 @@
         if not found.probe_interval_ms:
             found.probe_interval_ms = FIRST_PROBE_MS
         elif now_ms - found.refused_ms >= FIRST_PROBE_MS:
-            longest_ms = max(round(PROBE_SHARE * backoff_ms), FIRST_PROBE_MS)
+            longest_ms = max(
+                round(MAX_PROBE_SHARE * backoff_ms), FIRST_PROBE_MS
+            )
             doubled_ms = 2 * found.probe_interval_ms
             found.probe_interval_ms = min(doubled_ms, longest_ms)
         found.refused_ms = now_ms
         found.ramp = Ramp()
         order = self._order(found.life.endpoint)
         share = order.index(self._host) / len(order)
-        spread_ms = share * min(RETURN_SPREAD_MS, PROBE_SHARE * backoff_ms)
+        spread_ms = share * min(RETURN_SPREAD_MS, MAX_PROBE_SHARE * backoff_ms)
         resume_ms = until_ms + round(spread_ms)
         found.resume_ms = max(found.resume_ms, resume_ms)
 
