--- a/tests/test_backoffs.py
+++ b/tests/test_backoffs.py
@@ -132,7 +132,7 @@
         one.merge([notice('h0', 3_000), notice('h3', 3_000)])
     for one in (probing[0], probing[3]):
         one.on_response(LIFE, 3_000, 0)
-    first_ms = endpoint_backoffs.FIRST_PROBE_MS
+    first_ms = endpoint_backoffs.INITIAL_PROBE_MS
     sent = []
     for clock.now_ms in range(0, 2 * first_ms + 1, 10):
         for one in probing:
--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -31,7 +31,7 @@
 # The pause before a probe doubles with each that is refused, up to this share
 # of the advertised backoff.
 MAX_PROBE_SHARE = 0.25
-FIRST_PROBE_MS = 100
+INITIAL_PROBE_MS = 100
 # Hosts whose backoffs end together return over this time.
 RETURN_SPREAD_MS = 1_000
 # A host that returns is back to normal after so many responses.
@@ -292,10 +292,10 @@
         """Set when this host returns; hosts follow one another."""
         now_ms = self._clock.mono_ms()
         if not found.probe_interval_ms:
-            found.probe_interval_ms = FIRST_PROBE_MS
-        elif now_ms - found.refused_ms >= FIRST_PROBE_MS:
+            found.probe_interval_ms = INITIAL_PROBE_MS
+        elif now_ms - found.refused_ms >= INITIAL_PROBE_MS:
             longest_ms = max(
-                round(MAX_PROBE_SHARE * backoff_ms), FIRST_PROBE_MS
+                round(MAX_PROBE_SHARE * backoff_ms), INITIAL_PROBE_MS
             )
             doubled_ms = 2 * found.probe_interval_ms
             found.probe_interval_ms = min(doubled_ms, longest_ms)
