--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -41,7 +41,7 @@
 RAMP_WAIT_MS = 50
 # Responses to requests in flight extend a backoff by less than this, which
 # is not worth gossiping.
-LEAST_EXTENSION_MS = 500
+MIN_EXTENSION_MS = 500
 EVICT_INTERVAL_MS = 1_000
 IDLE_KEPT_MS = 10_000
 
@@ -284,7 +284,7 @@
             known_ms = found.told_until_ms
         else:
             known_ms = max(found.told_until_ms, *found.others.values())
-        return found.until_ms - known_ms >= LEAST_EXTENSION_MS
+        return found.until_ms - known_ms >= MIN_EXTENSION_MS
 
     def _back_off(
         self, found: Backoff, until_ms: int, backoff_ms: int
