--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -43,7 +43,7 @@
 # is not worth gossiping.
 MIN_EXTENSION_MS = 500
 EVICT_INTERVAL_MS = 1_000
-IDLE_KEPT_MS = 10_000
+IDLE_TTL_MS = 10_000
 
 Order = collections.abc.Callable[[str], list[str]]
 Exists = collections.abc.Callable[[limiting.EndpointLife], bool]
@@ -118,7 +118,7 @@
             return False
         if self.ramp is None or self.ramp.done:
             return True
-        return now_ms - self.resume_ms > IDLE_KEPT_MS
+        return now_ms - self.resume_ms > IDLE_TTL_MS
 
 
 class EndpointBackoffs:
