--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -45,7 +45,7 @@
 EVICT_INTERVAL_MS = 1_000
 IDLE_TTL_MS = 10_000
 
-Order = collections.abc.Callable[[str], list[str]]
+HostOrder = collections.abc.Callable[[str], list[str]]
 Exists = collections.abc.Callable[[limiting.EndpointLife], bool]
 Tell = collections.abc.Callable[
     [list[limiting.EndpointBackoff]], collections.abc.Awaitable[None]
@@ -127,7 +127,7 @@
     def __init__(
         self,
         host: ids.HostId,
-        order: Order,
+        order: HostOrder,
         exists: Exists,
         tell: Tell,
         clock: clocks.Clock,
--- a/wrenspoke/coordination/limiting/endpoint_gate.py
+++ b/wrenspoke/coordination/limiting/endpoint_gate.py
@@ -37,7 +37,7 @@
     def __init__(
         self,
         host: ids.HostId,
-        order: endpoint_backoffs.Order,
+        order: endpoint_backoffs.HostOrder,
         exists: Exists,
         tell: TellRegion,
         peers: peer_calls.Peers,
