--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -47,7 +47,7 @@
 
 HostOrder = collections.abc.Callable[[str], list[str]]
 Exists = collections.abc.Callable[[limiting.EndpointLife], bool]
-Tell = collections.abc.Callable[
+Gossip = collections.abc.Callable[
     [list[limiting.EndpointBackoff]], collections.abc.Awaitable[None]
 ]
 
@@ -129,7 +129,7 @@
         host: ids.HostId,
         order: HostOrder,
         exists: Exists,
-        tell: Tell,
+        tell: Gossip,
         clock: clocks.Clock,
         agreeing_hosts: int = REFUSAL_QUORUM,
     ):
