--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -71,7 +71,7 @@
         """Return whether the host is back to normal."""
         return self.responses >= RAMP_RESPONSES
 
-    def sent(self, now_ms: int) -> None:
+    def record_request(self, now_ms: int) -> None:
         """Count a request."""
         self.in_flight += 1
         self.sent_ms = now_ms
