--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -76,7 +76,7 @@
         self.in_flight += 1
         self.sent_ms = now_ms
 
-    def answered(self) -> None:
+    def record_response(self) -> None:
         """Count a response."""
         self.in_flight = max(self.in_flight - 1, 0)
         self.responses += 1
