--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -67,7 +67,7 @@
         return self.in_flight > self.responses
 
     @property
-    def done(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether the host is back to normal."""
         return self.responses >= RAMP_RESPONSES
 
@@ -116,7 +116,7 @@
             return False
         if self.refusing(now_ms):
             return False
-        if self.ramp is None or self.ramp.done:
+        if self.ramp is None or self.ramp.is_complete:
             return True
         return now_ms - self.resume_ms > IDLE_TTL_MS
 
