--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -96,7 +96,7 @@
     life: limiting.EndpointLife
     until_ms: int = 0
     resume_ms: int = 0
-    refused_ms: int = 0
+    last_refusal_ms: int = 0
     probe_interval_ms: int = 0
     told_until_ms: int = 0
     unserved: bool = False
@@ -210,7 +210,7 @@
             if host not in refusing
         ]
         place = hosts.index(self._host)
-        return found.refused_ms + (place + 1) * found.probe_interval_ms
+        return found.last_refusal_ms + (place + 1) * found.probe_interval_ms
 
     # Requests.
 
@@ -238,7 +238,7 @@
             return
         found = self._find(life)
         # A response to an older request says nothing of now.
-        if found is None or sent_ms < found.refused_ms:
+        if found is None or sent_ms < found.last_refusal_ms:
             return
         now_ms = self._clock.mono_ms()
         probed = found.unserved or now_ms < found.resume_ms
@@ -293,13 +293,13 @@
         now_ms = self._clock.mono_ms()
         if not found.probe_interval_ms:
             found.probe_interval_ms = INITIAL_PROBE_MS
-        elif now_ms - found.refused_ms >= INITIAL_PROBE_MS:
+        elif now_ms - found.last_refusal_ms >= INITIAL_PROBE_MS:
             longest_ms = max(
                 round(MAX_PROBE_SHARE * backoff_ms), INITIAL_PROBE_MS
             )
             doubled_ms = 2 * found.probe_interval_ms
             found.probe_interval_ms = min(doubled_ms, longest_ms)
-        found.refused_ms = now_ms
+        found.last_refusal_ms = now_ms
         found.ramp = Ramp()
         order = self._order(found.life.endpoint)
         share = order.index(self._host) / len(order)
@@ -341,7 +341,7 @@
         refused = len(found.refusing(now_ms)) + found.unserved
         if refused >= self._agreeing_hosts:
             self._back_off(found, now_ms + left_ms, left_ms)
-        found.refused_ms = now_ms
+        found.last_refusal_ms = now_ms
 
     def _gossip(self, life: limiting.EndpointLife, left_ms: int) -> None:
         self._outbox.add(limiting.EndpointBackoff(life, self._host, left_ms))
