--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -98,7 +98,7 @@
     resume_ms: int = 0
     last_refusal_ms: int = 0
     probe_interval_ms: int = 0
-    told_until_ms: int = 0
+    gossiped_until_ms: int = 0
     unserved: bool = False
     others: dict[ids.HostId, int] = dataclasses.field(default_factory=dict)
     ramp: Ramp | None = None
@@ -275,15 +275,15 @@
         found.until_ms = max(found.until_ms, now_ms + kept_ms)
         self._back_off(found, found.until_ms, kept_ms)
         if self._is_news(found, now_ms):
-            found.told_until_ms = found.until_ms
+            found.gossiped_until_ms = found.until_ms
             self._gossip(life, found.until_ms - now_ms)
 
     def _is_news(self, found: Backoff, now_ms: int) -> bool:
         """Return whether other hosts don't know as much of a refusal."""
         if len(found.refusing(now_ms)) < self._agreeing_hosts:
-            known_ms = found.told_until_ms
+            known_ms = found.gossiped_until_ms
         else:
-            known_ms = max(found.told_until_ms, *found.others.values())
+            known_ms = max(found.gossiped_until_ms, *found.others.values())
         return found.until_ms - known_ms >= MIN_EXTENSION_MS
 
     def _back_off(
