--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -100,15 +100,17 @@
     probe_interval_ms: int = 0
     gossiped_until_ms: int = 0
     unserved: bool = False
-    others: dict[ids.HostId, int] = dataclasses.field(default_factory=dict)
+    peers_until_ms: dict[ids.HostId, int] = dataclasses.field(
+        default_factory=dict
+    )
     ramp: Ramp | None = None
 
     def refusing(self, now_ms: int) -> set[ids.HostId]:
         """Return the other hosts that back off."""
-        for host, until_ms in list(self.others.items()):
+        for host, until_ms in list(self.peers_until_ms.items()):
             if until_ms <= now_ms:
-                del self.others[host]
-        return set(self.others)
+                del self.peers_until_ms[host]
+        return set(self.peers_until_ms)
 
     def idle(self, now_ms: int) -> bool:
         """Return whether nothing of it matters any more."""
@@ -337,7 +339,7 @@
         now_ms = self._clock.mono_ms()
         found = self._hold(notice.life)
         left_ms = min(notice.left_ms, MAX_BACKOFF_MS)
-        found.others[notice.host] = now_ms + left_ms
+        found.peers_until_ms[notice.host] = now_ms + left_ms
         refused = len(found.refusing(now_ms)) + found.unserved
         if refused >= self._agreeing_hosts:
             self._back_off(found, now_ms + left_ms, left_ms)
