--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -105,7 +105,7 @@
     )
     ramp: Ramp | None = None
 
-    def refusing(self, now_ms: int) -> set[ids.HostId]:
+    def backing_off_peers(self, now_ms: int) -> set[ids.HostId]:
         """Return the other hosts that back off."""
         for host, until_ms in list(self.peers_until_ms.items()):
             if until_ms <= now_ms:
@@ -116,7 +116,7 @@
         """Return whether nothing of it matters any more."""
         if now_ms < max(self.until_ms, self.resume_ms):
             return False
-        if self.refusing(now_ms):
+        if self.backing_off_peers(now_ms):
             return False
         if self.ramp is None or self.ramp.is_complete:
             return True
@@ -340,7 +340,7 @@
         found = self._hold(notice.life)
         left_ms = min(notice.left_ms, MAX_BACKOFF_MS)
         found.peers_until_ms[notice.host] = now_ms + left_ms
-        refused = len(found.refusing(now_ms)) + found.unserved
+        refused = len(found.backing_off_peers(now_ms)) + found.unserved
         if refused >= self._agreeing_hosts:
             self._back_off(found, now_ms + left_ms, left_ms)
         found.last_refusal_ms = now_ms
