--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -112,7 +112,7 @@
                 del self.peers_until_ms[host]
         return set(self.peers_until_ms)
 
-    def idle(self, now_ms: int) -> bool:
+    def is_expired(self, now_ms: int) -> bool:
         """Return whether nothing of it matters any more."""
         if now_ms < max(self.until_ms, self.resume_ms):
             return False
