--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -131,7 +131,7 @@
         host: ids.HostId,
         order: HostOrder,
         exists: Exists,
-        tell: Gossip,
+        gossip: Gossip,
         clock: clocks.Clock,
         agreeing_hosts: int = REFUSAL_QUORUM,
     ):
@@ -139,7 +139,7 @@
         self._host = host
         self._order = order
         self._exists = exists
-        self._outbox = outbox.Outbox(tell, clock)
+        self._outbox = outbox.Outbox(gossip, clock)
         self._clock = clock
         self._held: dict[ids.EndpointId, Backoff] = {}
         self._tasks = runtime.Tasks()
