--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -133,9 +133,9 @@
         exists: Exists,
         gossip: Gossip,
         clock: clocks.Clock,
-        agreeing_hosts: int = REFUSAL_QUORUM,
+        refusal_quorum: int = REFUSAL_QUORUM,
     ):
-        self._agreeing_hosts = agreeing_hosts
+        self._agreeing_hosts = refusal_quorum
         self._host = host
         self._order = order
         self._exists = exists
