--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -135,7 +135,7 @@
         clock: clocks.Clock,
         refusal_quorum: int = REFUSAL_QUORUM,
     ):
-        self._agreeing_hosts = refusal_quorum
+        self._refusal_quorum = refusal_quorum
         self._host = host
         self._order = order
         self._exists = exists
@@ -282,7 +282,7 @@
 
     def _is_news(self, found: Backoff, now_ms: int) -> bool:
         """Return whether other hosts don't know as much of a refusal."""
-        if len(found.refusing(now_ms)) < self._agreeing_hosts:
+        if len(found.refusing(now_ms)) < self._refusal_quorum:
             known_ms = found.gossiped_until_ms
         else:
             known_ms = max(found.gossiped_until_ms, *found.others.values())
@@ -341,7 +341,7 @@
         left_ms = min(notice.left_ms, MAX_BACKOFF_MS)
         found.peers_until_ms[notice.host] = now_ms + left_ms
         refused = len(found.backing_off_peers(now_ms)) + found.unserved
-        if refused >= self._agreeing_hosts:
+        if refused >= self._refusal_quorum:
             self._back_off(found, now_ms + left_ms, left_ms)
         found.last_refusal_ms = now_ms
 
