--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -141,7 +141,7 @@
         self._exists = exists
         self._outbox = outbox.Outbox(gossip, clock)
         self._clock = clock
-        self._held: dict[ids.EndpointId, Backoff] = {}
+        self._backoffs: dict[ids.EndpointId, Backoff] = {}
         self._tasks = runtime.Tasks()
         # Requests that each endpoint refused with a time.
         self.refused: collections.Counter[limiting.EndpointLife] = (
@@ -162,7 +162,7 @@
     @property
     def is_idle(self) -> bool:
         """Return whether there are no backoffs."""
-        return not self._held
+        return not self._backoffs
 
     def own_remaining_ms(self, life: limiting.EndpointLife) -> int:
         """Return the rest of the time that was named to this host, in ms."""
@@ -191,12 +191,12 @@
         """Return the endpoints this host backs off from, and for how long."""
         remaining = [
             (endpoint, self.own_remaining_ms(found.life))
-            for endpoint, found in self._held.items()
+            for endpoint, found in self._backoffs.items()
         ]
         return [item for item in remaining if item[1]]
 
     def _find(self, life: limiting.EndpointLife) -> Backoff | None:
-        found = self._held.get(life.endpoint)
+        found = self._backoffs.get(life.endpoint)
         return found if found is not None and found.life == life else None
 
     def _next_probe_ms(self, found: Backoff, now_ms: int) -> int:
@@ -251,7 +251,7 @@
         if found.ramp is not None:
             found.ramp.answered()
         if found.idle(now_ms):
-            del self._held[life.endpoint]
+            del self._backoffs[life.endpoint]
 
     def _refuse(self, life: limiting.EndpointLife, backoff_ms: int) -> None:
         """Begin or extend this host's own backoff.
@@ -319,7 +319,7 @@
     def _hold(self, life: limiting.EndpointLife) -> Backoff:
         found = self._find(life)
         if found is None:
-            found = self._held[life.endpoint] = Backoff(life)
+            found = self._backoffs[life.endpoint] = Backoff(life)
         return found
 
     # Gossip.
@@ -356,9 +356,9 @@
     def evict(self) -> None:
         """Drop state of endpoints that no longer exist or are used again."""
         now_ms = self._clock.mono_ms()
-        for endpoint, found in list(self._held.items()):
+        for endpoint, found in list(self._backoffs.items()):
             if not self._exists(found.life) or found.idle(now_ms):
-                del self._held[endpoint]
+                del self._backoffs[endpoint]
         for life in list(self.refused):
             if not self._exists(life):
                 del self.refused[life]
