--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -236,7 +236,7 @@
         ``backoff_ms`` is 0 where the endpoint asks for none.
         """
         if backoff_ms:
-            self._refuse(life, backoff_ms)
+            self._on_refusal(life, backoff_ms)
             return
         found = self._find(life)
         # A response to an older request says nothing of now.
@@ -253,7 +253,9 @@
         if found.idle(now_ms):
             del self._backoffs[life.endpoint]
 
-    def _refuse(self, life: limiting.EndpointLife, backoff_ms: int) -> None:
+    def _on_refusal(
+        self, life: limiting.EndpointLife, backoff_ms: int
+    ) -> None:
         """Begin or extend this host's own backoff.
 
         A shorter time in a later response does not shorten what the
