--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -278,11 +278,11 @@
         found.unserved = True
         found.until_ms = max(found.until_ms, now_ms + kept_ms)
         self._back_off(found, found.until_ms, kept_ms)
-        if self._is_news(found, now_ms):
+        if self._should_gossip(found, now_ms):
             found.gossiped_until_ms = found.until_ms
             self._gossip(life, found.until_ms - now_ms)
 
-    def _is_news(self, found: Backoff, now_ms: int) -> bool:
+    def _should_gossip(self, found: Backoff, now_ms: int) -> bool:
         """Return whether other hosts don't know as much of a refusal."""
         if len(found.refusing(now_ms)) < self._refusal_quorum:
             known_ms = found.gossiped_until_ms
