--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -277,7 +277,7 @@
             )
         found.unserved = True
         found.until_ms = max(found.until_ms, now_ms + kept_ms)
-        self._back_off(found, found.until_ms, kept_ms)
+        self._schedule_resume(found, found.until_ms, kept_ms)
         if self._should_gossip(found, now_ms):
             found.gossiped_until_ms = found.until_ms
             self._gossip(life, found.until_ms - now_ms)
@@ -290,7 +290,7 @@
             known_ms = max(found.gossiped_until_ms, *found.others.values())
         return found.until_ms - known_ms >= MIN_EXTENSION_MS
 
-    def _back_off(
+    def _schedule_resume(
         self, found: Backoff, until_ms: int, backoff_ms: int
     ) -> None:
         """Set when this host returns; hosts follow one another."""
@@ -344,7 +344,7 @@
         found.peers_until_ms[notice.host] = now_ms + left_ms
         refused = len(found.backing_off_peers(now_ms)) + found.unserved
         if refused >= self._refusal_quorum:
-            self._back_off(found, now_ms + left_ms, left_ms)
+            self._schedule_resume(found, now_ms + left_ms, left_ms)
         found.last_refusal_ms = now_ms
 
     def _gossip(self, life: limiting.EndpointLife, left_ms: int) -> None:
