--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -244,7 +244,7 @@
             return
         now_ms = self._clock.mono_ms()
         probed = found.unserved or now_ms < found.resume_ms
-        self._resume(found)
+        self._clear_peer_refusals(found)
         if probed:
             logger.info('endpoint_serves_again', endpoint=life.endpoint)
             self._gossip(found.life, 0)
@@ -311,7 +311,7 @@
         resume_ms = until_ms + round(spread_ms)
         found.resume_ms = max(found.resume_ms, resume_ms)
 
-    def _resume(self, found: Backoff) -> None:
+    def _clear_peer_refusals(self, found: Backoff) -> None:
         """End what other hosts' refusals said; this host's own time stays."""
         found.unserved = False
         found.probe_interval_ms = 0
@@ -336,7 +336,7 @@
         if not notice.left_ms:
             found = self._find(notice.life)
             if found is not None:
-                self._resume(found)
+                self._clear_peer_refusals(found)
             return
         now_ms = self._clock.mono_ms()
         found = self._hold(notice.life)
