--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -266,7 +266,7 @@
             # A late response of a life that has ended since.
             return
         now_ms = self._clock.mono_ms()
-        found = self._hold(life)
+        found = self._find_or_create(life)
         kept_ms = min(backoff_ms, MAX_BACKOFF_MS)
         if not found.unserved or now_ms >= found.until_ms:
             logger.warning(
@@ -318,7 +318,7 @@
         found.others.clear()
         found.resume_ms = max(found.until_ms, self._clock.mono_ms())
 
-    def _hold(self, life: limiting.EndpointLife) -> Backoff:
+    def _find_or_create(self, life: limiting.EndpointLife) -> Backoff:
         found = self._find(life)
         if found is None:
             found = self._backoffs[life.endpoint] = Backoff(life)
@@ -339,7 +339,7 @@
                 self._clear_peer_refusals(found)
             return
         now_ms = self._clock.mono_ms()
-        found = self._hold(notice.life)
+        found = self._find_or_create(notice.life)
         left_ms = min(notice.left_ms, MAX_BACKOFF_MS)
         found.peers_until_ms[notice.host] = now_ms + left_ms
         refused = len(found.backing_off_peers(now_ms)) + found.unserved
