--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -151,7 +151,7 @@
     def start(self) -> None:
         """Begin to gossip backoffs to other hosts."""
         self._tasks.start(self._outbox.run())
-        self._tasks.start(self._keep_evicting())
+        self._tasks.start(self._run_eviction())
 
     async def close(self) -> None:
         """End every task."""
@@ -350,7 +350,7 @@
     def _gossip(self, life: limiting.EndpointLife, left_ms: int) -> None:
         self._outbox.add(limiting.EndpointBackoff(life, self._host, left_ms))
 
-    async def _keep_evicting(self) -> None:
+    async def _run_eviction(self) -> None:
         while True:
             await self._clock.sleep_ms(EVICT_INTERVAL_MS)
             self.evict()
