--- a/wrenspoke/coordination/limiting/leaving_endpoints.py
+++ b/wrenspoke/coordination/limiting/leaving_endpoints.py
@@ -20,7 +20,7 @@
 
 EVICT_INTERVAL_MS = 1_000
 # A mark that ends is gossiped again when this part of its time is over.
-RETELL_SHARE = 0.25
+REGOSSIP_SHARE = 0.25
 
 Exists = collections.abc.Callable[[limiting.EndpointLife], bool]
 Listener = collections.abc.Callable[[limiting.EndpointLife], None]
@@ -113,7 +113,7 @@
         if self._kept_ms is None:
             return False
         told_ms = self._told_ms.get(life, 0)
-        return now_ms - told_ms >= RETELL_SHARE * self._kept_ms
+        return now_ms - told_ms >= REGOSSIP_SHARE * self._kept_ms
 
     async def _evict(self) -> None:
         """Drop state of endpoints that no longer exist."""
