--- a/wrenspoke/coordination/limiting/leaving_endpoints.py
+++ b/wrenspoke/coordination/limiting/leaving_endpoints.py
@@ -24,7 +24,7 @@
 
 Exists = collections.abc.Callable[[limiting.EndpointLife], bool]
 Listener = collections.abc.Callable[[limiting.EndpointLife], None]
-Tell = collections.abc.Callable[
+Gossip = collections.abc.Callable[
     [list[limiting.EndpointLife]], collections.abc.Awaitable[None]
 ]
 
@@ -35,7 +35,7 @@
     def __init__(
         self,
         exists: Exists,
-        tell: Tell,
+        tell: Gossip,
         kept_ms: int | None,
         clock: clocks.Clock,
     ):
