--- a/wrenspoke/coordination/limiting/leaving_endpoints.py
+++ b/wrenspoke/coordination/limiting/leaving_endpoints.py
@@ -35,12 +35,12 @@
     def __init__(
         self,
         exists: Exists,
-        tell: Gossip,
+        gossip: Gossip,
         kept_ms: int | None,
         clock: clocks.Clock,
     ):
         self._exists = exists
-        self._outbox = outbox.Outbox(tell, clock)
+        self._outbox = outbox.Outbox(gossip, clock)
         self._kept_ms = kept_ms
         self._clock = clock
         # When each endpoint last said so, and when that was gossiped.
