--- a/wrenspoke/coordination/limiting/leaving_endpoints.py
+++ b/wrenspoke/coordination/limiting/leaving_endpoints.py
@@ -36,12 +36,12 @@
         self,
         exists: Exists,
         gossip: Gossip,
-        kept_ms: int | None,
+        ttl_ms: int | None,
         clock: clocks.Clock,
     ):
         self._exists = exists
         self._outbox = outbox.Outbox(gossip, clock)
-        self._kept_ms = kept_ms
+        self._kept_ms = ttl_ms
         self._clock = clock
         # When each endpoint last said so, and when that was gossiped.
         self._marked_ms: dict[limiting.EndpointLife, int] = {}
