--- a/wrenspoke/coordination/limiting/leaving_endpoints.py
+++ b/wrenspoke/coordination/limiting/leaving_endpoints.py
@@ -41,7 +41,7 @@
     ):
         self._exists = exists
         self._outbox = outbox.Outbox(gossip, clock)
-        self._kept_ms = ttl_ms
+        self._ttl_ms = ttl_ms
         self._clock = clock
         # When each endpoint last said so, and when that was gossiped.
         self._marked_ms: dict[limiting.EndpointLife, int] = {}
@@ -72,8 +72,8 @@
         marked_ms = self._marked_ms.get(life)
         if marked_ms is None:
             return False
-        return self._kept_ms is None or (
-            self._clock.mono_ms() - marked_ms < self._kept_ms
+        return self._ttl_ms is None or (
+            self._clock.mono_ms() - marked_ms < self._ttl_ms
         )
 
     def active(self) -> list[ids.EndpointId]:
@@ -110,10 +110,10 @@
 
     def _is_due(self, life: limiting.EndpointLife, now_ms: int) -> bool:
         """Return whether a mark has to be gossiped again."""
-        if self._kept_ms is None:
+        if self._ttl_ms is None:
             return False
         told_ms = self._told_ms.get(life, 0)
-        return now_ms - told_ms >= REGOSSIP_SHARE * self._kept_ms
+        return now_ms - told_ms >= REGOSSIP_SHARE * self._ttl_ms
 
     async def _evict(self) -> None:
         """Drop state of endpoints that no longer exist."""
