--- a/wrenspoke/coordination/limiting/leaving_endpoints.py
+++ b/wrenspoke/coordination/limiting/leaving_endpoints.py
@@ -44,7 +44,7 @@
         self._ttl_ms = ttl_ms
         self._clock = clock
         # When each endpoint last said so, and when that was gossiped.
-        self._marked_ms: dict[limiting.EndpointLife, int] = {}
+        self._last_marked_ms: dict[limiting.EndpointLife, int] = {}
         self._told_ms: dict[limiting.EndpointLife, int] = {}
         self._listeners: list[Listener] = []
         self._tasks = runtime.Tasks()
@@ -65,11 +65,11 @@
     @property
     def is_idle(self) -> bool:
         """Return whether no endpoint said that it leaves."""
-        return not self._marked_ms
+        return not self._last_marked_ms
 
     def is_leaving(self, life: limiting.EndpointLife) -> bool:
         """Return whether an endpoint said that it leaves."""
-        marked_ms = self._marked_ms.get(life)
+        marked_ms = self._last_marked_ms.get(life)
         if marked_ms is None:
             return False
         return self._ttl_ms is None or (
@@ -79,7 +79,9 @@
     def active(self) -> list[ids.EndpointId]:
         """Return the endpoints that leave."""
         return [
-            life.endpoint for life in self._marked_ms if self.is_leaving(life)
+            life.endpoint
+            for life in self._last_marked_ms
+            if self.is_leaving(life)
         ]
 
     def mark(self, life: limiting.EndpointLife) -> None:
@@ -103,7 +105,7 @@
     def _mark(self, life: limiting.EndpointLife, now_ms: int) -> bool:
         """Mark an endpoint; return whether it was not marked before."""
         was_leaving = self.is_leaving(life)
-        self._marked_ms[life] = now_ms
+        self._last_marked_ms[life] = now_ms
         if not was_leaving:
             logger.info('endpoint_leaving', endpoint=life.endpoint)
         return not was_leaving
@@ -119,7 +121,7 @@
         """Drop state of endpoints that no longer exist."""
         while True:
             await self._clock.sleep_ms(EVICT_INTERVAL_MS)
-            for life in list(self._marked_ms):
+            for life in list(self._last_marked_ms):
                 if not self._exists(life):
-                    del self._marked_ms[life]
+                    del self._last_marked_ms[life]
                     self._told_ms.pop(life, None)
