--- a/wrenspoke/coordination/limiting/leaving_endpoints.py
+++ b/wrenspoke/coordination/limiting/leaving_endpoints.py
@@ -45,7 +45,7 @@
         self._clock = clock
         # When each endpoint last said so, and when that was gossiped.
         self._last_marked_ms: dict[limiting.EndpointLife, int] = {}
-        self._told_ms: dict[limiting.EndpointLife, int] = {}
+        self._last_gossiped_ms: dict[limiting.EndpointLife, int] = {}
         self._listeners: list[Listener] = []
         self._tasks = runtime.Tasks()
 
@@ -89,7 +89,7 @@
         now_ms = self._clock.mono_ms()
         if not self._mark(life, now_ms) and not self._is_due(life, now_ms):
             return
-        self._told_ms[life] = now_ms
+        self._last_gossiped_ms[life] = now_ms
         self._outbox.add(life)
         for listener in self._listeners:
             listener(life)
@@ -100,7 +100,7 @@
         for life in received:
             if self._exists(life):
                 self._mark(life, now_ms)
-                self._told_ms[life] = now_ms
+                self._last_gossiped_ms[life] = now_ms
 
     def _mark(self, life: limiting.EndpointLife, now_ms: int) -> bool:
         """Mark an endpoint; return whether it was not marked before."""
@@ -114,7 +114,7 @@
         """Return whether a mark has to be gossiped again."""
         if self._ttl_ms is None:
             return False
-        told_ms = self._told_ms.get(life, 0)
+        told_ms = self._last_gossiped_ms.get(life, 0)
         return now_ms - told_ms >= REGOSSIP_SHARE * self._ttl_ms
 
     async def _evict(self) -> None:
@@ -124,4 +124,4 @@
             for life in list(self._last_marked_ms):
                 if not self._exists(life):
                     del self._last_marked_ms[life]
-                    self._told_ms.pop(life, None)
+                    self._last_gossiped_ms.pop(life, None)
