--- a/wrenspoke/coordination/limiting/leaving_endpoints.py
+++ b/wrenspoke/coordination/limiting/leaving_endpoints.py
@@ -87,7 +87,9 @@
     def mark(self, life: limiting.EndpointLife) -> None:
         """Take an endpoint's word that it leaves."""
         now_ms = self._clock.mono_ms()
-        if not self._mark(life, now_ms) and not self._is_due(life, now_ms):
+        if not self._mark(life, now_ms) and not self._needs_regossip(
+            life, now_ms
+        ):
             return
         self._last_gossiped_ms[life] = now_ms
         self._outbox.add(life)
@@ -110,7 +112,9 @@
             logger.info('endpoint_leaving', endpoint=life.endpoint)
         return not was_leaving
 
-    def _is_due(self, life: limiting.EndpointLife, now_ms: int) -> bool:
+    def _needs_regossip(
+        self, life: limiting.EndpointLife, now_ms: int
+    ) -> bool:
         """Return whether a mark has to be gossiped again."""
         if self._ttl_ms is None:
             return False
