--- a/wrenspoke/coordination/limiting/leaving_endpoints.py
+++ b/wrenspoke/coordination/limiting/leaving_endpoints.py
@@ -52,7 +52,7 @@
     def start(self) -> None:
         """Begin to gossip leaves to other hosts."""
         self._tasks.start(self._outbox.run())
-        self._tasks.start(self._evict())
+        self._tasks.start(self._evict_missing())
 
     async def close(self) -> None:
         """End every task."""
@@ -121,7 +121,7 @@
         told_ms = self._last_gossiped_ms.get(life, 0)
         return now_ms - told_ms >= REGOSSIP_SHARE * self._ttl_ms
 
-    async def _evict(self) -> None:
+    async def _evict_missing(self) -> None:
         """Drop state of endpoints that no longer exist."""
         while True:
             await self._clock.sleep_ms(EVICT_INTERVAL_MS)
