--- a/wrenspoke/coordination/limiting/endpoint_gate.py
+++ b/wrenspoke/coordination/limiting/endpoint_gate.py
@@ -26,7 +26,7 @@
 logger = structlog.get_logger(__name__)
 
 Exists = collections.abc.Callable[[limiting.EndpointLife], bool]
-TellRegion = collections.abc.Callable[
+GossipToRegion = collections.abc.Callable[
     [attending.TellRegion], collections.abc.Awaitable[None]
 ]
 
@@ -39,7 +39,7 @@
         host: ids.HostId,
         order: endpoint_backoffs.HostOrder,
         exists: Exists,
-        tell: TellRegion,
+        tell: GossipToRegion,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
         leaving_kept_ms: int | None = None,
