--- a/wrenspoke/coordination/limiting/endpoint_gate.py
+++ b/wrenspoke/coordination/limiting/endpoint_gate.py
@@ -39,21 +39,21 @@
         host: ids.HostId,
         order: endpoint_backoffs.HostOrder,
         exists: Exists,
-        tell: GossipToRegion,
+        gossip: GossipToRegion,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
         leaving_kept_ms: int | None = None,
     ):
         async def tell_limits(limits: list[limiting.EndpointLimit]) -> None:
-            await tell(attending.TellRegion(limits=limits))
+            await gossip(attending.TellRegion(limits=limits))
 
         async def tell_backoffs(
             backoffs: list[limiting.EndpointBackoff],
         ) -> None:
-            await tell(attending.TellRegion(backoffs=backoffs))
+            await gossip(attending.TellRegion(backoffs=backoffs))
 
         async def tell_leaving(lives: list[limiting.EndpointLife]) -> None:
-            await tell(attending.TellRegion(leaving=lives))
+            await gossip(attending.TellRegion(leaving=lives))
 
         self._clock = clock
         self.limits = endpoint_limits.EndpointLimits(
