--- a/wrenspoke/coordination/limiting/endpoint_gate.py
+++ b/wrenspoke/coordination/limiting/endpoint_gate.py
@@ -42,7 +42,7 @@
         gossip: GossipToRegion,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
-        leaving_kept_ms: int | None = None,
+        leaving_ttl_ms: int | None = None,
     ):
         async def tell_limits(limits: list[limiting.EndpointLimit]) -> None:
             await gossip(attending.TellRegion(limits=limits))
@@ -63,7 +63,7 @@
             host, order, exists, tell_backoffs, clock
         )
         self.leaving = leaving_endpoints.LeavingEndpoints(
-            exists, tell_leaving, leaving_kept_ms, clock
+            exists, tell_leaving, leaving_ttl_ms, clock
         )
         # Endpoints whose last value of a header was malformed; logged once.
         self._malformed: set[tuple[limiting.EndpointLife, str]] = set()
