--- a/wrenspoke/coordination/limiting/endpoint_gate.py
+++ b/wrenspoke/coordination/limiting/endpoint_gate.py
@@ -44,7 +44,7 @@
         clock: clocks.Clock,
         leaving_ttl_ms: int | None = None,
     ):
-        async def tell_limits(limits: list[limiting.EndpointLimit]) -> None:
+        async def gossip_limits(limits: list[limiting.EndpointLimit]) -> None:
             await gossip(attending.TellRegion(limits=limits))
 
         async def tell_backoffs(
@@ -57,7 +57,7 @@
 
         self._clock = clock
         self.limits = endpoint_limits.EndpointLimits(
-            host, order, exists, tell_limits, peers, clock
+            host, order, exists, gossip_limits, peers, clock
         )
         self.backoffs = endpoint_backoffs.EndpointBackoffs(
             host, order, exists, tell_backoffs, clock
