--- a/wrenspoke/coordination/limiting/endpoint_gate.py
+++ b/wrenspoke/coordination/limiting/endpoint_gate.py
@@ -47,7 +47,7 @@
         async def gossip_limits(limits: list[limiting.EndpointLimit]) -> None:
             await gossip(attending.TellRegion(limits=limits))
 
-        async def tell_backoffs(
+        async def gossip_backoffs(
             backoffs: list[limiting.EndpointBackoff],
         ) -> None:
             await gossip(attending.TellRegion(backoffs=backoffs))
@@ -60,7 +60,7 @@
             host, order, exists, gossip_limits, peers, clock
         )
         self.backoffs = endpoint_backoffs.EndpointBackoffs(
-            host, order, exists, tell_backoffs, clock
+            host, order, exists, gossip_backoffs, clock
         )
         self.leaving = leaving_endpoints.LeavingEndpoints(
             exists, tell_leaving, leaving_ttl_ms, clock
