--- a/wrenspoke/coordination/limiting/endpoint_gate.py
+++ b/wrenspoke/coordination/limiting/endpoint_gate.py
@@ -52,7 +52,7 @@
         ) -> None:
             await gossip(attending.TellRegion(backoffs=backoffs))
 
-        async def tell_leaving(lives: list[limiting.EndpointLife]) -> None:
+        async def gossip_leaving(lives: list[limiting.EndpointLife]) -> None:
             await gossip(attending.TellRegion(leaving=lives))
 
         self._clock = clock
@@ -63,7 +63,7 @@
             host, order, exists, gossip_backoffs, clock
         )
         self.leaving = leaving_endpoints.LeavingEndpoints(
-            exists, tell_leaving, leaving_ttl_ms, clock
+            exists, gossip_leaving, leaving_ttl_ms, clock
         )
         # Endpoints whose last value of a header was malformed; logged once.
         self._malformed: set[tuple[limiting.EndpointLife, str]] = set()
