--- a/tests/test_endpoint_gate.py
+++ b/tests/test_endpoint_gate.py
@@ -85,7 +85,7 @@
     with pytest.raises(errors.EndpointBackoffError):
         gate.acquire_poll(LIFE)
     # What ends work there is welcome.
-    assert gate.unchecked(LIFE).is_valid()
+    assert gate.acquire_unchecked(LIFE).is_valid()
     clock.now_ms = 3_000
     assert gate.acquire_poll(LIFE).is_valid()
     assert (await gate.acquire(LIFE, RANK)).is_valid()
--- a/wrenspoke/coordination/limiting/endpoint_gate.py
+++ b/wrenspoke/coordination/limiting/endpoint_gate.py
@@ -124,9 +124,9 @@
         remaining_ms = self.backoffs.own_remaining_ms(life)
         if remaining_ms:
             raise errors.EndpointBackoffError(life.endpoint, remaining_ms)
-        return self.unchecked(life)
+        return self.acquire_unchecked(life)
 
-    def unchecked(self, life: limiting.EndpointLife) -> 'GatePermit':
+    def acquire_unchecked(self, life: limiting.EndpointLife) -> 'GatePermit':
         """Return a permit to end or direct what an endpoint already does."""
         return GatePermit(self, life, self._clock.mono_ms())
 
--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -307,7 +307,7 @@
         if send.purpose is Purpose.LOAD:
             return self._gate.acquire_poll(life)
         if send.purpose not in WORK:
-            return self._gate.unchecked(life)
+            return self._gate.acquire_unchecked(life)
         rank = endpoint_limits.FIRST_RANK
         if send.purpose is not Purpose.RESUME and send.head is not None:
             urgency = requests.Priority.HIGH - send.head.priority
