--- a/benches/switches_backoffs.py
+++ b/benches/switches_backoffs.py
@@ -67,7 +67,7 @@
     Switch(
         'polls show that an endpoint serves',
         GATE,
-        'if backoff_ms or (work and head',
+        'if backoff_ms or (is_work and head',
         'if backoff_ms or (head',
         f'{PERMITS}::test_poll_does_not_show_that_an_endpoint_serves',
     ),
--- a/tests/test_advertised.py
+++ b/tests/test_advertised.py
@@ -190,7 +190,7 @@
             leaving=tuple(leavings),
         ),
         NOW_MS,
-        work=True,
+        is_work=True,
     )
     longest_ms = endpoint_backoffs.MAX_BACKOFF_MS
     assert 0 <= gate.remaining_ms(LIFE) <= longest_ms
--- a/wrenspoke/coordination/limiting/endpoint_gate.py
+++ b/wrenspoke/coordination/limiting/endpoint_gate.py
@@ -135,7 +135,7 @@
         life: limiting.EndpointLife,
         head: advertised.Advertised,
         sent_ms: int,
-        work: bool,
+        is_work: bool,
     ) -> None:
         """Update an endpoint's state from the head of a response.
 
@@ -144,7 +144,7 @@
         if not head.own:
             return
         backoff_ms = self._backoff_ms(life, head)
-        if backoff_ms or (work and head.status not in advertised.REFUSALS):
+        if backoff_ms or (is_work and head.status not in advertised.REFUSALS):
             self.backoffs.on_response(life, backoff_ms, sent_ms)
         if self._is_leaving(life, head):
             self.leaving.mark(life)
