--- a/wrenspoke/coordination/limiting/endpoint_gate.py
+++ b/wrenspoke/coordination/limiting/endpoint_gate.py
@@ -202,13 +202,13 @@
         gate: EndpointGate,
         life: limiting.EndpointLife,
         acquired_ms: int,
-        limit: endpoint_limits.SendPermit | None = None,
+        limit_permit: endpoint_limits.SendPermit | None = None,
         continues: bool = False,
     ):
         self._gate = gate
         self._life = life
         self._acquired_ms = acquired_ms
-        self._limit = limit
+        self._limit = limit_permit
         self._continues = continues
 
     def is_valid(self) -> bool:
