--- a/wrenspoke/coordination/limiting/endpoint_gate.py
+++ b/wrenspoke/coordination/limiting/endpoint_gate.py
@@ -203,13 +203,13 @@
         life: limiting.EndpointLife,
         acquired_ms: int,
         limit_permit: endpoint_limits.SendPermit | None = None,
-        continues: bool = False,
+        is_continuation: bool = False,
     ):
         self._gate = gate
         self._life = life
         self._acquired_ms = acquired_ms
         self._limit = limit_permit
-        self._continues = continues
+        self._continues = is_continuation
 
     def is_valid(self) -> bool:
         """Return whether the permit is still valid at send time.
--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -313,7 +313,7 @@
             urgency = requests.Priority.HIGH - send.head.priority
             rank = endpoint_limits.rank_of(urgency, prompt_cached=False)
         return await self._gate.acquire(
-            life, rank, continues=send.purpose is Purpose.RESUME
+            life, rank, is_continuation=send.purpose is Purpose.RESUME
         )
 
     def _may_leave(
