--- a/wrenspoke/coordination/limiting/endpoint_gate.py
+++ b/wrenspoke/coordination/limiting/endpoint_gate.py
@@ -208,7 +208,7 @@
         self._gate = gate
         self._life = life
         self._acquired_ms = acquired_ms
-        self._limit = limit_permit
+        self._limit_permit = limit_permit
         self._continues = is_continuation
 
     def is_valid(self) -> bool:
@@ -217,20 +217,20 @@
         The endpoint may have asked for backoff, or said that it leaves,
         while the request waited for a connection.
         """
-        if self._limit is None:
+        if self._limit_permit is None:
             return True
         if self._gate.backoffs.own_remaining_ms(self._life):
             return False
         leaving = self._gate.leaving.is_leaving(self._life)
         if leaving and not self._continues:
             return False
-        return self._limit.is_valid()
+        return self._limit_permit.is_valid()
 
     def on_response(self, head: advertised.Advertised) -> None:
         """Update the endpoint's state from the head of the response."""
-        if self._limit is not None:
+        if self._limit_permit is not None:
             echoed = head.origin is advertised.Origin.ECHOED
-            self._limit.on_response(head.limits, echoed)
+            self._limit_permit.on_response(head.limits, echoed)
         self._gate.on_response(
-            self._life, head, self._acquired_ms, self._limit is not None
+            self._life, head, self._acquired_ms, self._limit_permit is not None
         )
