--- a/benches/switches_backoffs.py
+++ b/benches/switches_backoffs.py
@@ -53,7 +53,7 @@
     Switch(
         'permits valid at what leaves',
         GATE,
-        'if leaving and not self._continues:',
+        'if leaving and not self._is_continuation:',
         'if False:',
         f'{PERMITS}::test_permit_ends_with_what_comes_before_it_is_used',
     ),
--- a/wrenspoke/coordination/limiting/endpoint_gate.py
+++ b/wrenspoke/coordination/limiting/endpoint_gate.py
@@ -209,7 +209,7 @@
         self._life = life
         self._acquired_ms = acquired_ms
         self._limit_permit = limit_permit
-        self._continues = is_continuation
+        self._is_continuation = is_continuation
 
     def is_valid(self) -> bool:
         """Return whether the permit is still valid at send time.
@@ -222,7 +222,7 @@
         if self._gate.backoffs.own_remaining_ms(self._life):
             return False
         leaving = self._gate.leaving.is_leaving(self._life)
-        if leaving and not self._continues:
+        if leaving and not self._is_continuation:
             return False
         return self._limit_permit.is_valid()
 
