--- a/wrenspoke/coordination/limiting/outbox.py
+++ b/wrenspoke/coordination/limiting/outbox.py
@@ -6,7 +6,7 @@
 
 from wrenspoke import clock as clocks
 
-GATHER_MS = 4
+BATCH_DELAY_MS = 4
 
 Item = typing.TypeVar('Item')
 
@@ -35,7 +35,7 @@
         """Send batches until cancelled."""
         while True:
             await self._has_items.wait()
-            await self._clock.sleep_ms(GATHER_MS)
+            await self._clock.sleep_ms(BATCH_DELAY_MS)
             self._has_items.clear()
             items, self._items = self._items, []
             await self._tell(items)
