--- a/wrenspoke/coordination/limiting/outbox.py
+++ b/wrenspoke/coordination/limiting/outbox.py
@@ -16,12 +16,12 @@
 
     def __init__(
         self,
-        tell: collections.abc.Callable[
+        send_batch: collections.abc.Callable[
             [list[Item]], collections.abc.Awaitable[None]
         ],
         clock: clocks.Clock,
     ):
-        self._tell = tell
+        self._tell = send_batch
         self._clock = clock
         self._items: list[Item] = []
         self._has_items = asyncio.Event()
