--- a/wrenspoke/coordination/limiting/outbox.py
+++ b/wrenspoke/coordination/limiting/outbox.py
@@ -21,7 +21,7 @@
         ],
         clock: clocks.Clock,
     ):
-        self._tell = send_batch
+        self._send_batch = send_batch
         self._clock = clock
         self._items: list[Item] = []
         self._has_items = asyncio.Event()
@@ -38,4 +38,4 @@
             await self._clock.sleep_ms(BATCH_DELAY_MS)
             self._has_items.clear()
             items, self._items = self._items, []
-            await self._tell(items)
+            await self._send_batch(items)
