--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -182,7 +182,7 @@
         full = found.ramp is not None and found.ramp.is_full(now_ms)
         if now_ms >= found.resume_ms:
             return RAMP_WAIT_MS if full else 0
-        if full or not found.refusing(now_ms):
+        if full or not found.backing_off_peers(now_ms):
             return found.resume_ms - now_ms
         probe_ms = self._next_probe_ms(found, now_ms)
         return max(min(found.resume_ms, probe_ms) - now_ms, 0)
@@ -205,7 +205,7 @@
         The hosts that were not refused take turns, in an order on which all
         agree; who gets no requests leaves the turn to the next.
         """
-        refusing = found.refusing(now_ms)
+        backing_off_peers = found.backing_off_peers(now_ms)
         hosts = [
             host
             for host in self._order(found.life.endpoint)
@@ -284,7 +284,7 @@
 
     def _should_gossip(self, found: Backoff, now_ms: int) -> bool:
         """Return whether other hosts don't know as much of a refusal."""
-        if len(found.refusing(now_ms)) < self._refusal_quorum:
+        if len(found.backing_off_peers(now_ms)) < self._refusal_quorum:
             known_ms = found.gossiped_until_ms
         else:
             known_ms = max(found.gossiped_until_ms, *found.others.values())
