--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -250,7 +250,7 @@
             self._gossip(found.life, 0)
         if found.ramp is not None:
             found.ramp.answered()
-        if found.idle(now_ms):
+        if found.is_expired(now_ms):
             del self._backoffs[life.endpoint]
 
     def _on_refusal(
@@ -359,7 +359,7 @@
         """Drop state of endpoints that no longer exist or are used again."""
         now_ms = self._clock.mono_ms()
         for endpoint, found in list(self._backoffs.items()):
-            if not self._exists(found.life) or found.idle(now_ms):
+            if not self._exists(found.life) or found.is_expired(now_ms):
                 del self._backoffs[endpoint]
         for life in list(self.refused):
             if not self._exists(life):
