--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -226,7 +226,7 @@
             raise errors.EndpointBackoffError(life.endpoint, remaining_ms)
         found = self._find(life)
         if found is not None and found.ramp is not None:
-            found.ramp.sent(self._clock.mono_ms())
+            found.ramp.record_request(self._clock.mono_ms())
 
     def on_response(
         self, life: limiting.EndpointLife, backoff_ms: int, sent_ms: int
