--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -249,7 +249,7 @@
             logger.info('endpoint_serves_again', endpoint=life.endpoint)
             self._gossip(found.life, 0)
         if found.ramp is not None:
-            found.ramp.answered()
+            found.ramp.record_response()
         if found.is_expired(now_ms):
             del self._backoffs[life.endpoint]
 
