--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -287,7 +287,9 @@
         if len(found.backing_off_peers(now_ms)) < self._refusal_quorum:
             known_ms = found.gossiped_until_ms
         else:
-            known_ms = max(found.gossiped_until_ms, *found.others.values())
+            known_ms = max(
+                found.gossiped_until_ms, *found.peers_until_ms.values()
+            )
         return found.until_ms - known_ms >= MIN_EXTENSION_MS
 
     def _schedule_resume(
@@ -315,7 +317,7 @@
         """End what other hosts' refusals said; this host's own time stays."""
         found.unserved = False
         found.probe_interval_ms = 0
-        found.others.clear()
+        found.peers_until_ms.clear()
         found.resume_ms = max(found.until_ms, self._clock.mono_ms())
 
     def _find_or_create(self, life: limiting.EndpointLife) -> Backoff:
