--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -235,7 +235,7 @@
         its limit nobody waits: it would take as long for the next, and the
         calls that find their amount at once are the most that can be served.
         """
-        held.fill(self._clock.mono_ms())
+        held.refill(self._clock.mono_ms())
         wait_ms = held.wait_ms(amount_ms)
         if wait_ms is None:
             settled_ms = self._settled_ms - self._clock.mono_ms()
@@ -336,7 +336,7 @@
                 del self._buckets[team]
                 continue
             held.depth_ms = self._overshoot.depth_ms(limit)
-            held.fill(now_ms)
+            held.refill(now_ms)
             wanted = held.wanted(now_ms)
             if not wanted and not held.share:
                 del self._buckets[team]
@@ -361,7 +361,7 @@
         held = self._buckets.get(granted.team)
         if held is None:
             return
-        held.fill(self._clock.mono_ms())
+        held.refill(self._clock.mono_ms())
         held.under_granted = granted.share < wanted
         if granted.share < held.share:
             held.apply_if_lower(granted.share)
