--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -142,7 +142,7 @@
         self, lent: _EndpointBucket, rank: int, amount_ms: float
     ) -> int:
         """Take one request's tokens; return 0, or the wait in milliseconds."""
-        level = lent.level
+        tokens = lent.tokens
         now_ms = self._clock.mono_ms()
         lacking_ms = level.wait_ms(amount_ms)
         if not lacking_ms and lent.is_reserved(rank, now_ms):
