--- a/benches/switches_limits.py
+++ b/benches/switches_limits.py
@@ -78,7 +78,7 @@
     Switch(
         'older answers end a limit',
         LIMITING + 'endpoint_buckets.py',
-        'return grant.number > lent.named',
+        'return grant.number > lent.last_advertised',
         'return True',
         f'{UNITS}::test_older_answer_ends_no_limit',
     ),
--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -225,7 +225,7 @@
         """Return whether a response is newer than all that named a limit."""
         if grant is None or grant.life != self._life:
             return False
-        return grant.number > lent.named
+        return grant.number > lent.last_advertised
 
     def _merge(self, known: limiting.EndpointLimit) -> None:
         if self._advertised.merge(known):
