--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -216,7 +216,7 @@
         if not self._is_newest(grant, lent):
             return
         lent.last_advertised = lent.last_granted
-        self._advertised.change(life, rate_per_s)
+        self._advertised.apply_rate(life, rate_per_s)
         self._schedule_gossip(life)
 
     def _is_newest(
