--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -260,7 +260,7 @@
 def heard(allocated, host, *shares):
     """Let a lender ask, and return what comes of it."""
     message = limiting.AskShares(list(shares), 'life', next(NUMBERS))
-    return allocated._answer(host, message)
+    return allocated._handle_ask_shares(host, message)
 
 
 async def leading(lenders=()):
