--- a/tests/backoff_fleet.py
+++ b/tests/backoff_fleet.py
@@ -9,8 +9,8 @@
 import collections
 import dataclasses
 
-from tests import group
 from tests import endpoint_limit_fleet
+from tests import group
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.limiting import endpoint_backoffs
 from wrenspoke.protocol import attending
--- a/tests/team_limit_fleet.py
+++ b/tests/team_limit_fleet.py
@@ -14,8 +14,8 @@
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.limiting import allocator
 from wrenspoke.coordination.limiting import bounds
-from wrenspoke.coordination.limiting import team_buckets
 from wrenspoke.coordination.limiting import limiter
+from wrenspoke.coordination.limiting import team_buckets
 from wrenspoke.coordination.membership import attendance
 from wrenspoke.coordination.serving import routing
 from wrenspoke.state import replicated
--- a/tests/test_advertised_limits.py
+++ b/tests/test_advertised_limits.py
@@ -8,8 +8,8 @@
 
 from tests import test_registry
 from wrenspoke.coordination.limiting import advertised_limits
+from wrenspoke.coordination.limiting import bucket_owners
 from wrenspoke.coordination.limiting import endpoint_buckets
-from wrenspoke.coordination.limiting import bucket_owners as region_lenders
 from wrenspoke.coordination.serving import return_line
 from wrenspoke.protocol import errors
 from wrenspoke.protocol import limiting
@@ -141,9 +141,7 @@
     async def tell(_limits):
         return
 
-    lenders = region_lenders.BucketOwners(
-        lambda _key: ['h'], 0, Peers(), clock
-    )
+    lenders = bucket_owners.BucketOwners(lambda _key: ['h'], 0, Peers(), clock)
     return endpoint_buckets.EndpointBuckets(
         'h', lenders, known, tell, Peers(), clock
     )
--- a/tests/test_endpoint_limit_fleet.py
+++ b/tests/test_endpoint_limit_fleet.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from tests import group
 from tests import endpoint_limit_fleet
+from tests import group
 from wrenspoke.coordination.limiting import endpoint_buckets
 
 CALLS_PER_S = 40
--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -12,8 +12,8 @@
 import pytest
 
 from tests import group
-from tests import team_limit_fleet
 from tests import quarantined_fleet
+from tests import team_limit_fleet
 from wrenspoke.coordination.quarantine import ended_runs
 from wrenspoke.coordination.quarantine import gatherer
 from wrenspoke.coordination.quarantine import holds
--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -209,7 +209,7 @@
         hosts = [
             host
             for host in self._order(found.life.endpoint)
-            if host not in refusing
+            if host not in backing_off_peers
         ]
         place = hosts.index(self._host)
         return found.last_refusal_ms + (place + 1) * found.probe_interval_ms
--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -16,7 +16,7 @@
 
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.limiting import advertised_limits
-from wrenspoke.coordination.limiting import bucket_owners as region_lenders
+from wrenspoke.coordination.limiting import bucket_owners
 from wrenspoke.coordination.limiting import token_bucket
 from wrenspoke import ids
 from wrenspoke.protocol import limiting
@@ -81,7 +81,7 @@
     def __init__(
         self,
         host: ids.HostId,
-        owners: region_lenders.BucketOwners,
+        owners: bucket_owners.BucketOwners,
         advertised: advertised_limits.AdvertisedLimits,
         gossip: Gossip,
         peers: peer_calls.Peers,
@@ -144,11 +144,11 @@
         """Take one request's tokens; return 0, or the wait in milliseconds."""
         tokens = lent.tokens
         now_ms = self._clock.mono_ms()
-        lacking_ms = level.wait_ms(amount_ms)
+        lacking_ms = tokens.wait_ms(amount_ms)
         if not lacking_ms and lent.is_reserved(rank, now_ms):
-            lacking_ms = level.wait_ms(level.capacity_ms)
+            lacking_ms = tokens.wait_ms(tokens.capacity_ms)
         if not lacking_ms:
-            level.level_ms -= amount_ms
+            tokens.level_ms -= amount_ms
             lent.last_refused_ms.pop(rank, None)
             return 0
         lent.last_refused_ms[rank] = now_ms
--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -12,8 +12,8 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.limiting import advertised_limits
+from wrenspoke.coordination.limiting import bucket_owners
 from wrenspoke.coordination.limiting import endpoint_buckets
-from wrenspoke.coordination.limiting import bucket_owners as region_lenders
 from wrenspoke import ids
 from wrenspoke.protocol import errors as protocol_errors
 from wrenspoke.protocol import limiting
@@ -48,7 +48,7 @@
     def __init__(
         self,
         host: ids.HostId,
-        order: region_lenders.HostOrder,
+        order: bucket_owners.HostOrder,
         exists: advertised_limits.Exists,
         gossip: endpoint_buckets.Gossip,
         peers: peer_calls.Peers,
@@ -58,7 +58,7 @@
         self._peers = peers
         self._clock = clock
         self._exists = exists
-        self._owners = region_lenders.BucketOwners(
+        self._owners = bucket_owners.BucketOwners(
             order, OWNER_RETRY_MS, peers, clock
         )
         self._advertised = advertised_limits.AdvertisedLimits()
--- a/wrenspoke/coordination/limiting/limiter.py
+++ b/wrenspoke/coordination/limiting/limiter.py
@@ -10,8 +10,8 @@
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.limiting import allocator
 from wrenspoke.coordination.limiting import bounds
-from wrenspoke.coordination.limiting import team_buckets as lending
 from wrenspoke.coordination.limiting import bucket_owners
+from wrenspoke.coordination.limiting import team_buckets
 from wrenspoke import ids
 from wrenspoke.protocol import limiting
 from wrenspoke.protocol import peers as peer_calls
@@ -52,7 +52,7 @@
         self,
         host: ids.HostId,
         order: bucket_owners.HostOrder,
-        team_buckets: lending.TeamBuckets,
+        buckets: team_buckets.TeamBuckets,
         overshoot: bounds.OvershootBounds,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
@@ -61,7 +61,7 @@
         self._owners = bucket_owners.BucketOwners(
             order, OWNER_RETRY_MS, peers, clock
         )
-        self._buckets = team_buckets
+        self._buckets = buckets
         self._overshoot = overshoot
         self._clock = clock
         self._refunds: dict[ids.TeamId, list[Reservation]] = {}
@@ -88,7 +88,7 @@
         self, team: ids.TeamId, amount: float
     ) -> limiting.AmountGranted:
         message = limiting.AskAmount(team, amount)
-        timeout_ms = lending.MAX_WAIT_MS + ANSWER_MARGIN_MS
+        timeout_ms = team_buckets.MAX_WAIT_MS + ANSWER_MARGIN_MS
         for host in self._owners.first_responsive(team, MAX_OWNERS_TRIED):
             if host == self._host:
                 break
--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -320,7 +320,7 @@
     def _needs_renewal(self, now_ms: int) -> bool:
         """Tell whether any share should be another."""
         for held in self._buckets.values():
-            desired_share = held.desired_share(now_ms)
+            wanted = held.desired_share(now_ms)
             if wanted < DECREASE_THRESHOLD * held.share:
                 return True
             if wanted > INCREASE_THRESHOLD * held.share:
@@ -337,7 +337,7 @@
                 continue
             held.depth_ms = self._overshoot.depth_ms(limit)
             held.refill(now_ms)
-            desired_share = held.desired_share(now_ms)
+            wanted = held.desired_share(now_ms)
             if not wanted and not held.share:
                 del self._buckets[team]
                 continue
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -11,8 +11,8 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.limiting import bounds
 from wrenspoke.coordination.limiting import endpoint_gate
-from wrenspoke.coordination.limiting import team_buckets
 from wrenspoke.coordination.limiting import limiter
+from wrenspoke.coordination.limiting import team_buckets
 from wrenspoke.coordination.membership import askers
 from wrenspoke.coordination.membership import attendance
 from wrenspoke.coordination.membership import controls
