--- a/benches/endpoint_limits.py
+++ b/benches/endpoint_limits.py
@@ -3,7 +3,7 @@
     python -m benches.endpoint_limits [--seeds N]
 
 Calls come for 30 s to hosts of one region with three engines, in time of
-their own (``tests.stated_fleet``); one engine names a limit, or all do. Each
+their own (``tests.endpoint_limit_fleet``); one engine names a limit, or all do. Each
 row is a size and a limit, each column a way: the most that any 4 s held over
 what is allowed, which part of the limits was used, what was refused of all
 calls, messages a second over all hosts, and how long a call took until it
--- a/benches/limits.py
+++ b/benches/limits.py
@@ -3,7 +3,7 @@
     python -m benches.limits [--seeds N]
 
 Calls of one team come for 34 s to hosts of three regions, in time of their
-own (``tests.limited_fleet``). Each row is a pattern, each column a way:
+own (``tests.team_limit_fleet``). Each row is a pattern, each column a way:
 what was refused of the tokens asked for below the limit, the most that any
 window held over its bound, how often a host sent a message, and how long an
 admitted call waited in the mean.
--- a/benches/switches_limits.py
+++ b/benches/switches_limits.py
@@ -6,8 +6,8 @@
 LIMITING = DECISIONS + 'limiting/'
 SERVING = DECISIONS + 'serving/'
 INCIDENT = 'tests/test_endpoint_limits.py'
-FLEET = 'tests/test_stated_fleet.py'
-UNITS = 'tests/test_stated_limits.py'
+FLEET = 'tests/test_endpoint_limit_fleet.py'
+UNITS = 'tests/test_advertised_limits.py'
 Switch = switches.Switch
 
 SWITCHES = [
--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -167,7 +167,7 @@
         'new leader waits for nobody',
         DECISIONS + 'limiting/allocator.py',
         (
-            '        if all(host in self._last_seen_ms for host in self._local_voter.state.bucket_owners):\n'
+            '        if all(host in self._last_seen_ms for host in self._local_voter.state.lenders):\n'
         ),
         ('        if True:\n'),
         (
--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -228,7 +228,7 @@
         limited = system.engines[0]
         limited.text = '1000'
         await hear_rate(system, 1000)
-        monkeypatch.setattr(endpoint_limits, 'GRANT_MS', -1)
+        monkeypatch.setattr(endpoint_limits, 'PERMIT_TTL_MS', -1)
         sent = len(limited.arrivals_s)
         for number in range(40):
             answer = await system.ask(0, number)
