--- a/benches/limits.py
+++ b/benches/limits.py
@@ -32,7 +32,7 @@
     def __init__(self, fleet, name):
         limit = fleet.limit
         hosts = len(fleet.names)
-        burst = limit.burst + FILLED_SHARE * team_limit_fleet.ALLOWED.max_overshoot(limit)
+        burst = limit.burst + FILLED_SHARE * team_limit_fleet.BOUNDS.max_overshoot(limit)
         self.clock = group.LoopClock()
         self.peers = team_limit_fleet.attending_fleet.CountingPeers(
             name, fleet.network
@@ -113,7 +113,7 @@
         self._own = []
         self._unseen = 0.0
         self._reported_ms = self.clock.mono_ms()
-        spare = team_limit_fleet.ALLOWED.max_overshoot(fleet.limit)
+        spare = team_limit_fleet.BOUNDS.max_overshoot(fleet.limit)
         self._unseen_part = FILLED_SHARE * spare / len(fleet.names)
 
     async def admit(self, amount):
--- a/tests/team_limit_fleet.py
+++ b/tests/team_limit_fleet.py
@@ -26,7 +26,7 @@
 MS_PER_S = 1_000
 WINDOW_MS = 8_000
 # As the users' platform allows.
-ALLOWED = bounds.OvershootBounds(WINDOW_MS, 0.1, 110_000.0)
+BOUNDS = bounds.OvershootBounds(WINDOW_MS, 0.1, 110_000.0)
 # A long prompt, a chat and a plain request, and how often each comes.
 CALLS = [(9_240, 36.7), (1_116, 173.0), (200, 57.8)]
 
@@ -86,7 +86,7 @@
         self.lender = team_buckets.TeamBuckets(
             lambda _team: fleet.limit,
             lambda: fleet.lead_of(self),
-            ALLOWED,
+            BOUNDS,
             self.peers,
             self.clock,
         )
@@ -94,7 +94,7 @@
             name,
             lambda key: fleet.order(key, name),
             self.lender,
-            ALLOWED,
+            BOUNDS,
             self.peers,
             self.clock,
         )
@@ -240,7 +240,7 @@
         """Return what a window may hold."""
         limit = self.limit
         allowed = limit.rate_per_s * WINDOW_MS / MS_PER_S + limit.burst
-        return allowed + ALLOWED.max_overshoot(limit)
+        return allowed + BOUNDS.max_overshoot(limit)
 
     def refused_share(self, since_ms=0, until_ms=10**9):
         """Return the part of the tokens asked for that was refused."""
