--- a/tests/team_limit_fleet.py
+++ b/tests/team_limit_fleet.py
@@ -28,7 +28,7 @@
 # As the users' platform allows.
 BOUNDS = bounds.OvershootBounds(WINDOW_MS, 0.1, 110_000.0)
 # A long prompt, a chat and a plain request, and how often each comes.
-CALLS = [(9_240, 36.7), (1_116, 173.0), (200, 57.8)]
+CALL_MIX = [(9_240, 36.7), (1_116, 173.0), (200, 57.8)]
 
 
 class Voter:
@@ -190,15 +190,15 @@
         time since this began; without it they are equal.
         """
         began_ms = now_ms = group.LoopClock().mono_ms()
-        mean = sum(size * rate for size, rate in CALLS)
-        mean /= sum(rate for _size, rate in CALLS)
+        mean = sum(size * rate for size, rate in CALL_MIX)
+        mean /= sum(rate for _size, rate in CALL_MIX)
         while now_ms - began_ms < for_ms:
             await asyncio.sleep(self.random.expovariate(tokens_per_s / mean))
             now_ms = group.LoopClock().mono_ms()
             region = self._region(now_ms - began_ms, share_of)
             [size] = self.random.choices(
-                [size for size, _rate in CALLS],
-                [rate for _size, rate in CALLS],
+                [size for size, _rate in CALL_MIX],
+                [rate for _size, rate in CALL_MIX],
             )
             host = self.random.choice(
                 [name for name in self.names if region_of(name) == region]
