--- a/tests/team_limit_fleet.py
+++ b/tests/team_limit_fleet.py
@@ -31,7 +31,7 @@
 CALL_MIX = [(9_240, 36.7), (1_116, 173.0), (200, 57.8)]
 
 
-class Voter:
+class FakeVoter:
     """Lead, or not, as a test says; what is committed all know."""
 
     def __init__(self, state):
@@ -141,7 +141,7 @@
             clock = group.LoopClock()
             peers = attending_fleet.CountingPeers(name, self.network)
             self.network.hosts[name] = peers
-            self.voters[name] = Voter(state)
+            self.voters[name] = FakeVoter(state)
             self.controls.append(peers)
             allocator.Allocator(self.voters[name], peers, clock)
         self.lead('10.0.250.1:1')
--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -266,7 +266,7 @@
 async def leading(lenders=()):
     """Return what parts limits on a host that has just begun to lead."""
     state = replicated.ReplicatedState(lenders=tuple(lenders))
-    voter = team_limit_fleet.Voter(state)
+    voter = team_limit_fleet.FakeVoter(state)
     voter.has_lease = True
     clock = group.LoopClock()
     voter.led_since_ms = clock.mono_ms()
