--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -119,7 +119,7 @@
         await self.guard.close()
 
 
-class Lossy(team_limit_fleet.Travel):
+class Lossy(team_limit_fleet.RegionalNetwork):
     """Lose a share of the messages, for as long as a test says."""
 
     lost_share = 0.0
--- a/tests/team_limit_fleet.py
+++ b/tests/team_limit_fleet.py
@@ -47,7 +47,7 @@
         return self.state.apply(self.state.index + 1, entry)
 
 
-class Travel(group.Network):
+class RegionalNetwork(group.Network):
     """Carry messages within a region at once, and slowly between them."""
 
     async def travel(self, one, other):
@@ -118,7 +118,7 @@
 
     def __init__(self, hosts, rate_per_s, seed=1, make=Host):
         self.random = random.Random(seed)
-        self.network = Travel(seed)
+        self.network = RegionalNetwork(seed)
         self.make = make
         self.limit = teams.TeamLimit(
             rate_per_s, rate_per_s, teams.LimitUnit.TOKENS, 200
