--- a/tests/team_limit_fleet.py
+++ b/tests/team_limit_fleet.py
@@ -64,7 +64,7 @@
 
 
 @dataclasses.dataclass
-class Asked:
+class CallResult:
     """Hold what became of one call."""
 
     at_ms: int
@@ -218,7 +218,7 @@
         admitted = await self.hosts[name].admit(amount)
         now_ms = group.LoopClock().mono_ms()
         self.asked.append(
-            Asked(now_ms, name, amount, admitted, now_ms - asked_ms)
+            CallResult(now_ms, name, amount, admitted, now_ms - asked_ms)
         )
 
     def most_in_a_window(self):
