--- a/tests/team_limit_fleet.py
+++ b/tests/team_limit_fleet.py
@@ -131,7 +131,7 @@
         self.controls = []
         self.leader = None
         self._term = 0
-        self.asked = []
+        self.results = []
         self._under_way = set()
 
     async def start(self):
@@ -217,7 +217,7 @@
         asked_ms = group.LoopClock().mono_ms()
         admitted = await self.hosts[name].admit(amount)
         now_ms = group.LoopClock().mono_ms()
-        self.asked.append(
+        self.results.append(
             CallResult(now_ms, name, amount, admitted, now_ms - asked_ms)
         )
 
@@ -225,7 +225,7 @@
         """Return the most tokens that were admitted in any window."""
         window = collections.deque()
         total = most = 0
-        for one in sorted(self.asked, key=lambda one: one.at_ms):
+        for one in sorted(self.results, key=lambda one: one.at_ms):
             if not one.admitted:
                 continue
             window.append(one)
@@ -244,7 +244,7 @@
 
     def refused_share(self, since_ms=0, until_ms=10**9):
         """Return the part of the tokens asked for that was refused."""
-        found = [o for o in self.asked if since_ms <= o.at_ms < until_ms]
+        found = [o for o in self.results if since_ms <= o.at_ms < until_ms]
         asked = sum(one.amount for one in found)
         refused = sum(one.amount for one in found if not one.admitted)
         return refused / max(asked, 1)
