--- a/tests/team_limit_fleet.py
+++ b/tests/team_limit_fleet.py
@@ -132,7 +132,7 @@
         self.leader = None
         self._term = 0
         self.results = []
-        self._under_way = set()
+        self._tasks = set()
 
     async def start(self):
         state = replicated.ReplicatedState()
@@ -204,8 +204,8 @@
                 [name for name in self.names if region_of(name) == region]
             )
             task = asyncio.ensure_future(self._ask(host, size))
-            self._under_way.add(task)
-            task.add_done_callback(self._under_way.discard)
+            self._tasks.add(task)
+            task.add_done_callback(self._tasks.discard)
 
     def _region(self, since_ms, share_of):
         if share_of is None:
@@ -260,8 +260,8 @@
         return sent / len(self.hosts)
 
     async def close(self):
-        while self._under_way:
-            await asyncio.wait(self._under_way)
+        while self._tasks:
+            await asyncio.wait(self._tasks)
         for host in self.hosts.values():
             await host.close()
         for peers in self.controls:
