--- a/tests/team_limit_fleet.py
+++ b/tests/team_limit_fleet.py
@@ -183,7 +183,7 @@
     async def wait_ms(self, delay_ms):
         await asyncio.sleep(delay_ms / MS_PER_S)
 
-    async def call(self, tokens_per_s, for_ms, share_of=None):
+    async def run_calls(self, tokens_per_s, for_ms, share_of=None):
         """Let calls come that need so many tokens a second.
 
         ``share_of`` tells the part of them that comes to a region, by the
--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -45,7 +45,7 @@
     async def run():
         fleet = await team_limit_fleet.Fleet(hosts, rate_per_s, seed).start()
         await fleet.wait_ms(8_000)
-        calls = fleet.call(used * rate_per_s, 34_000, share_of)
+        calls = fleet.run_calls(used * rate_per_s, 34_000, share_of)
         if mishap is None:
             await calls
         else:
