--- a/tests/team_limit_fleet.py
+++ b/tests/team_limit_fleet.py
@@ -221,7 +221,7 @@
             CallResult(now_ms, name, amount, admitted, now_ms - asked_ms)
         )
 
-    def most_in_a_window(self):
+    def max_window_tokens(self):
         """Return the most tokens that were admitted in any window."""
         window = collections.deque()
         total = most = 0
