--- a/benches/limits.py
+++ b/benches/limits.py
@@ -177,7 +177,7 @@
     return (
         fleet.refused_share(),
         over,
-        fleet.messages_a_host() / 34.0,
+        fleet.messages_per_host() / 34.0,
         statistics.fmean(admitted or [0]),
     )
 
--- a/tests/team_limit_fleet.py
+++ b/tests/team_limit_fleet.py
@@ -249,7 +249,7 @@
         refused = sum(one.amount for one in found if not one.admitted)
         return refused / max(asked, 1)
 
-    def messages_a_host(self):
+    def messages_per_host(self):
         """Return how many messages a host has sent, in the mean."""
         sent = sum(
             counted.messages
--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -75,7 +75,7 @@
     # One question a call, and what lenders ask the leader.
     calls = len(fleet.asked) / hosts
     assert (
-        fleet.messages_a_host()
+        fleet.messages_per_host()
         < 2.5 * calls + 34_000 / team_buckets.RENEW_INTERVAL_MS
     )
 
