--- a/tests/team_limit_fleet.py
+++ b/tests/team_limit_fleet.py
@@ -83,7 +83,7 @@
         self.clock = group.LoopClock()
         self.peers = attending_fleet.CountingPeers(name, fleet.network)
         fleet.network.hosts[name] = self.peers
-        self.lender = team_buckets.TeamBuckets(
+        self.team_buckets = team_buckets.TeamBuckets(
             lambda _team: fleet.limit,
             lambda: fleet.lead_of(self),
             BOUNDS,
@@ -93,12 +93,12 @@
         self.limiter = limiter.Limiter(
             name,
             lambda key: fleet.order(key, name),
-            self.lender,
+            self.team_buckets,
             BOUNDS,
             self.peers,
             self.clock,
         )
-        self.lender.start()
+        self.team_buckets.start()
 
     async def admit(self, amount):
         team = teams.Team('t', limit=self.fleet.limit)
@@ -110,7 +110,7 @@
 
     async def close(self):
         await self.peers.close()
-        await self.lender.close()
+        await self.team_buckets.close()
 
 
 class Fleet:
