--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -28,7 +28,7 @@
 CONTACT_MS = 6_000
 TOLD_MS = 500
 # A host that is lost leaves the roster after its lease.
-ROSTER_MS = 3_000
+ROSTER_LEASE_MS = 3_000
 # Engines that one call asks for, as a call that is passed through.
 TRIES = 8
 LEFT_SHARE = 0.05
--- a/tests/test_endpoint_limit_fleet.py
+++ b/tests/test_endpoint_limit_fleet.py
@@ -79,7 +79,7 @@
         name = lender_of(fleet)
         fleet.hosts[name].frozen = True
         fleet.network.cut_off(name)
-        await fleet.wait_ms(endpoint_limit_fleet.ROSTER_MS)
+        await fleet.wait_ms(endpoint_limit_fleet.ROSTER_LEASE_MS)
         for other in fleet.names:
             fleet.lose(name, other)
 
@@ -151,7 +151,7 @@
         pairs = [(a, b) for a in half for b in fleet.names if b not in half]
         for one, other in pairs:
             fleet.network.cut(one, other)
-        await fleet.wait_ms(endpoint_limit_fleet.ROSTER_MS)
+        await fleet.wait_ms(endpoint_limit_fleet.ROSTER_LEASE_MS)
         for one, other in pairs:
             fleet.lose(one, other)
         await fleet.wait_ms(5_000)
