--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -30,7 +30,7 @@
 # A host that is lost leaves the roster after its lease.
 ROSTER_LEASE_MS = 3_000
 # Engines that one call asks for, as a call that is passed through.
-TRIES = 8
+MAX_TRIES = 8
 LEFT_SHARE = 0.05
 SLOW_CONNECTION_SHARE = 0.02
 
@@ -286,7 +286,7 @@
 
     async def _send(self, host, rank):
         """Send a call to an engine that takes it; None where none does."""
-        for _number in range(TRIES):
+        for _number in range(MAX_TRIES):
             open_to = [one for one in self.engines if host.wants(one)]
             if not open_to:
                 return None
