--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -31,7 +31,7 @@
 ROSTER_LEASE_MS = 3_000
 # Engines that one call asks for, as a call that is passed through.
 MAX_TRIES = 8
-LEFT_SHARE = 0.05
+CANCELLED_SHARE = 0.05
 SLOW_CONNECTION_SHARE = 0.02
 
 
@@ -314,7 +314,7 @@
         await self.wait_ms(min(self.random.lognormvariate(5, 1), 4_000))
         texts = engine.values
         await self.wait_ms(self.random.uniform(1, 4))
-        if self.random.random() < LEFT_SHARE:
+        if self.random.random() < CANCELLED_SHARE:
             return
         if texts:
             now_ms = group.LoopClock().mono_ms()
