--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -26,7 +26,7 @@
 OVERSHOOT = 1.5
 SLACK = 5
 CONTACT_MS = 6_000
-TOLD_MS = 500
+NOTICE_MS = 500
 # A host that is lost leaves the roster after its lease.
 ROSTER_LEASE_MS = 3_000
 # Engines that one call asks for, as a call that is passed through.
@@ -299,7 +299,7 @@
                 continue
             now_ms = group.LoopClock().mono_ms()
             told_ms = host.told_ms.get(engine.life, now_ms)
-            told = now_ms - told_ms >= TOLD_MS
+            told = now_ms - told_ms >= NOTICE_MS
             engine.arrivals.append(Arrival(now_ms, host.name, told))
             self._start(self._answer(host, engine, send_permit))
             return engine
