--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -25,7 +25,7 @@
 WINDOW_MS = 4_000
 OVERSHOOT = 1.5
 SLACK = 5
-CONTACT_MS = 6_000
+FIRST_CONTACT_MS = 6_000
 NOTICE_MS = 500
 # A host that is lost leaves the roster after its lease.
 ROSTER_LEASE_MS = 3_000
@@ -89,7 +89,7 @@
         worst = 0.0
         window = collections.deque()
         for at_ms in sorted(counted):
-            if at_ms < named_ms[0] + CONTACT_MS:
+            if at_ms < named_ms[0] + FIRST_CONTACT_MS:
                 continue
             window.append(at_ms)
             while window[0] < at_ms - WINDOW_MS:
