--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -41,7 +41,7 @@
 
     at_ms: int
     host: str
-    told: bool
+    notified: bool
 
 
 class Engine:
