--- a/benches/endpoint_limits.py
+++ b/benches/endpoint_limits.py
@@ -163,7 +163,7 @@
 
     async def end(fleet):
         engine = fleet.engines[0]
-        engine.name_rate(None)
+        engine.advertise_rate(None)
         ended_ms = group.LoopClock().mono_ms()
         while any(
             host.limits.rate_per_s(engine.life) is not None
--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -53,7 +53,7 @@
         self.rates = [(0, None)]
         self.arrivals = []
 
-    def name_rate(self, rate_per_s):
+    def advertise_rate(self, rate_per_s):
         self.rates.append((group.LoopClock().mono_ms(), rate_per_s))
 
     @property
--- a/tests/test_endpoint_limit_fleet.py
+++ b/tests/test_endpoint_limit_fleet.py
@@ -39,7 +39,7 @@
         async def happen():
             await fleet.wait_ms(NAMED_MS)
             for engine in fleet.engines[:limited]:
-                engine.name_rate(rate_per_s)
+                engine.advertise_rate(rate_per_s)
             if mishap is not None:
                 await fleet.wait_ms(SETTLED_MS)
                 await mishap(fleet)
@@ -205,7 +205,7 @@
     def begin(fleet):
         async def happen():
             for rate_per_s in rates_per_s:
-                fleet.engines[0].name_rate(rate_per_s)
+                fleet.engines[0].advertise_rate(rate_per_s)
                 await fleet.wait_ms(7_000)
 
         return happen()
@@ -277,7 +277,7 @@
         host = fleet.hosts[fleet.names[-1]]
         host.frozen = True
         fleet.network.cut_off(host.name)
-        fleet.engines[0].name_rate(None)
+        fleet.engines[0].advertise_rate(None)
         await fleet.wait_ms(7_000)
         fleet.network.heal()
         await fleet.wait_ms(1_200)
