--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -57,7 +57,7 @@
         self.rates.append((group.LoopClock().mono_ms(), rate_per_s))
 
     @property
-    def texts(self):
+    def header_values(self):
         """Return what the head of an answer names now."""
         _since_ms, rate_per_s = self.rates[-1]
         return [] if rate_per_s is None else [str(rate_per_s)]
