--- a/benches/endpoint_limits.py
+++ b/benches/endpoint_limits.py
@@ -146,7 +146,7 @@
     engines = fleet.engines[:limited]
     took_ms = sorted(one.took_ms for one in fleet.called)
     return (
-        max(engine.overrun() for engine in engines),
+        max(engine.limit_ratio() for engine in engines),
         statistics.mean(
             engine.used_share(SETTLED_MS, PLAY_MS) for engine in engines
         ),
--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -76,7 +76,7 @@
             total += OVERSHOOT * rate_per_s * lasted_ms / MS_PER_S
         return total
 
-    def overrun(self, told_only=False):
+    def limit_ratio(self, told_only=False):
         """Return the worst of what windows held against what they may.
 
         The platform counts hosts that were told; here all count, but where
--- a/tests/test_endpoint_limit_fleet.py
+++ b/tests/test_endpoint_limit_fleet.py
@@ -61,7 +61,7 @@
 def test_limit_is_kept_and_used(hosts, rate_per_s):
     fleet = play(hosts, rate_per_s)
     engine = fleet.engines[0]
-    assert engine.overrun() <= 1.0
+    assert engine.limit_ratio() <= 1.0
     # The others have room.
     assert fleet.refused_share() == 0.0
     if rate_per_s >= endpoint_buckets.MIN_RATE_PER_S:
@@ -193,7 +193,7 @@
     fleet = play(9, rate_per_s, mishap, seed=seed)
     engine = fleet.engines[0]
     # Hosts that begin with nothing count once they have heard for themselves.
-    assert engine.overrun(told_only=mishap is restart_all) <= 1.0
+    assert engine.limit_ratio(told_only=mishap is restart_all) <= 1.0
     assert fleet.refused_share() == 0.0
     if rate_per_s:
         assert engine.used_share(SETTLED_MS, PLAY_MS) >= 0.5
@@ -222,7 +222,7 @@
 def test_limit_that_changes_is_kept(rates_per_s, seed):
     fleet = play(9, 2.4, change_to(*rates_per_s), seed=seed)
     engine = fleet.engines[0]
-    assert engine.overrun() <= 1.0
+    assert engine.limit_ratio() <= 1.0
     assert fleet.refused_share() == 0.0
     last = rates_per_s[-1]
     known = {
@@ -264,7 +264,7 @@
     urgent, others = (served[rank] / asked[rank] for rank in (0, 10))
     assert urgent > 3 * others
     for engine in fleet.engines:
-        assert engine.overrun() <= 1.0
+        assert engine.limit_ratio() <= 1.0
         assert engine.used_share(SETTLED_MS, PLAY_MS) >= 0.8
     # Nobody waits.
     assert max(one.took_ms for one in fleet.called if not one.served) < 1_000
@@ -323,5 +323,5 @@
 def test_drawn_series_take_no_engine_over_its_limit(seed):
     rate_per_s = RATES[seed % len(RATES)]
     fleet = play(9, rate_per_s, drawn_series, seed=seed)
-    assert fleet.engines[0].overrun(told_only=True) <= 1.0
+    assert fleet.engines[0].limit_ratio(told_only=True) <= 1.0
     assert fleet.refused_share() == 0.0
