--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -76,7 +76,7 @@
             total += OVERSHOOT * rate_per_s * lasted_ms / MS_PER_S
         return total
 
-    def limit_ratio(self, told_only=False):
+    def limit_ratio(self, notified_only=False):
         """Return the worst of what windows held against what they may.
 
         The platform counts hosts that were told; here all count, but where
@@ -84,7 +84,7 @@
         """
         named_ms = [at_ms for at_ms, rate in self.rates if rate is not None]
         counted = [
-            one.at_ms for one in self.arrivals if one.told or not told_only
+            one.at_ms for one in self.arrivals if one.told or not notified_only
         ]
         worst = 0.0
         window = collections.deque()
--- a/tests/test_endpoint_limit_fleet.py
+++ b/tests/test_endpoint_limit_fleet.py
@@ -193,7 +193,7 @@
     fleet = play(9, rate_per_s, mishap, seed=seed)
     engine = fleet.engines[0]
     # Hosts that begin with nothing count once they have heard for themselves.
-    assert engine.limit_ratio(told_only=mishap is restart_all) <= 1.0
+    assert engine.limit_ratio(notified_only=mishap is restart_all) <= 1.0
     assert fleet.refused_share() == 0.0
     if rate_per_s:
         assert engine.used_share(SETTLED_MS, PLAY_MS) >= 0.5
@@ -323,5 +323,5 @@
 def test_drawn_series_take_no_engine_over_its_limit(seed):
     rate_per_s = RATES[seed % len(RATES)]
     fleet = play(9, rate_per_s, drawn_series, seed=seed)
-    assert fleet.engines[0].limit_ratio(told_only=True) <= 1.0
+    assert fleet.engines[0].limit_ratio(notified_only=True) <= 1.0
     assert fleet.refused_share() == 0.0
