--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -124,7 +124,7 @@
         if there is not None and not there.ended:
             await there.hear(self.host, body)
 
-    async def hear(self, sender, body):
+    async def handle_message(self, sender, body):
         """Take a message that has no answer."""
         message = self._decoder.decode(body)
         await self._answerers[type(message)](sender, message)
