--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -140,7 +140,7 @@
         return arrived and self._random.random() >= self.lost_share
 
 
-class Roster:
+class FakeRoster:
     """Know the hosts of the region, as one host sees them."""
 
     def __init__(self, fleet, name):
@@ -168,7 +168,7 @@
         # When this host first passed on an answer that names a limit.
         self.told_ms = {}
         self.askers = askers.Askers(
-            REGION, name, Roster(fleet, name), self.peers
+            REGION, name, FakeRoster(fleet, name), self.peers
         )
         self.limits = endpoint_limits.EndpointLimits(
             name,
