--- a/benches/endpoint_limits.py
+++ b/benches/endpoint_limits.py
@@ -41,7 +41,7 @@
     return register
 
 
-way('leave for each call')(endpoint_limit_fleet.AskingHost)
+way('leave for each call')(endpoint_limit_fleet.SimulatedHost)
 
 
 class SendPermit:
--- a/tests/backoff_fleet.py
+++ b/tests/backoff_fleet.py
@@ -78,7 +78,7 @@
         return worst
 
 
-class BackoffHost(endpoint_limit_fleet.AskingHost):
+class BackoffHost(endpoint_limit_fleet.SimulatedHost):
     """An entry host that backs off as the product does."""
 
     agreeing_hosts = endpoint_backoffs.REFUSAL_QUORUM
--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -155,7 +155,7 @@
         return self._fleet.seen_by(self._name)
 
 
-class AskingHost:
+class SimulatedHost:
     """Be an entry host that asks for leave as the product does."""
 
     def __init__(self, fleet, name):
@@ -213,7 +213,7 @@
 class Fleet:
     """Hold the hosts and engines of a region, and the calls there."""
 
-    def __init__(self, hosts, engines=3, seed=1, make=AskingHost):
+    def __init__(self, hosts, engines=3, seed=1, make=SimulatedHost):
         self.random = random.Random(seed)
         self.network = LossyNetwork(seed, travel_ms=1, jitter_ms=1)
         self.make = make
--- a/tests/test_endpoint_limit_fleet.py
+++ b/tests/test_endpoint_limit_fleet.py
@@ -27,7 +27,7 @@
     limited=1,
     calls_per_s=CALLS_PER_S,
     seed=1,
-    make=endpoint_limit_fleet.AskingHost,
+    make=endpoint_limit_fleet.SimulatedHost,
     rank_of=lambda: 10,
 ):
     """Return a fleet whose first engines named a limit for a while."""
