--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -166,7 +166,7 @@
         fleet.network.hosts[name] = self.peers
         self.frozen = False
         # When this host first passed on an answer that names a limit.
-        self.told_ms = {}
+        self.first_limit_ms = {}
         self.askers = askers.Askers(
             REGION, name, FakeRoster(fleet, name), self.peers
         )
