--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -174,14 +174,14 @@
             name,
             self.askers.order,
             lambda _life: True,
-            self._tell,
+            self._gossip,
             self.peers,
             self.clock,
         )
         self.askers.listen(lambda message: self.limits.merge(message.limits))
         self.limits.start()
 
-    async def _tell(self, limits):
+    async def _gossip(self, limits):
         await self.askers.tell(attending.TellRegion(limits=limits))
 
     def wants(self, engine):
