--- a/tests/backoff_fleet.py
+++ b/tests/backoff_fleet.py
@@ -101,7 +101,7 @@
     async def _tell_backoffs(self, backoffs):
         await self.askers.tell(attending.TellRegion(backoffs=backoffs))
 
-    def wants(self, engine):
+    def may_choose(self, engine):
         return not self.backoffs.remaining_ms(engine.life)
 
     async def close(self):
--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -184,7 +184,7 @@
     async def _gossip(self, limits):
         await self.askers.tell(attending.TellRegion(limits=limits))
 
-    def wants(self, engine):
+    def may_choose(self, engine):
         """Tell whether a call may choose an engine now."""
         return not self.limits.backoff_remaining_ms(engine.life)
 
