--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -200,7 +200,7 @@
 
 
 @dataclasses.dataclass
-class Called:
+class CallResult:
     """Hold what became of one call."""
 
     at_ms: int
@@ -275,7 +275,7 @@
         engine = await self._send(host, rank)
         now_ms = group.LoopClock().mono_ms()
         self.called.append(
-            Called(
+            CallResult(
                 asked_ms,
                 engine is not None,
                 now_ms - asked_ms,
