--- a/benches/endpoint_limits.py
+++ b/benches/endpoint_limits.py
@@ -144,7 +144,7 @@
         hosts, rate_per_s, limited=limited, seed=seed, make=made
     )
     engines = fleet.engines[:limited]
-    took_ms = sorted(one.took_ms for one in fleet.called)
+    took_ms = sorted(one.took_ms for one in fleet.results)
     return (
         max(engine.limit_ratio() for engine in engines),
         statistics.mean(
--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -223,7 +223,7 @@
         self.revision = 0
         # Hosts that others have not seen for long, by who sees them not.
         self._lost = set()
-        self.called = []
+        self.results = []
         self._under_way = set()
         for name in self.names:
             self.hosts[name] = make(self, name)
@@ -274,7 +274,7 @@
         asked_ms = group.LoopClock().mono_ms()
         engine = await self._send(host, rank)
         now_ms = group.LoopClock().mono_ms()
-        self.called.append(
+        self.results.append(
             CallResult(
                 asked_ms,
                 engine is not None,
@@ -323,7 +323,7 @@
 
     def refused_share(self, since_ms=0):
         """Return the part of the calls that no engine took."""
-        found = [one for one in self.called if one.at_ms >= since_ms]
+        found = [one for one in self.results if one.at_ms >= since_ms]
         return sum(not one.served for one in found) / max(len(found), 1)
 
     def messages_sent(self):
--- a/tests/test_backoff_fleet.py
+++ b/tests/test_backoff_fleet.py
@@ -89,7 +89,7 @@
         refusing(all_hosts, engines=4), hosts, calls_per_s, PLAY_MS
     )
     assert worst(fleet) <= backoff_fleet.SENDS_LIMIT
-    late = [one for one in fleet.called if one.at_ms >= ENDED_MS + 4_500]
+    late = [one for one in fleet.results if one.at_ms >= ENDED_MS + 4_500]
     assert sum(one.served for one in late) >= 0.9 * len(late)
 
 
--- a/tests/test_endpoint_limit_fleet.py
+++ b/tests/test_endpoint_limit_fleet.py
@@ -257,7 +257,7 @@
     )
     served = collections.Counter()
     asked = collections.Counter()
-    for one in fleet.called:
+    for one in fleet.results:
         if one.at_ms > SETTLED_MS:
             asked[one.rank] += 1
             served[one.rank] += one.served
@@ -267,7 +267,7 @@
         assert engine.limit_ratio() <= 1.0
         assert engine.used_share(SETTLED_MS, PLAY_MS) >= 0.8
     # Nobody waits.
-    assert max(one.took_ms for one in fleet.called if not one.served) < 1_000
+    assert max(one.took_ms for one in fleet.results if not one.served) < 1_000
 
 
 def test_end_of_a_limit_reaches_who_missed_the_word():
