--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -224,7 +224,7 @@
         # Hosts that others have not seen for long, by who sees them not.
         self._lost = set()
         self.results = []
-        self._under_way = set()
+        self._tasks = set()
         for name in self.names:
             self.hosts[name] = make(self, name)
 
@@ -267,8 +267,8 @@
 
     def _start(self, coroutine):
         task = asyncio.ensure_future(coroutine)
-        self._under_way.add(task)
-        task.add_done_callback(self._under_way.discard)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
     async def _serve(self, host, rank):
         asked_ms = group.LoopClock().mono_ms()
@@ -336,8 +336,8 @@
         )
 
     async def close(self):
-        while self._under_way:
-            await asyncio.wait(self._under_way)
+        while self._tasks:
+            await asyncio.wait(self._tasks)
         for host in self.hosts.values():
             await host.close()
 
