--- a/tests/backoff_fleet.py
+++ b/tests/backoff_fleet.py
@@ -175,7 +175,9 @@
 
     async def run():
         fleet = Fleet(hosts, seed=seed, make=make)
-        await asyncio.gather(fleet.call(calls_per_s, for_ms), happen(fleet))
+        await asyncio.gather(
+            fleet.run_calls(calls_per_s, for_ms), happen(fleet)
+        )
         await fleet.close()
         held['fleet'] = fleet
 
--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -255,7 +255,7 @@
         await self.hosts[name].close()
         self.hosts[name] = self.make(self, name)
 
-    async def call(self, calls_per_s, for_ms, rank_of=lambda: 10):
+    async def run_calls(self, calls_per_s, for_ms, rank_of=lambda: 10):
         """Let calls come to hosts that run."""
         end_ms = group.LoopClock().mono_ms() + for_ms
         while group.LoopClock().mono_ms() < end_ms:
--- a/tests/test_endpoint_limit_fleet.py
+++ b/tests/test_endpoint_limit_fleet.py
@@ -44,7 +44,7 @@
                 await fleet.wait_ms(SETTLED_MS)
                 await mishap(fleet)
 
-        calls = fleet.call(calls_per_s, PLAY_MS, rank_of)
+        calls = fleet.run_calls(calls_per_s, PLAY_MS, rank_of)
         await group.asyncio.gather(calls, happen())
         await fleet.close()
         held['fleet'] = fleet
