--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -222,7 +222,7 @@
         self.hosts = {}
         self.revision = 0
         # Hosts that others have not seen for long, by who sees them not.
-        self._lost = set()
+        self._unseen_pairs = set()
         self.results = []
         self._tasks = set()
         for name in self.names:
@@ -235,17 +235,17 @@
                 other, REGION, f'{REGION}-hall', '', '', '', 0, False
             )
             for other in self.names
-            if other != name and (name, other) not in self._lost
+            if other != name and (name, other) not in self._unseen_pairs
         ]
 
     def lose(self, one, other):
         """Let two hosts miss each other on their rosters."""
-        self._lost |= {(one, other), (other, one)}
+        self._unseen_pairs |= {(one, other), (other, one)}
         self.revision += 1
 
     def find_all(self):
         """Let every host be on every roster again."""
-        self._lost.clear()
+        self._unseen_pairs.clear()
         self.revision += 1
 
     async def wait_ms(self, delay_ms):
