--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -238,7 +238,7 @@
             if other != name and (name, other) not in self._unseen_pairs
         ]
 
-    def lose(self, one, other):
+    def hide_from_rosters(self, one, other):
         """Let two hosts miss each other on their rosters."""
         self._unseen_pairs |= {(one, other), (other, one)}
         self.revision += 1
--- a/tests/test_backoff_fleet.py
+++ b/tests/test_backoff_fleet.py
@@ -122,7 +122,7 @@
     for number in range(8):
         name = fleet.names[number % len(fleet.names)]
         for other in fleet.names:
-            fleet.lose(name, other)
+            fleet.hide_from_rosters(name, other)
             await fleet.wait_ms(50)
         fleet.find_all()
         await fleet.wait_ms(300)
--- a/tests/test_endpoint_limit_fleet.py
+++ b/tests/test_endpoint_limit_fleet.py
@@ -81,7 +81,7 @@
         fleet.network.cut_off(name)
         await fleet.wait_ms(endpoint_limit_fleet.ROSTER_LEASE_MS)
         for other in fleet.names:
-            fleet.lose(name, other)
+            fleet.hide_from_rosters(name, other)
 
     return happen()
 
@@ -126,7 +126,7 @@
         for _number in range(8):
             name = lender_of(fleet)
             for other in fleet.names:
-                fleet.lose(name, other)
+                fleet.hide_from_rosters(name, other)
                 await fleet.wait_ms(100)
             fleet.find_all()
             await fleet.wait_ms(500)
@@ -153,7 +153,7 @@
             fleet.network.cut(one, other)
         await fleet.wait_ms(endpoint_limit_fleet.ROSTER_LEASE_MS)
         for one, other in pairs:
-            fleet.lose(one, other)
+            fleet.hide_from_rosters(one, other)
         await fleet.wait_ms(5_000)
         fleet.network.heal()
         fleet.find_all()
