--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -243,7 +243,7 @@
         self._unseen_pairs |= {(one, other), (other, one)}
         self.revision += 1
 
-    def find_all(self):
+    def restore_rosters(self):
         """Let every host be on every roster again."""
         self._unseen_pairs.clear()
         self.revision += 1
--- a/tests/test_backoff_fleet.py
+++ b/tests/test_backoff_fleet.py
@@ -124,7 +124,7 @@
         for other in fleet.names:
             fleet.hide_from_rosters(name, other)
             await fleet.wait_ms(50)
-        fleet.find_all()
+        fleet.restore_rosters()
         await fleet.wait_ms(300)
 
 
--- a/tests/test_endpoint_limit_fleet.py
+++ b/tests/test_endpoint_limit_fleet.py
@@ -128,7 +128,7 @@
             for other in fleet.names:
                 fleet.hide_from_rosters(name, other)
                 await fleet.wait_ms(100)
-            fleet.find_all()
+            fleet.restore_rosters()
             await fleet.wait_ms(500)
 
     return happen()
@@ -156,7 +156,7 @@
             fleet.hide_from_rosters(one, other)
         await fleet.wait_ms(5_000)
         fleet.network.heal()
-        fleet.find_all()
+        fleet.restore_rosters()
 
     return happen()
 
