--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -342,7 +342,7 @@
             await host.close()
 
 
-def unlimited(clock):
+def open_gate(clock):
     """Return a gate to endpoints that advertise nothing."""
     peers = group.Peers('h', group.Network(1))
     return endpoint_gate.EndpointGate(
--- a/tests/test_advertised.py
+++ b/tests/test_advertised.py
@@ -180,7 +180,7 @@
     strategies.lists(WORDS, max_size=2),
 )
 def test_gate_takes_any_head(origin, status, delays, leavings):
-    gate = endpoint_limit_fleet.unlimited(clocks.Clock())
+    gate = endpoint_limit_fleet.open_gate(clocks.Clock())
     gate.on_response(
         LIFE,
         head(
--- a/tests/test_gauges.py
+++ b/tests/test_gauges.py
@@ -82,7 +82,7 @@
         None,
         None,
         lambda _address, _asked_ms: None,
-        endpoint_limit_fleet.unlimited(clocks.Clock()),
+        endpoint_limit_fleet.open_gate(clocks.Clock()),
         dialects.Dialect(),
         clocks.Clock(),
     )
@@ -198,7 +198,7 @@
         health.Health(clock),
         None,
         gauged,
-        endpoint_limit_fleet.unlimited(clock),
+        endpoint_limit_fleet.open_gate(clock),
         frozenset(),
         clock,
     )
--- a/tests/test_warmth.py
+++ b/tests/test_warmth.py
@@ -26,7 +26,7 @@
     number = next(n for n in range(99) if not asking.asks_of(f'e{n}'))
     endpoint = test_gauges.registered(number)
     made = warmth.Warmth(
-        asking, None, None, None, endpoint_limit_fleet.unlimited(clock), clock
+        asking, None, None, None, endpoint_limit_fleet.open_gate(clock), clock
     )
     status = attending.WarmupStatus(endpoint.said.endpoint, 500)
     [listener] = asking._listeners
