--- a/tests/backoff_fleet.py
+++ b/tests/backoff_fleet.py
@@ -19,7 +19,7 @@
 MS_PER_S = 1_000
 # What hosts of the users' platform are held to.
 GRACE_MS = 500
-SENDS_LIMIT = 2
+MAX_SENDS = 2
 TRIES = 4
 
 
--- a/tests/test_backoff_fleet.py
+++ b/tests/test_backoff_fleet.py
@@ -55,7 +55,7 @@
 @pytest.mark.parametrize('hosts, calls_per_s', SIZES)
 def test_resting_engine_is_left_alone(hosts, calls_per_s, refuses):
     fleet = backoff_fleet.play(refusing(refuses), hosts, calls_per_s, PLAY_MS)
-    assert worst(fleet) <= backoff_fleet.SENDS_LIMIT
+    assert worst(fleet) <= backoff_fleet.MAX_SENDS
     # Three other engines have room.
     assert fleet.refused_share() == 0
     engine = fleet.engines[0]
@@ -88,7 +88,7 @@
     fleet = backoff_fleet.play(
         refusing(all_hosts, engines=4), hosts, calls_per_s, PLAY_MS
     )
-    assert worst(fleet) <= backoff_fleet.SENDS_LIMIT
+    assert worst(fleet) <= backoff_fleet.MAX_SENDS
     late = [one for one in fleet.results if one.at_ms >= ENDED_MS + 4_500]
     assert sum(one.served for one in late) >= 0.9 * len(late)
 
@@ -156,7 +156,7 @@
     found = max(
         engine.most_in_a_backoff(restarted) for engine in fleet.engines
     )
-    assert found <= backoff_fleet.SENDS_LIMIT
+    assert found <= backoff_fleet.MAX_SENDS
 
 
 @pytest.mark.parametrize('refuses', [all_hosts, some_requests])
