--- a/tests/backoff_fleet.py
+++ b/tests/backoff_fleet.py
@@ -20,7 +20,7 @@
 # What hosts of the users' platform are held to.
 GRACE_MS = 500
 MAX_SENDS = 2
-TRIES = 4
+MAX_TRIES = 4
 
 
 @dataclasses.dataclass
@@ -134,7 +134,7 @@
     async def _send(self, host, rank):
         """Send a call until an engine serves it; None where none does."""
         tried = set()
-        for _number in range(TRIES):
+        for _number in range(MAX_TRIES):
             open_to = [
                 one
                 for one in self.engines
