--- a/tests/backoff_fleet.py
+++ b/tests/backoff_fleet.py
@@ -41,7 +41,7 @@
         self.backoff_ms = 3_000
         self.refuses = lambda host: False
 
-    def arrive(self, host):
+    def receive_request(self, host):
         """Take a request; return the backoff it is refused with, or 0."""
         backoff_ms = self.backoff_ms if self.refuses(host) else 0
         now_ms = group.LoopClock().mono_ms()
@@ -155,7 +155,7 @@
                 return None
             if host.frozen or host.backoffs.own_remaining_ms(engine.life):
                 continue
-            backoff_ms = engine.arrive(host.name)
+            backoff_ms = engine.receive_request(host.name)
             if not backoff_ms:
                 self._start(self._serve_answer(host, engine, acquired_ms))
                 return engine
