--- a/tests/backoff_fleet.py
+++ b/tests/backoff_fleet.py
@@ -56,7 +56,9 @@
         """Return how many requests came in some time."""
         return sum(since_ms <= one.at_ms < until_ms for one in self.arrivals)
 
-    def most_in_a_backoff(self, excused=lambda host, since_ms, at_ms: False):
+    def max_requests_in_backoff(
+        self, excused=lambda host, since_ms, at_ms: False
+    ):
         """Return the most requests that one host sent within a backoff."""
         by_host = collections.defaultdict(list)
         for one in self.arrivals:
--- a/tests/test_backoff_fleet.py
+++ b/tests/test_backoff_fleet.py
@@ -48,7 +48,7 @@
 
 
 def worst(fleet):
-    return max(engine.most_in_a_backoff() for engine in fleet.engines)
+    return max(engine.max_requests_in_backoff() for engine in fleet.engines)
 
 
 @pytest.mark.parametrize('refuses', [all_hosts, first_host, some_requests])
@@ -154,7 +154,7 @@
         return any(since_ms <= one <= at_ms for one in found)
 
     found = max(
-        engine.most_in_a_backoff(restarted) for engine in fleet.engines
+        engine.max_requests_in_backoff(restarted) for engine in fleet.engines
     )
     assert found <= backoff_fleet.MAX_SENDS
 
