--- a/tests/backoff_fleet.py
+++ b/tests/backoff_fleet.py
@@ -83,7 +83,7 @@
 class BackoffHost(endpoint_limit_fleet.SimulatedHost):
     """An entry host that backs off as the product does."""
 
-    agreeing_hosts = endpoint_backoffs.REFUSAL_QUORUM
+    refusal_quorum = endpoint_backoffs.REFUSAL_QUORUM
 
     def __init__(self, fleet, name):
         super().__init__(fleet, name)
@@ -93,7 +93,7 @@
             lambda _life: True,
             self._tell_backoffs,
             self.clock,
-            self.agreeing_hosts,
+            self.refusal_quorum,
         )
         self.askers.listen(
             lambda message: self.backoffs.merge(message.backoffs)
