--- a/tests/backoff_fleet.py
+++ b/tests/backoff_fleet.py
@@ -91,7 +91,7 @@
             name,
             self.askers.order,
             lambda _life: True,
-            self._tell_backoffs,
+            self._gossip_backoffs,
             self.clock,
             self.refusal_quorum,
         )
@@ -100,7 +100,7 @@
         )
         self.backoffs.start()
 
-    async def _tell_backoffs(self, backoffs):
+    async def _gossip_backoffs(self, backoffs):
         await self.askers.tell(attending.TellRegion(backoffs=backoffs))
 
     def may_choose(self, engine):
@@ -114,7 +114,7 @@
 class AloneHost(BackoffHost):
     """A host that learns of backoffs by itself alone."""
 
-    async def _tell_backoffs(self, backoffs):
+    async def _gossip_backoffs(self, backoffs):
         pass
 
 
