--- a/benches/endpoint_backoffs.py
+++ b/benches/endpoint_backoffs.py
@@ -28,7 +28,7 @@
 BURST_MS = 100
 SIZES = [(3, 40), (9, 60), (20, 80), (60, 240), (200, 800)]
 WAYS = {
-    'each host alone': backoff_fleet.AloneHost,
+    'each host alone': backoff_fleet.NoGossipHost,
     'first refusal': backoff_fleet.FirstWordHost,
     'two hosts agree': backoff_fleet.BackoffHost,
 }
--- a/tests/backoff_fleet.py
+++ b/tests/backoff_fleet.py
@@ -111,7 +111,7 @@
         await super().close()
 
 
-class AloneHost(BackoffHost):
+class NoGossipHost(BackoffHost):
     """A host that learns of backoffs by itself alone."""
 
     async def _gossip_backoffs(self, backoffs):
