--- a/benches/endpoint_backoffs.py
+++ b/benches/endpoint_backoffs.py
@@ -29,7 +29,7 @@
 SIZES = [(3, 40), (9, 60), (20, 80), (60, 240), (200, 800)]
 WAYS = {
     'each host alone': backoff_fleet.NoGossipHost,
-    'first refusal': backoff_fleet.FirstWordHost,
+    'first refusal': backoff_fleet.SingleRefusalHost,
     'two hosts agree': backoff_fleet.BackoffHost,
 }
 REFUSALS = {
--- a/tests/backoff_fleet.py
+++ b/tests/backoff_fleet.py
@@ -118,7 +118,7 @@
         pass
 
 
-class FirstWordHost(BackoffHost):
+class SingleRefusalHost(BackoffHost):
     """A host that backs off as soon as another one was refused."""
 
     agreeing_hosts = 1
