--- a/benches/endpoint_backoffs.py
+++ b/benches/endpoint_backoffs.py
@@ -43,7 +43,7 @@
 def play(made, name, hosts, calls_per_s, seed):
     """Return the figures of one way in one play."""
     refuses, engines = REFUSALS[name]
-    fleet = backoff_fleet.play(
+    fleet = backoff_fleet.simulate(
         test_backoff_fleet.refusing(refuses, engines),
         hosts,
         calls_per_s,
--- a/tests/backoff_fleet.py
+++ b/tests/backoff_fleet.py
@@ -171,7 +171,7 @@
         host.backoffs.on_response(engine.life, 0, acquired_ms)
 
 
-def play(happen, hosts, calls_per_s, for_ms, seed=1, make=BackoffHost):
+def simulate(happen, hosts, calls_per_s, for_ms, seed=1, make=BackoffHost):
     """Return a fleet after calls came while something happened."""
     held = {}
 
--- a/tests/test_backoff_fleet.py
+++ b/tests/test_backoff_fleet.py
@@ -54,7 +54,9 @@
 @pytest.mark.parametrize('refuses', [all_hosts, first_host, some_requests])
 @pytest.mark.parametrize('hosts, calls_per_s', SIZES)
 def test_resting_engine_is_left_alone(hosts, calls_per_s, refuses):
-    fleet = backoff_fleet.play(refusing(refuses), hosts, calls_per_s, PLAY_MS)
+    fleet = backoff_fleet.simulate(
+        refusing(refuses), hosts, calls_per_s, PLAY_MS
+    )
     assert worst(fleet) <= backoff_fleet.MAX_SENDS
     # Three other engines have room.
     assert fleet.refused_share() == 0
@@ -66,7 +68,7 @@
 
 @pytest.mark.parametrize('hosts, calls_per_s', SIZES[1:])
 def test_engine_that_refuses_one_host_serves_the_others(hosts, calls_per_s):
-    fleet = backoff_fleet.play(
+    fleet = backoff_fleet.simulate(
         refusing(first_host), hosts, calls_per_s, PLAY_MS
     )
     others = (hosts - 1) / hosts
@@ -77,7 +79,7 @@
 @pytest.mark.parametrize('hosts, calls_per_s', SIZES[2:])
 def test_hosts_of_a_large_region_learn_from_each_other(hosts, calls_per_s):
     """Each alone is refused once a rest: three times in 10 s and more."""
-    fleet = backoff_fleet.play(
+    fleet = backoff_fleet.simulate(
         refusing(all_hosts), hosts, calls_per_s, PLAY_MS
     )
     assert fleet.refusals <= hosts
@@ -85,7 +87,7 @@
 
 @pytest.mark.parametrize('hosts, calls_per_s', SIZES)
 def test_all_engines_rest_and_return(hosts, calls_per_s):
-    fleet = backoff_fleet.play(
+    fleet = backoff_fleet.simulate(
         refusing(all_hosts, engines=4), hosts, calls_per_s, PLAY_MS
     )
     assert worst(fleet) <= backoff_fleet.MAX_SENDS
@@ -163,7 +165,7 @@
 @pytest.mark.parametrize('mishap', MISHAPS)
 def test_mishaps_let_nothing_through(mishap, refuses):
     happen = refusing(refuses, mishap=mishap)
-    check(backoff_fleet.play(happen, 9, 60, PLAY_MS))
+    check(backoff_fleet.simulate(happen, 9, 60, PLAY_MS))
 
 
 SEEDS = int(os.environ.get('WRENSPOKE_SOAK_SEEDS', 4))
@@ -187,4 +189,4 @@
 
     refuses = (all_hosts, some_requests, first_host)[seed % 3]
     happen = refusing(refuses, engines=1 + seed % 4, mishap=mishap)
-    check(backoff_fleet.play(happen, 6, 60, PLAY_MS, seed))
+    check(backoff_fleet.simulate(happen, 6, 60, PLAY_MS, seed))
