--- a/benches/limits.py
+++ b/benches/limits.py
@@ -167,7 +167,7 @@
     made = team_limit_fleet.Fleet.__init__.__defaults__
     team_limit_fleet.Fleet.__init__.__defaults__ = (seed, WAYS[way])
     try:
-        fleet = test_team_limits.play(
+        fleet = test_team_limits.simulate(
             hosts, rate_per_s, seed=seed, **PATTERNS[pattern]
         )
     finally:
--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -38,7 +38,9 @@
     return 0.17
 
 
-def play(hosts, rate_per_s, mishap=None, share_of=None, used=USUAL, seed=1):
+def simulate(
+    hosts, rate_per_s, mishap=None, share_of=None, used=USUAL, seed=1
+):
     """Return a fleet after 34 s of calls, 8 s after its leader began."""
     held = {}
 
@@ -69,7 +71,7 @@
 def test_little_is_refused_below_the_limit(
     hosts, rate_per_s, most_refused, share_of
 ):
-    fleet = play(hosts, rate_per_s, share_of=share_of)
+    fleet = simulate(hosts, rate_per_s, share_of=share_of)
     assert fleet.refused_share() < most_refused
     assert fleet.most_in_a_window() <= fleet.bound
     # One question a call, and what lenders ask the leader.
@@ -84,7 +86,7 @@
 @pytest.mark.parametrize('rate_per_s', [SMALL, LARGE], ids=['small', 'large'])
 def test_hot_team_is_held_to_its_limit(hosts, rate_per_s):
     """It asks for four times its limit, in regions that peak in turn."""
-    fleet = play(hosts, rate_per_s, share_of=in_turn, used=4.0)
+    fleet = simulate(hosts, rate_per_s, share_of=in_turn, used=4.0)
     assert fleet.most_in_a_window() <= fleet.bound
     admitted = 1 - fleet.refused_share()
     assert 0.75 * 0.25 < admitted < 0.35
@@ -166,7 +168,7 @@
 def test_mishaps_never_take_a_team_over_its_bound(
     mishap, rate_per_s, used, seed
 ):
-    fleet = play(30, rate_per_s, mishap, in_turn, used, seed)
+    fleet = simulate(30, rate_per_s, mishap, in_turn, used, seed)
     assert fleet.most_in_a_window() <= fleet.bound
 
 
@@ -176,7 +178,7 @@
     ids=lambda one: getattr(one, '__name__', ''),
 )
 def test_calls_go_on_below_the_limit_beside_mishaps(mishap, most_refused):
-    fleet = play(30, LARGE, mishap, in_turn)
+    fleet = simulate(30, LARGE, mishap, in_turn)
     assert fleet.refused_share() < most_refused
 
 
