--- a/benches/limits.py
+++ b/benches/limits.py
@@ -149,14 +149,14 @@
 }
 PATTERNS = {
     'steady': {},
-    'peaks in turn': {'share_of': test_team_limits.in_turn},
-    'hot': {'share_of': test_team_limits.in_turn, 'used': 4.0},
+    'peaks in turn': {'share_of': test_team_limits.rotating_peaks},
+    'hot': {'share_of': test_team_limits.rotating_peaks, 'used': 4.0},
     'region cut off': {
-        'share_of': test_team_limits.in_turn,
+        'share_of': test_team_limits.rotating_peaks,
         'mishap': test_team_limits.cut,
     },
     'all hosts restart': {
-        'share_of': test_team_limits.in_turn,
+        'share_of': test_team_limits.rotating_peaks,
         'mishap': test_team_limits.restart,
     },
 }
--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -25,7 +25,7 @@
 TURN_MS = 10_000
 
 
-def in_turn(region, since_ms):
+def rotating_peaks(region, since_ms):
     """Return a region's part where each peaks for a while, 16 to 1."""
     peaking = int(since_ms // TURN_MS) % team_limit_fleet.REGIONS
     into_ms = since_ms % TURN_MS
@@ -66,7 +66,7 @@
     ids=['small', 'large'],
 )
 @pytest.mark.parametrize(
-    'share_of', [None, in_turn], ids=['even', 'peaks in turn']
+    'share_of', [None, rotating_peaks], ids=['even', 'peaks in turn']
 )
 def test_little_is_refused_below_the_limit(
     hosts, rate_per_s, most_refused, share_of
@@ -86,7 +86,7 @@
 @pytest.mark.parametrize('rate_per_s', [SMALL, LARGE], ids=['small', 'large'])
 def test_hot_team_is_held_to_its_limit(hosts, rate_per_s):
     """It asks for four times its limit, in regions that peak in turn."""
-    fleet = simulate(hosts, rate_per_s, share_of=in_turn, used=4.0)
+    fleet = simulate(hosts, rate_per_s, share_of=rotating_peaks, used=4.0)
     assert fleet.most_in_a_window() <= fleet.bound
     admitted = 1 - fleet.refused_share()
     assert 0.75 * 0.25 < admitted < 0.35
@@ -168,7 +168,7 @@
 def test_mishaps_never_take_a_team_over_its_bound(
     mishap, rate_per_s, used, seed
 ):
-    fleet = simulate(30, rate_per_s, mishap, in_turn, used, seed)
+    fleet = simulate(30, rate_per_s, mishap, rotating_peaks, used, seed)
     assert fleet.most_in_a_window() <= fleet.bound
 
 
@@ -178,7 +178,7 @@
     ids=lambda one: getattr(one, '__name__', ''),
 )
 def test_calls_go_on_below_the_limit_beside_mishaps(mishap, most_refused):
-    fleet = simulate(30, LARGE, mishap, in_turn)
+    fleet = simulate(30, LARGE, mishap, rotating_peaks)
     assert fleet.refused_share() < most_refused
 
 
