--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -21,7 +21,7 @@
 SIZES = [20, 60, 200]
 # A small team's limit, and that of a third of all calls, tokens a second.
 SMALL, LARGE = 29_000, 300_000
-USUAL = 0.55
+TYPICAL_LOAD = 0.55
 TURN_MS = 10_000
 
 
@@ -39,7 +39,7 @@
 
 
 def simulate(
-    hosts, rate_per_s, mishap=None, share_of=None, used=USUAL, seed=1
+    hosts, rate_per_s, mishap=None, share_of=None, used=TYPICAL_LOAD, seed=1
 ):
     """Return a fleet after 34 s of calls, 8 s after its leader began."""
     held = {}
@@ -162,7 +162,7 @@
 
 
 @pytest.mark.parametrize('seed', range(3))
-@pytest.mark.parametrize('used', [USUAL, 4.0], ids=['usual', 'hot'])
+@pytest.mark.parametrize('used', [TYPICAL_LOAD, 4.0], ids=['usual', 'hot'])
 @pytest.mark.parametrize('rate_per_s', [SMALL, LARGE], ids=['small', 'large'])
 @pytest.mark.parametrize('mishap', MISHAPS, ids=lambda one: one.__name__)
 def test_mishaps_never_take_a_team_over_its_bound(
