--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -22,13 +22,13 @@
 # A small team's limit, and that of a third of all calls, tokens a second.
 SMALL, LARGE = 29_000, 300_000
 TYPICAL_LOAD = 0.55
-TURN_MS = 10_000
+PEAK_MS = 10_000
 
 
 def rotating_peaks(region, since_ms):
     """Return a region's part where each peaks for a while, 16 to 1."""
-    peaking = int(since_ms // TURN_MS) % team_limit_fleet.REGIONS
-    into_ms = since_ms % TURN_MS
+    peaking = int(since_ms // PEAK_MS) % team_limit_fleet.REGIONS
+    into_ms = since_ms % PEAK_MS
     # The peak moves within 2 s.
     moved = min(into_ms / 2_000, 1.0)
     if region == peaking:
