--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -158,13 +158,13 @@
     return happen()
 
 
-MISHAPS = [cut, restart, restart_with_leader, lose_leaders, freeze]
+FAULTS = [cut, restart, restart_with_leader, lose_leaders, freeze]
 
 
 @pytest.mark.parametrize('seed', range(3))
 @pytest.mark.parametrize('used', [TYPICAL_LOAD, 4.0], ids=['usual', 'hot'])
 @pytest.mark.parametrize('rate_per_s', [SMALL, LARGE], ids=['small', 'large'])
-@pytest.mark.parametrize('mishap', MISHAPS, ids=lambda one: one.__name__)
+@pytest.mark.parametrize('mishap', FAULTS, ids=lambda one: one.__name__)
 def test_mishaps_never_take_a_team_over_its_bound(
     mishap, rate_per_s, used, seed
 ):
