--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -92,7 +92,7 @@
     assert 0.75 * 0.25 < admitted < 0.35
 
 
-def cut(fleet):
+def partition_region(fleet):
     async def happen():
         await fleet.wait_ms(6_000)
         for name in fleet.network.hosts:
@@ -158,7 +158,7 @@
     return happen()
 
 
-FAULTS = [cut, restart, restart_with_leader, lose_leaders, freeze]
+FAULTS = [partition_region, restart, restart_with_leader, lose_leaders, freeze]
 
 
 @pytest.mark.parametrize('seed', range(3))
