--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -259,7 +259,7 @@
 NUMBERS = itertools.count(1)
 
 
-def heard(allocated, host, *shares):
+def ask_shares(allocated, host, *shares):
     """Let a lender ask, and return what comes of it."""
     message = limiting.AskShares(list(shares), 'life', next(NUMBERS))
     return allocated._handle_ask_shares(host, message)
@@ -280,12 +280,12 @@
 def test_leader_waits_for_every_lender_and_no_longer():
     async def run():
         allocated, _voter = await leading(['a', 'b'])
-        granted = await heard(allocated, 'a', asked(0.2, 0.9))
+        granted = await ask_shares(allocated, 'a', asked(0.2, 0.9))
         assert granted.granted[0].share == pytest.approx(0.2)
         assert granted.unsettled_ms > 0
         # Restarted hosts say that they hold nothing.
-        assert (await heard(allocated, 'b')).unsettled_ms == 0
-        granted = await heard(allocated, 'a', asked(0.2, 0.9))
+        assert (await ask_shares(allocated, 'b')).unsettled_ms == 0
+        granted = await ask_shares(allocated, 'a', asked(0.2, 0.9))
         assert granted.granted[0].share == pytest.approx(0.9)
         await allocated.close()
 
@@ -295,12 +295,12 @@
 def test_silent_lender_is_waited_for_until_its_lease_has_ended():
     async def run():
         allocated, _voter = await leading(['a', 'silent'])
-        await heard(allocated, 'a', asked(0.2, 0.9))
+        await ask_shares(allocated, 'a', asked(0.2, 0.9))
         await group.asyncio.sleep(allocator.SHARE_LEASE_MS / 1_000 - 0.1)
-        granted = await heard(allocated, 'a', asked(0.2, 0.9))
+        granted = await ask_shares(allocated, 'a', asked(0.2, 0.9))
         assert granted.granted[0].share == pytest.approx(0.2)
         await group.asyncio.sleep(0.3)
-        granted = await heard(allocated, 'a', asked(0.2, 0.9))
+        granted = await ask_shares(allocated, 'a', asked(0.2, 0.9))
         assert granted.granted[0].share == pytest.approx(0.9)
         await allocated.close()
 
@@ -313,10 +313,10 @@
     async def run():
         allocated, voter = await leading()
         first = group.asyncio.ensure_future(
-            heard(allocated, 'a', asked(0.0, 0.5))
+            ask_shares(allocated, 'a', asked(0.0, 0.5))
         )
         other = group.asyncio.ensure_future(
-            heard(allocated, 'b', asked(0.0, 0.4))
+            ask_shares(allocated, 'b', asked(0.0, 0.4))
         )
         await group.asyncio.sleep(0.1)
         assert not first.done()
@@ -324,7 +324,7 @@
         assert (await other).granted[0].share == pytest.approx(0.4)
         assert voter.state.bucket_owners == ('a', 'b')
         late = group.asyncio.ensure_future(
-            heard(allocated, 'c', asked(0.0, 0.1))
+            ask_shares(allocated, 'c', asked(0.0, 0.1))
         )
         await group.asyncio.sleep(0.1)
         voter.has_lease = False
@@ -338,10 +338,10 @@
 def test_host_that_asks_for_nothing_for_long_is_a_lender_no_more():
     async def run():
         allocated, voter = await leading(['gone', 'a'])
-        await heard(allocated, 'a', asked(0.0, 0.5))
+        await ask_shares(allocated, 'a', asked(0.0, 0.5))
         await group.asyncio.sleep(allocator.HOLDER_EXPIRY_MS / 1_000 + 1)
-        await heard(allocated, 'a', asked(0.5, 0.5))
-        await heard(allocated, 'b', asked(0.0, 0.5))
+        await ask_shares(allocated, 'a', asked(0.5, 0.5))
+        await ask_shares(allocated, 'b', asked(0.0, 0.5))
         assert voter.state.bucket_owners == ('a', 'b')
         await allocated.close()
 
@@ -353,12 +353,12 @@
 
     async def run():
         allocated, _voter = await leading(['a', 'b'])
-        await heard(allocated, 'b')
-        held_up = heard(allocated, 'a', asked(0.0, 0.9))
-        granted = await heard(allocated, 'a', asked(0.0, 0.9))
+        await ask_shares(allocated, 'b')
+        held_up = ask_shares(allocated, 'a', asked(0.0, 0.9))
+        granted = await ask_shares(allocated, 'a', asked(0.0, 0.9))
         assert granted.granted[0].share == pytest.approx(0.9)
         assert not isinstance(await held_up, limiting.SharesGranted)
-        granted = await heard(allocated, 'b', asked(0.0, 0.9))
+        granted = await ask_shares(allocated, 'b', asked(0.0, 0.9))
         assert granted.granted[0].share == pytest.approx(0.1)
         # Another life of the lender counts from the start.
         again = limiting.AskShares([asked(0.0, 0.5)], 'later life', 1)
