--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -265,7 +265,7 @@
     return allocated._handle_ask_shares(host, message)
 
 
-async def leading(lenders=()):
+async def start_leader(lenders=()):
     """Return what parts limits on a host that has just begun to lead."""
     state = replicated.ReplicatedState(lenders=tuple(lenders))
     voter = team_limit_fleet.FakeVoter(state)
@@ -279,7 +279,7 @@
 
 def test_leader_waits_for_every_lender_and_no_longer():
     async def run():
-        allocated, _voter = await leading(['a', 'b'])
+        allocated, _voter = await start_leader(['a', 'b'])
         granted = await ask_shares(allocated, 'a', asked(0.2, 0.9))
         assert granted.granted[0].share == pytest.approx(0.2)
         assert granted.unsettled_ms > 0
@@ -294,7 +294,7 @@
 
 def test_silent_lender_is_waited_for_until_its_lease_has_ended():
     async def run():
-        allocated, _voter = await leading(['a', 'silent'])
+        allocated, _voter = await start_leader(['a', 'silent'])
         await ask_shares(allocated, 'a', asked(0.2, 0.9))
         await group.asyncio.sleep(allocator.SHARE_LEASE_MS / 1_000 - 0.1)
         granted = await ask_shares(allocated, 'a', asked(0.2, 0.9))
@@ -311,7 +311,7 @@
     """A leader that is lost meanwhile leaves no share that nobody knows."""
 
     async def run():
-        allocated, voter = await leading()
+        allocated, voter = await start_leader()
         first = group.asyncio.ensure_future(
             ask_shares(allocated, 'a', asked(0.0, 0.5))
         )
@@ -337,7 +337,7 @@
 
 def test_host_that_asks_for_nothing_for_long_is_a_lender_no_more():
     async def run():
-        allocated, voter = await leading(['gone', 'a'])
+        allocated, voter = await start_leader(['gone', 'a'])
         await ask_shares(allocated, 'a', asked(0.0, 0.5))
         await group.asyncio.sleep(allocator.HOLDER_EXPIRY_MS / 1_000 + 1)
         await ask_shares(allocated, 'a', asked(0.5, 0.5))
@@ -352,7 +352,7 @@
     """It says what its lender held before it was granted more."""
 
     async def run():
-        allocated, _voter = await leading(['a', 'b'])
+        allocated, _voter = await start_leader(['a', 'b'])
         await ask_shares(allocated, 'b')
         held_up = ask_shares(allocated, 'a', asked(0.0, 0.9))
         granted = await ask_shares(allocated, 'a', asked(0.0, 0.9))
