--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -165,9 +165,7 @@
 @pytest.mark.parametrize('used', [TYPICAL_LOAD, 4.0], ids=['usual', 'hot'])
 @pytest.mark.parametrize('rate_per_s', [SMALL, LARGE], ids=['small', 'large'])
 @pytest.mark.parametrize('mishap', FAULTS, ids=lambda one: one.__name__)
-def test_mishaps_never_take_a_team_over_its_bound(
-    mishap, rate_per_s, used, seed
-):
+def test_faults_do_not_exceed_team_bound(mishap, rate_per_s, used, seed):
     fleet = simulate(30, rate_per_s, mishap, rotating_peaks, used, seed)
     assert fleet.most_in_a_window() <= fleet.bound
 
