--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -175,7 +175,7 @@
     [(lose_leaders, 0.08), (restart, 0.05), (freeze, 0.08)],
     ids=lambda one: getattr(one, '__name__', ''),
 )
-def test_calls_go_on_below_the_limit_beside_mishaps(mishap, most_refused):
+def test_few_calls_are_refused_during_faults(mishap, most_refused):
     fleet = simulate(30, LARGE, mishap, rotating_peaks)
     assert fleet.refused_share() < most_refused
 
