--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -117,7 +117,7 @@
         ('            max(share, held), asked.wanted,'),
         ('            share, asked.wanted,'),
         (
-            'tests/test_team_limits.py::test_lower_share_counts_once_its_lender_has_heard_of_it'
+            'tests/test_team_limits.py::test_lowered_share_stays_allocated_until_acknowledged'
         ),
     ),
     Switch(
--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -185,7 +185,7 @@
     return limiting.ShareAsked('t', held, wanted, returned_ms, depth_ms)
 
 
-def test_lower_share_counts_once_its_lender_has_heard_of_it():
+def test_lowered_share_stays_allocated_until_acknowledged():
     parts = allocator.TeamAllocation(0)
     assert parts.grant('a', asked(0.0, 1.0), True, 0).share == 1.0
     # The answer that lowers may be lost.
