--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -126,7 +126,7 @@
         ('            if part.until_ms <= now_ms:\n'),
         ('            if part.until_ms <= now_ms + LEASE_KEPT_MS:\n'),
         (
-            'tests/test_team_limits.py::test_silent_lender_keeps_its_share_for_its_lease'
+            'tests/test_team_limits.py::test_unresponsive_holder_keeps_its_share_until_lease_expiry'
         ),
     ),
     Switch(
--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -196,7 +196,7 @@
     assert parts.grant('b', asked(0.0, 0.5), True, 400).share == 0.5
 
 
-def test_silent_lender_keeps_its_share_for_its_lease():
+def test_unresponsive_holder_keeps_its_share_until_lease_expiry():
     parts = allocator.TeamAllocation(0)
     parts.grant('a', asked(0.0, 0.9), True, 0)
     late = allocator.LEASE_EXPIRY_MS
