--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -135,7 +135,7 @@
         ('        whole = 1.0 if settled else min(self._reported, 1.0)\n'),
         ('        whole = 1.0\n'),
         (
-            'tests/test_team_limits.py::test_new_leader_parts_no_more_than_it_was_told_of'
+            'tests/test_team_limits.py::test_new_leader_allocates_only_reported_shares'
         ),
     ),
     Switch(
--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -206,7 +206,7 @@
     assert given.share == pytest.approx(0.9)
 
 
-def test_new_leader_parts_no_more_than_it_was_told_of():
+def test_new_leader_allocates_only_reported_shares():
     parts = allocator.TeamAllocation(0)
     assert parts.grant('a', asked(0.0, 0.9), False, 0).share == 0.0
     assert parts.grant('b', asked(0.4, 0.9), False, 0).share < 0.4
