--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -219,7 +219,7 @@
     assert settled.share == pytest.approx(0.8)
 
 
-def test_share_that_grows_is_given_its_part_of_what_nobody_used():
+def test_growing_share_receives_unallocated_tokens():
     parts = allocator.TeamAllocation(0)
     first = parts.grant('a', asked(0.0, 0.5), True, 2_000)
     assert first.level_ms == pytest.approx(1_000)
