--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -143,7 +143,7 @@
         DECISIONS + 'limiting/limiter.py',
         ('        if taken is None or taken.refunded:\n'),
         ('        if taken is None:\n'),
-        ('tests/test_team_limits.py::test_amount_is_given_back_once'),
+        ('tests/test_team_limits.py::test_reservation_is_refunded_once'),
     ),
     Switch(
         'connection cancelled as it is made',
--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -227,7 +227,7 @@
     assert second.level_ms == pytest.approx(1_000)
 
 
-def test_amount_is_given_back_once(monkeypatch):
+def test_reservation_is_refunded_once(monkeypatch):
     """A call that ran nothing leaves its amount to the next."""
 
     async def run():
