--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -275,7 +275,7 @@
     return allocator.Allocator(voter, peers, clock), voter
 
 
-def test_leader_waits_for_every_lender_and_no_longer():
+def test_new_leader_settles_once_all_holders_reported():
     async def run():
         allocated, _voter = await start_leader(['a', 'b'])
         granted = await ask_shares(allocated, 'a', asked(0.2, 0.9))
