--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -171,7 +171,7 @@
         ),
         ('        if True:\n'),
         (
-            'tests/test_team_limits.py::test_silent_lender_is_waited_for_until_its_lease_has_ended'
+            'tests/test_team_limits.py::test_new_leader_waits_for_lease_of_unresponsive_holder'
         ),
     ),
     Switch(
--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -290,7 +290,7 @@
     group.run(run())
 
 
-def test_silent_lender_is_waited_for_until_its_lease_has_ended():
+def test_new_leader_waits_for_lease_of_unresponsive_holder():
     async def run():
         allocated, _voter = await start_leader(['a', 'silent'])
         await ask_shares(allocated, 'a', asked(0.2, 0.9))
