--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -180,7 +180,7 @@
         ('        if message.shares and not await self._ensure_registered(lender):\n'),
         ('        if False:\n'),
         (
-            'tests/test_team_limits.py::test_nothing_is_granted_before_its_lender_is_noted'
+            'tests/test_team_limits.py::test_holder_is_replicated_before_its_first_grant'
         ),
     ),
     Switch(
--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -305,7 +305,7 @@
     group.run(run())
 
 
-def test_nothing_is_granted_before_its_lender_is_noted():
+def test_holder_is_replicated_before_its_first_grant():
     """A leader that is lost meanwhile leaves no share that nobody knows."""
 
     async def run():
