--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -333,7 +333,7 @@
     group.run(run())
 
 
-def test_host_that_asks_for_nothing_for_long_is_a_lender_no_more():
+def test_inactive_holder_is_removed():
     async def run():
         allocated, voter = await start_leader(['gone', 'a'])
         await ask_shares(allocated, 'a', asked(0.0, 0.5))
