--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -346,7 +346,7 @@
     group.run(run())
 
 
-def test_question_that_was_held_up_changes_nothing():
+def test_stale_share_request_is_refused():
     """It says what its lender held before it was granted more."""
 
     async def run():
