--- a/tests/test_advertised_limits.py
+++ b/tests/test_advertised_limits.py
@@ -135,7 +135,7 @@
         return lambda answerer: answerer
 
 
-def lender(clock, known):
+def buckets_of(clock, known):
     """Return what lends limits on the only host of a region."""
 
     async def tell(_limits):
@@ -151,7 +151,7 @@
     """It ends by an answer whose request left after it was last named."""
     clock = test_registry.FakeClock()
     known = advertised_limits.AdvertisedLimits()
-    lends = lender(clock, known)
+    lends = buckets_of(clock, known)
     lends.on_advertised(limiting.EndpointLimit(LIFE), 1.2, None)
     grants = []
     for _number in range(3):
@@ -180,7 +180,7 @@
 def test_lower_limit_counts_whenever_it_is_heard():
     clock = test_registry.FakeClock()
     known = advertised_limits.AdvertisedLimits()
-    lends = lender(clock, known)
+    lends = buckets_of(clock, known)
     lends.on_advertised(limiting.EndpointLimit(LIFE), 4.0, None)
     lends.on_advertised(known.limit_of(LIFE), 1.0, None)
     assert known.rate_per_s(LIFE) == 1.0
@@ -193,7 +193,7 @@
 def test_leave_is_kept_for_the_more_urgent_for_a_moment():
     clock = test_registry.FakeClock()
     known = advertised_limits.AdvertisedLimits()
-    lends = lender(clock, known)
+    lends = buckets_of(clock, known)
     lends.on_advertised(limiting.EndpointLimit(LIFE), 2.0, None)
     now = known.limit_of(LIFE)
     assert lends.take(now, 2).grant is None
