--- a/tests/test_advertised_limits.py
+++ b/tests/test_advertised_limits.py
@@ -40,7 +40,7 @@
     ['', ' ', 'many', '-1', '+1', '1e3', 'nan', 'inf', '1,', '1 2', '٣']
     + ['0x1', '1.2.3', '.', '9' * 400, '1;q=1', '1.2\x00'],
 )
-def test_rate_that_is_none_is_told(text):
+def test_malformed_rate_raises(text):
     with pytest.raises(errors.MalformedRateError):
         rates.read([text])
 
