--- a/tests/test_advertised_limits.py
+++ b/tests/test_advertised_limits.py
@@ -46,7 +46,7 @@
 
 
 @hypothesis.given(strategies.lists(strategies.text(max_size=40), max_size=4))
-def test_any_text_is_a_rate_or_told(texts):
+def test_any_text_parses_or_raises(texts):
     try:
         rate_per_s = rates.read(texts)
     except errors.MalformedRateError as error:
