--- a/tests/test_advertised_limits.py
+++ b/tests/test_advertised_limits.py
@@ -64,7 +64,7 @@
     return limiting.EndpointLimit(life, version, rate_per_s)
 
 
-def test_each_change_of_a_limit_has_one_line():
+def test_limit_change_is_logged_once():
     known = advertised_limits.AdvertisedLimits()
     with structlog.testing.capture_logs() as lines:
         for texts in ([], ['1.2'], ['1.2'], ['x'], ['x'], ['3'], [], []):
