--- a/tests/test_advertised_limits.py
+++ b/tests/test_advertised_limits.py
@@ -118,7 +118,7 @@
     assert known.rate_per_s(LIFE) == rate_per_s
 
 
-def test_what_is_gone_is_forgotten():
+def test_limits_of_missing_endpoints_are_evicted():
     known = advertised_limits.AdvertisedLimits()
     known.merge(limit(1.2))
     known.retain_endpoints(lambda life: life != LIFE)
