--- a/tests/test_advertised_limits.py
+++ b/tests/test_advertised_limits.py
@@ -147,7 +147,7 @@
     )
 
 
-def test_older_answer_ends_no_limit():
+def test_stale_response_does_not_raise_limit():
     """It ends by an answer whose request left after it was last named."""
     clock = test_registry.FakeClock()
     known = advertised_limits.AdvertisedLimits()
