--- a/tests/test_advertised_limits.py
+++ b/tests/test_advertised_limits.py
@@ -177,7 +177,7 @@
     assert lends.take(known.limit_of(LIFE), 0).grant is None
 
 
-def test_lower_limit_counts_whenever_it_is_heard():
+def test_lower_limit_applies_in_any_order():
     clock = test_registry.FakeClock()
     known = advertised_limits.AdvertisedLimits()
     lends = buckets_of(clock, known)
