--- a/tests/test_advertised_limits.py
+++ b/tests/test_advertised_limits.py
@@ -190,7 +190,7 @@
     assert 0 < taken[1].wait_ms <= 1_000
 
 
-def test_leave_is_kept_for_the_more_urgent_for_a_moment():
+def test_tokens_are_reserved_for_more_urgent_calls():
     clock = test_registry.FakeClock()
     known = advertised_limits.AdvertisedLimits()
     lends = buckets_of(clock, known)
