--- a/tests/test_advertised_limits.py
+++ b/tests/test_advertised_limits.py
@@ -209,7 +209,7 @@
     assert lends.take(now, 5).grant is not None
 
 
-def test_callers_that_are_turned_away_come_back_one_by_one():
+def test_refused_callers_return_at_limit_rate():
     clock = test_registry.FakeClock()
     line = return_line.ReturnLine(clock)
     assert [line.join(5, 2.0) for _number in range(3)] == [500, 1_000, 1_500]
