--- a/benches/endpoint_limits.py
+++ b/benches/endpoint_limits.py
@@ -140,7 +140,7 @@
 
 def play(made, hosts, rate_per_s, limited, seed):
     """Return what one way does at one size."""
-    fleet = test_endpoint_limit_fleet.play(
+    fleet = test_endpoint_limit_fleet.simulate(
         hosts, rate_per_s, limited=limited, seed=seed, make=made
     )
     engines = fleet.engines[:limited]
@@ -172,7 +172,7 @@
             await fleet.wait_ms(LOOK_MS)
         found.append(group.LoopClock().mono_ms() - ended_ms)
 
-    test_endpoint_limit_fleet.play(hosts, rate_per_s, end, seed=seed)
+    test_endpoint_limit_fleet.simulate(hosts, rate_per_s, end, seed=seed)
     return found[0]
 
 
--- a/tests/test_endpoint_limit_fleet.py
+++ b/tests/test_endpoint_limit_fleet.py
@@ -20,7 +20,7 @@
 SETTLED_MS = 8_000
 
 
-def play(
+def simulate(
     hosts=9,
     rate_per_s=1.2,
     mishap=None,
@@ -59,7 +59,7 @@
 @pytest.mark.parametrize('rate_per_s', RATES)
 @pytest.mark.parametrize('hosts', [1, 3, 20, 60, 200])
 def test_limit_is_kept_and_used(hosts, rate_per_s):
-    fleet = play(hosts, rate_per_s)
+    fleet = simulate(hosts, rate_per_s)
     engine = fleet.engines[0]
     assert engine.limit_ratio() <= 1.0
     # The others have room.
@@ -190,7 +190,7 @@
 @pytest.mark.parametrize('rate_per_s', [0, 1.2, 3.3, 10])
 @pytest.mark.parametrize('mishap', KEPT, ids=lambda one: one.__name__)
 def test_mishaps_take_no_engine_over_its_limit(mishap, rate_per_s, seed):
-    fleet = play(9, rate_per_s, mishap, seed=seed)
+    fleet = simulate(9, rate_per_s, mishap, seed=seed)
     engine = fleet.engines[0]
     # Hosts that begin with nothing count once they have heard for themselves.
     assert engine.limit_ratio(notified_only=mishap is restart_all) <= 1.0
@@ -220,7 +220,7 @@
     ids=repr,
 )
 def test_limit_that_changes_is_kept(rates_per_s, seed):
-    fleet = play(9, 2.4, change_to(*rates_per_s), seed=seed)
+    fleet = simulate(9, 2.4, change_to(*rates_per_s), seed=seed)
     engine = fleet.engines[0]
     assert engine.limit_ratio() <= 1.0
     assert fleet.refused_share() == 0.0
@@ -240,7 +240,7 @@
     Heads of answers from before may still name the limit; they come within
     four seconds.
     """
-    fleet = play(20, rate_per_s, change_to(None))
+    fleet = simulate(20, rate_per_s, change_to(None))
     engine = fleet.engines[0]
     since_ms, _rate = engine.rates[-1]
     after = [one for one in engine.arrivals if one.at_ms > since_ms + most_ms]
@@ -252,7 +252,7 @@
 def test_urgent_calls_go_first_where_all_engines_are_limited():
     """Of calls that want six times what there is the urgent are served."""
     ranks = itertools.cycle([0, 10, 10, 10])
-    fleet = play(
+    fleet = simulate(
         9, 3.3, limited=3, calls_per_s=60, rank_of=lambda: next(ranks)
     )
     served = collections.Counter()
@@ -283,7 +283,7 @@
         await fleet.wait_ms(1_200)
         assert host.limits.rate_per_s(fleet.engines[0].life) is None
 
-    play(9, 1.2, end_unheard)
+    simulate(9, 1.2, end_unheard)
 
 
 def test_host_that_starts_knows_within_moments():
@@ -299,7 +299,7 @@
         await fleet.wait_ms(1_200)
         assert host.limits.rate_per_s(fleet.engines[0].life) == 1.2
 
-    play(9, 1.2, restart)
+    simulate(9, 1.2, restart)
 
 
 SOAK_SEEDS = int(os.environ.get('WRENSPOKE_SOAK_SEEDS', 12))
@@ -322,6 +322,6 @@
 @pytest.mark.parametrize('seed', range(SOAK_SEEDS))
 def test_drawn_series_take_no_engine_over_its_limit(seed):
     rate_per_s = RATES[seed % len(RATES)]
-    fleet = play(9, rate_per_s, drawn_series, seed=seed)
+    fleet = simulate(9, rate_per_s, drawn_series, seed=seed)
     assert fleet.engines[0].limit_ratio(notified_only=True) <= 1.0
     assert fleet.refused_share() == 0.0
