--- a/tests/test_endpoint_limit_fleet.py
+++ b/tests/test_endpoint_limit_fleet.py
@@ -182,13 +182,13 @@
     return fleet.hosts[name].askers.order(life.endpoint)[0]
 
 
-KEPT = [lose_lender, freeze_lender, restart_lender, come_and_go]
-KEPT += [lose_messages, restart_all, cut_in_halves, hide_lender_from_half]
+FAULTS = [lose_lender, freeze_lender, restart_lender, come_and_go]
+FAULTS += [lose_messages, restart_all, cut_in_halves, hide_lender_from_half]
 
 
 @pytest.mark.parametrize('seed', range(3))
 @pytest.mark.parametrize('rate_per_s', [0, 1.2, 3.3, 10])
-@pytest.mark.parametrize('mishap', KEPT, ids=lambda one: one.__name__)
+@pytest.mark.parametrize('mishap', FAULTS, ids=lambda one: one.__name__)
 def test_mishaps_take_no_engine_over_its_limit(mishap, rate_per_s, seed):
     fleet = simulate(9, rate_per_s, mishap, seed=seed)
     engine = fleet.engines[0]
@@ -314,7 +314,7 @@
         await fleet.wait_ms(drawn.uniform(0, SERIES_MS))
         await happens(fleet)
 
-    kinds = [*KEPT, change_to(drawn.choice(RATES)), change_to(None, 1.2)]
+    kinds = [*FAULTS, change_to(drawn.choice(RATES)), change_to(None, 1.2)]
     chosen = [drawn.choice(kinds) for _number in range(4)]
     return group.asyncio.gather(*map(begin, chosen))
 
