--- a/tests/test_endpoint_limit_fleet.py
+++ b/tests/test_endpoint_limit_fleet.py
@@ -72,7 +72,7 @@
     assert sent <= 6 * (rate_per_s + hosts + 1)
 
 
-def lose_lender(fleet):
+def lose_owner(fleet):
     """The host that lends is killed, and stays away."""
 
     async def happen():
@@ -182,7 +182,7 @@
     return fleet.hosts[name].askers.order(life.endpoint)[0]
 
 
-FAULTS = [lose_lender, freeze_lender, restart_lender, come_and_go]
+FAULTS = [lose_owner, freeze_lender, restart_lender, come_and_go]
 FAULTS += [lose_messages, restart_all, cut_in_halves, hide_lender_from_half]
 
 
