--- a/tests/test_endpoint_limit_fleet.py
+++ b/tests/test_endpoint_limit_fleet.py
@@ -86,7 +86,7 @@
     return happen()
 
 
-def freeze_lender(fleet):
+def freeze_owner(fleet):
     """The host that lends stops for a while and goes on, three times."""
 
     async def happen():
@@ -182,7 +182,7 @@
     return fleet.hosts[name].askers.order(life.endpoint)[0]
 
 
-FAULTS = [lose_owner, freeze_lender, restart_lender, come_and_go]
+FAULTS = [lose_owner, freeze_owner, restart_lender, come_and_go]
 FAULTS += [lose_messages, restart_all, cut_in_halves, hide_lender_from_half]
 
 
