--- a/tests/test_endpoint_limit_fleet.py
+++ b/tests/test_endpoint_limit_fleet.py
@@ -102,7 +102,7 @@
     return happen()
 
 
-def restart_lender(fleet):
+def restart_owner(fleet):
     async def happen():
         for _number in range(3):
             await fleet.restart_host(lender_of(fleet))
@@ -182,7 +182,7 @@
     return fleet.hosts[name].askers.order(life.endpoint)[0]
 
 
-FAULTS = [lose_owner, freeze_owner, restart_lender, come_and_go]
+FAULTS = [lose_owner, freeze_owner, restart_owner, come_and_go]
 FAULTS += [lose_messages, restart_all, cut_in_halves, hide_lender_from_half]
 
 
