--- a/tests/test_endpoint_limit_fleet.py
+++ b/tests/test_endpoint_limit_fleet.py
@@ -119,7 +119,7 @@
     return happen()
 
 
-def come_and_go(fleet):
+def change_owners(fleet):
     """Who lends changes every second, and hosts learn of it one by one."""
 
     async def happen():
@@ -182,7 +182,7 @@
     return fleet.hosts[name].askers.order(life.endpoint)[0]
 
 
-FAULTS = [lose_owner, freeze_owner, restart_owner, come_and_go]
+FAULTS = [lose_owner, freeze_owner, restart_owner, change_owners]
 FAULTS += [lose_messages, restart_all, cut_in_halves, hide_lender_from_half]
 
 
