--- a/tests/test_endpoint_limit_fleet.py
+++ b/tests/test_endpoint_limit_fleet.py
@@ -143,7 +143,7 @@
     return happen()
 
 
-def cut_in_halves(fleet):
+def partition_in_halves(fleet):
     """Both halves reach the engine, and know nothing of each other."""
 
     async def happen():
@@ -183,7 +183,12 @@
 
 
 FAULTS = [lose_owner, freeze_owner, restart_owner, change_owners]
-FAULTS += [lose_messages, restart_all, cut_in_halves, hide_lender_from_half]
+FAULTS += [
+    lose_messages,
+    restart_all,
+    partition_in_halves,
+    hide_lender_from_half,
+]
 
 
 @pytest.mark.parametrize('seed', range(3))
