--- a/tests/test_endpoint_limit_fleet.py
+++ b/tests/test_endpoint_limit_fleet.py
@@ -161,7 +161,7 @@
     return happen()
 
 
-def hide_lender_from_half(fleet):
+def hide_owner_from_half(fleet):
     """Half of the hosts can't ask the one that lends, which lives on."""
 
     async def happen():
@@ -187,7 +187,7 @@
     lose_messages,
     restart_all,
     partition_in_halves,
-    hide_lender_from_half,
+    hide_owner_from_half,
 ]
 
 
