--- a/tests/test_endpoint_limit_fleet.py
+++ b/tests/test_endpoint_limit_fleet.py
@@ -76,7 +76,7 @@
     """The host that lends is killed, and stays away."""
 
     async def happen():
-        name = lender_of(fleet)
+        name = owner_of(fleet)
         fleet.hosts[name].frozen = True
         fleet.network.cut_off(name)
         await fleet.wait_ms(endpoint_limit_fleet.ROSTER_LEASE_MS)
@@ -91,7 +91,7 @@
 
     async def happen():
         for _number in range(3):
-            name = lender_of(fleet)
+            name = owner_of(fleet)
             fleet.hosts[name].frozen = True
             fleet.network.cut_off(name)
             await fleet.wait_ms(2_500)
@@ -105,7 +105,7 @@
 def restart_owner(fleet):
     async def happen():
         for _number in range(3):
-            await fleet.restart_host(lender_of(fleet))
+            await fleet.restart_host(owner_of(fleet))
             await fleet.wait_ms(3_000)
 
     return happen()
@@ -124,7 +124,7 @@
 
     async def happen():
         for _number in range(8):
-            name = lender_of(fleet)
+            name = owner_of(fleet)
             for other in fleet.names:
                 fleet.hide_from_rosters(name, other)
                 await fleet.wait_ms(100)
@@ -165,7 +165,7 @@
     """Half of the hosts can't ask the one that lends, which lives on."""
 
     async def happen():
-        name = lender_of(fleet)
+        name = owner_of(fleet)
         others = [other for other in fleet.names if other != name]
         for other in others[::2]:
             fleet.network.cut(name, other)
@@ -175,7 +175,7 @@
     return happen()
 
 
-def lender_of(fleet):
+def owner_of(fleet):
     """Return the host that most take for the lender of the first engine."""
     life = fleet.engines[0].life
     name = fleet.names[0]
