--- a/tests/test_endpoint_limit_fleet.py
+++ b/tests/test_endpoint_limit_fleet.py
@@ -311,7 +311,7 @@
 SERIES_MS = 12_000
 
 
-def drawn_series(fleet):
+def random_faults(fleet):
     """Let mishaps and other rates come at any moment, over each other."""
     drawn = fleet.random
 
@@ -327,6 +327,6 @@
 @pytest.mark.parametrize('seed', range(SOAK_SEEDS))
 def test_drawn_series_take_no_engine_over_its_limit(seed):
     rate_per_s = RATES[seed % len(RATES)]
-    fleet = simulate(9, rate_per_s, drawn_series, seed=seed)
+    fleet = simulate(9, rate_per_s, random_faults, seed=seed)
     assert fleet.engines[0].limit_ratio(notified_only=True) <= 1.0
     assert fleet.refused_share() == 0.0
