--- a/tests/test_endpoint_limit_fleet.py
+++ b/tests/test_endpoint_limit_fleet.py
@@ -194,7 +194,7 @@
 @pytest.mark.parametrize('seed', range(3))
 @pytest.mark.parametrize('rate_per_s', [0, 1.2, 3.3, 10])
 @pytest.mark.parametrize('mishap', FAULTS, ids=lambda one: one.__name__)
-def test_mishaps_take_no_engine_over_its_limit(mishap, rate_per_s, seed):
+def test_faults_do_not_exceed_engine_limit(mishap, rate_per_s, seed):
     fleet = simulate(9, rate_per_s, mishap, seed=seed)
     engine = fleet.engines[0]
     # Hosts that begin with nothing count once they have heard for themselves.
