--- a/tests/test_endpoint_limit_fleet.py
+++ b/tests/test_endpoint_limit_fleet.py
@@ -239,7 +239,7 @@
 
 
 @pytest.mark.parametrize('rate_per_s, most_ms', [(0, 9_000), (1.2, 7_000)])
-def test_end_of_a_limit_is_found_out_by_all(rate_per_s, most_ms):
+def test_all_hosts_detect_limit_removal(rate_per_s, most_ms):
     """The first answer after it tells; a trial each four seconds brings one.
 
     Heads of answers from before may still name the limit; they come within
