--- a/tests/test_endpoint_limit_fleet.py
+++ b/tests/test_endpoint_limit_fleet.py
@@ -275,7 +275,7 @@
     assert max(one.took_ms for one in fleet.results if not one.served) < 1_000
 
 
-def test_end_of_a_limit_reaches_who_missed_the_word():
+def test_limit_removal_reaches_host_that_missed_gossip():
     """Also a host that no call comes to."""
 
     async def end_unheard(fleet):
