--- a/tests/test_endpoint_limit_fleet.py
+++ b/tests/test_endpoint_limit_fleet.py
@@ -291,7 +291,7 @@
     simulate(9, 1.2, end_unheard)
 
 
-def test_host_that_starts_knows_within_moments():
+def test_restarted_host_receives_limits():
     """A newcomer and one that thaws are told again, each second."""
 
     async def restart(fleet):
