--- a/tests/test_endpoint_limit_fleet.py
+++ b/tests/test_endpoint_limit_fleet.py
@@ -325,7 +325,7 @@
 
 
 @pytest.mark.parametrize('seed', range(SOAK_SEEDS))
-def test_drawn_series_take_no_engine_over_its_limit(seed):
+def test_random_faults_do_not_exceed_engine_limit(seed):
     rate_per_s = RATES[seed % len(RATES)]
     fleet = simulate(9, rate_per_s, random_faults, seed=seed)
     assert fleet.engines[0].limit_ratio(notified_only=True) <= 1.0
