--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -35,7 +35,7 @@
 OVERSHOOT = 1.5
 SLACK = 5
 # A host counts so long after it first passed a limit on.
-TOLD_S = 0.5
+NOTICE_S = 0.5
 CALLS_PER_S = 40
 LIMIT = '1.2'
 CHAT = {
@@ -129,7 +129,7 @@
 
         told = set()
         await fleet.until(is_told, 'hosts that were told')
-        await asyncio.sleep(TOLD_S)
+        await asyncio.sleep(NOTICE_S)
         since_s = time.monotonic()
         answers = await press(system.ask, 3, 2 * WINDOW_S)
         assert all(answer.endswith(b'whole') for answer in answers)
@@ -161,7 +161,7 @@
             )
 
         await fleet.until(is_told, 'hosts that were told')
-        await asyncio.sleep(TOLD_S)
+        await asyncio.sleep(NOTICE_S)
         since_s = time.monotonic()
         answers = await press(ask, 3, 2 * WINDOW_S)
         assert {answer.outcome for answer in answers} == {'whole'}
