--- a/tests/test_endpoint_backoffs.py
+++ b/tests/test_endpoint_backoffs.py
@@ -124,7 +124,9 @@
     async with passing_system(tmp_path) as system:
         engine = system.engines[0]
         engine.retry_after = '3'
-        answers = await test_endpoint_limits.press(system.ask, 3, 2 * REST_S)
+        answers = await test_endpoint_limits.send_steadily(
+            system.ask, 3, 2 * REST_S
+        )
         assert engine.refused()
         assert most_sent_in_a_rest(engine.refused()) <= SENDS_LIMIT
         assert all(answer.endswith(b'whole') for answer in answers)
@@ -132,7 +134,7 @@
         engine.retry_after = None
         await asyncio.sleep(REST_S)
         begun_s = time.monotonic()
-        await test_endpoint_limits.press(system.ask, 3, 2.0)
+        await test_endpoint_limits.send_steadily(system.ask, 3, 2.0)
         served = sum(at_s >= begun_s for _host, at_s, _ in engine.arrivals)
         assert served >= 10
 
@@ -147,10 +149,10 @@
             return await caller.chat(CHAT)
 
         # What each engine can do is known, and none is preferred for it.
-        await test_endpoint_limits.press(ask, 1, 1.0)
+        await test_endpoint_limits.send_steadily(ask, 1, 1.0)
         await running.faults(engine, retry_after_text='3')
         since_s = time.monotonic()
-        answers = await test_endpoint_limits.press(ask, 1, 2 * REST_S)
+        answers = await test_endpoint_limits.send_steadily(ask, 1, 2 * REST_S)
         found = await running.runs(engine)
         refused = [
             ('north-1', at_s) for at_s in found['arrivals_s'] if at_s > since_s
@@ -173,7 +175,7 @@
                 told_s.setdefault(str(host), time.monotonic())
             return answer
 
-        answers = await test_endpoint_limits.press(ask, 3, DRAIN_S + 2)
+        answers = await test_endpoint_limits.send_steadily(ask, 3, DRAIN_S + 2)
         assert told_s
         late = [
             (host, at_s)
@@ -209,11 +211,11 @@
         async def ask(_host, _number):
             return await caller.chat(CHAT)
 
-        await test_endpoint_limits.press(ask, 1, 1.0)
+        await test_endpoint_limits.send_steadily(ask, 1, 1.0)
         refusing = ['north-chat-1', 'north-chat-2']
         for engine in refusing:
             await running.faults(engine, retry_after_text='5')
-        answers = await test_endpoint_limits.press(ask, 1, 2.0)
+        answers = await test_endpoint_limits.send_steadily(ask, 1, 2.0)
         assert {answer.outcome for answer in answers} == {'whole'}
 
 
--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -62,7 +62,7 @@
     )
 
 
-async def press(ask, hosts, for_s):
+async def send_steadily(ask, hosts, for_s):
     """Ask by turns at some hosts, at a steady pace; return all answers."""
     asked = []
     end_s = time.monotonic() + for_s
@@ -131,7 +131,7 @@
         await fleet.until(is_told, 'hosts that were told')
         await asyncio.sleep(NOTICE_S)
         since_s = time.monotonic()
-        answers = await press(system.ask, 3, 2 * WINDOW_S)
+        answers = await send_steadily(system.ask, 3, 2 * WINDOW_S)
         assert all(answer.endswith(b'whole') for answer in answers)
         most = most_in_a_window(limited.arrivals_s, since_s)
         assert most <= allowed(float(LIMIT))
@@ -163,7 +163,7 @@
         await fleet.until(is_told, 'hosts that were told')
         await asyncio.sleep(NOTICE_S)
         since_s = time.monotonic()
-        answers = await press(ask, 3, 2 * WINDOW_S)
+        answers = await send_steadily(ask, 3, 2 * WINDOW_S)
         assert {answer.outcome for answer in answers} == {'whole'}
         found = await running.runs(engine)
         most = most_in_a_window(found['arrivals_s'], since_s)
