--- a/benches/limits.py
+++ b/benches/limits.py
@@ -173,7 +173,7 @@
     finally:
         team_limit_fleet.Fleet.__init__.__defaults__ = made
     admitted = [one.took_ms for one in fleet.asked if one.admitted]
-    over = fleet.most_in_a_window() / fleet.bound - 1.0
+    over = fleet.max_in_window() / fleet.bound - 1.0
     return (
         fleet.refused_share(),
         over,
--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -50,7 +50,7 @@
     return OVERSHOOT * rate_per_s * WINDOW_S + SLACK
 
 
-def most_in_a_window(arrivals_s, since_s=0.0):
+def max_in_window(arrivals_s, since_s=0.0):
     """Return the most arrivals in any window that begins after a time."""
     counted = sorted(at_s for at_s in arrivals_s if at_s >= since_s)
     return max(
@@ -133,7 +133,7 @@
         since_s = time.monotonic()
         answers = await send_steadily(system.ask, 3, 2 * WINDOW_S)
         assert all(answer.endswith(b'whole') for answer in answers)
-        most = most_in_a_window(limited.arrivals_s, since_s)
+        most = max_in_window(limited.arrivals_s, since_s)
         assert most <= allowed(float(LIMIT))
         # It is used for what it takes.
         assert most >= 0.5 * float(LIMIT) * WINDOW_S
@@ -166,7 +166,7 @@
         answers = await send_steadily(ask, 3, 2 * WINDOW_S)
         assert {answer.outcome for answer in answers} == {'whole'}
         found = await running.runs(engine)
-        most = most_in_a_window(found['arrivals_s'], since_s)
+        most = max_in_window(found['arrivals_s'], since_s)
         assert most <= allowed(float(LIMIT))
         assert most >= 0.5 * float(LIMIT) * WINDOW_S
 
--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -73,7 +73,7 @@
 ):
     fleet = simulate(hosts, rate_per_s, share_of=share_of)
     assert fleet.refused_share() < most_refused
-    assert fleet.most_in_a_window() <= fleet.bound
+    assert fleet.max_in_window() <= fleet.bound
     # One question a call, and what lenders ask the leader.
     calls = len(fleet.asked) / hosts
     assert (
@@ -87,7 +87,7 @@
 def test_hot_team_is_held_to_its_limit(hosts, rate_per_s):
     """It asks for four times its limit, in regions that peak in turn."""
     fleet = simulate(hosts, rate_per_s, share_of=rotating_peaks, used=4.0)
-    assert fleet.most_in_a_window() <= fleet.bound
+    assert fleet.max_in_window() <= fleet.bound
     admitted = 1 - fleet.refused_share()
     assert 0.75 * 0.25 < admitted < 0.35
 
@@ -167,7 +167,7 @@
 @pytest.mark.parametrize('mishap', FAULTS, ids=lambda one: one.__name__)
 def test_faults_do_not_exceed_team_bound(mishap, rate_per_s, used, seed):
     fleet = simulate(30, rate_per_s, mishap, rotating_peaks, used, seed)
-    assert fleet.most_in_a_window() <= fleet.bound
+    assert fleet.max_in_window() <= fleet.bound
 
 
 @pytest.mark.parametrize(
