--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -171,7 +171,7 @@
         assert most >= 0.5 * float(LIMIT) * WINDOW_S
 
 
-async def hear_limits(system, host=0):
+async def wait_for_limits(system, host=0):
     """Ask until every engine of a system has named its limit to a host."""
     entry = system.entries[host]
     named = [one for one in system.engines if one.text is not None]
@@ -204,7 +204,7 @@
     async with passing_system(tmp_path) as system:
         for engine in system.engines:
             engine.text = '0.5'
-        await hear_limits(system)
+        await wait_for_limits(system)
         ran = sum(len(engine.arrivals_s) for engine in system.engines)
         answers = await asyncio.gather(
             *(system.ask(0, f'q{number}') for number in range(30))
@@ -239,12 +239,12 @@
 async def test_offers_leave_out_what_names_a_limit(tmp_path):
     """Other regions' calls go to engines that take what comes."""
     async with passing_system(tmp_path) as system:
-        await hear_limits(system)
+        await wait_for_limits(system)
         [offer] = system.entries[0]._choice.offers()
         assert offer.endpoints == 2
         for engine in system.engines:
             engine.text = '1000'
-        await hear_limits(system)
+        await wait_for_limits(system)
         [offer] = system.entries[0]._choice.offers()
         assert offer.endpoints > 0
 
@@ -261,7 +261,7 @@
 
 async def test_engine_that_names_no_limit_any_more_gets_its_part(tmp_path):
     async with passing_system(tmp_path) as system:
-        await hear_limits(system)
+        await wait_for_limits(system)
         engine = system.engines[0]
         engine.text = None
         entries = system.entries
