--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -183,7 +183,7 @@
     await fleet.until(is_known, 'limits')
 
 
-async def hear_rate(system, rate_per_s):
+async def wait_for_rate(system, rate_per_s):
     """Ask a host until it knows the rate that an engine names."""
     limits = system.entries[0]._gate.limits
 
@@ -227,7 +227,7 @@
     async with passing_system(tmp_path) as system:
         limited = system.engines[0]
         limited.text = '1000'
-        await hear_rate(system, 1000)
+        await wait_for_rate(system, 1000)
         monkeypatch.setattr(endpoint_limits, 'PERMIT_TTL_MS', -1)
         sent = len(limited.arrivals_s)
         for number in range(40):
