--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -115,7 +115,7 @@
         await engine.close()
 
 
-async def test_passed_calls_keep_to_what_an_engine_says(tmp_path):
+async def test_passthrough_respects_advertised_limit(tmp_path):
     async with passing_system(tmp_path) as system:
         limited = system.engines[0]
 
