--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -139,7 +139,7 @@
         assert most >= 0.5 * float(LIMIT) * WINDOW_S
 
 
-async def test_chats_keep_to_what_an_engine_says(tmp_path):
+async def test_chats_respect_advertised_limit(tmp_path):
     made = fleet.deployment(regions=('north',), entries=3, engines=3)
     async with fleet.running(tmp_path, made) as running:
         engine = 'north-chat-1'
