--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -199,7 +199,7 @@
     return float(endpoints.header(answer, 'Retry-After'))
 
 
-async def test_what_no_engine_takes_is_refused_at_once(tmp_path):
+async def test_call_is_refused_when_all_limits_are_used_up(tmp_path):
     """It was not run, and its caller is told when to come back."""
     async with passing_system(tmp_path) as system:
         for engine in system.engines:
