--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -234,7 +234,7 @@
         assert len(limited.arrivals_s) == sent
 
 
-async def test_offers_leave_out_what_names_a_limit(tmp_path):
+async def test_offers_exclude_limited_endpoints(tmp_path):
     """Other regions' calls go to engines that take what comes."""
     async with passing_system(tmp_path) as system:
         await wait_for_limits(system)
