--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -247,7 +247,7 @@
         assert offer.endpoints > 0
 
 
-async def test_what_is_no_rate_is_served_by_all_the_same(tmp_path):
+async def test_malformed_limit_is_ignored(tmp_path):
     async with passing_system(tmp_path) as system:
         for text in ('', 'nan', '-3', '1e9', 'x, 2', '9' * 400, '1.2\t;'):
             system.engines[0].text = text
