--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -257,7 +257,7 @@
             assert system.entries[0]._gate.limits.active() == []
 
 
-async def test_engine_that_names_no_limit_any_more_gets_its_part(tmp_path):
+async def test_engine_is_fully_used_after_limit_removal(tmp_path):
     async with passing_system(tmp_path) as system:
         await wait_for_limits(system)
         engine = system.engines[0]
