--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -274,7 +274,7 @@
         assert len(engine.arrivals_s) - sent >= 4
 
 
-async def test_chat_that_is_urgent_is_refused_if_it_can_not_be_served(
+async def test_urgent_chat_is_refused_past_its_deadline(
     tmp_path,
 ):
     """Not by what is reckoned, but by what the engine says."""
