--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -312,7 +312,7 @@
         assert len(runs['arrivals_s']) == 3
 
 
-async def test_limits_are_shown_to_people_on_call(tmp_path):
+async def test_limits_are_exported_as_metrics(tmp_path):
     made = fleet.deployment(regions=('north',), entries=1, engines=1)
     async with fleet.running(tmp_path, made) as running:
         caller = running.caller('north-1')
