--- a/tests/test_endpoint_backoffs.py
+++ b/tests/test_endpoint_backoffs.py
@@ -31,7 +31,7 @@
 from wrenspoke.protocol import headers
 from wrenspoke.state import routes
 
-REST_S = 3.0
+BACKOFF_S = 3.0
 # A host may send for so long after it was refused, and two requests later.
 GRACE_S = 0.5
 SENDS_LIMIT = 2
@@ -41,7 +41,7 @@
 CHAT = test_endpoint_limits.CHAT
 
 
-def most_sent_in_a_rest(arrivals, rest_s=REST_S):
+def most_sent_in_a_rest(arrivals, rest_s=BACKOFF_S):
     """Return the most requests one host sent in the rest of any refusal.
 
     ``arrivals`` are the host and the time of each refused request.
@@ -125,14 +125,14 @@
         engine = system.engines[0]
         engine.retry_after = '3'
         answers = await test_endpoint_limits.send_steadily(
-            system.ask, 3, 2 * REST_S
+            system.ask, 3, 2 * BACKOFF_S
         )
         assert engine.refused()
         assert most_sent_in_a_rest(engine.refused()) <= SENDS_LIMIT
         assert all(answer.endswith(b'whole') for answer in answers)
         # Its service is in full use of it soon after.
         engine.retry_after = None
-        await asyncio.sleep(REST_S)
+        await asyncio.sleep(BACKOFF_S)
         begun_s = time.monotonic()
         await test_endpoint_limits.send_steadily(system.ask, 3, 2.0)
         served = sum(at_s >= begun_s for _host, at_s, _ in engine.arrivals)
@@ -152,7 +152,9 @@
         await test_endpoint_limits.send_steadily(ask, 1, 1.0)
         await running.faults(engine, retry_after_text='3')
         since_s = time.monotonic()
-        answers = await test_endpoint_limits.send_steadily(ask, 1, 2 * REST_S)
+        answers = await test_endpoint_limits.send_steadily(
+            ask, 1, 2 * BACKOFF_S
+        )
         found = await running.runs(engine)
         refused = [
             ('north-1', at_s) for at_s in found['arrivals_s'] if at_s > since_s
