--- a/tests/test_endpoint_backoffs.py
+++ b/tests/test_endpoint_backoffs.py
@@ -34,7 +34,7 @@
 BACKOFF_S = 3.0
 # A host may send for so long after it was refused, and two requests later.
 GRACE_S = 0.5
-SENDS_LIMIT = 2
+MAX_SENDS = 2
 # A host may send for so long after an engine said that it leaves.
 DRAIN_S = 4.0
 HOST = 'X-Host'
@@ -128,7 +128,7 @@
             system.ask, 3, 2 * BACKOFF_S
         )
         assert engine.refused()
-        assert most_sent_in_a_rest(engine.refused()) <= SENDS_LIMIT
+        assert most_sent_in_a_rest(engine.refused()) <= MAX_SENDS
         assert all(answer.endswith(b'whole') for answer in answers)
         # Its service is in full use of it soon after.
         engine.retry_after = None
@@ -160,7 +160,7 @@
             ('north-1', at_s) for at_s in found['arrivals_s'] if at_s > since_s
         ]
         assert refused
-        assert most_sent_in_a_rest(refused) <= SENDS_LIMIT
+        assert most_sent_in_a_rest(refused) <= MAX_SENDS
         assert {answer.outcome for answer in answers} == {'whole'}
 
 
