--- a/tests/test_endpoint_backoffs.py
+++ b/tests/test_endpoint_backoffs.py
@@ -41,7 +41,7 @@
 CHAT = test_endpoint_limits.CHAT
 
 
-def most_sent_in_a_rest(arrivals, rest_s=BACKOFF_S):
+def max_sends_in_backoff(arrivals, rest_s=BACKOFF_S):
     """Return the most requests one host sent in the rest of any refusal.
 
     ``arrivals`` are the host and the time of each refused request.
@@ -128,7 +128,7 @@
             system.ask, 3, 2 * BACKOFF_S
         )
         assert engine.refused()
-        assert most_sent_in_a_rest(engine.refused()) <= MAX_SENDS
+        assert max_sends_in_backoff(engine.refused()) <= MAX_SENDS
         assert all(answer.endswith(b'whole') for answer in answers)
         # Its service is in full use of it soon after.
         engine.retry_after = None
@@ -160,7 +160,7 @@
             ('north-1', at_s) for at_s in found['arrivals_s'] if at_s > since_s
         ]
         assert refused
-        assert most_sent_in_a_rest(refused) <= MAX_SENDS
+        assert max_sends_in_backoff(refused) <= MAX_SENDS
         assert {answer.outcome for answer in answers} == {'whole'}
 
 
