--- a/tests/test_endpoint_backoffs.py
+++ b/tests/test_endpoint_backoffs.py
@@ -120,7 +120,7 @@
         await engine.close()
 
 
-async def test_passed_calls_leave_a_resting_engine_alone(tmp_path):
+async def test_passthrough_respects_backoff(tmp_path):
     async with passing_system(tmp_path) as system:
         engine = system.engines[0]
         engine.retry_after = '3'
