--- a/tests/test_endpoint_backoffs.py
+++ b/tests/test_endpoint_backoffs.py
@@ -139,7 +139,7 @@
         assert served >= 10
 
 
-async def test_chats_leave_a_resting_engine_alone(tmp_path):
+async def test_chats_respect_backoff(tmp_path):
     made = fleet.deployment(regions=('north',), entries=1, engines=3)
     async with fleet.running(tmp_path, made) as running:
         engine = 'north-chat-1'
