--- a/tests/test_endpoint_backoffs.py
+++ b/tests/test_endpoint_backoffs.py
@@ -164,7 +164,7 @@
         assert {answer.outcome for answer in answers} == {'whole'}
 
 
-async def test_passed_calls_leave_an_engine_that_leaves(tmp_path):
+async def test_passthrough_avoids_leaving_engine(tmp_path):
     """It says so in its answers alone, and goes on to serve."""
     async with passing_system(tmp_path) as system:
         engine = system.engines[0]
