--- a/tests/test_endpoint_backoffs.py
+++ b/tests/test_endpoint_backoffs.py
@@ -188,7 +188,7 @@
         assert all(answer.endswith(b'whole') for answer in answers)
 
 
-async def test_chat_is_served_whatever_time_an_engine_names(tmp_path):
+async def test_malformed_retry_after_is_ignored(tmp_path):
     made = fleet.deployment(regions=('north',), entries=1, engines=2)
     async with fleet.running(tmp_path, made) as running:
         caller = running.caller('north-1')
