--- a/tests/test_endpoint_backoffs.py
+++ b/tests/test_endpoint_backoffs.py
@@ -198,7 +198,7 @@
                 assert (await caller.chat(CHAT)).outcome == 'whole'
 
 
-async def test_refused_chat_costs_no_retry_where_its_engine_is_spared(
+async def test_backoff_refusal_spends_no_retry(
     tmp_path,
 ):
     made = fleet.deployment(
