--- a/tests/test_endpoint_backoffs.py
+++ b/tests/test_endpoint_backoffs.py
@@ -221,7 +221,7 @@
         assert {answer.outcome for answer in answers} == {'whole'}
 
 
-async def test_call_is_refused_at_once_where_all_engines_rest(tmp_path):
+async def test_call_is_refused_when_all_engines_back_off(tmp_path):
     """It was not run, and may come back as the first rest ends."""
     async with passing_system(tmp_path) as system:
         for engine, text in zip(system.engines, ('9', '5', '7')):
