--- a/tests/test_endpoint_backoffs.py
+++ b/tests/test_endpoint_backoffs.py
@@ -239,7 +239,7 @@
         assert after == sent
 
 
-async def test_chat_is_refused_at_once_where_all_engines_rest(tmp_path):
+async def test_chat_is_refused_when_all_engines_back_off(tmp_path):
     made = fleet.deployment(regions=('north',), entries=1, engines=2)
     async with fleet.running(tmp_path, made) as running:
         caller = running.caller('north-1')
