--- a/tests/test_endpoint_backoffs.py
+++ b/tests/test_endpoint_backoffs.py
@@ -257,7 +257,7 @@
         assert waits_s['high'] <= waits_s['normal'] <= waits_s['low']
 
 
-async def test_streams_end_well_at_an_engine_that_begins_to_leave(tmp_path):
+async def test_streams_complete_at_leaving_engine(tmp_path):
     made = fleet.deployment(regions=('north',), entries=1, engines=2)
     async with fleet.running(tmp_path, made) as running:
         caller = running.caller('north-1')
