--- a/tests/test_endpoint_backoffs.py
+++ b/tests/test_endpoint_backoffs.py
@@ -296,7 +296,7 @@
         assert {answer.outcome for answer in answers} == {'whole'}
 
 
-async def test_chat_in_the_queue_is_refused_once_all_engines_rest(tmp_path):
+async def test_queued_chat_is_refused_when_all_engines_back_off(tmp_path):
     made = fleet.deployment(regions=('north',), entries=1, engines=1)
     async with fleet.running(tmp_path, made) as running:
         caller = running.caller('north-1')
