--- a/tests/test_endpoint_backoffs.py
+++ b/tests/test_endpoint_backoffs.py
@@ -320,7 +320,7 @@
             assert int(one.headers[headers.RETRY_AFTER]) >= 10
 
 
-async def test_backoffs_and_leaves_are_shown_to_people_on_call(tmp_path):
+async def test_backoffs_and_leaves_are_exported_as_metrics(tmp_path):
     made = fleet.deployment(regions=('north',), entries=1, engines=1)
     async with fleet.running(tmp_path, made) as running:
         caller = running.caller('north-1')
