--- a/tests/test_endpoint_gate.py
+++ b/tests/test_endpoint_gate.py
@@ -66,9 +66,7 @@
         (advertised.Advertised(ECHOED, 503), False, True),
     ],
 )
-async def test_permit_ends_with_what_comes_before_it_is_used(
-    gate, head, continues, valid
-):
+async def test_permit_is_validated_at_send_time(gate, head, continues, valid):
     """As while its request waits for a connection."""
     answered = await gate.acquire(LIFE, RANK)
     waiting = await gate.acquire(LIFE, RANK, continues)
