--- a/tests/test_endpoint_gate.py
+++ b/tests/test_endpoint_gate.py
@@ -75,7 +75,7 @@
     assert waiting.is_valid() is valid
 
 
-async def test_resting_endpoint_gets_no_permits(gate, clock):
+async def test_no_permit_during_backoff(gate, clock):
     (await gate.acquire(LIFE, RANK)).on_response(refusal())
     assert gate.remaining_ms(LIFE) == 3_000
     with pytest.raises(errors.EndpointBackoffError, match='e asked for'):
