--- a/tests/test_endpoint_gate.py
+++ b/tests/test_endpoint_gate.py
@@ -97,7 +97,7 @@
     assert gate.remaining_ms(LIFE) > 0
 
 
-async def test_poll_brings_a_backoff_and_a_leave(gate):
+async def test_poll_response_updates_backoff_and_leaving(gate):
     poll = gate.acquire_poll(LIFE)
     poll.on_response(refusal(UNNAMED, leaving=('1',)))
     assert gate.remaining_ms(LIFE) == 3_000
