--- a/tests/test_endpoint_gate.py
+++ b/tests/test_endpoint_gate.py
@@ -139,7 +139,7 @@
     assert max(waits_ms) > min(waits_ms)
 
 
-async def test_nothing_is_kept_of_endpoints_that_are_gone(clock):
+async def test_state_of_missing_endpoints_is_evicted(clock):
     """Each release brings new ones, for as long as a host lives."""
     known = [LIFE]
     peers = group.Peers('h', group.Network(1))
