--- a/tests/test_backoffs.py
+++ b/tests/test_backoffs.py
@@ -77,7 +77,7 @@
         assert held.own_remaining_ms(LIFE) == 2_800
 
 
-def test_next_life_of_an_endpoint_begins_without(clock):
+def test_backoff_does_not_apply_to_next_life(clock):
     known = [LIFE]
     held = backoffs_of('h0', clock, known)
     held.on_response(LIFE, 3_000, 0)
