--- a/tests/test_backoffs.py
+++ b/tests/test_backoffs.py
@@ -220,7 +220,7 @@
     assert marks.is_leaving(LIFE) is leaving
 
 
-def test_leave_that_others_heard_counts(clock):
+def test_gossiped_leave_is_applied(clock):
     marks = leaving_endpoints.LeavingEndpoints(
         lambda life: life == LIFE, None, None, clock
     )
