--- a/tests/test_backoff_fleet.py
+++ b/tests/test_backoff_fleet.py
@@ -139,7 +139,7 @@
         await fleet.wait_ms(1_200)
 
 
-MISHAPS = [
+FAULTS = [
     lose_messages,
     freeze_hosts,
     restart_hosts,
@@ -162,7 +162,7 @@
 
 
 @pytest.mark.parametrize('refuses', [all_hosts, some_requests])
-@pytest.mark.parametrize('mishap', MISHAPS)
+@pytest.mark.parametrize('mishap', FAULTS)
 def test_mishaps_let_nothing_through(mishap, refuses):
     happen = refusing(refuses, mishap=mishap)
     check(backoff_fleet.simulate(happen, 9, 60, PLAY_MS))
@@ -177,7 +177,7 @@
 
 @pytest.mark.parametrize('seed', [*range(SEEDS), *KEPT_SEEDS])
 def test_mishaps_over_each_other_let_nothing_through(seed):
-    pairs = list(itertools.permutations(MISHAPS, 3))
+    pairs = list(itertools.permutations(FAULTS, 3))
     chosen = pairs[seed * 7 % len(pairs)]
 
     async def mishap(fleet):
