--- a/tests/test_backoff_fleet.py
+++ b/tests/test_backoff_fleet.py
@@ -47,7 +47,7 @@
     return fleet.random.random() < 0.3
 
 
-def worst(fleet):
+def max_over_engines(fleet):
     return max(engine.max_requests_in_backoff() for engine in fleet.engines)
 
 
@@ -57,7 +57,7 @@
     fleet = backoff_fleet.simulate(
         refusing(refuses), hosts, calls_per_s, PLAY_MS
     )
-    assert worst(fleet) <= backoff_fleet.MAX_SENDS
+    assert max_over_engines(fleet) <= backoff_fleet.MAX_SENDS
     # Three other engines have room.
     assert fleet.refused_share() == 0
     engine = fleet.engines[0]
@@ -90,7 +90,7 @@
     fleet = backoff_fleet.simulate(
         refusing(all_hosts, engines=4), hosts, calls_per_s, PLAY_MS
     )
-    assert worst(fleet) <= backoff_fleet.MAX_SENDS
+    assert max_over_engines(fleet) <= backoff_fleet.MAX_SENDS
     late = [one for one in fleet.results if one.at_ms >= ENDED_MS + 4_500]
     assert sum(one.served for one in late) >= 0.9 * len(late)
 
