--- a/tests/test_backoff_fleet.py
+++ b/tests/test_backoff_fleet.py
@@ -148,7 +148,7 @@
 ]
 
 
-def check(fleet):
+def check_backoffs(fleet):
     """A restart excuses a host: it has forgotten what it was told."""
 
     def restarted(host, since_ms, at_ms):
@@ -165,7 +165,7 @@
 @pytest.mark.parametrize('mishap', FAULTS)
 def test_mishaps_let_nothing_through(mishap, refuses):
     happen = refusing(refuses, mishap=mishap)
-    check(backoff_fleet.simulate(happen, 9, 60, PLAY_MS))
+    check_backoffs(backoff_fleet.simulate(happen, 9, 60, PLAY_MS))
 
 
 SEEDS = int(os.environ.get('WRENSPOKE_SOAK_SEEDS', 4))
@@ -189,4 +189,4 @@
 
     refuses = (all_hosts, some_requests, first_host)[seed % 3]
     happen = refusing(refuses, engines=1 + seed % 4, mishap=mishap)
-    check(backoff_fleet.simulate(happen, 6, 60, PLAY_MS, seed))
+    check_backoffs(backoff_fleet.simulate(happen, 6, 60, PLAY_MS, seed))
