--- a/tests/test_backoff_fleet.py
+++ b/tests/test_backoff_fleet.py
@@ -53,7 +53,7 @@
 
 @pytest.mark.parametrize('refuses', [all_hosts, first_host, some_requests])
 @pytest.mark.parametrize('hosts, calls_per_s', SIZES)
-def test_resting_engine_is_left_alone(hosts, calls_per_s, refuses):
+def test_backoff_is_respected(hosts, calls_per_s, refuses):
     fleet = backoff_fleet.simulate(
         refusing(refuses), hosts, calls_per_s, PLAY_MS
     )
