--- a/tests/test_backoff_fleet.py
+++ b/tests/test_backoff_fleet.py
@@ -163,7 +163,7 @@
 
 @pytest.mark.parametrize('refuses', [all_hosts, some_requests])
 @pytest.mark.parametrize('mishap', FAULTS)
-def test_mishaps_let_nothing_through(mishap, refuses):
+def test_faults_do_not_break_backoff(mishap, refuses):
     happen = refusing(refuses, mishap=mishap)
     check_backoffs(backoff_fleet.simulate(happen, 9, 60, PLAY_MS))
 
