--- a/tests/test_backoff_fleet.py
+++ b/tests/test_backoff_fleet.py
@@ -176,7 +176,7 @@
 
 
 @pytest.mark.parametrize('seed', [*range(SEEDS), *KEPT_SEEDS])
-def test_mishaps_over_each_other_let_nothing_through(seed):
+def test_overlapping_faults_do_not_break_backoff(seed):
     pairs = list(itertools.permutations(FAULTS, 3))
     chosen = pairs[seed * 7 % len(pairs)]
 
