--- a/benches/endpoint_limits.py
+++ b/benches/endpoint_limits.py
@@ -71,12 +71,12 @@
         self.clock = group.LoopClock()
         self.peers = endpoint_limit_fleet.Peers(name, fleet.network)
         self.frozen = False
-        self.told_ms = {}
+        self.first_limit_ms = {}
         self.rates = {}
         self.buckets = {}
         self.alone_until_ms = {}
 
-    def wants(self, engine):
+    def may_choose(self, engine):
         until_ms = self.alone_until_ms.get(engine.life, 0)
         return self.clock.mono_ms() >= until_ms
 
--- a/benches/limits.py
+++ b/benches/limits.py
@@ -172,7 +172,7 @@
         )
     finally:
         team_limit_fleet.Fleet.__init__.__defaults__ = made
-    admitted = [one.took_ms for one in fleet.asked if one.admitted]
+    admitted = [one.took_ms for one in fleet.results if one.admitted]
     over = fleet.max_in_window() / fleet.bound - 1.0
     return (
         fleet.refused_share(),
--- a/tests/backoff_fleet.py
+++ b/tests/backoff_fleet.py
@@ -121,7 +121,7 @@
 class SingleRefusalHost(BackoffHost):
     """A host that backs off as soon as another one was refused."""
 
-    agreeing_hosts = 1
+    refusal_quorum = 1
 
 
 class Fleet(endpoint_limit_fleet.Fleet):
@@ -140,7 +140,7 @@
             open_to = [
                 one
                 for one in self.engines
-                if one.life not in tried and host.wants(one)
+                if one.life not in tried and host.may_choose(one)
             ]
             if not open_to:
                 return None
--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -84,7 +84,9 @@
         """
         named_ms = [at_ms for at_ms, rate in self.rates if rate is not None]
         counted = [
-            one.at_ms for one in self.arrivals if one.told or not notified_only
+            one.at_ms
+            for one in self.arrivals
+            if one.notified or not notified_only
         ]
         worst = 0.0
         window = collections.deque()
@@ -122,7 +124,7 @@
             return
         there = self._network.hosts.get(host)
         if there is not None and not there.ended:
-            await there.hear(self.host, body)
+            await there.handle_message(self.host, body)
 
     async def handle_message(self, sender, body):
         """Take a message that has no answer."""
@@ -287,7 +289,7 @@
     async def _send(self, host, rank):
         """Send a call to an engine that takes it; None where none does."""
         for _number in range(MAX_TRIES):
-            open_to = [one for one in self.engines if host.wants(one)]
+            open_to = [one for one in self.engines if host.may_choose(one)]
             if not open_to:
                 return None
             engine = self.random.choice(open_to)
@@ -298,7 +300,7 @@
             if not send_permit.is_valid():
                 continue
             now_ms = group.LoopClock().mono_ms()
-            told_ms = host.told_ms.get(engine.life, now_ms)
+            told_ms = host.first_limit_ms.get(engine.life, now_ms)
             told = now_ms - told_ms >= NOTICE_MS
             engine.arrivals.append(Arrival(now_ms, host.name, told))
             self._start(self._answer(host, engine, send_permit))
@@ -312,13 +314,13 @@
     async def _answer(self, host, engine, send_permit):
         """Bring an answer's head, unless its caller leaves before."""
         await self.wait_ms(min(self.random.lognormvariate(5, 1), 4_000))
-        texts = engine.values
+        texts = engine.header_values
         await self.wait_ms(self.random.uniform(1, 4))
         if self.random.random() < CANCELLED_SHARE:
             return
         if texts:
             now_ms = group.LoopClock().mono_ms()
-            host.told_ms.setdefault(engine.life, now_ms)
+            host.first_limit_ms.setdefault(engine.life, now_ms)
         send_permit.on_response(texts, True)
 
     def refused_share(self, since_ms=0):
--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -75,7 +75,7 @@
     assert fleet.refused_share() < most_refused
     assert fleet.max_in_window() <= fleet.bound
     # One question a call, and what lenders ask the leader.
-    calls = len(fleet.asked) / hosts
+    calls = len(fleet.results) / hosts
     assert (
         fleet.messages_per_host()
         < 2.5 * calls + 34_000 / team_buckets.RENEW_INTERVAL_MS
@@ -244,7 +244,7 @@
             asked_of.append(_amount)
             return limiting.AmountGranted(True, 0)
 
-        monkeypatch.setattr(host.limiter, '_ask', ask)
+        monkeypatch.setattr(host.limiter, '_take_from_owner', ask)
         await host.limiter.take(team, 400)
         assert asked_of == []
         await host.limiter.take(team, 400)
