--- a/wrenspoke/coordination/limiting/token_bucket.py
+++ b/wrenspoke/coordination/limiting/token_bucket.py
@@ -33,12 +33,12 @@
 
     def wait_ms(self, amount_ms: float) -> float | None:
         """Return when the level holds an amount, None if it never does."""
-        lacking_ms = amount_ms - self.level_ms
-        if lacking_ms <= 0:
+        deficit_ms = amount_ms - self.level_ms
+        if deficit_ms <= 0:
             return 0.0
         if self.share <= 0:
             return None
-        return lacking_ms / self.share
+        return deficit_ms / self.share
 
 
 def unexpiring(now_ms: int) -> TokenBucket:
