--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -114,8 +114,8 @@
     Switch(
         'lower share counts at once',
         DECISIONS + 'limiting/allocator.py',
-        ('            max(share, held), asked.wanted,'),
-        ('            share, asked.wanted,'),
+        ('            max(share, held), request.wanted,'),
+        ('            share, request.wanted,'),
         (
             'tests/test_team_limits.py::test_lowered_share_stays_allocated_until_acknowledged'
         ),
--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -74,26 +74,28 @@
     def grant(
         self,
         holder: ids.HostId,
-        asked: limiting.ShareAsked,
+        request: limiting.ShareAsked,
         settled: bool,
         now_ms: int,
     ) -> limiting.ShareGranted:
         """Return what a lender may go by from now on."""
         self._expire(now_ms)
-        held = self._reconcile(holder, asked, settled)
+        held = self._reconcile(holder, request, settled)
         whole = 1.0 if settled else min(self._reported, 1.0)
         free = max(whole - self.allocated, 0.0)
-        self._refill(free, asked, now_ms)
-        share = min(self._fair_share(holder, asked.wanted, whole), held + free)
+        self._refill(free, request, now_ms)
+        share = min(
+            self._fair_share(holder, request.wanted, whole), held + free
+        )
         level_ms = 0.0
         if share > held:
             level_ms = self._unallocated_ms * (share - held) / free
             self._unallocated_ms -= level_ms
         # A lower share counts once its lender has heard of it.
         self._leases[holder] = ShareLease(
-            max(share, held), asked.wanted, now_ms + LEASE_EXPIRY_MS
+            max(share, held), request.wanted, now_ms + LEASE_EXPIRY_MS
         )
-        return limiting.ShareGranted(asked.team, share, level_ms)
+        return limiting.ShareGranted(request.team, share, level_ms)
 
     def _expire(self, now_ms: int) -> None:
         for lender, part in list(self._leases.items()):
