--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -132,8 +132,8 @@
     Switch(
         'new leader parts the whole',
         DECISIONS + 'limiting/allocator.py',
-        ('        whole = 1.0 if settled else min(self._reported, 1.0)\n'),
-        ('        whole = 1.0\n'),
+        ('        allocatable = 1.0 if settled else min(self._reported, 1.0)\n'),
+        ('        allocatable = 1.0\n'),
         (
             'tests/test_team_limits.py::test_new_leader_allocates_only_reported_shares'
         ),
--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -81,11 +81,11 @@
         """Return what a lender may go by from now on."""
         self._expire(now_ms)
         held = self._reconcile(holder, request, settled)
-        whole = 1.0 if settled else min(self._reported, 1.0)
-        free = max(whole - self.allocated, 0.0)
+        allocatable = 1.0 if settled else min(self._reported, 1.0)
+        free = max(allocatable - self.allocated, 0.0)
         self._refill(free, request, now_ms)
         share = min(
-            self._fair_share(holder, request.wanted, whole), held + free
+            self._fair_share(holder, request.wanted, allocatable), held + free
         )
         level_ms = 0.0
         if share > held:
