--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -98,9 +98,9 @@
         return limiting.ShareGranted(request.team, share, level_ms)
 
     def _expire(self, now_ms: int) -> None:
-        for lender, part in list(self._leases.items()):
+        for holder, part in list(self._leases.items()):
             if part.until_ms <= now_ms:
-                del self._leases[lender]
+                del self._leases[holder]
 
     def _reconcile(
         self,
