--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -123,8 +123,8 @@
     Switch(
         'silent lender is forgotten at once',
         DECISIONS + 'limiting/allocator.py',
-        ('            if part.until_ms <= now_ms:\n'),
-        ('            if part.until_ms <= now_ms + LEASE_KEPT_MS:\n'),
+        ('            if lease.until_ms <= now_ms:\n'),
+        ('            if lease.until_ms <= now_ms + LEASE_KEPT_MS:\n'),
         (
             'tests/test_team_limits.py::test_unresponsive_holder_keeps_its_share_until_lease_expiry'
         ),
--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -69,7 +69,7 @@
     @property
     def allocated(self) -> float:
         """Return what all lenders together may go by."""
-        return sum(part.share for part in self._leases.values())
+        return sum(lease.share for lease in self._leases.values())
 
     def grant(
         self,
@@ -98,8 +98,8 @@
         return limiting.ShareGranted(request.team, share, level_ms)
 
     def _expire(self, now_ms: int) -> None:
-        for holder, part in list(self._leases.items()):
-            if part.until_ms <= now_ms:
+        for holder, lease in list(self._leases.items()):
+            if lease.until_ms <= now_ms:
                 del self._leases[holder]
 
     def _reconcile(
@@ -136,7 +136,7 @@
     ) -> float:
         """Return what is wanted, or its part where all want too much."""
         all_wanted = wanted + sum(
-            part.wanted
+            lease.wanted
             for other, part in self._leases.items()
             if other != lender
         )
