--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -104,12 +104,12 @@
 
     def _reconcile(
         self,
-        lender: ids.HostId,
+        holder: ids.HostId,
         asked: limiting.ShareAsked,
         settled: bool,
     ) -> float:
         """Return what a lender holds, by its own word and this host's."""
-        part = self._leases.get(lender)
+        part = self._leases.get(holder)
         if part is not None:
             held = min(asked.held, part.share)
             part.share = held
@@ -117,7 +117,7 @@
         if settled or asked.held <= 0:
             return 0.0
         self._reported += asked.held
-        self._leases[lender] = ShareLease(asked.held, asked.wanted, 0)
+        self._leases[holder] = ShareLease(asked.held, asked.wanted, 0)
         return asked.held
 
     def _refill(
