--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -105,20 +105,20 @@
     def _reconcile(
         self,
         holder: ids.HostId,
-        asked: limiting.ShareAsked,
+        request: limiting.ShareAsked,
         settled: bool,
     ) -> float:
         """Return what a lender holds, by its own word and this host's."""
         part = self._leases.get(holder)
         if part is not None:
-            held = min(asked.held, part.share)
+            held = min(request.held, part.share)
             part.share = held
             return held
-        if settled or asked.held <= 0:
+        if settled or request.held <= 0:
             return 0.0
-        self._reported += asked.held
-        self._leases[holder] = ShareLease(asked.held, asked.wanted, 0)
-        return asked.held
+        self._reported += request.held
+        self._leases[holder] = ShareLease(request.held, request.wanted, 0)
+        return request.held
 
     def _refill(
         self, free: float, asked: limiting.ShareAsked, now_ms: int
