--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -109,10 +109,10 @@
         settled: bool,
     ) -> float:
         """Return what a lender holds, by its own word and this host's."""
-        part = self._leases.get(holder)
-        if part is not None:
-            held = min(request.held, part.share)
-            part.share = held
+        lease = self._leases.get(holder)
+        if lease is not None:
+            held = min(request.held, lease.share)
+            lease.share = held
             return held
         if settled or request.held <= 0:
             return 0.0
