--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -121,14 +121,14 @@
         return request.held
 
     def _refill(
-        self, free: float, asked: limiting.ShareAsked, now_ms: int
+        self, free: float, request: limiting.ShareAsked, now_ms: int
     ) -> None:
         """Let what nobody holds grow, and take back what is returned."""
         grown_ms = free * (now_ms - self._refilled_ms)
         self._refilled_ms = now_ms
         self._unallocated_ms = min(
-            self._unallocated_ms + grown_ms + max(asked.returned_ms, 0.0),
-            free * asked.depth_ms,
+            self._unallocated_ms + grown_ms + max(request.returned_ms, 0.0),
+            free * request.depth_ms,
         )
 
     def _fair_share(
