--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -132,13 +132,13 @@
         )
 
     def _fair_share(
-        self, lender: ids.HostId, wanted: float, whole: float
+        self, holder: ids.HostId, wanted: float, whole: float
     ) -> float:
         """Return what is wanted, or its part where all want too much."""
         all_wanted = wanted + sum(
             lease.wanted
             for other, part in self._leases.items()
-            if other != lender
+            if other != holder
         )
         if all_wanted <= whole:
             return wanted
