--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -132,7 +132,7 @@
         )
 
     def _fair_share(
-        self, holder: ids.HostId, wanted: float, whole: float
+        self, holder: ids.HostId, wanted: float, allocatable: float
     ) -> float:
         """Return what is wanted, or its part where all want too much."""
         all_wanted = wanted + sum(
@@ -140,9 +140,9 @@
             for other, part in self._leases.items()
             if other != holder
         )
-        if all_wanted <= whole:
+        if all_wanted <= allocatable:
             return wanted
-        return whole * wanted / all_wanted
+        return allocatable * wanted / all_wanted
 
 
 class LocalVoter(typing.Protocol):
