--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -135,14 +135,14 @@
         self, holder: ids.HostId, wanted: float, allocatable: float
     ) -> float:
         """Return what is wanted, or its part where all want too much."""
-        all_wanted = wanted + sum(
+        total_wanted = wanted + sum(
             lease.wanted
             for other, part in self._leases.items()
             if other != holder
         )
-        if all_wanted <= allocatable:
+        if total_wanted <= allocatable:
             return wanted
-        return allocatable * wanted / all_wanted
+        return allocatable * wanted / total_wanted
 
 
 class LocalVoter(typing.Protocol):
