--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -177,7 +177,7 @@
     Switch(
         'granted before a lender is noted',
         DECISIONS + 'limiting/allocator.py',
-        ('        if message.shares and not await self._ensure_registered(lender):\n'),
+        ('        if message.shares and not await self._ensure_registered(holder):\n'),
         ('        if False:\n'),
         (
             'tests/test_team_limits.py::test_holder_is_replicated_before_its_first_grant'
--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -196,14 +196,14 @@
     ) -> limiting.SharesGranted | messages.Refusal:
         if not self._local_voter.has_lease:
             return await self._forward(sender, message)
-        lender = message.lender or sender
+        holder = message.lender or sender
         self.begin_leadership(self._local_voter.led_since_ms)
-        if self._is_stale(lender, message):
+        if self._is_stale(holder, message):
             return messages.Refusal('a later question was answered')
-        self._last_seen_ms[lender] = self._clock.mono_ms()
-        if message.shares and not await self._ensure_registered(lender):
+        self._last_seen_ms[holder] = self._clock.mono_ms()
+        if message.shares and not await self._ensure_registered(holder):
             return messages.Refusal('not noted as a lender')
-        granted = self.grant(lender, message.shares)
+        granted = self.grant(holder, message.shares)
         return limiting.SharesGranted(granted, self.unsettled_ms)
 
     def _is_stale(
