--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -207,13 +207,13 @@
         return limiting.SharesGranted(granted, self.unsettled_ms)
 
     def _is_stale(
-        self, lender: ids.HostId, message: limiting.AskShares
+        self, holder: ids.HostId, message: limiting.AskShares
     ) -> bool:
         """Tell whether a lender has asked again since it asked this."""
-        life, number = self._last_request.get(lender, ('', 0))
+        life, number = self._last_request.get(holder, ('', 0))
         if life == message.life and message.number <= number:
             return True
-        self._last_request[lender] = (message.life, message.number)
+        self._last_request[holder] = (message.life, message.number)
         return False
 
     async def _forward(
