--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -223,9 +223,11 @@
         leader = self._local_voter.leader
         if leader is None or message.lender is not None:
             return messages.Refusal('no leader is known')
-        passed = msgspec.structs.replace(message, lender=sender)
+        forwarded = msgspec.structs.replace(message, lender=sender)
         try:
-            answer = await self._peers.call(leader, passed, FORWARD_TIMEOUT_MS)
+            answer = await self._peers.call(
+                leader, forwarded, FORWARD_TIMEOUT_MS
+            )
         except protocol_errors.ProtocolError as error:
             logger.info('not_passed_on', peer=leader, reason=str(error))
             return messages.Refusal('the leader gave no answer')
