--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -237,9 +237,9 @@
         """End what is under way."""
         await self._tasks.close()
 
-    async def _ensure_registered(self, lender: ids.HostId) -> bool:
+    async def _ensure_registered(self, holder: ids.HostId) -> bool:
         """Have a lender noted in the log before it is granted anything."""
-        if lender in self._local_voter.state.bucket_owners:
+        if holder in self._local_voter.state.bucket_owners:
             return True
         if self._registration is None or self._registration.done():
             self._registration = self._tasks.start(
@@ -247,7 +247,7 @@
             )
         await asyncio.shield(self._registration)
         return (
-            lender in self._local_voter.state.bucket_owners
+            holder in self._local_voter.state.bucket_owners
             and self._local_voter.has_lease
         )
 
