--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -255,7 +255,7 @@
         """Write who has asked of late; who has not is left out."""
         await self._clock.sleep_ms(BATCH_DELAY_MS)
         now_ms = self._clock.mono_ms()
-        lately = {
+        active = {
             host
             for host, heard_ms in self._last_seen_ms.items()
             if now_ms - heard_ms < HOLDER_EXPIRY_MS
@@ -263,8 +263,8 @@
         kept = set(self._local_voter.state.bucket_owners)
         if now_ms - self._leader_since_ms > HOLDER_EXPIRY_MS:
             # Those have had the time to be heard in this lead.
-            kept &= lately
-        hosts = tuple(sorted(kept | lately))
+            kept &= active
+        hosts = tuple(sorted(kept | active))
         try:
             await self._local_voter.propose(entries.SetLenders(hosts))
         except errors.NotLeaderError:
