--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -293,16 +293,16 @@
 
         That is once every lender was heard, or older leases have ended.
         """
-        ended_ms = self._leader_since_ms + LEASE_EXPIRY_MS
+        leases_ended_ms = self._leader_since_ms + LEASE_EXPIRY_MS
         if self._settled_early_ms is not None:
-            return min(self._settled_early_ms, ended_ms)
+            return min(self._settled_early_ms, leases_ended_ms)
         if all(
             host in self._last_seen_ms
             for host in self._local_voter.state.bucket_owners
         ):
             self._settled_early_ms = self._clock.mono_ms()
-            return min(self._settled_early_ms, ended_ms)
-        return ended_ms
+            return min(self._settled_early_ms, leases_ended_ms)
+        return leases_ended_ms
 
     def grant(
         self,
