--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -306,7 +306,7 @@
 
     def grant(
         self,
-        lender: ids.HostId,
+        holder: ids.HostId,
         shares: list[limiting.ShareAsked],
     ) -> list[limiting.ShareGranted]:
         """Return what a lender may go by from now on, of each team."""
@@ -319,5 +319,5 @@
                 # What nobody held has grown since that was known.
                 parts = TeamAllocation(min(now_ms, self._settled_ms()))
                 self._teams[asked.team] = parts
-            granted.append(parts.grant(lender, asked, settled, now_ms))
+            granted.append(parts.grant(holder, asked, settled, now_ms))
         return granted
