--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -307,13 +307,13 @@
     def grant(
         self,
         holder: ids.HostId,
-        shares: list[limiting.ShareAsked],
+        requests: list[limiting.ShareAsked],
     ) -> list[limiting.ShareGranted]:
         """Return what a lender may go by from now on, of each team."""
         now_ms = self._clock.mono_ms()
         settled = not self.unsettled_ms
         granted = []
-        for asked in shares:
+        for asked in requests:
             parts = self._teams.get(asked.team)
             if parts is None:
                 # What nobody held has grown since that was known.
