--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -313,11 +313,11 @@
         now_ms = self._clock.mono_ms()
         settled = not self.unsettled_ms
         granted = []
-        for asked in requests:
-            parts = self._teams.get(asked.team)
+        for request in requests:
+            parts = self._teams.get(request.team)
             if parts is None:
                 # What nobody held has grown since that was known.
                 parts = TeamAllocation(min(now_ms, self._settled_ms()))
-                self._teams[asked.team] = parts
-            granted.append(parts.grant(holder, asked, settled, now_ms))
+                self._teams[request.team] = parts
+            granted.append(parts.grant(holder, request, settled, now_ms))
         return granted
