--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -314,10 +314,10 @@
         settled = not self.unsettled_ms
         granted = []
         for request in requests:
-            parts = self._teams.get(request.team)
-            if parts is None:
+            allocation = self._teams.get(request.team)
+            if allocation is None:
                 # What nobody held has grown since that was known.
-                parts = TeamAllocation(min(now_ms, self._settled_ms()))
-                self._teams[request.team] = parts
-            granted.append(parts.grant(holder, request, settled, now_ms))
+                allocation = TeamAllocation(min(now_ms, self._settled_ms()))
+                self._teams[request.team] = allocation
+            granted.append(allocation.grant(holder, request, settled, now_ms))
         return granted
