--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -197,19 +197,19 @@
         if limit is None:
             return limiting.AmountGranted(True, 0)
         amount_ms = amount / self._overshoot.rate_per_s(limit) * MS_PER_S
-        held = self._team_bucket(team, limit)
-        held.demand.record(amount_ms, self._clock.mono_ms())
-        granted = self._try_take(held, amount_ms)
-        if not granted.granted and not held.under_granted:
+        bucket = self._team_bucket(team, limit)
+        bucket.demand.record(amount_ms, self._clock.mono_ms())
+        granted = self._try_take(bucket, amount_ms)
+        if not granted.granted and not bucket.under_granted:
             await self._await_renewal()
-            granted = self._try_take(held, amount_ms)
+            granted = self._try_take(bucket, amount_ms)
         if not granted.granted:
             logger.info(
                 'over_limit',
                 team=team,
                 amount=round(amount),
-                share=round(held.share, 3),
-                level_ms=round(held.level_ms),
+                share=round(bucket.share, 3),
+                level_ms=round(bucket.level_ms),
                 wait_ms=granted.wait_ms,
             )
         return granted
