--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -218,13 +218,13 @@
         self, team: ids.TeamId, limit: teams.TeamLimit
     ) -> TeamBucket:
         now_ms = self._clock.mono_ms()
-        held = self._buckets.get(team)
-        if held is None:
-            held = self._buckets[team] = TeamBucket(
+        bucket = self._buckets.get(team)
+        if bucket is None:
+            bucket = self._buckets[team] = TeamBucket(
                 now_ms, demand=Demand(now_ms)
             )
-        held.depth_ms = self._overshoot.depth_ms(limit)
-        return held
+        bucket.depth_ms = self._overshoot.depth_ms(limit)
+        return bucket
 
     def _try_take(
         self, held: TeamBucket, amount_ms: float
