--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -227,7 +227,7 @@
         return bucket
 
     def _try_take(
-        self, held: TeamBucket, amount_ms: float
+        self, bucket: TeamBucket, amount_ms: float
     ) -> limiting.AmountGranted:
         """Take an amount from the level if it is there, or soon will be.
 
@@ -235,16 +235,18 @@
         its limit nobody waits: it would take as long for the next, and the
         calls that find their amount at once are the most that can be served.
         """
-        held.refill(self._clock.mono_ms())
-        wait_ms = held.wait_ms(amount_ms)
+        bucket.refill(self._clock.mono_ms())
+        wait_ms = bucket.wait_ms(amount_ms)
         if wait_ms is None:
             settled_ms = self._settled_ms - self._clock.mono_ms()
             wait_ms = min(
                 max(settled_ms, RENEW_INTERVAL_MS), MAX_SETTLING_WAIT_MS
             )
             return limiting.AmountGranted(False, wait_ms)
-        if not wait_ms or (wait_ms <= MAX_WAIT_MS and not held.under_granted):
-            held.level_ms -= amount_ms
+        if not wait_ms or (
+            wait_ms <= MAX_WAIT_MS and not bucket.under_granted
+        ):
+            bucket.level_ms -= amount_ms
             return limiting.AmountGranted(True, math.ceil(wait_ms))
         return limiting.AmountGranted(False, math.ceil(wait_ms))
 
