--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -263,10 +263,10 @@
 
     async def _run(self) -> None:
         while True:
-            told = self._lead() == self._reported_lead
+            reported = self._lead() == self._reported_lead
             try:
                 async with clocks.timeout_ms(
-                    RENEW_INTERVAL_MS if told else NEW_LEADER_INTERVAL_MS
+                    RENEW_INTERVAL_MS if reported else NEW_LEADER_INTERVAL_MS
                 ):
                     await self._renew_now.wait()
             except TimeoutError:
