--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -273,10 +273,10 @@
                 pass
             urgent = self._renew_now.is_set()
             self._renew_now.clear()
-            begun, self._renewal = self._renewal, None
+            renewal, self._renewal = self._renewal, None
             await self._renew_shares(urgent)
-            if begun is not None and not begun.done():
-                begun.set_result(None)
+            if renewal is not None and not renewal.done():
+                renewal.set_result(None)
 
     async def _renew_shares(self, urgent: bool) -> None:
         """Ask the leader for shares of all teams that call here.
