--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -288,15 +288,15 @@
         lead = self._lead()
         if lead is None:
             return
-        known = lead == self._reported_lead
+        reported = lead == self._reported_lead
         calm = (
             not urgent
             and asked_ms - self._last_renewal_ms < STABLE_INTERVAL_MS
         )
-        if known and calm and not self._needs_renewal(asked_ms):
+        if reported and calm and not self._needs_renewal(asked_ms):
             return
         shares = self._share_requests(asked_ms)
-        if known and not shares:
+        if reported and not shares:
             return
         try:
             answer = await self._peers.call(
