--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -289,11 +289,11 @@
         if lead is None:
             return
         reported = lead == self._reported_lead
-        calm = (
+        is_recent = (
             not urgent
             and asked_ms - self._last_renewal_ms < STABLE_INTERVAL_MS
         )
-        if reported and calm and not self._needs_renewal(asked_ms):
+        if reported and is_recent and not self._needs_renewal(asked_ms):
             return
         shares = self._share_requests(asked_ms)
         if reported and not shares:
