--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -295,13 +295,13 @@
         )
         if reported and is_recent and not self._needs_renewal(asked_ms):
             return
-        shares = self._share_requests(asked_ms)
-        if reported and not shares:
+        requests = self._share_requests(asked_ms)
+        if reported and not requests:
             return
         try:
             answer = await self._peers.call(
                 lead.asked,
-                limiting.AskShares(shares, self._life, next(self._numbers)),
+                limiting.AskShares(requests, self._life, next(self._numbers)),
                 CALL_TIMEOUT_MS,
             )
         except protocol_errors.ProtocolError as error:
@@ -315,7 +315,7 @@
         self._reported_lead = lead
         self._last_renewal_ms = asked_ms
         self._settled_ms = self._clock.mono_ms() + answer.unsettled_ms
-        wanted = {asked.team: asked.wanted for asked in shares}
+        wanted = {asked.team: asked.wanted for asked in requests}
         for granted in answer.granted:
             self._apply_grant(granted, wanted[granted.team], asked_ms)
 
