--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -321,11 +321,11 @@
 
     def _needs_renewal(self, now_ms: int) -> bool:
         """Tell whether any share should be another."""
-        for held in self._buckets.values():
-            wanted = held.desired_share(now_ms)
-            if wanted < DECREASE_THRESHOLD * held.share:
+        for bucket in self._buckets.values():
+            wanted = bucket.desired_share(now_ms)
+            if wanted < DECREASE_THRESHOLD * bucket.share:
                 return True
-            if wanted > INCREASE_THRESHOLD * held.share:
+            if wanted > INCREASE_THRESHOLD * bucket.share:
                 return True
         return False
 
