--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -332,29 +332,29 @@
     def _share_requests(self, now_ms: int) -> list[limiting.ShareAsked]:
         """Return what to ask for; what is not wanted is held no longer."""
         shares = []
-        for team, held in list(self._buckets.items()):
+        for team, bucket in list(self._buckets.items()):
             limit = self._limit_of(team)
             if limit is None:
                 del self._buckets[team]
                 continue
-            held.depth_ms = self._overshoot.depth_ms(limit)
-            held.refill(now_ms)
-            wanted = held.desired_share(now_ms)
-            if not wanted and not held.share:
+            bucket.depth_ms = self._overshoot.depth_ms(limit)
+            bucket.refill(now_ms)
+            wanted = bucket.desired_share(now_ms)
+            if not wanted and not bucket.share:
                 del self._buckets[team]
                 continue
-            if wanted < DECREASE_THRESHOLD * held.share:
-                held.apply_if_lower(wanted)
+            if wanted < DECREASE_THRESHOLD * bucket.share:
+                bucket.apply_if_lower(wanted)
             shares.append(
                 limiting.ShareAsked(
                     team,
-                    held.share,
+                    bucket.share,
                     wanted,
-                    held.returned_ms,
-                    held.depth_ms,
+                    bucket.returned_ms,
+                    bucket.depth_ms,
                 )
             )
-            held.returned_ms = 0.0
+            bucket.returned_ms = 0.0
         return shares
 
     def _apply_grant(
