--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -331,7 +331,7 @@
 
     def _share_requests(self, now_ms: int) -> list[limiting.ShareAsked]:
         """Return what to ask for; what is not wanted is held no longer."""
-        shares = []
+        requests = []
         for team, bucket in list(self._buckets.items()):
             limit = self._limit_of(team)
             if limit is None:
@@ -345,7 +345,7 @@
                 continue
             if wanted < DECREASE_THRESHOLD * bucket.share:
                 bucket.apply_if_lower(wanted)
-            shares.append(
+            requests.append(
                 limiting.ShareAsked(
                     team,
                     bucket.share,
@@ -355,7 +355,7 @@
                 )
             )
             bucket.returned_ms = 0.0
-        return shares
+        return requests
 
     def _apply_grant(
         self, granted: limiting.ShareGranted, wanted: float, asked_ms: int
