--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -360,14 +360,14 @@
     def _apply_grant(
         self, granted: limiting.ShareGranted, wanted: float, asked_ms: int
     ) -> None:
-        held = self._buckets.get(granted.team)
-        if held is None:
+        bucket = self._buckets.get(granted.team)
+        if bucket is None:
             return
-        held.refill(self._clock.mono_ms())
-        held.under_granted = granted.share < wanted
-        if granted.share < held.share:
-            held.apply_if_lower(granted.share)
+        bucket.refill(self._clock.mono_ms())
+        bucket.under_granted = granted.share < wanted
+        if granted.share < bucket.share:
+            bucket.apply_if_lower(granted.share)
         else:
-            held.share = granted.share
-            held.level_ms += granted.level_ms
-        held.until_ms = asked_ms + allocator.SHARE_LEASE_MS
+            bucket.share = granted.share
+            bucket.level_ms += granted.level_ms
+        bucket.until_ms = asked_ms + allocator.SHARE_LEASE_MS
