--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -141,8 +141,8 @@
     Switch(
         'given back twice',
         DECISIONS + 'limiting/limiter.py',
-        ('        if taken is None or taken.refunded:\n'),
-        ('        if taken is None:\n'),
+        ('        if reservation is None or reservation.refunded:\n'),
+        ('        if reservation is None:\n'),
         ('tests/test_team_limits.py::test_reservation_is_refunded_once'),
     ),
     Switch(
--- a/wrenspoke/coordination/limiting/limiter.py
+++ b/wrenspoke/coordination/limiting/limiter.py
@@ -114,9 +114,9 @@
                 return True
         return False
 
-    def refund(self, taken: Reservation | None) -> None:
+    def refund(self, reservation: Reservation | None) -> None:
         """Give back what a call took that ran nothing; once."""
-        if taken is None or taken.refunded:
+        if reservation is None or reservation.refunded:
             return
-        taken.refunded = True
-        self._refunds.setdefault(taken.team, []).append(taken)
+        reservation.refunded = True
+        self._refunds.setdefault(reservation.team, []).append(reservation)
