--- a/wrenspoke/coordination/limiting/limiter.py
+++ b/wrenspoke/coordination/limiting/limiter.py
@@ -103,9 +103,9 @@
         """Take what another call gave back, if it is enough and lately."""
         usable_ms = self._overshoot.refund_ttl_ms(team.limit)
         kept = [
-            taken
-            for taken in self._refunds.get(team.team, [])
-            if now_ms - taken.taken_ms < usable_ms
+            reservation
+            for reservation in self._refunds.get(team.team, [])
+            if now_ms - reservation.taken_ms < usable_ms
         ]
         self._refunds[team.team] = kept
         for taken in kept:
