--- a/wrenspoke/coordination/limiting/advertised_limits.py
+++ b/wrenspoke/coordination/limiting/advertised_limits.py
@@ -51,14 +51,14 @@
     def parse_header(
         self,
         life: limiting.EndpointLife,
-        texts: collections.abc.Sequence[str],
+        values: collections.abc.Sequence[str],
     ) -> float | None:
         """Return the rate that response headers advertise, None without.
 
         :raises MalformedRateError: a value is malformed, and is ignored
         """
         try:
-            rate_per_s = rates.read(texts)
+            rate_per_s = rates.read(values)
         except protocol_errors.MalformedRateError as error:
             if life.endpoint not in self._malformed:
                 self._malformed.add(life.endpoint)
