--- a/wrenspoke/coordination/limiting/advertised_limits.py
+++ b/wrenspoke/coordination/limiting/advertised_limits.py
@@ -132,5 +132,5 @@
 def _precedence(limit: limiting.EndpointLimit) -> tuple[int, int, float]:
     """Return the sort key of limits of one endpoint; the highest wins."""
     rate_per_s = limit.rate_per_s
-    lowness = -math.inf if rate_per_s is None else -rate_per_s
-    return (limit.life.born_ms, limit.version, lowness)
+    negated_rate = -math.inf if rate_per_s is None else -rate_per_s
+    return (limit.life.born_ms, limit.version, negated_rate)
