--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -128,14 +128,14 @@
         limit = self._advertised.limit_of(known.life)
         if limit.rate_per_s is None:
             return limiting.SendAnswered(limit)
-        lent = self._bucket_of(limit)
+        bucket = self._bucket_of(limit)
         wait_ms = self._take_or_wait_ms(
-            lent, rank, _request_cost_ms(limit.rate_per_s)
+            bucket, rank, _request_cost_ms(limit.rate_per_s)
         )
         if wait_ms:
             return limiting.SendAnswered(limit, wait_ms=wait_ms)
-        lent.last_granted += 1
-        grant = limiting.GrantName(self._host, self._life, lent.last_granted)
+        bucket.last_granted += 1
+        grant = limiting.GrantName(self._host, self._life, bucket.last_granted)
         return limiting.SendAnswered(limit, grant)
 
     def _take_or_wait_ms(
