--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -139,19 +139,19 @@
         return limiting.SendAnswered(limit, grant)
 
     def _take_or_wait_ms(
-        self, lent: _EndpointBucket, rank: int, amount_ms: float
+        self, bucket: _EndpointBucket, rank: int, amount_ms: float
     ) -> int:
         """Take one request's tokens; return 0, or the wait in milliseconds."""
-        tokens = lent.tokens
+        tokens = bucket.tokens
         now_ms = self._clock.mono_ms()
         lacking_ms = tokens.wait_ms(amount_ms)
-        if not lacking_ms and lent.is_reserved(rank, now_ms):
+        if not lacking_ms and bucket.is_reserved(rank, now_ms):
             lacking_ms = tokens.wait_ms(tokens.capacity_ms)
         if not lacking_ms:
             tokens.level_ms -= amount_ms
-            lent.last_refused_ms.pop(rank, None)
+            bucket.last_refused_ms.pop(rank, None)
             return 0
-        lent.last_refused_ms[rank] = now_ms
+        bucket.last_refused_ms[rank] = now_ms
         return math.ceil(min(lacking_ms, MAX_WAIT_MS))
 
     def _bucket_of(self, limit: limiting.EndpointLimit) -> _EndpointBucket:
