--- a/benches/switches_limits.py
+++ b/benches/switches_limits.py
@@ -84,7 +84,7 @@
     Switch(
         'leave not kept for the urgent',
         LIMITING + 'endpoint_buckets.py',
-        'if not lacking_ms and bucket.is_reserved(rank, now_ms):',
+        'if not deficit_ms and bucket.is_reserved(rank, now_ms):',
         'if False:',
         f'{FLEET}::test_urgent_calls_go_first_where_all_engines_are_limited',
     ),
--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -144,15 +144,15 @@
         """Take one request's tokens; return 0, or the wait in milliseconds."""
         tokens = bucket.tokens
         now_ms = self._clock.mono_ms()
-        lacking_ms = tokens.wait_ms(amount_ms)
-        if not lacking_ms and bucket.is_reserved(rank, now_ms):
-            lacking_ms = tokens.wait_ms(tokens.capacity_ms)
-        if not lacking_ms:
+        deficit_ms = tokens.wait_ms(amount_ms)
+        if not deficit_ms and bucket.is_reserved(rank, now_ms):
+            deficit_ms = tokens.wait_ms(tokens.capacity_ms)
+        if not deficit_ms:
             tokens.level_ms -= amount_ms
             bucket.last_refused_ms.pop(rank, None)
             return 0
         bucket.last_refused_ms[rank] = now_ms
-        return math.ceil(min(lacking_ms, MAX_WAIT_MS))
+        return math.ceil(min(deficit_ms, MAX_WAIT_MS))
 
     def _bucket_of(self, limit: limiting.EndpointLimit) -> _EndpointBucket:
         now_ms = self._clock.mono_ms()
