--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -156,18 +156,20 @@
 
     def _bucket_of(self, limit: limiting.EndpointLimit) -> _EndpointBucket:
         now_ms = self._clock.mono_ms()
-        lent = self._buckets.get(limit.life.endpoint)
-        if lent is None or lent.life != limit.life:
+        bucket = self._buckets.get(limit.life.endpoint)
+        if bucket is None or bucket.life != limit.life:
             # Empty: another host may have granted permits before.
-            lent = _EndpointBucket(limit.life, token_bucket.unexpiring(now_ms))
-            self._buckets[limit.life.endpoint] = lent
+            bucket = _EndpointBucket(
+                limit.life, token_bucket.unexpiring(now_ms)
+            )
+            self._buckets[limit.life.endpoint] = bucket
         share = self._grantable_share(limit.life.endpoint)
-        lent.tokens.refill(now_ms)
-        lent.tokens.share = share
+        bucket.tokens.refill(now_ms)
+        bucket.tokens.share = share
         amount_ms = _request_cost_ms(limit.rate_per_s)
         # A part of the limit still holds one whole request.
-        lent.tokens.depth_ms = (amount_ms + BURST_MS * share) / share
-        return lent
+        bucket.tokens.depth_ms = (amount_ms + BURST_MS * share) / share
+        return bucket
 
     def _grantable_share(self, endpoint: ids.EndpointId) -> float:
         """Return the part of a limit that this host may grant."""
