--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -211,13 +211,13 @@
         limit = self._advertised.limit_of(life)
         if limit.rate_per_s is None:
             return
-        lent = self._bucket_of(limit)
+        bucket = self._bucket_of(limit)
         if rate_per_s == limit.rate_per_s:
-            lent.last_advertised = lent.last_granted
+            bucket.last_advertised = bucket.last_granted
             return
-        if not self._is_newest(grant, lent):
+        if not self._is_newest(grant, bucket):
             return
-        lent.last_advertised = lent.last_granted
+        bucket.last_advertised = bucket.last_granted
         self._advertised.apply_rate(life, rate_per_s)
         self._schedule_gossip(life)
 
