--- a/benches/switches_limits.py
+++ b/benches/switches_limits.py
@@ -77,7 +77,7 @@
     Switch(
         'older answers end a limit',
         LIMITING + 'endpoint_buckets.py',
-        'return grant.number > lent.last_advertised',
+        'return grant.number > bucket.last_advertised',
         'return True',
         f'{UNITS}::test_stale_response_does_not_raise_limit',
     ),
--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -222,12 +222,12 @@
         self._schedule_gossip(life)
 
     def _is_newest(
-        self, grant: limiting.GrantName | None, lent: _EndpointBucket
+        self, grant: limiting.GrantName | None, bucket: _EndpointBucket
     ) -> bool:
         """Return whether a response is newer than all that named a limit."""
         if grant is None or grant.life != self._life:
             return False
-        return grant.number > lent.last_advertised
+        return grant.number > bucket.last_advertised
 
     def _merge(self, known: limiting.EndpointLimit) -> None:
         if self._advertised.merge(known):
