--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -248,9 +248,9 @@
             except TimeoutError:
                 self._visible_share(len(self._owners.in_order(self._host)))
             self._has_changes.clear()
-            told = self._limits_to_gossip()
-            if told:
-                await self._gossip(told)
+            limits = self._limits_to_gossip()
+            if limits:
+                await self._gossip(limits)
 
     def _limits_to_gossip(self) -> list[limiting.EndpointLimit]:
         """Return limits that changed, and those that this host owns."""
