--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -266,8 +266,8 @@
 
     def retain_endpoints(self, exists: advertised_limits.Exists) -> None:
         """Drop state of endpoints that no longer exist."""
-        for endpoint, lent in list(self._buckets.items()):
-            if not exists(lent.life):
+        for endpoint, bucket in list(self._buckets.items()):
+            if not exists(bucket.life):
                 del self._buckets[endpoint]
 
 
