--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -93,8 +93,8 @@
         rate_per_s = self.rate_per_s(life)
         if rate_per_s is None:
             return None
-        taken_per_s = max(rate_per_s, endpoint_buckets.MIN_RATE_PER_S)
-        return taken_per_s / len(self._owners.in_order(life.endpoint))
+        enforced_per_s = max(rate_per_s, endpoint_buckets.MIN_RATE_PER_S)
+        return enforced_per_s / len(self._owners.in_order(life.endpoint))
 
     def active(self) -> list[limiting.EndpointLimit]:
         """Return the limits that endpoints currently advertise."""
