--- a/benches/switches_backoffs.py
+++ b/benches/switches_backoffs.py
@@ -109,8 +109,8 @@
     Switch(
         'all hosts probe',
         BACKOFFS,
-        'place = hosts.index(self._host)',
-        'place = 0',
+        'position = hosts.index(self._host)',
+        'position = 0',
         f'{UNITS}::test_one_host_probes_at_a_time',
     ),
     Switch(
--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -211,8 +211,8 @@
             for host in self._order(found.life.endpoint)
             if host not in backing_off_peers
         ]
-        place = hosts.index(self._host)
-        return found.last_refusal_ms + (place + 1) * found.probe_interval_ms
+        position = hosts.index(self._host)
+        return found.last_refusal_ms + (position + 1) * found.probe_interval_ms
 
     # Requests.
 
