--- a/benches/switches_backoffs.py
+++ b/benches/switches_backoffs.py
@@ -74,8 +74,8 @@
     Switch(
         'shorter times win',
         BACKOFFS,
-        'max(found.until_ms, now_ms + kept_ms)',
-        'now_ms + kept_ms',
+        'max(found.until_ms, now_ms + capped_ms)',
+        'now_ms + capped_ms',
         f'{UNITS}::test_nothing_is_sent_before_the_latest_time',
     ),
     Switch(
--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -267,17 +267,17 @@
             return
         now_ms = self._clock.mono_ms()
         found = self._find_or_create(life)
-        kept_ms = min(backoff_ms, MAX_BACKOFF_MS)
+        capped_ms = min(backoff_ms, MAX_BACKOFF_MS)
         if not found.unserved or now_ms >= found.until_ms:
             logger.warning(
                 'endpoint_backoff_started',
                 endpoint=life.endpoint,
                 advertised_ms=backoff_ms,
-                backoff_ms=kept_ms,
+                backoff_ms=capped_ms,
             )
         found.unserved = True
-        found.until_ms = max(found.until_ms, now_ms + kept_ms)
-        self._schedule_resume(found, found.until_ms, kept_ms)
+        found.until_ms = max(found.until_ms, now_ms + capped_ms)
+        self._schedule_resume(found, found.until_ms, capped_ms)
         if self._should_gossip(found, now_ms):
             found.gossiped_until_ms = found.until_ms
             self._gossip(life, found.until_ms - now_ms)
