--- a/wrenspoke/coordination/limiting/endpoint_gate.py
+++ b/wrenspoke/coordination/limiting/endpoint_gate.py
@@ -100,7 +100,10 @@
         )
 
     async def acquire(
-        self, life: limiting.EndpointLife, rank: int, continues: bool = False
+        self,
+        life: limiting.EndpointLife,
+        rank: int,
+        is_continuation: bool = False,
     ) -> 'GatePermit':
         """Return a permit to send one request to an endpoint.
 
@@ -114,7 +117,9 @@
         limit = await self.limits.acquire(life, rank)
         # Others may have been sent, or refused, while the limit was asked.
         self.backoffs.acquire(life)
-        return GatePermit(self, life, self._clock.mono_ms(), limit, continues)
+        return GatePermit(
+            self, life, self._clock.mono_ms(), limit, is_continuation
+        )
 
     def acquire_poll(self, life: limiting.EndpointLife) -> 'GatePermit':
         """Return a permit for a request that takes no slot.
