--- a/wrenspoke/coordination/limiting/endpoint_gate.py
+++ b/wrenspoke/coordination/limiting/endpoint_gate.py
@@ -114,11 +114,11 @@
         remaining_ms = self.backoffs.remaining_ms(life)
         if remaining_ms:
             raise errors.EndpointBackoffError(life.endpoint, remaining_ms)
-        limit = await self.limits.acquire(life, rank)
+        limit_permit = await self.limits.acquire(life, rank)
         # Others may have been sent, or refused, while the limit was asked.
         self.backoffs.acquire(life)
         return GatePermit(
-            self, life, self._clock.mono_ms(), limit, is_continuation
+            self, life, self._clock.mono_ms(), limit_permit, is_continuation
         )
 
     def acquire_poll(self, life: limiting.EndpointLife) -> 'GatePermit':
