--- a/benches/limits.py
+++ b/benches/limits.py
@@ -32,7 +32,10 @@
     def __init__(self, fleet, name):
         limit = fleet.limit
         hosts = len(fleet.names)
-        burst = limit.burst + FILLED_SHARE * team_limit_fleet.BOUNDS.max_overshoot(limit)
+        burst = (
+            limit.burst
+            + FILLED_SHARE * team_limit_fleet.BOUNDS.max_overshoot(limit)
+        )
         self.clock = group.LoopClock()
         self.peers = team_limit_fleet.attending_fleet.CountingPeers(
             name, fleet.network
@@ -173,7 +176,7 @@
     finally:
         team_limit_fleet.Fleet.__init__.__defaults__ = made
     admitted = [one.took_ms for one in fleet.results if one.admitted]
-    over = fleet.max_in_window() / fleet.bound - 1.0
+    over = fleet.max_window_tokens() / fleet.bound - 1.0
     return (
         fleet.refused_share(),
         over,
--- a/tests/endpoints.py
+++ b/tests/endpoints.py
@@ -152,7 +152,7 @@
     found = LENGTH.search(head)
     if found is not None:
         return head + await reader.readexactly(int(found.group(1)))
-    if b'chunked' not in head.apply_if_lower():
+    if b'chunked' not in head.lower():
         return head
     body = b''
     while not body.endswith(b'0\r\n\r\n'):
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -69,9 +69,7 @@
     """Return the values of a header in what an endpoint was sent."""
     head = sent.partition(b'\r\n\r\n')[0]
     lines = [line.partition(b': ') for line in head.split(b'\r\n')[1:]]
-    return [
-        value for field, _, value in lines if field.apply_if_lower() == name
-    ]
+    return [value for field, _, value in lines if field.lower() == name]
 
 
 @pytest.mark.parametrize(
@@ -241,7 +239,7 @@
     assert got.startswith(b'HTTP/1.1 %d ' % status)
     assert len(endpoint.requests) == (status == 200)
     if status == 503:
-        head = got.partition(b'\r\n\r\n')[0].apply_if_lower()
+        head = got.partition(b'\r\n\r\n')[0].lower()
         assert b'retry-after: ' in head
         assert f'{passing.REFUSED}: no_lease'.lower().encode() in head
 
--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -140,7 +140,7 @@
     kept = [h for h in headers if not _of_the_connection(h)]
     expected = {'Host: h.example', f'{ID}: q1', *kept}
     added = {one for one in lines[1:] if one not in expected}
-    names = {one.partition(':')[0].apply_if_lower() for one in added}
+    names = {one.partition(':')[0].lower() for one in added}
     assert expected <= set(lines[1:])
     assert names <= {
         'content-length',
@@ -150,7 +150,7 @@
 
 
 def _of_the_connection(line):
-    name = line.partition(':')[0].apply_if_lower()
+    name = line.partition(':')[0].lower()
     return name in ('content-length', 'transfer-encoding', 'expect')
 
 
--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -73,7 +73,7 @@
 ):
     fleet = simulate(hosts, rate_per_s, share_of=share_of)
     assert fleet.refused_share() < most_refused
-    assert fleet.max_in_window() <= fleet.bound
+    assert fleet.max_window_tokens() <= fleet.bound
     # One question a call, and what lenders ask the leader.
     calls = len(fleet.results) / hosts
     assert (
@@ -87,7 +87,7 @@
 def test_hot_team_is_held_to_its_limit(hosts, rate_per_s):
     """It asks for four times its limit, in regions that peak in turn."""
     fleet = simulate(hosts, rate_per_s, share_of=rotating_peaks, used=4.0)
-    assert fleet.max_in_window() <= fleet.bound
+    assert fleet.max_window_tokens() <= fleet.bound
     admitted = 1 - fleet.refused_share()
     assert 0.75 * 0.25 < admitted < 0.35
 
@@ -167,7 +167,7 @@
 @pytest.mark.parametrize('mishap', FAULTS, ids=lambda one: one.__name__)
 def test_faults_do_not_exceed_team_bound(mishap, rate_per_s, used, seed):
     fleet = simulate(30, rate_per_s, mishap, rotating_peaks, used, seed)
-    assert fleet.max_in_window() <= fleet.bound
+    assert fleet.max_window_tokens() <= fleet.bound
 
 
 @pytest.mark.parametrize(
@@ -320,14 +320,14 @@
         assert not first.done()
         assert (await first).granted[0].share == pytest.approx(0.5)
         assert (await other).granted[0].share == pytest.approx(0.4)
-        assert voter.state.bucket_owners == ('a', 'b')
+        assert voter.state.lenders == ('a', 'b')
         late = group.asyncio.ensure_future(
             ask_shares(allocated, 'c', asked(0.0, 0.1))
         )
         await group.asyncio.sleep(0.1)
         voter.has_lease = False
         assert not isinstance(await late, limiting.SharesGranted)
-        assert voter.state.bucket_owners == ('a', 'b')
+        assert voter.state.lenders == ('a', 'b')
         await allocated.close()
 
     group.run(run())
@@ -340,7 +340,7 @@
         await group.asyncio.sleep(allocator.HOLDER_EXPIRY_MS / 1_000 + 1)
         await ask_shares(allocated, 'a', asked(0.5, 0.5))
         await ask_shares(allocated, 'b', asked(0.0, 0.5))
-        assert voter.state.bucket_owners == ('a', 'b')
+        assert voter.state.lenders == ('a', 'b')
         await allocated.close()
 
     group.run(run())
--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -137,7 +137,7 @@
         """Return what is wanted, or its part where all want too much."""
         total_wanted = wanted + sum(
             lease.wanted
-            for other, part in self._leases.items()
+            for other, lease in self._leases.items()
             if other != holder
         )
         if total_wanted <= allocatable:
@@ -239,7 +239,7 @@
 
     async def _ensure_registered(self, holder: ids.HostId) -> bool:
         """Have a lender noted in the log before it is granted anything."""
-        if holder in self._local_voter.state.bucket_owners:
+        if holder in self._local_voter.state.lenders:
             return True
         if self._registration is None or self._registration.done():
             self._registration = self._tasks.start(
@@ -247,7 +247,7 @@
             )
         await asyncio.shield(self._registration)
         return (
-            holder in self._local_voter.state.bucket_owners
+            holder in self._local_voter.state.lenders
             and self._local_voter.has_lease
         )
 
@@ -260,7 +260,7 @@
             for host, heard_ms in self._last_seen_ms.items()
             if now_ms - heard_ms < HOLDER_EXPIRY_MS
         }
-        kept = set(self._local_voter.state.bucket_owners)
+        kept = set(self._local_voter.state.lenders)
         if now_ms - self._leader_since_ms > HOLDER_EXPIRY_MS:
             # Those have had the time to be heard in this lead.
             kept &= active
@@ -298,7 +298,7 @@
             return min(self._settled_early_ms, leases_ended_ms)
         if all(
             host in self._last_seen_ms
-            for host in self._local_voter.state.bucket_owners
+            for host in self._local_voter.state.lenders
         ):
             self._settled_early_ms = self._clock.mono_ms()
             return min(self._settled_early_ms, leases_ended_ms)
--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -70,8 +70,8 @@
     def is_reserved(self, rank: int, now_ms: int) -> bool:
         """Return whether a higher-priority call was refused recently."""
         return any(
-            other < rank and now_ms - last_refused_ms < RESERVED_MS
-            for other, last_refused_ms in self.last_refused_ms.items()
+            other < rank and now_ms - refusal_ms < RESERVED_MS
+            for other, refusal_ms in self.last_refused_ms.items()
         )
 
 
--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -344,7 +344,7 @@
                 del self._buckets[team]
                 continue
             if wanted < DECREASE_THRESHOLD * bucket.share:
-                bucket.apply_if_lower(wanted)
+                bucket.lower_share(wanted)
             requests.append(
                 limiting.ShareAsked(
                     team,
@@ -366,7 +366,7 @@
         bucket.refill(self._clock.mono_ms())
         bucket.under_granted = granted.share < wanted
         if granted.share < bucket.share:
-            bucket.apply_if_lower(granted.share)
+            bucket.lower_share(granted.share)
         else:
             bucket.share = granted.share
             bucket.level_ms += granted.level_ms
--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -400,7 +400,7 @@
         sent['Content-Type'] = send.head.content_type
         sent[headers.REQUEST] = send.head.request
         sent[headers.DEADLINE_MS] = str(left_ms)
-        sent[headers.PRIORITY] = send.head.priority.name.apply_if_lower()
+        sent[headers.PRIORITY] = send.head.priority.name.lower()
         if send.head.session is not None:
             sent[headers.SESSION] = send.head.session
         return sent
--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -226,7 +226,7 @@
         forwarded request was proved where its caller sent it.
         """
         current = self._replica.current
-        if not current.echoed or head.forwarded:
+        if not current.proved or head.forwarded:
             return head
         secret = teams.secret_of(self._deployment.cluster)
         team = current.keys.get(teams.digest_of(head.key, secret).hex())
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -133,7 +133,7 @@
             await self._serve(work)
         finally:
             if not work.may_have_run:
-                self._limiter.refund(work.reservation)
+                self._limiter.refund(work.taken)
 
     async def _begin(
         self,
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -278,10 +278,8 @@
         dialect = self._dialect
         fields = list(call.fields)
         if last_event is not None and last_event != call.last_event:
-            name = dialect.last_event.apply_if_lower()
-            fields = [
-                item for item in fields if item[0].apply_if_lower() != name
-            ]
+            name = dialect.last_event.lower()
+            fields = [item for item in fields if item[0].lower() != name]
             fields.append((dialect.last_event, last_event))
         fields.append((dialect.deadline_ms, str(max(left_ms, 0))))
         if place.hop is not None:
--- a/wrenspoke/protocol/dialect.py
+++ b/wrenspoke/protocol/dialect.py
@@ -89,7 +89,7 @@
             self.fetch_from,
         )
         names = (*own, *self.credentials(), *self.reserved)
-        return CONNECTION_FIELDS | {name.apply_if_lower() for name in names}
+        return CONNECTION_FIELDS | {name.lower() for name in names}
 
     def credentials(self) -> tuple[str, str]:
         """Return the headers that say on whose behalf a call is made."""
@@ -146,9 +146,7 @@
         self._dialect = dialect
         self._default_deadline_ms = default_deadline_ms
         self._kept_back = dialect.kept_back()
-        self._credentials = {
-            name.apply_if_lower() for name in dialect.credentials()
-        }
+        self._credentials = {name.lower() for name in dialect.credentials()}
 
     def read(
         self,
@@ -166,7 +164,7 @@
         for raw_name, raw_value in raw:
             name = raw_name.decode('utf-8', 'surrogateescape')
             value = raw_value.decode('utf-8', 'surrogateescape')
-            lower = name.apply_if_lower()
+            lower = name.lower()
             if lower in found and lower in self._single():
                 raise errors.BadRequestError(name, 'may be given once only')
             found[lower] = (
@@ -181,9 +179,7 @@
             host=found.get('host', '').partition(':')[0],
             target=_checked_target(target),
             fields=[
-                item
-                for item in fields
-                if item[0].apply_if_lower() not in left_out
+                item for item in fields if item[0].lower() not in left_out
             ],
             arrived_ms=now_ms,
             left_ms=self._left_ms(found),
@@ -191,11 +187,11 @@
             tokens_in=self._tokens(found)[0],
             tokens_out=self._tokens(found)[1],
             tokens_expected=self._tokens_expected(found),
-            last_event=found.get(self._dialect.last_event.apply_if_lower()),
+            last_event=found.get(self._dialect.last_event.lower()),
             credentials=[
                 item
                 for item in fields
-                if item[0].apply_if_lower() in self._credentials - named
+                if item[0].lower() in self._credentials - named
             ],
             key=self._key(found),
         )
@@ -203,11 +199,11 @@
     def _single(self) -> frozenset[str]:
         dialect = self._dialect
         names = ('host', dialect.request, dialect.deadline_ms)
-        return frozenset(name.apply_if_lower() for name in names)
+        return frozenset(name.lower() for name in names)
 
     def _request(self, found: dict[str, str]) -> ids.RequestId:
         name = self._dialect.request
-        value = found.get(name.apply_if_lower(), '')
+        value = found.get(name.lower(), '')
         if not TOKEN.match(value):
             raise errors.BadRequestError(
                 name, 'required: 1 to 128 visible characters'
@@ -216,15 +212,15 @@
 
     def _key(self, found: dict[str, str]) -> str:
         """Return the key that a caller shows, empty if it shows none."""
-        text = found.get(self._dialect.authorization.apply_if_lower(), '')
+        text = found.get(self._dialect.authorization.lower(), '')
         scheme, _, key = text.strip().partition(' ')
-        if scheme.apply_if_lower() != self._dialect.scheme.apply_if_lower():
+        if scheme.lower() != self._dialect.scheme.lower():
             return ''
         return key.strip()
 
     def _left_ms(self, found: dict[str, str]) -> int:
         name = self._dialect.deadline_ms
-        value = found.get(name.apply_if_lower())
+        value = found.get(name.lower())
         if value is None:
             return self._default_deadline_ms
         left_ms = numerals.whole(value)
@@ -240,7 +236,7 @@
 
         They only steer the choice of an endpoint, which judges them.
         """
-        text = found.get(self._dialect.prompt_parts.apply_if_lower(), '')
+        text = found.get(self._dialect.prompt_parts.lower(), '')
         parts = []
         for item in text.split(',')[:PARTS_LIMIT]:
             name, _, tokens = item.strip().partition(':')
@@ -251,7 +247,7 @@
 
     def _tokens_expected(self, found: dict[str, str]) -> int:
         """Return how many tokens should come: the hint, else the most."""
-        text = found.get(self._dialect.length_hint.apply_if_lower(), '')
+        text = found.get(self._dialect.length_hint.lower(), '')
         hint = numerals.whole(text.strip())
         most = self._tokens(found)[1]
         if hint is None:
@@ -259,7 +255,7 @@
         return min(hint, most) if most else hint
 
     def _tokens(self, found: dict[str, str]) -> tuple[int, int]:
-        text = found.get(self._dialect.tokens.apply_if_lower(), '')
+        text = found.get(self._dialect.tokens.lower(), '')
         before, _, behind = text.partition(',')
         tokens_in = numerals.whole(before.strip())
         tokens_out = numerals.whole(behind.strip())
@@ -269,7 +265,7 @@
 
 
 def _connection_options(text: str) -> frozenset[str]:
-    options = (option.strip().apply_if_lower() for option in text.split(','))
+    options = (option.strip().lower() for option in text.split(','))
     return frozenset(option for option in options if option)
 
 
@@ -294,9 +290,7 @@
     ]
     named = {'connection': ''}
     for name, value in fields:
-        if name.apply_if_lower() == 'connection':
+        if name.lower() == 'connection':
             named['connection'] += f',{value}'
     left_out = CONNECTION_FIELDS | _connection_options(named['connection'])
-    return [
-        item for item in fields if item[0].apply_if_lower() not in left_out
-    ]
+    return [item for item in fields if item[0].lower() not in left_out]
--- a/wrenspoke/protocol/passing.py
+++ b/wrenspoke/protocol/passing.py
@@ -276,7 +276,7 @@
         )
         if (request.content_length or 0) > limit_bytes:
             raise too_large
-        if request.headers.get(EXPECT, '').apply_if_lower() == '100-continue':
+        if request.headers.get(EXPECT, '').lower() == '100-continue':
             request.transport.write(CONTINUE)
         chunks = []
         size_bytes = 0
@@ -305,4 +305,4 @@
 ) -> list[tuple[bytes, bytes]]:
     """Leave out what only hosts may say."""
     hop = HOP.lower().encode()
-    return [item for item in raw if item[0].apply_if_lower() != hop]
+    return [item for item in raw if item[0].lower() != hop]
--- a/wrenspoke/protocol/replies.py
+++ b/wrenspoke/protocol/replies.py
@@ -131,7 +131,7 @@
         kept = {
             name: value
             for name, value in found.items()
-            if name.apply_if_lower() not in HOP_BY_HOP
+            if name.lower() not in HOP_BY_HOP
         }
         kept[headers.REQUEST] = self.request_id
         kept.setdefault(headers.HOST, self._host)
--- a/wrenspoke/protocol/requests.py
+++ b/wrenspoke/protocol/requests.py
@@ -140,7 +140,7 @@
 
     def flag(self, name: str) -> bool:
         """Return whether a header says true."""
-        value = self._found.get(name, 'false').apply_if_lower()
+        value = self._found.get(name, 'false').lower()
         if value not in ('true', 'false'):
             raise errors.BadRequestError(
                 name, f'found {value[:40]!r}; true or false is allowed'
@@ -151,7 +151,7 @@
         """Return the key that a caller shows, empty if it shows none."""
         text = self._found.get(headers.AUTHORIZATION, '').strip()
         scheme, _, key = text.partition(' ')
-        return key.strip() if scheme.apply_if_lower() == headers.SCHEME else ''
+        return key.strip() if scheme.lower() == headers.SCHEME else ''
 
     def priority(self) -> Priority:
         """Return the priority, normal where there is none."""
--- a/wrenspoke/protocol/surface.py
+++ b/wrenspoke/protocol/surface.py
@@ -265,7 +265,7 @@
 
 def _refuse_repeated(request: web.Request) -> None:
     for name in set(request.headers.keys()):
-        ours = name.apply_if_lower().startswith(headers.PREFIX.lower())
+        ours = name.lower().startswith(headers.PREFIX.lower())
         if ours and len(request.headers.getall(name)) > 1:
             raise errors.BadRequestError(name, 'may be given once only')
 
--- a/wrenspoke/state/replicated.py
+++ b/wrenspoke/state/replicated.py
@@ -304,7 +304,7 @@
 
 @_applies(entries.SetLenders)
 def _set_lenders(state: ReplicatedState, _index: int, entry):
-    state.bucket_owners = entry.hosts
+    state.lenders = entry.hosts
     return Applied()
 
 
--- a/wrenspoke/state/routes.py
+++ b/wrenspoke/state/routes.py
@@ -220,15 +220,13 @@
         self.table = table
         self._by_host: dict[str, list[Route]] = {}
         for route in table.routes:
-            self._by_host.setdefault(route.host.apply_if_lower(), []).append(
-                route
-            )
+            self._by_host.setdefault(route.host.lower(), []).append(route)
         for routes in self._by_host.values():
             routes.sort(key=lambda route: -len(route.path_prefix))
 
     def find(self, host: str, path: str) -> Route | None:
         """Return the route with the longest prefix, None without one."""
-        for route in self._by_host.get(host.apply_if_lower(), ()):
+        for route in self._by_host.get(host.lower(), ()):
             if path.startswith(route.path_prefix):
                 return route
         return None
