--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -167,7 +167,10 @@
         'new leader waits for nobody',
         DECISIONS + 'limiting/allocator.py',
         (
-            '        if all(host in self._last_seen_ms for host in self._local_voter.state.lenders):\n'
+            '        if all(\n'
+            '            host in self._last_seen_ms\n'
+            '            for host in self._local_voter.state.lenders\n'
+            '        ):\n'
         ),
         ('        if True:\n'),
         (
