--- a/benches/limits.py
+++ b/benches/limits.py
@@ -156,11 +156,11 @@
     'hot': {'share_of': test_team_limits.rotating_peaks, 'used': 4.0},
     'region cut off': {
         'share_of': test_team_limits.rotating_peaks,
-        'mishap': test_team_limits.partition_region,
+        'fault': test_team_limits.partition_region,
     },
     'all hosts restart': {
         'share_of': test_team_limits.rotating_peaks,
-        'mishap': test_team_limits.restart,
+        'fault': test_team_limits.restart,
     },
 }
 
--- a/tests/test_backoff_fleet.py
+++ b/tests/test_backoff_fleet.py
@@ -18,15 +18,15 @@
 SIZES = [(1, 20), (3, 40), (20, 80), (60, 240), (200, 800)]
 
 
-def refusing(refuses, engines=1, mishap=None):
+def refusing(refuses, engines=1, fault=None):
     """Return what lets some engines refuse requests for 10 s."""
 
     async def happen(fleet):
         await fleet.wait_ms(BEGUN_MS)
         for engine in fleet.engines[:engines]:
             engine.refuses = lambda host: refuses(fleet, host)
-        if mishap is not None:
-            await mishap(fleet)
+        if fault is not None:
+            await fault(fleet)
         now_ms = backoff_fleet.group.LoopClock().mono_ms()
         await fleet.wait_ms(ENDED_MS - now_ms)
         for engine in fleet.engines:
@@ -162,9 +162,9 @@
 
 
 @pytest.mark.parametrize('refuses', [all_hosts, some_requests])
-@pytest.mark.parametrize('mishap', FAULTS)
-def test_faults_do_not_break_backoff(mishap, refuses):
-    happen = refusing(refuses, mishap=mishap)
+@pytest.mark.parametrize('fault', FAULTS)
+def test_faults_do_not_break_backoff(fault, refuses):
+    happen = refusing(refuses, fault=fault)
     check_backoffs(backoff_fleet.simulate(happen, 9, 60, PLAY_MS))
 
 
@@ -180,7 +180,7 @@
     pairs = list(itertools.permutations(FAULTS, 3))
     chosen = pairs[seed * 7 % len(pairs)]
 
-    async def mishap(fleet):
+    async def fault(fleet):
         tasks = []
         for one in chosen:
             tasks.append(backoff_fleet.asyncio.ensure_future(one(fleet)))
@@ -188,5 +188,5 @@
         await backoff_fleet.asyncio.gather(*tasks)
 
     refuses = (all_hosts, some_requests, first_host)[seed % 3]
-    happen = refusing(refuses, engines=1 + seed % 4, mishap=mishap)
+    happen = refusing(refuses, engines=1 + seed % 4, fault=fault)
     check_backoffs(backoff_fleet.simulate(happen, 6, 60, PLAY_MS, seed))
--- a/tests/test_endpoint_limit_fleet.py
+++ b/tests/test_endpoint_limit_fleet.py
@@ -23,7 +23,7 @@
 def simulate(
     hosts=9,
     rate_per_s=1.2,
-    mishap=None,
+    fault=None,
     limited=1,
     calls_per_s=CALLS_PER_S,
     seed=1,
@@ -40,9 +40,9 @@
             await fleet.wait_ms(NAMED_MS)
             for engine in fleet.engines[:limited]:
                 engine.advertise_rate(rate_per_s)
-            if mishap is not None:
+            if fault is not None:
                 await fleet.wait_ms(SETTLED_MS)
-                await mishap(fleet)
+                await fault(fleet)
 
         calls = fleet.run_calls(calls_per_s, PLAY_MS, rank_of)
         await group.asyncio.gather(calls, happen())
@@ -193,19 +193,19 @@
 
 @pytest.mark.parametrize('seed', range(3))
 @pytest.mark.parametrize('rate_per_s', [0, 1.2, 3.3, 10])
-@pytest.mark.parametrize('mishap', FAULTS, ids=lambda one: one.__name__)
-def test_faults_do_not_exceed_engine_limit(mishap, rate_per_s, seed):
-    fleet = simulate(9, rate_per_s, mishap, seed=seed)
+@pytest.mark.parametrize('fault', FAULTS, ids=lambda one: one.__name__)
+def test_faults_do_not_exceed_engine_limit(fault, rate_per_s, seed):
+    fleet = simulate(9, rate_per_s, fault, seed=seed)
     engine = fleet.engines[0]
     # Hosts that begin with nothing count once they have heard for themselves.
-    assert engine.limit_ratio(notified_only=mishap is restart_all) <= 1.0
+    assert engine.limit_ratio(notified_only=fault is restart_all) <= 1.0
     assert fleet.refused_share() == 0.0
     if rate_per_s:
         assert engine.used_share(SETTLED_MS, PLAY_MS) >= 0.5
 
 
 def change_to(*rates_per_s):
-    """Return a mishap: the engine names other rates, one after the other."""
+    """Return a fault: the engine names other rates, one after the other."""
 
     def begin(fleet):
         async def happen():
--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -39,7 +39,7 @@
 
 
 def simulate(
-    hosts, rate_per_s, mishap=None, share_of=None, used=TYPICAL_LOAD, seed=1
+    hosts, rate_per_s, fault=None, share_of=None, used=TYPICAL_LOAD, seed=1
 ):
     """Return a fleet after 34 s of calls, 8 s after its leader began."""
     held = {}
@@ -48,10 +48,10 @@
         fleet = await team_limit_fleet.Fleet(hosts, rate_per_s, seed).start()
         await fleet.wait_ms(8_000)
         calls = fleet.run_calls(used * rate_per_s, 34_000, share_of)
-        if mishap is None:
+        if fault is None:
             await calls
         else:
-            await group.asyncio.gather(calls, mishap(fleet))
+            await group.asyncio.gather(calls, fault(fleet))
         await fleet.close()
         held['fleet'] = fleet
 
@@ -164,19 +164,19 @@
 @pytest.mark.parametrize('seed', range(3))
 @pytest.mark.parametrize('used', [TYPICAL_LOAD, 4.0], ids=['usual', 'hot'])
 @pytest.mark.parametrize('rate_per_s', [SMALL, LARGE], ids=['small', 'large'])
-@pytest.mark.parametrize('mishap', FAULTS, ids=lambda one: one.__name__)
-def test_faults_do_not_exceed_team_bound(mishap, rate_per_s, used, seed):
-    fleet = simulate(30, rate_per_s, mishap, rotating_peaks, used, seed)
+@pytest.mark.parametrize('fault', FAULTS, ids=lambda one: one.__name__)
+def test_faults_do_not_exceed_team_bound(fault, rate_per_s, used, seed):
+    fleet = simulate(30, rate_per_s, fault, rotating_peaks, used, seed)
     assert fleet.max_window_tokens() <= fleet.bound
 
 
 @pytest.mark.parametrize(
-    'mishap, most_refused',
+    'fault, most_refused',
     [(lose_leaders, 0.08), (restart, 0.05), (freeze, 0.08)],
     ids=lambda one: getattr(one, '__name__', ''),
 )
-def test_few_calls_are_refused_during_faults(mishap, most_refused):
-    fleet = simulate(30, LARGE, mishap, rotating_peaks)
+def test_few_calls_are_refused_during_faults(fault, most_refused):
+    fleet = simulate(30, LARGE, fault, rotating_peaks)
     assert fleet.refused_share() < most_refused
 
 
