--- a/benches/endpoint_backoffs.py
+++ b/benches/endpoint_backoffs.py
@@ -28,8 +28,8 @@
 BURST_MS = 100
 SIZES = [(3, 40), (9, 60), (20, 80), (60, 240), (200, 800)]
 WAYS = {
-    'each host alone': backoff_fleet.AloneHost,
-    'first refusal': backoff_fleet.FirstWordHost,
+    'each host alone': backoff_fleet.NoGossipHost,
+    'first refusal': backoff_fleet.SingleRefusalHost,
     'two hosts agree': backoff_fleet.BackoffHost,
 }
 REFUSALS = {
@@ -43,7 +43,7 @@
 def play(made, name, hosts, calls_per_s, seed):
     """Return the figures of one way in one play."""
     refuses, engines = REFUSALS[name]
-    fleet = backoff_fleet.play(
+    fleet = backoff_fleet.simulate(
         test_backoff_fleet.refusing(refuses, engines),
         hosts,
         calls_per_s,
--- a/benches/endpoint_limits.py
+++ b/benches/endpoint_limits.py
@@ -3,7 +3,7 @@
     python -m benches.endpoint_limits [--seeds N]
 
 Calls come for 30 s to hosts of one region with three engines, in time of
-their own (``tests.stated_fleet``); one engine names a limit, or all do. Each
+their own (``tests.endpoint_limit_fleet``); one engine names a limit, or all do. Each
 row is a size and a limit, each column a way: the most that any 4 s held over
 what is allowed, which part of the limits was used, what was refused of all
 calls, messages a second over all hosts, and how long a call took until it
@@ -17,17 +17,17 @@
 import structlog
 import tqdm
 
+from tests import endpoint_limit_fleet
 from tests import group
-from tests import stated_fleet
-from tests import test_stated_fleet
-from wrenspoke.coordination.limiting import endpoint_lender
+from tests import test_endpoint_limit_fleet
+from wrenspoke.coordination.limiting import endpoint_buckets
 from wrenspoke.coordination.serving import team_rate_limits
 
 MS_PER_S = 1_000
 RENEW_MS = 500
 LOOK_MS = 5
-SETTLED_MS = test_stated_fleet.SETTLED_MS
-PLAY_MS = test_stated_fleet.PLAY_MS
+SETTLED_MS = test_endpoint_limit_fleet.SETTLED_MS
+PLAY_MS = test_endpoint_limit_fleet.PLAY_MS
 WAYS = {}
 
 
@@ -41,7 +41,7 @@
     return register
 
 
-way('leave for each call')(stated_fleet.AskingHost)
+way('leave for each call')(endpoint_limit_fleet.SimulatedHost)
 
 
 class SendPermit:
@@ -69,14 +69,14 @@
         self.fleet = fleet
         self.name = name
         self.clock = group.LoopClock()
-        self.peers = stated_fleet.Peers(name, fleet.network)
+        self.peers = endpoint_limit_fleet.Peers(name, fleet.network)
         self.frozen = False
-        self.told_ms = {}
+        self.first_limit_ms = {}
         self.rates = {}
         self.buckets = {}
         self.alone_until_ms = {}
 
-    def wants(self, engine):
+    def may_choose(self, engine):
         until_ms = self.alone_until_ms.get(engine.life, 0)
         return self.clock.mono_ms() >= until_ms
 
@@ -93,7 +93,7 @@
         if bucket is None:
             bucket = team_rate_limits.TeamTokenBucket(0.0, 1.0, 0.0, now_ms)
             self.buckets[engine.life] = bucket
-        rate_per_s = max(rate_per_s, endpoint_lender.LEAST_RATE_PER_S)
+        rate_per_s = max(rate_per_s, endpoint_buckets.MIN_RATE_PER_S)
         bucket.request_count += 1
         bucket.rate_per_s = self.part_per_s(engine, rate_per_s)
         wait_ms = bucket.take_token(now_ms)
@@ -140,13 +140,13 @@
 
 def play(made, hosts, rate_per_s, limited, seed):
     """Return what one way does at one size."""
-    fleet = test_stated_fleet.play(
+    fleet = test_endpoint_limit_fleet.simulate(
         hosts, rate_per_s, limited=limited, seed=seed, make=made
     )
     engines = fleet.engines[:limited]
-    took_ms = sorted(one.took_ms for one in fleet.called)
+    took_ms = sorted(one.took_ms for one in fleet.results)
     return (
-        max(engine.overrun() for engine in engines),
+        max(engine.limit_ratio() for engine in engines),
         statistics.mean(
             engine.used_share(SETTLED_MS, PLAY_MS) for engine in engines
         ),
@@ -163,7 +163,7 @@
 
     async def end(fleet):
         engine = fleet.engines[0]
-        engine.name_rate(None)
+        engine.advertise_rate(None)
         ended_ms = group.LoopClock().mono_ms()
         while any(
             host.limits.rate_per_s(engine.life) is not None
@@ -172,7 +172,7 @@
             await fleet.wait_ms(LOOK_MS)
         found.append(group.LoopClock().mono_ms() - ended_ms)
 
-    test_stated_fleet.play(hosts, rate_per_s, end, seed=seed)
+    test_endpoint_limit_fleet.simulate(hosts, rate_per_s, end, seed=seed)
     return found[0]
 
 
--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -114,36 +114,36 @@
     Switch(
         'lower share counts at once',
         DECISIONS + 'limiting/allocator.py',
-        ('            max(share, held), asked.wanted,'),
-        ('            share, asked.wanted,'),
+        ('            max(share, held), request.wanted,'),
+        ('            share, request.wanted,'),
         (
-            'tests/test_limits.py::test_lower_share_counts_once_its_lender_has_heard_of_it'
+            'tests/test_team_limits.py::test_lowered_share_stays_allocated_until_acknowledged'
         ),
     ),
     Switch(
         'silent lender is forgotten at once',
         DECISIONS + 'limiting/allocator.py',
-        ('            if part.until_ms <= now_ms:\n'),
-        ('            if part.until_ms <= now_ms + LEASE_KEPT_MS:\n'),
+        ('            if lease.until_ms <= now_ms:\n'),
+        ('            if lease.until_ms <= now_ms + LEASE_KEPT_MS:\n'),
         (
-            'tests/test_limits.py::test_silent_lender_keeps_its_share_for_its_lease'
+            'tests/test_team_limits.py::test_unresponsive_holder_keeps_its_share_until_lease_expiry'
         ),
     ),
     Switch(
         'new leader parts the whole',
         DECISIONS + 'limiting/allocator.py',
-        ('        whole = 1.0 if settled else min(self._told, 1.0)\n'),
-        ('        whole = 1.0\n'),
+        ('        allocatable = 1.0 if settled else min(self._reported, 1.0)\n'),
+        ('        allocatable = 1.0\n'),
         (
-            'tests/test_limits.py::test_new_leader_parts_no_more_than_it_was_told_of'
+            'tests/test_team_limits.py::test_new_leader_allocates_only_reported_shares'
         ),
     ),
     Switch(
         'given back twice',
         DECISIONS + 'limiting/limiter.py',
-        ('        if taken is None or taken.given_back:\n'),
-        ('        if taken is None:\n'),
-        ('tests/test_limits.py::test_amount_is_given_back_once'),
+        ('        if reservation is None or reservation.refunded:\n'),
+        ('        if reservation is None:\n'),
+        ('tests/test_team_limits.py::test_reservation_is_refunded_once'),
     ),
     Switch(
         'connection cancelled as it is made',
@@ -167,20 +167,23 @@
         'new leader waits for nobody',
         DECISIONS + 'limiting/allocator.py',
         (
-            '        if all(host in self._heard_ms for host in self._elected.state.lenders):\n'
+            '        if all(\n'
+            '            host in self._last_seen_ms\n'
+            '            for host in self._local_voter.state.lenders\n'
+            '        ):\n'
         ),
         ('        if True:\n'),
         (
-            'tests/test_limits.py::test_silent_lender_is_waited_for_until_its_lease_has_ended'
+            'tests/test_team_limits.py::test_new_leader_waits_for_lease_of_unresponsive_holder'
         ),
     ),
     Switch(
         'granted before a lender is noted',
         DECISIONS + 'limiting/allocator.py',
-        ('        if message.shares and not await self._is_noted(lender):\n'),
+        ('        if message.shares and not await self._ensure_registered(holder):\n'),
         ('        if False:\n'),
         (
-            'tests/test_limits.py::test_nothing_is_granted_before_its_lender_is_noted'
+            'tests/test_team_limits.py::test_holder_is_replicated_before_its_first_grant'
         ),
     ),
     Switch(
--- a/tests/backoff_fleet.py
+++ b/tests/backoff_fleet.py
@@ -9,8 +9,8 @@
 import collections
 import dataclasses
 
+from tests import endpoint_limit_fleet
 from tests import group
-from tests import stated_fleet
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.limiting import endpoint_backoffs
 from wrenspoke.protocol import attending
@@ -19,8 +19,8 @@
 MS_PER_S = 1_000
 # What hosts of the users' platform are held to.
 GRACE_MS = 500
-SENDS_LIMIT = 2
-TRIES = 4
+MAX_SENDS = 2
+MAX_TRIES = 4
 
 
 @dataclasses.dataclass
@@ -41,7 +41,7 @@
         self.backoff_ms = 3_000
         self.refuses = lambda host: False
 
-    def arrive(self, host):
+    def receive_request(self, host):
         """Take a request; return the backoff it is refused with, or 0."""
         backoff_ms = self.backoff_ms if self.refuses(host) else 0
         now_ms = group.LoopClock().mono_ms()
@@ -56,7 +56,7 @@
         """Return how many requests came in some time."""
         return sum(since_ms <= one.at_ms < until_ms for one in self.arrivals)
 
-    def most_in_a_backoff(self, excused=lambda host, since_ms, at_ms: False):
+    def max_requests_in_backoff(self, excused=lambda host, since_ms, at_ms: False):
         """Return the most requests that one host sent within a backoff."""
         by_host = collections.defaultdict(list)
         for one in self.arrivals:
@@ -78,10 +78,10 @@
         return worst
 
 
-class BackoffHost(stated_fleet.AskingHost):
+class BackoffHost(endpoint_limit_fleet.SimulatedHost):
     """An entry host that backs off as the product does."""
 
-    agreeing_hosts = endpoint_backoffs.AGREEING_HOSTS
+    refusal_quorum = endpoint_backoffs.REFUSAL_QUORUM
 
     def __init__(self, fleet, name):
         super().__init__(fleet, name)
@@ -89,19 +89,19 @@
             name,
             self.askers.rendezvous_order,
             lambda _life: True,
-            self._tell_backoffs,
+            self._gossip_backoffs,
             self.clock,
-            self.agreeing_hosts,
+            self.refusal_quorum,
         )
         self.askers.add_listener(
             lambda message: self.backoffs.merge(message.backoffs)
         )
         self.backoffs.start()
 
-    async def _tell_backoffs(self, backoffs):
+    async def _gossip_backoffs(self, backoffs):
         await self.askers.broadcast(attending.TellRegion(backoffs=backoffs))
 
-    def wants(self, engine):
+    def may_choose(self, engine):
         return not self.backoffs.remaining_ms(engine.life)
 
     async def close(self):
@@ -109,20 +109,20 @@
         await super().close()
 
 
-class AloneHost(BackoffHost):
+class NoGossipHost(BackoffHost):
     """A host that learns of backoffs by itself alone."""
 
-    async def _tell_backoffs(self, backoffs):
+    async def _gossip_backoffs(self, backoffs):
         pass
 
 
-class FirstWordHost(BackoffHost):
+class SingleRefusalHost(BackoffHost):
     """A host that backs off as soon as another one was refused."""
 
-    agreeing_hosts = 1
+    refusal_quorum = 1
 
 
-class Fleet(stated_fleet.Fleet):
+class Fleet(endpoint_limit_fleet.Fleet):
     """The hosts and engines of a region, and the calls there."""
 
     def __init__(self, hosts, engines=4, seed=1, make=BackoffHost):
@@ -134,11 +134,11 @@
     async def _send(self, host, rank):
         """Send a call until an engine serves it; None where none does."""
         tried = set()
-        for _number in range(TRIES):
+        for _number in range(MAX_TRIES):
             open_to = [
                 one
                 for one in self.engines
-                if one.life not in tried and host.wants(one)
+                if one.life not in tried and host.may_choose(one)
             ]
             if not open_to:
                 return None
@@ -155,7 +155,7 @@
                 return None
             if host.frozen or host.backoffs.own_remaining_ms(engine.life):
                 continue
-            backoff_ms = engine.arrive(host.name)
+            backoff_ms = engine.receive_request(host.name)
             if not backoff_ms:
                 self._start(self._serve_answer(host, engine, acquired_ms))
                 return engine
@@ -169,13 +169,13 @@
         host.backoffs.on_response(engine.life, 0, acquired_ms)
 
 
-def play(happen, hosts, calls_per_s, for_ms, seed=1, make=BackoffHost):
+def simulate(happen, hosts, calls_per_s, for_ms, seed=1, make=BackoffHost):
     """Return a fleet after calls came while something happened."""
     held = {}
 
     async def run():
         fleet = Fleet(hosts, seed=seed, make=make)
-        await asyncio.gather(fleet.call(calls_per_s, for_ms), happen(fleet))
+        await asyncio.gather(fleet.run_calls(calls_per_s, for_ms), happen(fleet))
         await fleet.close()
         held['fleet'] = fleet
 
--- a/tests/stated_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -25,13 +25,13 @@
 WINDOW_MS = 4_000
 OVERSHOOT = 1.5
 SLACK = 5
-CONTACT_MS = 6_000
-TOLD_MS = 500
+FIRST_CONTACT_MS = 6_000
+NOTICE_MS = 500
 # A host that is lost leaves the roster after its lease.
-ROSTER_MS = 3_000
+ROSTER_LEASE_MS = 3_000
 # Engines that one call asks for, as a call that is passed through.
-TRIES = 8
-LEFT_SHARE = 0.05
+MAX_TRIES = 8
+CANCELLED_SHARE = 0.05
 SLOW_CONNECTION_SHARE = 0.02
 
 
@@ -41,7 +41,7 @@
 
     at_ms: int
     host: str
-    told: bool
+    notified: bool
 
 
 class Engine:
@@ -53,11 +53,11 @@
         self.rates = [(0, None)]
         self.arrivals = []
 
-    def name_rate(self, rate_per_s):
+    def advertise_rate(self, rate_per_s):
         self.rates.append((group.LoopClock().mono_ms(), rate_per_s))
 
     @property
-    def texts(self):
+    def header_values(self):
         """Return what the head of an answer names now."""
         _since_ms, rate_per_s = self.rates[-1]
         return [] if rate_per_s is None else [str(rate_per_s)]
@@ -76,7 +76,7 @@
             total += OVERSHOOT * rate_per_s * lasted_ms / MS_PER_S
         return total
 
-    def overrun(self, told_only=False):
+    def limit_ratio(self, notified_only=False):
         """Return the worst of what windows held against what they may.
 
         The platform counts hosts that were told; here all count, but where
@@ -84,12 +84,12 @@
         """
         named_ms = [at_ms for at_ms, rate in self.rates if rate is not None]
         counted = [
-            one.at_ms for one in self.arrivals if one.told or not told_only
+            one.at_ms for one in self.arrivals if one.notified or not notified_only
         ]
         worst = 0.0
         window = collections.deque()
         for at_ms in sorted(counted):
-            if at_ms < named_ms[0] + CONTACT_MS:
+            if at_ms < named_ms[0] + FIRST_CONTACT_MS:
                 continue
             window.append(at_ms)
             while window[0] < at_ms - WINDOW_MS:
@@ -122,9 +122,9 @@
             return
         there = self._network.hosts.get(host)
         if there is not None and not there.ended:
-            await there.hear(self.host, body)
+            await there.handle_message(self.host, body)
 
-    async def hear(self, sender, body):
+    async def handle_message(self, sender, body):
         """Take a message that has no answer."""
         message = self._decoder.decode(body)
         await self._answerers[type(message)](sender, message)
@@ -140,7 +140,7 @@
         return arrived and self._random.random() >= self.lost_share
 
 
-class Roster:
+class FakeRoster:
     """Know the hosts of the region, as one host sees them."""
 
     def __init__(self, fleet, name):
@@ -155,7 +155,7 @@
         return self._fleet.seen_by(self._name)
 
 
-class AskingHost:
+class SimulatedHost:
     """Be an entry host that asks for leave as the product does."""
 
     def __init__(self, fleet, name):
@@ -166,15 +166,15 @@
         fleet.network.hosts[name] = self.peers
         self.frozen = False
         # When this host first passed on an answer that names a limit.
-        self.told_ms = {}
+        self.first_limit_ms = {}
         self.askers = region_pollers.RegionPollers(
-            REGION, name, Roster(fleet, name), self.peers
+            REGION, name, FakeRoster(fleet, name), self.peers
         )
         self.limits = endpoint_limits.EndpointLimits(
             name,
             self.askers.rendezvous_order,
             lambda _life: True,
-            self._tell,
+            self._gossip,
             self.peers,
             self.clock,
         )
@@ -183,16 +183,16 @@
         )
         self.limits.start()
 
-    async def _tell(self, limits):
+    async def _gossip(self, limits):
         await self.askers.broadcast(attending.TellRegion(limits=limits))
 
-    def wants(self, engine):
+    def may_choose(self, engine):
         """Tell whether a call may choose an engine now."""
         return not self.limits.backoff_remaining_ms(engine.life)
 
     async def admit(self, engine, rank=10):
         try:
-            return await self.limits.admit(engine.life, rank)
+            return await self.limits.acquire(engine.life, rank)
         except errors.EndpointLimitError:
             return None
 
@@ -202,7 +202,7 @@
 
 
 @dataclasses.dataclass
-class Called:
+class CallResult:
     """Hold what became of one call."""
 
     at_ms: int
@@ -215,7 +215,7 @@
 class Fleet:
     """Hold the hosts and engines of a region, and the calls there."""
 
-    def __init__(self, hosts, engines=3, seed=1, make=AskingHost):
+    def __init__(self, hosts, engines=3, seed=1, make=SimulatedHost):
         self.random = random.Random(seed)
         self.network = LossyNetwork(seed, travel_ms=1, jitter_ms=1)
         self.make = make
@@ -224,9 +224,9 @@
         self.hosts = {}
         self.revision = 0
         # Hosts that others have not seen for long, by who sees them not.
-        self._lost = set()
-        self.called = []
-        self._under_way = set()
+        self._unseen_pairs = set()
+        self.results = []
+        self._tasks = set()
         for name in self.names:
             self.hosts[name] = make(self, name)
 
@@ -237,17 +237,17 @@
                 other, REGION, f'{REGION}-hall', '', '', '', 0, False
             )
             for other in self.names
-            if other != name and (name, other) not in self._lost
+            if other != name and (name, other) not in self._unseen_pairs
         ]
 
-    def lose(self, one, other):
+    def hide_from_rosters(self, one, other):
         """Let two hosts miss each other on their rosters."""
-        self._lost |= {(one, other), (other, one)}
+        self._unseen_pairs |= {(one, other), (other, one)}
         self.revision += 1
 
-    def find_all(self):
+    def restore_rosters(self):
         """Let every host be on every roster again."""
-        self._lost.clear()
+        self._unseen_pairs.clear()
         self.revision += 1
 
     async def wait_ms(self, delay_ms):
@@ -257,7 +257,7 @@
         await self.hosts[name].close()
         self.hosts[name] = self.make(self, name)
 
-    async def call(self, calls_per_s, for_ms, rank_of=lambda: 10):
+    async def run_calls(self, calls_per_s, for_ms, rank_of=lambda: 10):
         """Let calls come to hosts that run."""
         end_ms = group.LoopClock().mono_ms() + for_ms
         while group.LoopClock().mono_ms() < end_ms:
@@ -269,15 +269,15 @@
 
     def _start(self, coroutine):
         task = asyncio.ensure_future(coroutine)
-        self._under_way.add(task)
-        task.add_done_callback(self._under_way.discard)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
     async def _serve(self, host, rank):
         asked_ms = group.LoopClock().mono_ms()
         engine = await self._send(host, rank)
         now_ms = group.LoopClock().mono_ms()
-        self.called.append(
-            Called(
+        self.results.append(
+            CallResult(
                 asked_ms,
                 engine is not None,
                 now_ms - asked_ms,
@@ -288,8 +288,8 @@
 
     async def _send(self, host, rank):
         """Send a call to an engine that takes it; None where none does."""
-        for _number in range(TRIES):
-            open_to = [one for one in self.engines if host.wants(one)]
+        for _number in range(MAX_TRIES):
+            open_to = [one for one in self.engines if host.may_choose(one)]
             if not open_to:
                 return None
             engine = self.random.choice(open_to)
@@ -300,8 +300,8 @@
             if not send_permit.is_valid():
                 continue
             now_ms = group.LoopClock().mono_ms()
-            told_ms = host.told_ms.get(engine.life, now_ms)
-            told = now_ms - told_ms >= TOLD_MS
+            told_ms = host.first_limit_ms.get(engine.life, now_ms)
+            told = now_ms - told_ms >= NOTICE_MS
             engine.arrivals.append(Arrival(now_ms, host.name, told))
             self._start(self._answer(host, engine, send_permit))
             return engine
@@ -314,18 +314,18 @@
     async def _answer(self, host, engine, send_permit):
         """Bring an answer's head, unless its caller leaves before."""
         await self.wait_ms(min(self.random.lognormvariate(5, 1), 4_000))
-        texts = engine.texts
+        texts = engine.header_values
         await self.wait_ms(self.random.uniform(1, 4))
-        if self.random.random() < LEFT_SHARE:
+        if self.random.random() < CANCELLED_SHARE:
             return
         if texts:
             now_ms = group.LoopClock().mono_ms()
-            host.told_ms.setdefault(engine.life, now_ms)
+            host.first_limit_ms.setdefault(engine.life, now_ms)
         send_permit.on_response(texts, True)
 
     def refused_share(self, since_ms=0):
         """Return the part of the calls that no engine took."""
-        found = [one for one in self.called if one.at_ms >= since_ms]
+        found = [one for one in self.results if one.at_ms >= since_ms]
         return sum(not one.served for one in found) / max(len(found), 1)
 
     def messages_sent(self):
@@ -338,13 +338,13 @@
         )
 
     async def close(self):
-        while self._under_way:
-            await asyncio.wait(self._under_way)
+        while self._tasks:
+            await asyncio.wait(self._tasks)
         for host in self.hosts.values():
             await host.close()
 
 
-def unlimited(clock):
+def open_gate(clock):
     """Return a gate to endpoints that advertise nothing."""
     peers = group.Peers('h', group.Network(1))
     return endpoint_gate.EndpointGate(
--- a/tests/limited_fleet.py
+++ b/tests/team_limit_fleet.py
@@ -14,8 +14,8 @@
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.limiting import allocator
 from wrenspoke.coordination.limiting import bounds
-from wrenspoke.coordination.limiting import lender
 from wrenspoke.coordination.limiting import limiter
+from wrenspoke.coordination.limiting import team_buckets
 from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.coordination.serving import routing
 from wrenspoke.state import replicated
@@ -26,12 +26,12 @@
 MS_PER_S = 1_000
 WINDOW_MS = 8_000
 # As the users' platform allows.
-ALLOWED = bounds.OvershootBounds(WINDOW_MS, 0.1, 110_000.0)
+BOUNDS = bounds.OvershootBounds(WINDOW_MS, 0.1, 110_000.0)
 # A long prompt, a chat and a plain request, and how often each comes.
-CALLS = [(9_240, 36.7), (1_116, 173.0), (200, 57.8)]
+CALL_MIX = [(9_240, 36.7), (1_116, 173.0), (200, 57.8)]
 
 
-class Voter:
+class FakeVoter:
     """Lead, or not, as a test says; what is committed all know."""
 
     def __init__(self, state):
@@ -47,7 +47,7 @@
         return self.state.apply(self.state.index + 1, entry)
 
 
-class Travel(group.Network):
+class RegionalNetwork(group.Network):
     """Carry messages within a region at once, and slowly between them."""
 
     async def travel(self, one, other):
@@ -64,7 +64,7 @@
 
 
 @dataclasses.dataclass
-class Asked:
+class CallResult:
     """Hold what became of one call."""
 
     at_ms: int
@@ -83,22 +83,22 @@
         self.clock = group.LoopClock()
         self.peers = membership_fleet.CountingPeers(name, fleet.network)
         fleet.network.hosts[name] = self.peers
-        self.lender = lender.Lender(
+        self.team_buckets = team_buckets.TeamBuckets(
             lambda _team: fleet.limit,
             lambda: fleet.lead_of(self),
-            ALLOWED,
+            BOUNDS,
             self.peers,
             self.clock,
         )
         self.limiter = limiter.Limiter(
             name,
             lambda key: fleet.order(key, name),
-            self.lender,
-            ALLOWED,
+            self.team_buckets,
+            BOUNDS,
             self.peers,
             self.clock,
         )
-        self.lender.start()
+        self.team_buckets.start()
 
     async def admit(self, amount):
         team = teams.Team('t', limit=self.fleet.limit)
@@ -110,7 +110,7 @@
 
     async def close(self):
         await self.peers.close()
-        await self.lender.close()
+        await self.team_buckets.close()
 
 
 class Fleet:
@@ -118,7 +118,7 @@
 
     def __init__(self, hosts, rate_per_s, seed=1, make=Host):
         self.random = random.Random(seed)
-        self.network = Travel(seed)
+        self.network = RegionalNetwork(seed)
         self.make = make
         self.limit = teams.TeamLimit(
             rate_per_s, rate_per_s, teams.LimitUnit.TOKENS, 200
@@ -131,8 +131,8 @@
         self.controls = []
         self.leader = None
         self._term = 0
-        self.asked = []
-        self._under_way = set()
+        self.results = []
+        self._tasks = set()
 
     async def start(self):
         state = replicated.ReplicatedState()
@@ -141,7 +141,7 @@
             clock = group.LoopClock()
             peers = membership_fleet.CountingPeers(name, self.network)
             self.network.hosts[name] = peers
-            self.voters[name] = Voter(state)
+            self.voters[name] = FakeVoter(state)
             self.controls.append(peers)
             allocator.Allocator(self.voters[name], peers, clock)
         self.lead('10.0.250.1:1')
@@ -183,29 +183,29 @@
     async def wait_ms(self, delay_ms):
         await asyncio.sleep(delay_ms / MS_PER_S)
 
-    async def call(self, tokens_per_s, for_ms, share_of=None):
+    async def run_calls(self, tokens_per_s, for_ms, share_of=None):
         """Let calls come that need so many tokens a second.
 
         ``share_of`` tells the part of them that comes to a region, by the
         time since this began; without it they are equal.
         """
         began_ms = now_ms = group.LoopClock().mono_ms()
-        mean = sum(size * rate for size, rate in CALLS)
-        mean /= sum(rate for _size, rate in CALLS)
+        mean = sum(size * rate for size, rate in CALL_MIX)
+        mean /= sum(rate for _size, rate in CALL_MIX)
         while now_ms - began_ms < for_ms:
             await asyncio.sleep(self.random.expovariate(tokens_per_s / mean))
             now_ms = group.LoopClock().mono_ms()
             region = self._region(now_ms - began_ms, share_of)
             [size] = self.random.choices(
-                [size for size, _rate in CALLS],
-                [rate for _size, rate in CALLS],
+                [size for size, _rate in CALL_MIX],
+                [rate for _size, rate in CALL_MIX],
             )
             host = self.random.choice(
                 [name for name in self.names if region_of(name) == region]
             )
             task = asyncio.ensure_future(self._ask(host, size))
-            self._under_way.add(task)
-            task.add_done_callback(self._under_way.discard)
+            self._tasks.add(task)
+            task.add_done_callback(self._tasks.discard)
 
     def _region(self, since_ms, share_of):
         if share_of is None:
@@ -217,15 +217,15 @@
         asked_ms = group.LoopClock().mono_ms()
         admitted = await self.hosts[name].admit(amount)
         now_ms = group.LoopClock().mono_ms()
-        self.asked.append(
-            Asked(now_ms, name, amount, admitted, now_ms - asked_ms)
+        self.results.append(
+            CallResult(now_ms, name, amount, admitted, now_ms - asked_ms)
         )
 
-    def most_in_a_window(self):
+    def max_window_tokens(self):
         """Return the most tokens that were admitted in any window."""
         window = collections.deque()
         total = most = 0
-        for one in sorted(self.asked, key=lambda one: one.at_ms):
+        for one in sorted(self.results, key=lambda one: one.at_ms):
             if not one.admitted:
                 continue
             window.append(one)
@@ -240,16 +240,16 @@
         """Return what a window may hold."""
         limit = self.limit
         allowed = limit.rate_per_s * WINDOW_MS / MS_PER_S + limit.burst
-        return allowed + ALLOWED.spare(limit)
+        return allowed + BOUNDS.max_overshoot(limit)
 
     def refused_share(self, since_ms=0, until_ms=10**9):
         """Return the part of the tokens asked for that was refused."""
-        found = [o for o in self.asked if since_ms <= o.at_ms < until_ms]
+        found = [o for o in self.results if since_ms <= o.at_ms < until_ms]
         asked = sum(one.amount for one in found)
         refused = sum(one.amount for one in found if not one.admitted)
         return refused / max(asked, 1)
 
-    def messages_a_host(self):
+    def messages_per_host(self):
         """Return how many messages a host has sent, in the mean."""
         sent = sum(
             counted.messages
@@ -260,8 +260,8 @@
         return sent / len(self.hosts)
 
     async def close(self):
-        while self._under_way:
-            await asyncio.wait(self._under_way)
+        while self._tasks:
+            await asyncio.wait(self._tasks)
         for host in self.hosts.values():
             await host.close()
         for peers in self.controls:
--- a/tests/test_stated_limits.py
+++ b/tests/test_advertised_limits.py
@@ -8,8 +8,8 @@
 
 from tests import test_registry
 from wrenspoke.coordination.limiting import advertised_limits
-from wrenspoke.coordination.limiting import endpoint_lender
-from wrenspoke.coordination.limiting import lenders as region_lenders
+from wrenspoke.coordination.limiting import bucket_owners
+from wrenspoke.coordination.limiting import endpoint_buckets
 from wrenspoke.coordination.serving import retry_schedule
 from wrenspoke.protocol import errors
 from wrenspoke.protocol import limiting
@@ -40,13 +40,13 @@
     ['', ' ', 'many', '-1', '+1', '1e3', 'nan', 'inf', '1,', '1 2', '٣']
     + ['0x1', '1.2.3', '.', '9' * 400, '1;q=1', '1.2\x00'],
 )
-def test_rate_that_is_none_is_told(text):
+def test_malformed_rate_raises(text):
     with pytest.raises(errors.MalformedRateError):
         rates.read([text])
 
 
 @hypothesis.given(strategies.lists(strategies.text(max_size=40), max_size=4))
-def test_any_text_is_a_rate_or_told(texts):
+def test_any_text_parses_or_raises(texts):
     try:
         rate_per_s = rates.read(texts)
     except errors.MalformedRateError as error:
@@ -64,12 +64,12 @@
     return limiting.EndpointLimit(life, version, rate_per_s)
 
 
-def test_each_change_of_a_limit_has_one_line():
+def test_limit_change_is_logged_once():
     known = advertised_limits.AdvertisedLimits()
     with structlog.testing.capture_logs() as lines:
         for texts in ([], ['1.2'], ['1.2'], ['x'], ['x'], ['3'], [], []):
             try:
-                known.change(LIFE, known.read(LIFE, texts))
+                known.apply_rate(LIFE, known.parse_header(LIFE, texts))
             except errors.MalformedRateError:
                 continue
     told = [(line['event'], line.get('rate_per_s')) for line in lines]
@@ -118,10 +118,10 @@
     assert known.rate_per_s(LIFE) == rate_per_s
 
 
-def test_what_is_gone_is_forgotten():
+def test_limits_of_missing_endpoints_are_evicted():
     known = advertised_limits.AdvertisedLimits()
     known.merge(limit(1.2))
-    known.keep_only(lambda life: life != LIFE)
+    known.retain_endpoints(lambda life: life != LIFE)
     assert known.active() == []
 
 
@@ -135,54 +135,54 @@
         return lambda answerer: answerer
 
 
-def lender(clock, known):
+def buckets_of(clock, known):
     """Return what lends limits on the only host of a region."""
 
     async def tell(_limits):
         return
 
-    lenders = region_lenders.Lenders(lambda _key: ['h'], 0, Peers(), clock)
-    return endpoint_lender.EndpointLender(
+    lenders = bucket_owners.BucketOwners(lambda _key: ['h'], 0, Peers(), clock)
+    return endpoint_buckets.EndpointBuckets(
         'h', lenders, known, tell, Peers(), clock
     )
 
 
-def test_older_answer_ends_no_limit():
+def test_stale_response_does_not_raise_limit():
     """It ends by an answer whose request left after it was last named."""
     clock = test_registry.FakeClock()
     known = advertised_limits.AdvertisedLimits()
-    lends = lender(clock, known)
-    lends.hear(limiting.EndpointLimit(LIFE), 1.2, None)
+    lends = buckets_of(clock, known)
+    lends.on_advertised(limiting.EndpointLimit(LIFE), 1.2, None)
     grants = []
     for _number in range(3):
         clock.now_ms += 1_000
         grants.append(lends.take(known.limit_of(LIFE), 0).grant)
     # The second's answer came first and names it still.
-    lends.hear(known.limit_of(LIFE), 1.2, grants[1])
+    lends.on_advertised(known.limit_of(LIFE), 1.2, grants[1])
     for older in (None, grants[0], grants[2]):
-        lends.hear(known.limit_of(LIFE), None, older)
-        lends.hear(known.limit_of(LIFE), 5.0, older)
+        lends.on_advertised(known.limit_of(LIFE), None, older)
+        lends.on_advertised(known.limit_of(LIFE), 5.0, older)
         assert known.rate_per_s(LIFE) == 1.2
     clock.now_ms += 1_000
     newer = lends.take(known.limit_of(LIFE), 0).grant
     stranger = msgspec.structs.replace(newer, life='another')
-    lends.hear(known.limit_of(LIFE), None, stranger)
+    lends.on_advertised(known.limit_of(LIFE), None, stranger)
     assert known.rate_per_s(LIFE) == 1.2
-    lends.hear(known.limit_of(LIFE), 5.0, newer)
+    lends.on_advertised(known.limit_of(LIFE), 5.0, newer)
     assert known.rate_per_s(LIFE) == 5.0
     clock.now_ms += 1_000
     newest = lends.take(known.limit_of(LIFE), 0).grant
-    lends.hear(known.limit_of(LIFE), None, newest)
+    lends.on_advertised(known.limit_of(LIFE), None, newest)
     assert known.rate_per_s(LIFE) is None
     assert lends.take(known.limit_of(LIFE), 0).grant is None
 
 
-def test_lower_limit_counts_whenever_it_is_heard():
+def test_lower_limit_applies_in_any_order():
     clock = test_registry.FakeClock()
     known = advertised_limits.AdvertisedLimits()
-    lends = lender(clock, known)
-    lends.hear(limiting.EndpointLimit(LIFE), 4.0, None)
-    lends.hear(known.limit_of(LIFE), 1.0, None)
+    lends = buckets_of(clock, known)
+    lends.on_advertised(limiting.EndpointLimit(LIFE), 4.0, None)
+    lends.on_advertised(known.limit_of(LIFE), 1.0, None)
     assert known.rate_per_s(LIFE) == 1.0
     clock.now_ms += 10_000
     taken = [lends.take(known.limit_of(LIFE), 0) for _number in range(5)]
@@ -190,11 +190,11 @@
     assert 0 < taken[1].wait_ms <= 1_000
 
 
-def test_leave_is_kept_for_the_more_urgent_for_a_moment():
+def test_tokens_are_reserved_for_more_urgent_calls():
     clock = test_registry.FakeClock()
     known = advertised_limits.AdvertisedLimits()
-    lends = lender(clock, known)
-    lends.hear(limiting.EndpointLimit(LIFE), 2.0, None)
+    lends = buckets_of(clock, known)
+    lends.on_advertised(limiting.EndpointLimit(LIFE), 2.0, None)
     now = known.limit_of(LIFE)
     assert lends.take(now, 2).grant is None
     clock.now_ms += 500
@@ -205,11 +205,11 @@
     assert lends.take(now, 5).grant is not None
     # One that does not come back keeps it until the level is full.
     assert lends.take(now, 2).grant is None
-    clock.now_ms += 500 + endpoint_lender.SPARE_MS
+    clock.now_ms += 500 + endpoint_buckets.BURST_MS
     assert lends.take(now, 5).grant is not None
 
 
-def test_callers_that_are_turned_away_come_back_one_by_one():
+def test_refused_callers_return_at_limit_rate():
     clock = test_registry.FakeClock()
     line = retry_schedule.RetrySchedule(clock)
     assert [line.schedule(5, 2.0) for _number in range(3)] == [
--- a/tests/test_backoff_fleet.py
+++ b/tests/test_backoff_fleet.py
@@ -18,15 +18,15 @@
 SIZES = [(1, 20), (3, 40), (20, 80), (60, 240), (200, 800)]
 
 
-def refusing(refuses, engines=1, mishap=None):
+def refusing(refuses, engines=1, fault=None):
     """Return what lets some engines refuse requests for 10 s."""
 
     async def happen(fleet):
         await fleet.wait_ms(BEGUN_MS)
         for engine in fleet.engines[:engines]:
             engine.refuses = lambda host: refuses(fleet, host)
-        if mishap is not None:
-            await mishap(fleet)
+        if fault is not None:
+            await fault(fleet)
         now_ms = backoff_fleet.group.LoopClock().mono_ms()
         await fleet.wait_ms(ENDED_MS - now_ms)
         for engine in fleet.engines:
@@ -47,15 +47,17 @@
     return fleet.random.random() < 0.3
 
 
-def worst(fleet):
-    return max(engine.most_in_a_backoff() for engine in fleet.engines)
+def max_over_engines(fleet):
+    return max(engine.max_requests_in_backoff() for engine in fleet.engines)
 
 
 @pytest.mark.parametrize('refuses', [all_hosts, first_host, some_requests])
 @pytest.mark.parametrize('hosts, calls_per_s', SIZES)
-def test_resting_engine_is_left_alone(hosts, calls_per_s, refuses):
-    fleet = backoff_fleet.play(refusing(refuses), hosts, calls_per_s, PLAY_MS)
-    assert worst(fleet) <= backoff_fleet.SENDS_LIMIT
+def test_backoff_is_respected(hosts, calls_per_s, refuses):
+    fleet = backoff_fleet.simulate(
+        refusing(refuses), hosts, calls_per_s, PLAY_MS
+    )
+    assert max_over_engines(fleet) <= backoff_fleet.MAX_SENDS
     # Three other engines have room.
     assert fleet.refused_share() == 0
     engine = fleet.engines[0]
@@ -66,7 +68,7 @@
 
 @pytest.mark.parametrize('hosts, calls_per_s', SIZES[1:])
 def test_engine_that_refuses_one_host_serves_the_others(hosts, calls_per_s):
-    fleet = backoff_fleet.play(
+    fleet = backoff_fleet.simulate(
         refusing(first_host), hosts, calls_per_s, PLAY_MS
     )
     others = (hosts - 1) / hosts
@@ -77,7 +79,7 @@
 @pytest.mark.parametrize('hosts, calls_per_s', SIZES[2:])
 def test_hosts_of_a_large_region_learn_from_each_other(hosts, calls_per_s):
     """Each alone is refused once a rest: three times in 10 s and more."""
-    fleet = backoff_fleet.play(
+    fleet = backoff_fleet.simulate(
         refusing(all_hosts), hosts, calls_per_s, PLAY_MS
     )
     assert fleet.refusals <= hosts
@@ -85,11 +87,11 @@
 
 @pytest.mark.parametrize('hosts, calls_per_s', SIZES)
 def test_all_engines_rest_and_return(hosts, calls_per_s):
-    fleet = backoff_fleet.play(
+    fleet = backoff_fleet.simulate(
         refusing(all_hosts, engines=4), hosts, calls_per_s, PLAY_MS
     )
-    assert worst(fleet) <= backoff_fleet.SENDS_LIMIT
-    late = [one for one in fleet.called if one.at_ms >= ENDED_MS + 4_500]
+    assert max_over_engines(fleet) <= backoff_fleet.MAX_SENDS
+    late = [one for one in fleet.results if one.at_ms >= ENDED_MS + 4_500]
     assert sum(one.served for one in late) >= 0.9 * len(late)
 
 
@@ -122,9 +124,9 @@
     for number in range(8):
         name = fleet.names[number % len(fleet.names)]
         for other in fleet.names:
-            fleet.lose(name, other)
+            fleet.hide_from_rosters(name, other)
             await fleet.wait_ms(50)
-        fleet.find_all()
+        fleet.restore_rosters()
         await fleet.wait_ms(300)
 
 
@@ -137,7 +139,7 @@
         await fleet.wait_ms(1_200)
 
 
-MISHAPS = [
+FAULTS = [
     lose_messages,
     freeze_hosts,
     restart_hosts,
@@ -146,7 +148,7 @@
 ]
 
 
-def check(fleet):
+def check_backoffs(fleet):
     """A restart excuses a host: it has forgotten what it was told."""
 
     def restarted(host, since_ms, at_ms):
@@ -154,16 +156,16 @@
         return any(since_ms <= one <= at_ms for one in found)
 
     found = max(
-        engine.most_in_a_backoff(restarted) for engine in fleet.engines
+        engine.max_requests_in_backoff(restarted) for engine in fleet.engines
     )
-    assert found <= backoff_fleet.SENDS_LIMIT
+    assert found <= backoff_fleet.MAX_SENDS
 
 
 @pytest.mark.parametrize('refuses', [all_hosts, some_requests])
-@pytest.mark.parametrize('mishap', MISHAPS)
-def test_mishaps_let_nothing_through(mishap, refuses):
-    happen = refusing(refuses, mishap=mishap)
-    check(backoff_fleet.play(happen, 9, 60, PLAY_MS))
+@pytest.mark.parametrize('fault', FAULTS)
+def test_faults_do_not_break_backoff(fault, refuses):
+    happen = refusing(refuses, fault=fault)
+    check_backoffs(backoff_fleet.simulate(happen, 9, 60, PLAY_MS))
 
 
 SEEDS = int(os.environ.get('WRENSPOKE_SOAK_SEEDS', 4))
@@ -174,11 +176,11 @@
 
 
 @pytest.mark.parametrize('seed', [*range(SEEDS), *KEPT_SEEDS])
-def test_mishaps_over_each_other_let_nothing_through(seed):
-    pairs = list(itertools.permutations(MISHAPS, 3))
+def test_overlapping_faults_do_not_break_backoff(seed):
+    pairs = list(itertools.permutations(FAULTS, 3))
     chosen = pairs[seed * 7 % len(pairs)]
 
-    async def mishap(fleet):
+    async def fault(fleet):
         tasks = []
         for one in chosen:
             tasks.append(backoff_fleet.asyncio.ensure_future(one(fleet)))
@@ -186,5 +188,5 @@
         await backoff_fleet.asyncio.gather(*tasks)
 
     refuses = (all_hosts, some_requests, first_host)[seed % 3]
-    happen = refusing(refuses, engines=1 + seed % 4, mishap=mishap)
-    check(backoff_fleet.play(happen, 6, 60, PLAY_MS, seed))
+    happen = refusing(refuses, engines=1 + seed % 4, fault=fault)
+    check_backoffs(backoff_fleet.simulate(happen, 6, 60, PLAY_MS, seed))
--- a/tests/test_backoffs.py
+++ b/tests/test_backoffs.py
@@ -77,7 +77,7 @@
         assert held.own_remaining_ms(LIFE) == 2_800
 
 
-def test_next_life_of_an_endpoint_begins_without(clock):
+def test_backoff_does_not_apply_to_next_life(clock):
     known = [LIFE]
     held = backoffs_of('h0', clock, known)
     held.on_response(LIFE, 3_000, 0)
@@ -132,7 +132,7 @@
         one.merge([notice('h0', 3_000), notice('h3', 3_000)])
     for one in (probing[0], probing[3]):
         one.on_response(LIFE, 3_000, 0)
-    first_ms = endpoint_backoffs.FIRST_PROBE_MS
+    first_ms = endpoint_backoffs.INITIAL_PROBE_MS
     sent = []
     for clock.now_ms in range(0, 2 * first_ms + 1, 10):
         for one in probing:
@@ -220,7 +220,7 @@
     assert marks.is_leaving(LIFE) is leaving
 
 
-def test_leave_that_others_heard_counts(clock):
+def test_gossiped_leave_is_applied(clock):
     marks = leaving_endpoints.LeavingEndpoints(
         lambda life: life == LIFE, None, None, clock
     )
--- a/tests/test_endpoint_backoffs.py
+++ b/tests/test_endpoint_backoffs.py
@@ -31,17 +31,17 @@
 from wrenspoke.protocol import headers
 from wrenspoke.state import routes
 
-REST_S = 3.0
+BACKOFF_S = 3.0
 # A host may send for so long after it was refused, and two requests later.
 GRACE_S = 0.5
-SENDS_LIMIT = 2
+MAX_SENDS = 2
 # A host may send for so long after an engine said that it leaves.
 DRAIN_S = 4.0
 HOST = 'X-Host'
 CHAT = test_endpoint_limits.CHAT
 
 
-def most_sent_in_a_rest(arrivals, rest_s=REST_S):
+def max_sends_in_backoff(arrivals, rest_s=BACKOFF_S):
     """Return the most requests one host sent in the rest of any refusal.
 
     ``arrivals`` are the host and the time of each refused request.
@@ -120,24 +120,26 @@
         await engine.close()
 
 
-async def test_passed_calls_leave_a_resting_engine_alone(tmp_path):
+async def test_passthrough_respects_backoff(tmp_path):
     async with passing_system(tmp_path) as system:
         engine = system.engines[0]
         engine.retry_after = '3'
-        answers = await test_endpoint_limits.press(system.ask, 3, 2 * REST_S)
+        answers = await test_endpoint_limits.send_steadily(
+            system.ask, 3, 2 * BACKOFF_S
+        )
         assert engine.refused()
-        assert most_sent_in_a_rest(engine.refused()) <= SENDS_LIMIT
+        assert max_sends_in_backoff(engine.refused()) <= MAX_SENDS
         assert all(answer.endswith(b'whole') for answer in answers)
         # Its service is in full use of it soon after.
         engine.retry_after = None
-        await asyncio.sleep(REST_S)
+        await asyncio.sleep(BACKOFF_S)
         begun_s = time.monotonic()
-        await test_endpoint_limits.press(system.ask, 3, 2.0)
+        await test_endpoint_limits.send_steadily(system.ask, 3, 2.0)
         served = sum(at_s >= begun_s for _host, at_s, _ in engine.arrivals)
         assert served >= 10
 
 
-async def test_chats_leave_a_resting_engine_alone(tmp_path):
+async def test_chats_respect_backoff(tmp_path):
     made = fleet.deployment(regions=('north',), entries=1, engines=3)
     async with fleet.running(tmp_path, made) as running:
         engine = 'north-chat-1'
@@ -147,20 +149,22 @@
             return await caller.chat(CHAT)
 
         # What each engine can do is known, and none is preferred for it.
-        await test_endpoint_limits.press(ask, 1, 1.0)
+        await test_endpoint_limits.send_steadily(ask, 1, 1.0)
         await running.faults(engine, retry_after_text='3')
         since_s = time.monotonic()
-        answers = await test_endpoint_limits.press(ask, 1, 2 * REST_S)
+        answers = await test_endpoint_limits.send_steadily(
+            ask, 1, 2 * BACKOFF_S
+        )
         found = await running.runs(engine)
         refused = [
             ('north-1', at_s) for at_s in found['arrivals_s'] if at_s > since_s
         ]
         assert refused
-        assert most_sent_in_a_rest(refused) <= SENDS_LIMIT
+        assert max_sends_in_backoff(refused) <= MAX_SENDS
         assert {answer.outcome for answer in answers} == {'whole'}
 
 
-async def test_passed_calls_leave_an_engine_that_leaves(tmp_path):
+async def test_passthrough_avoids_leaving_engine(tmp_path):
     """It says so in its answers alone, and goes on to serve."""
     async with passing_system(tmp_path) as system:
         engine = system.engines[0]
@@ -173,7 +177,7 @@
                 told_s.setdefault(str(host), time.monotonic())
             return answer
 
-        answers = await test_endpoint_limits.press(ask, 3, DRAIN_S + 2)
+        answers = await test_endpoint_limits.send_steadily(ask, 3, DRAIN_S + 2)
         assert told_s
         late = [
             (host, at_s)
@@ -184,7 +188,7 @@
         assert all(answer.endswith(b'whole') for answer in answers)
 
 
-async def test_chat_is_served_whatever_time_an_engine_names(tmp_path):
+async def test_malformed_retry_after_is_ignored(tmp_path):
     made = fleet.deployment(regions=('north',), entries=1, engines=2)
     async with fleet.running(tmp_path, made) as running:
         caller = running.caller('north-1')
@@ -194,7 +198,7 @@
                 assert (await caller.chat(CHAT)).outcome == 'whole'
 
 
-async def test_refused_chat_costs_no_retry_where_its_engine_is_spared(
+async def test_backoff_refusal_spends_no_retry(
     tmp_path,
 ):
     made = fleet.deployment(
@@ -209,15 +213,15 @@
         async def ask(_host, _number):
             return await caller.chat(CHAT)
 
-        await test_endpoint_limits.press(ask, 1, 1.0)
+        await test_endpoint_limits.send_steadily(ask, 1, 1.0)
         refusing = ['north-chat-1', 'north-chat-2']
         for engine in refusing:
             await running.faults(engine, retry_after_text='5')
-        answers = await test_endpoint_limits.press(ask, 1, 2.0)
+        answers = await test_endpoint_limits.send_steadily(ask, 1, 2.0)
         assert {answer.outcome for answer in answers} == {'whole'}
 
 
-async def test_call_is_refused_at_once_where_all_engines_rest(tmp_path):
+async def test_call_is_refused_when_all_engines_back_off(tmp_path):
     """It was not run, and may come back as the first rest ends."""
     async with passing_system(tmp_path) as system:
         for engine, text in zip(system.engines, ('9', '5', '7')):
@@ -235,7 +239,7 @@
         assert after == sent
 
 
-async def test_chat_is_refused_at_once_where_all_engines_rest(tmp_path):
+async def test_chat_is_refused_when_all_engines_back_off(tmp_path):
     made = fleet.deployment(regions=('north',), entries=1, engines=2)
     async with fleet.running(tmp_path, made) as running:
         caller = running.caller('north-1')
@@ -253,7 +257,7 @@
         assert waits_s['high'] <= waits_s['normal'] <= waits_s['low']
 
 
-async def test_streams_end_well_at_an_engine_that_begins_to_leave(tmp_path):
+async def test_streams_complete_at_leaving_engine(tmp_path):
     made = fleet.deployment(regions=('north',), entries=1, engines=2)
     async with fleet.running(tmp_path, made) as running:
         caller = running.caller('north-1')
@@ -292,7 +296,7 @@
         assert {answer.outcome for answer in answers} == {'whole'}
 
 
-async def test_chat_in_the_queue_is_refused_once_all_engines_rest(tmp_path):
+async def test_queued_chat_is_refused_when_all_engines_back_off(tmp_path):
     made = fleet.deployment(regions=('north',), entries=1, engines=1)
     async with fleet.running(tmp_path, made) as running:
         caller = running.caller('north-1')
@@ -316,7 +320,7 @@
             assert int(one.headers[headers.RETRY_AFTER]) >= 10
 
 
-async def test_backoffs_and_leaves_are_shown_to_people_on_call(tmp_path):
+async def test_backoffs_and_leaves_are_exported_as_metrics(tmp_path):
     made = fleet.deployment(regions=('north',), entries=1, engines=1)
     async with fleet.running(tmp_path, made) as running:
         caller = running.caller('north-1')
--- a/tests/test_endpoint_gate.py
+++ b/tests/test_endpoint_gate.py
@@ -66,9 +66,7 @@
         (advertised.Advertised(ECHOED, 503), False, True),
     ],
 )
-async def test_permit_ends_with_what_comes_before_it_is_used(
-    gate, head, continues, valid
-):
+async def test_permit_is_validated_at_send_time(gate, head, continues, valid):
     """As while its request waits for a connection."""
     answered = await gate.acquire(LIFE, RANK)
     waiting = await gate.acquire(LIFE, RANK, continues)
@@ -77,7 +75,7 @@
     assert waiting.is_valid() is valid
 
 
-async def test_resting_endpoint_gets_no_permits(gate, clock):
+async def test_no_permit_during_backoff(gate, clock):
     (await gate.acquire(LIFE, RANK)).on_response(refusal())
     assert gate.remaining_ms(LIFE) == 3_000
     with pytest.raises(errors.EndpointBackoffError, match='e asked for'):
@@ -85,7 +83,7 @@
     with pytest.raises(errors.EndpointBackoffError):
         gate.acquire_poll(LIFE)
     # What ends work there is welcome.
-    assert gate.unchecked(LIFE).is_valid()
+    assert gate.acquire_unchecked(LIFE).is_valid()
     clock.now_ms = 3_000
     assert gate.acquire_poll(LIFE).is_valid()
     assert (await gate.acquire(LIFE, RANK)).is_valid()
@@ -99,7 +97,7 @@
     assert gate.remaining_ms(LIFE) > 0
 
 
-async def test_poll_brings_a_backoff_and_a_leave(gate):
+async def test_poll_response_updates_backoff_and_leaving(gate):
     poll = gate.acquire_poll(LIFE)
     poll.on_response(refusal(UNNAMED, leaving=('1',)))
     assert gate.remaining_ms(LIFE) == 3_000
@@ -143,7 +141,7 @@
     assert max(waits_ms) > min(waits_ms)
 
 
-async def test_nothing_is_kept_of_endpoints_that_are_gone(clock):
+async def test_state_of_missing_endpoints_is_evicted(clock):
     """Each release brings new ones, for as long as a host lives."""
     known = [LIFE]
     peers = group.Peers('h', group.Network(1))
--- a/tests/test_stated_fleet.py
+++ b/tests/test_endpoint_limit_fleet.py
@@ -10,9 +10,9 @@
 
 import pytest
 
+from tests import endpoint_limit_fleet
 from tests import group
-from tests import stated_fleet
-from wrenspoke.coordination.limiting import endpoint_lender
+from wrenspoke.coordination.limiting import endpoint_buckets
 
 CALLS_PER_S = 40
 NAMED_MS = 1_000
@@ -20,31 +20,31 @@
 SETTLED_MS = 8_000
 
 
-def play(
+def simulate(
     hosts=9,
     rate_per_s=1.2,
-    mishap=None,
+    fault=None,
     limited=1,
     calls_per_s=CALLS_PER_S,
     seed=1,
-    make=stated_fleet.AskingHost,
+    make=endpoint_limit_fleet.SimulatedHost,
     rank_of=lambda: 10,
 ):
     """Return a fleet whose first engines named a limit for a while."""
     held = {}
 
     async def run():
-        fleet = stated_fleet.Fleet(hosts, seed=seed, make=make)
+        fleet = endpoint_limit_fleet.Fleet(hosts, seed=seed, make=make)
 
         async def happen():
             await fleet.wait_ms(NAMED_MS)
             for engine in fleet.engines[:limited]:
-                engine.name_rate(rate_per_s)
-            if mishap is not None:
+                engine.advertise_rate(rate_per_s)
+            if fault is not None:
                 await fleet.wait_ms(SETTLED_MS)
-                await mishap(fleet)
+                await fault(fleet)
 
-        calls = fleet.call(calls_per_s, PLAY_MS, rank_of)
+        calls = fleet.run_calls(calls_per_s, PLAY_MS, rank_of)
         await group.asyncio.gather(calls, happen())
         await fleet.close()
         held['fleet'] = fleet
@@ -59,39 +59,39 @@
 @pytest.mark.parametrize('rate_per_s', RATES)
 @pytest.mark.parametrize('hosts', [1, 3, 20, 60, 200])
 def test_limit_is_kept_and_used(hosts, rate_per_s):
-    fleet = play(hosts, rate_per_s)
+    fleet = simulate(hosts, rate_per_s)
     engine = fleet.engines[0]
-    assert engine.overrun() <= 1.0
+    assert engine.limit_ratio() <= 1.0
     # The others have room.
     assert fleet.refused_share() == 0.0
-    if rate_per_s >= endpoint_lender.LEAST_RATE_PER_S:
+    if rate_per_s >= endpoint_buckets.MIN_RATE_PER_S:
         assert engine.used_share(SETTLED_MS, PLAY_MS) >= 0.8
     # Two for a leave, one for its answer's head, and each second a word to
     # every host.
-    sent = fleet.messages_sent() / PLAY_MS * stated_fleet.MS_PER_S
+    sent = fleet.messages_sent() / PLAY_MS * endpoint_limit_fleet.MS_PER_S
     assert sent <= 6 * (rate_per_s + hosts + 1)
 
 
-def lose_lender(fleet):
+def lose_owner(fleet):
     """The host that lends is killed, and stays away."""
 
     async def happen():
-        name = lender_of(fleet)
+        name = owner_of(fleet)
         fleet.hosts[name].frozen = True
         fleet.network.cut_off(name)
-        await fleet.wait_ms(stated_fleet.ROSTER_MS)
+        await fleet.wait_ms(endpoint_limit_fleet.ROSTER_LEASE_MS)
         for other in fleet.names:
-            fleet.lose(name, other)
+            fleet.hide_from_rosters(name, other)
 
     return happen()
 
 
-def freeze_lender(fleet):
+def freeze_owner(fleet):
     """The host that lends stops for a while and goes on, three times."""
 
     async def happen():
         for _number in range(3):
-            name = lender_of(fleet)
+            name = owner_of(fleet)
             fleet.hosts[name].frozen = True
             fleet.network.cut_off(name)
             await fleet.wait_ms(2_500)
@@ -102,10 +102,10 @@
     return happen()
 
 
-def restart_lender(fleet):
+def restart_owner(fleet):
     async def happen():
         for _number in range(3):
-            await fleet.restart_host(lender_of(fleet))
+            await fleet.restart_host(owner_of(fleet))
             await fleet.wait_ms(3_000)
 
     return happen()
@@ -119,16 +119,16 @@
     return happen()
 
 
-def come_and_go(fleet):
+def change_owners(fleet):
     """Who lends changes every second, and hosts learn of it one by one."""
 
     async def happen():
         for _number in range(8):
-            name = lender_of(fleet)
+            name = owner_of(fleet)
             for other in fleet.names:
-                fleet.lose(name, other)
+                fleet.hide_from_rosters(name, other)
                 await fleet.wait_ms(100)
-            fleet.find_all()
+            fleet.restore_rosters()
             await fleet.wait_ms(500)
 
     return happen()
@@ -143,7 +143,7 @@
     return happen()
 
 
-def cut_in_halves(fleet):
+def partition_in_halves(fleet):
     """Both halves reach the engine, and know nothing of each other."""
 
     async def happen():
@@ -151,21 +151,21 @@
         pairs = [(a, b) for a in half for b in fleet.names if b not in half]
         for one, other in pairs:
             fleet.network.cut(one, other)
-        await fleet.wait_ms(stated_fleet.ROSTER_MS)
+        await fleet.wait_ms(endpoint_limit_fleet.ROSTER_LEASE_MS)
         for one, other in pairs:
-            fleet.lose(one, other)
+            fleet.hide_from_rosters(one, other)
         await fleet.wait_ms(5_000)
         fleet.network.heal()
-        fleet.find_all()
+        fleet.restore_rosters()
 
     return happen()
 
 
-def hide_lender_from_half(fleet):
+def hide_owner_from_half(fleet):
     """Half of the hosts can't ask the one that lends, which lives on."""
 
     async def happen():
-        name = lender_of(fleet)
+        name = owner_of(fleet)
         others = [other for other in fleet.names if other != name]
         for other in others[::2]:
             fleet.network.cut(name, other)
@@ -175,37 +175,42 @@
     return happen()
 
 
-def lender_of(fleet):
+def owner_of(fleet):
     """Return the host that most take for the lender of the first engine."""
     life = fleet.engines[0].life
     name = fleet.names[0]
     return fleet.hosts[name].askers.rendezvous_order(life.endpoint)[0]
 
 
-KEPT = [lose_lender, freeze_lender, restart_lender, come_and_go]
-KEPT += [lose_messages, restart_all, cut_in_halves, hide_lender_from_half]
+FAULTS = [lose_owner, freeze_owner, restart_owner, change_owners]
+FAULTS += [
+    lose_messages,
+    restart_all,
+    partition_in_halves,
+    hide_owner_from_half,
+]
 
 
 @pytest.mark.parametrize('seed', range(3))
 @pytest.mark.parametrize('rate_per_s', [0, 1.2, 3.3, 10])
-@pytest.mark.parametrize('mishap', KEPT, ids=lambda one: one.__name__)
-def test_mishaps_take_no_engine_over_its_limit(mishap, rate_per_s, seed):
-    fleet = play(9, rate_per_s, mishap, seed=seed)
+@pytest.mark.parametrize('fault', FAULTS, ids=lambda one: one.__name__)
+def test_faults_do_not_exceed_engine_limit(fault, rate_per_s, seed):
+    fleet = simulate(9, rate_per_s, fault, seed=seed)
     engine = fleet.engines[0]
     # Hosts that begin with nothing count once they have heard for themselves.
-    assert engine.overrun(told_only=mishap is restart_all) <= 1.0
+    assert engine.limit_ratio(notified_only=fault is restart_all) <= 1.0
     assert fleet.refused_share() == 0.0
     if rate_per_s:
         assert engine.used_share(SETTLED_MS, PLAY_MS) >= 0.5
 
 
 def change_to(*rates_per_s):
-    """Return a mishap: the engine names other rates, one after the other."""
+    """Return a fault: the engine names other rates, one after the other."""
 
     def begin(fleet):
         async def happen():
             for rate_per_s in rates_per_s:
-                fleet.engines[0].name_rate(rate_per_s)
+                fleet.engines[0].advertise_rate(rate_per_s)
                 await fleet.wait_ms(7_000)
 
         return happen()
@@ -220,9 +225,9 @@
     ids=repr,
 )
 def test_limit_that_changes_is_kept(rates_per_s, seed):
-    fleet = play(9, 2.4, change_to(*rates_per_s), seed=seed)
+    fleet = simulate(9, 2.4, change_to(*rates_per_s), seed=seed)
     engine = fleet.engines[0]
-    assert engine.overrun() <= 1.0
+    assert engine.limit_ratio() <= 1.0
     assert fleet.refused_share() == 0.0
     last = rates_per_s[-1]
     known = {
@@ -234,64 +239,64 @@
 
 
 @pytest.mark.parametrize('rate_per_s, most_ms', [(0, 9_000), (1.2, 7_000)])
-def test_end_of_a_limit_is_found_out_by_all(rate_per_s, most_ms):
+def test_all_hosts_detect_limit_removal(rate_per_s, most_ms):
     """The first answer after it tells; a trial each four seconds brings one.
 
     Heads of answers from before may still name the limit; they come within
     four seconds.
     """
-    fleet = play(20, rate_per_s, change_to(None))
+    fleet = simulate(20, rate_per_s, change_to(None))
     engine = fleet.engines[0]
     since_ms, _rate = engine.rates[-1]
     after = [one for one in engine.arrivals if one.at_ms > since_ms + most_ms]
     took_ms = PLAY_MS - since_ms - most_ms
-    third = CALLS_PER_S / 3 * took_ms / stated_fleet.MS_PER_S
+    third = CALLS_PER_S / 3 * took_ms / endpoint_limit_fleet.MS_PER_S
     assert len(after) >= 0.7 * third
 
 
 def test_urgent_calls_go_first_where_all_engines_are_limited():
     """Of calls that want six times what there is the urgent are served."""
     ranks = itertools.cycle([0, 10, 10, 10])
-    fleet = play(
+    fleet = simulate(
         9, 3.3, limited=3, calls_per_s=60, rank_of=lambda: next(ranks)
     )
     served = collections.Counter()
     asked = collections.Counter()
-    for one in fleet.called:
+    for one in fleet.results:
         if one.at_ms > SETTLED_MS:
             asked[one.rank] += 1
             served[one.rank] += one.served
     urgent, others = (served[rank] / asked[rank] for rank in (0, 10))
     assert urgent > 3 * others
     for engine in fleet.engines:
-        assert engine.overrun() <= 1.0
+        assert engine.limit_ratio() <= 1.0
         assert engine.used_share(SETTLED_MS, PLAY_MS) >= 0.8
     # Nobody waits.
-    assert max(one.took_ms for one in fleet.called if not one.served) < 1_000
+    assert max(one.took_ms for one in fleet.results if not one.served) < 1_000
 
 
-def test_end_of_a_limit_reaches_who_missed_the_word():
+def test_limit_removal_reaches_host_that_missed_gossip():
     """Also a host that no call comes to."""
 
     async def end_unheard(fleet):
         host = fleet.hosts[fleet.names[-1]]
         host.frozen = True
         fleet.network.cut_off(host.name)
-        fleet.engines[0].name_rate(None)
+        fleet.engines[0].advertise_rate(None)
         await fleet.wait_ms(7_000)
         fleet.network.heal()
         await fleet.wait_ms(1_200)
         assert host.limits.rate_per_s(fleet.engines[0].life) is None
 
-    play(9, 1.2, end_unheard)
+    simulate(9, 1.2, end_unheard)
 
 
-def test_host_that_starts_knows_within_moments():
+def test_restarted_host_receives_limits():
     """A newcomer and one that thaws are told again, each second."""
 
     async def restart(fleet):
         # Nothing has changed for long.
-        await fleet.wait_ms(endpoint_lender.ENDS_RETOLD_MS)
+        await fleet.wait_ms(endpoint_buckets.CHANGE_GOSSIP_MS)
         await fleet.restart_host(fleet.names[-1])
         host = fleet.hosts[fleet.names[-1]]
         # No call comes to it: it hears nothing for itself.
@@ -299,14 +304,14 @@
         await fleet.wait_ms(1_200)
         assert host.limits.rate_per_s(fleet.engines[0].life) == 1.2
 
-    play(9, 1.2, restart)
+    simulate(9, 1.2, restart)
 
 
 SOAK_SEEDS = int(os.environ.get('WRENSPOKE_SOAK_SEEDS', 12))
 SERIES_MS = 12_000
 
 
-def drawn_series(fleet):
+def random_faults(fleet):
     """Let mishaps and other rates come at any moment, over each other."""
     drawn = fleet.random
 
@@ -314,14 +319,14 @@
         await fleet.wait_ms(drawn.uniform(0, SERIES_MS))
         await happens(fleet)
 
-    kinds = [*KEPT, change_to(drawn.choice(RATES)), change_to(None, 1.2)]
+    kinds = [*FAULTS, change_to(drawn.choice(RATES)), change_to(None, 1.2)]
     chosen = [drawn.choice(kinds) for _number in range(4)]
     return group.asyncio.gather(*map(begin, chosen))
 
 
 @pytest.mark.parametrize('seed', range(SOAK_SEEDS))
-def test_drawn_series_take_no_engine_over_its_limit(seed):
+def test_random_faults_do_not_exceed_engine_limit(seed):
     rate_per_s = RATES[seed % len(RATES)]
-    fleet = play(9, rate_per_s, drawn_series, seed=seed)
-    assert fleet.engines[0].overrun(told_only=True) <= 1.0
+    fleet = simulate(9, rate_per_s, random_faults, seed=seed)
+    assert fleet.engines[0].limit_ratio(notified_only=True) <= 1.0
     assert fleet.refused_share() == 0.0
--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -35,7 +35,7 @@
 OVERSHOOT = 1.5
 SLACK = 5
 # A host counts so long after it first passed a limit on.
-TOLD_S = 0.5
+NOTICE_S = 0.5
 CALLS_PER_S = 40
 LIMIT = '1.2'
 CHAT = {
@@ -50,7 +50,7 @@
     return OVERSHOOT * rate_per_s * WINDOW_S + SLACK
 
 
-def most_in_a_window(arrivals_s, since_s=0.0):
+def max_in_window(arrivals_s, since_s=0.0):
     """Return the most arrivals in any window that begins after a time."""
     counted = sorted(at_s for at_s in arrivals_s if at_s >= since_s)
     return max(
@@ -62,7 +62,7 @@
     )
 
 
-async def press(ask, hosts, for_s):
+async def send_steadily(ask, hosts, for_s):
     """Ask by turns at some hosts, at a steady pace; return all answers."""
     asked = []
     end_s = time.monotonic() + for_s
@@ -115,7 +115,7 @@
         await engine.close()
 
 
-async def test_passed_calls_keep_to_what_an_engine_says(tmp_path):
+async def test_passthrough_respects_advertised_limit(tmp_path):
     async with passing_system(tmp_path) as system:
         limited = system.engines[0]
 
@@ -129,17 +129,17 @@
 
         told = set()
         await fleet.until(is_told, 'hosts that were told')
-        await asyncio.sleep(TOLD_S)
+        await asyncio.sleep(NOTICE_S)
         since_s = time.monotonic()
-        answers = await press(system.ask, 3, 2 * WINDOW_S)
+        answers = await send_steadily(system.ask, 3, 2 * WINDOW_S)
         assert all(answer.endswith(b'whole') for answer in answers)
-        most = most_in_a_window(limited.arrivals_s, since_s)
+        most = max_in_window(limited.arrivals_s, since_s)
         assert most <= allowed(float(LIMIT))
         # It is used for what it takes.
         assert most >= 0.5 * float(LIMIT) * WINDOW_S
 
 
-async def test_chats_keep_to_what_an_engine_says(tmp_path):
+async def test_chats_respect_advertised_limit(tmp_path):
     made = fleet.deployment(regions=('north',), entries=3, engines=3)
     async with fleet.running(tmp_path, made) as running:
         engine = 'north-chat-1'
@@ -161,17 +161,17 @@
             )
 
         await fleet.until(is_told, 'hosts that were told')
-        await asyncio.sleep(TOLD_S)
+        await asyncio.sleep(NOTICE_S)
         since_s = time.monotonic()
-        answers = await press(ask, 3, 2 * WINDOW_S)
+        answers = await send_steadily(ask, 3, 2 * WINDOW_S)
         assert {answer.outcome for answer in answers} == {'whole'}
         found = await running.runs(engine)
-        most = most_in_a_window(found['arrivals_s'], since_s)
+        most = max_in_window(found['arrivals_s'], since_s)
         assert most <= allowed(float(LIMIT))
         assert most >= 0.5 * float(LIMIT) * WINDOW_S
 
 
-async def hear_limits(system, host=0):
+async def wait_for_limits(system, host=0):
     """Ask until every engine of a system has named its limit to a host."""
     entry = system.entries[host]
     named = [one for one in system.engines if one.text is not None]
@@ -183,7 +183,7 @@
     await fleet.until(is_known, 'limits')
 
 
-async def hear_rate(system, rate_per_s):
+async def wait_for_rate(system, rate_per_s):
     """Ask a host until it knows the rate that an engine names."""
     limits = system.entries[0]._gate.limits
 
@@ -199,12 +199,12 @@
     return float(endpoints.header(answer, 'Retry-After'))
 
 
-async def test_what_no_engine_takes_is_refused_at_once(tmp_path):
+async def test_call_is_refused_when_all_limits_are_used_up(tmp_path):
     """It was not run, and its caller is told when to come back."""
     async with passing_system(tmp_path) as system:
         for engine in system.engines:
             engine.text = '0.5'
-        await hear_limits(system)
+        await wait_for_limits(system)
         ran = sum(len(engine.arrivals_s) for engine in system.engines)
         answers = await asyncio.gather(
             *(system.ask(0, f'q{number}') for number in range(30))
@@ -220,15 +220,15 @@
         assert waits_s[-1] <= 15
 
 
-async def test_leave_that_ended_on_the_way_sends_nothing(
+async def test_expired_permit_sends_nothing(
     tmp_path, monkeypatch
 ):
     """As while a connection took long; another engine serves the call."""
     async with passing_system(tmp_path) as system:
         limited = system.engines[0]
         limited.text = '1000'
-        await hear_rate(system, 1000)
-        monkeypatch.setattr(endpoint_limits, 'GRANT_MS', -1)
+        await wait_for_rate(system, 1000)
+        monkeypatch.setattr(endpoint_limits, 'PERMIT_TTL_MS', -1)
         sent = len(limited.arrivals_s)
         for number in range(40):
             answer = await system.ask(0, number)
@@ -236,20 +236,20 @@
         assert len(limited.arrivals_s) == sent
 
 
-async def test_offers_leave_out_what_names_a_limit(tmp_path):
+async def test_offers_exclude_limited_endpoints(tmp_path):
     """Other regions' calls go to engines that take what comes."""
     async with passing_system(tmp_path) as system:
-        await hear_limits(system)
+        await wait_for_limits(system)
         [offer] = system.entries[0]._choice.build_offers()
         assert offer.endpoints == 2
         for engine in system.engines:
             engine.text = '1000'
-        await hear_limits(system)
+        await wait_for_limits(system)
         [offer] = system.entries[0]._choice.build_offers()
         assert offer.endpoints > 0
 
 
-async def test_what_is_no_rate_is_served_by_all_the_same(tmp_path):
+async def test_malformed_limit_is_ignored(tmp_path):
     async with passing_system(tmp_path) as system:
         for text in ('', 'nan', '-3', '1e9', 'x, 2', '9' * 400, '1.2\t;'):
             system.engines[0].text = text
@@ -259,9 +259,9 @@
             assert system.entries[0]._gate.limits.active() == []
 
 
-async def test_engine_that_names_no_limit_any_more_gets_its_part(tmp_path):
+async def test_engine_is_fully_used_after_limit_removal(tmp_path):
     async with passing_system(tmp_path) as system:
-        await hear_limits(system)
+        await wait_for_limits(system)
         engine = system.engines[0]
         engine.text = None
         entries = system.entries
@@ -276,7 +276,7 @@
         assert len(engine.arrivals_s) - sent >= 4
 
 
-async def test_chat_that_is_urgent_is_refused_if_it_can_not_be_served(
+async def test_urgent_chat_is_refused_past_its_deadline(
     tmp_path,
 ):
     """Not by what is reckoned, but by what the engine says."""
@@ -314,7 +314,7 @@
         assert len(runs['arrivals_s']) == 3
 
 
-async def test_limits_are_shown_to_people_on_call(tmp_path):
+async def test_limits_are_exported_as_metrics(tmp_path):
     made = fleet.deployment(regions=('north',), entries=1, engines=1)
     async with fleet.running(tmp_path, made) as running:
         caller = running.caller('north-1')
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -14,7 +14,7 @@
 from wrenspoke.coordination.agreement import followers
 from wrenspoke.coordination.agreement import lead
 from wrenspoke.coordination.limiting import allocator
-from wrenspoke.coordination.limiting import lender
+from wrenspoke.coordination.limiting import team_buckets
 from wrenspoke.coordination.membership import control_group
 from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.coordination.membership import lease
@@ -130,27 +130,27 @@
 
 
 def share_of_a_limit(clock):
-    held = lender.Holding(
-        clock.mono_ms(), demand=lender.Demand(clock.mono_ms())
+    held = team_buckets.TeamBucket(
+        clock.mono_ms(), demand=team_buckets.Demand(clock.mono_ms())
     )
     held.share = 1.0
     held.until_ms = clock.mono_ms() + allocator.SHARE_LEASE_MS
 
     def left():
-        held.fill(clock.mono_ms())
+        held.refill(clock.mono_ms())
         return held.share > 0
 
     return left
 
 
 def share_that_the_leader_counts(clock):
-    parts = allocator.TeamParts(clock.mono_ms())
+    parts = allocator.TeamAllocation(clock.mono_ms())
     asked = limiting.ShareAsked('t', 0.0, 1.0, 0.0, 1_000.0)
     parts.grant('lender', asked, True, clock.mono_ms())
 
     def counted():
         parts._expire(clock.mono_ms())
-        return parts.held > 0
+        return parts.allocated > 0
 
     return counted
 
--- a/tests/test_limits.py
+++ b/tests/test_team_limits.py
@@ -12,44 +12,46 @@
 import pytest
 
 from tests import group
-from tests import limited_fleet
+from tests import team_limit_fleet
 from wrenspoke.coordination.limiting import allocator
-from wrenspoke.coordination.limiting import lender
+from wrenspoke.coordination.limiting import team_buckets
 from wrenspoke.protocol import limiting
 from wrenspoke.state import replicated
 
 SIZES = [20, 60, 200]
 # A small team's limit, and that of a third of all calls, tokens a second.
 SMALL, LARGE = 29_000, 300_000
-USUAL = 0.55
-TURN_MS = 10_000
+TYPICAL_LOAD = 0.55
+PEAK_MS = 10_000
 
 
-def in_turn(region, since_ms):
+def rotating_peaks(region, since_ms):
     """Return a region's part where each peaks for a while, 16 to 1."""
-    peaking = int(since_ms // TURN_MS) % limited_fleet.REGIONS
-    into_ms = since_ms % TURN_MS
+    peaking = int(since_ms // PEAK_MS) % team_limit_fleet.REGIONS
+    into_ms = since_ms % PEAK_MS
     # The peak moves within 2 s.
     moved = min(into_ms / 2_000, 1.0)
     if region == peaking:
         return 0.17 + 2.63 * moved
-    if region == (peaking - 1) % limited_fleet.REGIONS:
+    if region == (peaking - 1) % team_limit_fleet.REGIONS:
         return 2.8 - 2.63 * moved
     return 0.17
 
 
-def play(hosts, rate_per_s, mishap=None, share_of=None, used=USUAL, seed=1):
+def simulate(
+    hosts, rate_per_s, fault=None, share_of=None, used=TYPICAL_LOAD, seed=1
+):
     """Return a fleet after 34 s of calls, 8 s after its leader began."""
     held = {}
 
     async def run():
-        fleet = await limited_fleet.Fleet(hosts, rate_per_s, seed).start()
+        fleet = await team_limit_fleet.Fleet(hosts, rate_per_s, seed).start()
         await fleet.wait_ms(8_000)
-        calls = fleet.call(used * rate_per_s, 34_000, share_of)
-        if mishap is None:
+        calls = fleet.run_calls(used * rate_per_s, 34_000, share_of)
+        if fault is None:
             await calls
         else:
-            await group.asyncio.gather(calls, mishap(fleet))
+            await group.asyncio.gather(calls, fault(fleet))
         await fleet.close()
         held['fleet'] = fleet
 
@@ -64,37 +66,40 @@
     ids=['small', 'large'],
 )
 @pytest.mark.parametrize(
-    'share_of', [None, in_turn], ids=['even', 'peaks in turn']
+    'share_of', [None, rotating_peaks], ids=['even', 'peaks in turn']
 )
 def test_little_is_refused_below_the_limit(
     hosts, rate_per_s, most_refused, share_of
 ):
-    fleet = play(hosts, rate_per_s, share_of=share_of)
+    fleet = simulate(hosts, rate_per_s, share_of=share_of)
     assert fleet.refused_share() < most_refused
-    assert fleet.most_in_a_window() <= fleet.bound
+    assert fleet.max_window_tokens() <= fleet.bound
     # One question a call, and what lenders ask the leader.
-    calls = len(fleet.asked) / hosts
-    assert fleet.messages_a_host() < 2.5 * calls + 34_000 / lender.RENEW_MS
+    calls = len(fleet.results) / hosts
+    assert (
+        fleet.messages_per_host()
+        < 2.5 * calls + 34_000 / team_buckets.RENEW_INTERVAL_MS
+    )
 
 
 @pytest.mark.parametrize('hosts', [20, 60])
 @pytest.mark.parametrize('rate_per_s', [SMALL, LARGE], ids=['small', 'large'])
 def test_hot_team_is_held_to_its_limit(hosts, rate_per_s):
     """It asks for four times its limit, in regions that peak in turn."""
-    fleet = play(hosts, rate_per_s, share_of=in_turn, used=4.0)
-    assert fleet.most_in_a_window() <= fleet.bound
+    fleet = simulate(hosts, rate_per_s, share_of=rotating_peaks, used=4.0)
+    assert fleet.max_window_tokens() <= fleet.bound
     admitted = 1 - fleet.refused_share()
     assert 0.75 * 0.25 < admitted < 0.35
 
 
-def cut(fleet):
+def partition_region(fleet):
     async def happen():
         await fleet.wait_ms(6_000)
         for name in fleet.network.hosts:
-            if limited_fleet.region_of(name) != 2:
+            if team_limit_fleet.region_of(name) != 2:
                 continue
             for other in fleet.network.hosts:
-                if limited_fleet.region_of(other) != 2:
+                if team_limit_fleet.region_of(other) != 2:
                     fleet.network.cut(name, other)
         await fleet.wait_ms(8_000)
         fleet.network.heal()
@@ -153,27 +158,25 @@
     return happen()
 
 
-MISHAPS = [cut, restart, restart_with_leader, lose_leaders, freeze]
+FAULTS = [partition_region, restart, restart_with_leader, lose_leaders, freeze]
 
 
 @pytest.mark.parametrize('seed', range(3))
-@pytest.mark.parametrize('used', [USUAL, 4.0], ids=['usual', 'hot'])
+@pytest.mark.parametrize('used', [TYPICAL_LOAD, 4.0], ids=['usual', 'hot'])
 @pytest.mark.parametrize('rate_per_s', [SMALL, LARGE], ids=['small', 'large'])
-@pytest.mark.parametrize('mishap', MISHAPS, ids=lambda one: one.__name__)
-def test_mishaps_never_take_a_team_over_its_bound(
-    mishap, rate_per_s, used, seed
-):
-    fleet = play(30, rate_per_s, mishap, in_turn, used, seed)
-    assert fleet.most_in_a_window() <= fleet.bound
+@pytest.mark.parametrize('fault', FAULTS, ids=lambda one: one.__name__)
+def test_faults_do_not_exceed_team_bound(fault, rate_per_s, used, seed):
+    fleet = simulate(30, rate_per_s, fault, rotating_peaks, used, seed)
+    assert fleet.max_window_tokens() <= fleet.bound
 
 
 @pytest.mark.parametrize(
-    'mishap, most_refused',
+    'fault, most_refused',
     [(lose_leaders, 0.08), (restart, 0.05), (freeze, 0.08)],
     ids=lambda one: getattr(one, '__name__', ''),
 )
-def test_calls_go_on_below_the_limit_beside_mishaps(mishap, most_refused):
-    fleet = play(30, LARGE, mishap, in_turn)
+def test_few_calls_are_refused_during_faults(fault, most_refused):
+    fleet = simulate(30, LARGE, fault, rotating_peaks)
     assert fleet.refused_share() < most_refused
 
 
@@ -182,8 +185,8 @@
     return limiting.ShareAsked('t', held, wanted, returned_ms, depth_ms)
 
 
-def test_lower_share_counts_once_its_lender_has_heard_of_it():
-    parts = allocator.TeamParts(0)
+def test_lowered_share_stays_allocated_until_acknowledged():
+    parts = allocator.TeamAllocation(0)
     assert parts.grant('a', asked(0.0, 1.0), True, 0).share == 1.0
     # The answer that lowers may be lost.
     lowered = parts.grant('a', asked(1.0, 0.5), True, 100)
@@ -193,18 +196,18 @@
     assert parts.grant('b', asked(0.0, 0.5), True, 400).share == 0.5
 
 
-def test_silent_lender_keeps_its_share_for_its_lease():
-    parts = allocator.TeamParts(0)
+def test_unresponsive_holder_keeps_its_share_until_lease_expiry():
+    parts = allocator.TeamAllocation(0)
     parts.grant('a', asked(0.0, 0.9), True, 0)
-    late = allocator.LEASE_KEPT_MS
+    late = allocator.LEASE_EXPIRY_MS
     given = parts.grant('b', asked(0.0, 0.9), True, late - 1)
     assert given.share == pytest.approx(0.1)
     given = parts.grant('b', asked(given.share, 0.9), True, late)
     assert given.share == pytest.approx(0.9)
 
 
-def test_new_leader_parts_no_more_than_it_was_told_of():
-    parts = allocator.TeamParts(0)
+def test_new_leader_allocates_only_reported_shares():
+    parts = allocator.TeamAllocation(0)
     assert parts.grant('a', asked(0.0, 0.9), False, 0).share == 0.0
     assert parts.grant('b', asked(0.4, 0.9), False, 0).share < 0.4
     # What one holds no longer may go to another at once.
@@ -216,32 +219,32 @@
     assert settled.share == pytest.approx(0.8)
 
 
-def test_share_that_grows_is_given_its_part_of_what_nobody_used():
-    parts = allocator.TeamParts(0)
+def test_growing_share_receives_unallocated_tokens():
+    parts = allocator.TeamAllocation(0)
     first = parts.grant('a', asked(0.0, 0.5), True, 2_000)
     assert first.level_ms == pytest.approx(1_000)
     second = parts.grant('b', asked(0.0, 0.5), True, 2_000)
     assert second.level_ms == pytest.approx(1_000)
 
 
-def test_amount_is_given_back_once(monkeypatch):
+def test_reservation_is_refunded_once(monkeypatch):
     """A call that ran nothing leaves its amount to the next."""
 
     async def run():
-        fleet = await limited_fleet.Fleet(3, SMALL).start()
+        fleet = await team_limit_fleet.Fleet(3, SMALL).start()
         await fleet.wait_ms(8_000)
         host = fleet.hosts[fleet.names[0]]
-        team = limited_fleet.teams.Team('t', limit=fleet.limit)
+        team = team_limit_fleet.teams.Team('t', limit=fleet.limit)
         taken = await host.limiter.take(team, 500)
-        host.limiter.give_back(taken)
-        host.limiter.give_back(taken)
+        host.limiter.refund(taken)
+        host.limiter.refund(taken)
         asked_of = []
 
         async def ask(_team, _amount):
             asked_of.append(_amount)
             return limiting.AmountGranted(True, 0)
 
-        monkeypatch.setattr(host.limiter, '_ask', ask)
+        monkeypatch.setattr(host.limiter, '_take_from_owner', ask)
         await host.limiter.take(team, 400)
         assert asked_of == []
         await host.limiter.take(team, 400)
@@ -254,16 +257,16 @@
 NUMBERS = itertools.count(1)
 
 
-def heard(allocated, host, *shares):
+def ask_shares(allocated, host, *shares):
     """Let a lender ask, and return what comes of it."""
     message = limiting.AskShares(list(shares), 'life', next(NUMBERS))
-    return allocated._answer(host, message)
+    return allocated._handle_ask_shares(host, message)
 
 
-async def leading(lenders=()):
+async def start_leader(lenders=()):
     """Return what parts limits on a host that has just begun to lead."""
     state = replicated.ReplicatedState(lenders=tuple(lenders))
-    voter = limited_fleet.Voter(state)
+    voter = team_limit_fleet.FakeVoter(state)
     voter.has_lease = True
     clock = group.LoopClock()
     voter.led_since_ms = clock.mono_ms()
@@ -272,46 +275,46 @@
     return allocator.Allocator(voter, peers, clock), voter
 
 
-def test_leader_waits_for_every_lender_and_no_longer():
+def test_new_leader_settles_once_all_holders_reported():
     async def run():
-        allocated, _voter = await leading(['a', 'b'])
-        granted = await heard(allocated, 'a', asked(0.2, 0.9))
+        allocated, _voter = await start_leader(['a', 'b'])
+        granted = await ask_shares(allocated, 'a', asked(0.2, 0.9))
         assert granted.granted[0].share == pytest.approx(0.2)
         assert granted.unsettled_ms > 0
         # Restarted hosts say that they hold nothing.
-        assert (await heard(allocated, 'b')).unsettled_ms == 0
-        granted = await heard(allocated, 'a', asked(0.2, 0.9))
+        assert (await ask_shares(allocated, 'b')).unsettled_ms == 0
+        granted = await ask_shares(allocated, 'a', asked(0.2, 0.9))
         assert granted.granted[0].share == pytest.approx(0.9)
         await allocated.close()
 
     group.run(run())
 
 
-def test_silent_lender_is_waited_for_until_its_lease_has_ended():
+def test_new_leader_waits_for_lease_of_unresponsive_holder():
     async def run():
-        allocated, _voter = await leading(['a', 'silent'])
-        await heard(allocated, 'a', asked(0.2, 0.9))
+        allocated, _voter = await start_leader(['a', 'silent'])
+        await ask_shares(allocated, 'a', asked(0.2, 0.9))
         await group.asyncio.sleep(allocator.SHARE_LEASE_MS / 1_000 - 0.1)
-        granted = await heard(allocated, 'a', asked(0.2, 0.9))
+        granted = await ask_shares(allocated, 'a', asked(0.2, 0.9))
         assert granted.granted[0].share == pytest.approx(0.2)
         await group.asyncio.sleep(0.3)
-        granted = await heard(allocated, 'a', asked(0.2, 0.9))
+        granted = await ask_shares(allocated, 'a', asked(0.2, 0.9))
         assert granted.granted[0].share == pytest.approx(0.9)
         await allocated.close()
 
     group.run(run())
 
 
-def test_nothing_is_granted_before_its_lender_is_noted():
+def test_holder_is_replicated_before_its_first_grant():
     """A leader that is lost meanwhile leaves no share that nobody knows."""
 
     async def run():
-        allocated, voter = await leading()
+        allocated, voter = await start_leader()
         first = group.asyncio.ensure_future(
-            heard(allocated, 'a', asked(0.0, 0.5))
+            ask_shares(allocated, 'a', asked(0.0, 0.5))
         )
         other = group.asyncio.ensure_future(
-            heard(allocated, 'b', asked(0.0, 0.4))
+            ask_shares(allocated, 'b', asked(0.0, 0.4))
         )
         await group.asyncio.sleep(0.1)
         assert not first.done()
@@ -319,7 +322,7 @@
         assert (await other).granted[0].share == pytest.approx(0.4)
         assert voter.state.lenders == ('a', 'b')
         late = group.asyncio.ensure_future(
-            heard(allocated, 'c', asked(0.0, 0.1))
+            ask_shares(allocated, 'c', asked(0.0, 0.1))
         )
         await group.asyncio.sleep(0.1)
         voter.has_lease = False
@@ -330,35 +333,36 @@
     group.run(run())
 
 
-def test_host_that_asks_for_nothing_for_long_is_a_lender_no_more():
+def test_inactive_holder_is_removed():
     async def run():
-        allocated, voter = await leading(['gone', 'a'])
-        await heard(allocated, 'a', asked(0.0, 0.5))
-        await group.asyncio.sleep(allocator.FORGOTTEN_AFTER_MS / 1_000 + 1)
-        await heard(allocated, 'a', asked(0.5, 0.5))
-        await heard(allocated, 'b', asked(0.0, 0.5))
+        allocated, voter = await start_leader(['gone', 'a'])
+        await ask_shares(allocated, 'a', asked(0.0, 0.5))
+        await group.asyncio.sleep(allocator.HOLDER_EXPIRY_MS / 1_000 + 1)
+        await ask_shares(allocated, 'a', asked(0.5, 0.5))
+        await ask_shares(allocated, 'b', asked(0.0, 0.5))
         assert voter.state.lenders == ('a', 'b')
         await allocated.close()
 
     group.run(run())
 
 
-def test_question_that_was_held_up_changes_nothing():
+def test_stale_share_request_is_refused():
     """It says what its lender held before it was granted more."""
 
     async def run():
-        allocated, _voter = await leading(['a', 'b'])
-        await heard(allocated, 'b')
-        held_up = heard(allocated, 'a', asked(0.0, 0.9))
-        granted = await heard(allocated, 'a', asked(0.0, 0.9))
+        allocated, _voter = await start_leader(['a', 'b'])
+        await ask_shares(allocated, 'b')
+        held_up = ask_shares(allocated, 'a', asked(0.0, 0.9))
+        granted = await ask_shares(allocated, 'a', asked(0.0, 0.9))
         assert granted.granted[0].share == pytest.approx(0.9)
         assert not isinstance(await held_up, limiting.SharesGranted)
-        granted = await heard(allocated, 'b', asked(0.0, 0.9))
+        granted = await ask_shares(allocated, 'b', asked(0.0, 0.9))
         assert granted.granted[0].share == pytest.approx(0.1)
         # Another life of the lender counts from the start.
         again = limiting.AskShares([asked(0.0, 0.5)], 'later life', 1)
         assert isinstance(
-            await allocated._answer('a', again), limiting.SharesGranted
+            await allocated._handle_ask_shares('a', again),
+            limiting.SharesGranted,
         )
         await allocated.close()
 
--- a/tests/test_warmth.py
+++ b/tests/test_warmth.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests import stated_fleet
+from tests import endpoint_limit_fleet
 from tests import test_engine_loads
 from tests import test_registry
 from wrenspoke.coordination.membership import region_pollers
@@ -31,7 +31,7 @@
     number = next(n for n in range(99) if not asking.is_poller_of(f'e{n}'))
     endpoint = test_engine_loads.registered(number)
     made = warmup_probe.WarmupProbe(
-        asking, None, None, None, stated_fleet.unlimited(clock), clock
+        asking, None, None, None, endpoint_limit_fleet.open_gate(clock), clock
     )
     status = attending.WarmupStatus(endpoint.said.endpoint, 500)
     [listener] = asking._listeners
--- a/wrenspoke/coordination/errors.py
+++ b/wrenspoke/coordination/errors.py
@@ -9,7 +9,7 @@
     """Base of the errors of the coordination layer."""
 
 
-class EndedError(CoordinationError):
+class RequestEndedError(CoordinationError):
     """Carry how a request ends, from where that is known."""
 
     def __init__(self, ending: outcomes.Ending):
@@ -65,7 +65,7 @@
     """Say that nothing of the request left this host."""
 
 
-class HeldBackError(CoordinationError):
+class SendAbortedError(CoordinationError):
     """Say that the request may not go there any more, and did not."""
 
 
--- a/wrenspoke/coordination/limiting/advertised_limits.py
+++ b/wrenspoke/coordination/limiting/advertised_limits.py
@@ -27,7 +27,7 @@
     def __init__(self):
         self._limits: dict[ids.EndpointId, limiting.EndpointLimit] = {}
         # Endpoints whose last value was malformed; logged once.
-        self._unreadable: set[ids.EndpointId] = set()
+        self._malformed: set[ids.EndpointId] = set()
 
     def limit_of(self, life: limiting.EndpointLife) -> limiting.EndpointLimit:
         """Return the known limit of one life of an endpoint."""
@@ -48,20 +48,20 @@
             if limit.rate_per_s is not None
         ]
 
-    def read(
+    def parse_header(
         self,
         life: limiting.EndpointLife,
-        texts: collections.abc.Sequence[str],
+        values: collections.abc.Sequence[str],
     ) -> float | None:
         """Return the rate that response headers advertise, None without.
 
         :raises MalformedRateError: a value is malformed, and is ignored
         """
         try:
-            rate_per_s = rates.read(texts)
+            rate_per_s = rates.read(values)
         except protocol_errors.MalformedRateError as error:
-            if life.endpoint not in self._unreadable:
-                self._unreadable.add(life.endpoint)
+            if life.endpoint not in self._malformed:
+                self._malformed.add(life.endpoint)
                 logger.warning(
                     'endpoint_limit_unreadable',
                     endpoint=life.endpoint,
@@ -69,17 +69,19 @@
                     problem=str(error),
                 )
             raise
-        self._unreadable.discard(life.endpoint)
+        self._malformed.discard(life.endpoint)
         return rate_per_s
 
-    def lower(self, life: limiting.EndpointLife, rate_per_s: float) -> bool:
+    def apply_if_lower(
+        self, life: limiting.EndpointLife, rate_per_s: float
+    ) -> bool:
         """Apply an advertised rate, unless a lower one is known."""
         known = self.limit_of(life)
         if known.rate_per_s is not None and known.rate_per_s <= rate_per_s:
             return False
-        return self.change(life, rate_per_s)
+        return self.apply_rate(life, rate_per_s)
 
-    def change(
+    def apply_rate(
         self, life: limiting.EndpointLife, rate_per_s: float | None
     ) -> bool:
         """Apply a rate as the newest; return False if it is unchanged."""
@@ -96,7 +98,7 @@
         Of two limits of one version the lower rate wins.
         """
         known = self._limits.get(limit.life.endpoint)
-        if known is not None and _age(limit) <= _age(known):
+        if known is not None and _precedence(limit) <= _precedence(known):
             return False
         if known is None and not limit.version:
             return False
@@ -119,16 +121,16 @@
                 version=limit.version,
             )
 
-    def keep_only(self, exists: Exists) -> None:
+    def retain_endpoints(self, exists: Exists) -> None:
         """Drop state of endpoints that no longer exist."""
         for endpoint, limit in list(self._limits.items()):
             if not exists(limit.life):
                 del self._limits[endpoint]
-        self._unreadable.intersection_update(self._limits)
+        self._malformed.intersection_update(self._limits)
 
 
-def _age(limit: limiting.EndpointLimit) -> tuple[int, int, float]:
+def _precedence(limit: limiting.EndpointLimit) -> tuple[int, int, float]:
     """Return the sort key of limits of one endpoint; the highest wins."""
     rate_per_s = limit.rate_per_s
-    lowness = -math.inf if rate_per_s is None else -rate_per_s
-    return (limit.life.born_ms, limit.version, lowness)
+    negated_rate = -math.inf if rate_per_s is None else -rate_per_s
+    return (limit.life.born_ms, limit.version, negated_rate)
--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -37,18 +37,18 @@
 # were lost before.
 SHARE_LEASE_MS = 4_000
 # Clocks run apart, a hundredth at most; a lender counts from its question.
-LEASE_KEPT_MS = int(SHARE_LEASE_MS * 1.02)
+LEASE_EXPIRY_MS = int(SHARE_LEASE_MS * 1.02)
 # A host that has asked for nothing for so long is a lender no more: after a
 # change of leaders it would be waited for. Longer than a restart takes.
-FORGOTTEN_AFTER_MS = 15_000
+HOLDER_EXPIRY_MS = 15_000
 # Lenders that come at once, as at a start, are noted by one entry.
-GATHER_MS = 20
+BATCH_DELAY_MS = 20
 # Two far ways and a commit among far regions.
-PASS_TIMEOUT_MS = 600
+FORWARD_TIMEOUT_MS = 600
 
 
 @dataclasses.dataclass(slots=True)
-class Part:
+class ShareLease:
     """Hold what one lender may go by, and what it could use."""
 
     share: float
@@ -56,92 +56,96 @@
     until_ms: int
 
 
-class TeamParts:
+class TeamAllocation:
     """Part one team's limit."""
 
     def __init__(self, now_ms: int):
-        self._parts: dict[ids.HostId, Part] = {}
+        self._leases: dict[ids.HostId, ShareLease] = {}
         # What lenders held when this host began to lead.
-        self._told = 0.0
-        self._level_ms = 0.0
-        self._filled_ms = now_ms
+        self._reported = 0.0
+        self._unallocated_ms = 0.0
+        self._refilled_ms = now_ms
 
     @property
-    def held(self) -> float:
+    def allocated(self) -> float:
         """Return what all lenders together may go by."""
-        return sum(part.share for part in self._parts.values())
+        return sum(lease.share for lease in self._leases.values())
 
     def grant(
         self,
-        lender: ids.HostId,
-        asked: limiting.ShareAsked,
+        holder: ids.HostId,
+        request: limiting.ShareAsked,
         settled: bool,
         now_ms: int,
     ) -> limiting.ShareGranted:
         """Return what a lender may go by from now on."""
         self._expire(now_ms)
-        held = self._held_by(lender, asked, settled)
-        whole = 1.0 if settled else min(self._told, 1.0)
-        free = max(whole - self.held, 0.0)
-        self._fill(free, asked, now_ms)
-        share = min(self._fair(lender, asked.wanted, whole), held + free)
+        held = self._reconcile(holder, request, settled)
+        allocatable = 1.0 if settled else min(self._reported, 1.0)
+        free = max(allocatable - self.allocated, 0.0)
+        self._refill(free, request, now_ms)
+        share = min(
+            self._fair_share(holder, request.wanted, allocatable), held + free
+        )
         level_ms = 0.0
         if share > held:
-            level_ms = self._level_ms * (share - held) / free
-            self._level_ms -= level_ms
+            level_ms = self._unallocated_ms * (share - held) / free
+            self._unallocated_ms -= level_ms
         # A lower share counts once its lender has heard of it.
-        self._parts[lender] = Part(
-            max(share, held), asked.wanted, now_ms + LEASE_KEPT_MS
+        self._leases[holder] = ShareLease(
+            max(share, held), request.wanted, now_ms + LEASE_EXPIRY_MS
         )
-        return limiting.ShareGranted(asked.team, share, level_ms)
+        return limiting.ShareGranted(request.team, share, level_ms)
 
     def _expire(self, now_ms: int) -> None:
-        for lender, part in list(self._parts.items()):
-            if part.until_ms <= now_ms:
-                del self._parts[lender]
+        for holder, lease in list(self._leases.items()):
+            if lease.until_ms <= now_ms:
+                del self._leases[holder]
 
-    def _held_by(
+    def _reconcile(
         self,
-        lender: ids.HostId,
-        asked: limiting.ShareAsked,
+        holder: ids.HostId,
+        request: limiting.ShareAsked,
         settled: bool,
     ) -> float:
         """Return what a lender holds, by its own word and this host's."""
-        part = self._parts.get(lender)
-        if part is not None:
-            held = min(asked.held, part.share)
-            part.share = held
+        lease = self._leases.get(holder)
+        if lease is not None:
+            held = min(request.held, lease.share)
+            lease.share = held
             return held
-        if settled or asked.held <= 0:
+        if settled or request.held <= 0:
             return 0.0
-        self._told += asked.held
-        self._parts[lender] = Part(asked.held, asked.wanted, 0)
-        return asked.held
+        self._reported += request.held
+        self._leases[holder] = ShareLease(request.held, request.wanted, 0)
+        return request.held
 
-    def _fill(
-        self, free: float, asked: limiting.ShareAsked, now_ms: int
+    def _refill(
+        self, free: float, request: limiting.ShareAsked, now_ms: int
     ) -> None:
         """Let what nobody holds grow, and take back what is returned."""
-        grown_ms = free * (now_ms - self._filled_ms)
-        self._filled_ms = now_ms
-        self._level_ms = min(
-            self._level_ms + grown_ms + max(asked.returned_ms, 0.0),
-            free * asked.depth_ms,
+        grown_ms = free * (now_ms - self._refilled_ms)
+        self._refilled_ms = now_ms
+        self._unallocated_ms = min(
+            self._unallocated_ms + grown_ms + max(request.returned_ms, 0.0),
+            free * request.depth_ms,
         )
 
-    def _fair(self, lender: ids.HostId, wanted: float, whole: float) -> float:
+    def _fair_share(
+        self, holder: ids.HostId, wanted: float, allocatable: float
+    ) -> float:
         """Return what is wanted, or its part where all want too much."""
-        all_wanted = wanted + sum(
-            part.wanted
-            for other, part in self._parts.items()
-            if other != lender
+        total_wanted = wanted + sum(
+            lease.wanted
+            for other, lease in self._leases.items()
+            if other != holder
         )
-        if all_wanted <= whole:
+        if total_wanted <= allocatable:
             return wanted
-        return whole * wanted / all_wanted
+        return allocatable * wanted / total_wanted
 
 
-class Elected(typing.Protocol):
+class LocalVoter(typing.Protocol):
     """A voter that knows whether it leads."""
 
     @property
@@ -169,59 +173,61 @@
 
     def __init__(
         self,
-        elected: Elected,
+        local_voter: LocalVoter,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
-        self._elected = elected
+        self._local_voter = local_voter
         self._peers = peers
         self._clock = clock
-        self._teams: dict[ids.TeamId, TeamParts] = {}
-        self._since_ms: int | None = None
+        self._teams: dict[ids.TeamId, TeamAllocation] = {}
+        self._leader_since_ms: int | None = None
         self._settled_early_ms: int | None = None
         # When each host was last heard in this lead.
-        self._heard_ms: dict[ids.HostId, int] = {}
+        self._last_seen_ms: dict[ids.HostId, int] = {}
         # The life and number of each host's last question in this lead.
-        self._asked: dict[ids.HostId, tuple[str, int]] = {}
-        self._noting: asyncio.Task | None = None
+        self._last_request: dict[ids.HostId, tuple[str, int]] = {}
+        self._registration: asyncio.Task | None = None
         self._tasks = runtime.Tasks()
-        peers.answers(limiting.AskShares)(self._answer)
+        peers.answers(limiting.AskShares)(self._handle_ask_shares)
 
-    async def _answer(
+    async def _handle_ask_shares(
         self, sender: ids.HostId, message: limiting.AskShares
     ) -> limiting.SharesGranted | messages.Refusal:
-        if not self._elected.has_lease:
-            return await self._pass_on(sender, message)
-        lender = message.lender or sender
-        self.lead_since(self._elected.led_since_ms)
-        if self._is_late(lender, message):
+        if not self._local_voter.has_lease:
+            return await self._forward(sender, message)
+        holder = message.lender or sender
+        self.begin_leadership(self._local_voter.led_since_ms)
+        if self._is_stale(holder, message):
             return messages.Refusal('a later question was answered')
-        self._heard_ms[lender] = self._clock.mono_ms()
-        if message.shares and not await self._is_noted(lender):
+        self._last_seen_ms[holder] = self._clock.mono_ms()
+        if message.shares and not await self._ensure_registered(holder):
             return messages.Refusal('not noted as a lender')
-        granted = self.grant(lender, message.shares)
+        granted = self.grant(holder, message.shares)
         return limiting.SharesGranted(granted, self.unsettled_ms)
 
-    def _is_late(
-        self, lender: ids.HostId, message: limiting.AskShares
+    def _is_stale(
+        self, holder: ids.HostId, message: limiting.AskShares
     ) -> bool:
         """Tell whether a lender has asked again since it asked this."""
-        life, number = self._asked.get(lender, ('', 0))
+        life, number = self._last_request.get(holder, ('', 0))
         if life == message.life and message.number <= number:
             return True
-        self._asked[lender] = (message.life, message.number)
+        self._last_request[holder] = (message.life, message.number)
         return False
 
-    async def _pass_on(
+    async def _forward(
         self, sender: ids.HostId, message: limiting.AskShares
     ) -> limiting.SharesGranted | messages.Refusal:
         """Ask the control host that leads, once."""
-        leader = self._elected.leader
+        leader = self._local_voter.leader
         if leader is None or message.lender is not None:
             return messages.Refusal('no leader is known')
-        passed = msgspec.structs.replace(message, lender=sender)
+        forwarded = msgspec.structs.replace(message, lender=sender)
         try:
-            answer = await self._peers.call(leader, passed, PASS_TIMEOUT_MS)
+            answer = await self._peers.call(
+                leader, forwarded, FORWARD_TIMEOUT_MS
+            )
         except protocol_errors.ProtocolError as error:
             logger.info('not_passed_on', peer=leader, reason=str(error))
             return messages.Refusal('the leader gave no answer')
@@ -231,46 +237,49 @@
         """End what is under way."""
         await self._tasks.close()
 
-    async def _is_noted(self, lender: ids.HostId) -> bool:
+    async def _ensure_registered(self, holder: ids.HostId) -> bool:
         """Have a lender noted in the log before it is granted anything."""
-        if lender in self._elected.state.lenders:
+        if holder in self._local_voter.state.lenders:
             return True
-        if self._noting is None or self._noting.done():
-            self._noting = self._tasks.start(self._note(), fatal=False)
-        await asyncio.shield(self._noting)
+        if self._registration is None or self._registration.done():
+            self._registration = self._tasks.start(
+                self._register_holders(), fatal=False
+            )
+        await asyncio.shield(self._registration)
         return (
-            lender in self._elected.state.lenders and self._elected.has_lease
+            holder in self._local_voter.state.lenders
+            and self._local_voter.has_lease
         )
 
-    async def _note(self) -> None:
+    async def _register_holders(self) -> None:
         """Write who has asked of late; who has not is left out."""
-        await self._clock.sleep_ms(GATHER_MS)
+        await self._clock.sleep_ms(BATCH_DELAY_MS)
         now_ms = self._clock.mono_ms()
-        lately = {
+        active = {
             host
-            for host, heard_ms in self._heard_ms.items()
-            if now_ms - heard_ms < FORGOTTEN_AFTER_MS
+            for host, heard_ms in self._last_seen_ms.items()
+            if now_ms - heard_ms < HOLDER_EXPIRY_MS
         }
-        kept = set(self._elected.state.lenders)
-        if now_ms - self._since_ms > FORGOTTEN_AFTER_MS:
+        kept = set(self._local_voter.state.lenders)
+        if now_ms - self._leader_since_ms > HOLDER_EXPIRY_MS:
             # Those have had the time to be heard in this lead.
-            kept &= lately
-        hosts = tuple(sorted(kept | lately))
+            kept &= active
+        hosts = tuple(sorted(kept | active))
         try:
-            await self._elected.propose(entries.SetLenders(hosts))
+            await self._local_voter.propose(entries.SetLenders(hosts))
         except errors.NotLeaderError:
             logger.info('lenders_not_noted', hosts=len(hosts))
             return
         logger.info('lenders_noted', hosts=len(hosts))
 
-    def lead_since(self, since_ms: int) -> None:
+    def begin_leadership(self, since_ms: int) -> None:
         """Begin anew, if this lead is another than the one before."""
-        if since_ms == self._since_ms:
+        if since_ms == self._leader_since_ms:
             return
-        self._since_ms = since_ms
+        self._leader_since_ms = since_ms
         self._settled_early_ms = None
-        self._heard_ms.clear()
-        self._asked.clear()
+        self._last_seen_ms.clear()
+        self._last_request.clear()
         self._teams.clear()
         logger.info('limits_parted', since_ms=since_ms)
 
@@ -284,28 +293,31 @@
 
         That is once every lender was heard, or older leases have ended.
         """
-        ended_ms = self._since_ms + LEASE_KEPT_MS
+        leases_ended_ms = self._leader_since_ms + LEASE_EXPIRY_MS
         if self._settled_early_ms is not None:
-            return min(self._settled_early_ms, ended_ms)
-        if all(host in self._heard_ms for host in self._elected.state.lenders):
+            return min(self._settled_early_ms, leases_ended_ms)
+        if all(
+            host in self._last_seen_ms
+            for host in self._local_voter.state.lenders
+        ):
             self._settled_early_ms = self._clock.mono_ms()
-            return min(self._settled_early_ms, ended_ms)
-        return ended_ms
+            return min(self._settled_early_ms, leases_ended_ms)
+        return leases_ended_ms
 
     def grant(
         self,
-        lender: ids.HostId,
-        shares: list[limiting.ShareAsked],
+        holder: ids.HostId,
+        requests: list[limiting.ShareAsked],
     ) -> list[limiting.ShareGranted]:
         """Return what a lender may go by from now on, of each team."""
         now_ms = self._clock.mono_ms()
         settled = not self.unsettled_ms
         granted = []
-        for asked in shares:
-            parts = self._teams.get(asked.team)
-            if parts is None:
+        for request in requests:
+            allocation = self._teams.get(request.team)
+            if allocation is None:
                 # What nobody held has grown since that was known.
-                parts = TeamParts(min(now_ms, self._settled_ms()))
-                self._teams[asked.team] = parts
-            granted.append(parts.grant(lender, asked, settled, now_ms))
+                allocation = TeamAllocation(min(now_ms, self._settled_ms()))
+                self._teams[request.team] = allocation
+            granted.append(allocation.grant(holder, request, settled, now_ms))
         return granted
--- a/wrenspoke/coordination/limiting/lenders.py
+++ b/wrenspoke/coordination/limiting/bucket_owners.py
@@ -12,57 +12,57 @@
 logger = structlog.get_logger(__name__)
 
 # The region's hosts, this one too, in the order of a key.
-Order = collections.abc.Callable[[str], list[str]]
+HostOrder = collections.abc.Callable[[str], list[str]]
 
 
-class Lenders:
+class BucketOwners:
     """Track which hosts own each key, and which of them respond."""
 
     def __init__(
         self,
-        order: Order,
-        left_alone_ms: int,
+        order: HostOrder,
+        retry_interval_ms: int,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
         self._order = order
-        self._left_alone_ms = left_alone_ms
+        self._retry_interval_ms = retry_interval_ms
         self._peers = peers
         self._clock = clock
         # When each silent host gave no response.
-        self._silent_ms: dict[ids.HostId, int] = {}
+        self._unresponsive_since_ms: dict[ids.HostId, int] = {}
 
-    def all_of(self, key: str) -> list[ids.HostId]:
+    def in_order(self, key: str) -> list[ids.HostId]:
         """Return the region's hosts in a key's order."""
         return [ids.HostId(name) for name in self._order(key)]
 
-    def answering(self, key: str, count: int) -> list[ids.HostId]:
+    def first_responsive(self, key: str, count: int) -> list[ids.HostId]:
         """Return the first of them that were not silent recently."""
         found: list[ids.HostId] = []
-        for host in self.all_of(key):
-            if self._is_left_alone(host):
+        for host in self.in_order(key):
+            if self._is_unresponsive(host):
                 continue
             found.append(host)
             if len(found) == count:
                 break
         return found
 
-    def _is_left_alone(self, host: ids.HostId) -> bool:
-        silent_ms = self._silent_ms.get(host)
+    def _is_unresponsive(self, host: ids.HostId) -> bool:
+        silent_ms = self._unresponsive_since_ms.get(host)
         if silent_ms is None:
             return False
-        if self._clock.mono_ms() - silent_ms < self._left_alone_ms:
+        if self._clock.mono_ms() - silent_ms < self._retry_interval_ms:
             return True
-        del self._silent_ms[host]
+        del self._unresponsive_since_ms[host]
         return False
 
-    async def ask(
+    async def call(
         self, host: ids.HostId, message: peer_calls.Message, timeout_ms: float
     ) -> peer_calls.Message | None:
         """Return a host's answer, None where it gives none."""
         try:
             return await self._peers.call(host, message, timeout_ms)
         except protocol_errors.ProtocolError as error:
-            self._silent_ms[host] = self._clock.mono_ms()
+            self._unresponsive_since_ms[host] = self._clock.mono_ms()
             logger.info('lender_silent', peer=host, reason=str(error))
             return None
--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -25,13 +25,13 @@
 
 # Bounds what a single response can do to an endpoint's use; an endpoint that
 # needs longer says so again.
-LONGEST_BACKOFF_MS = 60_000
+MAX_BACKOFF_MS = 60_000
 # So many hosts have to be refused before the others back off.
-AGREEING_HOSTS = 2
+REFUSAL_QUORUM = 2
 # The pause before a probe doubles with each that is refused, up to this share
 # of the advertised backoff.
-PROBE_SHARE = 0.25
-FIRST_PROBE_MS = 100
+MAX_PROBE_SHARE = 0.25
+INITIAL_PROBE_MS = 100
 # Hosts whose backoffs end together return over this time.
 RETURN_SPREAD_MS = 1_000
 # A host that returns is back to normal after so many responses.
@@ -41,13 +41,13 @@
 RAMP_WAIT_MS = 50
 # Responses to requests in flight extend a backoff by less than this, which
 # is not worth gossiping.
-LEAST_EXTENSION_MS = 500
+MIN_EXTENSION_MS = 500
 EVICT_INTERVAL_MS = 1_000
-IDLE_KEPT_MS = 10_000
+IDLE_TTL_MS = 10_000
 
-Order = collections.abc.Callable[[str], list[str]]
+HostOrder = collections.abc.Callable[[str], list[str]]
 Exists = collections.abc.Callable[[limiting.EndpointLife], bool]
-Tell = collections.abc.Callable[
+Gossip = collections.abc.Callable[
     [list[limiting.EndpointBackoff]], collections.abc.Awaitable[None]
 ]
 
@@ -67,16 +67,16 @@
         return self.in_flight > self.responses
 
     @property
-    def done(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether the host is back to normal."""
         return self.responses >= RAMP_RESPONSES
 
-    def sent(self, now_ms: int) -> None:
+    def record_request(self, now_ms: int) -> None:
         """Count a request."""
         self.in_flight += 1
         self.sent_ms = now_ms
 
-    def answered(self) -> None:
+    def record_response(self) -> None:
         """Count a response."""
         self.in_flight = max(self.in_flight - 1, 0)
         self.responses += 1
@@ -96,29 +96,31 @@
     life: limiting.EndpointLife
     until_ms: int = 0
     resume_ms: int = 0
-    refused_ms: int = 0
+    last_refusal_ms: int = 0
     probe_interval_ms: int = 0
-    told_until_ms: int = 0
+    gossiped_until_ms: int = 0
     unserved: bool = False
-    others: dict[ids.HostId, int] = dataclasses.field(default_factory=dict)
+    peers_until_ms: dict[ids.HostId, int] = dataclasses.field(
+        default_factory=dict
+    )
     ramp: Ramp | None = None
 
-    def refusing(self, now_ms: int) -> set[ids.HostId]:
+    def backing_off_peers(self, now_ms: int) -> set[ids.HostId]:
         """Return the other hosts that back off."""
-        for host, until_ms in list(self.others.items()):
+        for host, until_ms in list(self.peers_until_ms.items()):
             if until_ms <= now_ms:
-                del self.others[host]
-        return set(self.others)
+                del self.peers_until_ms[host]
+        return set(self.peers_until_ms)
 
-    def idle(self, now_ms: int) -> bool:
+    def is_expired(self, now_ms: int) -> bool:
         """Return whether nothing of it matters any more."""
         if now_ms < max(self.until_ms, self.resume_ms):
             return False
-        if self.refusing(now_ms):
+        if self.backing_off_peers(now_ms):
             return False
-        if self.ramp is None or self.ramp.done:
+        if self.ramp is None or self.ramp.is_complete:
             return True
-        return now_ms - self.resume_ms > IDLE_KEPT_MS
+        return now_ms - self.resume_ms > IDLE_TTL_MS
 
 
 class EndpointBackoffs:
@@ -127,19 +129,19 @@
     def __init__(
         self,
         host: ids.HostId,
-        order: Order,
+        order: HostOrder,
         exists: Exists,
-        tell: Tell,
+        gossip: Gossip,
         clock: clocks.Clock,
-        agreeing_hosts: int = AGREEING_HOSTS,
+        refusal_quorum: int = REFUSAL_QUORUM,
     ):
-        self._agreeing_hosts = agreeing_hosts
+        self._refusal_quorum = refusal_quorum
         self._host = host
         self._order = order
         self._exists = exists
-        self._outbox = outbox.Outbox(tell, clock)
+        self._outbox = outbox.Outbox(gossip, clock)
         self._clock = clock
-        self._held: dict[ids.EndpointId, Backoff] = {}
+        self._backoffs: dict[ids.EndpointId, Backoff] = {}
         self._tasks = runtime.Tasks()
         # Requests that each endpoint refused with a time.
         self.refused: collections.Counter[limiting.EndpointLife] = (
@@ -149,7 +151,7 @@
     def start(self) -> None:
         """Begin to gossip backoffs to other hosts."""
         self._tasks.start(self._outbox.run())
-        self._tasks.start(self._keep_evicting())
+        self._tasks.start(self._run_eviction())
 
     async def close(self) -> None:
         """End every task."""
@@ -160,7 +162,7 @@
     @property
     def is_idle(self) -> bool:
         """Return whether there are no backoffs."""
-        return not self._held
+        return not self._backoffs
 
     def own_remaining_ms(self, life: limiting.EndpointLife) -> int:
         """Return the rest of the time that was named to this host, in ms."""
@@ -180,7 +182,7 @@
         full = found.ramp is not None and found.ramp.is_full(now_ms)
         if now_ms >= found.resume_ms:
             return RAMP_WAIT_MS if full else 0
-        if full or not found.refusing(now_ms):
+        if full or not found.backing_off_peers(now_ms):
             return found.resume_ms - now_ms
         probe_ms = self._next_probe_ms(found, now_ms)
         return max(min(found.resume_ms, probe_ms) - now_ms, 0)
@@ -189,12 +191,12 @@
         """Return the endpoints this host backs off from, and for how long."""
         remaining = [
             (endpoint, self.own_remaining_ms(found.life))
-            for endpoint, found in self._held.items()
+            for endpoint, found in self._backoffs.items()
         ]
         return [item for item in remaining if item[1]]
 
     def _find(self, life: limiting.EndpointLife) -> Backoff | None:
-        found = self._held.get(life.endpoint)
+        found = self._backoffs.get(life.endpoint)
         return found if found is not None and found.life == life else None
 
     def _next_probe_ms(self, found: Backoff, now_ms: int) -> int:
@@ -203,14 +205,14 @@
         The hosts that were not refused take turns, in an order on which all
         agree; who gets no requests leaves the turn to the next.
         """
-        refusing = found.refusing(now_ms)
+        backing_off_peers = found.backing_off_peers(now_ms)
         hosts = [
             host
             for host in self._order(found.life.endpoint)
-            if host not in refusing
+            if host not in backing_off_peers
         ]
-        place = hosts.index(self._host)
-        return found.refused_ms + (place + 1) * found.probe_interval_ms
+        position = hosts.index(self._host)
+        return found.last_refusal_ms + (position + 1) * found.probe_interval_ms
 
     # Requests.
 
@@ -224,7 +226,7 @@
             raise errors.EndpointBackoffError(life.endpoint, remaining_ms)
         found = self._find(life)
         if found is not None and found.ramp is not None:
-            found.ramp.sent(self._clock.mono_ms())
+            found.ramp.record_request(self._clock.mono_ms())
 
     def on_response(
         self, life: limiting.EndpointLife, backoff_ms: int, sent_ms: int
@@ -234,24 +236,26 @@
         ``backoff_ms`` is 0 where the endpoint asks for none.
         """
         if backoff_ms:
-            self._refuse(life, backoff_ms)
+            self._on_refusal(life, backoff_ms)
             return
         found = self._find(life)
         # A response to an older request says nothing of now.
-        if found is None or sent_ms < found.refused_ms:
+        if found is None or sent_ms < found.last_refusal_ms:
             return
         now_ms = self._clock.mono_ms()
         probed = found.unserved or now_ms < found.resume_ms
-        self._resume(found)
+        self._clear_peer_refusals(found)
         if probed:
             logger.info('endpoint_serves_again', endpoint=life.endpoint)
             self._gossip(found.life, 0)
         if found.ramp is not None:
-            found.ramp.answered()
-        if found.idle(now_ms):
-            del self._held[life.endpoint]
+            found.ramp.record_response()
+        if found.is_expired(now_ms):
+            del self._backoffs[life.endpoint]
 
-    def _refuse(self, life: limiting.EndpointLife, backoff_ms: int) -> None:
+    def _on_refusal(
+        self, life: limiting.EndpointLife, backoff_ms: int
+    ) -> None:
         """Begin or extend this host's own backoff.
 
         A shorter time in a later response does not shorten what the
@@ -262,60 +266,64 @@
             # A late response of a life that has ended since.
             return
         now_ms = self._clock.mono_ms()
-        found = self._hold(life)
-        kept_ms = min(backoff_ms, LONGEST_BACKOFF_MS)
+        found = self._find_or_create(life)
+        capped_ms = min(backoff_ms, MAX_BACKOFF_MS)
         if not found.unserved or now_ms >= found.until_ms:
             logger.warning(
                 'endpoint_backoff_started',
                 endpoint=life.endpoint,
                 advertised_ms=backoff_ms,
-                backoff_ms=kept_ms,
+                backoff_ms=capped_ms,
             )
         found.unserved = True
-        found.until_ms = max(found.until_ms, now_ms + kept_ms)
-        self._back_off(found, found.until_ms, kept_ms)
-        if self._is_news(found, now_ms):
-            found.told_until_ms = found.until_ms
+        found.until_ms = max(found.until_ms, now_ms + capped_ms)
+        self._schedule_resume(found, found.until_ms, capped_ms)
+        if self._should_gossip(found, now_ms):
+            found.gossiped_until_ms = found.until_ms
             self._gossip(life, found.until_ms - now_ms)
 
-    def _is_news(self, found: Backoff, now_ms: int) -> bool:
+    def _should_gossip(self, found: Backoff, now_ms: int) -> bool:
         """Return whether other hosts don't know as much of a refusal."""
-        if len(found.refusing(now_ms)) < self._agreeing_hosts:
-            known_ms = found.told_until_ms
+        if len(found.backing_off_peers(now_ms)) < self._refusal_quorum:
+            known_ms = found.gossiped_until_ms
         else:
-            known_ms = max(found.told_until_ms, *found.others.values())
-        return found.until_ms - known_ms >= LEAST_EXTENSION_MS
+            known_ms = max(
+                found.gossiped_until_ms, *found.peers_until_ms.values()
+            )
+        return found.until_ms - known_ms >= MIN_EXTENSION_MS
 
-    def _back_off(
+    def _schedule_resume(
         self, found: Backoff, until_ms: int, backoff_ms: int
     ) -> None:
         """Set when this host returns; hosts follow one another."""
         now_ms = self._clock.mono_ms()
         if not found.probe_interval_ms:
-            found.probe_interval_ms = FIRST_PROBE_MS
-        elif now_ms - found.refused_ms >= FIRST_PROBE_MS:
-            longest_ms = max(round(PROBE_SHARE * backoff_ms), FIRST_PROBE_MS)
+            found.probe_interval_ms = INITIAL_PROBE_MS
+        elif now_ms - found.last_refusal_ms >= INITIAL_PROBE_MS:
+            longest_ms = max(
+                round(MAX_PROBE_SHARE * backoff_ms), INITIAL_PROBE_MS
+            )
             doubled_ms = 2 * found.probe_interval_ms
             found.probe_interval_ms = min(doubled_ms, longest_ms)
-        found.refused_ms = now_ms
+        found.last_refusal_ms = now_ms
         found.ramp = Ramp()
         order = self._order(found.life.endpoint)
         share = order.index(self._host) / len(order)
-        spread_ms = share * min(RETURN_SPREAD_MS, PROBE_SHARE * backoff_ms)
+        spread_ms = share * min(RETURN_SPREAD_MS, MAX_PROBE_SHARE * backoff_ms)
         resume_ms = until_ms + round(spread_ms)
         found.resume_ms = max(found.resume_ms, resume_ms)
 
-    def _resume(self, found: Backoff) -> None:
+    def _clear_peer_refusals(self, found: Backoff) -> None:
         """End what other hosts' refusals said; this host's own time stays."""
         found.unserved = False
         found.probe_interval_ms = 0
-        found.others.clear()
+        found.peers_until_ms.clear()
         found.resume_ms = max(found.until_ms, self._clock.mono_ms())
 
-    def _hold(self, life: limiting.EndpointLife) -> Backoff:
+    def _find_or_create(self, life: limiting.EndpointLife) -> Backoff:
         found = self._find(life)
         if found is None:
-            found = self._held[life.endpoint] = Backoff(life)
+            found = self._backoffs[life.endpoint] = Backoff(life)
         return found
 
     # Gossip.
@@ -330,21 +338,21 @@
         if not notice.left_ms:
             found = self._find(notice.life)
             if found is not None:
-                self._resume(found)
+                self._clear_peer_refusals(found)
             return
         now_ms = self._clock.mono_ms()
-        found = self._hold(notice.life)
-        left_ms = min(notice.left_ms, LONGEST_BACKOFF_MS)
-        found.others[notice.host] = now_ms + left_ms
-        refused = len(found.refusing(now_ms)) + found.unserved
-        if refused >= self._agreeing_hosts:
-            self._back_off(found, now_ms + left_ms, left_ms)
-        found.refused_ms = now_ms
+        found = self._find_or_create(notice.life)
+        left_ms = min(notice.left_ms, MAX_BACKOFF_MS)
+        found.peers_until_ms[notice.host] = now_ms + left_ms
+        refused = len(found.backing_off_peers(now_ms)) + found.unserved
+        if refused >= self._refusal_quorum:
+            self._schedule_resume(found, now_ms + left_ms, left_ms)
+        found.last_refusal_ms = now_ms
 
     def _gossip(self, life: limiting.EndpointLife, left_ms: int) -> None:
         self._outbox.add(limiting.EndpointBackoff(life, self._host, left_ms))
 
-    async def _keep_evicting(self) -> None:
+    async def _run_eviction(self) -> None:
         while True:
             await self._clock.sleep_ms(EVICT_INTERVAL_MS)
             self.evict()
@@ -352,9 +360,9 @@
     def evict(self) -> None:
         """Drop state of endpoints that no longer exist or are used again."""
         now_ms = self._clock.mono_ms()
-        for endpoint, found in list(self._held.items()):
-            if not self._exists(found.life) or found.idle(now_ms):
-                del self._held[endpoint]
+        for endpoint, found in list(self._backoffs.items()):
+            if not self._exists(found.life) or found.is_expired(now_ms):
+                del self._backoffs[endpoint]
         for life in list(self.refused):
             if not self._exists(life):
                 del self.refused[life]
--- a/wrenspoke/coordination/limiting/endpoint_gate.py
+++ b/wrenspoke/coordination/limiting/endpoint_gate.py
@@ -26,7 +26,7 @@
 logger = structlog.get_logger(__name__)
 
 Exists = collections.abc.Callable[[limiting.EndpointLife], bool]
-TellRegion = collections.abc.Callable[
+GossipToRegion = collections.abc.Callable[
     [attending.TellRegion], collections.abc.Awaitable[None]
 ]
 
@@ -37,33 +37,33 @@
     def __init__(
         self,
         host: ids.HostId,
-        order: endpoint_backoffs.Order,
+        order: endpoint_backoffs.HostOrder,
         exists: Exists,
-        tell: TellRegion,
+        gossip: GossipToRegion,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
-        leaving_kept_ms: int | None = None,
+        leaving_ttl_ms: int | None = None,
     ):
-        async def tell_limits(limits: list[limiting.EndpointLimit]) -> None:
-            await tell(attending.TellRegion(limits=limits))
+        async def gossip_limits(limits: list[limiting.EndpointLimit]) -> None:
+            await gossip(attending.TellRegion(limits=limits))
 
-        async def tell_backoffs(
+        async def gossip_backoffs(
             backoffs: list[limiting.EndpointBackoff],
         ) -> None:
-            await tell(attending.TellRegion(backoffs=backoffs))
+            await gossip(attending.TellRegion(backoffs=backoffs))
 
-        async def tell_leaving(lives: list[limiting.EndpointLife]) -> None:
-            await tell(attending.TellRegion(leaving=lives))
+        async def gossip_leaving(lives: list[limiting.EndpointLife]) -> None:
+            await gossip(attending.TellRegion(leaving=lives))
 
         self._clock = clock
         self.limits = endpoint_limits.EndpointLimits(
-            host, order, exists, tell_limits, peers, clock
+            host, order, exists, gossip_limits, peers, clock
         )
         self.backoffs = endpoint_backoffs.EndpointBackoffs(
-            host, order, exists, tell_backoffs, clock
+            host, order, exists, gossip_backoffs, clock
         )
         self.leaving = leaving_endpoints.LeavingEndpoints(
-            exists, tell_leaving, leaving_kept_ms, clock
+            exists, gossip_leaving, leaving_ttl_ms, clock
         )
         # Endpoints whose last value of a header was malformed; logged once.
         self._malformed: set[tuple[limiting.EndpointLife, str]] = set()
@@ -100,7 +100,10 @@
         )
 
     async def acquire(
-        self, life: limiting.EndpointLife, rank: int, continues: bool = False
+        self,
+        life: limiting.EndpointLife,
+        rank: int,
+        is_continuation: bool = False,
     ) -> 'GatePermit':
         """Return a permit to send one request to an endpoint.
 
@@ -111,10 +114,12 @@
         remaining_ms = self.backoffs.remaining_ms(life)
         if remaining_ms:
             raise errors.EndpointBackoffError(life.endpoint, remaining_ms)
-        limit = await self.limits.admit(life, rank)
+        limit_permit = await self.limits.acquire(life, rank)
         # Others may have been sent, or refused, while the limit was asked.
         self.backoffs.acquire(life)
-        return GatePermit(self, life, self._clock.mono_ms(), limit, continues)
+        return GatePermit(
+            self, life, self._clock.mono_ms(), limit_permit, is_continuation
+        )
 
     def acquire_poll(self, life: limiting.EndpointLife) -> 'GatePermit':
         """Return a permit for a request that takes no slot.
@@ -124,9 +129,9 @@
         remaining_ms = self.backoffs.own_remaining_ms(life)
         if remaining_ms:
             raise errors.EndpointBackoffError(life.endpoint, remaining_ms)
-        return self.unchecked(life)
+        return self.acquire_unchecked(life)
 
-    def unchecked(self, life: limiting.EndpointLife) -> 'GatePermit':
+    def acquire_unchecked(self, life: limiting.EndpointLife) -> 'GatePermit':
         """Return a permit to end or direct what an endpoint already does."""
         return GatePermit(self, life, self._clock.mono_ms())
 
@@ -135,7 +140,7 @@
         life: limiting.EndpointLife,
         head: advertised.Advertised,
         sent_ms: int,
-        work: bool,
+        is_work: bool,
     ) -> None:
         """Update an endpoint's state from the head of a response.
 
@@ -144,7 +149,7 @@
         if not head.own:
             return
         backoff_ms = self._backoff_ms(life, head)
-        if backoff_ms or (work and head.status not in advertised.REFUSALS):
+        if backoff_ms or (is_work and head.status not in advertised.REFUSALS):
             self.backoffs.on_response(life, backoff_ms, sent_ms)
         if self._is_leaving(life, head):
             self.leaving.mark(life)
@@ -202,14 +207,14 @@
         gate: EndpointGate,
         life: limiting.EndpointLife,
         acquired_ms: int,
-        limit: endpoint_limits.SendPermit | None = None,
-        continues: bool = False,
+        limit_permit: endpoint_limits.SendPermit | None = None,
+        is_continuation: bool = False,
     ):
         self._gate = gate
         self._life = life
         self._acquired_ms = acquired_ms
-        self._limit = limit
-        self._continues = continues
+        self._limit_permit = limit_permit
+        self._is_continuation = is_continuation
 
     def is_valid(self) -> bool:
         """Return whether the permit is still valid at send time.
@@ -217,20 +222,20 @@
         The endpoint may have asked for backoff, or said that it leaves,
         while the request waited for a connection.
         """
-        if self._limit is None:
+        if self._limit_permit is None:
             return True
         if self._gate.backoffs.own_remaining_ms(self._life):
             return False
         leaving = self._gate.leaving.is_leaving(self._life)
-        if leaving and not self._continues:
+        if leaving and not self._is_continuation:
             return False
-        return self._limit.is_valid()
+        return self._limit_permit.is_valid()
 
     def on_response(self, head: advertised.Advertised) -> None:
         """Update the endpoint's state from the head of the response."""
-        if self._limit is not None:
+        if self._limit_permit is not None:
             echoed = head.origin is advertised.Origin.ECHOED
-            self._limit.on_response(head.limits, echoed)
+            self._limit_permit.on_response(head.limits, echoed)
         self._gate.on_response(
-            self._life, head, self._acquired_ms, self._limit is not None
+            self._life, head, self._acquired_ms, self._limit_permit is not None
         )
--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -12,8 +12,8 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.limiting import advertised_limits
-from wrenspoke.coordination.limiting import endpoint_lender
-from wrenspoke.coordination.limiting import lenders as region_lenders
+from wrenspoke.coordination.limiting import bucket_owners
+from wrenspoke.coordination.limiting import endpoint_buckets
 from wrenspoke import ids
 from wrenspoke.protocol import errors as protocol_errors
 from wrenspoke.protocol import limiting
@@ -21,25 +21,25 @@
 from wrenspoke import runtime
 
 # A way within the region and a busy host.
-ASK_TIMEOUT_MS = 150
+PERMIT_TIMEOUT_MS = 150
 # A silent owner is not asked again for so long; others grant a part.
-SILENT_LEFT_ALONE_MS = 1_000
+OWNER_RETRY_MS = 1_000
 # Calls go elsewhere while the next owner is found.
-UNKNOWN_WAIT_MS = 50
+NO_OWNER_BACKOFF_MS = 50
 # A permit lasts for the time of a new connection: a request that arrives
 # later would add to the permits granted by then.
-GRANT_MS = 500
+PERMIT_TTL_MS = 500
 # Calls of one urgency come one behind the other: first those whose prompt
 # the endpoint keeps.
-RANKS_AN_URGENCY = 2
-HOUSE_INTERVAL_MS = 1_000
+RANKS_PER_URGENCY = 2
+EVICT_INTERVAL_MS = 1_000
 FIRST_RANK = 0
 LAST_RANK = 1_000
 
 
-def rank_of(urgency: int, kept: bool) -> int:
+def rank_of(urgency: int, prompt_cached: bool) -> int:
     """Return a call's rank among those that want a permit; 0 goes first."""
-    return urgency * RANKS_AN_URGENCY + (not kept)
+    return urgency * RANKS_PER_URGENCY + (not prompt_cached)
 
 
 class EndpointLimits:
@@ -48,9 +48,9 @@
     def __init__(
         self,
         host: ids.HostId,
-        order: region_lenders.Order,
+        order: bucket_owners.HostOrder,
         exists: advertised_limits.Exists,
-        tell: endpoint_lender.Tell,
+        gossip: endpoint_buckets.Gossip,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
@@ -58,12 +58,12 @@
         self._peers = peers
         self._clock = clock
         self._exists = exists
-        self._lenders = region_lenders.Lenders(
-            order, SILENT_LEFT_ALONE_MS, peers, clock
+        self._owners = bucket_owners.BucketOwners(
+            order, OWNER_RETRY_MS, peers, clock
         )
-        self._stated = advertised_limits.AdvertisedLimits()
-        self._lender = endpoint_lender.EndpointLender(
-            host, self._lenders, self._stated, tell, peers, clock
+        self._advertised = advertised_limits.AdvertisedLimits()
+        self._buckets = endpoint_buckets.EndpointBuckets(
+            host, self._owners, self._advertised, gossip, peers, clock
         )
         self._backoff_until_ms: dict[limiting.EndpointLife, int] = {}
         # How often each endpoint took no more.
@@ -74,31 +74,31 @@
 
     def start(self) -> None:
         """Begin to gossip limits to other hosts."""
-        self._lender.start()
+        self._buckets.start()
         self._tasks.start(self._evict_stale())
 
     async def close(self) -> None:
         """End every task."""
         await self._tasks.close()
-        await self._lender.close()
+        await self._buckets.close()
 
     # What is known.
 
     def rate_per_s(self, life: limiting.EndpointLife) -> float | None:
         """Return an endpoint's limit in requests a second, None without."""
-        return self._stated.rate_per_s(life)
+        return self._advertised.rate_per_s(life)
 
     def share_per_s(self, life: limiting.EndpointLife) -> float | None:
         """Return an equal host's share of the limit, None without."""
         rate_per_s = self.rate_per_s(life)
         if rate_per_s is None:
             return None
-        taken_per_s = max(rate_per_s, endpoint_lender.LEAST_RATE_PER_S)
-        return taken_per_s / len(self._lenders.all_of(life.endpoint))
+        enforced_per_s = max(rate_per_s, endpoint_buckets.MIN_RATE_PER_S)
+        return enforced_per_s / len(self._owners.in_order(life.endpoint))
 
     def active(self) -> list[limiting.EndpointLimit]:
         """Return the limits that endpoints currently advertise."""
-        return self._stated.active()
+        return self._advertised.active()
 
     @property
     def is_idle(self) -> bool:
@@ -115,11 +115,11 @@
     def merge(self, received: list[limiting.EndpointLimit]) -> None:
         """Merge limits received from another host."""
         for limit in received:
-            self._stated.merge(limit)
+            self._advertised.merge(limit)
 
     # Requests.
 
-    async def admit(
+    async def acquire(
         self, life: limiting.EndpointLife, rank: int
     ) -> 'SendPermit':
         """Return a permit to send one request to an endpoint.
@@ -132,26 +132,28 @@
         if remaining_ms:
             raise self._limit_exceeded(life, remaining_ms)
         asked_ms = self._clock.mono_ms()
-        answer = await self._ask(life, rank)
+        answer = await self._request_permit(life, rank)
         if answer is None:
-            raise self._limit_exceeded(life, UNKNOWN_WAIT_MS)
-        self._stated.merge(answer.known)
+            raise self._limit_exceeded(life, NO_OWNER_BACKOFF_MS)
+        self._advertised.merge(answer.known)
         if answer.grant is not None:
-            return SendPermit(self, life, answer.grant, asked_ms + GRANT_MS)
+            return SendPermit(
+                self, life, answer.grant, asked_ms + PERMIT_TTL_MS
+            )
         if self.rate_per_s(life) is None:
             return SendPermit(self, life)
         raise self._limit_exceeded(life, answer.wait_ms)
 
-    async def _ask(
+    async def _request_permit(
         self, life: limiting.EndpointLife, rank: int
     ) -> limiting.SendAnswered | None:
         """Ask the first responsive host that owns this limit's bucket."""
-        known = self._stated.limit_of(life)
-        for host in self._lenders.answering(life.endpoint, 1):
+        known = self._advertised.limit_of(life)
+        for host in self._owners.first_responsive(life.endpoint, 1):
             if host == self._host:
-                return self._lender.take(known, rank)
-            answer = await self._lenders.ask(
-                host, limiting.AskSend(known, rank), ASK_TIMEOUT_MS
+                return self._buckets.take(known, rank)
+            answer = await self._owners.call(
+                host, limiting.AskSend(known, rank), PERMIT_TIMEOUT_MS
             )
             if isinstance(answer, limiting.SendAnswered):
                 return answer
@@ -181,9 +183,9 @@
     def on_response(
         self,
         life: limiting.EndpointLife,
-        texts: collections.abc.Sequence[str],
+        values: collections.abc.Sequence[str],
         grant: limiting.GrantName | None,
-        proved: bool,
+        echoed: bool,
     ) -> None:
         """Update the endpoint's limit from a response header.
 
@@ -191,31 +193,33 @@
         request; otherwise a missing header means nothing.
         """
         try:
-            rate_per_s = self._stated.read(life, texts)
+            rate_per_s = self._advertised.parse_header(life, values)
         except protocol_errors.MalformedRateError:
             return
         unlimited = self.rate_per_s(life) is None
-        if rate_per_s is None and (unlimited or not proved):
+        if rate_per_s is None and (unlimited or not echoed):
             return
-        lender = self._lenders.all_of(life.endpoint)[0]
+        owner = self._owners.in_order(life.endpoint)[0]
         if grant is not None:
-            lender = grant.lender
-        if lender == self._host:
-            self._lender.hear(self._stated.limit_of(life), rate_per_s, grant)
+            owner = grant.lender
+        if owner == self._host:
+            self._buckets.on_advertised(
+                self._advertised.limit_of(life), rate_per_s, grant
+            )
             return
         if rate_per_s is not None:
-            self._stated.lower(life, rate_per_s)
+            self._advertised.apply_if_lower(life, rate_per_s)
         message = limiting.LimitHeard(
-            self._stated.limit_of(life), rate_per_s, grant
+            self._advertised.limit_of(life), rate_per_s, grant
         )
-        self._tasks.start(self._peers.tell(lender, message), fatal=False)
+        self._tasks.start(self._peers.tell(owner, message), fatal=False)
 
     async def _evict_stale(self) -> None:
         """Drop state of endpoints that no longer exist."""
         while True:
-            await self._clock.sleep_ms(HOUSE_INTERVAL_MS)
-            self._stated.keep_only(self._exists)
-            self._lender.keep_only(self._exists)
+            await self._clock.sleep_ms(EVICT_INTERVAL_MS)
+            self._advertised.retain_endpoints(self._exists)
+            self._buckets.retain_endpoints(self._exists)
             for life in list(self._backoff_until_ms):
                 if not self._exists(life):
                     del self._backoff_until_ms[life]
@@ -242,7 +246,7 @@
         return self._limits.is_valid(self._life, self._until_ms)
 
     def on_response(
-        self, texts: collections.abc.Sequence[str], proved: bool
+        self, values: collections.abc.Sequence[str], echoed: bool
     ) -> None:
         """Update the endpoint's limit from a response header."""
-        self._limits.on_response(self._life, texts, self._grant, proved)
+        self._limits.on_response(self._life, values, self._grant, echoed)
--- a/wrenspoke/coordination/limiting/limiter.py
+++ b/wrenspoke/coordination/limiting/limiter.py
@@ -10,8 +10,8 @@
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.limiting import allocator
 from wrenspoke.coordination.limiting import bounds
-from wrenspoke.coordination.limiting import lender as lending
-from wrenspoke.coordination.limiting import lenders
+from wrenspoke.coordination.limiting import bucket_owners
+from wrenspoke.coordination.limiting import team_buckets
 from wrenspoke import ids
 from wrenspoke.protocol import limiting
 from wrenspoke.protocol import peers as peer_calls
@@ -21,9 +21,9 @@
 ANSWER_MARGIN_MS = 150
 # A lender that gave no answer is left alone until its shares have ended:
 # another one has them then.
-LEFT_ALONE_MS = allocator.SHARE_LEASE_MS
+OWNER_RETRY_MS = allocator.SHARE_LEASE_MS
 # Lenders that are asked for one call; the last is this host itself.
-LENDERS_TRIED = 2
+MAX_OWNERS_TRIED = 2
 
 
 class OverLimitError(errors.CoordinationError):
@@ -36,13 +36,13 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Taken:
+class Reservation:
     """Hold what a call took of its team's limit, until it has run."""
 
     team: ids.TeamId
     amount: float
     taken_ms: int
-    given_back: bool = False
+    refunded: bool = False
 
 
 class Limiter:
@@ -51,20 +51,22 @@
     def __init__(
         self,
         host: ids.HostId,
-        order: lenders.Order,
-        lender: lending.Lender,
-        allowed: bounds.OvershootBounds,
+        order: bucket_owners.HostOrder,
+        buckets: team_buckets.TeamBuckets,
+        overshoot: bounds.OvershootBounds,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
         self._host = host
-        self._lenders = lenders.Lenders(order, LEFT_ALONE_MS, peers, clock)
-        self._lender = lender
-        self._allowed = allowed
+        self._owners = bucket_owners.BucketOwners(
+            order, OWNER_RETRY_MS, peers, clock
+        )
+        self._buckets = buckets
+        self._overshoot = overshoot
         self._clock = clock
-        self._given_back: dict[ids.TeamId, list[Taken]] = {}
+        self._refunds: dict[ids.TeamId, list[Reservation]] = {}
 
-    async def take(self, team: teams.Team, tokens: int) -> Taken | None:
+    async def take(self, team: teams.Team, tokens: int) -> Reservation | None:
         """Take what a call needs; None where its team has no limit.
 
         :raises OverLimitError: there is not enough now
@@ -73,48 +75,48 @@
             return None
         amount = team.limit.amount(tokens)
         now_ms = self._clock.mono_ms()
-        if self._take_given_back(team, amount, now_ms):
-            return Taken(team.team, amount, now_ms)
-        answer = await self._ask(team.team, amount)
+        if self._take_refund(team, amount, now_ms):
+            return Reservation(team.team, amount, now_ms)
+        answer = await self._take_from_owner(team.team, amount)
         if not answer.granted:
             raise OverLimitError(team.team, answer.wait_ms)
         if answer.wait_ms:
             await self._clock.sleep_ms(answer.wait_ms)
-        return Taken(team.team, amount, self._clock.mono_ms())
+        return Reservation(team.team, amount, self._clock.mono_ms())
 
-    async def _ask(
+    async def _take_from_owner(
         self, team: ids.TeamId, amount: float
     ) -> limiting.AmountGranted:
         message = limiting.AskAmount(team, amount)
-        timeout_ms = lending.LONGEST_WAIT_MS + ANSWER_MARGIN_MS
-        for host in self._lenders.answering(team, LENDERS_TRIED):
+        timeout_ms = team_buckets.MAX_WAIT_MS + ANSWER_MARGIN_MS
+        for host in self._owners.first_responsive(team, MAX_OWNERS_TRIED):
             if host == self._host:
                 break
-            answer = await self._lenders.ask(host, message, timeout_ms)
+            answer = await self._owners.call(host, message, timeout_ms)
             if isinstance(answer, limiting.AmountGranted):
                 return answer
-        return await self._lender.take(team, amount)
+        return await self._buckets.take(team, amount)
 
-    def _take_given_back(
+    def _take_refund(
         self, team: teams.Team, amount: float, now_ms: int
     ) -> bool:
         """Take what another call gave back, if it is enough and lately."""
-        usable_ms = self._allowed.given_back_ms(team.limit)
+        usable_ms = self._overshoot.refund_ttl_ms(team.limit)
         kept = [
-            taken
-            for taken in self._given_back.get(team.team, [])
-            if now_ms - taken.taken_ms < usable_ms
+            reservation
+            for reservation in self._refunds.get(team.team, [])
+            if now_ms - reservation.taken_ms < usable_ms
         ]
-        self._given_back[team.team] = kept
+        self._refunds[team.team] = kept
         for taken in kept:
             if taken.amount >= amount:
                 kept.remove(taken)
                 return True
         return False
 
-    def give_back(self, taken: Taken | None) -> None:
+    def refund(self, reservation: Reservation | None) -> None:
         """Give back what a call took that ran nothing; once."""
-        if taken is None or taken.given_back:
+        if reservation is None or reservation.refunded:
             return
-        taken.given_back = True
-        self._given_back.setdefault(taken.team, []).append(taken)
+        reservation.refunded = True
+        self._refunds.setdefault(reservation.team, []).append(reservation)
--- a/wrenspoke/coordination/limiting/outbox.py
+++ b/wrenspoke/coordination/limiting/outbox.py
@@ -6,7 +6,7 @@
 
 from wrenspoke import clock as clocks
 
-GATHER_MS = 4
+BATCH_DELAY_MS = 4
 
 Item = typing.TypeVar('Item')
 
@@ -16,12 +16,12 @@
 
     def __init__(
         self,
-        tell: collections.abc.Callable[
+        send_batch: collections.abc.Callable[
             [list[Item]], collections.abc.Awaitable[None]
         ],
         clock: clocks.Clock,
     ):
-        self._tell = tell
+        self._send_batch = send_batch
         self._clock = clock
         self._items: list[Item] = []
         self._has_items = asyncio.Event()
@@ -35,7 +35,7 @@
         """Send batches until cancelled."""
         while True:
             await self._has_items.wait()
-            await self._clock.sleep_ms(GATHER_MS)
+            await self._clock.sleep_ms(BATCH_DELAY_MS)
             self._has_items.clear()
             items, self._items = self._items, []
-            await self._tell(items)
+            await self._send_batch(items)
--- a/wrenspoke/coordination/limiting/lender.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -17,7 +17,7 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.limiting import allocator
 from wrenspoke.coordination.limiting import bounds
-from wrenspoke.coordination.limiting import levels
+from wrenspoke.coordination.limiting import token_bucket
 from wrenspoke.coordination.membership import discovery_client
 from wrenspoke import ids
 from wrenspoke.protocol import errors as protocol_errors
@@ -31,83 +31,83 @@
 MS_PER_S = 1_000
 # Ten times within a lease, and a share that grows by a peak that moves
 # within 2 s keeps up with it.
-RENEW_MS = 400
+RENEW_INTERVAL_MS = 400
 # A leader that does not know what is held here waits for that.
-UNTOLD_MS = 100
+NEW_LEADER_INTERVAL_MS = 100
 # A leader that has begun has mostly heard every lender after so long.
-SETTLING_MS = 1_000
+MAX_SETTLING_WAIT_MS = 1_000
 # While nothing changes, a share is renewed three times within its lease.
-CALM_MS = 1_200
+STABLE_INTERVAL_MS = 1_200
 # Some far round trips of 160 ms.
 CALL_TIMEOUT_MS = 800
 # A call waits for so long at the most, for its amount or for a larger share:
 # two far round trips. More is told to its caller.
-LONGEST_WAIT_MS = 350
+MAX_WAIT_MS = 350
 # What is asked for over what is used, so that most of a growth finds its
 # share there already.
 HEADROOM = 1.4
 # Demand is the higher of a quick and a slow mean, so that a share grows at
 # once and shrinks slowly.
-QUICK_MS = 1_500
-SLOW_MS = 4_000
+FAST_DECAY_MS = 1_500
+SLOW_DECAY_MS = 4_000
 # A share is changed once a tenth of it is not wanted, or lacks.
-LOWERED_SHARE = 0.9
-RAISED_SHARE = 1.1
+DECREASE_THRESHOLD = 0.9
+INCREASE_THRESHOLD = 1.1
 # A level that is so full is not used up.
-FULL_SHARE = 0.9
+NEARLY_FULL_SHARE = 0.9
 # A region keeps enough for the largest call of late, for so long: that of a
 # team that calls seldom would else wait for the leader, 160 ms away.
-LARGEST_KEPT_MS = 10_000
-LARGEST_MARGIN = 1.2
+LARGEST_CALL_DECAY_MS = 10_000
+LARGEST_CALL_MARGIN = 1.2
 # One large call does not take most of a limit from other regions.
-LARGEST_SHARE = 0.4
+MAX_LARGEST_CALL_SHARE = 0.4
 # Demand below this part of a limit is none.
-LEAST_DEMAND = 1e-4
+MIN_DEMAND = 1e-4
 
 
 class Demand:
     """Know how fast a team's limit is asked for, as a part of it."""
 
     def __init__(self, now_ms: int):
-        self._quick = 0.0
-        self._slow = 0.0
+        self._fast_mean = 0.0
+        self._slow_mean = 0.0
         self._largest_ms = 0.0
-        self._noted_ms = now_ms
+        self._last_decay_ms = now_ms
 
-    def note(self, amount_ms: float, now_ms: int) -> None:
+    def record(self, amount_ms: float, now_ms: int) -> None:
         """Note an amount, in milliseconds of the limit's rate."""
-        self._fade(now_ms)
-        self._quick += amount_ms / QUICK_MS
-        self._slow += amount_ms / SLOW_MS
+        self._decay(now_ms)
+        self._fast_mean += amount_ms / FAST_DECAY_MS
+        self._slow_mean += amount_ms / SLOW_DECAY_MS
         self._largest_ms = max(self._largest_ms, amount_ms)
 
-    def now(self, now_ms: int) -> float:
+    def current(self, now_ms: int) -> float:
         """Return the present demand; 1 is the whole limit."""
-        self._fade(now_ms)
-        return max(self._quick, self._slow)
+        self._decay(now_ms)
+        return max(self._fast_mean, self._slow_mean)
 
-    def wanted(self, depth_ms: float, now_ms: int, unused: bool) -> float:
+    def desired_share(self, depth_ms: float, now_ms: int, unused: bool) -> float:
         """Return the share that answers the demand.
 
         ``unused`` says that a level is full: what a peak that has moved on
         left behind is wanted elsewhere.
         """
-        highest = self.now(now_ms)
-        flow = HEADROOM * (self._quick if unused else highest)
-        largest = LARGEST_MARGIN * self._largest_ms / max(depth_ms, 1.0)
-        wanted = max(flow, min(largest, LARGEST_SHARE))
-        return 0.0 if wanted < LEAST_DEMAND else wanted
+        highest = self.current(now_ms)
+        flow = HEADROOM * (self._fast_mean if unused else highest)
+        largest = LARGEST_CALL_MARGIN * self._largest_ms / max(depth_ms, 1.0)
+        wanted = max(flow, min(largest, MAX_LARGEST_CALL_SHARE))
+        return 0.0 if wanted < MIN_DEMAND else wanted
 
-    def _fade(self, now_ms: int) -> None:
-        passed_ms = now_ms - self._noted_ms
-        self._noted_ms = now_ms
-        self._quick *= math.exp(-passed_ms / QUICK_MS)
-        self._slow *= math.exp(-passed_ms / SLOW_MS)
-        self._largest_ms *= math.exp(-passed_ms / LARGEST_KEPT_MS)
+    def _decay(self, now_ms: int) -> None:
+        passed_ms = now_ms - self._last_decay_ms
+        self._last_decay_ms = now_ms
+        self._fast_mean *= math.exp(-passed_ms / FAST_DECAY_MS)
+        self._slow_mean *= math.exp(-passed_ms / SLOW_DECAY_MS)
+        self._largest_ms *= math.exp(-passed_ms / LARGEST_CALL_DECAY_MS)
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Holding(levels.Level):
+class TeamBucket(token_bucket.TokenBucket):
     """Hold this lender's share of one team's limit, and its level.
 
     ``short`` says that the last answer granted less than was wanted.
@@ -115,18 +115,18 @@
 
     demand: Demand
     returned_ms: float = 0.0
-    short: bool = False
+    under_granted: bool = False
 
     @property
-    def unused(self) -> bool:
+    def is_nearly_full(self) -> bool:
         """Tell whether more is held than is used."""
-        return self.share > 0 and self.level_ms >= FULL_SHARE * self.full_ms
+        return self.share > 0 and self.level_ms >= NEARLY_FULL_SHARE * self.capacity_ms
 
-    def wanted(self, now_ms: int) -> float:
+    def desired_share(self, now_ms: int) -> float:
         """Return the share that answers the demand."""
-        return self.demand.wanted(self.depth_ms, now_ms, self.unused)
+        return self.demand.desired_share(self.depth_ms, now_ms, self.is_nearly_full)
 
-    def lower(self, share: float) -> None:
+    def lower_share(self, share: float) -> None:
         """Hold less, and keep the level that goes with the rest apart."""
         if share >= self.share:
             return
@@ -137,7 +137,7 @@
         self.share = share
 
 
-class Lender:
+class TeamBuckets:
     """Admit calls of teams by shares of their limits."""
 
     def __init__(
@@ -146,28 +146,28 @@
             [ids.TeamId], teams.TeamLimit | None
         ],
         lead: collections.abc.Callable[[], discovery_client.LeaderInfo | None],
-        allowed: bounds.OvershootBounds,
+        overshoot: bounds.OvershootBounds,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
         self._limit_of = limit_of
         self._lead = lead
-        self._allowed = allowed
+        self._overshoot = overshoot
         self._peers = peers
         self._clock = clock
         self._life = ids.new_unique()
         self._numbers = itertools.count(1)
-        self._held: dict[ids.TeamId, Holding] = {}
-        self._urgent = asyncio.Event()
+        self._buckets: dict[ids.TeamId, TeamBucket] = {}
+        self._renew_now = asyncio.Event()
         # Ends with the next round of questions that begins.
-        self._round: asyncio.Future | None = None
-        self._renewed_ms = 0
+        self._renewal: asyncio.Future | None = None
+        self._last_renewal_ms = 0
         # The lead that knows what is held here.
-        self._told: discovery_client.LeaderInfo | None = None
+        self._reported_lead: discovery_client.LeaderInfo | None = None
         # Until when older leaders' shares may still be held by others.
         self._settled_ms = 0
         self._tasks = runtime.Tasks()
-        peers.answers(limiting.AskAmount)(self._answer)
+        peers.answers(limiting.AskAmount)(self._handle_ask_amount)
 
     def start(self) -> None:
         """Begin to ask for shares."""
@@ -177,7 +177,7 @@
         """End every task."""
         await self._tasks.close()
 
-    async def _answer(
+    async def _handle_ask_amount(
         self, _sender: ids.HostId, message: limiting.AskAmount
     ) -> limiting.AmountGranted:
         return await self.take(message.team, message.amount)
@@ -189,77 +189,77 @@
         limit = self._limit_of(team)
         if limit is None:
             return limiting.AmountGranted(True, 0)
-        amount_ms = amount / self._allowed.rate_per_s(limit) * MS_PER_S
-        held = self._holding(team, limit)
-        held.demand.note(amount_ms, self._clock.mono_ms())
-        granted = self._try(held, amount_ms)
-        if not granted.granted and not held.short:
-            await self._next_round()
-            granted = self._try(held, amount_ms)
+        amount_ms = amount / self._overshoot.rate_per_s(limit) * MS_PER_S
+        bucket = self._team_bucket(team, limit)
+        bucket.demand.record(amount_ms, self._clock.mono_ms())
+        granted = self._try_take(bucket, amount_ms)
+        if not granted.granted and not bucket.under_granted:
+            await self._await_renewal()
+            granted = self._try_take(bucket, amount_ms)
         if not granted.granted:
             logger.info(
                 'over_limit',
                 team=team,
                 amount=round(amount),
-                share=round(held.share, 3),
-                level_ms=round(held.level_ms),
+                share=round(bucket.share, 3),
+                level_ms=round(bucket.level_ms),
                 wait_ms=granted.wait_ms,
             )
         return granted
 
-    def _holding(self, team: ids.TeamId, limit: teams.TeamLimit) -> Holding:
+    def _team_bucket(self, team: ids.TeamId, limit: teams.TeamLimit) -> TeamBucket:
         now_ms = self._clock.mono_ms()
-        held = self._held.get(team)
-        if held is None:
-            held = self._held[team] = Holding(now_ms, demand=Demand(now_ms))
-        held.depth_ms = self._allowed.depth_ms(limit)
-        return held
+        bucket = self._buckets.get(team)
+        if bucket is None:
+            bucket = self._buckets[team] = TeamBucket(now_ms, demand=Demand(now_ms))
+        bucket.depth_ms = self._overshoot.depth_ms(limit)
+        return bucket
 
-    def _try(self, held: Holding, amount_ms: float) -> limiting.AmountGranted:
+    def _try_take(self, bucket: TeamBucket, amount_ms: float) -> limiting.AmountGranted:
         """Take an amount from the level if it is there, or soon will be.
 
         Who comes later waits behind it. Of a team that asks for more than
         its limit nobody waits: it would take as long for the next, and the
         calls that find their amount at once are the most that can be served.
         """
-        held.fill(self._clock.mono_ms())
-        wait_ms = held.wait_ms(amount_ms)
+        bucket.refill(self._clock.mono_ms())
+        wait_ms = bucket.wait_ms(amount_ms)
         if wait_ms is None:
             settled_ms = self._settled_ms - self._clock.mono_ms()
-            wait_ms = min(max(settled_ms, RENEW_MS), SETTLING_MS)
+            wait_ms = min(max(settled_ms, RENEW_INTERVAL_MS), MAX_SETTLING_WAIT_MS)
             return limiting.AmountGranted(False, wait_ms)
-        if not wait_ms or (wait_ms <= LONGEST_WAIT_MS and not held.short):
-            held.level_ms -= amount_ms
+        if not wait_ms or (wait_ms <= MAX_WAIT_MS and not bucket.under_granted):
+            bucket.level_ms -= amount_ms
             return limiting.AmountGranted(True, math.ceil(wait_ms))
         return limiting.AmountGranted(False, math.ceil(wait_ms))
 
-    async def _next_round(self) -> None:
+    async def _await_renewal(self) -> None:
         """Ask for shares at once, and wait for the answer."""
-        if self._round is None:
-            self._round = asyncio.get_running_loop().create_future()
-        self._urgent.set()
+        if self._renewal is None:
+            self._renewal = asyncio.get_running_loop().create_future()
+        self._renew_now.set()
         try:
-            async with clocks.timeout_ms(LONGEST_WAIT_MS):
-                await asyncio.shield(self._round)
+            async with clocks.timeout_ms(MAX_WAIT_MS):
+                await asyncio.shield(self._renewal)
         except TimeoutError:
             return
 
     async def _run(self) -> None:
         while True:
-            told = self._lead() == self._told
+            reported = self._lead() == self._reported_lead
             try:
-                async with clocks.timeout_ms(RENEW_MS if told else UNTOLD_MS):
-                    await self._urgent.wait()
+                async with clocks.timeout_ms(RENEW_INTERVAL_MS if reported else NEW_LEADER_INTERVAL_MS):
+                    await self._renew_now.wait()
             except TimeoutError:
                 pass
-            urgent = self._urgent.is_set()
-            self._urgent.clear()
-            begun, self._round = self._round, None
-            await self._ask(urgent)
-            if begun is not None and not begun.done():
-                begun.set_result(None)
-
-    async def _ask(self, urgent: bool) -> None:
+            urgent = self._renew_now.is_set()
+            self._renew_now.clear()
+            renewal, self._renewal = self._renewal, None
+            await self._renew_shares(urgent)
+            if renewal is not None and not renewal.done():
+                renewal.set_result(None)
+
+    async def _renew_shares(self, urgent: bool) -> None:
         """Ask the leader for shares of all teams that call here.
 
         While nothing changes that is done less often. A new leader is told
@@ -269,17 +269,17 @@
         lead = self._lead()
         if lead is None:
             return
-        known = lead == self._told
-        calm = not urgent and asked_ms - self._renewed_ms < CALM_MS
-        if known and calm and not self._changes(asked_ms):
+        reported = lead == self._reported_lead
+        is_recent = not urgent and asked_ms - self._last_renewal_ms < STABLE_INTERVAL_MS
+        if reported and is_recent and not self._needs_renewal(asked_ms):
             return
-        shares = self._wanted(asked_ms)
-        if known and not shares:
+        requests = self._share_requests(asked_ms)
+        if reported and not requests:
             return
         try:
             answer = await self._peers.call(
                 lead.via_host,
-                limiting.AskShares(shares, self._life, next(self._numbers)),
+                limiting.AskShares(requests, self._life, next(self._numbers)),
                 CALL_TIMEOUT_MS,
             )
         except protocol_errors.ProtocolError as error:
@@ -290,62 +290,62 @@
         if not isinstance(answer, limiting.SharesGranted):
             logger.info('shares_refused', peer=lead.via_host)
             return
-        self._told = lead
-        self._renewed_ms = asked_ms
+        self._reported_lead = lead
+        self._last_renewal_ms = asked_ms
         self._settled_ms = self._clock.mono_ms() + answer.unsettled_ms
-        wanted = {asked.team: asked.wanted for asked in shares}
+        wanted = {asked.team: asked.wanted for asked in requests}
         for granted in answer.granted:
-            self._take_share(granted, wanted[granted.team], asked_ms)
+            self._apply_grant(granted, wanted[granted.team], asked_ms)
 
-    def _changes(self, now_ms: int) -> bool:
+    def _needs_renewal(self, now_ms: int) -> bool:
         """Tell whether any share should be another."""
-        for held in self._held.values():
-            wanted = held.wanted(now_ms)
-            if wanted < LOWERED_SHARE * held.share:
+        for bucket in self._buckets.values():
+            wanted = bucket.desired_share(now_ms)
+            if wanted < DECREASE_THRESHOLD * bucket.share:
                 return True
-            if wanted > RAISED_SHARE * held.share:
+            if wanted > INCREASE_THRESHOLD * bucket.share:
                 return True
         return False
 
-    def _wanted(self, now_ms: int) -> list[limiting.ShareAsked]:
+    def _share_requests(self, now_ms: int) -> list[limiting.ShareAsked]:
         """Return what to ask for; what is not wanted is held no longer."""
-        shares = []
-        for team, held in list(self._held.items()):
+        requests = []
+        for team, bucket in list(self._buckets.items()):
             limit = self._limit_of(team)
             if limit is None:
-                del self._held[team]
+                del self._buckets[team]
                 continue
-            held.depth_ms = self._allowed.depth_ms(limit)
-            held.fill(now_ms)
-            wanted = held.wanted(now_ms)
-            if not wanted and not held.share:
-                del self._held[team]
+            bucket.depth_ms = self._overshoot.depth_ms(limit)
+            bucket.refill(now_ms)
+            wanted = bucket.desired_share(now_ms)
+            if not wanted and not bucket.share:
+                del self._buckets[team]
                 continue
-            if wanted < LOWERED_SHARE * held.share:
-                held.lower(wanted)
-            shares.append(
+            if wanted < DECREASE_THRESHOLD * bucket.share:
+                bucket.lower_share(wanted)
+            requests.append(
                 limiting.ShareAsked(
                     team,
-                    held.share,
+                    bucket.share,
                     wanted,
-                    held.returned_ms,
-                    held.depth_ms,
+                    bucket.returned_ms,
+                    bucket.depth_ms,
                 )
             )
-            held.returned_ms = 0.0
-        return shares
+            bucket.returned_ms = 0.0
+        return requests
 
-    def _take_share(
+    def _apply_grant(
         self, granted: limiting.ShareGranted, wanted: float, asked_ms: int
     ) -> None:
-        held = self._held.get(granted.team)
-        if held is None:
+        bucket = self._buckets.get(granted.team)
+        if bucket is None:
             return
-        held.fill(self._clock.mono_ms())
-        held.short = granted.share < wanted
-        if granted.share < held.share:
-            held.lower(granted.share)
+        bucket.refill(self._clock.mono_ms())
+        bucket.under_granted = granted.share < wanted
+        if granted.share < bucket.share:
+            bucket.lower_share(granted.share)
         else:
-            held.share = granted.share
-            held.level_ms += granted.level_ms
-        held.until_ms = asked_ms + allocator.SHARE_LEASE_MS
+            bucket.share = granted.share
+            bucket.level_ms += granted.level_ms
+        bucket.until_ms = asked_ms + allocator.SHARE_LEASE_MS
--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -93,7 +93,7 @@
                     return await self._handle_response(
                         context, destination, answer
                     )
-        except errors.HeldBackError:
+        except errors.SendAbortedError:
             context.send_count -= 1
             context.mark_not_run()
             self._on_send_aborted(context, destination)
--- a/wrenspoke/coordination/serving/call_context.py
+++ b/wrenspoke/coordination/serving/call_context.py
@@ -30,7 +30,7 @@
     deadline_ms: int
     reply: passing.Reply
     hop: passing.Hop | None = None
-    taken: limiter.Taken | None = None
+    taken: limiter.Reservation | None = None
     runs: int = 0
     unexecuted_sends: int = 0
     send_count: int = 0
--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -313,13 +313,13 @@
         if send.purpose is Purpose.LOAD:
             return self._gate.acquire_poll(life)
         if send.purpose not in WORK:
-            return self._gate.unchecked(life)
+            return self._gate.acquire_unchecked(life)
         rank = endpoint_limits.FIRST_RANK
         if send.purpose is not Purpose.RESUME and send.head is not None:
             urgency = requests.Priority.HIGH - send.head.priority
-            rank = endpoint_limits.rank_of(urgency, kept=False)
+            rank = endpoint_limits.rank_of(urgency, prompt_cached=False)
         return await self._gate.acquire(
-            life, rank, continues=send.purpose is Purpose.RESUME
+            life, rank, is_continuation=send.purpose is Purpose.RESUME
         )
 
     def _may_send(
--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -143,7 +143,7 @@
             forward_state.maybe_sent = True
             cause = repr(error)
         except streams.OutcomeEventError as error:
-            raise errors.EndedError(_parse_ending(error.data)) from error
+            raise errors.RequestEndedError(_parse_ending(error.data)) from error
         self._members.record_request_failure(host)
         self._decisions.record(
             'forward_failed',
@@ -204,7 +204,7 @@
     ) -> None:
         """Pass on an answer, or the end that the other host reports."""
         if forward_state.reply.started:
-            raise errors.EndedError(_parse_ending(body.decode()))
+            raise errors.RequestEndedError(_parse_ending(body.decode()))
         text = response.headers.get(headers.OUTCOME)
         if text is None:
             raise errors.MaybeSentError('answer has no outcome')
@@ -249,14 +249,14 @@
 
     def _unanswered_error(
         self, forward_state: _ForwardState
-    ) -> errors.EndedError:
+    ) -> errors.RequestEndedError:
         reason = outcomes.Reason.REGION_UNREACHABLE
         if forward_state.head.bound:
             reason = outcomes.Reason.HOME_UNREACHABLE
         outcome = outcomes.Outcome.NOT_RUN
         if forward_state.maybe_sent:
             outcome = outcomes.Outcome.UNKNOWN
-        return errors.EndedError(
+        return errors.RequestEndedError(
             outcomes.Ending(
                 outcome,
                 reason,
--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -121,7 +121,7 @@
         try:
             await self._route(head, body, reply)
             self._record_outcome(head, 'whole', started_ms)
-        except errors.EndedError as error:
+        except errors.RequestEndedError as error:
             ending = _adjust_for_resend(head, error.ending)
             self._record_outcome(head, ending, started_ms)
             await reply.end(ending)
@@ -190,7 +190,7 @@
             return
         try:
             await self._serve_locally(head, key, body, reply)
-        except errors.EndedError as error:
+        except errors.RequestEndedError as error:
             failover_region = self._failover_region(head, error.ending, reply)
             if failover_region is None:
                 raise
@@ -233,7 +233,7 @@
         secret = teams.secret_of(self._deployment.cluster)
         team = current.keys.get(teams.digest_of(head.key, secret).hex())
         if not head.key or team is None:
-            raise errors.EndedError(
+            raise errors.RequestEndedError(
                 outcomes.Ending(
                     outcomes.Outcome.NOT_RUN,
                     outcomes.Reason.UNKNOWN_KEY,
@@ -246,7 +246,7 @@
         """Turn away at once what no endpoint is sent."""
         held_ms = self._guard.refuse(head.digest)
         if held_ms is not None:
-            raise errors.EndedError(
+            raise errors.RequestEndedError(
                 outcomes.Ending(
                     outcomes.Outcome.NOT_RUN,
                     outcomes.Reason.QUARANTINED,
@@ -265,7 +265,7 @@
             return
         wait_ms = self._team_limiter.admit(head.team)
         if wait_ms:
-            raise errors.EndedError(
+            raise errors.RequestEndedError(
                 outcomes.Ending(
                     outcomes.Outcome.NOT_RUN,
                     outcomes.Reason.TEAM_LIMIT,
@@ -397,8 +397,8 @@
 
     def _not_run_error(
         self, reason: outcomes.Reason, detail: str
-    ) -> errors.EndedError:
-        return errors.EndedError(
+    ) -> errors.RequestEndedError:
+        return errors.RequestEndedError(
             outcomes.Ending(
                 outcomes.Outcome.NOT_RUN,
                 reason,
@@ -409,8 +409,8 @@
 
     def _bad_request_error(
         self, field: str, problem: str
-    ) -> errors.EndedError:
-        return errors.EndedError(
+    ) -> errors.RequestEndedError:
+        return errors.RequestEndedError(
             outcomes.Ending(
                 outcomes.Outcome.NOT_RUN,
                 outcomes.Reason.BAD_REQUEST,
--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -168,12 +168,12 @@
 
     def ended_error(
         self, reason: outcomes.Reason, detail: str, retry_after_ms: int = 1000
-    ) -> errors.EndedError:
+    ) -> errors.RequestEndedError:
         """Return the end of a request that is given up on."""
         outcome = outcomes.Outcome.NOT_RUN
         if self.may_have_run:
             outcome = outcomes.Outcome.UNKNOWN
-        return errors.EndedError(
+        return errors.RequestEndedError(
             outcomes.Ending(
                 outcome, reason, detail, retry_after_ms, retry_owned=True
             )
@@ -231,7 +231,7 @@
             return await self.scheduler.acquire_slot(
                 head, retry_state.excluded_endpoints
             )
-        except errors.EndedError as error:
+        except errors.RequestEndedError as error:
             if retry_state.count == 0:
                 raise
             raise retry_state.ended_error(
@@ -291,7 +291,7 @@
         error = errors.MaybeSentError(f'endpoint answered {answer.status}')
         try:
             retry_state.record_failure(answer.endpoint, error)
-        except errors.EndedError:
+        except errors.RequestEndedError:
             return False
         return bool(
             self.scheduler.eligible_endpoints(head)
--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -181,7 +181,7 @@
         self,
         head: requests.RequestHead,
         error: errors.LedgerUnreachableError,
-    ) -> errors.EndedError:
+    ) -> errors.RequestEndedError:
         """Tell the truth without the ledger.
 
         The attempt itself has not left this host. Only of a first one
@@ -248,7 +248,7 @@
         try:
             await retry_state.handle_failure(send.endpoint, error)
             return await self._server.acquire_slot(head, retry_state)
-        except errors.EndedError:
+        except errors.RequestEndedError:
             await self._release_claim(key, send.ticket)
             raise
 
@@ -345,8 +345,8 @@
     reason: outcomes.Reason,
     detail: str,
     retry_after_ms: int = 0,
-) -> errors.EndedError:
-    return errors.EndedError(
+) -> errors.RequestEndedError:
+    return errors.RequestEndedError(
         outcomes.Ending(
             outcome, reason, detail, retry_after_ms, retry_owned=True
         )
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -135,7 +135,7 @@
             await self._serve(context)
         finally:
             if not context.may_have_run:
-                self._limiter.give_back(context.taken)
+                self._limiter.refund(context.taken)
 
     async def _prepare_call(
         self,
@@ -190,7 +190,7 @@
         call: dialects.Call,
         permit: access.RoutePermit,
         hop: passing.Hop | None,
-    ) -> limiters.Taken | None:
+    ) -> limiters.Reservation | None:
         """Take what a call needs of its team's limit.
 
         It counts where the caller sent it; open routes count for nobody.
--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -241,7 +241,7 @@
         if eligible and not candidates:
             self._reject_if_all_back_off(head, eligible)
         if not candidates:
-            raise errors.EndedError(
+            raise errors.RequestEndedError(
                 outcomes.Ending(
                     outcomes.Outcome.NOT_RUN,
                     outcomes.Reason.NO_ENDPOINT,
@@ -324,7 +324,7 @@
         if soonest_ms <= min(RECHECK_MS, left_ms):
             return
         urgency = requests.Priority.HIGH - head.priority
-        raise errors.EndedError(
+        raise errors.RequestEndedError(
             outcomes.Ending(
                 outcomes.Outcome.NOT_RUN,
                 outcomes.Reason.OVERLOAD,
@@ -371,10 +371,10 @@
         ranked: typing.Sequence[routing.Ranked],
         queue: Queue,
         detail: str,
-    ) -> errors.EndedError:
+    ) -> errors.RequestEndedError:
         endpoints = [item.endpoint for item in ranked]
         wait_ms = int(self._wait_ms(endpoints, len(queue)))
-        return errors.EndedError(
+        return errors.RequestEndedError(
             outcomes.Ending(
                 outcomes.Outcome.NOT_RUN,
                 outcomes.Reason.OVERLOAD,
