--- a/tests/backoff_fleet.py
+++ b/tests/backoff_fleet.py
@@ -56,7 +56,9 @@
         """Return how many requests came in some time."""
         return sum(since_ms <= one.at_ms < until_ms for one in self.arrivals)
 
-    def max_requests_in_backoff(self, excused=lambda host, since_ms, at_ms: False):
+    def max_requests_in_backoff(
+        self, excused=lambda host, since_ms, at_ms: False
+    ):
         """Return the most requests that one host sent within a backoff."""
         by_host = collections.defaultdict(list)
         for one in self.arrivals:
@@ -175,7 +177,9 @@
 
     async def run():
         fleet = Fleet(hosts, seed=seed, make=make)
-        await asyncio.gather(fleet.run_calls(calls_per_s, for_ms), happen(fleet))
+        await asyncio.gather(
+            fleet.run_calls(calls_per_s, for_ms), happen(fleet)
+        )
         await fleet.close()
         held['fleet'] = fleet
 
--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -84,7 +84,9 @@
         """
         named_ms = [at_ms for at_ms, rate in self.rates if rate is not None]
         counted = [
-            one.at_ms for one in self.arrivals if one.notified or not notified_only
+            one.at_ms
+            for one in self.arrivals
+            if one.notified or not notified_only
         ]
         worst = 0.0
         window = collections.deque()
--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -240,7 +240,9 @@
     def join_host(self, name):
         """Let a host that was cut off be reached again."""
         for other in self.network.hosts:
-            if team_limit_fleet.region_of(other) != team_limit_fleet.region_of(name):
+            if team_limit_fleet.region_of(other) != team_limit_fleet.region_of(
+                name
+            ):
                 if self._region_cut in (
                     team_limit_fleet.region_of(other),
                     team_limit_fleet.region_of(name),
--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -220,9 +220,7 @@
         assert waits_s[-1] <= 15
 
 
-async def test_expired_permit_sends_nothing(
-    tmp_path, monkeypatch
-):
+async def test_expired_permit_sends_nothing(tmp_path, monkeypatch):
     """As while a connection took long; another engine serves the call."""
     async with passing_system(tmp_path) as system:
         limited = system.engines[0]
--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -86,7 +86,9 @@
         self._decay(now_ms)
         return max(self._fast_mean, self._slow_mean)
 
-    def desired_share(self, depth_ms: float, now_ms: int, unused: bool) -> float:
+    def desired_share(
+        self, depth_ms: float, now_ms: int, unused: bool
+    ) -> float:
         """Return the share that answers the demand.
 
         ``unused`` says that a level is full: what a peak that has moved on
@@ -120,11 +122,16 @@
     @property
     def is_nearly_full(self) -> bool:
         """Tell whether more is held than is used."""
-        return self.share > 0 and self.level_ms >= NEARLY_FULL_SHARE * self.capacity_ms
+        return (
+            self.share > 0
+            and self.level_ms >= NEARLY_FULL_SHARE * self.capacity_ms
+        )
 
     def desired_share(self, now_ms: int) -> float:
         """Return the share that answers the demand."""
-        return self.demand.desired_share(self.depth_ms, now_ms, self.is_nearly_full)
+        return self.demand.desired_share(
+            self.depth_ms, now_ms, self.is_nearly_full
+        )
 
     def lower_share(self, share: float) -> None:
         """Hold less, and keep the level that goes with the rest apart."""
@@ -207,15 +214,21 @@
             )
         return granted
 
-    def _team_bucket(self, team: ids.TeamId, limit: teams.TeamLimit) -> TeamBucket:
+    def _team_bucket(
+        self, team: ids.TeamId, limit: teams.TeamLimit
+    ) -> TeamBucket:
         now_ms = self._clock.mono_ms()
         bucket = self._buckets.get(team)
         if bucket is None:
-            bucket = self._buckets[team] = TeamBucket(now_ms, demand=Demand(now_ms))
+            bucket = self._buckets[team] = TeamBucket(
+                now_ms, demand=Demand(now_ms)
+            )
         bucket.depth_ms = self._overshoot.depth_ms(limit)
         return bucket
 
-    def _try_take(self, bucket: TeamBucket, amount_ms: float) -> limiting.AmountGranted:
+    def _try_take(
+        self, bucket: TeamBucket, amount_ms: float
+    ) -> limiting.AmountGranted:
         """Take an amount from the level if it is there, or soon will be.
 
         Who comes later waits behind it. Of a team that asks for more than
@@ -226,9 +239,13 @@
         wait_ms = bucket.wait_ms(amount_ms)
         if wait_ms is None:
             settled_ms = self._settled_ms - self._clock.mono_ms()
-            wait_ms = min(max(settled_ms, RENEW_INTERVAL_MS), MAX_SETTLING_WAIT_MS)
+            wait_ms = min(
+                max(settled_ms, RENEW_INTERVAL_MS), MAX_SETTLING_WAIT_MS
+            )
             return limiting.AmountGranted(False, wait_ms)
-        if not wait_ms or (wait_ms <= MAX_WAIT_MS and not bucket.under_granted):
+        if not wait_ms or (
+            wait_ms <= MAX_WAIT_MS and not bucket.under_granted
+        ):
             bucket.level_ms -= amount_ms
             return limiting.AmountGranted(True, math.ceil(wait_ms))
         return limiting.AmountGranted(False, math.ceil(wait_ms))
@@ -248,7 +265,9 @@
         while True:
             reported = self._lead() == self._reported_lead
             try:
-                async with clocks.timeout_ms(RENEW_INTERVAL_MS if reported else NEW_LEADER_INTERVAL_MS):
+                async with clocks.timeout_ms(
+                    RENEW_INTERVAL_MS if reported else NEW_LEADER_INTERVAL_MS
+                ):
                     await self._renew_now.wait()
             except TimeoutError:
                 pass
@@ -270,7 +289,10 @@
         if lead is None:
             return
         reported = lead == self._reported_lead
-        is_recent = not urgent and asked_ms - self._last_renewal_ms < STABLE_INTERVAL_MS
+        is_recent = (
+            not urgent
+            and asked_ms - self._last_renewal_ms < STABLE_INTERVAL_MS
+        )
         if reported and is_recent and not self._needs_renewal(asked_ms):
             return
         requests = self._share_requests(asked_ms)
--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -143,7 +143,9 @@
             forward_state.maybe_sent = True
             cause = repr(error)
         except streams.OutcomeEventError as error:
-            raise errors.RequestEndedError(_parse_ending(error.data)) from error
+            raise errors.RequestEndedError(
+                _parse_ending(error.data)
+            ) from error
         self._members.record_request_failure(host)
         self._decisions.record(
             'forward_failed',
