--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -156,7 +156,7 @@
 async def test_trial_after_its_time_and_longer_after_another_end():
     fleet = await quarantined_fleet.Fleet(6).start()
     await end_three(fleet)
-    await fleet.wait_ms(holds.hold_ms(ended_runs.FATAL_ENDS) + 3_000)
+    await fleet.wait_ms(holds.hold_ms(ended_runs.CRASH_THRESHOLD) + 3_000)
     assert not fleet.held_by(FATAL)
     host = list(fleet.hosts.values())[4]
     assert await host.send(FATAL, next(fleet.endpoints))
@@ -164,7 +164,7 @@
     assert len(fleet.held_by(FATAL)) == 6
     await fleet.wait_ms(1_000)
     [decided] = fleet.state.configuration.quarantine.values()
-    assert decided.ends == ended_runs.FATAL_ENDS + 1
+    assert decided.ends == ended_runs.CRASH_THRESHOLD + 1
     assert host.guard.held_ms(FATAL) > holds.FIRST_HOLD_MS
     await fleet.close()
 
@@ -173,7 +173,7 @@
 async def test_trial_that_goes_well_ends_it():
     fleet = await quarantined_fleet.Fleet(6).start()
     await end_three(fleet)
-    await fleet.wait_ms(holds.hold_ms(ended_runs.FATAL_ENDS) + 3_000)
+    await fleet.wait_ms(holds.hold_ms(ended_runs.CRASH_THRESHOLD) + 3_000)
     host = list(fleet.hosts.values())[4]
     assert await host.send(FATAL, 'mended', fatal=False)
     await fleet.wait_ms(2 * gatherer.LOOK_INTERVAL_MS + 1_000)
@@ -296,9 +296,9 @@
     def _note_sent(self, host):
         now_ms = self._clock.mono_ms()
         self.ends_ms.append(now_ms)
-        if len(self.ends_ms) <= ended_runs.FATAL_ENDS:
+        if len(self.ends_ms) <= ended_runs.CRASH_THRESHOLD:
             return
-        third_ms = self.ends_ms[ended_runs.FATAL_ENDS - 1]
+        third_ms = self.ends_ms[ended_runs.CRASH_THRESHOLD - 1]
         if now_ms - third_ms > CONTACT_MS and self._in_touch(host):
             self.late += 1
 
--- a/wrenspoke/coordination/quarantine/ended_runs.py
+++ b/wrenspoke/coordination/quarantine/ended_runs.py
@@ -12,7 +12,7 @@
 
 # A request is quarantined after this many crashes. Fewer would also hold back
 # harmless requests that were running when an endpoint crashed by itself.
-FATAL_ENDS = 3
+CRASH_THRESHOLD = 3
 # All calls of an endpoint break within some milliseconds, and are told from
 # one region; the endpoint is not back sooner.
 SAME_END_MS = 400
--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -119,7 +119,7 @@
             return False
         self._ended.note(end.digest, end.endpoint, now_ms - end.age_ms)
         ends = self._ends(end.digest)
-        if ends < ended_runs.FATAL_ENDS:
+        if ends < ended_runs.CRASH_THRESHOLD:
             return False
         told_ms = self._fatal_ms.get(end.digest)
         if told_ms is not None and now_ms - told_ms < TOLD_AGAIN_MS:
@@ -225,7 +225,7 @@
                 gone.append(before.digest)
         self._cleared &= now.keys()
         for digest in list(self._fatal_ms):
-            if self._ends(digest) < ended_runs.FATAL_ENDS:
+            if self._ends(digest) < ended_runs.CRASH_THRESHOLD:
                 # Forgotten before anybody could decide on it.
                 del self._fatal_ms[digest]
         if gone:
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -175,7 +175,7 @@
         decided = self._replica.current.quarantine.get(digest)
         if decided is not None:
             ends += decided.ends
-        if ends >= ended_runs.FATAL_ENDS:
+        if ends >= ended_runs.CRASH_THRESHOLD:
             hold = quarantining.Hold(digest, ends, holds.UNDECIDED_HOLD_MS)
             self._hold(hold)
 
--- a/wrenspoke/coordination/quarantine/holds.py
+++ b/wrenspoke/coordination/quarantine/holds.py
@@ -15,5 +15,5 @@
 
 def hold_ms(ends: int) -> int:
     """Return for how long a request is held after so many ends."""
-    trials = max(ends - ended_runs.FATAL_ENDS, 0)
+    trials = max(ends - ended_runs.CRASH_THRESHOLD, 0)
     return min(FIRST_HOLD_MS * 2**trials, LONGEST_HOLD_MS)
