--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -74,9 +74,9 @@
         ([('a', 0)], 1),
         ([('a', 0), ('b', 0)], 2),
         # Told by two hosts that ran it there.
-        ([('a', 0), ('a', ended_runs.SAME_END_MS)], 1),
+        ([('a', 0), ('a', ended_runs.DEDUP_WINDOW_MS)], 1),
         # It was back, under the same name.
-        ([('a', 0), ('a', ended_runs.SAME_END_MS + 1)], 2),
+        ([('a', 0), ('a', ended_runs.DEDUP_WINDOW_MS + 1)], 2),
     ],
 )
 def test_an_end_is_counted_once(ends, count):
--- a/wrenspoke/coordination/quarantine/ended_runs.py
+++ b/wrenspoke/coordination/quarantine/ended_runs.py
@@ -15,7 +15,7 @@
 CRASH_THRESHOLD = 3
 # All calls of an endpoint break within some milliseconds, and are told from
 # one region; the endpoint is not back sooner.
-SAME_END_MS = 400
+DEDUP_WINDOW_MS = 400
 # Callers that ask again do so within seconds or minutes.
 KEPT_MS = 600_000
 # What ends under once is many, as all that an endpoint ran has it, and says
@@ -86,4 +86,4 @@
 
 
 def _is_same(end: End, endpoint: ids.EndpointId, ended_ms: int) -> bool:
-    return end[0] == endpoint and abs(end[1] - ended_ms) <= SAME_END_MS
+    return end[0] == endpoint and abs(end[1] - ended_ms) <= DEDUP_WINDOW_MS
