--- a/benches/fatal_requests.py
+++ b/benches/fatal_requests.py
@@ -234,7 +234,7 @@
         self._at(at_ms + SPREAD_MS, self._learn, call.digest, engine, at_ms)
 
     def _learn(self, digest: str, engine: int, ended_ms: int) -> None:
-        good_ms = self._good.get(digest, -ended_runs.KEPT_MS)
+        good_ms = self._good.get(digest, -ended_runs.RETENTION_MS)
         if good_ms > ended_ms - good_ends.KEPT_MS:
             return
         count = self._book.note(digest, f'{engine}-{ended_ms}', ended_ms)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -105,7 +105,7 @@
     clock = FakeClock()
     book = ended_runs.EndedRuns(clock)
     book.note('d', 'a', clock.now_ms)
-    clock.now_ms += ended_runs.KEPT_MS
+    clock.now_ms += ended_runs.RETENTION_MS
     book.note('other', 'a', clock.now_ms)
     assert book.count('d') == 0
 
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -264,7 +264,7 @@
         (message_that_waited, SUSPENDED_MS),
         (spent_repeat, SUSPENDED_MS),
         (good_end, good_ends.KEPT_MS + 1),
-        (end_of_an_endpoint, ended_runs.KEPT_MS + 1),
+        (end_of_an_endpoint, ended_runs.RETENTION_MS + 1),
     ],
 )
 def test_what_was_held_ends_while_the_machine_stands_still(
--- a/wrenspoke/coordination/quarantine/ended_runs.py
+++ b/wrenspoke/coordination/quarantine/ended_runs.py
@@ -17,7 +17,7 @@
 # one region; the endpoint is not back sooner.
 DEDUP_WINDOW_MS = 400
 # Callers that ask again do so within seconds or minutes.
-KEPT_MS = 600_000
+RETENTION_MS = 600_000
 # What ends under once is many, as all that an endpoint ran has it, and says
 # little; what it pushes out is older and says no more. 0.4 KB each.
 KEPT_ONCE = 3_000
@@ -76,7 +76,7 @@
         return self._once.get(digest) or self._repeated.get(digest) or []
 
     def _forget_old(self) -> None:
-        oldest_ms = self._clock.mono_ms() - KEPT_MS
+        oldest_ms = self._clock.mono_ms() - RETENTION_MS
         for kept in (self._once, self._repeated):
             while kept:
                 digest = next(iter(kept))
--- a/wrenspoke/coordination/quarantine/reporter.py
+++ b/wrenspoke/coordination/quarantine/reporter.py
@@ -154,7 +154,7 @@
         return answer
 
     def _young(self, ends: collections.abc.Iterable[OwnEnd]) -> list[OwnEnd]:
-        oldest_ms = self._clock.mono_ms() - ended_runs.KEPT_MS
+        oldest_ms = self._clock.mono_ms() - ended_runs.RETENTION_MS
         return [end for end in ends if _time_of(end) > oldest_ms]
 
 
