--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -92,13 +92,14 @@
     book = ended_runs.EndedRuns(clock)
     book.note('d', 'a', clock.now_ms)
     book.note('d', 'b', clock.now_ms)
-    for number in range(2 * ended_runs.KEPT_ONCE):
+    for number in range(2 * ended_runs.MAX_SINGLE_CRASH_ENTRIES):
         book.note(f'{number}', 'c', clock.now_ms)
     assert book.count('d') == 2
     kept = sum(
-        book.count(f'{number}') for number in range(2 * ended_runs.KEPT_ONCE)
+        book.count(f'{number}')
+        for number in range(2 * ended_runs.MAX_SINGLE_CRASH_ENTRIES)
     )
-    assert kept == ended_runs.KEPT_ONCE
+    assert kept == ended_runs.MAX_SINGLE_CRASH_ENTRIES
 
 
 def test_what_is_old_is_forgotten():
--- a/wrenspoke/coordination/quarantine/ended_runs.py
+++ b/wrenspoke/coordination/quarantine/ended_runs.py
@@ -20,7 +20,7 @@
 RETENTION_MS = 600_000
 # What ends under once is many, as all that an endpoint ran has it, and says
 # little; what it pushes out is older and says no more. 0.4 KB each.
-KEPT_ONCE = 3_000
+MAX_SINGLE_CRASH_ENTRIES = 3_000
 # More than once is rare, and only ends of endpoints make such an entry;
 # 0.7 KB each.
 KEPT_REPEATED = 1_000
@@ -57,7 +57,7 @@
         self._repeated.pop(digest, None)
         kept, limit = self._repeated, KEPT_REPEATED
         if len(ends) == 1:
-            kept, limit = self._once, KEPT_ONCE
+            kept, limit = self._once, MAX_SINGLE_CRASH_ENTRIES
         kept[digest] = ends
         if len(kept) > limit:
             kept.popitem(last=False)
