--- a/wrenspoke/coordination/quarantine/ended_runs.py
+++ b/wrenspoke/coordination/quarantine/ended_runs.py
@@ -23,7 +23,7 @@
 MAX_SINGLE_CRASH_ENTRIES = 3_000
 # More than once is rare, and only ends of endpoints make such an entry;
 # 0.7 KB each.
-KEPT_REPEATED = 1_000
+MAX_REPEATED_CRASH_ENTRIES = 1_000
 
 End = tuple[ids.EndpointId, int]
 
@@ -55,7 +55,7 @@
         ends = [*ends, (endpoint, ended_ms)]
         self._once.pop(digest, None)
         self._repeated.pop(digest, None)
-        kept, limit = self._repeated, KEPT_REPEATED
+        kept, limit = self._repeated, MAX_REPEATED_CRASH_ENTRIES
         if len(ends) == 1:
             kept, limit = self._once, MAX_SINGLE_CRASH_ENTRIES
         kept[digest] = ends
