--- a/wrenspoke/coordination/quarantine/ended_runs.py
+++ b/wrenspoke/coordination/quarantine/ended_runs.py
@@ -25,7 +25,7 @@
 # 0.7 KB each.
 MAX_REPEATED_CRASH_ENTRIES = 1_000
 
-End = tuple[ids.EndpointId, int]
+CrashRecord = tuple[ids.EndpointId, int]
 
 
 class EndedRuns:
@@ -34,11 +34,11 @@
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
         # Oldest first. What ended under once can't push out the others.
-        self._once: collections.OrderedDict[ids.RequestDigest, list[End]] = (
-            collections.OrderedDict()
-        )
+        self._once: collections.OrderedDict[
+            ids.RequestDigest, list[CrashRecord]
+        ] = collections.OrderedDict()
         self._repeated: collections.OrderedDict[
-            ids.RequestDigest, list[End]
+            ids.RequestDigest, list[CrashRecord]
         ] = collections.OrderedDict()
 
     def note(
@@ -72,7 +72,7 @@
         """Return how many endpoints ended under a request."""
         return len(self._ends(digest))
 
-    def _ends(self, digest: ids.RequestDigest) -> list[End]:
+    def _ends(self, digest: ids.RequestDigest) -> list[CrashRecord]:
         return self._once.get(digest) or self._repeated.get(digest) or []
 
     def _forget_old(self) -> None:
@@ -85,5 +85,7 @@
                 del kept[digest]
 
 
-def _is_same(end: End, endpoint: ids.EndpointId, ended_ms: int) -> bool:
+def _is_same(
+    end: CrashRecord, endpoint: ids.EndpointId, ended_ms: int
+) -> bool:
     return end[0] == endpoint and abs(end[1] - ended_ms) <= DEDUP_WINDOW_MS
