--- a/benches/fatal_requests.py
+++ b/benches/fatal_requests.py
@@ -104,7 +104,7 @@
         self._trouble = trouble
         self._random = random.Random(seed)
         self._time = Time()
-        self._book = ended_runs.EndedRuns(self._time)
+        self._book = ended_runs.CrashHistory(self._time)
         self._events: list[tuple] = []
         self._number = itertools.count()
         self._up = dict.fromkeys(range(ENGINES), 0)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -81,7 +81,7 @@
 )
 def test_an_end_is_counted_once(ends, count):
     clock = FakeClock()
-    book = ended_runs.EndedRuns(clock)
+    book = ended_runs.CrashHistory(clock)
     for endpoint, at_ms in ends:
         book.note('d', endpoint, clock.now_ms + at_ms)
     assert book.count('d') == count
@@ -89,7 +89,7 @@
 
 def test_flood_of_others_pushes_out_nothing_that_ended_more_than_one():
     clock = FakeClock()
-    book = ended_runs.EndedRuns(clock)
+    book = ended_runs.CrashHistory(clock)
     book.note('d', 'a', clock.now_ms)
     book.note('d', 'b', clock.now_ms)
     for number in range(2 * ended_runs.MAX_SINGLE_CRASH_ENTRIES):
@@ -104,7 +104,7 @@
 
 def test_what_is_old_is_forgotten():
     clock = FakeClock()
-    book = ended_runs.EndedRuns(clock)
+    book = ended_runs.CrashHistory(clock)
     book.note('d', 'a', clock.now_ms)
     clock.now_ms += ended_runs.RETENTION_MS
     book.note('other', 'a', clock.now_ms)
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -231,7 +231,7 @@
 
 
 def end_of_an_endpoint(clock):
-    made = ended_runs.EndedRuns(clock)
+    made = ended_runs.CrashHistory(clock)
     made.note('d', 'e', clock.mono_ms())
 
     def kept():
--- a/wrenspoke/coordination/quarantine/ended_runs.py
+++ b/wrenspoke/coordination/quarantine/ended_runs.py
@@ -28,7 +28,7 @@
 CrashRecord = tuple[ids.EndpointId, int]
 
 
-class EndedRuns:
+class CrashHistory:
     """Count the endpoints that ended under each request."""
 
     def __init__(self, clock: clocks.Clock):
--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -73,7 +73,7 @@
         self._peers = peers
         self._clock = clock
         self._life = ids.new_unique()
-        self._ended = ended_runs.EndedRuns(clock)
+        self._ended = ended_runs.CrashHistory(clock)
         # Requests found to end endpoints and not decided on, with when entry
         # hosts were told.
         self._fatal_ms: dict[ids.RequestDigest, int] = {}
