--- a/benches/switches_quarantine.py
+++ b/benches/switches_quarantine.py
@@ -61,7 +61,7 @@
     Switch(
         'floods push out what ended more than one',
         QUARANTINE + 'ended_runs.py',
-        'kept, limit = self._once, MAX_SINGLE_CRASH_ENTRIES',
+        'kept, limit = self._single_crashes, MAX_SINGLE_CRASH_ENTRIES',
         'kept, limit = self._repeated, KEPT_REPEATED',
         f'{UNITS}::test_flood_of_others_pushes_out_nothing_that_ended_more'
         '_than_one',
--- a/wrenspoke/coordination/quarantine/ended_runs.py
+++ b/wrenspoke/coordination/quarantine/ended_runs.py
@@ -34,7 +34,7 @@
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
         # Oldest first. What ended under once can't push out the others.
-        self._once: collections.OrderedDict[
+        self._single_crashes: collections.OrderedDict[
             ids.RequestDigest, list[CrashRecord]
         ] = collections.OrderedDict()
         self._repeated: collections.OrderedDict[
@@ -53,11 +53,11 @@
         if any(_is_same(end, endpoint, ended_ms) for end in ends):
             return len(ends)
         ends = [*ends, (endpoint, ended_ms)]
-        self._once.pop(digest, None)
+        self._single_crashes.pop(digest, None)
         self._repeated.pop(digest, None)
         kept, limit = self._repeated, MAX_REPEATED_CRASH_ENTRIES
         if len(ends) == 1:
-            kept, limit = self._once, MAX_SINGLE_CRASH_ENTRIES
+            kept, limit = self._single_crashes, MAX_SINGLE_CRASH_ENTRIES
         kept[digest] = ends
         if len(kept) > limit:
             kept.popitem(last=False)
@@ -65,7 +65,7 @@
 
     def clear(self, digest: ids.RequestDigest) -> bool:
         """Forget what is held against a request; False if nothing is."""
-        once = self._once.pop(digest, None)
+        once = self._single_crashes.pop(digest, None)
         return bool(once or self._repeated.pop(digest, None))
 
     def count(self, digest: ids.RequestDigest) -> int:
@@ -73,11 +73,15 @@
         return len(self._ends(digest))
 
     def _ends(self, digest: ids.RequestDigest) -> list[CrashRecord]:
-        return self._once.get(digest) or self._repeated.get(digest) or []
+        return (
+            self._single_crashes.get(digest)
+            or self._repeated.get(digest)
+            or []
+        )
 
     def _forget_old(self) -> None:
         oldest_ms = self._clock.mono_ms() - RETENTION_MS
-        for kept in (self._once, self._repeated):
+        for kept in (self._single_crashes, self._repeated):
             while kept:
                 digest = next(iter(kept))
                 if kept[digest][-1][1] > oldest_ms:
