--- a/wrenspoke/coordination/quarantine/ended_runs.py
+++ b/wrenspoke/coordination/quarantine/ended_runs.py
@@ -37,7 +37,7 @@
         self._single_crashes: collections.OrderedDict[
             ids.RequestDigest, list[CrashRecord]
         ] = collections.OrderedDict()
-        self._repeated: collections.OrderedDict[
+        self._repeated_crashes: collections.OrderedDict[
             ids.RequestDigest, list[CrashRecord]
         ] = collections.OrderedDict()
 
@@ -54,8 +54,8 @@
             return len(ends)
         ends = [*ends, (endpoint, ended_ms)]
         self._single_crashes.pop(digest, None)
-        self._repeated.pop(digest, None)
-        kept, limit = self._repeated, MAX_REPEATED_CRASH_ENTRIES
+        self._repeated_crashes.pop(digest, None)
+        kept, limit = self._repeated_crashes, MAX_REPEATED_CRASH_ENTRIES
         if len(ends) == 1:
             kept, limit = self._single_crashes, MAX_SINGLE_CRASH_ENTRIES
         kept[digest] = ends
@@ -66,7 +66,7 @@
     def clear(self, digest: ids.RequestDigest) -> bool:
         """Forget what is held against a request; False if nothing is."""
         once = self._single_crashes.pop(digest, None)
-        return bool(once or self._repeated.pop(digest, None))
+        return bool(once or self._repeated_crashes.pop(digest, None))
 
     def count(self, digest: ids.RequestDigest) -> int:
         """Return how many endpoints ended under a request."""
@@ -75,13 +75,13 @@
     def _ends(self, digest: ids.RequestDigest) -> list[CrashRecord]:
         return (
             self._single_crashes.get(digest)
-            or self._repeated.get(digest)
+            or self._repeated_crashes.get(digest)
             or []
         )
 
     def _forget_old(self) -> None:
         oldest_ms = self._clock.mono_ms() - RETENTION_MS
-        for kept in (self._single_crashes, self._repeated):
+        for kept in (self._single_crashes, self._repeated_crashes):
             while kept:
                 digest = next(iter(kept))
                 if kept[digest][-1][1] > oldest_ms:
