--- a/benches/fatal_requests.py
+++ b/benches/fatal_requests.py
@@ -237,7 +237,7 @@
         good_ms = self._good.get(digest, -ended_runs.RETENTION_MS)
         if good_ms > ended_ms - good_ends.KEPT_MS:
             return
-        count = self._book.note(digest, f'{engine}-{ended_ms}', ended_ms)
+        count = self._book.record_crash(digest, f'{engine}-{ended_ms}', ended_ms)
         if self._way.ends is not None and count >= self._way.ends:
             self._refused.add(digest)
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -83,17 +83,17 @@
     clock = FakeClock()
     book = ended_runs.CrashHistory(clock)
     for endpoint, at_ms in ends:
-        book.note('d', endpoint, clock.now_ms + at_ms)
+        book.record_crash('d', endpoint, clock.now_ms + at_ms)
     assert book.count('d') == count
 
 
 def test_flood_of_others_pushes_out_nothing_that_ended_more_than_one():
     clock = FakeClock()
     book = ended_runs.CrashHistory(clock)
-    book.note('d', 'a', clock.now_ms)
-    book.note('d', 'b', clock.now_ms)
+    book.record_crash('d', 'a', clock.now_ms)
+    book.record_crash('d', 'b', clock.now_ms)
     for number in range(2 * ended_runs.MAX_SINGLE_CRASH_ENTRIES):
-        book.note(f'{number}', 'c', clock.now_ms)
+        book.record_crash(f'{number}', 'c', clock.now_ms)
     assert book.count('d') == 2
     kept = sum(
         book.count(f'{number}')
@@ -105,9 +105,9 @@
 def test_what_is_old_is_forgotten():
     clock = FakeClock()
     book = ended_runs.CrashHistory(clock)
-    book.note('d', 'a', clock.now_ms)
+    book.record_crash('d', 'a', clock.now_ms)
     clock.now_ms += ended_runs.RETENTION_MS
-    book.note('other', 'a', clock.now_ms)
+    book.record_crash('other', 'a', clock.now_ms)
     assert book.count('d') == 0
 
 
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -232,10 +232,10 @@
 
 def end_of_an_endpoint(clock):
     made = ended_runs.CrashHistory(clock)
-    made.note('d', 'e', clock.mono_ms())
+    made.record_crash('d', 'e', clock.mono_ms())
 
     def kept():
-        made.note('other', 'e', clock.mono_ms())
+        made.record_crash('other', 'e', clock.mono_ms())
         return made.count('d') > 0
 
     return kept
--- a/wrenspoke/coordination/quarantine/ended_runs.py
+++ b/wrenspoke/coordination/quarantine/ended_runs.py
@@ -41,7 +41,7 @@
             ids.RequestDigest, list[CrashRecord]
         ] = collections.OrderedDict()
 
-    def note(
+    def record_crash(
         self,
         digest: ids.RequestDigest,
         endpoint: ids.EndpointId,
--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -117,7 +117,7 @@
         if quarantine.held(self._quarantine, end.digest) is not None:
             # Sent before that was known.
             return False
-        self._ended.note(end.digest, end.endpoint, now_ms - end.age_ms)
+        self._ended.record_crash(end.digest, end.endpoint, now_ms - end.age_ms)
         ends = self._ends(end.digest)
         if ends < ended_runs.CRASH_THRESHOLD:
             return False
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -171,7 +171,7 @@
         endpoint: ids.EndpointId,
         ended_ms: int,
     ) -> None:
-        ends = self._ended.note(digest, endpoint, ended_ms)
+        ends = self._ended.record_crash(digest, endpoint, ended_ms)
         decided = self._replica.current.quarantine.get(digest)
         if decided is not None:
             ends += decided.ends
