--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -84,7 +84,7 @@
     book = ended_runs.CrashHistory(clock)
     for endpoint, at_ms in ends:
         book.record_crash('d', endpoint, clock.now_ms + at_ms)
-    assert book.count('d') == count
+    assert book.crash_count('d') == count
 
 
 def test_flood_of_others_pushes_out_nothing_that_ended_more_than_one():
@@ -94,9 +94,9 @@
     book.record_crash('d', 'b', clock.now_ms)
     for number in range(2 * ended_runs.MAX_SINGLE_CRASH_ENTRIES):
         book.record_crash(f'{number}', 'c', clock.now_ms)
-    assert book.count('d') == 2
+    assert book.crash_count('d') == 2
     kept = sum(
-        book.count(f'{number}')
+        book.crash_count(f'{number}')
         for number in range(2 * ended_runs.MAX_SINGLE_CRASH_ENTRIES)
     )
     assert kept == ended_runs.MAX_SINGLE_CRASH_ENTRIES
@@ -108,7 +108,7 @@
     book.record_crash('d', 'a', clock.now_ms)
     clock.now_ms += ended_runs.RETENTION_MS
     book.record_crash('other', 'a', clock.now_ms)
-    assert book.count('d') == 0
+    assert book.crash_count('d') == 0
 
 
 def test_good_ends_are_kept_within_bounds():
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -236,7 +236,7 @@
 
     def kept():
         made.record_crash('other', 'e', clock.mono_ms())
-        return made.count('d') > 0
+        return made.crash_count('d') > 0
 
     return kept
 
--- a/wrenspoke/coordination/quarantine/ended_runs.py
+++ b/wrenspoke/coordination/quarantine/ended_runs.py
@@ -68,7 +68,7 @@
         once = self._single_crashes.pop(digest, None)
         return bool(once or self._repeated_crashes.pop(digest, None))
 
-    def count(self, digest: ids.RequestDigest) -> int:
+    def crash_count(self, digest: ids.RequestDigest) -> int:
         """Return how many endpoints ended under a request."""
         return len(self._ends(digest))
 
--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -142,7 +142,7 @@
         """Return how many endpoints ended, those before a trial too."""
         decided = self._quarantine.get(digest)
         before = 0 if decided is None else decided.ends
-        return before + self._ended.count(digest)
+        return before + self._ended.crash_count(digest)
 
     def _is_held(self, digest: ids.RequestDigest) -> bool:
         if digest in self._fatal_ms:
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -226,7 +226,9 @@
             self._life,
             [
                 quarantining.Hold(
-                    digest, self._ended.count(digest), holds.UNDECIDED_HOLD_MS
+                    digest,
+                    self._ended.crash_count(digest),
+                    holds.UNDECIDED_HOLD_MS,
                 )
                 for digest in told
                 if self.held_ms(digest) is not None
