--- a/wrenspoke/coordination/quarantine/ended_runs.py
+++ b/wrenspoke/coordination/quarantine/ended_runs.py
@@ -49,7 +49,7 @@
     ) -> int:
         """Note that an endpoint ended; return how many did under it."""
         self._forget_old()
-        ends = self._ends(digest)
+        ends = self._crashes_of(digest)
         if any(_is_same(end, endpoint, ended_ms) for end in ends):
             return len(ends)
         ends = [*ends, (endpoint, ended_ms)]
@@ -70,9 +70,9 @@
 
     def crash_count(self, digest: ids.RequestDigest) -> int:
         """Return how many endpoints ended under a request."""
-        return len(self._ends(digest))
+        return len(self._crashes_of(digest))
 
-    def _ends(self, digest: ids.RequestDigest) -> list[CrashRecord]:
+    def _crashes_of(self, digest: ids.RequestDigest) -> list[CrashRecord]:
         return (
             self._single_crashes.get(digest)
             or self._repeated_crashes.get(digest)
