--- a/wrenspoke/coordination/quarantine/ended_runs.py
+++ b/wrenspoke/coordination/quarantine/ended_runs.py
@@ -48,7 +48,7 @@
         ended_ms: int,
     ) -> int:
         """Note that an endpoint ended; return how many did under it."""
-        self._forget_old()
+        self._evict_expired()
         ends = self._crashes_of(digest)
         if any(_is_same(end, endpoint, ended_ms) for end in ends):
             return len(ends)
@@ -79,7 +79,7 @@
             or []
         )
 
-    def _forget_old(self) -> None:
+    def _evict_expired(self) -> None:
         oldest_ms = self._clock.mono_ms() - RETENTION_MS
         for kept in (self._single_crashes, self._repeated_crashes):
             while kept:
