--- a/benches/switches_quarantine.py
+++ b/benches/switches_quarantine.py
@@ -54,7 +54,7 @@
     Switch(
         'an end counts for each host that tells it',
         QUARANTINE + 'ended_runs.py',
-        'if any(_is_same(end, endpoint, ended_ms) for end in ends):',
+        'if any(_is_duplicate(end, endpoint, ended_ms) for end in ends):',
         'if False:',
         f'{UNITS}::test_an_end_is_counted_once',
     ),
--- a/wrenspoke/coordination/quarantine/ended_runs.py
+++ b/wrenspoke/coordination/quarantine/ended_runs.py
@@ -50,7 +50,7 @@
         """Note that an endpoint ended; return how many did under it."""
         self._evict_expired()
         ends = self._crashes_of(digest)
-        if any(_is_same(end, endpoint, ended_ms) for end in ends):
+        if any(_is_duplicate(end, endpoint, ended_ms) for end in ends):
             return len(ends)
         ends = [*ends, (endpoint, ended_ms)]
         self._single_crashes.pop(digest, None)
@@ -89,7 +89,7 @@
                 del kept[digest]
 
 
-def _is_same(
+def _is_duplicate(
     end: CrashRecord, endpoint: ids.EndpointId, ended_ms: int
 ) -> bool:
     return end[0] == endpoint and abs(end[1] - ended_ms) <= DEDUP_WINDOW_MS
