--- a/benches/fatal_requests.py
+++ b/benches/fatal_requests.py
@@ -235,7 +235,7 @@
 
     def _learn(self, digest: str, engine: int, ended_ms: int) -> None:
         good_ms = self._good.get(digest, -ended_runs.RETENTION_MS)
-        if good_ms > ended_ms - good_ends.KEPT_MS:
+        if good_ms > ended_ms - good_ends.RETENTION_MS:
             return
         count = self._book.record_crash(digest, f'{engine}-{ended_ms}', ended_ms)
         if self._way.ends is not None and count >= self._way.ends:
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -310,7 +310,7 @@
     assert host.guard.held_ms('d') is None
     # Nor is it held against it elsewhere.
     assert [endpoint for _digest, endpoint in host.told.ends] == ['a', 'b']
-    host.clock.now_ms += good_ends.KEPT_MS
+    host.clock.now_ms += good_ends.RETENTION_MS
     await host.end('h', 'i', 'j')
     assert host.guard.held_ms('d') is not None
 
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -263,7 +263,7 @@
         (host_that_may_send, SUSPENDED_MS),
         (message_that_waited, SUSPENDED_MS),
         (spent_repeat, SUSPENDED_MS),
-        (good_end, good_ends.KEPT_MS + 1),
+        (good_end, good_ends.RETENTION_MS + 1),
         (end_of_an_endpoint, ended_runs.RETENTION_MS + 1),
     ],
 )
--- a/wrenspoke/coordination/quarantine/good_ends.py
+++ b/wrenspoke/coordination/quarantine/good_ends.py
@@ -7,7 +7,7 @@
 
 # What works now and again is no request that ends each endpoint that runs
 # it, whatever broke off beside it.
-KEPT_MS = 60_000
+RETENTION_MS = 60_000
 # The contents that come again are few; 0.2 KB each.
 KEPT_LIMIT = 1_000
 
@@ -33,4 +33,4 @@
         ended_ms = self._ended_ms.get(digest)
         if ended_ms is None:
             return False
-        return self._clock.mono_ms() - ended_ms <= KEPT_MS
+        return self._clock.mono_ms() - ended_ms <= RETENTION_MS
