--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -114,7 +114,7 @@
 def test_good_ends_are_kept_within_bounds():
     clock = FakeClock()
     good = good_ends.GoodEnds(clock)
-    for number in range(good_ends.KEPT_LIMIT + 1):
+    for number in range(good_ends.MAX_ENTRIES + 1):
         good.note(f'{number}')
     assert not good.lately('0')
     assert good.lately('1')
--- a/wrenspoke/coordination/quarantine/good_ends.py
+++ b/wrenspoke/coordination/quarantine/good_ends.py
@@ -9,7 +9,7 @@
 # it, whatever broke off beside it.
 RETENTION_MS = 60_000
 # The contents that come again are few; 0.2 KB each.
-KEPT_LIMIT = 1_000
+MAX_ENTRIES = 1_000
 
 
 class GoodEnds:
@@ -25,7 +25,7 @@
         """Note that an endpoint ran a request to a good end."""
         self._ended_ms[digest] = self._clock.mono_ms()
         self._ended_ms.move_to_end(digest)
-        if len(self._ended_ms) > KEPT_LIMIT:
+        if len(self._ended_ms) > MAX_ENTRIES:
             self._ended_ms.popitem(last=False)
 
     def lately(self, digest: ids.RequestDigest) -> bool:
