--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -113,7 +113,7 @@
 
 def test_good_ends_are_kept_within_bounds():
     clock = FakeClock()
-    good = good_ends.GoodEnds(clock)
+    good = good_ends.RecentSuccesses(clock)
     for number in range(good_ends.MAX_ENTRIES + 1):
         good.note(f'{number}')
     assert not good.lately('0')
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -225,7 +225,7 @@
 
 
 def good_end(clock):
-    made = good_ends.GoodEnds(clock)
+    made = good_ends.RecentSuccesses(clock)
     made.note('d')
     return lambda: made.lately('d')
 
--- a/wrenspoke/coordination/quarantine/good_ends.py
+++ b/wrenspoke/coordination/quarantine/good_ends.py
@@ -12,7 +12,7 @@
 MAX_ENTRIES = 1_000
 
 
-class GoodEnds:
+class RecentSuccesses:
     """Hold the newest requests that came to a good end at this host."""
 
     def __init__(self, clock: clocks.Clock):
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -60,7 +60,7 @@
         self._clock = clock
         self._watch = runs.RunWatch(clock, look)
         self._ended = ended_runs.CrashHistory(clock)
-        self._good = good_ends.GoodEnds(clock)
+        self._good = good_ends.RecentSuccesses(clock)
         # Until when requests are held that no decision exists on.
         self._undecided_ms: collections.OrderedDict[ids.RequestDigest, int] = (
             collections.OrderedDict()
