--- a/wrenspoke/coordination/quarantine/good_ends.py
+++ b/wrenspoke/coordination/quarantine/good_ends.py
@@ -17,20 +17,20 @@
 
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
-        self._ended_ms: collections.OrderedDict[ids.RequestDigest, int] = (
+        self._succeeded_ms: collections.OrderedDict[ids.RequestDigest, int] = (
             collections.OrderedDict()
         )
 
     def note(self, digest: ids.RequestDigest) -> None:
         """Note that an endpoint ran a request to a good end."""
-        self._ended_ms[digest] = self._clock.mono_ms()
-        self._ended_ms.move_to_end(digest)
-        if len(self._ended_ms) > MAX_ENTRIES:
-            self._ended_ms.popitem(last=False)
+        self._succeeded_ms[digest] = self._clock.mono_ms()
+        self._succeeded_ms.move_to_end(digest)
+        if len(self._succeeded_ms) > MAX_ENTRIES:
+            self._succeeded_ms.popitem(last=False)
 
     def lately(self, digest: ids.RequestDigest) -> bool:
         """Tell whether a request came to a good end of late."""
-        ended_ms = self._ended_ms.get(digest)
+        ended_ms = self._succeeded_ms.get(digest)
         if ended_ms is None:
             return False
         return self._clock.mono_ms() - ended_ms <= RETENTION_MS
