--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -115,7 +115,7 @@
     clock = FakeClock()
     good = good_ends.RecentSuccesses(clock)
     for number in range(good_ends.MAX_ENTRIES + 1):
-        good.note(f'{number}')
+        good.add_success(f'{number}')
     assert not good.lately('0')
     assert good.lately('1')
 
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -226,7 +226,7 @@
 
 def good_end(clock):
     made = good_ends.RecentSuccesses(clock)
-    made.note('d')
+    made.add_success('d')
     return lambda: made.lately('d')
 
 
--- a/wrenspoke/coordination/quarantine/good_ends.py
+++ b/wrenspoke/coordination/quarantine/good_ends.py
@@ -21,7 +21,7 @@
             collections.OrderedDict()
         )
 
-    def note(self, digest: ids.RequestDigest) -> None:
+    def add_success(self, digest: ids.RequestDigest) -> None:
         """Note that an endpoint ran a request to a good end."""
         self._succeeded_ms[digest] = self._clock.mono_ms()
         self._succeeded_ms.move_to_end(digest)
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -137,7 +137,7 @@
     def ended_well(self, run: runs.Run) -> None:
         """Record a run that ended well, and clear its request."""
         digest = run.digest
-        self._good.note(digest)
+        self._good.add_success(digest)
         known = self._ended.clear(digest)
         known |= self._undecided_ms.pop(digest, None) is not None
         if known or digest in self._replica.current.quarantine:
