--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -116,8 +116,8 @@
     good = good_ends.RecentSuccesses(clock)
     for number in range(good_ends.MAX_ENTRIES + 1):
         good.add_success(f'{number}')
-    assert not good.lately('0')
-    assert good.lately('1')
+    assert not good.has_recent('0')
+    assert good.has_recent('1')
 
 
 @pytest.mark.parametrize(
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -227,7 +227,7 @@
 def good_end(clock):
     made = good_ends.RecentSuccesses(clock)
     made.add_success('d')
-    return lambda: made.lately('d')
+    return lambda: made.has_recent('d')
 
 
 def end_of_an_endpoint(clock):
--- a/wrenspoke/coordination/quarantine/good_ends.py
+++ b/wrenspoke/coordination/quarantine/good_ends.py
@@ -28,7 +28,7 @@
         if len(self._succeeded_ms) > MAX_ENTRIES:
             self._succeeded_ms.popitem(last=False)
 
-    def lately(self, digest: ids.RequestDigest) -> bool:
+    def has_recent(self, digest: ids.RequestDigest) -> bool:
         """Tell whether a request came to a good end of late."""
         ended_ms = self._succeeded_ms.get(digest)
         if ended_ms is None:
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -160,7 +160,7 @@
         """
         if not await self._watch.broke(run) or not run.digest:
             return
-        if self._good.lately(run.digest) or self._leaves(run.endpoint):
+        if self._good.has_recent(run.digest) or self._leaves(run.endpoint):
             return
         self._reporter.ended(run.digest, run.endpoint)
         self._note_end(run.digest, run.endpoint, self._clock.mono_ms())
@@ -183,7 +183,7 @@
 
     def _hold(self, hold: quarantining.Hold) -> None:
         """Hold a request until there is a decision on it."""
-        if self._good.lately(hold.digest):
+        if self._good.has_recent(hold.digest):
             return
         if hold.digest not in self._undecided_ms:
             logger.warning('request_held', digest=hold.digest, ends=hold.ends)
@@ -206,7 +206,7 @@
             [
                 hold.digest
                 for hold in message.holds
-                if self._good.lately(hold.digest)
+                if self._good.has_recent(hold.digest)
             ]
         )
 
@@ -219,7 +219,7 @@
             self._ended.clear(digest)
             self._undecided_ms.pop(digest, None)
         for end in message.ends:
-            if not self._good.lately(end.digest):
+            if not self._good.has_recent(end.digest):
                 self._note_end(end.digest, end.endpoint, now_ms - end.age_ms)
         told = {end.digest for end in message.ends}
         return quarantining.RunsNoted(
