--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -165,7 +165,7 @@
     await fleet.wait_ms(1_000)
     [decided] = fleet.state.configuration.quarantine.values()
     assert decided.ends == ended_runs.CRASH_THRESHOLD + 1
-    assert host.guard.held_ms(FATAL) > holds.FIRST_HOLD_MS
+    assert host.guard.held_ms(FATAL) > holds.BASE_HOLD_MS
     await fleet.close()
 
 
@@ -309,6 +309,6 @@
     fleet = await quarantined_fleet.Fleet(18, seed).start()
     series = Series(fleet)
     # One trial falls into it, and none after that.
-    await series.play(2 * holds.FIRST_HOLD_MS)
+    await series.play(2 * holds.BASE_HOLD_MS)
     assert series.late <= LATE_LIMIT, series.ends_ms
     await fleet.close()
--- a/wrenspoke/coordination/quarantine/holds.py
+++ b/wrenspoke/coordination/quarantine/holds.py
@@ -4,7 +4,7 @@
 
 # An engine that ended loads its weights for minutes, so that a trial costs
 # about as much as it is put off; what did nothing is held up no longer.
-FIRST_HOLD_MS = 300_000
+BASE_HOLD_MS = 300_000
 # Doubled with each trial that ends another endpoint, up to here: twelve
 # endpoints a day at the most, for a request that always comes again.
 LONGEST_HOLD_MS = 7_200_000
@@ -16,4 +16,4 @@
 def hold_ms(ends: int) -> int:
     """Return for how long a request is held after so many ends."""
     trials = max(ends - ended_runs.CRASH_THRESHOLD, 0)
-    return min(FIRST_HOLD_MS * 2**trials, LONGEST_HOLD_MS)
+    return min(BASE_HOLD_MS * 2**trials, LONGEST_HOLD_MS)
