--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -327,7 +327,7 @@
     host = Host()
     host.decide(quarantine.Quarantined('d', 4, on_probation))
     assert (host.guard.held_ms('d') is None) == on_probation
-    host.clock.now_ms += 10 * holds.LONGEST_HOLD_MS
+    host.clock.now_ms += 10 * holds.MAX_HOLD_MS
     assert (host.guard.held_ms('d') is None) == on_probation
     host.decide()
     assert host.guard.held_ms('d') is None
--- a/wrenspoke/coordination/quarantine/holds.py
+++ b/wrenspoke/coordination/quarantine/holds.py
@@ -7,7 +7,7 @@
 BASE_HOLD_MS = 300_000
 # Doubled with each trial that ends another endpoint, up to here: twelve
 # endpoints a day at the most, for a request that always comes again.
-LONGEST_HOLD_MS = 7_200_000
+MAX_HOLD_MS = 7_200_000
 # By the word of one control host, before the group has decided; or for as
 # long as it can't, being cut off.
 UNDECIDED_HOLD_MS = 60_000
@@ -16,4 +16,4 @@
 def hold_ms(ends: int) -> int:
     """Return for how long a request is held after so many ends."""
     trials = max(ends - ended_runs.CRASH_THRESHOLD, 0)
-    return min(BASE_HOLD_MS * 2**trials, LONGEST_HOLD_MS)
+    return min(BASE_HOLD_MS * 2**trials, MAX_HOLD_MS)
