--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -318,7 +318,7 @@
 async def test_undecided_hold_ends_by_itself():
     host = Host()
     await host.end('a', 'b', 'c')
-    host.clock.now_ms += holds.UNDECIDED_HOLD_MS
+    host.clock.now_ms += holds.PROVISIONAL_HOLD_MS
     assert host.guard.held_ms('d') is None
 
 
--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -39,7 +39,7 @@
 CALL_TIMEOUT_MS = 1_000
 # Without a leader holds end by themselves: who ends one more endpoint then
 # has all others told again, or each of them would end one.
-TOLD_AGAIN_MS = holds.UNDECIDED_HOLD_MS // 2
+TOLD_AGAIN_MS = holds.PROVISIONAL_HOLD_MS // 2
 
 # Returns the entry hosts of this region, or of all.
 Hosts = collections.abc.Callable[[bool], list[ids.HostId]]
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -176,7 +176,7 @@
         if decided is not None:
             ends += decided.ends
         if ends >= ended_runs.CRASH_THRESHOLD:
-            hold = quarantining.Hold(digest, ends, holds.UNDECIDED_HOLD_MS)
+            hold = quarantining.Hold(digest, ends, holds.PROVISIONAL_HOLD_MS)
             self._hold(hold)
 
     # What others say.
@@ -188,7 +188,7 @@
         if hold.digest not in self._undecided_ms:
             logger.warning('request_held', digest=hold.digest, ends=hold.ends)
         self._undecided_ms[hold.digest] = self._clock.mono_ms() + min(
-            hold.for_ms, holds.UNDECIDED_HOLD_MS
+            hold.for_ms, holds.PROVISIONAL_HOLD_MS
         )
         self._undecided_ms.move_to_end(hold.digest)
         if len(self._undecided_ms) > KEPT_LIMIT:
@@ -228,7 +228,7 @@
                 quarantining.Hold(
                     digest,
                     self._ended.crash_count(digest),
-                    holds.UNDECIDED_HOLD_MS,
+                    holds.PROVISIONAL_HOLD_MS,
                 )
                 for digest in told
                 if self.held_ms(digest) is not None
--- a/wrenspoke/coordination/quarantine/holds.py
+++ b/wrenspoke/coordination/quarantine/holds.py
@@ -10,7 +10,7 @@
 MAX_HOLD_MS = 7_200_000
 # By the word of one control host, before the group has decided; or for as
 # long as it can't, being cut off.
-UNDECIDED_HOLD_MS = 60_000
+PROVISIONAL_HOLD_MS = 60_000
 
 
 def hold_ms(ends: int) -> int:
