--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -131,7 +131,7 @@
     ],
 )
 def test_hold_doubles_with_each_end_up_to_a_bound(ends, hold_ms):
-    assert holds.hold_ms(ends) == hold_ms
+    assert holds.hold_duration_ms(ends) == hold_ms
 
 
 def test_quarantine_is_bounded_and_keeps_what_is_held():
--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -156,7 +156,9 @@
 async def test_trial_after_its_time_and_longer_after_another_end():
     fleet = await quarantined_fleet.Fleet(6).start()
     await end_three(fleet)
-    await fleet.wait_ms(holds.hold_ms(ended_runs.CRASH_THRESHOLD) + 3_000)
+    await fleet.wait_ms(
+        holds.hold_duration_ms(ended_runs.CRASH_THRESHOLD) + 3_000
+    )
     assert not fleet.held_by(FATAL)
     host = list(fleet.hosts.values())[4]
     assert await host.send(FATAL, next(fleet.endpoints))
@@ -173,7 +175,9 @@
 async def test_trial_that_goes_well_ends_it():
     fleet = await quarantined_fleet.Fleet(6).start()
     await end_three(fleet)
-    await fleet.wait_ms(holds.hold_ms(ended_runs.CRASH_THRESHOLD) + 3_000)
+    await fleet.wait_ms(
+        holds.hold_duration_ms(ended_runs.CRASH_THRESHOLD) + 3_000
+    )
     host = list(fleet.hosts.values())[4]
     assert await host.send(FATAL, 'mended', fatal=False)
     await fleet.wait_ms(2 * gatherer.LOOK_INTERVAL_MS + 1_000)
--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -151,7 +151,7 @@
 
     def _hold_of(self, digest: ids.RequestDigest) -> quarantining.Hold:
         ends = self._ends(digest)
-        return quarantining.Hold(digest, ends, holds.hold_ms(ends))
+        return quarantining.Hold(digest, ends, holds.hold_duration_ms(ends))
 
     def _clear(self, digest: ids.RequestDigest) -> None:
         """Take note that a request came to a good end somewhere."""
@@ -276,7 +276,7 @@
         for found, since_ms in self._decided_ms.items():
             if found.on_probation or found.digest in self._cleared:
                 continue
-            if now_ms - since_ms < holds.hold_ms(found.ends):
+            if now_ms - since_ms < holds.hold_duration_ms(found.ends):
                 continue
             due.append(msgspec.structs.replace(found, on_probation=True))
         return due
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -103,7 +103,7 @@
         if len(self._known_ms) > KEPT_LIMIT:
             self._known_ms.clear()
         known_ms = self._known_ms.setdefault(decided, self._clock.mono_ms())
-        return known_ms + holds.hold_ms(decided.ends)
+        return known_ms + holds.hold_duration_ms(decided.ends)
 
     # How runs end.
 
