--- a/wrenspoke/coordination/quarantine/runs.py
+++ b/wrenspoke/coordination/quarantine/runs.py
@@ -21,7 +21,7 @@
 
 # Endpoints are near: a connection takes a millisecond or two, but behind a
 # full link or after a packet was lost, which is sent again after a second.
-LOOK_TIMEOUT_MS = 1_500
+LIVENESS_PROBE_TIMEOUT_MS = 1_500
 # All calls of an endpoint that ends break within some milliseconds; one
 # that is back takes seconds to start.
 LOOK_SERVES_MS = 500
@@ -92,7 +92,7 @@
             look = self._looks[run.endpoint] = _Look(
                 now_ms,
                 asyncio.ensure_future(
-                    self._look(run.address, LOOK_TIMEOUT_MS)
+                    self._look(run.address, LIVENESS_PROBE_TIMEOUT_MS)
                 ),
             )
         # Who leaves must not take the look from the others that wait.
