--- a/wrenspoke/coordination/quarantine/runs.py
+++ b/wrenspoke/coordination/quarantine/runs.py
@@ -24,7 +24,7 @@
 LIVENESS_PROBE_TIMEOUT_MS = 1_500
 # All calls of an endpoint that ends break within some milliseconds; one
 # that is back takes seconds to start.
-LOOK_SERVES_MS = 500
+PROBE_REUSE_MS = 500
 
 
 # Tells whether connections to an address are refused.
@@ -50,7 +50,7 @@
 
     def serves(self, now_ms: int) -> bool:
         """Tell whether it shows what a run broke by that breaks now."""
-        if now_ms - self.began_ms > LOOK_SERVES_MS:
+        if now_ms - self.began_ms > PROBE_REUSE_MS:
             return False
         return not self.refused.done() or self.refused.result()
 
