--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -52,7 +52,7 @@
         peers: peer_calls.Peers,
         leaves: Leaves,
         clock: clocks.Clock,
-        look: runs.Look = reachable.is_refused,
+        look: runs.Probe = reachable.is_refused,
     ):
         self._replica = held
         self._reporter = reporter
--- a/wrenspoke/coordination/quarantine/runs.py
+++ b/wrenspoke/coordination/quarantine/runs.py
@@ -28,7 +28,7 @@
 
 
 # Tells whether connections to an address are refused.
-Look = collections.abc.Callable[[str, int], collections.abc.Awaitable[bool]]
+Probe = collections.abc.Callable[[str, int], collections.abc.Awaitable[bool]]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -58,7 +58,9 @@
 class RunWatch:
     """Tell runs that ended their endpoint from runs that broke."""
 
-    def __init__(self, clock: clocks.Clock, look: Look = reachable.is_refused):
+    def __init__(
+        self, clock: clocks.Clock, look: Probe = reachable.is_refused
+    ):
         self._clock = clock
         self._look = look
         self._looks: dict[ids.EndpointId, _Look] = {}
