--- a/wrenspoke/coordination/quarantine/runs.py
+++ b/wrenspoke/coordination/quarantine/runs.py
@@ -42,7 +42,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Look:
+class _ProbeResult:
     """Hold what a look at an endpoint showed, or will show."""
 
     began_ms: int
@@ -63,7 +63,7 @@
     ):
         self._clock = clock
         self._look = look
-        self._looks: dict[ids.EndpointId, _Look] = {}
+        self._looks: dict[ids.EndpointId, _ProbeResult] = {}
 
     def began(
         self,
@@ -91,7 +91,7 @@
         now_ms = self._clock.mono_ms()
         if look is None or not look.serves(now_ms):
             self._forget_looks(now_ms)
-            look = self._looks[run.endpoint] = _Look(
+            look = self._looks[run.endpoint] = _ProbeResult(
                 now_ms,
                 asyncio.ensure_future(
                     self._look(run.address, LIVENESS_PROBE_TIMEOUT_MS)
