--- a/wrenspoke/coordination/quarantine/runs.py
+++ b/wrenspoke/coordination/quarantine/runs.py
@@ -38,7 +38,7 @@
     digest: ids.RequestDigest
     endpoint: ids.EndpointId
     address: str
-    began_ms: int
+    dispatched_ms: int
 
 
 @dataclasses.dataclass(slots=True)
