--- a/wrenspoke/coordination/quarantine/runs.py
+++ b/wrenspoke/coordination/quarantine/runs.py
@@ -45,12 +45,12 @@
 class _ProbeResult:
     """Hold what a look at an endpoint showed, or will show."""
 
-    began_ms: int
+    probed_ms: int
     refused: asyncio.Future
 
     def serves(self, now_ms: int) -> bool:
         """Tell whether it shows what a run broke by that breaks now."""
-        if now_ms - self.began_ms > PROBE_REUSE_MS:
+        if now_ms - self.probed_ms > PROBE_REUSE_MS:
             return False
         return not self.refused.done() or self.refused.result()
 
