--- a/benches/switches_quarantine.py
+++ b/benches/switches_quarantine.py
@@ -40,7 +40,7 @@
     Switch(
         'a look for each run',
         QUARANTINE + 'runs.py',
-        'if look is None or not look.serves(now_ms):',
+        'if look is None or not look.is_reusable(now_ms):',
         'if True:',
         f'{UNITS}::test_one_look_serves_all_runs_of_an_endpoint',
     ),
--- a/wrenspoke/coordination/quarantine/runs.py
+++ b/wrenspoke/coordination/quarantine/runs.py
@@ -48,7 +48,7 @@
     probed_ms: int
     refused: asyncio.Future
 
-    def serves(self, now_ms: int) -> bool:
+    def is_reusable(self, now_ms: int) -> bool:
         """Tell whether it shows what a run broke by that breaks now."""
         if now_ms - self.probed_ms > PROBE_REUSE_MS:
             return False
@@ -89,7 +89,7 @@
     async def _has_ended(self, run: Run) -> bool:
         look = self._looks.get(run.endpoint)
         now_ms = self._clock.mono_ms()
-        if look is None or not look.serves(now_ms):
+        if look is None or not look.is_reusable(now_ms):
             self._forget_looks(now_ms)
             look = self._looks[run.endpoint] = _ProbeResult(
                 now_ms,
@@ -102,5 +102,5 @@
 
     def _forget_looks(self, now_ms: int) -> None:
         for endpoint, look in list(self._looks.items()):
-            if not look.serves(now_ms):
+            if not look.is_reusable(now_ms):
                 del self._looks[endpoint]
