--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -58,7 +58,7 @@
         self._reporter = reporter
         self._leaves = leaves
         self._clock = clock
-        self._watch = runs.RunWatch(clock, look)
+        self._watch = runs.RunTracker(clock, look)
         self._ended = ended_runs.CrashHistory(clock)
         self._good = good_ends.RecentSuccesses(clock)
         # Until when requests are held that no decision exists on.
--- a/wrenspoke/coordination/quarantine/runs.py
+++ b/wrenspoke/coordination/quarantine/runs.py
@@ -55,7 +55,7 @@
         return not self.refused.done() or self.refused.result()
 
 
-class RunWatch:
+class RunTracker:
     """Tell runs that ended their endpoint from runs that broke."""
 
     def __init__(
