--- a/wrenspoke/coordination/quarantine/runs.py
+++ b/wrenspoke/coordination/quarantine/runs.py
@@ -62,7 +62,7 @@
         self, clock: clocks.Clock, look: Probe = reachable.is_refused
     ):
         self._clock = clock
-        self._look = look
+        self._probe = look
         self._looks: dict[ids.EndpointId, _ProbeResult] = {}
 
     def began(
@@ -94,7 +94,7 @@
             look = self._looks[run.endpoint] = _ProbeResult(
                 now_ms,
                 asyncio.ensure_future(
-                    self._look(run.address, LIVENESS_PROBE_TIMEOUT_MS)
+                    self._probe(run.address, LIVENESS_PROBE_TIMEOUT_MS)
                 ),
             )
         # Who leaves must not take the look from the others that wait.
