--- a/wrenspoke/coordination/quarantine/runs.py
+++ b/wrenspoke/coordination/quarantine/runs.py
@@ -63,7 +63,7 @@
     ):
         self._clock = clock
         self._probe = look
-        self._looks: dict[ids.EndpointId, _ProbeResult] = {}
+        self._probe_results: dict[ids.EndpointId, _ProbeResult] = {}
 
     def began(
         self,
@@ -87,11 +87,11 @@
         return ended
 
     async def _has_ended(self, run: Run) -> bool:
-        look = self._looks.get(run.endpoint)
+        look = self._probe_results.get(run.endpoint)
         now_ms = self._clock.mono_ms()
         if look is None or not look.is_reusable(now_ms):
             self._forget_looks(now_ms)
-            look = self._looks[run.endpoint] = _ProbeResult(
+            look = self._probe_results[run.endpoint] = _ProbeResult(
                 now_ms,
                 asyncio.ensure_future(
                     self._probe(run.address, LIVENESS_PROBE_TIMEOUT_MS)
@@ -101,6 +101,6 @@
         return await asyncio.shield(look.refused)
 
     def _forget_looks(self, now_ms: int) -> None:
-        for endpoint, look in list(self._looks.items()):
+        for endpoint, look in list(self._probe_results.items()):
             if not look.is_reusable(now_ms):
-                del self._looks[endpoint]
+                del self._probe_results[endpoint]
