--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -132,7 +132,7 @@
         address: str,
     ) -> runs.Run:
         """Record that a request is sent to an endpoint."""
-        return self._watch.began(digest, endpoint, address)
+        return self._watch.start_run(digest, endpoint, address)
 
     def ended_well(self, run: runs.Run) -> None:
         """Record a run that ended well, and clear its request."""
--- a/wrenspoke/coordination/quarantine/runs.py
+++ b/wrenspoke/coordination/quarantine/runs.py
@@ -65,7 +65,7 @@
         self._probe = look
         self._probe_results: dict[ids.EndpointId, _ProbeResult] = {}
 
-    def began(
+    def start_run(
         self,
         digest: ids.RequestDigest,
         endpoint: ids.EndpointId,
