--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -158,7 +158,7 @@
         Not if the request ended well elsewhere recently, or if the endpoint
         was leaving.
         """
-        if not await self._watch.broke(run) or not run.digest:
+        if not await self._watch.check_crashed(run) or not run.digest:
             return
         if self._good.has_recent(run.digest) or self._leaves(run.endpoint):
             return
--- a/wrenspoke/coordination/quarantine/runs.py
+++ b/wrenspoke/coordination/quarantine/runs.py
@@ -74,7 +74,7 @@
         """Note that an endpoint is sent a request."""
         return Run(digest, endpoint, address, self._clock.mono_ms())
 
-    async def broke(self, run: Run) -> bool:
+    async def check_crashed(self, run: Run) -> bool:
         """Take a run that broke off; return whether its endpoint ended."""
         ended = await self._has_ended(run)
         logger.info(
