--- a/wrenspoke/coordination/quarantine/runs.py
+++ b/wrenspoke/coordination/quarantine/runs.py
@@ -76,7 +76,7 @@
 
     async def check_crashed(self, run: Run) -> bool:
         """Take a run that broke off; return whether its endpoint ended."""
-        ended = await self._has_ended(run)
+        ended = await self._probe_liveness(run)
         logger.info(
             'run_broke',
             digest=run.digest,
@@ -86,7 +86,7 @@
         )
         return ended
 
-    async def _has_ended(self, run: Run) -> bool:
+    async def _probe_liveness(self, run: Run) -> bool:
         look = self._probe_results.get(run.endpoint)
         now_ms = self._clock.mono_ms()
         if look is None or not look.is_reusable(now_ms):
