--- a/wrenspoke/coordination/quarantine/runs.py
+++ b/wrenspoke/coordination/quarantine/runs.py
@@ -90,7 +90,7 @@
         look = self._probe_results.get(run.endpoint)
         now_ms = self._clock.mono_ms()
         if look is None or not look.is_reusable(now_ms):
-            self._forget_looks(now_ms)
+            self._evict_stale_results(now_ms)
             look = self._probe_results[run.endpoint] = _ProbeResult(
                 now_ms,
                 asyncio.ensure_future(
@@ -100,7 +100,7 @@
         # Who leaves must not take the look from the others that wait.
         return await asyncio.shield(look.refused)
 
-    def _forget_looks(self, now_ms: int) -> None:
+    def _evict_stale_results(self, now_ms: int) -> None:
         for endpoint, look in list(self._probe_results.items()):
             if not look.is_reusable(now_ms):
                 del self._probe_results[endpoint]
