--- a/wrenspoke/coordination/quarantine/reporter.py
+++ b/wrenspoke/coordination/quarantine/reporter.py
@@ -22,7 +22,7 @@
 logger = structlog.get_logger(__name__)
 
 # All calls of an endpoint that ended are told in one message.
-GATHER_MS = 4
+BATCH_DELAY_MS = 4
 # Some far round trips of 160 ms.
 CALL_TIMEOUT_MS = 1_000
 # To who could not be told: soon after a cut has healed, and next to nothing
@@ -107,7 +107,7 @@
         return list(self._queues.values())
 
     async def _empty(self, host: ids.HostId, queue: _Queue) -> None:
-        await self._clock.sleep_ms(GATHER_MS)
+        await self._clock.sleep_ms(BATCH_DELAY_MS)
         while not queue.empty and self._queues.get(host) is queue:
             if not await self._tell(host, queue):
                 await self._clock.sleep_ms(RETRY_MS)
