--- a/wrenspoke/coordination/quarantine/reporter.py
+++ b/wrenspoke/coordination/quarantine/reporter.py
@@ -27,7 +27,7 @@
 CALL_TIMEOUT_MS = 1_000
 # To who could not be told: soon after a cut has healed, and next to nothing
 # while it lasts.
-RETRY_MS = 500
+RETRY_INTERVAL_MS = 500
 # Told again to a control host that has started anew.
 KEPT_LIMIT = 1_000
 
@@ -110,7 +110,7 @@
         await self._clock.sleep_ms(BATCH_DELAY_MS)
         while not queue.empty and self._queues.get(host) is queue:
             if not await self._tell(host, queue):
-                await self._clock.sleep_ms(RETRY_MS)
+                await self._clock.sleep_ms(RETRY_INTERVAL_MS)
 
     async def _tell(self, host: ids.HostId, queue: _Queue) -> bool:
         ends, cleared = self._young(queue.ends), list(queue.cleared)
