--- a/wrenspoke/coordination/quarantine/reporter.py
+++ b/wrenspoke/coordination/quarantine/reporter.py
@@ -29,7 +29,7 @@
 # while it lasts.
 RETRY_INTERVAL_MS = 500
 # Told again to a control host that has started anew.
-KEPT_LIMIT = 1_000
+MAX_QUEUED_CRASHES = 1_000
 
 Gatherers = collections.abc.Callable[[], list[ids.HostId]]
 HeardHold = collections.abc.Callable[[quarantining.Hold], None]
@@ -41,7 +41,7 @@
 
     def __init__(self):
         self.ends: collections.deque[OwnEnd] = collections.deque(
-            maxlen=KEPT_LIMIT
+            maxlen=MAX_QUEUED_CRASHES
         )
         self.cleared: dict[ids.RequestDigest, None] = {}
         self.life = ''
@@ -65,7 +65,7 @@
         self._peers = peers
         self._clock = clock
         self._own: collections.deque[OwnEnd] = collections.deque(
-            maxlen=KEPT_LIMIT
+            maxlen=MAX_QUEUED_CRASHES
         )
         self._queues: dict[ids.HostId, _Queue] = {}
         self._heard: HeardHold | None = None
