--- a/wrenspoke/coordination/quarantine/reporter.py
+++ b/wrenspoke/coordination/quarantine/reporter.py
@@ -31,7 +31,7 @@
 # Told again to a control host that has started anew.
 MAX_QUEUED_CRASHES = 1_000
 
-Gatherers = collections.abc.Callable[[], list[ids.HostId]]
+ListAggregators = collections.abc.Callable[[], list[ids.HostId]]
 HeardHold = collections.abc.Callable[[quarantining.Hold], None]
 OwnEnd = tuple[ids.RequestDigest, ids.EndpointId, int]
 
@@ -57,7 +57,7 @@
 
     def __init__(
         self,
-        gatherers: Gatherers,
+        gatherers: ListAggregators,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
