--- a/wrenspoke/coordination/quarantine/reporter.py
+++ b/wrenspoke/coordination/quarantine/reporter.py
@@ -32,7 +32,7 @@
 MAX_QUEUED_CRASHES = 1_000
 
 ListAggregators = collections.abc.Callable[[], list[ids.HostId]]
-HeardHold = collections.abc.Callable[[quarantining.Hold], None]
+HoldCallback = collections.abc.Callable[[quarantining.Hold], None]
 OwnEnd = tuple[ids.RequestDigest, ids.EndpointId, int]
 
 
@@ -68,10 +68,10 @@
             maxlen=MAX_QUEUED_CRASHES
         )
         self._queues: dict[ids.HostId, _Queue] = {}
-        self._heard: HeardHold | None = None
+        self._heard: HoldCallback | None = None
         self._tasks = runtime.Tasks()
 
-    def tell_holds(self, heard: HeardHold) -> None:
+    def tell_holds(self, heard: HoldCallback) -> None:
         """Have what gathering hosts hold off told to ``heard``."""
         self._heard = heard
 
