--- a/wrenspoke/coordination/quarantine/reporter.py
+++ b/wrenspoke/coordination/quarantine/reporter.py
@@ -33,14 +33,14 @@
 
 ListAggregators = collections.abc.Callable[[], list[ids.HostId]]
 HoldCallback = collections.abc.Callable[[quarantining.Hold], None]
-OwnEnd = tuple[ids.RequestDigest, ids.EndpointId, int]
+LocalCrash = tuple[ids.RequestDigest, ids.EndpointId, int]
 
 
 class _Queue:
     """Hold what one gathering host has not been told."""
 
     def __init__(self):
-        self.ends: collections.deque[OwnEnd] = collections.deque(
+        self.ends: collections.deque[LocalCrash] = collections.deque(
             maxlen=MAX_QUEUED_CRASHES
         )
         self.cleared: dict[ids.RequestDigest, None] = {}
@@ -64,7 +64,7 @@
         self._gatherers = gatherers
         self._peers = peers
         self._clock = clock
-        self._own: collections.deque[OwnEnd] = collections.deque(
+        self._own: collections.deque[LocalCrash] = collections.deque(
             maxlen=MAX_QUEUED_CRASHES
         )
         self._queues: dict[ids.HostId, _Queue] = {}
@@ -134,7 +134,7 @@
     async def _call(
         self,
         host: ids.HostId,
-        ends: list[OwnEnd],
+        ends: list[LocalCrash],
         cleared: list[ids.RequestDigest],
     ) -> quarantining.RunsNoted | None:
         now_ms = self._clock.mono_ms()
@@ -153,10 +153,12 @@
             return None
         return answer
 
-    def _young(self, ends: collections.abc.Iterable[OwnEnd]) -> list[OwnEnd]:
+    def _young(
+        self, ends: collections.abc.Iterable[LocalCrash]
+    ) -> list[LocalCrash]:
         oldest_ms = self._clock.mono_ms() - ended_runs.RETENTION_MS
         return [end for end in ends if _time_of(end) > oldest_ms]
 
 
-def _time_of(end: OwnEnd) -> int:
+def _time_of(end: LocalCrash) -> int:
     return end[2]
