--- a/wrenspoke/coordination/quarantine/reporter.py
+++ b/wrenspoke/coordination/quarantine/reporter.py
@@ -36,7 +36,7 @@
 LocalCrash = tuple[ids.RequestDigest, ids.EndpointId, int]
 
 
-class _Queue:
+class _ReportQueue:
     """Hold what one gathering host has not been told."""
 
     def __init__(self):
@@ -67,7 +67,7 @@
         self._own: collections.deque[LocalCrash] = collections.deque(
             maxlen=MAX_QUEUED_CRASHES
         )
-        self._queues: dict[ids.HostId, _Queue] = {}
+        self._queues: dict[ids.HostId, _ReportQueue] = {}
         self._heard: HoldCallback | None = None
         self._tasks = runtime.Tasks()
 
@@ -93,26 +93,26 @@
         for queue in self._waking():
             queue.cleared[digest] = None
 
-    def _waking(self) -> list[_Queue]:
+    def _waking(self) -> list[_ReportQueue]:
         """Return the queues of all who gather, about to be emptied."""
         gatherers = self._gatherers()
         for host in set(self._queues).difference(gatherers):
             del self._queues[host]
         for host in gatherers:
-            queue = self._queues.setdefault(host, _Queue())
+            queue = self._queues.setdefault(host, _ReportQueue())
             if queue.task is None or queue.task.done():
                 queue.task = self._tasks.start(
                     self._empty(host, queue), fatal=False
                 )
         return list(self._queues.values())
 
-    async def _empty(self, host: ids.HostId, queue: _Queue) -> None:
+    async def _empty(self, host: ids.HostId, queue: _ReportQueue) -> None:
         await self._clock.sleep_ms(BATCH_DELAY_MS)
         while not queue.empty and self._queues.get(host) is queue:
             if not await self._tell(host, queue):
                 await self._clock.sleep_ms(RETRY_INTERVAL_MS)
 
-    async def _tell(self, host: ids.HostId, queue: _Queue) -> bool:
+    async def _tell(self, host: ids.HostId, queue: _ReportQueue) -> bool:
         ends, cleared = self._young(queue.ends), list(queue.cleared)
         queue.ends.clear()
         queue.cleared.clear()
