--- a/wrenspoke/coordination/quarantine/reporter.py
+++ b/wrenspoke/coordination/quarantine/reporter.py
@@ -40,7 +40,7 @@
     """Hold what one gathering host has not been told."""
 
     def __init__(self):
-        self.ends: collections.deque[LocalCrash] = collections.deque(
+        self.crashes: collections.deque[LocalCrash] = collections.deque(
             maxlen=MAX_QUEUED_CRASHES
         )
         self.cleared: dict[ids.RequestDigest, None] = {}
@@ -49,7 +49,7 @@
 
     @property
     def empty(self) -> bool:
-        return not self.ends and not self.cleared
+        return not self.crashes and not self.cleared
 
 
 class Reporter:
