--- a/wrenspoke/coordination/quarantine/reporter.py
+++ b/wrenspoke/coordination/quarantine/reporter.py
@@ -44,7 +44,7 @@
             maxlen=MAX_QUEUED_CRASHES
         )
         self.cleared: dict[ids.RequestDigest, None] = {}
-        self.life = ''
+        self.instance_id = ''
         self.task: asyncio.Task | None = None
 
     @property
