--- a/wrenspoke/coordination/quarantine/reporter.py
+++ b/wrenspoke/coordination/quarantine/reporter.py
@@ -48,7 +48,7 @@
         self.task: asyncio.Task | None = None
 
     @property
-    def empty(self) -> bool:
+    def is_empty(self) -> bool:
         return not self.crashes and not self.cleared
 
 
