--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -92,7 +92,7 @@
         self._fleet = fleet
         self.guard = guard.Guard(
             self.replica,
-            reporter.Reporter(
+            reporter.CrashReporter(
                 lambda: list(fleet.controls), self.peers, self.clock
             ),
             self.peers,
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -48,7 +48,7 @@
     def __init__(
         self,
         held: replica.Replica,
-        reporter: reporters.Reporter,
+        reporter: reporters.CrashReporter,
         peers: peer_calls.Peers,
         leaves: Leaves,
         clock: clocks.Clock,
--- a/wrenspoke/coordination/quarantine/reporter.py
+++ b/wrenspoke/coordination/quarantine/reporter.py
@@ -52,7 +52,7 @@
         return not self.crashes and not self.cleared
 
 
-class Reporter:
+class CrashReporter:
     """Tell each gathering host once, for as long as it takes."""
 
     def __init__(
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -242,7 +242,7 @@
         """Build what holds back requests that end endpoints."""
         self._guard = guard.Guard(
             self.replica,
-            reporter.Reporter(self.group.others, self.peers, self.clock),
+            reporter.CrashReporter(self.group.others, self.peers, self.clock),
             self.peers,
             self._leaves,
             self.clock,
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -160,7 +160,7 @@
         gatherers = [ids.HostId(host.host) for host in told]
         self._guard = guard.Guard(
             self.replica,
-            reporter.Reporter(lambda: gatherers, self.peers, self._clock),
+            reporter.CrashReporter(lambda: gatherers, self.peers, self._clock),
             self.peers,
             self._leaves,
             self._clock,
