--- a/wrenspoke/coordination/quarantine/reporter.py
+++ b/wrenspoke/coordination/quarantine/reporter.py
@@ -61,7 +61,7 @@
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
-        self._gatherers = gatherers
+        self._list_aggregators = gatherers
         self._peers = peers
         self._clock = clock
         self._own: collections.deque[LocalCrash] = collections.deque(
@@ -95,7 +95,7 @@
 
     def _waking(self) -> list[_ReportQueue]:
         """Return the queues of all who gather, about to be emptied."""
-        gatherers = self._gatherers()
+        gatherers = self._list_aggregators()
         for host in set(self._queues).difference(gatherers):
             del self._queues[host]
         for host in gatherers:
