--- a/wrenspoke/coordination/quarantine/reporter.py
+++ b/wrenspoke/coordination/quarantine/reporter.py
@@ -64,7 +64,7 @@
         self._list_aggregators = gatherers
         self._peers = peers
         self._clock = clock
-        self._own: collections.deque[LocalCrash] = collections.deque(
+        self._local_crashes: collections.deque[LocalCrash] = collections.deque(
             maxlen=MAX_QUEUED_CRASHES
         )
         self._queues: dict[ids.HostId, _ReportQueue] = {}
@@ -84,7 +84,7 @@
     ) -> None:
         """Tell that an endpoint has just ended under a request."""
         end = (digest, endpoint, self._clock.mono_ms())
-        self._own.append(end)
+        self._local_crashes.append(end)
         for queue in self._waking():
             queue.ends.append(end)
 
@@ -127,7 +127,7 @@
         if answer.life != queue.life:
             # It knows nothing of what it was told before.
             queue.life = answer.life
-            older = set(self._young(self._own)).difference(ends)
+            older = set(self._young(self._local_crashes)).difference(ends)
             queue.ends.extend(sorted(older, key=_time_of))
         return True
 
