--- a/wrenspoke/coordination/quarantine/reporter.py
+++ b/wrenspoke/coordination/quarantine/reporter.py
@@ -68,12 +68,12 @@
             maxlen=MAX_QUEUED_CRASHES
         )
         self._queues: dict[ids.HostId, _ReportQueue] = {}
-        self._heard: HoldCallback | None = None
+        self._hold_callback: HoldCallback | None = None
         self._tasks = runtime.Tasks()
 
     def tell_holds(self, heard: HoldCallback) -> None:
         """Have what gathering hosts hold off told to ``heard``."""
-        self._heard = heard
+        self._hold_callback = heard
 
     async def close(self) -> None:
         """Tell nobody any more."""
@@ -122,8 +122,8 @@
             queue.cleared.update(dict.fromkeys(cleared))
             return False
         for hold in answer.holds:
-            if self._heard is not None:
-                self._heard(hold)
+            if self._hold_callback is not None:
+                self._hold_callback(hold)
         if answer.life != queue.life:
             # It knows nothing of what it was told before.
             queue.life = answer.life
