--- a/wrenspoke/coordination/quarantine/reporter.py
+++ b/wrenspoke/coordination/quarantine/reporter.py
@@ -71,7 +71,7 @@
         self._hold_callback: HoldCallback | None = None
         self._tasks = runtime.Tasks()
 
-    def tell_holds(self, heard: HoldCallback) -> None:
+    def set_hold_callback(self, heard: HoldCallback) -> None:
         """Have what gathering hosts hold off told to ``heard``."""
         self._hold_callback = heard
 
