--- a/wrenspoke/coordination/quarantine/reporter.py
+++ b/wrenspoke/coordination/quarantine/reporter.py
@@ -79,7 +79,7 @@
         """Tell nobody any more."""
         await self._tasks.close()
 
-    def ended(
+    def report_crash(
         self, digest: ids.RequestDigest, endpoint: ids.EndpointId
     ) -> None:
         """Tell that an endpoint has just ended under a request."""
