--- a/wrenspoke/coordination/quarantine/reporter.py
+++ b/wrenspoke/coordination/quarantine/reporter.py
@@ -88,7 +88,7 @@
         for queue in self._waking():
             queue.ends.append(end)
 
-    def cleared(self, digest: ids.RequestDigest) -> None:
+    def report_success(self, digest: ids.RequestDigest) -> None:
         """Tell that an endpoint ran a request to a good end."""
         for queue in self._waking():
             queue.cleared[digest] = None
