--- a/wrenspoke/coordination/quarantine/reporter.py
+++ b/wrenspoke/coordination/quarantine/reporter.py
@@ -85,15 +85,15 @@
         """Tell that an endpoint has just ended under a request."""
         end = (digest, endpoint, self._clock.mono_ms())
         self._local_crashes.append(end)
-        for queue in self._waking():
+        for queue in self._active_queues():
             queue.ends.append(end)
 
     def report_success(self, digest: ids.RequestDigest) -> None:
         """Tell that an endpoint ran a request to a good end."""
-        for queue in self._waking():
+        for queue in self._active_queues():
             queue.cleared[digest] = None
 
-    def _waking(self) -> list[_ReportQueue]:
+    def _active_queues(self) -> list[_ReportQueue]:
         """Return the queues of all who gather, about to be emptied."""
         gatherers = self._list_aggregators()
         for host in set(self._queues).difference(gatherers):
