--- a/wrenspoke/coordination/quarantine/reporter.py
+++ b/wrenspoke/coordination/quarantine/reporter.py
@@ -102,11 +102,11 @@
             queue = self._queues.setdefault(host, _ReportQueue())
             if queue.task is None or queue.task.done():
                 queue.task = self._tasks.start(
-                    self._empty(host, queue), fatal=False
+                    self._send_queue(host, queue), fatal=False
                 )
         return list(self._queues.values())
 
-    async def _empty(self, host: ids.HostId, queue: _ReportQueue) -> None:
+    async def _send_queue(self, host: ids.HostId, queue: _ReportQueue) -> None:
         await self._clock.sleep_ms(BATCH_DELAY_MS)
         while not queue.empty and self._queues.get(host) is queue:
             if not await self._tell(host, queue):
