--- a/wrenspoke/coordination/quarantine/reporter.py
+++ b/wrenspoke/coordination/quarantine/reporter.py
@@ -109,10 +109,10 @@
     async def _send_queue(self, host: ids.HostId, queue: _ReportQueue) -> None:
         await self._clock.sleep_ms(BATCH_DELAY_MS)
         while not queue.empty and self._queues.get(host) is queue:
-            if not await self._tell(host, queue):
+            if not await self._send_batch(host, queue):
                 await self._clock.sleep_ms(RETRY_INTERVAL_MS)
 
-    async def _tell(self, host: ids.HostId, queue: _ReportQueue) -> bool:
+    async def _send_batch(self, host: ids.HostId, queue: _ReportQueue) -> bool:
         ends, cleared = self._young(queue.ends), list(queue.cleared)
         queue.ends.clear()
         queue.cleared.clear()
