--- a/wrenspoke/coordination/quarantine/reporter.py
+++ b/wrenspoke/coordination/quarantine/reporter.py
@@ -116,7 +116,7 @@
         ends, cleared = self._young(queue.ends), list(queue.cleared)
         queue.ends.clear()
         queue.cleared.clear()
-        answer = await self._call(host, ends, cleared)
+        answer = await self._send_report(host, ends, cleared)
         if answer is None:
             queue.ends.extendleft(reversed(ends))
             queue.cleared.update(dict.fromkeys(cleared))
@@ -131,7 +131,7 @@
             queue.ends.extend(sorted(older, key=_time_of))
         return True
 
-    async def _call(
+    async def _send_report(
         self,
         host: ids.HostId,
         ends: list[LocalCrash],
