--- a/wrenspoke/coordination/quarantine/reporter.py
+++ b/wrenspoke/coordination/quarantine/reporter.py
@@ -113,7 +113,7 @@
                 await self._clock.sleep_ms(RETRY_INTERVAL_MS)
 
     async def _send_batch(self, host: ids.HostId, queue: _ReportQueue) -> bool:
-        ends, cleared = self._young(queue.ends), list(queue.cleared)
+        ends, cleared = self._unexpired(queue.ends), list(queue.cleared)
         queue.ends.clear()
         queue.cleared.clear()
         answer = await self._send_report(host, ends, cleared)
@@ -127,7 +127,7 @@
         if answer.life != queue.life:
             # It knows nothing of what it was told before.
             queue.life = answer.life
-            older = set(self._young(self._local_crashes)).difference(ends)
+            older = set(self._unexpired(self._local_crashes)).difference(ends)
             queue.ends.extend(sorted(older, key=_time_of))
         return True
 
@@ -153,7 +153,7 @@
             return None
         return answer
 
-    def _young(
+    def _unexpired(
         self, ends: collections.abc.Iterable[LocalCrash]
     ) -> list[LocalCrash]:
         oldest_ms = self._clock.mono_ms() - ended_runs.RETENTION_MS
