--- a/wrenspoke/coordination/quarantine/reporter.py
+++ b/wrenspoke/coordination/quarantine/reporter.py
@@ -128,7 +128,7 @@
             # It knows nothing of what it was told before.
             queue.life = answer.life
             older = set(self._unexpired(self._local_crashes)).difference(ends)
-            queue.ends.extend(sorted(older, key=_time_of))
+            queue.ends.extend(sorted(older, key=_crashed_ms))
         return True
 
     async def _send_report(
@@ -157,8 +157,8 @@
         self, ends: collections.abc.Iterable[LocalCrash]
     ) -> list[LocalCrash]:
         oldest_ms = self._clock.mono_ms() - ended_runs.RETENTION_MS
-        return [end for end in ends if _time_of(end) > oldest_ms]
+        return [end for end in ends if _crashed_ms(end) > oldest_ms]
 
 
-def _time_of(end: LocalCrash) -> int:
+def _crashed_ms(end: LocalCrash) -> int:
     return end[2]
