--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -180,7 +180,7 @@
     )
     host = list(fleet.hosts.values())[4]
     assert await host.send(FATAL, 'mended', fatal=False)
-    await fleet.wait_ms(2 * gatherer.LOOK_INTERVAL_MS + 1_000)
+    await fleet.wait_ms(2 * gatherer.CHECK_INTERVAL_MS + 1_000)
     assert not fleet.state.configuration.quarantine
     await fleet.close()
 
--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -32,7 +32,7 @@
 logger = structlog.get_logger(__name__)
 
 # Trials are due after minutes.
-LOOK_INTERVAL_MS = 1_000
+CHECK_INTERVAL_MS = 1_000
 # Two far round trips: a host that ran the request well of late says so
 # before it is decided. It is held meanwhile.
 OBJECTION_MS = 350
@@ -200,7 +200,7 @@
             self._take_decisions()
             await self._decide()
             try:
-                async with clocks.timeout_ms(LOOK_INTERVAL_MS):
+                async with clocks.timeout_ms(CHECK_INTERVAL_MS):
                     await changed.wait()
             except TimeoutError:
                 continue
