--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -35,7 +35,7 @@
 CHECK_INTERVAL_MS = 1_000
 # Two far round trips: a host that ran the request well of late says so
 # before it is decided. It is held meanwhile.
-OBJECTION_MS = 350
+OBJECTION_WINDOW_MS = 350
 CALL_TIMEOUT_MS = 1_000
 # Without a leader holds end by themselves: who ends one more endpoint then
 # has all others told again, or each of them would end one.
@@ -190,7 +190,7 @@
     # Having it decided.
 
     async def _decide_soon(self) -> None:
-        await self._clock.sleep_ms(OBJECTION_MS)
+        await self._clock.sleep_ms(OBJECTION_WINDOW_MS)
         await self._decide()
 
     async def _watch(self) -> None:
@@ -246,7 +246,7 @@
         entered = [
             quarantine.Quarantined(digest, self._ends(digest))
             for digest, told_ms in self._fatal_ms.items()
-            if now_ms - told_ms >= OBJECTION_MS
+            if now_ms - told_ms >= OBJECTION_WINDOW_MS
         ]
         entered += self._due_for_trial(now_ms)
         if not entered and not self._cleared:
