--- a/benches/switches_quarantine.py
+++ b/benches/switches_quarantine.py
@@ -76,7 +76,7 @@
     Switch(
         'nobody told again',
         QUARANTINE + 'gatherer.py',
-        'now_ms - told_ms < TOLD_AGAIN_MS',
+        'now_ms - told_ms < RENOTIFY_INTERVAL_MS',
         'True',
         f'{FLEET}::test_region_that_is_cut_off_for_long_tries_it_once_a'
         '_minute',
--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -39,7 +39,7 @@
 CALL_TIMEOUT_MS = 1_000
 # Without a leader holds end by themselves: who ends one more endpoint then
 # has all others told again, or each of them would end one.
-TOLD_AGAIN_MS = holds.PROVISIONAL_HOLD_MS // 2
+RENOTIFY_INTERVAL_MS = holds.PROVISIONAL_HOLD_MS // 2
 
 # Returns the entry hosts of this region, or of all.
 Hosts = collections.abc.Callable[[bool], list[ids.HostId]]
@@ -122,7 +122,7 @@
         if ends < ended_runs.CRASH_THRESHOLD:
             return False
         told_ms = self._fatal_ms.get(end.digest)
-        if told_ms is not None and now_ms - told_ms < TOLD_AGAIN_MS:
+        if told_ms is not None and now_ms - told_ms < RENOTIFY_INTERVAL_MS:
             return False
         logger.warning(
             'request_ends_endpoints',
