--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -42,7 +42,7 @@
 RENOTIFY_INTERVAL_MS = holds.PROVISIONAL_HOLD_MS // 2
 
 # Returns the entry hosts of this region, or of all.
-Hosts = collections.abc.Callable[[bool], list[ids.HostId]]
+ListEntryHosts = collections.abc.Callable[[bool], list[ids.HostId]]
 
 
 class Elected(typing.Protocol):
@@ -63,7 +63,7 @@
         self,
         elected: Elected,
         held: replica.Replica,
-        hosts: Hosts,
+        hosts: ListEntryHosts,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
