--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -45,7 +45,7 @@
 ListEntryHosts = collections.abc.Callable[[bool], list[ids.HostId]]
 
 
-class Elected(typing.Protocol):
+class LocalVoter(typing.Protocol):
     """A voter that can have an entry decided."""
 
     @property
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        elected: Elected,
+        elected: LocalVoter,
         held: replica.Replica,
         hosts: ListEntryHosts,
         peers: peer_calls.Peers,
