--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -56,7 +56,7 @@
         self.replica = replica.Replica()
         self.voter = Voter(fleet)
         self._fleet = fleet
-        self._gatherer = gatherer.Gatherer(
+        self._gatherer = gatherer.CrashAggregator(
             self.voter,
             self.replica,
             self._entry_hosts,
--- a/wrenspoke/control_node.py
+++ b/wrenspoke/control_node.py
@@ -72,7 +72,7 @@
         self._allocator = allocator.Allocator(
             self.voter, self.peers, self.clock
         )
-        self._gatherer = gatherer.Gatherer(
+        self._gatherer = gatherer.CrashAggregator(
             self.voter, self.replica, self._entry_hosts, self.peers, self.clock
         )
         self._tasks = runtime.Tasks()
--- a/wrenspoke/controld.py
+++ b/wrenspoke/controld.py
@@ -85,7 +85,7 @@
             self.peers,
             clock,
         )
-        self._gatherer = gatherer.Gatherer(
+        self._gatherer = gatherer.CrashAggregator(
             self.voter, self.replica, self._entry_hosts, self.peers, clock
         )
         surface = operators.OperatorSurface(self.control, deployment.operators)
--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -56,7 +56,7 @@
         """Write an entry and wait until it is applied."""
 
 
-class Gatherer:
+class CrashAggregator:
     """Gather ends of endpoints, and have requests put into quarantine."""
 
     def __init__(
