--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -67,7 +67,7 @@
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
-        self._elected = elected
+        self._local_voter = elected
         self._replica = held
         self._hosts = hosts
         self._peers = peers
@@ -170,7 +170,7 @@
         released: collections.abc.Iterable[ids.RequestDigest] = (),
     ) -> None:
         message = quarantining.HoldOff(found, list(released))
-        hosts = self._hosts(self._elected.has_lease)
+        hosts = self._hosts(self._local_voter.has_lease)
         await asyncio.gather(
             *(self._tell_host(host, message) for host in hosts)
         )
@@ -233,7 +233,7 @@
 
     async def _decide(self) -> None:
         """Have what is due decided, in one change, if this host leads."""
-        if not self._elected.has_lease or self._deciding:
+        if not self._local_voter.has_lease or self._deciding:
             return
         self._deciding = True
         try:
@@ -255,7 +255,7 @@
             tuple(entered), tuple(self._cleared)
         )
         try:
-            await self._elected.propose(entries.SetQuarantine(change))
+            await self._local_voter.propose(entries.SetQuarantine(change))
         except errors.NotLeaderError as error:
             logger.info('quarantine_not_decided', reason=str(error))
             return
