--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -69,7 +69,7 @@
     ):
         self._local_voter = elected
         self._replica = held
-        self._hosts = hosts
+        self._list_entry_hosts = hosts
         self._peers = peers
         self._clock = clock
         self._life = ids.new_unique()
@@ -170,7 +170,7 @@
         released: collections.abc.Iterable[ids.RequestDigest] = (),
     ) -> None:
         message = quarantining.HoldOff(found, list(released))
-        hosts = self._hosts(self._local_voter.has_lease)
+        hosts = self._list_entry_hosts(self._local_voter.has_lease)
         await asyncio.gather(
             *(self._tell_host(host, message) for host in hosts)
         )
