--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -72,7 +72,7 @@
         self._list_entry_hosts = hosts
         self._peers = peers
         self._clock = clock
-        self._life = ids.new_unique()
+        self._instance_id = ids.new_unique()
         self._ended = ended_runs.CrashHistory(clock)
         # Requests found to end endpoints and not decided on, with when entry
         # hosts were told.
@@ -108,7 +108,7 @@
             self._tasks.start(self._decide_soon())
         told = {end.digest for end in message.ends}
         return quarantining.RunsNoted(
-            self._life,
+            self._instance_id,
             [self._hold_of(one) for one in told if self._is_held(one)],
         )
 
