--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -73,7 +73,7 @@
         self._peers = peers
         self._clock = clock
         self._instance_id = ids.new_unique()
-        self._ended = ended_runs.CrashHistory(clock)
+        self._crash_history = ended_runs.CrashHistory(clock)
         # Requests found to end endpoints and not decided on, with when entry
         # hosts were told.
         self._fatal_ms: dict[ids.RequestDigest, int] = {}
@@ -117,7 +117,9 @@
         if quarantine.held(self._quarantine, end.digest) is not None:
             # Sent before that was known.
             return False
-        self._ended.record_crash(end.digest, end.endpoint, now_ms - end.age_ms)
+        self._crash_history.record_crash(
+            end.digest, end.endpoint, now_ms - end.age_ms
+        )
         ends = self._ends(end.digest)
         if ends < ended_runs.CRASH_THRESHOLD:
             return False
@@ -142,7 +144,7 @@
         """Return how many endpoints ended, those before a trial too."""
         decided = self._quarantine.get(digest)
         before = 0 if decided is None else decided.ends
-        return before + self._ended.crash_count(digest)
+        return before + self._crash_history.crash_count(digest)
 
     def _is_held(self, digest: ids.RequestDigest) -> bool:
         if digest in self._fatal_ms:
@@ -155,7 +157,7 @@
 
     def _clear(self, digest: ids.RequestDigest) -> None:
         """Take note that a request came to a good end somewhere."""
-        self._ended.clear(digest)
+        self._crash_history.clear(digest)
         if self._fatal_ms.pop(digest, None) is not None:
             logger.info('request_cleared', digest=digest)
             self._tasks.start(self._tell([], [digest]), fatal=False)
@@ -213,7 +215,7 @@
                 self._decided_ms[found] = self._clock.mono_ms()
             if not found.on_probation:
                 # Ends from here on are of a trial.
-                self._ended.clear(found.digest)
+                self._crash_history.clear(found.digest)
                 self._fatal_ms.pop(found.digest, None)
         gone = []
         for before in list(self._decided_ms):
@@ -221,7 +223,7 @@
                 continue
             del self._decided_ms[before]
             if before.digest not in now:
-                self._ended.clear(before.digest)
+                self._crash_history.clear(before.digest)
                 gone.append(before.digest)
         self._cleared &= now.keys()
         for digest in list(self._fatal_ms):
