--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -76,7 +76,7 @@
         self._crash_history = ended_runs.CrashHistory(clock)
         # Requests found to end endpoints and not decided on, with when entry
         # hosts were told.
-        self._fatal_ms: dict[ids.RequestDigest, int] = {}
+        self._notified_ms: dict[ids.RequestDigest, int] = {}
         # Those in quarantine that came to a good end.
         self._cleared: set[ids.RequestDigest] = set()
         # What is decided, and since when that is known here.
@@ -123,7 +123,7 @@
         ends = self._ends(end.digest)
         if ends < ended_runs.CRASH_THRESHOLD:
             return False
-        told_ms = self._fatal_ms.get(end.digest)
+        told_ms = self._notified_ms.get(end.digest)
         if told_ms is not None and now_ms - told_ms < RENOTIFY_INTERVAL_MS:
             return False
         logger.warning(
@@ -132,7 +132,7 @@
             ends=ends,
             endpoint=end.endpoint,
         )
-        self._fatal_ms[end.digest] = now_ms
+        self._notified_ms[end.digest] = now_ms
         return True
 
     @property
@@ -147,7 +147,7 @@
         return before + self._crash_history.crash_count(digest)
 
     def _is_held(self, digest: ids.RequestDigest) -> bool:
-        if digest in self._fatal_ms:
+        if digest in self._notified_ms:
             return True
         return quarantine.held(self._quarantine, digest) is not None
 
@@ -158,7 +158,7 @@
     def _clear(self, digest: ids.RequestDigest) -> None:
         """Take note that a request came to a good end somewhere."""
         self._crash_history.clear(digest)
-        if self._fatal_ms.pop(digest, None) is not None:
+        if self._notified_ms.pop(digest, None) is not None:
             logger.info('request_cleared', digest=digest)
             self._tasks.start(self._tell([], [digest]), fatal=False)
         if digest in self._quarantine:
@@ -216,7 +216,7 @@
             if not found.on_probation:
                 # Ends from here on are of a trial.
                 self._crash_history.clear(found.digest)
-                self._fatal_ms.pop(found.digest, None)
+                self._notified_ms.pop(found.digest, None)
         gone = []
         for before in list(self._decided_ms):
             if now.get(before.digest) == before:
@@ -226,10 +226,10 @@
                 self._crash_history.clear(before.digest)
                 gone.append(before.digest)
         self._cleared &= now.keys()
-        for digest in list(self._fatal_ms):
+        for digest in list(self._notified_ms):
             if self._ends(digest) < ended_runs.CRASH_THRESHOLD:
                 # Forgotten before anybody could decide on it.
-                del self._fatal_ms[digest]
+                del self._notified_ms[digest]
         if gone:
             self._tasks.start(self._tell([], gone), fatal=False)
 
@@ -247,7 +247,7 @@
         now_ms = self._clock.mono_ms()
         entered = [
             quarantine.Quarantined(digest, self._ends(digest))
-            for digest, told_ms in self._fatal_ms.items()
+            for digest, told_ms in self._notified_ms.items()
             if now_ms - told_ms >= OBJECTION_WINDOW_MS
         ]
         entered += self._due_for_trial(now_ms)
