--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -78,7 +78,7 @@
         # hosts were told.
         self._notified_ms: dict[ids.RequestDigest, int] = {}
         # Those in quarantine that came to a good end.
-        self._cleared: set[ids.RequestDigest] = set()
+        self._pending_releases: set[ids.RequestDigest] = set()
         # What is decided, and since when that is known here.
         self._decided_ms: dict[quarantine.Quarantined, int] = {}
         self._deciding = False
@@ -162,7 +162,7 @@
             logger.info('request_cleared', digest=digest)
             self._tasks.start(self._tell([], [digest]), fatal=False)
         if digest in self._quarantine:
-            self._cleared.add(digest)
+            self._pending_releases.add(digest)
 
     # Telling entry hosts.
 
@@ -225,7 +225,7 @@
             if before.digest not in now:
                 self._crash_history.clear(before.digest)
                 gone.append(before.digest)
-        self._cleared &= now.keys()
+        self._pending_releases &= now.keys()
         for digest in list(self._notified_ms):
             if self._ends(digest) < ended_runs.CRASH_THRESHOLD:
                 # Forgotten before anybody could decide on it.
@@ -251,10 +251,10 @@
             if now_ms - told_ms >= OBJECTION_WINDOW_MS
         ]
         entered += self._due_for_trial(now_ms)
-        if not entered and not self._cleared:
+        if not entered and not self._pending_releases:
             return
         change = configuration.SetQuarantine(
-            tuple(entered), tuple(self._cleared)
+            tuple(entered), tuple(self._pending_releases)
         )
         try:
             await self._local_voter.propose(entries.SetQuarantine(change))
@@ -276,7 +276,7 @@
         """Return, on probation, what has been held for long enough."""
         due = []
         for found, since_ms in self._decided_ms.items():
-            if found.on_probation or found.digest in self._cleared:
+            if found.on_probation or found.digest in self._pending_releases:
                 continue
             if now_ms - since_ms < holds.hold_duration_ms(found.ends):
                 continue
