--- a/benches/switches_quarantine.py
+++ b/benches/switches_quarantine.py
@@ -84,14 +84,14 @@
     Switch(
         'nothing decided',
         QUARANTINE + 'gatherer.py',
-        'if not self._local_voter.has_lease or self._deciding:',
+        'if not self._local_voter.has_lease or self._proposing:',
         'if True:',
         f'{FLEET}::test_every_host_holds_it_within_a_part_of_a_second',
     ),
     Switch(
         'nothing decided (series)',
         QUARANTINE + 'gatherer.py',
-        'if not self._local_voter.has_lease or self._deciding:',
+        'if not self._local_voter.has_lease or self._proposing:',
         'if True:',
         f'{FLEET}::test_few_are_sent_late_whatever_happens_beside',
     ),
--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -81,7 +81,7 @@
         self._pending_releases: set[ids.RequestDigest] = set()
         # What is decided, and since when that is known here.
         self._decided_ms: dict[quarantine.Quarantined, int] = {}
-        self._deciding = False
+        self._proposing = False
         self._tasks = runtime.Tasks()
         peers.answers(quarantining.RunsEnded)(self._hear)
 
@@ -235,13 +235,13 @@
 
     async def _decide(self) -> None:
         """Have what is due decided, in one change, if this host leads."""
-        if not self._local_voter.has_lease or self._deciding:
+        if not self._local_voter.has_lease or self._proposing:
             return
-        self._deciding = True
+        self._proposing = True
         try:
             await self._propose_due()
         finally:
-            self._deciding = False
+            self._proposing = False
 
     async def _propose_due(self) -> None:
         now_ms = self._clock.mono_ms()
