--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -83,7 +83,7 @@
         self._decided_ms: dict[quarantine.Quarantined, int] = {}
         self._proposing = False
         self._tasks = runtime.Tasks()
-        peers.answers(quarantining.RunsEnded)(self._hear)
+        peers.answers(quarantining.RunsEnded)(self._handle_runs_ended)
 
     def start(self) -> None:
         """Begin to have requests decided on."""
@@ -93,7 +93,7 @@
         """End every task."""
         await self._tasks.close()
 
-    async def _hear(
+    async def _handle_runs_ended(
         self, _sender: ids.HostId, message: quarantining.RunsEnded
     ) -> quarantining.RunsNoted:
         now_ms = self._clock.mono_ms()
