--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -101,7 +101,7 @@
             self._clear(digest)
         found = []
         for end in message.ends:
-            if self._note(end, now_ms):
+            if self._record_crash(end, now_ms):
                 found.append(self._hold_of(end.digest))
         if found:
             self._tasks.start(self._tell(found), fatal=False)
@@ -112,7 +112,7 @@
             [self._hold_of(one) for one in told if self._is_held(one)],
         )
 
-    def _note(self, end: quarantining.RunEnd, now_ms: int) -> bool:
+    def _record_crash(self, end: quarantining.RunEnd, now_ms: int) -> bool:
         """Note an end; return whether it makes its request a fatal one."""
         if quarantine.held(self._quarantine, end.digest) is not None:
             # Sent before that was known.
