--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -120,7 +120,7 @@
         self._crash_history.record_crash(
             end.digest, end.endpoint, now_ms - end.age_ms
         )
-        ends = self._ends(end.digest)
+        ends = self._crash_count(end.digest)
         if ends < ended_runs.CRASH_THRESHOLD:
             return False
         told_ms = self._notified_ms.get(end.digest)
@@ -140,7 +140,7 @@
         """Return what is decided, as far as it is known here."""
         return self._replica.current.quarantine
 
-    def _ends(self, digest: ids.RequestDigest) -> int:
+    def _crash_count(self, digest: ids.RequestDigest) -> int:
         """Return how many endpoints ended, those before a trial too."""
         decided = self._quarantine.get(digest)
         before = 0 if decided is None else decided.ends
@@ -152,7 +152,7 @@
         return quarantine.held(self._quarantine, digest) is not None
 
     def _hold_of(self, digest: ids.RequestDigest) -> quarantining.Hold:
-        ends = self._ends(digest)
+        ends = self._crash_count(digest)
         return quarantining.Hold(digest, ends, holds.hold_duration_ms(ends))
 
     def _clear(self, digest: ids.RequestDigest) -> None:
@@ -227,7 +227,7 @@
                 gone.append(before.digest)
         self._pending_releases &= now.keys()
         for digest in list(self._notified_ms):
-            if self._ends(digest) < ended_runs.CRASH_THRESHOLD:
+            if self._crash_count(digest) < ended_runs.CRASH_THRESHOLD:
                 # Forgotten before anybody could decide on it.
                 del self._notified_ms[digest]
         if gone:
@@ -246,7 +246,7 @@
     async def _propose_due(self) -> None:
         now_ms = self._clock.mono_ms()
         entered = [
-            quarantine.Quarantined(digest, self._ends(digest))
+            quarantine.Quarantined(digest, self._crash_count(digest))
             for digest, told_ms in self._notified_ms.items()
             if now_ms - told_ms >= OBJECTION_WINDOW_MS
         ]
