--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -102,14 +102,14 @@
         found = []
         for end in message.ends:
             if self._record_crash(end, now_ms):
-                found.append(self._hold_of(end.digest))
+                found.append(self._make_hold(end.digest))
         if found:
             self._tasks.start(self._tell(found), fatal=False)
             self._tasks.start(self._decide_soon())
         told = {end.digest for end in message.ends}
         return quarantining.RunsNoted(
             self._instance_id,
-            [self._hold_of(one) for one in told if self._is_held(one)],
+            [self._make_hold(one) for one in told if self._is_held(one)],
         )
 
     def _record_crash(self, end: quarantining.RunEnd, now_ms: int) -> bool:
@@ -151,7 +151,7 @@
             return True
         return quarantine.held(self._quarantine, digest) is not None
 
-    def _hold_of(self, digest: ids.RequestDigest) -> quarantining.Hold:
+    def _make_hold(self, digest: ids.RequestDigest) -> quarantining.Hold:
         ends = self._crash_count(digest)
         return quarantining.Hold(digest, ends, holds.hold_duration_ms(ends))
 
