--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -98,7 +98,7 @@
     ) -> quarantining.RunsNoted:
         now_ms = self._clock.mono_ms()
         for digest in message.cleared:
-            self._clear(digest)
+            self._handle_success(digest)
         found = []
         for end in message.ends:
             if self._record_crash(end, now_ms):
@@ -155,7 +155,7 @@
         ends = self._crash_count(digest)
         return quarantining.Hold(digest, ends, holds.hold_duration_ms(ends))
 
-    def _clear(self, digest: ids.RequestDigest) -> None:
+    def _handle_success(self, digest: ids.RequestDigest) -> None:
         """Take note that a request came to a good end somewhere."""
         self._crash_history.clear(digest)
         if self._notified_ms.pop(digest, None) is not None:
@@ -187,7 +187,7 @@
             return
         if isinstance(answer, quarantining.HoldTaken):
             for digest in answer.cleared:
-                self._clear(digest)
+                self._handle_success(digest)
 
     # Having it decided.
 
