--- a/benches/switches_quarantine.py
+++ b/benches/switches_quarantine.py
@@ -69,7 +69,7 @@
     Switch(
         'nobody told by control hosts',
         QUARANTINE + 'gatherer.py',
-        '            self._tasks.start(self._tell(found), fatal=False)\n',
+        '            self._tasks.start(self._notify_entry_hosts(found), fatal=False)\n',
         '',
         f'{FLEET}::test_region_that_is_cut_off_holds_it_by_itself',
     ),
@@ -126,7 +126,7 @@
     Switch(
         'holds stay after an operator ended them',
         QUARANTINE + 'gatherer.py',
-        '            self._tasks.start(self._tell([], gone), fatal=False)\n',
+        '            self._tasks.start(self._notify_entry_hosts([], gone), fatal=False)\n',
         '            pass\n',
         f'{UNITS}::test_chat_is_served_again_once_an_operator_lets_it',
     ),
--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -104,7 +104,7 @@
             if self._record_crash(end, now_ms):
                 found.append(self._make_hold(end.digest))
         if found:
-            self._tasks.start(self._tell(found), fatal=False)
+            self._tasks.start(self._notify_entry_hosts(found), fatal=False)
             self._tasks.start(self._decide_soon())
         told = {end.digest for end in message.ends}
         return quarantining.RunsNoted(
@@ -160,13 +160,15 @@
         self._crash_history.clear(digest)
         if self._notified_ms.pop(digest, None) is not None:
             logger.info('request_cleared', digest=digest)
-            self._tasks.start(self._tell([], [digest]), fatal=False)
+            self._tasks.start(
+                self._notify_entry_hosts([], [digest]), fatal=False
+            )
         if digest in self._quarantine:
             self._pending_releases.add(digest)
 
     # Telling entry hosts.
 
-    async def _tell(
+    async def _notify_entry_hosts(
         self,
         found: list[quarantining.Hold],
         released: collections.abc.Iterable[ids.RequestDigest] = (),
@@ -231,7 +233,7 @@
                 # Forgotten before anybody could decide on it.
                 del self._notified_ms[digest]
         if gone:
-            self._tasks.start(self._tell([], gone), fatal=False)
+            self._tasks.start(self._notify_entry_hosts([], gone), fatal=False)
 
     async def _decide(self) -> None:
         """Have what is due decided, in one change, if this host leads."""
