--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -176,10 +176,10 @@
         message = quarantining.HoldOff(found, list(released))
         hosts = self._list_entry_hosts(self._local_voter.has_lease)
         await asyncio.gather(
-            *(self._tell_host(host, message) for host in hosts)
+            *(self._notify_entry_host(host, message) for host in hosts)
         )
 
-    async def _tell_host(
+    async def _notify_entry_host(
         self, host: ids.HostId, message: quarantining.HoldOff
     ) -> None:
         try:
