--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -105,7 +105,7 @@
                 found.append(self._make_hold(end.digest))
         if found:
             self._tasks.start(self._notify_entry_hosts(found), fatal=False)
-            self._tasks.start(self._decide_soon())
+            self._tasks.start(self._propose_after_objections())
         told = {end.digest for end in message.ends}
         return quarantining.RunsNoted(
             self._instance_id,
@@ -193,7 +193,7 @@
 
     # Having it decided.
 
-    async def _decide_soon(self) -> None:
+    async def _propose_after_objections(self) -> None:
         await self._clock.sleep_ms(OBJECTION_WINDOW_MS)
         await self._decide()
 
