--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -195,14 +195,14 @@
 
     async def _propose_after_objections(self) -> None:
         await self._clock.sleep_ms(OBJECTION_WINDOW_MS)
-        await self._decide()
+        await self._propose_if_leader()
 
     async def _watch(self) -> None:
         """Look at what time brings, and at each decision as it is made."""
         while True:
             changed = self._replica.changed
             self._take_decisions()
-            await self._decide()
+            await self._propose_if_leader()
             try:
                 async with clocks.timeout_ms(CHECK_INTERVAL_MS):
                     await changed.wait()
@@ -235,7 +235,7 @@
         if gone:
             self._tasks.start(self._notify_entry_hosts([], gone), fatal=False)
 
-    async def _decide(self) -> None:
+    async def _propose_if_leader(self) -> None:
         """Have what is due decided, in one change, if this host leads."""
         if not self._local_voter.has_lease or self._proposing:
             return
