--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -87,7 +87,7 @@
 
     def start(self) -> None:
         """Begin to have requests decided on."""
-        self._tasks.start(self._watch())
+        self._tasks.start(self._watch_decisions())
 
     async def close(self) -> None:
         """End every task."""
@@ -197,7 +197,7 @@
         await self._clock.sleep_ms(OBJECTION_WINDOW_MS)
         await self._propose_if_leader()
 
-    async def _watch(self) -> None:
+    async def _watch_decisions(self) -> None:
         """Look at what time brings, and at each decision as it is made."""
         while True:
             changed = self._replica.changed
