--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -201,7 +201,7 @@
         """Look at what time brings, and at each decision as it is made."""
         while True:
             changed = self._replica.changed
-            self._take_decisions()
+            self._sync_decisions()
             await self._propose_if_leader()
             try:
                 async with clocks.timeout_ms(CHECK_INTERVAL_MS):
@@ -209,7 +209,7 @@
             except TimeoutError:
                 continue
 
-    def _take_decisions(self) -> None:
+    def _sync_decisions(self) -> None:
         """Note what was decided since, and tell what was let go."""
         now = self._quarantine
         for found in now.values():
@@ -263,7 +263,7 @@
         except errors.NotLeaderError as error:
             logger.info('quarantine_not_decided', reason=str(error))
             return
-        self._take_decisions()
+        self._sync_decisions()
         for digest in change.cleared:
             logger.info('quarantine_left', digest=digest)
         for found in entered:
