--- a/benches/switches_quarantine.py
+++ b/benches/switches_quarantine.py
@@ -112,7 +112,7 @@
     Switch(
         'no trials',
         QUARANTINE + 'gatherer.py',
-        'entered += self._due_for_trial(now_ms)',
+        'entered += self._due_for_probation(now_ms)',
         'pass',
         f'{FLEET}::test_trial_that_goes_well_ends_it',
     ),
--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -252,7 +252,7 @@
             for digest, told_ms in self._notified_ms.items()
             if now_ms - told_ms >= OBJECTION_WINDOW_MS
         ]
-        entered += self._due_for_trial(now_ms)
+        entered += self._due_for_probation(now_ms)
         if not entered and not self._pending_releases:
             return
         change = configuration.SetQuarantine(
@@ -274,7 +274,7 @@
                 on_probation=found.on_probation,
             )
 
-    def _due_for_trial(self, now_ms: int) -> list[quarantine.Quarantined]:
+    def _due_for_probation(self, now_ms: int) -> list[quarantine.Quarantined]:
         """Return, on probation, what has been held for long enough."""
         due = []
         for found, since_ms in self._decided_ms.items():
