--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -32,7 +32,7 @@
 logger = structlog.get_logger(__name__)
 
 # A call that broke off waits for so long to learn why before it is retried.
-LOOK_WAIT_MS = 50
+PROBE_WAIT_MS = 50
 # A caller is told to come back no sooner.
 LEAST_WAIT_MS = 1_000
 MS_PER_S = 1_000
@@ -150,7 +150,7 @@
         if the caller leaves.
         """
         noting = self._tasks.start(self._note_broken(run), fatal=False)
-        await asyncio.wait([noting], timeout=LOOK_WAIT_MS / MS_PER_S)
+        await asyncio.wait([noting], timeout=PROBE_WAIT_MS / MS_PER_S)
 
     async def _note_broken(self, run: runs.Run) -> None:
         """Count a run against its request, if its endpoint crashed.
