--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -34,7 +34,7 @@
 # A call that broke off waits for so long to learn why before it is retried.
 PROBE_WAIT_MS = 50
 # A caller is told to come back no sooner.
-LEAST_WAIT_MS = 1_000
+MIN_HOLD_RETRY_MS = 1_000
 MS_PER_S = 1_000
 # As many as are kept of what is decided.
 KEPT_LIMIT = quarantine.KEPT_LIMIT
@@ -88,9 +88,9 @@
         if decided is not None:
             # Only another decision releases it.
             left_ms = self._decided_until_ms(decided) - now_ms
-            return max(left_ms, LEAST_WAIT_MS)
+            return max(left_ms, MIN_HOLD_RETRY_MS)
         left_ms = self._undecided_ms.get(digest, 0) - now_ms
-        return max(left_ms, LEAST_WAIT_MS) if left_ms > 0 else None
+        return max(left_ms, MIN_HOLD_RETRY_MS) if left_ms > 0 else None
 
     def refuse(self, digest: ids.RequestDigest) -> int | None:
         """Return for how long a request is refused, and count it."""
