--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -37,7 +37,7 @@
 MIN_HOLD_RETRY_MS = 1_000
 MS_PER_S = 1_000
 # As many as are kept of what is decided.
-KEPT_LIMIT = quarantine.KEPT_LIMIT
+MAX_HOLDS = quarantine.KEPT_LIMIT
 
 Leaves = collections.abc.Callable[[ids.EndpointId], bool]
 
@@ -100,7 +100,7 @@
         return held_ms
 
     def _decided_until_ms(self, decided: quarantine.Quarantined) -> int:
-        if len(self._known_ms) > KEPT_LIMIT:
+        if len(self._known_ms) > MAX_HOLDS:
             self._known_ms.clear()
         known_ms = self._known_ms.setdefault(decided, self._clock.mono_ms())
         return known_ms + holds.hold_duration_ms(decided.ends)
@@ -191,7 +191,7 @@
             hold.for_ms, holds.PROVISIONAL_HOLD_MS
         )
         self._undecided_ms.move_to_end(hold.digest)
-        if len(self._undecided_ms) > KEPT_LIMIT:
+        if len(self._undecided_ms) > MAX_HOLDS:
             self._undecided_ms.popitem(last=False)
 
     async def _hear_holds(
