--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -39,7 +39,7 @@
 # As many as are kept of what is decided.
 MAX_HOLDS = quarantine.KEPT_LIMIT
 
-Leaves = collections.abc.Callable[[ids.EndpointId], bool]
+IsDraining = collections.abc.Callable[[ids.EndpointId], bool]
 
 
 class Guard:
@@ -50,7 +50,7 @@
         held: replica.Replica,
         reporter: reporters.CrashReporter,
         peers: peer_calls.Peers,
-        leaves: Leaves,
+        leaves: IsDraining,
         clock: clocks.Clock,
         look: runs.Probe = reachable.is_refused,
     ):
