--- a/benches/switches_quarantine.py
+++ b/benches/switches_quarantine.py
@@ -19,15 +19,15 @@
     Switch(
         'ends that were told beforehand count',
         QUARANTINE + 'guard.py',
-        'if self._good.has_recent(run.digest) or self._leaves(run.endpoint):',
+        'if self._good.has_recent(run.digest) or self._is_draining(run.endpoint):',
         'if self._good.has_recent(run.digest):',
         f'{UNITS}::test_request_is_held_after_three_ends',
     ),
     Switch(
         'good ends at the same host forgotten',
         QUARANTINE + 'guard.py',
-        'if self._good.has_recent(run.digest) or self._leaves(run.endpoint):',
-        'if self._leaves(run.endpoint):',
+        'if self._good.has_recent(run.digest) or self._is_draining(run.endpoint):',
+        'if self._is_draining(run.endpoint):',
         f'{UNITS}::test_good_end_clears_what_was_held_against_it',
     ),
     Switch(
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -56,7 +56,7 @@
     ):
         self._replica = held
         self._reporter = reporter
-        self._leaves = leaves
+        self._is_draining = leaves
         self._clock = clock
         self._watch = runs.RunTracker(clock, look)
         self._ended = ended_runs.CrashHistory(clock)
@@ -160,7 +160,9 @@
         """
         if not await self._watch.check_crashed(run) or not run.digest:
             return
-        if self._good.has_recent(run.digest) or self._leaves(run.endpoint):
+        if self._good.has_recent(run.digest) or self._is_draining(
+            run.endpoint
+        ):
             return
         self._reporter.ended(run.digest, run.endpoint)
         self._note_end(run.digest, run.endpoint, self._clock.mono_ms())
