--- a/benches/switches_quarantine.py
+++ b/benches/switches_quarantine.py
@@ -12,7 +12,7 @@
     Switch(
         'broken connections count as ends',
         QUARANTINE + 'guard.py',
-        'if not await self._watch.check_crashed(run) or not run.digest:',
+        'if not await self._run_tracker.check_crashed(run) or not run.digest:',
         'if not run.digest:',
         f'{UNITS}::test_request_is_held_after_three_ends',
     ),
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -278,7 +278,7 @@
         await done.wait()
         return True
 
-    monkeypatch.setattr(host.guard._watch, '_look', look)
+    monkeypatch.setattr(host.guard._run_tracker, '_look', look)
     monkeypatch.setattr(guards, 'LOOK_WAIT_MS', 1)
     await host.end('a', 'b')
     left = asyncio.ensure_future(host.end('c'))
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -58,7 +58,7 @@
         self._reporter = reporter
         self._is_draining = leaves
         self._clock = clock
-        self._watch = runs.RunTracker(clock, look)
+        self._run_tracker = runs.RunTracker(clock, look)
         self._ended = ended_runs.CrashHistory(clock)
         self._good = good_ends.RecentSuccesses(clock)
         # Until when requests are held that no decision exists on.
@@ -132,7 +132,7 @@
         address: str,
     ) -> runs.Run:
         """Record that a request is sent to an endpoint."""
-        return self._watch.start_run(digest, endpoint, address)
+        return self._run_tracker.start_run(digest, endpoint, address)
 
     def ended_well(self, run: runs.Run) -> None:
         """Record a run that ended well, and clear its request."""
@@ -158,7 +158,7 @@
         Not if the request ended well elsewhere recently, or if the endpoint
         was leaving.
         """
-        if not await self._watch.check_crashed(run) or not run.digest:
+        if not await self._run_tracker.check_crashed(run) or not run.digest:
             return
         if self._good.has_recent(run.digest) or self._is_draining(
             run.endpoint
