--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -59,7 +59,7 @@
         self._is_draining = leaves
         self._clock = clock
         self._run_tracker = runs.RunTracker(clock, look)
-        self._ended = ended_runs.CrashHistory(clock)
+        self._crash_history = ended_runs.CrashHistory(clock)
         self._good = good_ends.RecentSuccesses(clock)
         # Until when requests are held that no decision exists on.
         self._undecided_ms: collections.OrderedDict[ids.RequestDigest, int] = (
@@ -138,7 +138,7 @@
         """Record a run that ended well, and clear its request."""
         digest = run.digest
         self._good.add_success(digest)
-        known = self._ended.clear(digest)
+        known = self._crash_history.clear(digest)
         known |= self._undecided_ms.pop(digest, None) is not None
         if known or digest in self._replica.current.quarantine:
             self._reporter.cleared(digest)
@@ -173,7 +173,7 @@
         endpoint: ids.EndpointId,
         ended_ms: int,
     ) -> None:
-        ends = self._ended.record_crash(digest, endpoint, ended_ms)
+        ends = self._crash_history.record_crash(digest, endpoint, ended_ms)
         decided = self._replica.current.quarantine.get(digest)
         if decided is not None:
             ends += decided.ends
@@ -201,7 +201,7 @@
     ) -> quarantining.HoldTaken:
         for digest in message.released:
             self._undecided_ms.pop(digest, None)
-            self._ended.clear(digest)
+            self._crash_history.clear(digest)
         for hold in message.holds:
             self._hold(hold)
         return quarantining.HoldTaken(
@@ -218,7 +218,7 @@
         """Gather ends here, where there are no control hosts."""
         now_ms = self._clock.mono_ms()
         for digest in message.cleared:
-            self._ended.clear(digest)
+            self._crash_history.clear(digest)
             self._undecided_ms.pop(digest, None)
         for end in message.ends:
             if not self._good.has_recent(end.digest):
@@ -229,7 +229,7 @@
             [
                 quarantining.Hold(
                     digest,
-                    self._ended.crash_count(digest),
+                    self._crash_history.crash_count(digest),
                     holds.PROVISIONAL_HOLD_MS,
                 )
                 for digest in told
