--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -60,7 +60,7 @@
         self._clock = clock
         self._run_tracker = runs.RunTracker(clock, look)
         self._crash_history = ended_runs.CrashHistory(clock)
-        self._good = good_ends.RecentSuccesses(clock)
+        self._recent_successes = good_ends.RecentSuccesses(clock)
         # Until when requests are held that no decision exists on.
         self._undecided_ms: collections.OrderedDict[ids.RequestDigest, int] = (
             collections.OrderedDict()
@@ -137,7 +137,7 @@
     def ended_well(self, run: runs.Run) -> None:
         """Record a run that ended well, and clear its request."""
         digest = run.digest
-        self._good.add_success(digest)
+        self._recent_successes.add_success(digest)
         known = self._crash_history.clear(digest)
         known |= self._undecided_ms.pop(digest, None) is not None
         if known or digest in self._replica.current.quarantine:
@@ -160,7 +160,7 @@
         """
         if not await self._run_tracker.check_crashed(run) or not run.digest:
             return
-        if self._good.has_recent(run.digest) or self._is_draining(
+        if self._recent_successes.has_recent(run.digest) or self._is_draining(
             run.endpoint
         ):
             return
@@ -185,7 +185,7 @@
 
     def _hold(self, hold: quarantining.Hold) -> None:
         """Hold a request until there is a decision on it."""
-        if self._good.has_recent(hold.digest):
+        if self._recent_successes.has_recent(hold.digest):
             return
         if hold.digest not in self._undecided_ms:
             logger.warning('request_held', digest=hold.digest, ends=hold.ends)
@@ -208,7 +208,7 @@
             [
                 hold.digest
                 for hold in message.holds
-                if self._good.has_recent(hold.digest)
+                if self._recent_successes.has_recent(hold.digest)
             ]
         )
 
@@ -221,7 +221,7 @@
             self._crash_history.clear(digest)
             self._undecided_ms.pop(digest, None)
         for end in message.ends:
-            if not self._good.has_recent(end.digest):
+            if not self._recent_successes.has_recent(end.digest):
                 self._note_end(end.digest, end.endpoint, now_ms - end.age_ms)
         told = {end.digest for end in message.ends}
         return quarantining.RunsNoted(
