--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -62,9 +62,9 @@
         self._crash_history = ended_runs.CrashHistory(clock)
         self._recent_successes = good_ends.RecentSuccesses(clock)
         # Until when requests are held that no decision exists on.
-        self._undecided_ms: collections.OrderedDict[ids.RequestDigest, int] = (
-            collections.OrderedDict()
-        )
+        self._provisional_until_ms: collections.OrderedDict[
+            ids.RequestDigest, int
+        ] = collections.OrderedDict()
         # When this host learned of each decision.
         self._known_ms: dict[quarantine.Quarantined, int] = {}
         self._life = ids.new_unique()
@@ -89,7 +89,7 @@
             # Only another decision releases it.
             left_ms = self._decided_until_ms(decided) - now_ms
             return max(left_ms, MIN_HOLD_RETRY_MS)
-        left_ms = self._undecided_ms.get(digest, 0) - now_ms
+        left_ms = self._provisional_until_ms.get(digest, 0) - now_ms
         return max(left_ms, MIN_HOLD_RETRY_MS) if left_ms > 0 else None
 
     def refuse(self, digest: ids.RequestDigest) -> int | None:
@@ -139,7 +139,7 @@
         digest = run.digest
         self._recent_successes.add_success(digest)
         known = self._crash_history.clear(digest)
-        known |= self._undecided_ms.pop(digest, None) is not None
+        known |= self._provisional_until_ms.pop(digest, None) is not None
         if known or digest in self._replica.current.quarantine:
             self._reporter.cleared(digest)
 
@@ -187,20 +187,20 @@
         """Hold a request until there is a decision on it."""
         if self._recent_successes.has_recent(hold.digest):
             return
-        if hold.digest not in self._undecided_ms:
+        if hold.digest not in self._provisional_until_ms:
             logger.warning('request_held', digest=hold.digest, ends=hold.ends)
-        self._undecided_ms[hold.digest] = self._clock.mono_ms() + min(
+        self._provisional_until_ms[hold.digest] = self._clock.mono_ms() + min(
             hold.for_ms, holds.PROVISIONAL_HOLD_MS
         )
-        self._undecided_ms.move_to_end(hold.digest)
-        if len(self._undecided_ms) > MAX_HOLDS:
-            self._undecided_ms.popitem(last=False)
+        self._provisional_until_ms.move_to_end(hold.digest)
+        if len(self._provisional_until_ms) > MAX_HOLDS:
+            self._provisional_until_ms.popitem(last=False)
 
     async def _hear_holds(
         self, _sender: ids.HostId, message: quarantining.HoldOff
     ) -> quarantining.HoldTaken:
         for digest in message.released:
-            self._undecided_ms.pop(digest, None)
+            self._provisional_until_ms.pop(digest, None)
             self._crash_history.clear(digest)
         for hold in message.holds:
             self._hold(hold)
@@ -219,7 +219,7 @@
         now_ms = self._clock.mono_ms()
         for digest in message.cleared:
             self._crash_history.clear(digest)
-            self._undecided_ms.pop(digest, None)
+            self._provisional_until_ms.pop(digest, None)
         for end in message.ends:
             if not self._recent_successes.has_recent(end.digest):
                 self._note_end(end.digest, end.endpoint, now_ms - end.age_ms)
