--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -66,7 +66,7 @@
             ids.RequestDigest, int
         ] = collections.OrderedDict()
         # When this host learned of each decision.
-        self._known_ms: dict[quarantine.Quarantined, int] = {}
+        self._decision_seen_ms: dict[quarantine.Quarantined, int] = {}
         self._life = ids.new_unique()
         self._tasks = runtime.Tasks()
         self.refused = 0
@@ -100,9 +100,11 @@
         return held_ms
 
     def _decided_until_ms(self, decided: quarantine.Quarantined) -> int:
-        if len(self._known_ms) > MAX_HOLDS:
-            self._known_ms.clear()
-        known_ms = self._known_ms.setdefault(decided, self._clock.mono_ms())
+        if len(self._decision_seen_ms) > MAX_HOLDS:
+            self._decision_seen_ms.clear()
+        known_ms = self._decision_seen_ms.setdefault(
+            decided, self._clock.mono_ms()
+        )
         return known_ms + holds.hold_duration_ms(decided.ends)
 
     # How runs end.
