--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -67,7 +67,7 @@
         ] = collections.OrderedDict()
         # When this host learned of each decision.
         self._decision_seen_ms: dict[quarantine.Quarantined, int] = {}
-        self._life = ids.new_unique()
+        self._instance_id = ids.new_unique()
         self._tasks = runtime.Tasks()
         self.refused = 0
         reporter.tell_holds(self._hold)
@@ -227,7 +227,7 @@
                 self._note_end(end.digest, end.endpoint, now_ms - end.age_ms)
         told = {end.digest for end in message.ends}
         return quarantining.RunsNoted(
-            self._life,
+            self._instance_id,
             [
                 quarantining.Hold(
                     digest,
