--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -69,7 +69,7 @@
         self._decision_seen_ms: dict[quarantine.Quarantined, int] = {}
         self._instance_id = ids.new_unique()
         self._tasks = runtime.Tasks()
-        self.refused = 0
+        self.refused_count = 0
         reporter.tell_holds(self._hold)
         peers.answers(quarantining.HoldOff)(self._hear_holds)
         peers.answers(quarantining.RunsEnded)(self._hear_ends)
@@ -96,7 +96,7 @@
         """Return for how long a request is refused, and count it."""
         held_ms = self.held_ms(digest)
         if held_ms is not None:
-            self.refused += 1
+            self.refused_count += 1
         return held_ms
 
     def _decided_until_ms(self, decided: quarantine.Quarantined) -> int:
