--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -103,7 +103,7 @@
 
     async def send(self, digest, endpoint, fatal=True):
         """Run a request at an endpoint; False if it is held."""
-        if self.guard.held_ms(digest) is not None:
+        if self.guard.remaining_hold_ms(digest) is not None:
             return False
         run = self.guard.began(digest, endpoint, endpoint)
         await asyncio.sleep(FATAL_AFTER_S)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -257,8 +257,8 @@
 async def test_request_is_held_after_three_ends(made, ends, held):
     host = Host(**made)
     await host.end(*ends)
-    assert (host.guard.held_ms('d') is not None) == held
-    assert host.guard.held_ms('other') is None
+    assert (host.guard.remaining_hold_ms('d') is not None) == held
+    assert host.guard.remaining_hold_ms('other') is None
 
 
 async def test_one_look_serves_all_runs_of_an_endpoint():
@@ -288,7 +288,7 @@
     done.set()
     while len(host.told.ends) < 3:
         await asyncio.sleep(0)
-    assert host.guard.held_ms('d') is not None
+    assert host.guard.remaining_hold_ms('d') is not None
     await host.guard.close()
 
 
@@ -298,7 +298,7 @@
     await host.guard.broke(host.guard.began('other', 'a', 'a:1'))
     host.refused = True
     await host.end('a', 'b', 'c')
-    assert host.guard.held_ms('d') is not None
+    assert host.guard.remaining_hold_ms('d') is not None
 
 
 async def test_good_end_clears_what_was_held_against_it():
@@ -307,37 +307,37 @@
     host.guard.ended_well(host.guard.began('d', 'c', 'c:1'))
     assert host.told.clears == ['d']
     await host.end('e', 'f', 'g')
-    assert host.guard.held_ms('d') is None
+    assert host.guard.remaining_hold_ms('d') is None
     # Nor is it held against it elsewhere.
     assert [endpoint for _digest, endpoint in host.told.ends] == ['a', 'b']
     host.clock.now_ms += good_ends.RETENTION_MS
     await host.end('h', 'i', 'j')
-    assert host.guard.held_ms('d') is not None
+    assert host.guard.remaining_hold_ms('d') is not None
 
 
 async def test_undecided_hold_ends_by_itself():
     host = Host()
     await host.end('a', 'b', 'c')
     host.clock.now_ms += holds.PROVISIONAL_HOLD_MS
-    assert host.guard.held_ms('d') is None
+    assert host.guard.remaining_hold_ms('d') is None
 
 
 @pytest.mark.parametrize('on_probation', [False, True])
 async def test_what_is_decided_holds_until_it_is_let_go(on_probation):
     host = Host()
     host.decide(quarantine.Quarantined('d', 4, on_probation))
-    assert (host.guard.held_ms('d') is None) == on_probation
+    assert (host.guard.remaining_hold_ms('d') is None) == on_probation
     host.clock.now_ms += 10 * holds.MAX_HOLD_MS
-    assert (host.guard.held_ms('d') is None) == on_probation
+    assert (host.guard.remaining_hold_ms('d') is None) == on_probation
     host.decide()
-    assert host.guard.held_ms('d') is None
+    assert host.guard.remaining_hold_ms('d') is None
 
 
 async def test_one_more_end_of_a_trial_is_enough():
     host = Host()
     host.decide(quarantine.Quarantined('d', 3, on_probation=True))
     await host.end('a')
-    assert host.guard.held_ms('d') is not None
+    assert host.guard.remaining_hold_ms('d') is not None
 
 
 @pytest.mark.parametrize('worked', [False, True])
@@ -349,9 +349,9 @@
     told = quarantining.HoldOff([quarantining.Hold('d', 3, 300_000)])
     answer = await hear('control', told)
     assert answer.cleared == (['d'] if worked else [])
-    assert (host.guard.held_ms('d') is None) == worked
+    assert (host.guard.remaining_hold_ms('d') is None) == worked
     await hear('control', quarantining.HoldOff([], ['d']))
-    assert host.guard.held_ms('d') is None
+    assert host.guard.remaining_hold_ms('d') is None
 
 
 # Operators.
@@ -484,7 +484,7 @@
     held = []
 
     class Guard(guards.Guard):
-        def held_ms(self, digest):
+        def remaining_hold_ms(self, digest):
             return 1_000 if held else None
 
     clock = FakeClock()
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -81,7 +81,7 @@
 
     # What may be sent.
 
-    def held_ms(self, digest: ids.RequestDigest) -> int | None:
+    def remaining_hold_ms(self, digest: ids.RequestDigest) -> int | None:
         """Return for how long a request is held, None if it may be sent."""
         now_ms = self._clock.mono_ms()
         decided = quarantine.held(self._replica.current.quarantine, digest)
@@ -94,7 +94,7 @@
 
     def refuse(self, digest: ids.RequestDigest) -> int | None:
         """Return for how long a request is refused, and count it."""
-        held_ms = self.held_ms(digest)
+        held_ms = self.remaining_hold_ms(digest)
         if held_ms is not None:
             self.refused_count += 1
         return held_ms
@@ -235,6 +235,6 @@
                     holds.PROVISIONAL_HOLD_MS,
                 )
                 for digest in told
-                if self.held_ms(digest) is not None
+                if self.remaining_hold_ms(digest) is not None
             ],
         )
