--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -92,7 +92,7 @@
         left_ms = self._provisional_until_ms.get(digest, 0) - now_ms
         return max(left_ms, MIN_HOLD_RETRY_MS) if left_ms > 0 else None
 
-    def refuse(self, digest: ids.RequestDigest) -> int | None:
+    def refuse_if_held(self, digest: ids.RequestDigest) -> int | None:
         """Return for how long a request is refused, and count it."""
         held_ms = self.remaining_hold_ms(digest)
         if held_ms is not None:
