--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -87,7 +87,7 @@
         decided = quarantine.held(self._replica.current.quarantine, digest)
         if decided is not None:
             # Only another decision releases it.
-            left_ms = self._decided_until_ms(decided) - now_ms
+            left_ms = self._decided_hold_end_ms(decided) - now_ms
             return max(left_ms, MIN_HOLD_RETRY_MS)
         left_ms = self._provisional_until_ms.get(digest, 0) - now_ms
         return max(left_ms, MIN_HOLD_RETRY_MS) if left_ms > 0 else None
@@ -99,7 +99,7 @@
             self.refused_count += 1
         return held_ms
 
-    def _decided_until_ms(self, decided: quarantine.Quarantined) -> int:
+    def _decided_hold_end_ms(self, decided: quarantine.Quarantined) -> int:
         if len(self._decision_seen_ms) > MAX_HOLDS:
             self._decision_seen_ms.clear()
         known_ms = self._decision_seen_ms.setdefault(
