--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -110,7 +110,7 @@
     # How runs end.
 
     @contextlib.asynccontextmanager
-    async def watching(
+    async def track_run(
         self,
         digest: ids.RequestDigest,
         endpoint: ids.EndpointId,
