--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -105,7 +105,7 @@
         """Run a request at an endpoint; False if it is held."""
         if self.guard.remaining_hold_ms(digest) is not None:
             return False
-        run = self.guard.began(digest, endpoint, endpoint)
+        run = self.guard.start_run(digest, endpoint, endpoint)
         await asyncio.sleep(FATAL_AFTER_S)
         if not fatal:
             self.guard.ended_well(run)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -233,7 +233,7 @@
 
     async def end(self, *names, digest='d'):
         for name in names:
-            run = self.guard.began(digest, name, f'{name}:1')
+            run = self.guard.start_run(digest, name, f'{name}:1')
             await self.guard.broke(run)
             self.clock.now_ms += 1_000
 
@@ -263,7 +263,7 @@
 
 async def test_one_look_serves_all_runs_of_an_endpoint():
     host = Host()
-    found = [host.guard.began(f'{n}', 'e', 'e:1') for n in range(20)]
+    found = [host.guard.start_run(f'{n}', 'e', 'e:1') for n in range(20)]
     await asyncio.gather(*(host.guard.broke(run) for run in found))
     assert host.looks == 1
     assert len(host.told.ends) == 20
@@ -295,7 +295,7 @@
 async def test_endpoint_that_lived_is_looked_at_again():
     """An answer was lost there a moment before it ended."""
     host = Host(refused=False)
-    await host.guard.broke(host.guard.began('other', 'a', 'a:1'))
+    await host.guard.broke(host.guard.start_run('other', 'a', 'a:1'))
     host.refused = True
     await host.end('a', 'b', 'c')
     assert host.guard.remaining_hold_ms('d') is not None
@@ -304,7 +304,7 @@
 async def test_good_end_clears_what_was_held_against_it():
     host = Host()
     await host.end('a', 'b')
-    host.guard.ended_well(host.guard.began('d', 'c', 'c:1'))
+    host.guard.ended_well(host.guard.start_run('d', 'c', 'c:1'))
     assert host.told.clears == ['d']
     await host.end('e', 'f', 'g')
     assert host.guard.remaining_hold_ms('d') is None
@@ -344,7 +344,7 @@
 async def test_word_of_a_hold_is_taken_unless_it_worked_of_late(worked):
     host = Host()
     if worked:
-        host.guard.ended_well(host.guard.began('d', 'e', 'e:1'))
+        host.guard.ended_well(host.guard.start_run('d', 'e', 'e:1'))
     hear = host.peers.answerers[quarantining.HoldOff]
     told = quarantining.HoldOff([quarantining.Hold('d', 3, 300_000)])
     answer = await hear('control', told)
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -120,14 +120,14 @@
 
         Where it broke off, the reason is looked for before a retry.
         """
-        run = self.began(digest, endpoint, address)
+        run = self.start_run(digest, endpoint, address)
         try:
             yield run
         except (errors.MaybeSentError, transport_errors.MaybeSentError):
             await self.broke(run)
             raise
 
-    def began(
+    def start_run(
         self,
         digest: ids.RequestDigest,
         endpoint: ids.EndpointId,
