--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -108,7 +108,7 @@
         run = self.guard.start_run(digest, endpoint, endpoint)
         await asyncio.sleep(FATAL_AFTER_S)
         if not fatal:
-            self.guard.ended_well(run)
+            self.guard.mark_succeeded(run)
             return True
         self._fleet.ended.add(endpoint)
         await self.guard.broke(run)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -304,7 +304,7 @@
 async def test_good_end_clears_what_was_held_against_it():
     host = Host()
     await host.end('a', 'b')
-    host.guard.ended_well(host.guard.start_run('d', 'c', 'c:1'))
+    host.guard.mark_succeeded(host.guard.start_run('d', 'c', 'c:1'))
     assert host.told.clears == ['d']
     await host.end('e', 'f', 'g')
     assert host.guard.remaining_hold_ms('d') is None
@@ -344,7 +344,7 @@
 async def test_word_of_a_hold_is_taken_unless_it_worked_of_late(worked):
     host = Host()
     if worked:
-        host.guard.ended_well(host.guard.start_run('d', 'e', 'e:1'))
+        host.guard.mark_succeeded(host.guard.start_run('d', 'e', 'e:1'))
     hear = host.peers.answerers[quarantining.HoldOff]
     told = quarantining.HoldOff([quarantining.Hold('d', 3, 300_000)])
     answer = await hear('control', told)
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -136,7 +136,7 @@
         """Record that a request is sent to an endpoint."""
         return self._run_tracker.start_run(digest, endpoint, address)
 
-    def ended_well(self, run: runs.Run) -> None:
+    def mark_succeeded(self, run: runs.Run) -> None:
         """Record a run that ended well, and clear its request."""
         digest = run.digest
         self._recent_successes.add_success(digest)
--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -283,7 +283,7 @@
                 _refuse_endless(send, response)
                 yield Answer(response, send.name)
             if run is not None:
-                self._guard.ended_well(run)
+                self._guard.mark_succeeded(run)
         except transport_errors.NotSentError as error:
             if send.ticket is not None:
                 send.ticket.unsent()
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -222,7 +222,7 @@
                 finally:
                     self._note_traffic(call, place, answer)
             if run is not None and verdict is Verdict.ANSWERED:
-                self._guard.ended_well(run)
+                self._guard.mark_succeeded(run)
         except transport_errors.HeldBackError as error:
             raise errors.HeldBackError(str(error)) from error
         except transport_errors.NotSentError as error:
