--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -111,7 +111,7 @@
             self.guard.mark_succeeded(run)
             return True
         self._fleet.ended.add(endpoint)
-        await self.guard.broke(run)
+        await self.guard.handle_broken_run(run)
         return True
 
     async def close(self):
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -234,7 +234,7 @@
     async def end(self, *names, digest='d'):
         for name in names:
             run = self.guard.start_run(digest, name, f'{name}:1')
-            await self.guard.broke(run)
+            await self.guard.handle_broken_run(run)
             self.clock.now_ms += 1_000
 
     def decide(self, *decided):
@@ -264,7 +264,7 @@
 async def test_one_look_serves_all_runs_of_an_endpoint():
     host = Host()
     found = [host.guard.start_run(f'{n}', 'e', 'e:1') for n in range(20)]
-    await asyncio.gather(*(host.guard.broke(run) for run in found))
+    await asyncio.gather(*(host.guard.handle_broken_run(run) for run in found))
     assert host.looks == 1
     assert len(host.told.ends) == 20
 
@@ -295,7 +295,9 @@
 async def test_endpoint_that_lived_is_looked_at_again():
     """An answer was lost there a moment before it ended."""
     host = Host(refused=False)
-    await host.guard.broke(host.guard.start_run('other', 'a', 'a:1'))
+    await host.guard.handle_broken_run(
+        host.guard.start_run('other', 'a', 'a:1')
+    )
     host.refused = True
     await host.end('a', 'b', 'c')
     assert host.guard.remaining_hold_ms('d') is not None
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -124,7 +124,7 @@
         try:
             yield run
         except (errors.MaybeSentError, transport_errors.MaybeSentError):
-            await self.broke(run)
+            await self.handle_broken_run(run)
             raise
 
     def start_run(
@@ -145,7 +145,7 @@
         if known or digest in self._replica.current.quarantine:
             self._reporter.cleared(digest)
 
-    async def broke(self, run: runs.Run) -> None:
+    async def handle_broken_run(self, run: runs.Run) -> None:
         """Check whether a run that broke off crashed its endpoint.
 
         The check goes on if it takes longer than the call waits for it, or
