--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -151,10 +151,10 @@
         The check goes on if it takes longer than the call waits for it, or
         if the caller leaves.
         """
-        noting = self._tasks.start(self._note_broken(run), fatal=False)
+        noting = self._tasks.start(self._record_if_crashed(run), fatal=False)
         await asyncio.wait([noting], timeout=PROBE_WAIT_MS / MS_PER_S)
 
-    async def _note_broken(self, run: runs.Run) -> None:
+    async def _record_if_crashed(self, run: runs.Run) -> None:
         """Count a run against its request, if its endpoint crashed.
 
         Not if the request ended well elsewhere recently, or if the endpoint
