--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -167,9 +167,9 @@
         ):
             return
         self._reporter.ended(run.digest, run.endpoint)
-        self._note_end(run.digest, run.endpoint, self._clock.mono_ms())
+        self._count_crash(run.digest, run.endpoint, self._clock.mono_ms())
 
-    def _note_end(
+    def _count_crash(
         self,
         digest: ids.RequestDigest,
         endpoint: ids.EndpointId,
@@ -224,7 +224,9 @@
             self._provisional_until_ms.pop(digest, None)
         for end in message.ends:
             if not self._recent_successes.has_recent(end.digest):
-                self._note_end(end.digest, end.endpoint, now_ms - end.age_ms)
+                self._count_crash(
+                    end.digest, end.endpoint, now_ms - end.age_ms
+                )
         told = {end.digest for end in message.ends}
         return quarantining.RunsNoted(
             self._instance_id,
