--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -70,7 +70,7 @@
         self._instance_id = ids.new_unique()
         self._tasks = runtime.Tasks()
         self.refused_count = 0
-        reporter.tell_holds(self._hold)
+        reporter.tell_holds(self._hold_provisionally)
         peers.answers(quarantining.HoldOff)(self._hear_holds)
         peers.answers(quarantining.RunsEnded)(self._hear_ends)
 
@@ -181,11 +181,11 @@
             ends += decided.ends
         if ends >= ended_runs.CRASH_THRESHOLD:
             hold = quarantining.Hold(digest, ends, holds.PROVISIONAL_HOLD_MS)
-            self._hold(hold)
+            self._hold_provisionally(hold)
 
     # What others say.
 
-    def _hold(self, hold: quarantining.Hold) -> None:
+    def _hold_provisionally(self, hold: quarantining.Hold) -> None:
         """Hold a request until there is a decision on it."""
         if self._recent_successes.has_recent(hold.digest):
             return
@@ -205,7 +205,7 @@
             self._provisional_until_ms.pop(digest, None)
             self._crash_history.clear(digest)
         for hold in message.holds:
-            self._hold(hold)
+            self._hold_provisionally(hold)
         return quarantining.HoldTaken(
             [
                 hold.digest
