--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -71,7 +71,7 @@
         self._tasks = runtime.Tasks()
         self.refused_count = 0
         reporter.tell_holds(self._hold_provisionally)
-        peers.answers(quarantining.HoldOff)(self._hear_holds)
+        peers.answers(quarantining.HoldOff)(self._handle_hold_off)
         peers.answers(quarantining.RunsEnded)(self._hear_ends)
 
     async def close(self) -> None:
@@ -198,7 +198,7 @@
         if len(self._provisional_until_ms) > MAX_HOLDS:
             self._provisional_until_ms.popitem(last=False)
 
-    async def _hear_holds(
+    async def _handle_hold_off(
         self, _sender: ids.HostId, message: quarantining.HoldOff
     ) -> quarantining.HoldTaken:
         for digest in message.released:
