--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -72,7 +72,7 @@
         self.refused_count = 0
         reporter.tell_holds(self._hold_provisionally)
         peers.answers(quarantining.HoldOff)(self._handle_hold_off)
-        peers.answers(quarantining.RunsEnded)(self._hear_ends)
+        peers.answers(quarantining.RunsEnded)(self._collect_crash_reports)
 
     async def close(self) -> None:
         """End every task."""
@@ -214,7 +214,7 @@
             ]
         )
 
-    async def _hear_ends(
+    async def _collect_crash_reports(
         self, _sender: ids.HostId, message: quarantining.RunsEnded
     ) -> quarantining.RunsNoted:
         """Gather ends here, where there are no control hosts."""
