--- a/wrenspoke/coordination/agreement/admissions.py
+++ b/wrenspoke/coordination/agreement/admissions.py
@@ -21,7 +21,7 @@
 Followers = collections.abc.Mapping[ids.HostId, followers.Follower]
 
 
-class Group(typing.Protocol):
+class LeaderState(typing.Protocol):
     """Be what admissions need to know of the leader's own host."""
 
     host: ids.HostId
@@ -39,7 +39,7 @@
 class Admissions:
     """Find the next change of voters, as the leader sees the others."""
 
-    def __init__(self, group: Group, since_ms: int):
+    def __init__(self, group: LeaderState, since_ms: int):
         self._group = group
         self._since_ms = since_ms
 
