--- a/wrenspoke/coordination/agreement/admissions.py
+++ b/wrenspoke/coordination/agreement/admissions.py
@@ -36,7 +36,7 @@
         """Return who decides, by the newest entry."""
 
 
-class Admissions:
+class VoterPlanner:
     """Find the next change of voters, as the leader sees the others."""
 
     def __init__(self, group: LeaderState, since_ms: int):
--- a/wrenspoke/coordination/agreement/lead.py
+++ b/wrenspoke/coordination/agreement/lead.py
@@ -75,7 +75,7 @@
         self._tasks = tasks
         self._start_index = group.storage.last_index + 1
         self._followers: dict[ids.HostId, followers.Follower] = {}
-        self._admissions = admissions.Admissions(group, asked_ms)
+        self._admissions = admissions.VoterPlanner(group, asked_ms)
         self._elected_by = group.electorate
         self.term = term
         self.since_ms = asked_ms
