--- a/wrenspoke/coordination/agreement/admissions.py
+++ b/wrenspoke/coordination/agreement/admissions.py
@@ -40,7 +40,7 @@
     """Find the next change of voters, as the leader sees the others."""
 
     def __init__(self, group: LeaderState, since_ms: int):
-        self._group = group
+        self._leader_state = group
         self._since_ms = since_ms
 
     def next_change(self, known: Followers) -> entries.SetVoters | None:
@@ -48,7 +48,7 @@
 
         The last one must be committed.
         """
-        deciding = self._group.electorate
+        deciding = self._leader_state.electorate
         if deciding.before:
             return entries.SetVoters(deciding.voters, 'the change is over')
         voters = deciding.voters
@@ -62,16 +62,16 @@
 
     @property
     def _limit(self) -> int | None:
-        return self._group.settings.voters_limit
+        return self._leader_state.settings.voters_limit
 
     def _ready(self, follower: followers.Follower) -> bool:
         """Tell whether a host holds all that is committed, and is there."""
         if follower.incarnation is None or follower.acked_ms is None:
             return False
-        if follower.match_index < self._group.commit_index:
+        if follower.match_index < self._leader_state.commit_index:
             return False
-        age_ms = self._group.clock.mono_ms() - follower.acked_ms
-        return age_ms <= self._group.settings.election_timeout_ms
+        age_ms = self._leader_state.clock.mono_ms() - follower.acked_ms
+        return age_ms <= self._leader_state.settings.election_timeout_ms
 
     def _other_disk(
         self, voters: electorates.Voters, known: Followers
@@ -136,7 +136,7 @@
         if silent is None or self._limit is None:
             return None
         silence_ms = self._silence_ms(silent, known)
-        if silence_ms <= self._group.settings.replace_after_ms:
+        if silence_ms <= self._leader_state.settings.replace_after_ms:
             return None
         standing_by = self._standing_by(voters, known)
         left = _without(voters, silent)
@@ -163,7 +163,7 @@
             return None
         spread = self._spread(voters, known)
         standing_by = self._standing_by(voters, known)
-        for gone in sorted(voters.keys() - {self._group.host}):
+        for gone in sorted(voters.keys() - {self._leader_state.host}):
             left = _without(voters, gone)
             host = self._best(standing_by, left, known)
             if host is None or self._spread([*left, host], known) <= spread:
@@ -201,14 +201,14 @@
     def _location(
         self, host: ids.HostId, known: Followers
     ) -> locations.Location | None:
-        if host == self._group.host:
-            return self._group.location
+        if host == self._leader_state.host:
+            return self._leader_state.location
         return known[host].location if host in known else None
 
     def _longest_silent(
         self, voters: electorates.Voters, known: Followers
     ) -> ids.HostId | None:
-        others = [host for host in voters if host != self._group.host]
+        others = [host for host in voters if host != self._leader_state.host]
         return max(
             others,
             key=lambda host: self._silence_ms(host, known),
@@ -222,11 +222,11 @@
         new leader to find that out anew, a lost one would keep its place a
         second longer.
         """
-        now_ms = self._group.clock.mono_ms()
+        now_ms = self._leader_state.clock.mono_ms()
         follower = known.get(host)
         if follower is not None and follower.acked_ms is not None:
             return now_ms - follower.acked_ms
-        silence_ms = self._group.group.silence_ms(host)
+        silence_ms = self._leader_state.group.silence_ms(host)
         return max(silence_ms, now_ms - self._since_ms)
 
 
