--- a/wrenspoke/coordination/agreement/admissions.py
+++ b/wrenspoke/coordination/agreement/admissions.py
@@ -64,7 +64,7 @@
     def _limit(self) -> int | None:
         return self._leader_state.settings.voters_limit
 
-    def _ready(self, follower: followers.Follower) -> bool:
+    def _is_eligible(self, follower: followers.Follower) -> bool:
         """Tell whether a host holds all that is committed, and is there."""
         if follower.incarnation is None or follower.acked_ms is None:
             return False
@@ -81,7 +81,7 @@
             lost = voters.get(host)
             if lost is None or lost == follower.incarnation:
                 continue
-            if not self._ready(follower):
+            if not self._is_eligible(follower):
                 continue
             found = follower.incarnation
             return entries.SetVoters(
@@ -98,7 +98,7 @@
         return {
             host: follower.incarnation
             for host, follower in known.items()
-            if host not in voters and self._ready(follower)
+            if host not in voters and self._is_eligible(follower)
         }
 
     def _addition(
