--- a/wrenspoke/coordination/agreement/admissions.py
+++ b/wrenspoke/coordination/agreement/admissions.py
@@ -53,7 +53,7 @@
             return entries.SetVoters(deciding.voters, 'the change is over')
         voters = deciding.voters
         return (
-            self._other_disk(voters, known)
+            self._replace_disk(voters, known)
             or self._addition(voters, known)
             or self._removal(voters, known)
             or self._replacement(voters, known)
@@ -73,7 +73,7 @@
         age_ms = self._leader_state.clock.mono_ms() - follower.acked_ms
         return age_ms <= self._leader_state.settings.election_timeout_ms
 
-    def _other_disk(
+    def _replace_disk(
         self, voters: electorates.Voters, known: Followers
     ) -> entries.SetVoters | None:
         """Let a host's new disk take the vote of the one that it lost."""
