--- a/wrenspoke/coordination/agreement/admissions.py
+++ b/wrenspoke/coordination/agreement/admissions.py
@@ -91,7 +91,7 @@
             )
         return None
 
-    def _standing_by(
+    def _eligible_learners(
         self, voters: electorates.Voters, known: Followers
     ) -> dict[ids.HostId, ids.Incarnation]:
         """Return the hosts without a vote that could have one at once."""
@@ -106,7 +106,7 @@
     ) -> entries.SetVoters | None:
         if self._limit is not None and len(voters) >= self._limit:
             return None
-        standing_by = self._standing_by(voters, known)
+        standing_by = self._eligible_learners(voters, known)
         host = self._best(standing_by, voters, known)
         if host is None:
             return None
@@ -138,7 +138,7 @@
         silence_ms = self._silence_ms(silent, known)
         if silence_ms <= self._leader_state.settings.replace_after_ms:
             return None
-        standing_by = self._standing_by(voters, known)
+        standing_by = self._eligible_learners(voters, known)
         left = _without(voters, silent)
         host = self._best(standing_by, left, known)
         if host is None:
@@ -162,7 +162,7 @@
             # those that spread them.
             return None
         spread = self._spread(voters, known)
-        standing_by = self._standing_by(voters, known)
+        standing_by = self._eligible_learners(voters, known)
         for gone in sorted(voters.keys() - {self._leader_state.host}):
             left = _without(voters, gone)
             host = self._best(standing_by, left, known)
