--- a/wrenspoke/coordination/agreement/admissions.py
+++ b/wrenspoke/coordination/agreement/admissions.py
@@ -54,7 +54,7 @@
         voters = deciding.voters
         return (
             self._replace_disk(voters, known)
-            or self._addition(voters, known)
+            or self._add_voter(voters, known)
             or self._removal(voters, known)
             or self._replacement(voters, known)
             or self._spreading(voters, known)
@@ -101,7 +101,7 @@
             if host not in voters and self._is_eligible(follower)
         }
 
-    def _addition(
+    def _add_voter(
         self, voters: electorates.Voters, known: Followers
     ) -> entries.SetVoters | None:
         if self._limit is not None and len(voters) >= self._limit:
