--- a/wrenspoke/coordination/agreement/admissions.py
+++ b/wrenspoke/coordination/agreement/admissions.py
@@ -55,7 +55,7 @@
         return (
             self._replace_disk(voters, known)
             or self._add_voter(voters, known)
-            or self._removal(voters, known)
+            or self._remove_voter(voters, known)
             or self._replacement(voters, known)
             or self._spreading(voters, known)
         )
@@ -115,7 +115,7 @@
             {**voters, host: disk}, f'{host} holds all on disk {disk}'
         )
 
-    def _removal(
+    def _remove_voter(
         self, voters: electorates.Voters, known: Followers
     ) -> entries.SetVoters | None:
         if self._limit is None or len(voters) <= self._limit:
