--- a/wrenspoke/coordination/agreement/admissions.py
+++ b/wrenspoke/coordination/agreement/admissions.py
@@ -56,7 +56,7 @@
             self._replace_disk(voters, known)
             or self._add_voter(voters, known)
             or self._remove_voter(voters, known)
-            or self._replacement(voters, known)
+            or self._replace_silent_voter(voters, known)
             or self._spreading(voters, known)
         )
 
@@ -124,7 +124,7 @@
         left = _without(voters, gone)
         return entries.SetVoters(left, f'{gone} is one too many')
 
-    def _replacement(
+    def _replace_silent_voter(
         self, voters: electorates.Voters, known: Followers
     ) -> entries.SetVoters | None:
         """Let a host that stands by take the place of a silent one.
