--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -437,7 +437,7 @@
     Switch(
         'voters stay where they are',
         DECISIONS + 'agreement/admissions.py',
-        ('            or self._spreading(voters, known)\n'),
+        ('            or self._improve_spread(voters, known)\n'),
         (''),
         ('tests/test_group_soak.py'),
     ),
--- a/wrenspoke/coordination/agreement/admissions.py
+++ b/wrenspoke/coordination/agreement/admissions.py
@@ -57,7 +57,7 @@
             or self._add_voter(voters, known)
             or self._remove_voter(voters, known)
             or self._replace_silent_voter(voters, known)
-            or self._spreading(voters, known)
+            or self._improve_spread(voters, known)
         )
 
     @property
@@ -149,7 +149,7 @@
             voters,
         )
 
-    def _spreading(
+    def _improve_spread(
         self, voters: electorates.Voters, known: Followers
     ) -> entries.SetVoters | None:
         """Spread the voters over more places, so that one may be lost.
