--- a/wrenspoke/coordination/agreement/admissions.py
+++ b/wrenspoke/coordination/agreement/admissions.py
@@ -107,7 +107,7 @@
         if self._limit is not None and len(voters) >= self._limit:
             return None
         standing_by = self._eligible_learners(voters, known)
-        host = self._best(standing_by, voters, known)
+        host = self._best_spread_host(standing_by, voters, known)
         if host is None:
             return None
         disk = standing_by[host]
@@ -140,7 +140,7 @@
             return None
         standing_by = self._eligible_learners(voters, known)
         left = _without(voters, silent)
-        host = self._best(standing_by, left, known)
+        host = self._best_spread_host(standing_by, left, known)
         if host is None:
             return None
         return entries.SetVoters(
@@ -165,7 +165,7 @@
         standing_by = self._eligible_learners(voters, known)
         for gone in sorted(voters.keys() - {self._leader_state.host}):
             left = _without(voters, gone)
-            host = self._best(standing_by, left, known)
+            host = self._best_spread_host(standing_by, left, known)
             if host is None or self._spread([*left, host], known) <= spread:
                 continue
             return entries.SetVoters(
@@ -175,7 +175,7 @@
             )
         return None
 
-    def _best(
+    def _best_spread_host(
         self,
         standing_by: collections.abc.Iterable[ids.HostId],
         voters: collections.abc.Iterable[ids.HostId],
