--- a/wrenspoke/coordination/agreement/admissions.py
+++ b/wrenspoke/coordination/agreement/admissions.py
@@ -120,7 +120,7 @@
     ) -> entries.SetVoters | None:
         if self._limit is None or len(voters) <= self._limit:
             return None
-        gone = self._longest_silent(voters, known)
+        gone = self._longest_silent_voter(voters, known)
         left = _without(voters, gone)
         return entries.SetVoters(left, f'{gone} is one too many')
 
@@ -132,7 +132,7 @@
         Until it has, one more lost disk may end the group. That costs two
         entries, and a host that comes back after all stands by itself.
         """
-        silent = self._longest_silent(voters, known)
+        silent = self._longest_silent_voter(voters, known)
         if silent is None or self._limit is None:
             return None
         silence_ms = self._silence_ms(silent, known)
@@ -205,7 +205,7 @@
             return self._leader_state.location
         return known[host].location if host in known else None
 
-    def _longest_silent(
+    def _longest_silent_voter(
         self, voters: electorates.Voters, known: Followers
     ) -> ids.HostId | None:
         others = [host for host in voters if host != self._leader_state.host]
