--- a/wrenspoke/coordination/agreement/admissions.py
+++ b/wrenspoke/coordination/agreement/admissions.py
@@ -121,7 +121,7 @@
         if self._limit is None or len(voters) <= self._limit:
             return None
         gone = self._longest_silent_voter(voters, known)
-        left = _without(voters, gone)
+        left = _without_host(voters, gone)
         return entries.SetVoters(left, f'{gone} is one too many')
 
     def _replace_silent_voter(
@@ -139,7 +139,7 @@
         if silence_ms <= self._leader_state.settings.replace_after_ms:
             return None
         standing_by = self._eligible_learners(voters, known)
-        left = _without(voters, silent)
+        left = _without_host(voters, silent)
         host = self._best_spread_host(standing_by, left, known)
         if host is None:
             return None
@@ -164,7 +164,7 @@
         spread = self._spread(voters, known)
         standing_by = self._eligible_learners(voters, known)
         for gone in sorted(voters.keys() - {self._leader_state.host}):
-            left = _without(voters, gone)
+            left = _without_host(voters, gone)
             host = self._best_spread_host(standing_by, left, known)
             if host is None or self._spread([*left, host], known) <= spread:
                 continue
@@ -230,7 +230,7 @@
         return max(silence_ms, now_ms - self._since_ms)
 
 
-def _without(
+def _without_host(
     voters: electorates.Voters, left_out: ids.HostId
 ) -> electorates.Voters:
     return {host: disk for host, disk in voters.items() if host != left_out}
