--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -202,7 +202,7 @@
 
     lost = []
     monkeypatch.setattr(
-        canvass.Canvass,
+        canvass.VoteTally,
         'tell_lost',
         lambda _self, asked, _silence_ms: lost.append(asked),
     )
--- a/wrenspoke/coordination/agreement/canvass.py
+++ b/wrenspoke/coordination/agreement/canvass.py
@@ -9,7 +9,7 @@
 logger = structlog.get_logger(__name__)
 
 
-class Canvass:
+class VoteTally:
     """Hold what the voters answered to one call for votes.
 
     A vote counts where it comes from the disk that was admitted.
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -305,7 +305,7 @@
             self.storage.last_term,
             pre,
         )
-        votes = canvass.Canvass(self.host, self.incarnation, self.electorate)
+        votes = canvass.VoteTally(self.host, self.incarnation, self.electorate)
         tasks = [
             asyncio.get_running_loop().create_task(self._ask(host, message))
             for host in votes.others
