--- a/wrenspoke/coordination/agreement/canvass.py
+++ b/wrenspoke/coordination/agreement/canvass.py
@@ -21,14 +21,14 @@
         disk: ids.Incarnation,
         deciding: electorates.Electorate,
     ):
-        self._deciding = deciding
+        self._electorate = deciding
         self._given = {host: disk}
         self._refused: dict[ids.HostId, str] = {}
         self.others = sorted(deciding.hosts - {host})
 
     def note(self, host: ids.HostId, answer: messages.VoteReply) -> None:
         """Count an answer."""
-        if not self._deciding.has(host, answer.incarnation):
+        if not self._electorate.has(host, answer.incarnation):
             self._refused[host] = f'other disk {answer.incarnation}'
         elif answer.granted:
             self._given[host] = answer.incarnation
@@ -40,7 +40,7 @@
     def won(self) -> bool:
         """Tell whether a majority gave its vote."""
         return bool(
-            self._deciding.reached(
+            self._electorate.reached(
                 lambda host, disk: int(self._given.get(host) == disk)
             )
         )
@@ -58,8 +58,8 @@
             pre=asked.pre,
             last_index=asked.last_index,
             silence_ms=silence_ms,
-            voters=sorted(self._deciding.voters),
-            before=sorted(self._deciding.before),
+            voters=sorted(self._electorate.voters),
+            before=sorted(self._electorate.before),
             given=sorted(self._given),
             refused=dict(sorted(self._refused.items())),
             silent=sorted(silent),
