--- a/wrenspoke/coordination/agreement/canvass.py
+++ b/wrenspoke/coordination/agreement/canvass.py
@@ -22,7 +22,7 @@
         deciding: electorates.Electorate,
     ):
         self._electorate = deciding
-        self._given = {host: disk}
+        self._granted = {host: disk}
         self._refused: dict[ids.HostId, str] = {}
         self.others = sorted(deciding.hosts - {host})
 
@@ -31,7 +31,7 @@
         if not self._electorate.has(host, answer.incarnation):
             self._refused[host] = f'other disk {answer.incarnation}'
         elif answer.granted:
-            self._given[host] = answer.incarnation
+            self._granted[host] = answer.incarnation
         else:
             reason = answer.refused
             self._refused[host] = 'unsaid' if reason is None else reason.value
@@ -41,7 +41,7 @@
         """Tell whether a majority gave its vote."""
         return bool(
             self._electorate.reached(
-                lambda host, disk: int(self._given.get(host) == disk)
+                lambda host, disk: int(self._granted.get(host) == disk)
             )
         )
 
@@ -51,7 +51,7 @@
         ``silence_ms`` is how long no leader was heard. Who is in none of
         the lists gave no answer.
         """
-        silent = set(self.others) - self._given.keys() - self._refused.keys()
+        silent = set(self.others) - self._granted.keys() - self._refused.keys()
         logger.warning(
             'canvass_lost',
             term=asked.term,
@@ -60,7 +60,7 @@
             silence_ms=silence_ms,
             voters=sorted(self._electorate.voters),
             before=sorted(self._electorate.before),
-            given=sorted(self._given),
+            given=sorted(self._granted),
             refused=dict(sorted(self._refused.items())),
             silent=sorted(silent),
         )
