--- a/wrenspoke/coordination/agreement/canvass.py
+++ b/wrenspoke/coordination/agreement/canvass.py
@@ -24,7 +24,7 @@
         self._electorate = deciding
         self._granted = {host: disk}
         self._refused: dict[ids.HostId, str] = {}
-        self.others = sorted(deciding.hosts - {host})
+        self.other_voters = sorted(deciding.hosts - {host})
 
     def note(self, host: ids.HostId, answer: messages.VoteReply) -> None:
         """Count an answer."""
@@ -51,7 +51,11 @@
         ``silence_ms`` is how long no leader was heard. Who is in none of
         the lists gave no answer.
         """
-        silent = set(self.others) - self._granted.keys() - self._refused.keys()
+        silent = (
+            set(self.other_voters)
+            - self._granted.keys()
+            - self._refused.keys()
+        )
         logger.warning(
             'canvass_lost',
             term=asked.term,
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -308,7 +308,7 @@
         votes = canvass.VoteTally(self.host, self.incarnation, self.electorate)
         tasks = [
             asyncio.get_running_loop().create_task(self._ask(host, message))
-            for host in votes.others
+            for host in votes.other_voters
         ]
         try:
             for earliest in asyncio.as_completed(tasks):
