--- a/wrenspoke/coordination/agreement/canvass.py
+++ b/wrenspoke/coordination/agreement/canvass.py
@@ -26,7 +26,9 @@
         self._refused: dict[ids.HostId, str] = {}
         self.other_voters = sorted(deciding.hosts - {host})
 
-    def note(self, host: ids.HostId, answer: messages.VoteReply) -> None:
+    def record_reply(
+        self, host: ids.HostId, answer: messages.VoteReply
+    ) -> None:
         """Count an answer."""
         if not self._electorate.has(host, answer.incarnation):
             self._refused[host] = f'other disk {answer.incarnation}'
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -321,7 +321,7 @@
                     )
                     self.adopt_term(answer.term)
                     return False
-                votes.note(host, answer)
+                votes.record_reply(host, answer)
                 if votes.won:
                     break
         finally:
