--- a/wrenspoke/coordination/agreement/canvass.py
+++ b/wrenspoke/coordination/agreement/canvass.py
@@ -47,7 +47,7 @@
             )
         )
 
-    def tell_lost(self, asked: messages.AskVote, silence_ms: int) -> None:
+    def log_lost(self, asked: messages.AskVote, silence_ms: int) -> None:
         """Log who kept this host from leading, and why.
 
         ``silence_ms`` is how long no leader was heard. Who is in none of
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -327,7 +327,7 @@
         finally:
             await runtime.cancel(tasks)
         if not votes.won:
-            votes.tell_lost(message, self.clock.mono_ms() - self._heard_ms)
+            votes.log_lost(message, self.clock.mono_ms() - self._heard_ms)
         return votes.won
 
     async def _ask(
