--- a/wrenspoke/coordination/agreement/clearance.py
+++ b/wrenspoke/coordination/agreement/clearance.py
@@ -32,7 +32,7 @@
 HELLO_INTERVAL_MS = 200
 
 
-class Clearance:
+class RollbackCheck:
     """Tell the others of this start, and remember theirs."""
 
     def __init__(
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -120,7 +120,7 @@
         # For which moment a leader's word says that nothing newer was
         # accepted than what is committed here.
         self._confirmed_ms: int | None = None
-        self._clearance = clearance.Clearance(
+        self._clearance = clearance.RollbackCheck(
             kept, group, peers, limits, clock
         )
         self.role = Role.FOLLOWER
