--- a/wrenspoke/coordination/agreement/clearance.py
+++ b/wrenspoke/coordination/agreement/clearance.py
@@ -48,7 +48,7 @@
         self._peers = peers
         self._settings = limits
         self._clock = clock
-        self._start = ids.new_unique()
+        self._start_id = ids.new_unique()
         self._counted = False
         self.given = False
         with contextlib.suppress(state_errors.DiskFullError):
@@ -94,7 +94,7 @@
         self, become_new: collections.abc.Callable[[], None]
     ) -> None:
         meta = self._storage.meta
-        message = messages.Hello(meta.incarnation, meta.boot, self._start)
+        message = messages.Hello(meta.incarnation, meta.boot, self._start_id)
         deciding = self._storage.electorate()
         known = {*self._group.others(), *deciding.hosts}
         others = sorted(known - {self._group.host})
