--- a/wrenspoke/coordination/agreement/clearance.py
+++ b/wrenspoke/coordination/agreement/clearance.py
@@ -49,7 +49,7 @@
         self._settings = limits
         self._clock = clock
         self._start_id = ids.new_unique()
-        self._counted = False
+        self._start_counted = False
         self.given = False
         with contextlib.suppress(state_errors.DiskFullError):
             self._count_start()
@@ -75,7 +75,7 @@
         while not self.given:
             # Without room on the disk it tries again until there is some.
             with contextlib.suppress(state_errors.DiskFullError):
-                if not self._counted:
+                if not self._start_counted:
                     self._count_start()
                 await self._say_hello(become_new)
             if not self.given:
@@ -88,7 +88,7 @@
         """
         self._storage.meta.boot += 1
         self._storage.save_meta()
-        self._counted = True
+        self._start_counted = True
 
     async def _say_hello(
         self, become_new: collections.abc.Callable[[], None]
