--- a/features/steps/promise_steps.py
+++ b/features/steps/promise_steps.py
@@ -19,13 +19,13 @@
 OTHER = {'north': 'south', 'south': 'north'}
 
 
-@behave.given('two regions with two entry hosts each, behind links')
+@behave.passed('two regions with two entry hosts each, behind links')
 def step_two_behind_links(context):
     made = fleet.deployment(entries=2)
     run(context, start(context, made, relays=True, token_ms=20))
 
 
-@behave.given('two regions with an entry host each and a control host')
+@behave.passed('two regions with an entry host each and a control host')
 def step_with_control(context):
     run(context, start(context, fleet.deployment(controls=1)))
 
--- a/features/steps/request_steps.py
+++ b/features/steps/request_steps.py
@@ -25,7 +25,7 @@
     context.fleet = await context.running.__aenter__()
 
 
-@behave.given('two regions with an entry host each')
+@behave.passed('two regions with an entry host each')
 def step_two_regions(context):
     run(context, start(context, fleet.deployment()))
 
--- a/tests/test_advertised.py
+++ b/tests/test_advertised.py
@@ -95,7 +95,7 @@
 )
 
 
-@hypothesis.given(
+@hypothesis.passed(
     strategies.lists(WORDS, max_size=3), strategies.none() | WORDS
 )
 def test_any_retry_after_is_read_or_refused(texts, sent):
@@ -173,7 +173,7 @@
     )
 
 
-@hypothesis.given(
+@hypothesis.passed(
     strategies.sampled_from(advertised.Origin),
     strategies.integers(100, 599),
     strategies.lists(WORDS, max_size=2),
--- a/wrenspoke/coordination/agreement/canvass.py
+++ b/wrenspoke/coordination/agreement/canvass.py
@@ -66,7 +66,7 @@
             silence_ms=silence_ms,
             voters=sorted(self._electorate.voters),
             before=sorted(self._electorate.before),
-            given=sorted(self._granted),
+            passed=sorted(self._granted),
             refused=dict(sorted(self._refused.items())),
             silent=sorted(silent),
         )
--- a/wrenspoke/coordination/agreement/clearance.py
+++ b/wrenspoke/coordination/agreement/clearance.py
@@ -50,7 +50,7 @@
         self._clock = clock
         self._start_id = ids.new_unique()
         self._start_counted = False
-        self.given = False
+        self.passed = False
         with contextlib.suppress(state_errors.DiskFullError):
             self._count_start()
         peers.answers(messages.Hello)(self._answer_hello)
@@ -72,13 +72,13 @@
 
         ``become_new`` is called if it was one, and now holds nothing.
         """
-        while not self.given:
+        while not self.passed:
             # Without room on the disk it tries again until there is some.
             with contextlib.suppress(state_errors.DiskFullError):
                 if not self._start_counted:
                     self._count_start()
                 await self._say_hello(become_new)
-            if not self.given:
+            if not self.passed:
                 await self._clock.sleep_ms(HELLO_INTERVAL_MS)
 
     def _count_start(self) -> None:
@@ -124,7 +124,7 @@
             return int(host in heard or disk == meta.incarnation)
 
         if not deciding.voters or deciding.reached(knows):
-            self.given = True
+            self.passed = True
             logger.info(
                 'cleared', incarnation=meta.incarnation, boot=meta.boot
             )
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -248,7 +248,7 @@
             # Not as if a leader was heard: two hosts that canvass in turn
             # would refuse each other their votes.
             self._canvassed_ms = self.clock.mono_ms()
-            if not self._clearance.given or not self._may_lead:
+            if not self._clearance.passed or not self._may_lead:
                 continue
             before = (self.term, self._heard_ms)
             # Without room on the disk there is nothing to stand with.
@@ -390,7 +390,7 @@
         holds no voters at all was never admitted as it is, and may have
         forgotten that it was.
         """
-        if not self._clearance.given:
+        if not self._clearance.passed:
             return messages.VoteRefusal.NOT_CLEARED
         if not self.electorate.voters:
             return messages.VoteRefusal.NO_VOTE
