--- a/wrenspoke/coordination/agreement/clearance.py
+++ b/wrenspoke/coordination/agreement/clearance.py
@@ -65,7 +65,7 @@
         except protocol_errors.ProtocolError:
             return None
 
-    async def obtain(
+    async def wait_until_passed(
         self, become_new: collections.abc.Callable[[], None]
     ) -> None:
         """Make sure that this disk is no old copy of itself.
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -199,7 +199,7 @@
     def start(self) -> None:
         """Take part, once the others know of this start."""
         self._heard_ms = self.clock.mono_ms()
-        self._tasks.start(self._clearance.obtain(self._become_new))
+        self._tasks.start(self._clearance.wait_until_passed(self._become_new))
         self._tasks.start(self._watch())
 
     async def close(self) -> None:
