--- a/wrenspoke/coordination/agreement/clearance.py
+++ b/wrenspoke/coordination/agreement/clearance.py
@@ -77,7 +77,7 @@
             with contextlib.suppress(state_errors.DiskFullError):
                 if not self._start_counted:
                     self._count_start()
-                await self._say_hello(become_new)
+                await self._send_hello(become_new)
             if not self.passed:
                 await self._clock.sleep_ms(HELLO_INTERVAL_MS)
 
@@ -90,7 +90,7 @@
         self._storage.save_meta()
         self._start_counted = True
 
-    async def _say_hello(
+    async def _send_hello(
         self, become_new: collections.abc.Callable[[], None]
     ) -> None:
         meta = self._storage.meta
