--- a/wrenspoke/coordination/agreement/clearance.py
+++ b/wrenspoke/coordination/agreement/clearance.py
@@ -53,7 +53,7 @@
         self.passed = False
         with contextlib.suppress(state_errors.DiskFullError):
             self._count_start()
-        peers.answers(messages.Hello)(self._answer_hello)
+        peers.answers(messages.Hello)(self._handle_hello)
 
     async def _call(
         self, host: ids.HostId, message: messages.Hello
@@ -129,7 +129,7 @@
                 'cleared', incarnation=meta.incarnation, boot=meta.boot
             )
 
-    async def _answer_hello(
+    async def _handle_hello(
         self, sender: ids.HostId, message: messages.Hello
     ) -> messages.HelloReply | messages.Refusal:
         self._group.hear(sender)
