--- a/wrenspoke/coordination/agreement/followers.py
+++ b/wrenspoke/coordination/agreement/followers.py
@@ -22,4 +22,4 @@
         self.location: locations.Location | None = None
         self.acked_ms: int | None = None
         self.moment: messages.Moment | None = None
-        self.more = asyncio.Event()
+        self.has_new_entries = asyncio.Event()
