--- a/wrenspoke/coordination/agreement/lead.py
+++ b/wrenspoke/coordination/agreement/lead.py
@@ -24,7 +24,7 @@
 
 logger = structlog.get_logger(__name__)
 
-BATCH_ENTRIES = 256
+MAX_BATCH_ENTRIES = 256
 LEASE_SHARE = 0.8
 
 
@@ -188,7 +188,7 @@
             previous_term,
             self._group.commit_index,
             self._group.storage.entries_from(
-                follower.next_index, BATCH_ENTRIES
+                follower.next_index, MAX_BATCH_ENTRIES
             ),
             follower.moment if self.has_lease else None,
         )
