--- a/wrenspoke/coordination/agreement/lead.py
+++ b/wrenspoke/coordination/agreement/lead.py
@@ -25,7 +25,7 @@
 logger = structlog.get_logger(__name__)
 
 MAX_BATCH_ENTRIES = 256
-LEASE_SHARE = 0.8
+LEASE_FRACTION = 0.8
 
 
 class Group(typing.Protocol):
@@ -146,7 +146,9 @@
         if self._group.commit_index < self._start_index:
             return False
         age_ms = self._group.clock.mono_ms() - self.quorum_acked_ms()
-        return age_ms < self._group.settings.election_timeout_ms * LEASE_SHARE
+        return (
+            age_ms < self._group.settings.election_timeout_ms * LEASE_FRACTION
+        )
 
     async def _replicate(
         self, host: ids.HostId, follower: followers.Follower
