--- a/wrenspoke/coordination/agreement/lead.py
+++ b/wrenspoke/coordination/agreement/lead.py
@@ -28,7 +28,7 @@
 LEASE_FRACTION = 0.8
 
 
-class Group(typing.Protocol):
+class LeaderNode(typing.Protocol):
     """Be what a lead needs of the voter that holds it."""
 
     host: ids.HostId
@@ -66,7 +66,7 @@
 
     def __init__(
         self,
-        group: Group,
+        group: LeaderNode,
         term: int,
         asked_ms: int,
         tasks: runtime.Tasks,
