--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -121,7 +121,7 @@
             reached=lambda held: held('other', 'disk')
         ),
     )
-    made = lead.Lead.__new__(lead.Lead)
+    made = lead.Leadership.__new__(lead.Leadership)
     made.over = False
     made._group = group
     made._start_index = 1
--- a/wrenspoke/coordination/agreement/lead.py
+++ b/wrenspoke/coordination/agreement/lead.py
@@ -61,7 +61,7 @@
         """Write an entry and wait until it is applied."""
 
 
-class Lead:
+class Leadership:
     """Hold what a leader does from its election to its end."""
 
     def __init__(
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -110,7 +110,7 @@
         self.clock = clock
         self._tasks = runtime.Tasks()
         self._leading = runtime.Tasks()
-        self._lead: lead.Lead | None = None
+        self._lead: lead.Leadership | None = None
         self._proposed: dict[int, tuple[int, asyncio.Future]] = {}
         self._heard_ms = clock.mono_ms()
         self._canvassed_ms = self._heard_ms
@@ -454,7 +454,7 @@
         self.role = Role.LEADER
         self.leader = self.host
         logger.info('leading', term=self.term)
-        self._lead = lead.Lead(self, self.term, asked_ms, self._leading)
+        self._lead = lead.Leadership(self, self.term, asked_ms, self._leading)
         try:
             self._append(entries.LeaderStart(self.host))
         except state_errors.DiskFullError:
