--- a/wrenspoke/coordination/agreement/lead.py
+++ b/wrenspoke/coordination/agreement/lead.py
@@ -71,7 +71,7 @@
         asked_ms: int,
         tasks: runtime.Tasks,
     ):
-        self._group = group
+        self._node = group
         self._tasks = tasks
         self._start_index = group.storage.last_index + 1
         self._followers: dict[ids.HostId, followers.Follower] = {}
@@ -88,8 +88,8 @@
 
     def _follow_group(self) -> None:
         """Replicate to control hosts that are new, not to those gone."""
-        wanted = {*self._group.group.others(), *self._group.electorate.hosts}
-        wanted.discard(self._group.host)
+        wanted = {*self._node.group.others(), *self._node.electorate.hosts}
+        wanted.discard(self._node.host)
         for host in sorted(wanted - self._followers.keys()):
             follower = followers.Follower(self._start_index)
             self._followers[host] = follower
@@ -109,7 +109,7 @@
 
     def quorum_acked_ms(self) -> int:
         """Return since when a majority is known to follow this leader."""
-        now_ms = self._group.clock.mono_ms()
+        now_ms = self._node.clock.mono_ms()
 
         def acked_ms(host: ids.HostId, disk: ids.Incarnation) -> int:
             if self._is_own(host, disk):
@@ -119,10 +119,10 @@
                 return follower.acked_ms
             return self.since_ms if self._elected_by.has(host, disk) else 0
 
-        return self._group.electorate.reached(acked_ms)
+        return self._node.electorate.reached(acked_ms)
 
     def _is_own(self, host: ids.HostId, disk: ids.Incarnation) -> bool:
-        group = self._group
+        group = self._node
         return host == group.host and disk == group.incarnation
 
     def _follower_on(
@@ -143,11 +143,11 @@
         """
         if self.over:
             return False
-        if self._group.commit_index < self._start_index:
+        if self._node.commit_index < self._start_index:
             return False
-        age_ms = self._group.clock.mono_ms() - self.quorum_acked_ms()
+        age_ms = self._node.clock.mono_ms() - self.quorum_acked_ms()
         return (
-            age_ms < self._group.settings.election_timeout_ms * LEASE_FRACTION
+            age_ms < self._node.settings.election_timeout_ms * LEASE_FRACTION
         )
 
     async def _replicate(
@@ -156,21 +156,21 @@
         """Keep one other control host's log equal to ours."""
         while not self.over and self._followers.get(host) is follower:
             follower.more.clear()
-            sent_ms = self._group.clock.mono_ms()
-            answer = await self._group.call(host, self._message_for(follower))
+            sent_ms = self._node.clock.mono_ms()
+            answer = await self._node.call(host, self._message_for(follower))
             if self.over:
                 return
             if isinstance(answer, messages.AppendReply):
                 self._note_answer(host, follower, answer, sent_ms)
-                if follower.next_index <= self._group.storage.last_index:
+                if follower.next_index <= self._node.storage.last_index:
                     continue
             await self._wait_for_more(follower, sent_ms)
 
     async def _wait_for_more(
         self, follower: followers.Follower, sent_ms: int
     ) -> None:
-        interval_ms = self._group.settings.beat_interval_ms
-        left_ms = sent_ms + interval_ms - self._group.clock.mono_ms()
+        interval_ms = self._node.settings.beat_interval_ms
+        left_ms = sent_ms + interval_ms - self._node.clock.mono_ms()
         try:
             async with clocks.timeout_ms(max(left_ms, 1)):
                 await follower.more.wait()
@@ -181,15 +181,15 @@
         self, follower: followers.Follower
     ) -> messages.Append | messages.Install:
         previous = follower.next_index - 1
-        previous_term = self._group.storage.term_at(previous)
+        previous_term = self._node.storage.term_at(previous)
         if previous_term is None:
-            return messages.Install(self.term, self._group.storage.snapshot)
+            return messages.Install(self.term, self._node.storage.snapshot)
         return messages.Append(
             self.term,
             previous,
             previous_term,
-            self._group.commit_index,
-            self._group.storage.entries_from(
+            self._node.commit_index,
+            self._node.storage.entries_from(
                 follower.next_index, MAX_BATCH_ENTRIES
             ),
             follower.moment if self.has_lease else None,
@@ -205,7 +205,7 @@
         if answer.term > self.term:
             # Without room for the term on the disk the lead is over too.
             with contextlib.suppress(state_errors.DiskFullError):
-                self._group.adopt_term(answer.term)
+                self._node.adopt_term(answer.term)
             return
         if answer.incarnation != follower.incarnation:
             follower.incarnation = answer.incarnation
@@ -226,23 +226,23 @@
 
         def held_index(host: ids.HostId, disk: ids.Incarnation) -> int:
             if self._is_own(host, disk):
-                return self._group.storage.last_index
+                return self._node.storage.last_index
             follower = self._follower_on(host, disk)
             return 0 if follower is None else follower.match_index
 
-        index = self._group.electorate.reached(held_index)
-        if self._group.storage.term_at(index) != self.term:
+        index = self._node.electorate.reached(held_index)
+        if self._node.storage.term_at(index) != self.term:
             return
-        if index > self._group.commit_index:
-            self._group.commit(index)
+        if index > self._node.commit_index:
+            self._node.commit(index)
             # The followers apply it when they are told.
             self.wake()
 
     async def _admit(self) -> None:
         """Keep the voters complete, by one change at a time."""
         while not self.over:
-            await self._group.clock.sleep_ms(
-                self._group.settings.beat_interval_ms
+            await self._node.clock.sleep_ms(
+                self._node.settings.beat_interval_ms
             )
             self._follow_group()
             if not self.has_lease:
@@ -257,6 +257,6 @@
                 reason=change.reason,
             )
             try:
-                await self._group.propose(change)
+                await self._node.propose(change)
             except errors.NotLeaderError:
                 return
