--- a/wrenspoke/coordination/agreement/lead.py
+++ b/wrenspoke/coordination/agreement/lead.py
@@ -75,7 +75,7 @@
         self._tasks = tasks
         self._start_index = group.storage.last_index + 1
         self._followers: dict[ids.HostId, followers.Follower] = {}
-        self._admissions = admissions.VoterPlanner(group, asked_ms)
+        self._voter_planner = admissions.VoterPlanner(group, asked_ms)
         self._elected_by = group.electorate
         self.term = term
         self.since_ms = asked_ms
@@ -247,7 +247,7 @@
             self._follow_group()
             if not self.has_lease:
                 continue
-            change = self._admissions.next_change(self._followers)
+            change = self._voter_planner.next_change(self._followers)
             if change is None:
                 continue
             logger.warning(
