--- a/wrenspoke/coordination/agreement/lead.py
+++ b/wrenspoke/coordination/agreement/lead.py
@@ -76,7 +76,7 @@
         self._start_index = group.storage.last_index + 1
         self._followers: dict[ids.HostId, followers.Follower] = {}
         self._voter_planner = admissions.VoterPlanner(group, asked_ms)
-        self._elected_by = group.electorate
+        self._electing_voters = group.electorate
         self.term = term
         self.since_ms = asked_ms
         self.over = False
@@ -117,7 +117,9 @@
             follower = self._follower_on(host, disk)
             if follower is not None and follower.acked_ms is not None:
                 return follower.acked_ms
-            return self.since_ms if self._elected_by.has(host, disk) else 0
+            return (
+                self.since_ms if self._electing_voters.has(host, disk) else 0
+            )
 
         return self._node.electorate.reached(acked_ms)
 
