--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -122,7 +122,7 @@
         ),
     )
     made = lead.Leadership.__new__(lead.Leadership)
-    made.over = False
+    made.ended = False
     made._group = group
     made._start_index = 1
     made._followers = {'other': follower}
--- a/wrenspoke/coordination/agreement/lead.py
+++ b/wrenspoke/coordination/agreement/lead.py
@@ -79,7 +79,7 @@
         self._electing_voters = group.electorate
         self.term = term
         self.since_ms = asked_ms
-        self.over = False
+        self.ended = False
 
     def start(self) -> None:
         """Begin to replicate and to admit."""
@@ -99,7 +99,7 @@
 
     def end(self) -> None:
         """Let every task of this lead end."""
-        self.over = True
+        self.ended = True
         self.wake()
 
     def wake(self) -> None:
@@ -143,7 +143,7 @@
         A majority that answered a message sent at some time gives no
         vote to others for an election timeout from then.
         """
-        if self.over:
+        if self.ended:
             return False
         if self._node.commit_index < self._start_index:
             return False
@@ -156,11 +156,11 @@
         self, host: ids.HostId, follower: followers.Follower
     ) -> None:
         """Keep one other control host's log equal to ours."""
-        while not self.over and self._followers.get(host) is follower:
+        while not self.ended and self._followers.get(host) is follower:
             follower.more.clear()
             sent_ms = self._node.clock.mono_ms()
             answer = await self._node.call(host, self._message_for(follower))
-            if self.over:
+            if self.ended:
                 return
             if isinstance(answer, messages.AppendReply):
                 self._note_answer(host, follower, answer, sent_ms)
@@ -242,7 +242,7 @@
 
     async def _admit(self) -> None:
         """Keep the voters complete, by one change at a time."""
-        while not self.over:
+        while not self.ended:
             await self._node.clock.sleep_ms(
                 self._node.settings.beat_interval_ms
             )
