--- a/wrenspoke/coordination/agreement/lead.py
+++ b/wrenspoke/coordination/agreement/lead.py
@@ -83,10 +83,10 @@
 
     def start(self) -> None:
         """Begin to replicate and to admit."""
-        self._follow_group()
+        self._sync_followers()
         self._tasks.start(self._admit())
 
-    def _follow_group(self) -> None:
+    def _sync_followers(self) -> None:
         """Replicate to control hosts that are new, not to those gone."""
         wanted = {*self._node.group.others(), *self._node.electorate.hosts}
         wanted.discard(self._node.host)
@@ -246,7 +246,7 @@
             await self._node.clock.sleep_ms(
                 self._node.settings.beat_interval_ms
             )
-            self._follow_group()
+            self._sync_followers()
             if not self.has_lease:
                 continue
             change = self._voter_planner.next_change(self._followers)
