--- a/wrenspoke/coordination/agreement/lead.py
+++ b/wrenspoke/coordination/agreement/lead.py
@@ -100,9 +100,9 @@
     def end(self) -> None:
         """Let every task of this lead end."""
         self.ended = True
-        self.wake()
+        self.wake_replication()
 
-    def wake(self) -> None:
+    def wake_replication(self) -> None:
         """Let the followers be sent what is new."""
         for follower in self._followers.values():
             follower.more.set()
@@ -238,7 +238,7 @@
         if index > self._node.commit_index:
             self._node.commit(index)
             # The followers apply it when they are told.
-            self.wake()
+            self.wake_replication()
 
     async def _admit(self) -> None:
         """Keep the voters complete, by one change at a time."""
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -518,7 +518,7 @@
         self.storage.append(
             [entries.LogEntry(index, self.term, entry, self.commit_index)]
         )
-        self._lead.wake()
+        self._lead.wake_replication()
         self._lead.advance_commit()
 
     # Following.
