--- a/wrenspoke/coordination/agreement/lead.py
+++ b/wrenspoke/coordination/agreement/lead.py
@@ -112,7 +112,7 @@
         now_ms = self._node.clock.mono_ms()
 
         def acked_ms(host: ids.HostId, disk: ids.Incarnation) -> int:
-            if self._is_own(host, disk):
+            if self._is_local_disk(host, disk):
                 return now_ms
             follower = self._follower_on(host, disk)
             if follower is not None and follower.acked_ms is not None:
@@ -123,7 +123,7 @@
 
         return self._node.electorate.reached(acked_ms)
 
-    def _is_own(self, host: ids.HostId, disk: ids.Incarnation) -> bool:
+    def _is_local_disk(self, host: ids.HostId, disk: ids.Incarnation) -> bool:
         group = self._node
         return host == group.host and disk == group.incarnation
 
@@ -227,7 +227,7 @@
         """Commit what a majority holds, if an entry of this term is."""
 
         def held_index(host: ids.HostId, disk: ids.Incarnation) -> int:
-            if self._is_own(host, disk):
+            if self._is_local_disk(host, disk):
                 return self._node.storage.last_index
             follower = self._follower_on(host, disk)
             return 0 if follower is None else follower.match_index
