--- a/wrenspoke/coordination/agreement/lead.py
+++ b/wrenspoke/coordination/agreement/lead.py
@@ -114,7 +114,7 @@
         def acked_ms(host: ids.HostId, disk: ids.Incarnation) -> int:
             if self._is_local_disk(host, disk):
                 return now_ms
-            follower = self._follower_on(host, disk)
+            follower = self._follower_on_disk(host, disk)
             if follower is not None and follower.acked_ms is not None:
                 return follower.acked_ms
             return (
@@ -127,7 +127,7 @@
         group = self._node
         return host == group.host and disk == group.incarnation
 
-    def _follower_on(
+    def _follower_on_disk(
         self, host: ids.HostId, disk: ids.Incarnation
     ) -> followers.Follower | None:
         """Return what is known of a host, None if its disk is another."""
@@ -229,7 +229,7 @@
         def held_index(host: ids.HostId, disk: ids.Incarnation) -> int:
             if self._is_local_disk(host, disk):
                 return self._node.storage.last_index
-            follower = self._follower_on(host, disk)
+            follower = self._follower_on_disk(host, disk)
             return 0 if follower is None else follower.match_index
 
         index = self._node.electorate.reached(held_index)
