--- a/wrenspoke/coordination/agreement/lead.py
+++ b/wrenspoke/coordination/agreement/lead.py
@@ -93,7 +93,7 @@
         for host in sorted(wanted - self._followers.keys()):
             follower = followers.Follower(self._start_index)
             self._followers[host] = follower
-            self._tasks.start(self._replicate(host, follower))
+            self._tasks.start(self._replicate_to(host, follower))
         for host in self._followers.keys() - wanted:
             del self._followers[host]
 
@@ -152,7 +152,7 @@
             age_ms < self._node.settings.election_timeout_ms * LEASE_FRACTION
         )
 
-    async def _replicate(
+    async def _replicate_to(
         self, host: ids.HostId, follower: followers.Follower
     ) -> None:
         """Keep one other control host's log equal to ours."""
