--- a/wrenspoke/coordination/agreement/lead.py
+++ b/wrenspoke/coordination/agreement/lead.py
@@ -166,9 +166,9 @@
                 self._note_answer(host, follower, answer, sent_ms)
                 if follower.next_index <= self._node.storage.last_index:
                     continue
-            await self._wait_for_more(follower, sent_ms)
+            await self._wait_for_new_entries(follower, sent_ms)
 
-    async def _wait_for_more(
+    async def _wait_for_new_entries(
         self, follower: followers.Follower, sent_ms: int
     ) -> None:
         interval_ms = self._node.settings.beat_interval_ms
