--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -274,10 +274,10 @@
         follower = next(iter(leader.voter._lead._followers.values()))
         await system.until(lambda: follower.moment is not None)
         lead = leader.voter._lead
-        assert lead._message_for(follower).confirmed == follower.moment
+        assert lead._next_message(follower).confirmed == follower.moment
         system.network.cut_off(leader.name)
         await system.until(lambda: not leader.voter.has_lease)
-        assert lead._message_for(follower).confirmed is None
+        assert lead._next_message(follower).confirmed is None
         await system.close()
 
     group.run(play())
--- a/wrenspoke/coordination/agreement/lead.py
+++ b/wrenspoke/coordination/agreement/lead.py
@@ -159,7 +159,7 @@
         while not self.ended and self._followers.get(host) is follower:
             follower.more.clear()
             sent_ms = self._node.clock.mono_ms()
-            answer = await self._node.call(host, self._message_for(follower))
+            answer = await self._node.call(host, self._next_message(follower))
             if self.ended:
                 return
             if isinstance(answer, messages.AppendReply):
@@ -179,7 +179,7 @@
         except TimeoutError:
             return
 
-    def _message_for(
+    def _next_message(
         self, follower: followers.Follower
     ) -> messages.Append | messages.Install:
         previous = follower.next_index - 1
