--- a/wrenspoke/coordination/agreement/lead.py
+++ b/wrenspoke/coordination/agreement/lead.py
@@ -163,7 +163,7 @@
             if self.ended:
                 return
             if isinstance(answer, messages.AppendReply):
-                self._note_answer(host, follower, answer, sent_ms)
+                self._handle_reply(host, follower, answer, sent_ms)
                 if follower.next_index <= self._node.storage.last_index:
                     continue
             await self._wait_for_new_entries(follower, sent_ms)
@@ -197,7 +197,7 @@
             follower.moment if self.has_lease else None,
         )
 
-    def _note_answer(
+    def _handle_reply(
         self,
         host: ids.HostId,
         follower: followers.Follower,
