--- a/wrenspoke/coordination/agreement/lead.py
+++ b/wrenspoke/coordination/agreement/lead.py
@@ -84,7 +84,7 @@
     def start(self) -> None:
         """Begin to replicate and to admit."""
         self._sync_followers()
-        self._tasks.start(self._admit())
+        self._tasks.start(self._maintain_voters())
 
     def _sync_followers(self) -> None:
         """Replicate to control hosts that are new, not to those gone."""
@@ -240,7 +240,7 @@
             # The followers apply it when they are told.
             self.wake_replication()
 
-    async def _admit(self) -> None:
+    async def _maintain_voters(self) -> None:
         """Keep the voters complete, by one change at a time."""
         while not self.ended:
             await self._node.clock.sleep_ms(
