--- a/wrenspoke/controld.py
+++ b/wrenspoke/controld.py
@@ -150,7 +150,7 @@
     folder = path.parent / deployment.host(name).data_folder
     kept = storage.Storage(disk.Disk(folder))
     first = entries.Found(deployment.first_configuration())
-    founding.found(kept, ids.HostId(name), first)
+    founding.bootstrap_single(kept, ids.HostId(name), first)
 
 
 async def serve(path: pathlib.Path, name: str) -> None:
--- a/wrenspoke/coordination/agreement/founding.py
+++ b/wrenspoke/coordination/agreement/founding.py
@@ -13,7 +13,7 @@
 logger = structlog.get_logger(__name__)
 
 
-def found(
+def bootstrap_single(
     kept: storage.Storage, host: ids.HostId, first: entries.Found
 ) -> None:
     """Begin a new group on an empty disk, with one voter.
