--- a/tests/group.py
+++ b/tests/group.py
@@ -252,7 +252,7 @@
         self._tasks = runtime.Tasks()
         kept = storage.Storage(disk)
         if first_start:
-            founding.found_together(kept, name, seeds)
+            founding.bootstrap_seeds(kept, name, seeds)
         self.voter = voter.Voter(
             name,
             location,
--- a/wrenspoke/control_node.py
+++ b/wrenspoke/control_node.py
@@ -44,7 +44,7 @@
         self.replica = replica.Replica()
         kept = storage.Storage(disk.Disk(pathlib.Path(node.data_folder)))
         if node.first_start:
-            founding.found_together(kept, node.host, node.seed_hosts)
+            founding.bootstrap_seeds(kept, node.host, node.seed_hosts)
         self.voter = voter.Voter(
             node.host,
             locations.Location(node.region, node.data_centre),
--- a/wrenspoke/coordination/agreement/founding.py
+++ b/wrenspoke/coordination/agreement/founding.py
@@ -38,7 +38,7 @@
     )
 
 
-def found_together(
+def bootstrap_seeds(
     kept: storage.Storage,
     host: ids.HostId,
     seeds: typing.Iterable[ids.HostId],
