--- a/wrenspoke/coordination/agreement/founding.py
+++ b/wrenspoke/coordination/agreement/founding.py
@@ -52,7 +52,7 @@
     """
     if host not in seeds or kept.last_index or kept.meta.boot:
         return
-    voters = {seed: _founding_incarnation(seed) for seed in sorted(seeds)}
+    voters = {seed: _bootstrap_incarnation(seed) for seed in sorted(seeds)}
     kept.meta.incarnation = voters[host]
     kept.meta.term = 1
     kept.save_meta()
@@ -66,5 +66,5 @@
     logger.info('founded', voters=list(voters))
 
 
-def _founding_incarnation(host: ids.HostId) -> ids.Incarnation:
+def _bootstrap_incarnation(host: ids.HostId) -> ids.Incarnation:
     return ids.Incarnation(f'founding-{host}')
