--- a/wrenspoke/coordination/agreement/direct.py
+++ b/wrenspoke/coordination/agreement/direct.py
@@ -19,7 +19,7 @@
 # An operator waits a second for an answer; a host that does not lead
 # waits a part of it for a leader to be found.
 LEADER_WAIT_MS = 600
-LOOK_INTERVAL_MS = 50
+LEADER_POLL_INTERVAL_MS = 50
 
 
 class DirectDecisions:
@@ -90,7 +90,7 @@
                     has_vote=self._voter.is_voter,
                 )
                 raise errors.NotLeaderError(None, may_be_accepted=False)
-            await self._clock.sleep_ms(LOOK_INTERVAL_MS)
+            await self._clock.sleep_ms(LEADER_POLL_INTERVAL_MS)
 
     async def read_routes(self) -> routes.RouteTable:
         """Return the newest table that was accepted anywhere.
@@ -108,7 +108,7 @@
                 )
                 index = None
                 break
-            await self._clock.sleep_ms(LOOK_INTERVAL_MS)
+            await self._clock.sleep_ms(LEADER_POLL_INTERVAL_MS)
         if index is None:
             raise errors.NotLeaderError(
                 self._voter.leader, may_be_accepted=False
