--- a/wrenspoke/coordination/agreement/direct.py
+++ b/wrenspoke/coordination/agreement/direct.py
@@ -49,7 +49,7 @@
                 self._voter.commit_index,
                 f'version {table.version} says something else',
             )
-        return await self._decide(entries.ReplaceRoutes(table))
+        return await self._propose_entry(entries.ReplaceRoutes(table))
 
     async def set_evacuation(
         self, data_centre: ids.DataCentreId, evacuated: bool
@@ -59,9 +59,11 @@
         :raises NotLeaderError: this host does not lead
         """
         await self._wait_for_lead()
-        return await self._decide(entries.Evacuate(data_centre, evacuated))
+        return await self._propose_entry(
+            entries.Evacuate(data_centre, evacuated)
+        )
 
-    async def _decide(self, entry: entries.Entry) -> replicated.Answer:
+    async def _propose_entry(self, entry: entries.Entry) -> replicated.Answer:
         applied = await self._voter.propose(entry)
         logger.info(
             'operator_decision',
