--- a/wrenspoke/coordination/agreement/direct.py
+++ b/wrenspoke/coordination/agreement/direct.py
@@ -38,7 +38,7 @@
         :raises NotLeaderError: this host does not lead
         """
         routes.check(table)
-        await self._wait_for_lead()
+        await self._wait_for_leadership()
         held = self._voter.state.configuration.routes
         if replicated.routes_verdict(held, table) is (
             replicated.Verdict.CONFLICT
@@ -58,7 +58,7 @@
 
         :raises NotLeaderError: this host does not lead
         """
-        await self._wait_for_lead()
+        await self._wait_for_leadership()
         return await self._propose_entry(
             entries.Evacuate(data_centre, evacuated)
         )
@@ -74,7 +74,7 @@
         )
         return applied.answer
 
-    async def _wait_for_lead(self) -> None:
+    async def _wait_for_leadership(self) -> None:
         """Return once this host leads with a lease.
 
         :raises NotLeaderError: another host leads, or none is found
