--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -32,7 +32,7 @@
 STATE_PATH = '/state'
 ANSWER_LIMIT_BYTES = 64 * 1024
 OK = 200
-OLD_NUMBER = 409
+STALE_FENCE_STATUS = 409
 ORDER_TRIES = 5
 TRY_INTERVAL_MS = 500
 MS_PER_MINUTE = 60_000
@@ -307,7 +307,7 @@
             'order_sent', endpoint=step.endpoint, number=number, **body
         )
         status = await self._exchange(send, None)
-        if status == OLD_NUMBER:
+        if status == STALE_FENCE_STATUS:
             raise OrderFailedError(f'number {number} was refused as old')
         if status != OK:
             raise OrderFailedError(f'engine answered {status}')
