--- a/tests/test_execution.py
+++ b/tests/test_execution.py
@@ -159,7 +159,7 @@
     plan = voter.state.plans['p1']
     assert plan.state is plans.PlanState.FAILED
     assert 'does not show' in plan.ends[0].detail
-    assert len(dispatcher.sent) == execution.ORDER_TRIES
+    assert len(dispatcher.sent) == execution.ORDER_ATTEMPTS
     numbers = [number for number, _at_ms in dispatcher.sent]
     assert numbers == sorted(set(numbers))
     endpoint = voter.state.configuration.endpoint(NAME)
--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -33,7 +33,7 @@
 ANSWER_LIMIT_BYTES = 64 * 1024
 OK = 200
 STALE_FENCE_STATUS = 409
-ORDER_TRIES = 5
+ORDER_ATTEMPTS = 5
 TRY_INTERVAL_MS = 500
 MS_PER_MINUTE = 60_000
 STANDING_AGE_LIMIT_MS = 5_000
@@ -233,7 +233,7 @@
         await self._wait_for_predecessor(plan, step)
         await self._wait_for_weights(plan, step)
         problem = ''
-        for _try in range(ORDER_TRIES):
+        for _try in range(ORDER_ATTEMPTS):
             self._check_lead()
             number = await self._issue(plan)
             try:
