--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -34,7 +34,7 @@
 OK = 200
 STALE_FENCE_STATUS = 409
 ORDER_ATTEMPTS = 5
-TRY_INTERVAL_MS = 500
+ORDER_RETRY_INTERVAL_MS = 500
 MS_PER_MINUTE = 60_000
 STANDING_AGE_LIMIT_MS = 5_000
 
@@ -248,7 +248,7 @@
                     number=number,
                     error=problem,
                 )
-            await self._clock.sleep_ms(TRY_INTERVAL_MS)
+            await self._clock.sleep_ms(ORDER_RETRY_INTERVAL_MS)
         raise OrderFailedError(problem)
 
     async def _wait_for_predecessor(
