--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -51,7 +51,7 @@
 
 
 @dataclasses.dataclass
-class HeardStanding:
+class ReceivedStatus:
     """Hold what a data centre last told, and when."""
 
     standing: messages.Standing
@@ -82,7 +82,7 @@
         self._voter = elected
         self._dispatcher = dispatcher
         self._clock = clock
-        self._standings: dict[ids.DataCentreId, HeardStanding] = {}
+        self._standings: dict[ids.DataCentreId, ReceivedStatus] = {}
         self._steps: dict[ids.PlanId, asyncio.Task] = {}
         self._tasks = runtime.Tasks()
         self.waiting_for: dict[ids.PlanId, str] = {}
@@ -97,7 +97,7 @@
 
     def hear(self, standing: messages.Standing) -> None:
         """Note how far a data centre has come."""
-        self._standings[standing.data_centre] = HeardStanding(
+        self._standings[standing.data_centre] = ReceivedStatus(
             standing, self._clock.mono_ms()
         )
 
