--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -54,7 +54,7 @@
 class ReceivedStatus:
     """Hold what a data centre last told, and when."""
 
-    standing: messages.Standing
+    status: messages.Standing
     heard_ms: int
 
 
