--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -55,7 +55,7 @@
     """Hold what a data centre last told, and when."""
 
     status: messages.Standing
-    heard_ms: int
+    received_ms: int
 
 
 class OrderFailedError(errors.CoordinationError):
