--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -36,7 +36,7 @@
 ORDER_ATTEMPTS = 5
 ORDER_RETRY_INTERVAL_MS = 500
 MS_PER_MINUTE = 60_000
-STANDING_AGE_LIMIT_MS = 5_000
+STATUS_MAX_AGE_MS = 5_000
 
 
 class EngineState(msgspec.Struct):
@@ -201,10 +201,7 @@
         now_ms = self._clock.mono_ms()
         for data_centre in self._data_centres.get(endpoint.region, ()):
             heard = self._standings.get(data_centre)
-            if (
-                heard is None
-                or now_ms - heard.heard_ms > STANDING_AGE_LIMIT_MS
-            ):
+            if heard is None or now_ms - heard.heard_ms > STATUS_MAX_AGE_MS:
                 return f'{data_centre} is not heard from'
             if heard.standing.low_index < plan.reached_index:
                 return f'{data_centre} has not got the change'
