--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -83,7 +83,7 @@
         self._dispatcher = dispatcher
         self._clock = clock
         self._standings: dict[ids.DataCentreId, ReceivedStatus] = {}
-        self._steps: dict[ids.PlanId, asyncio.Task] = {}
+        self._step_tasks: dict[ids.PlanId, asyncio.Task] = {}
         self._tasks = runtime.Tasks()
         self.waiting_for: dict[ids.PlanId, str] = {}
 
@@ -123,12 +123,12 @@
             if not self._voter.has_lease:
                 continue
             for plan in self._voter.state.running():
-                if plan.plan in self._steps:
+                if plan.plan in self._step_tasks:
                     continue
                 task = self._tasks.start(self._step(plan), fatal=False)
-                self._steps[plan.plan] = task
+                self._step_tasks[plan.plan] = task
                 task.add_done_callback(
-                    lambda _task, name=plan.plan: self._steps.pop(name)
+                    lambda _task, name=plan.plan: self._step_tasks.pop(name)
                 )
 
     async def _step(self, plan: plans.Plan) -> None:
