--- a/wrenspoke/coordination/agreement/control.py
+++ b/wrenspoke/coordination/agreement/control.py
@@ -210,7 +210,7 @@
             return _error(NOT_FOUND, f'no plan {plan}')
         body = {
             'plan': found,
-            'waits_for': self._executor.waiting_for.get(plan, ''),
+            'waits_for': self._executor.wait_reasons.get(plan, ''),
         }
         return operators.OperatorAnswer(OK, body)
 
--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -85,7 +85,7 @@
         self._standings: dict[ids.DataCentreId, ReceivedStatus] = {}
         self._step_tasks: dict[ids.PlanId, asyncio.Task] = {}
         self._tasks = runtime.Tasks()
-        self.waiting_for: dict[ids.PlanId, str] = {}
+        self.wait_reasons: dict[ids.PlanId, str] = {}
 
     def start(self) -> None:
         """Begin to look for steps to carry out."""
@@ -144,7 +144,7 @@
         except errors.NotLeaderError:
             return
         finally:
-            self.waiting_for.pop(plan.plan, None)
+            self.wait_reasons.pop(plan.plan, None)
         logger.info(
             'step_ended',
             plan=plan.plan,
@@ -192,7 +192,7 @@
                 waits = await self._engine_waits(found)
             if not waits:
                 return 'idle'
-            self.waiting_for[plan.plan] = waits
+            self.wait_reasons[plan.plan] = waits
             await self._pause()
 
     def _unsettled(
@@ -261,14 +261,14 @@
             + self._settings.order_timeout_ms
         )
         while self._clock.mono_ms() < due_ms:
-            self.waiting_for[plan.plan] = "the old leader's orders"
+            self.wait_reasons[plan.plan] = "the old leader's orders"
             await self._pause()
 
     async def _wait_for_weights(
         self, plan: plans.Plan, step: plans.Order
     ) -> None:
         while step.loads and self._clock.wall_ms() < self._next_load_ms():
-            self.waiting_for[plan.plan] = 'the weight store'
+            self.wait_reasons[plan.plan] = 'the weight store'
             await self._pause()
 
     async def _issue(self, plan: plans.Plan) -> int:
