--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -95,7 +95,7 @@
         """End every task."""
         await self._tasks.close()
 
-    def hear(self, standing: messages.Standing) -> None:
+    def update_status(self, standing: messages.Standing) -> None:
         """Note how far a data centre has come."""
         self._standings[standing.data_centre] = ReceivedStatus(
             standing, self._clock.mono_ms()
