--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -89,7 +89,7 @@
 
     def start(self) -> None:
         """Begin to look for steps to carry out."""
-        self._tasks.start(self._run())
+        self._tasks.start(self._run_plans())
 
     async def close(self) -> None:
         """End every task."""
@@ -117,7 +117,7 @@
     def _next_load_ms(self) -> int:
         return self._voter.state.last_load_ms + self._load_interval_ms()
 
-    async def _run(self) -> None:
+    async def _run_plans(self) -> None:
         while True:
             await self._clock.sleep_ms(self._settings.drain_poll_interval_ms)
             if not self._voter.has_lease:
