--- a/tests/test_execution.py
+++ b/tests/test_execution.py
@@ -115,14 +115,14 @@
 async def test_lease_lost_after_the_number_was_committed():
     """The last look at the lease comes after every wait."""
     made, voter, dispatcher, _clock = executor(entries.IssueOrder)
-    await made._step(voter.state.plans['p1'])
+    await made._execute_step(voter.state.plans['p1'])
     assert dispatcher.sent == []
     assert voter.state.plans['p1'].current is not None
 
 
 async def test_order_carries_the_index_that_allows_it():
     made, voter, dispatcher, _clock = executor()
-    await made._step(voter.state.plans['p1'])
+    await made._execute_step(voter.state.plans['p1'])
     ((number, _at_ms),) = dispatcher.sent
     assert number > voter.state.plans['p1'].confirmed_index
     assert voter.state.plans['p1'].state is plans.PlanState.DONE
@@ -133,7 +133,7 @@
 async def test_loads_are_spaced_for_the_weight_store():
     made, voter, dispatcher, _clock = executor(weight_loads_per_minute=6)
     for name in ('p1', 'p2'):
-        await made._step(voter.state.plans[name])
+        await made._execute_step(voter.state.plans[name])
     (_one, first_ms), (_two, second_ms) = dispatcher.sent
     assert second_ms - first_ms >= 10_000
 
@@ -147,7 +147,7 @@
     )
     voter.led_since_ms = clock.now_ms
     started_ms = clock.now_ms
-    await made._step(voter.state.plans['p1'])
+    await made._execute_step(voter.state.plans['p1'])
     ((_number, at_ms),) = dispatcher.sent
     assert (at_ms - started_ms >= 7000) == waits
 
@@ -155,7 +155,7 @@
 async def test_order_that_does_not_show_is_a_failed_step():
     made, voter, dispatcher, _clock = executor()
     dispatcher.models = FrozenList()
-    await made._step(voter.state.plans['p1'])
+    await made._execute_step(voter.state.plans['p1'])
     plan = voter.state.plans['p1']
     assert plan.state is plans.PlanState.FAILED
     assert 'does not show' in plan.ends[0].detail
--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -125,13 +125,13 @@
             for plan in self._voter.state.running():
                 if plan.plan in self._step_tasks:
                     continue
-                task = self._tasks.start(self._step(plan), fatal=False)
+                task = self._tasks.start(self._execute_step(plan), fatal=False)
                 self._step_tasks[plan.plan] = task
                 task.add_done_callback(
                     lambda _task, name=plan.plan: self._step_tasks.pop(name)
                 )
 
-    async def _step(self, plan: plans.Plan) -> None:
+    async def _execute_step(self, plan: plans.Plan) -> None:
         step = plan.current
         try:
             if isinstance(step, plans.WaitIdle):
