--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -164,13 +164,13 @@
         except errors.NotLeaderError:
             return
 
-    def _check_lead(self) -> None:
+    def _check_leadership(self) -> None:
         if not self._voter.has_lease:
             raise errors.NotLeaderError(None, may_be_accepted=False)
 
     async def _pause(self) -> None:
         await self._clock.sleep_ms(self._settings.drain_poll_interval_ms)
-        self._check_lead()
+        self._check_leadership()
 
     # Waiting for an endpoint to finish.
 
@@ -181,7 +181,7 @@
         their data centres have to be heard.
         """
         while True:
-            self._check_lead()
+            self._check_leadership()
             found = self._voter.state.configuration.endpoints.get(
                 step.endpoint
             )
@@ -231,7 +231,7 @@
         await self._wait_for_weights(plan, step)
         problem = ''
         for _try in range(ORDER_ATTEMPTS):
-            self._check_lead()
+            self._check_leadership()
             number = await self._issue(plan)
             try:
                 await self._send(step, number)
@@ -299,7 +299,7 @@
         )
         # The last look before the order goes out. What is left of the
         # lease bounds how late it can arrive from here.
-        self._check_lead()
+        self._check_leadership()
         logger.info(
             'order_sent', endpoint=step.endpoint, number=number, **body
         )
