--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -256,9 +256,9 @@
             '            raise errors.NotLeaderError(None,'
             ' may_be_accepted=False)\n'
             '\n'
-            '    async def _pause'
+            '    async def _poll_pause'
         ),
-        ('        return\n\n    async def _pause'),
+        ('        return\n\n    async def _poll_pause'),
         (
             'tests/test_execution.py::test_lease_lost_after_the_numb'
             'er_was_committed'
--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -168,7 +168,7 @@
         if not self._voter.has_lease:
             raise errors.NotLeaderError(None, may_be_accepted=False)
 
-    async def _pause(self) -> None:
+    async def _poll_pause(self) -> None:
         await self._clock.sleep_ms(self._settings.drain_poll_interval_ms)
         self._check_leadership()
 
@@ -193,7 +193,7 @@
             if not waits:
                 return 'idle'
             self.wait_reasons[plan.plan] = waits
-            await self._pause()
+            await self._poll_pause()
 
     def _unsettled(
         self, plan: plans.Plan, endpoint: configuration.Endpoint
@@ -262,14 +262,14 @@
         )
         while self._clock.mono_ms() < due_ms:
             self.wait_reasons[plan.plan] = "the old leader's orders"
-            await self._pause()
+            await self._poll_pause()
 
     async def _wait_for_weights(
         self, plan: plans.Plan, step: plans.Order
     ) -> None:
         while step.loads and self._clock.wall_ms() < self._next_load_ms():
             self.wait_reasons[plan.plan] = 'the weight store'
-            await self._pause()
+            await self._poll_pause()
 
     async def _issue(self, plan: plans.Plan) -> int:
         """Commit the right to send, and return the fencing number."""
