--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -135,7 +135,7 @@
         step = plan.current
         try:
             if isinstance(step, plans.WaitIdle):
-                detail = await self._wait_idle(plan, step)
+                detail = await self._wait_until_idle(plan, step)
             else:
                 detail = await self._order(plan, step)
             succeeded = True
@@ -174,7 +174,9 @@
 
     # Waiting for an endpoint to finish.
 
-    async def _wait_idle(self, plan: plans.Plan, step: plans.WaitIdle) -> str:
+    async def _wait_until_idle(
+        self, plan: plans.Plan, step: plans.WaitIdle
+    ) -> str:
         """Return once no host can send to the endpoint and none waits.
 
         Only entry hosts of the endpoint's region send to it, so only
