--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -189,7 +189,7 @@
             )
             if found is None:
                 return 'endpoint is gone'
-            waits = self._unsettled(plan, found)
+            waits = self._in_flight_reason(plan, found)
             if not waits:
                 waits = await self._engine_waits(found)
             if not waits:
@@ -197,7 +197,7 @@
             self.wait_reasons[plan.plan] = waits
             await self._poll_pause()
 
-    def _unsettled(
+    def _in_flight_reason(
         self, plan: plans.Plan, endpoint: configuration.Endpoint
     ) -> str:
         now_ms = self._clock.mono_ms()
