--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -191,7 +191,7 @@
                 return 'endpoint is gone'
             waits = self._in_flight_reason(plan, found)
             if not waits:
-                waits = await self._engine_waits(found)
+                waits = await self._engine_busy_reason(found)
             if not waits:
                 return 'idle'
             self.wait_reasons[plan.plan] = waits
@@ -212,7 +212,9 @@
                     return f'{busy.in_flight} requests in flight'
         return ''
 
-    async def _engine_waits(self, endpoint: configuration.Endpoint) -> str:
+    async def _engine_busy_reason(
+        self, endpoint: configuration.Endpoint
+    ) -> str:
         services = self._voter.state.configuration.services
         kind = services[endpoint.service].kind
         if kind is not configuration.ServiceKind.ENGINE:
