--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -137,7 +137,7 @@
             if isinstance(step, plans.WaitIdle):
                 detail = await self._wait_until_idle(plan, step)
             else:
-                detail = await self._order(plan, step)
+                detail = await self._execute_order(plan, step)
             succeeded = True
         except OrderFailedError as error:
             succeeded, detail = False, str(error)
@@ -230,7 +230,7 @@
 
     # Orders.
 
-    async def _order(self, plan: plans.Plan, step: plans.Order) -> str:
+    async def _execute_order(self, plan: plans.Plan, step: plans.Order) -> str:
         await self._wait_for_predecessor(plan, step)
         await self._wait_for_weights(plan, step)
         problem = ''
