--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -231,7 +231,7 @@
     # Orders.
 
     async def _execute_order(self, plan: plans.Plan, step: plans.Order) -> str:
-        await self._wait_for_predecessor(plan, step)
+        await self._wait_out_old_leader(plan, step)
         await self._wait_for_weights(plan, step)
         problem = ''
         for _try in range(ORDER_ATTEMPTS):
@@ -252,7 +252,7 @@
             await self._clock.sleep_ms(ORDER_RETRY_INTERVAL_MS)
         raise OrderFailedError(problem)
 
-    async def _wait_for_predecessor(
+    async def _wait_out_old_leader(
         self, plan: plans.Plan, step: plans.Order
     ) -> None:
         """Wait out the old leader where the engine would obey it."""
