--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -232,7 +232,7 @@
 
     async def _execute_order(self, plan: plans.Plan, step: plans.Order) -> str:
         await self._wait_out_old_leader(plan, step)
-        await self._wait_for_weights(plan, step)
+        await self._wait_for_load_slot(plan, step)
         problem = ''
         for _try in range(ORDER_ATTEMPTS):
             self._check_leadership()
@@ -268,7 +268,7 @@
             self.wait_reasons[plan.plan] = "the old leader's orders"
             await self._poll_pause()
 
-    async def _wait_for_weights(
+    async def _wait_for_load_slot(
         self, plan: plans.Plan, step: plans.Order
     ) -> None:
         while step.loads and self._clock.wall_ms() < self._next_load_ms():
