--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -236,7 +236,7 @@
         problem = ''
         for _try in range(ORDER_ATTEMPTS):
             self._check_leadership()
-            number = await self._issue(plan)
+            number = await self._commit_order(plan)
             try:
                 await self._send(step, number)
                 await self._read_back(step)
@@ -275,7 +275,7 @@
             self.wait_reasons[plan.plan] = 'the weight store'
             await self._poll_pause()
 
-    async def _issue(self, plan: plans.Plan) -> int:
+    async def _commit_order(self, plan: plans.Plan) -> int:
         """Commit the right to send, and return the fencing number."""
         await self._voter.propose(
             entries.IssueOrder(
