--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -238,7 +238,7 @@
             self._check_leadership()
             number = await self._commit_order(plan)
             try:
-                await self._send(step, number)
+                await self._send_order(step, number)
                 await self._read_back(step)
                 return f'order {number} took effect'
             except OrderFailedError as error:
@@ -287,7 +287,7 @@
             raise errors.NotLeaderError(None, may_be_accepted=False)
         return found.issued_index
 
-    async def _send(self, step: plans.Order, number: int) -> None:
+    async def _send_order(self, step: plans.Order, number: int) -> None:
         body = {'kind': step.kind}
         for field in ('model', 'adapter', 'role'):
             value = getattr(step, field)
