--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -307,13 +307,13 @@
         logger.info(
             'order_sent', endpoint=step.endpoint, number=number, **body
         )
-        status = await self._exchange(send, None)
+        status = await self._send_request(send, None)
         if status == STALE_FENCE_STATUS:
             raise OrderFailedError(f'number {number} was refused as old')
         if status != OK:
             raise OrderFailedError(f'engine answered {status}')
 
-    async def _exchange(
+    async def _send_request(
         self, send: dispatch.Send, into: list[bytes] | None
     ) -> int:
         try:
@@ -331,7 +331,7 @@
             dispatch.Purpose.ORDER, endpoint, 'GET', STATE_PATH
         )
         bodies: list[bytes] = []
-        status = await self._exchange(send, bodies)
+        status = await self._send_request(send, bodies)
         if status != OK:
             raise OrderFailedError(f'engine answered {status}')
         try:
