--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -220,7 +220,7 @@
         if kind is not configuration.ServiceKind.ENGINE:
             return ''
         try:
-            state = await self._read_state(endpoint.endpoint)
+            state = await self._read_engine_state(endpoint.endpoint)
         except OrderFailedError:
             # An engine that does not answer has no work to finish.
             return ''
@@ -326,7 +326,9 @@
             into.append(body)
         return answer.status
 
-    async def _read_state(self, endpoint: ids.EndpointId) -> EngineState:
+    async def _read_engine_state(
+        self, endpoint: ids.EndpointId
+    ) -> EngineState:
         send = dispatch.Send(
             dispatch.Purpose.ORDER, endpoint, 'GET', STATE_PATH
         )
@@ -341,7 +343,7 @@
 
     async def _read_back(self, step: plans.Order) -> None:
         """Look whether the engine is now as the order says."""
-        state = await self._read_state(step.endpoint)
+        state = await self._read_engine_state(step.endpoint)
         if step.kind == 'role':
             held = state.role == step.role
         elif step.adapter:
