--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -239,7 +239,7 @@
             number = await self._commit_order(plan)
             try:
                 await self._send_order(step, number)
-                await self._read_back(step)
+                await self._verify_order(step)
                 return f'order {number} took effect'
             except OrderFailedError as error:
                 problem = str(error)
@@ -341,7 +341,7 @@
         except msgspec.DecodeError as error:
             raise OrderFailedError(str(error)) from error
 
-    async def _read_back(self, step: plans.Order) -> None:
+    async def _verify_order(self, step: plans.Order) -> None:
         """Look whether the engine is now as the order says."""
         state = await self._read_engine_state(step.endpoint)
         if step.kind == 'role':
