--- a/wrenspoke/coordination/agreement/control.py
+++ b/wrenspoke/coordination/agreement/control.py
@@ -23,7 +23,7 @@
 
 logger = structlog.get_logger(__name__)
 
-RELAY_KEPT_MS = 60_000
+RELAY_EXPIRY_MS = 60_000
 OK = 200
 BAD_REQUEST = 400
 NOT_FOUND = 404
@@ -84,7 +84,7 @@
             told = index
             now_ms = self._clock.mono_ms()
             for host, pulled_ms in list(self._relays.items()):
-                if now_ms - pulled_ms > RELAY_KEPT_MS:
+                if now_ms - pulled_ms > RELAY_EXPIRY_MS:
                     del self._relays[host]
                     continue
                 await self._peers.tell(host, messages.News(index))
