--- a/wrenspoke/coordination/agreement/control.py
+++ b/wrenspoke/coordination/agreement/control.py
@@ -29,7 +29,7 @@
 NOT_FOUND = 404
 CONFLICT = 409
 UNAVAILABLE = 503
-STATUSES = {
+VERDICT_STATUSES = {
     replicated.Verdict.ACCEPTED: OK,
     replicated.Verdict.CONFLICT: CONFLICT,
     replicated.Verdict.MOVED_ON: CONFLICT,
@@ -188,7 +188,7 @@
         plan = self._voter.state.plans.get(answer.plan)
         if plan is not None:
             body['plan'] = plan
-        return operators.OperatorAnswer(STATUSES[answer.verdict], body)
+        return operators.OperatorAnswer(VERDICT_STATUSES[answer.verdict], body)
 
     def _not_leader(self, may_be_accepted: bool) -> operators.OperatorAnswer:
         leader = self._voter.leader
