--- a/wrenspoke/controld.py
+++ b/wrenspoke/controld.py
@@ -77,7 +77,7 @@
         self._executor = execution.Executor(
             host, deployment, self.voter, dispatcher, clock
         )
-        self.control = control.Control(
+        self.control = control.ControlService(
             deployment,
             self.voter,
             self._executor,
--- a/wrenspoke/coordination/agreement/control.py
+++ b/wrenspoke/coordination/agreement/control.py
@@ -38,7 +38,7 @@
 }
 
 
-class Control:
+class ControlService:
     """Plan, confirm and explain; hand the configuration to entry hosts."""
 
     def __init__(
