--- a/wrenspoke/coordination/agreement/control.py
+++ b/wrenspoke/coordination/agreement/control.py
@@ -66,13 +66,13 @@
 
     def start(self) -> None:
         """Begin to tell relays of changes."""
-        self._tasks.start(self._spread_news())
+        self._tasks.start(self._notify_relays())
 
     async def close(self) -> None:
         """End the task."""
         await self._tasks.close()
 
-    async def _spread_news(self) -> None:
+    async def _notify_relays(self) -> None:
         """Tell the relays that pull here of each change, at once."""
         told = 0
         while True:
