--- a/wrenspoke/coordination/agreement/control.py
+++ b/wrenspoke/coordination/agreement/control.py
@@ -61,7 +61,7 @@
         self._peers = peers
         self._relays: dict[ids.HostId, int] = {}
         self._tasks = runtime.Tasks()
-        peers.answers(messages.PullConfiguration)(self._answer_pull)
+        peers.answers(messages.PullConfiguration)(self._serve_pull)
         peers.answers(messages.PassStanding)(self._hear_standing)
 
     def start(self) -> None:
@@ -89,7 +89,7 @@
                     continue
                 await self._peers.tell(host, messages.News(index))
 
-    async def _answer_pull(
+    async def _serve_pull(
         self, sender: ids.HostId, message: messages.PullConfiguration
     ) -> messages.ConfigurationDelta:
         if message.standing is not None:
