--- a/wrenspoke/coordination/agreement/control.py
+++ b/wrenspoke/coordination/agreement/control.py
@@ -93,14 +93,14 @@
         self, sender: ids.HostId, message: messages.PullConfiguration
     ) -> messages.ConfigurationDelta:
         if message.standing is not None:
-            await self._pass_on(message.standing)
+            await self._forward_status(message.standing)
             self._relays[sender] = self._clock.mono_ms()
         delta = self._replica.after(message.after)
         delta.confirmed = self._voter.has_lease
         delta.leader = self._voter.leader
         return delta
 
-    async def _pass_on(self, standing: messages.Standing) -> None:
+    async def _forward_status(self, standing: messages.Standing) -> None:
         """Bring a standing to the leader, if a plan waits for it."""
         elected = self._voter
         if elected.role is voter.Role.LEADER:
