--- a/wrenspoke/coordination/agreement/control.py
+++ b/wrenspoke/coordination/agreement/control.py
@@ -62,7 +62,7 @@
         self._relays: dict[ids.HostId, int] = {}
         self._tasks = runtime.Tasks()
         peers.answers(messages.PullConfiguration)(self._serve_pull)
-        peers.answers(messages.PassStanding)(self._hear_standing)
+        peers.answers(messages.PassStanding)(self._handle_status)
 
     def start(self) -> None:
         """Begin to tell relays of changes."""
@@ -110,7 +110,7 @@
             return
         await self._peers.tell(elected.leader, messages.PassStanding(standing))
 
-    async def _hear_standing(
+    async def _handle_status(
         self, _sender: ids.HostId, message: messages.PassStanding
     ) -> None:
         self._executor.hear(message.standing)
