--- a/wrenspoke/coordination/agreement/control.py
+++ b/wrenspoke/coordination/agreement/control.py
@@ -115,7 +115,7 @@
     ) -> None:
         self._executor.hear(message.standing)
 
-    async def plan(
+    async def create_plan(
         self, operator: ids.OperatorId, request: operators.PlanRequest
     ) -> operators.OperatorAnswer:
         """Make a plan; the same request again gets the same answer."""
