--- a/wrenspoke/coordination/agreement/control.py
+++ b/wrenspoke/coordination/agreement/control.py
@@ -137,7 +137,7 @@
         entry = entries.MakePlan(operator, request.number, digest, plan)
         return await self._propose(entry)
 
-    async def confirm(
+    async def confirm_plan(
         self,
         operator: ids.OperatorId,
         plan: ids.PlanId,
