--- a/wrenspoke/coordination/agreement/control.py
+++ b/wrenspoke/coordination/agreement/control.py
@@ -120,7 +120,7 @@
     ) -> operators.OperatorAnswer:
         """Make a plan; the same request again gets the same answer."""
         digest = _digest('plan', request)
-        known = self._known(operator, request.number, digest)
+        known = self._known_answer(operator, request.number, digest)
         if known is not None:
             return known
         try:
@@ -145,7 +145,7 @@
     ) -> operators.OperatorAnswer:
         """Put a plan in force; the same again gets the same answer."""
         digest = _digest(f'confirm {plan}', request)
-        known = self._known(operator, request.number, digest)
+        known = self._known_answer(operator, request.number, digest)
         if known is not None:
             return known
         return await self._propose(
@@ -158,7 +158,7 @@
             )
         )
 
-    def _known(
+    def _known_answer(
         self, operator: ids.OperatorId, number: int, digest: str
     ) -> operators.OperatorAnswer | None:
         if not self._voter.has_lease:
