--- a/wrenspoke/coordination/agreement/control.py
+++ b/wrenspoke/coordination/agreement/control.py
@@ -164,7 +164,7 @@
         if not self._voter.has_lease:
             return self._not_leader(may_be_accepted=False)
         answer = self._voter.state.known_answer(operator, number, digest)
-        return None if answer is None else self._answered(answer)
+        return None if answer is None else self._answer_for(answer)
 
     async def _propose(
         self, entry: entries.MakePlan | entries.ConfirmPlan
@@ -181,9 +181,11 @@
             plan=applied.answer.plan,
             detail=applied.answer.detail,
         )
-        return self._answered(applied.answer)
+        return self._answer_for(applied.answer)
 
-    def _answered(self, answer: replicated.Answer) -> operators.OperatorAnswer:
+    def _answer_for(
+        self, answer: replicated.Answer
+    ) -> operators.OperatorAnswer:
         body = {'answer': answer}
         plan = self._voter.state.plans.get(answer.plan)
         if plan is not None:
