--- a/wrenspoke/coordination/agreement/control.py
+++ b/wrenspoke/coordination/agreement/control.py
@@ -162,7 +162,7 @@
         self, operator: ids.OperatorId, number: int, digest: str
     ) -> operators.OperatorAnswer | None:
         if not self._voter.has_lease:
-            return self._not_leader(may_be_accepted=False)
+            return self._not_leader_answer(may_be_accepted=False)
         answer = self._voter.state.known_answer(operator, number, digest)
         return None if answer is None else self._answer_for(answer)
 
@@ -172,7 +172,7 @@
         try:
             applied = await self._voter.propose(entry)
         except errors.NotLeaderError as error:
-            return self._not_leader(error.may_be_accepted)
+            return self._not_leader_answer(error.may_be_accepted)
         logger.info(
             'operator_decision',
             operator=entry.operator,
@@ -192,7 +192,9 @@
             body['plan'] = plan
         return operators.OperatorAnswer(VERDICT_STATUSES[answer.verdict], body)
 
-    def _not_leader(self, may_be_accepted: bool) -> operators.OperatorAnswer:
+    def _not_leader_answer(
+        self, may_be_accepted: bool
+    ) -> operators.OperatorAnswer:
         leader = self._voter.leader
         body = {
             'error': {
