--- a/wrenspoke/coordination/agreement/control.py
+++ b/wrenspoke/coordination/agreement/control.py
@@ -119,7 +119,7 @@
         self, operator: ids.OperatorId, request: operators.PlanRequest
     ) -> operators.OperatorAnswer:
         """Make a plan; the same request again gets the same answer."""
-        digest = _digest('plan', request)
+        digest = _request_digest('plan', request)
         known = self._known_answer(operator, request.number, digest)
         if known is not None:
             return known
@@ -144,7 +144,7 @@
         request: operators.ConfirmRequest,
     ) -> operators.OperatorAnswer:
         """Put a plan in force; the same again gets the same answer."""
-        digest = _digest(f'confirm {plan}', request)
+        digest = _request_digest(f'confirm {plan}', request)
         known = self._known_answer(operator, request.number, digest)
         if known is not None:
             return known
@@ -253,7 +253,7 @@
         return operators.OperatorAnswer(OK, body)
 
 
-def _digest(what: str, request: msgspec.Struct) -> str:
+def _request_digest(what: str, request: msgspec.Struct) -> str:
     body = what.encode() + msgspec.json.encode(request)
     return hashlib.sha256(body).hexdigest()
 
