--- a/wrenspoke/coordination/agreement/control.py
+++ b/wrenspoke/coordination/agreement/control.py
@@ -133,7 +133,7 @@
                 self._executor.load_wait_ms(),
             )
         except state_errors.StateError as error:
-            return _error(BAD_REQUEST, f'intent: {error}')
+            return _error_answer(BAD_REQUEST, f'intent: {error}')
         entry = entries.MakePlan(operator, request.number, digest, plan)
         return await self._propose(entry)
 
@@ -211,7 +211,7 @@
         """Tell what a plan is, how far it has come and why."""
         found = self._voter.state.plans.get(plan)
         if found is None:
-            return _error(NOT_FOUND, f'no plan {plan}')
+            return _error_answer(NOT_FOUND, f'no plan {plan}')
         body = {
             'plan': found,
             'waits_for': self._executor.wait_reasons.get(plan, ''),
@@ -258,5 +258,5 @@
     return hashlib.sha256(body).hexdigest()
 
 
-def _error(status: int, message: str) -> operators.OperatorAnswer:
+def _error_answer(status: int, message: str) -> operators.OperatorAnswer:
     return operators.OperatorAnswer(status, {'error': {'message': message}})
