--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -65,7 +65,7 @@
     LEADER = 'leader'
 
 
-def _needs_disk(
+def _refuse_if_disk_full(
     answer: collections.abc.Callable,
 ) -> collections.abc.Callable:
     """Decorate what answers a message and has to write something first.
@@ -351,7 +351,7 @@
         self.group.hear(host)
         return answer
 
-    @_needs_disk
+    @_refuse_if_disk_full
     async def _answer_vote(
         self, sender: ids.HostId, message: messages.AskVote
     ) -> messages.VoteReply:
@@ -549,7 +549,7 @@
             messages.Moment(self._life, self.clock.mono_ms()),
         )
 
-    @_needs_disk
+    @_refuse_if_disk_full
     async def _answer_append(
         self, sender: ids.HostId, message: messages.Append
     ) -> messages.AppendReply:
@@ -604,7 +604,7 @@
             break
         return added[-1].index if added else 0
 
-    @_needs_disk
+    @_refuse_if_disk_full
     async def _answer_install(
         self, sender: ids.HostId, message: messages.Install
     ) -> messages.AppendReply:
