--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -109,7 +109,7 @@
         self._replica = held
         self.clock = clock
         self._tasks = runtime.Tasks()
-        self._leading = runtime.Tasks()
+        self._leadership_tasks = runtime.Tasks()
         self._lead: lead.Leadership | None = None
         self._proposed: dict[int, tuple[int, asyncio.Future]] = {}
         self._heard_ms = clock.mono_ms()
@@ -205,7 +205,7 @@
     async def close(self) -> None:
         """End every task."""
         self._step_down()
-        await self._leading.close()
+        await self._leadership_tasks.close()
         await self._tasks.close()
 
     def _become_new(self) -> None:
@@ -454,7 +454,9 @@
         self.role = Role.LEADER
         self.leader = self.host
         logger.info('leading', term=self.term)
-        self._lead = lead.Leadership(self, self.term, asked_ms, self._leading)
+        self._lead = lead.Leadership(
+            self, self.term, asked_ms, self._leadership_tasks
+        )
         try:
             self._append(entries.LeaderStart(self.host))
         except state_errors.DiskFullError:
