--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -110,7 +110,7 @@
         self.clock = clock
         self._tasks = runtime.Tasks()
         self._leadership_tasks = runtime.Tasks()
-        self._lead: lead.Leadership | None = None
+        self._leadership: lead.Leadership | None = None
         self._proposed: dict[int, tuple[int, asyncio.Future]] = {}
         self._heard_ms = clock.mono_ms()
         self._canvassed_ms = self._heard_ms
@@ -454,7 +454,7 @@
         self.role = Role.LEADER
         self.leader = self.host
         logger.info('leading', term=self.term)
-        self._lead = lead.Leadership(
+        self._leadership = lead.Leadership(
             self, self.term, asked_ms, self._leadership_tasks
         )
         try:
@@ -462,15 +462,15 @@
         except state_errors.DiskFullError:
             self._step_down()
             raise
-        self._lead.start()
+        self._leadership.start()
 
     def _step_down(self) -> None:
         self.role = Role.FOLLOWER
-        if self._lead is None:
+        if self._leadership is None:
             return
-        logger.warning('stepped_down', term=self._lead.term)
-        self._lead.end()
-        self._lead = None
+        logger.warning('stepped_down', term=self._leadership.term)
+        self._leadership.end()
+        self._leadership = None
         self.leader = None
         for _term, future in self._proposed.values():
             if not future.done():
@@ -482,16 +482,16 @@
     @property
     def has_lease(self) -> bool:
         """Tell whether no other host can be leader now."""
-        return self._lead is not None and self._lead.has_lease
+        return self._leadership is not None and self._leadership.has_lease
 
     @property
     def led_since_ms(self) -> int:
         """Return when the votes for this lead were asked for."""
-        return 0 if self._lead is None else self._lead.since_ms
+        return 0 if self._leadership is None else self._leadership.since_ms
 
     def _check_lead(self) -> None:
         """Step down without a majority for long, or without a vote."""
-        silence_ms = self.clock.mono_ms() - self._lead.quorum_acked_ms()
+        silence_ms = self.clock.mono_ms() - self._leadership.quorum_acked_ms()
         silent = silence_ms > 2 * self.settings.election_timeout_ms
         if silent or not self._may_lead:
             self._step_down()
@@ -520,8 +520,8 @@
         self.storage.append(
             [entries.LogEntry(index, self.term, entry, self.commit_index)]
         )
-        self._lead.wake_replication()
-        self._lead.advance_commit()
+        self._leadership.wake_replication()
+        self._leadership.advance_commit()
 
     # Following.
 
