--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -111,7 +111,7 @@
         self._tasks = runtime.Tasks()
         self._leadership_tasks = runtime.Tasks()
         self._leadership: lead.Leadership | None = None
-        self._proposed: dict[int, tuple[int, asyncio.Future]] = {}
+        self._pending_proposals: dict[int, tuple[int, asyncio.Future]] = {}
         self._heard_ms = clock.mono_ms()
         self._canvassed_ms = self._heard_ms
         self._asking = False
@@ -472,12 +472,12 @@
         self._leadership.end()
         self._leadership = None
         self.leader = None
-        for _term, future in self._proposed.values():
+        for _term, future in self._pending_proposals.values():
             if not future.done():
                 future.set_exception(
                     errors.NotLeaderError(None, may_be_accepted=True)
                 )
-        self._proposed.clear()
+        self._pending_proposals.clear()
 
     @property
     def has_lease(self) -> bool:
@@ -506,11 +506,11 @@
             raise errors.NotLeaderError(self.leader, may_be_accepted=False)
         future = asyncio.get_running_loop().create_future()
         index = self.storage.last_index + 1
-        self._proposed[index] = (self.term, future)
+        self._pending_proposals[index] = (self.term, future)
         try:
             self._append(entry)
         except state_errors.DiskFullError as error:
-            del self._proposed[index]
+            del self._pending_proposals[index]
             self._step_down()
             raise errors.NotLeaderError(None, may_be_accepted=False) from error
         return await future
@@ -643,7 +643,7 @@
                     index=entry.index, changes=[(entry.index, applied.change)]
                 )
             )
-        term, future = self._proposed.pop(entry.index, (0, None))
+        term, future = self._pending_proposals.pop(entry.index, (0, None))
         if future is None or future.done():
             return
         if term == entry.term:
