--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -500,7 +500,7 @@
     Switch(
         'stands after giving its vote',
         DECISIONS + 'agreement/voter.py',
-        ('            if (self.term, self._heard_ms) != before:'),
+        ('            if (self.term, self._leader_contact_ms) != before:'),
         ('            if False:'),
         (
             'tests/test_founding.py::test_who_gave_its_vote_meanwhile_does_not_stand'
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -112,8 +112,8 @@
         self._leadership_tasks = runtime.Tasks()
         self._leadership: lead.Leadership | None = None
         self._pending_proposals: dict[int, tuple[int, asyncio.Future]] = {}
-        self._heard_ms = clock.mono_ms()
-        self._canvassed_ms = self._heard_ms
+        self._leader_contact_ms = clock.mono_ms()
+        self._canvassed_ms = self._leader_contact_ms
         self._asking = False
         self._yields = False
         self._life = ids.new_unique()
@@ -198,7 +198,7 @@
 
     def start(self) -> None:
         """Take part, once the others know of this start."""
-        self._heard_ms = self.clock.mono_ms()
+        self._leader_contact_ms = self.clock.mono_ms()
         self._tasks.start(self._clearance.wait_until_passed(self._become_new))
         self._tasks.start(self._watch())
 
@@ -220,7 +220,7 @@
         return random.uniform(least_ms, 2 * least_ms)
 
     def _hears_leader(self) -> bool:
-        silence_ms = self.clock.mono_ms() - self._heard_ms
+        silence_ms = self.clock.mono_ms() - self._leader_contact_ms
         return silence_ms < self.settings.election_timeout_ms
 
     @property
@@ -240,7 +240,7 @@
                 self._check_lead()
                 continue
             waited_ms = self.clock.mono_ms() - max(
-                self._heard_ms, self._canvassed_ms
+                self._leader_contact_ms, self._canvassed_ms
             )
             if waited_ms < patience_ms:
                 continue
@@ -250,12 +250,12 @@
             self._canvassed_ms = self.clock.mono_ms()
             if not self._clearance.passed or not self._may_lead:
                 continue
-            before = (self.term, self._heard_ms)
+            before = (self.term, self._leader_contact_ms)
             # Without room on the disk there is nothing to stand with.
             with contextlib.suppress(state_errors.DiskFullError):
                 if not await self._ask_beforehand():
                     continue
-                if (self.term, self._heard_ms) != before:
+                if (self.term, self._leader_contact_ms) != before:
                     # Another stood meanwhile and has this host's vote, or
                     # leads already; a higher term would only end its lead.
                     continue
@@ -327,7 +327,9 @@
         finally:
             await runtime.cancel(tasks)
         if not votes.won:
-            votes.log_lost(message, self.clock.mono_ms() - self._heard_ms)
+            votes.log_lost(
+                message, self.clock.mono_ms() - self._leader_contact_ms
+            )
         return votes.won
 
     async def _ask(
@@ -374,7 +376,7 @@
             return messages.VoteRefusal.VOTED
         meta.voted_for = sender
         self.storage.save_meta()
-        self._heard_ms = self.clock.mono_ms()
+        self._leader_contact_ms = self.clock.mono_ms()
         return None
 
     def _vote_refusal(
@@ -438,7 +440,7 @@
             commit_index=self.commit_index,
             last_index=self.storage.last_index,
             has_vote=self.is_voter,
-            silence_ms=self.clock.mono_ms() - self._heard_ms,
+            silence_ms=self.clock.mono_ms() - self._leader_contact_ms,
         )
 
     async def _answer_confirm(
@@ -536,7 +538,7 @@
         if self.leader != leader:
             self.leader = leader
             logger.info('following', leader=leader, term=term)
-        self._heard_ms = self.clock.mono_ms()
+        self._leader_contact_ms = self.clock.mono_ms()
         return True
 
     def _append_reply(
