--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -426,9 +426,9 @@
     Switch(
         'own canvass counts as a leader heard',
         DECISIONS + 'agreement/voter.py',
-        ('            self._canvassed_ms = self.clock.mono_ms()'),
+        ('            self._election_attempt_ms = self.clock.mono_ms()'),
         (
-            '            self._canvassed_ms = self._heard_ms = self.clock.mono_ms()'
+            '            self._election_attempt_ms = self._heard_ms = self.clock.mono_ms()'
         ),
         (
             'tests/test_founding.py::test_host_that_canvasses_may_still_vote_for_another'
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -113,7 +113,7 @@
         self._leadership: lead.Leadership | None = None
         self._pending_proposals: dict[int, tuple[int, asyncio.Future]] = {}
         self._leader_contact_ms = clock.mono_ms()
-        self._canvassed_ms = self._leader_contact_ms
+        self._election_attempt_ms = self._leader_contact_ms
         self._asking = False
         self._yields = False
         self._life = ids.new_unique()
@@ -240,14 +240,14 @@
                 self._check_lead()
                 continue
             waited_ms = self.clock.mono_ms() - max(
-                self._leader_contact_ms, self._canvassed_ms
+                self._leader_contact_ms, self._election_attempt_ms
             )
             if waited_ms < patience_ms:
                 continue
             patience_ms = self._patience_ms()
             # Not as if a leader was heard: two hosts that canvass in turn
             # would refuse each other their votes.
-            self._canvassed_ms = self.clock.mono_ms()
+            self._election_attempt_ms = self.clock.mono_ms()
             if not self._clearance.passed or not self._may_lead:
                 continue
             before = (self.term, self._leader_contact_ms)
