--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -114,7 +114,7 @@
         self._pending_proposals: dict[int, tuple[int, asyncio.Future]] = {}
         self._leader_contact_ms = clock.mono_ms()
         self._election_attempt_ms = self._leader_contact_ms
-        self._asking = False
+        self._pre_vote_running = False
         self._yields = False
         self._life = ids.new_unique()
         # For which moment a leader's word says that nothing newer was
@@ -263,11 +263,11 @@
 
     async def _ask_beforehand(self) -> bool:
         """Return whether this host would win and should stand."""
-        self._asking, self._yields = True, False
+        self._pre_vote_running, self._yields = True, False
         try:
             won = await self._canvass(pre=True)
         finally:
-            self._asking = False
+            self._pre_vote_running = False
         if won and self._yields:
             logger.info('canvass_yielded', term=self.term + 1)
         return won and not self._yields
@@ -278,7 +278,7 @@
         Both would stand, vote for themselves and wait another time-out.
         The names decide, as both know them.
         """
-        if self._asking and sender < self.host:
+        if self._pre_vote_running and sender < self.host:
             self._yields = True
 
     async def _stand(self) -> None:
