--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -475,7 +475,7 @@
     Switch(
         'two that ask at once both stand',
         DECISIONS + 'agreement/voter.py',
-        ('            self._yields = True\n'),
+        ('            self._pre_vote_yielded = True\n'),
         ('            pass\n'),
         ('tests/test_group.py::test_two_that_ask_at_once_do_not_both_stand'),
     ),
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -115,7 +115,7 @@
         self._leader_contact_ms = clock.mono_ms()
         self._election_attempt_ms = self._leader_contact_ms
         self._pre_vote_running = False
-        self._yields = False
+        self._pre_vote_yielded = False
         self._life = ids.new_unique()
         # For which moment a leader's word says that nothing newer was
         # accepted than what is committed here.
@@ -263,14 +263,14 @@
 
     async def _ask_beforehand(self) -> bool:
         """Return whether this host would win and should stand."""
-        self._pre_vote_running, self._yields = True, False
+        self._pre_vote_running, self._pre_vote_yielded = True, False
         try:
             won = await self._canvass(pre=True)
         finally:
             self._pre_vote_running = False
-        if won and self._yields:
+        if won and self._pre_vote_yielded:
             logger.info('canvass_yielded', term=self.term + 1)
-        return won and not self._yields
+        return won and not self._pre_vote_yielded
 
     def _yield_to(self, sender: ids.HostId) -> None:
         """Let one of two go on that ask beforehand at the same time.
@@ -279,7 +279,7 @@
         The names decide, as both know them.
         """
         if self._pre_vote_running and sender < self.host:
-            self._yields = True
+            self._pre_vote_yielded = True
 
     async def _stand(self) -> None:
         meta = self.storage.meta
