--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -64,7 +64,7 @@
     Switch(
         'moment of another life confirmed',
         DECISIONS + 'agreement/voter.py',
-        ('        if moment is None or moment.life != self._life:\n'),
+        ('        if moment is None or moment.life != self._instance_id:\n'),
         ('        if moment is None:\n'),
         (
             'tests/test_group.py::test_follower_confirms_moments_of_its_own_life_only'
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -116,7 +116,7 @@
         self._election_attempt_ms = self._leader_contact_ms
         self._pre_vote_running = False
         self._pre_vote_yielded = False
-        self._life = ids.new_unique()
+        self._instance_id = ids.new_unique()
         # For which moment a leader's word says that nothing newer was
         # accepted than what is committed here.
         self._confirmed_ms: int | None = None
@@ -550,7 +550,7 @@
             last_index,
             self.incarnation,
             self.location,
-            messages.Moment(self._life, self.clock.mono_ms()),
+            messages.Moment(self._instance_id, self.clock.mono_ms()),
         )
 
     @_refuse_if_disk_full
@@ -575,7 +575,7 @@
     def _note_confirmed(self, message: messages.Append) -> None:
         """Note for which moment all is known here that was accepted."""
         moment = message.confirmed
-        if moment is None or moment.life != self._life:
+        if moment is None or moment.life != self._instance_id:
             return
         if self.commit_index >= message.commit:
             self._confirmed_ms = max(self._confirmed_ms or 0, moment.at_ms)
