--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -120,7 +120,7 @@
         # For which moment a leader's word says that nothing newer was
         # accepted than what is committed here.
         self._confirmed_ms: int | None = None
-        self._clearance = clearance.RollbackCheck(
+        self._rollback_check = clearance.RollbackCheck(
             kept, group, peers, limits, clock
         )
         self.role = Role.FOLLOWER
@@ -199,7 +199,9 @@
     def start(self) -> None:
         """Take part, once the others know of this start."""
         self._leader_contact_ms = self.clock.mono_ms()
-        self._tasks.start(self._clearance.wait_until_passed(self._become_new))
+        self._tasks.start(
+            self._rollback_check.wait_until_passed(self._become_new)
+        )
         self._tasks.start(self._watch())
 
     async def close(self) -> None:
@@ -248,7 +250,7 @@
             # Not as if a leader was heard: two hosts that canvass in turn
             # would refuse each other their votes.
             self._election_attempt_ms = self.clock.mono_ms()
-            if not self._clearance.passed or not self._may_lead:
+            if not self._rollback_check.passed or not self._may_lead:
                 continue
             before = (self.term, self._leader_contact_ms)
             # Without room on the disk there is nothing to stand with.
@@ -392,7 +394,7 @@
         holds no voters at all was never admitted as it is, and may have
         forgotten that it was.
         """
-        if not self._clearance.passed:
+        if not self._rollback_check.passed:
             return messages.VoteRefusal.NOT_CLEARED
         if not self.electorate.voters:
             return messages.VoteRefusal.NO_VOTE
