--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -200,7 +200,7 @@
         """Take part, once the others know of this start."""
         self._leader_contact_ms = self.clock.mono_ms()
         self._tasks.start(
-            self._rollback_check.wait_until_passed(self._become_new)
+            self._rollback_check.wait_until_passed(self._reset_state)
         )
         self._tasks.start(self._watch())
 
@@ -210,7 +210,7 @@
         await self._leadership_tasks.close()
         await self._tasks.close()
 
-    def _become_new(self) -> None:
+    def _reset_state(self) -> None:
         """Hold nothing any more, as the disk was an old copy."""
         self.state = replicated.ReplicatedState()
         self.commit_index = 0
