--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -217,7 +217,7 @@
 
     # Elections.
 
-    def _patience_ms(self) -> float:
+    def _random_election_timeout_ms(self) -> float:
         least_ms = self.settings.election_timeout_ms
         return random.uniform(least_ms, 2 * least_ms)
 
@@ -234,7 +234,7 @@
 
     async def _watch(self) -> None:
         """Stand for election when the leader falls silent."""
-        patience_ms = self._patience_ms()
+        patience_ms = self._random_election_timeout_ms()
         while True:
             await self.clock.sleep_ms(self.settings.beat_interval_ms / 2)
             self.storage.check()
@@ -246,7 +246,7 @@
             )
             if waited_ms < patience_ms:
                 continue
-            patience_ms = self._patience_ms()
+            patience_ms = self._random_election_timeout_ms()
             # Not as if a leader was heard: two hosts that canvass in turn
             # would refuse each other their votes.
             self._election_attempt_ms = self.clock.mono_ms()
