--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -250,7 +250,7 @@
         await nodes.until(lambda: left.voter.role is voter.Role.FOLLOWER)
         before_ms = left.clock.mono_ms()
         await nodes.until(lambda: left.voter._election_attempt_ms > before_ms)
-        assert not left.voter._hears_leader()
+        assert not left.voter._has_leader_contact()
 
 
 async def test_read_is_refused_where_it_cannot_be_sure(tmp_path):
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -221,7 +221,7 @@
         least_ms = self.settings.election_timeout_ms
         return random.uniform(least_ms, 2 * least_ms)
 
-    def _hears_leader(self) -> bool:
+    def _has_leader_contact(self) -> bool:
         silence_ms = self.clock.mono_ms() - self._leader_contact_ms
         return silence_ms < self.settings.election_timeout_ms
 
@@ -230,7 +230,7 @@
         """Tell whether this host leads, or heard from who does of late."""
         if self.role is Role.LEADER:
             return self.has_lease
-        return self.leader is not None and self._hears_leader()
+        return self.leader is not None and self._has_leader_contact()
 
     async def _watch(self) -> None:
         """Stand for election when the leader falls silent."""
@@ -400,7 +400,7 @@
             return messages.VoteRefusal.NO_VOTE
         if message.term < self.term:
             return messages.VoteRefusal.OLD_TERM
-        if self._hears_leader():
+        if self._has_leader_contact():
             return messages.VoteRefusal.LEADER_HEARD
         if self.has_lease:
             return messages.VoteRefusal.LEADS
