--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -226,7 +226,7 @@
         return silence_ms < self.settings.election_timeout_ms
 
     @property
-    def led(self) -> bool:
+    def has_leader(self) -> bool:
         """Tell whether this host leads, or heard from who does of late."""
         if self.role is Role.LEADER:
             return self.has_lease
