--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -202,7 +202,7 @@
         self._tasks.start(
             self._rollback_check.wait_until_passed(self._reset_state)
         )
-        self._tasks.start(self._watch())
+        self._tasks.start(self._run_election_timer())
 
     async def close(self) -> None:
         """End every task."""
@@ -232,7 +232,7 @@
             return self.has_lease
         return self.leader is not None and self._has_leader_contact()
 
-    async def _watch(self) -> None:
+    async def _run_election_timer(self) -> None:
         """Stand for election when the leader falls silent."""
         patience_ms = self._random_election_timeout_ms()
         while True:
