--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -255,7 +255,7 @@
             before = (self.term, self._leader_contact_ms)
             # Without room on the disk there is nothing to stand with.
             with contextlib.suppress(state_errors.DiskFullError):
-                if not await self._ask_beforehand():
+                if not await self._run_pre_vote():
                     continue
                 if (self.term, self._leader_contact_ms) != before:
                     # Another stood meanwhile and has this host's vote, or
@@ -263,7 +263,7 @@
                     continue
                 await self._stand()
 
-    async def _ask_beforehand(self) -> bool:
+    async def _run_pre_vote(self) -> bool:
         """Return whether this host would win and should stand."""
         self._pre_vote_running, self._pre_vote_yielded = True, False
         try:
