--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -274,7 +274,7 @@
             logger.info('canvass_yielded', term=self.term + 1)
         return won and not self._pre_vote_yielded
 
-    def _yield_to(self, sender: ids.HostId) -> None:
+    def _yield_pre_vote_to(self, sender: ids.HostId) -> None:
         """Let one of two go on that ask beforehand at the same time.
 
         Both would stand, vote for themselves and wait another time-out.
@@ -361,7 +361,7 @@
     ) -> messages.VoteReply:
         refused = self._vote_refusal(message)
         if refused is None and message.pre:
-            self._yield_to(sender)
+            self._yield_pre_vote_to(sender)
         elif refused is None:
             refused = self._give_vote(sender, message.term)
         return messages.VoteReply(
