--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -261,7 +261,7 @@
                     # Another stood meanwhile and has this host's vote, or
                     # leads already; a higher term would only end its lead.
                     continue
-                await self._stand()
+                await self._run_election()
 
     async def _run_pre_vote(self) -> bool:
         """Return whether this host would win and should stand."""
@@ -283,7 +283,7 @@
         if self._pre_vote_running and sender < self.host:
             self._pre_vote_yielded = True
 
-    async def _stand(self) -> None:
+    async def _run_election(self) -> None:
         meta = self.storage.meta
         meta.term += 1
         meta.voted_for = self.host
