--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -444,7 +444,7 @@
             elected._heard_ms = elected.clock.mono_ms()
             return True
 
-        elected._canvass = canvass
+        elected._request_votes = canvass
         elected._step_down()
         elected._heard_ms = elected.clock.mono_ms() - 10_000
         await nodes.until(lambda: asked)
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -267,7 +267,7 @@
         """Return whether this host would win and should stand."""
         self._pre_vote_running, self._pre_vote_yielded = True, False
         try:
-            won = await self._canvass(pre=True)
+            won = await self._request_votes(pre=True)
         finally:
             self._pre_vote_running = False
         if won and self._pre_vote_yielded:
@@ -293,11 +293,11 @@
         term = meta.term
         logger.info('election', term=term)
         asked_ms = self.clock.mono_ms()
-        won = await self._canvass(pre=False)
+        won = await self._request_votes(pre=False)
         if won and self.role is Role.CANDIDATE and self.term == term:
             self._begin_to_lead(asked_ms)
 
-    async def _canvass(self, pre: bool) -> bool:
+    async def _request_votes(self, pre: bool) -> bool:
         """Ask for votes and return whether a majority gave them."""
         term = self.term + 1 if pre else self.term
         message = messages.AskVote(
