--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -309,7 +309,9 @@
         )
         votes = canvass.VoteTally(self.host, self.incarnation, self.electorate)
         tasks = [
-            asyncio.get_running_loop().create_task(self._ask(host, message))
+            asyncio.get_running_loop().create_task(
+                self._request_vote(host, message)
+            )
             for host in votes.other_voters
         ]
         try:
@@ -334,7 +336,7 @@
             )
         return votes.won
 
-    async def _ask(
+    async def _request_vote(
         self, host: ids.HostId, message: messages.AskVote
     ) -> tuple[ids.HostId, messages.VoteReply | None]:
         answer = await self.call(host, message)
