--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -129,7 +129,7 @@
         self.state = replicated.ReplicatedState()
         self._load_snapshot()
         self.commit(kept.known_committed())
-        peers.answers(messages.AskVote)(self._answer_vote)
+        peers.answers(messages.AskVote)(self._handle_vote_request)
         peers.answers(messages.Append)(self._answer_append)
         peers.answers(messages.Install)(self._answer_install)
         peers.answers(attending.ConfirmIndex)(self._answer_confirm)
@@ -358,7 +358,7 @@
         return answer
 
     @_refuse_if_disk_full
-    async def _answer_vote(
+    async def _handle_vote_request(
         self, sender: ids.HostId, message: messages.AskVote
     ) -> messages.VoteReply:
         refused = self._vote_refusal(message)
