--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -365,12 +365,12 @@
         if refused is None and message.pre:
             self._yield_pre_vote_to(sender)
         elif refused is None:
-            refused = self._give_vote(sender, message.term)
+            refused = self._grant_vote(sender, message.term)
         return messages.VoteReply(
             self.term, refused is None, self.incarnation, refused
         )
 
-    def _give_vote(
+    def _grant_vote(
         self, sender: ids.HostId, term: int
     ) -> messages.VoteRefusal | None:
         """Note a vote on the disk; return why none can be given."""
