--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -423,17 +423,17 @@
         if self.has_lease:
             return self.commit_index
         if self.leader is None or self.leader == self.host:
-            self._tell_unconfirmed('no leader')
+            self._log_unconfirmed_index('no leader')
             return None
         answer = await self.call(self.leader, attending.ConfirmIndex())
         if not isinstance(answer, attending.IndexConfirmed):
-            self._tell_unconfirmed('leader gave no answer')
+            self._log_unconfirmed_index('leader gave no answer')
             return None
         if answer.index is None:
-            self._tell_unconfirmed('leader has no lease')
+            self._log_unconfirmed_index('leader has no lease')
         return answer.index
 
-    def _tell_unconfirmed(self, reason: str) -> None:
+    def _log_unconfirmed_index(self, reason: str) -> None:
         """Log why it is not known whether something newer was accepted."""
         logger.warning(
             'index_unconfirmed',
