--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -132,7 +132,7 @@
         peers.answers(messages.AskVote)(self._handle_vote_request)
         peers.answers(messages.Append)(self._answer_append)
         peers.answers(messages.Install)(self._answer_install)
-        peers.answers(attending.ConfirmIndex)(self._answer_confirm)
+        peers.answers(attending.ConfirmIndex)(self._handle_confirm_index)
 
     # State that is on the disk.
 
@@ -447,7 +447,7 @@
             silence_ms=self.clock.mono_ms() - self._leader_contact_ms,
         )
 
-    async def _answer_confirm(
+    async def _handle_confirm_index(
         self, _sender: ids.HostId, _message: attending.ConfirmIndex
     ) -> attending.IndexConfirmed:
         return attending.IndexConfirmed(
