--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -295,7 +295,7 @@
         asked_ms = self.clock.mono_ms()
         won = await self._request_votes(pre=False)
         if won and self.role is Role.CANDIDATE and self.term == term:
-            self._begin_to_lead(asked_ms)
+            self._become_leader(asked_ms)
 
     async def _request_votes(self, pre: bool) -> bool:
         """Ask for votes and return whether a majority gave them."""
@@ -456,7 +456,7 @@
 
     # Leading.
 
-    def _begin_to_lead(self, asked_ms: int) -> None:
+    def _become_leader(self, asked_ms: int) -> None:
         self.role = Role.LEADER
         self.leader = self.host
         logger.info('leading', term=self.term)
