--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -491,7 +491,7 @@
         return self._leadership is not None and self._leadership.has_lease
 
     @property
-    def led_since_ms(self) -> int:
+    def leader_since_ms(self) -> int:
         """Return when the votes for this lead were asked for."""
         return 0 if self._leadership is None else self._leadership.since_ms
 
