--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -239,7 +239,7 @@
             await self.clock.sleep_ms(self.settings.beat_interval_ms / 2)
             self.storage.check()
             if self.role is Role.LEADER:
-                self._check_lead()
+                self._check_quorum()
                 continue
             waited_ms = self.clock.mono_ms() - max(
                 self._leader_contact_ms, self._election_attempt_ms
@@ -495,7 +495,7 @@
         """Return when the votes for this lead were asked for."""
         return 0 if self._leadership is None else self._leadership.since_ms
 
-    def _check_lead(self) -> None:
+    def _check_quorum(self) -> None:
         """Step down without a majority for long, or without a vote."""
         silence_ms = self.clock.mono_ms() - self._leadership.quorum_acked_ms()
         silent = silence_ms > 2 * self.settings.election_timeout_ms
