--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -464,7 +464,7 @@
             self, self.term, asked_ms, self._leadership_tasks
         )
         try:
-            self._append(entries.LeaderStart(self.host))
+            self._append_entry(entries.LeaderStart(self.host))
         except state_errors.DiskFullError:
             self._step_down()
             raise
@@ -514,14 +514,14 @@
         index = self.storage.last_index + 1
         self._pending_proposals[index] = (self.term, future)
         try:
-            self._append(entry)
+            self._append_entry(entry)
         except state_errors.DiskFullError as error:
             del self._pending_proposals[index]
             self._step_down()
             raise errors.NotLeaderError(None, may_be_accepted=False) from error
         return await future
 
-    def _append(self, entry: entries.Entry) -> None:
+    def _append_entry(self, entry: entries.Entry) -> None:
         index = self.storage.last_index + 1
         self.storage.append(
             [entries.LogEntry(index, self.term, entry, self.commit_index)]
