--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -531,7 +531,7 @@
 
     # Following.
 
-    def _follow(self, leader: ids.HostId, term: int) -> bool:
+    def _accept_leader(self, leader: ids.HostId, term: int) -> bool:
         """Take a leader's word; False if its term is over."""
         self.group.hear(leader)
         if term < self.term:
@@ -561,7 +561,7 @@
     async def _answer_append(
         self, sender: ids.HostId, message: messages.Append
     ) -> messages.AppendReply:
-        if not self._follow(sender, message.term):
+        if not self._accept_leader(sender, message.term):
             return self._append_reply(False, self.storage.last_index)
         kept = self.storage
         previous = message.previous_index
@@ -616,7 +616,7 @@
     async def _answer_install(
         self, sender: ids.HostId, message: messages.Install
     ) -> messages.AppendReply:
-        if not self._follow(sender, message.term):
+        if not self._accept_leader(sender, message.term):
             return self._append_reply(False, self.storage.last_index)
         if message.snapshot.index > self.commit_index:
             self.storage.save_snapshot(message.snapshot)
