--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -130,7 +130,7 @@
         self._load_snapshot()
         self.commit(kept.known_committed())
         peers.answers(messages.AskVote)(self._handle_vote_request)
-        peers.answers(messages.Append)(self._answer_append)
+        peers.answers(messages.Append)(self._handle_append)
         peers.answers(messages.Install)(self._answer_install)
         peers.answers(attending.ConfirmIndex)(self._handle_confirm_index)
 
@@ -558,7 +558,7 @@
         )
 
     @_refuse_if_disk_full
-    async def _answer_append(
+    async def _handle_append(
         self, sender: ids.HostId, message: messages.Append
     ) -> messages.AppendReply:
         if not self._accept_leader(sender, message.term):
