--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -573,10 +573,10 @@
         last = self._take(message.added)
         matched = max(previous + len(message.added), last)
         self.commit(min(message.commit, matched))
-        self._note_confirmed(message)
+        self._update_confirmed_ms(message)
         return self._append_reply(True, matched)
 
-    def _note_confirmed(self, message: messages.Append) -> None:
+    def _update_confirmed_ms(self, message: messages.Append) -> None:
         """Note for which moment all is known here that was accepted."""
         moment = message.confirmed
         if moment is None or moment.life != self._instance_id:
