--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -570,7 +570,7 @@
         if previous >= kept.snapshot.index:
             if kept.term_at(previous) != message.previous_term:
                 return self._append_reply(False, previous)
-        last = self._take(message.added)
+        last = self._store_entries(message.added)
         matched = max(previous + len(message.added), last)
         self.commit(min(message.commit, matched))
         self._update_confirmed_ms(message)
@@ -597,7 +597,7 @@
             return None
         return self.clock.mono_ms() - self._confirmed_ms
 
-    def _take(self, added: list[entries.LogEntry]) -> int:
+    def _store_entries(self, added: list[entries.LogEntry]) -> int:
         """Write what is new; drop what contradicts it."""
         kept = self.storage
         for place, entry in enumerate(added):
