--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -131,7 +131,7 @@
         self.commit(kept.known_committed())
         peers.answers(messages.AskVote)(self._handle_vote_request)
         peers.answers(messages.Append)(self._handle_append)
-        peers.answers(messages.Install)(self._answer_install)
+        peers.answers(messages.Install)(self._handle_install)
         peers.answers(attending.ConfirmIndex)(self._handle_confirm_index)
 
     # State that is on the disk.
@@ -613,7 +613,7 @@
         return added[-1].index if added else 0
 
     @_refuse_if_disk_full
-    async def _answer_install(
+    async def _handle_install(
         self, sender: ids.HostId, message: messages.Install
     ) -> messages.AppendReply:
         if not self._accept_leader(sender, message.term):
