--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -634,14 +634,14 @@
             entry = self.storage.entry(self.commit_index + 1)
             if entry is None:
                 break
-            self._apply(entry)
+            self._apply_entry(entry)
             self.commit_index = entry.index
             advanced = True
         if advanced:
             self.storage.note_committed(self.commit_index)
         self._compact()
 
-    def _apply(self, entry: entries.LogEntry) -> None:
+    def _apply_entry(self, entry: entries.LogEntry) -> None:
         applied = self.state.apply(entry.index, entry.entry)
         if applied.change is not None:
             self._replica.advance(
