--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -639,7 +639,7 @@
             advanced = True
         if advanced:
             self.storage.note_committed(self.commit_index)
-        self._compact()
+        self._compact_log()
 
     def _apply_entry(self, entry: entries.LogEntry) -> None:
         applied = self.state.apply(entry.index, entry.entry)
@@ -659,7 +659,7 @@
                 errors.NotLeaderError(self.leader, may_be_accepted=False)
             )
 
-    def _compact(self) -> None:
+    def _compact_log(self) -> None:
         kept = self.storage
         covered = self.commit_index - kept.snapshot.index
         large = covered and kept.log_bytes > LOG_LIMIT_BYTES
