--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -28,7 +28,7 @@
 # A majority of the control hosts of far regions.
 COMMIT_S = 0.16
 # Control hosts and entry hosts hear of a decision so much later.
-HEARD_INTERVAL_S = 0.2
+REPLICATION_INTERVAL_S = 0.2
 FATAL_AFTER_S = 0.1
 
 
@@ -187,7 +187,7 @@
 
     async def _hear(self):
         while True:
-            await asyncio.sleep(HEARD_INTERVAL_S)
+            await asyncio.sleep(REPLICATION_INTERVAL_S)
             leader = self.leader
             for control in self.controls.values():
                 if leader and self.network.open(leader, control.name):
