--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -29,7 +29,7 @@
 COMMIT_S = 0.16
 # Control hosts and entry hosts hear of a decision so much later.
 REPLICATION_INTERVAL_S = 0.2
-FATAL_AFTER_S = 0.1
+CRASH_DELAY_S = 0.1
 
 
 class Voter:
@@ -106,7 +106,7 @@
         if self.guard.remaining_hold_ms(digest) is not None:
             return False
         run = self.guard.start_run(digest, endpoint, endpoint)
-        await asyncio.sleep(FATAL_AFTER_S)
+        await asyncio.sleep(CRASH_DELAY_S)
         if not fatal:
             self.guard.mark_succeeded(run)
             return True
