--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -32,7 +32,7 @@
 CRASH_DELAY_S = 0.1
 
 
-class Voter:
+class FakeVoter:
     """Lead, or not, as a test says."""
 
     def __init__(self, fleet):
@@ -54,7 +54,7 @@
         self.peers = attending_fleet.CountingPeers(name, fleet.network)
         fleet.network.hosts[name] = self.peers
         self.replica = replica.Replica()
-        self.voter = Voter(fleet)
+        self.voter = FakeVoter(fleet)
         self._fleet = fleet
         self._gatherer = gatherer.CrashAggregator(
             self.voter,
