--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -56,14 +56,14 @@
         self.replica = replica.Replica()
         self.voter = FakeVoter(fleet)
         self._fleet = fleet
-        self._gatherer = gatherer.CrashAggregator(
+        self._aggregator = gatherer.CrashAggregator(
             self.voter,
             self.replica,
             self._entry_hosts,
             self.peers,
             group.LoopClock(),
         )
-        self._gatherer.start()
+        self._aggregator.start()
 
     def _entry_hosts(self, everywhere):
         region = limited_fleet.region_of(self.name)
@@ -75,7 +75,7 @@
 
     async def close(self):
         await self.peers.close()
-        await self._gatherer.close()
+        await self._aggregator.close()
 
 
 class EntryHost:
