--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -119,7 +119,7 @@
         await self.guard.close()
 
 
-class Lossy(limited_fleet.Travel):
+class LossyNetwork(limited_fleet.Travel):
     """Lose a share of the messages, for as long as a test says."""
 
     lost_share = 0.0
@@ -134,7 +134,7 @@
 
     def __init__(self, hosts, seed=1):
         self.random = random.Random(seed)
-        self.network = Lossy(seed)
+        self.network = LossyNetwork(seed)
         self.state = replicated.ReplicatedState()
         self.log = replica.Replica()
         self.names = [
