--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -144,7 +144,7 @@
         self.hosts = {}
         self.ended = set()
         self.endpoints = (f'e{number}' for number in itertools.count())
-        self._hearing = None
+        self._replication_task = None
         self._region_cut = None
 
     async def start(self):
@@ -154,7 +154,7 @@
         self.lead(next(iter(self.controls)))
         for name in self.names:
             self.hosts[name] = EntryHost(self, name)
-        self._hearing = asyncio.ensure_future(self._hear())
+        self._replication_task = asyncio.ensure_future(self._hear())
         return self
 
     def lead(self, name):
@@ -270,6 +270,6 @@
         await asyncio.sleep(delay_ms / MS_PER_S)
 
     async def close(self):
-        self._hearing.cancel()
+        self._replication_task.cancel()
         for one in [*self.hosts.values(), *self.controls.values()]:
             await one.close()
