--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -145,7 +145,7 @@
         self.ended = set()
         self.endpoints = (f'e{number}' for number in itertools.count())
         self._replication_task = None
-        self._region_cut = None
+        self._isolated_region = None
 
     async def start(self):
         for number in range(CONTROLS):
@@ -225,7 +225,7 @@
 
     def cut_region(self, region):
         """Cut one region off from the others."""
-        self._region_cut = region
+        self._isolated_region = region
         for one in self.network.hosts:
             for other in self.network.hosts:
                 if limited_fleet.region_of(one) == region:
@@ -234,14 +234,14 @@
 
     def heal(self):
         """Heal every cut."""
-        self._region_cut = None
+        self._isolated_region = None
         self.network.heal()
 
     def join_host(self, name):
         """Let a host that was cut off be reached again."""
         for other in self.network.hosts:
             if limited_fleet.region_of(other) != limited_fleet.region_of(name):
-                if self._region_cut in (
+                if self._isolated_region in (
                     limited_fleet.region_of(other),
                     limited_fleet.region_of(name),
                 ):
