--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -142,7 +142,7 @@
         ]
         self.controls = {}
         self.hosts = {}
-        self.ended = set()
+        self.crashed_endpoints = set()
         self.endpoints = (f'e{number}' for number in itertools.count())
         self._replication_task = None
         self._isolated_region = None
@@ -183,7 +183,7 @@
 
     async def is_refused(self, address, _timeout_ms):
         """Tell whether an endpoint has ended."""
-        return address in self.ended
+        return address in self.crashed_endpoints
 
     async def _hear(self):
         while True:
