--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -151,13 +151,13 @@
         for number in range(CONTROLS):
             name = f'10.{number % REGIONS}.250.{number}:1'
             self.controls[name] = ControlHost(self, name)
-        self.lead(next(iter(self.controls)))
+        self.set_leader(next(iter(self.controls)))
         for name in self.names:
             self.hosts[name] = EntryHost(self, name)
         self._replication_task = asyncio.ensure_future(self._hear())
         return self
 
-    def lead(self, name):
+    def set_leader(self, name):
         """Let one control host lead, or none."""
         for control in self.controls.values():
             control.voter.has_lease = control.name == name
