--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -154,7 +154,9 @@
         self.set_leader(next(iter(self.controls)))
         for name in self.names:
             self.hosts[name] = EntryHost(self, name)
-        self._replication_task = asyncio.ensure_future(self._hear())
+        self._replication_task = asyncio.ensure_future(
+            self._replicate_decisions()
+        )
         return self
 
     def set_leader(self, name):
@@ -185,7 +187,7 @@
         """Tell whether an endpoint has ended."""
         return address in self.crashed_endpoints
 
-    async def _hear(self):
+    async def _replicate_decisions(self):
         while True:
             await asyncio.sleep(REPLICATION_INTERVAL_S)
             leader = self.leader
