--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -195,11 +195,11 @@
                 if leader and self.network.open(leader, control.name):
                     self._bring_level(control, self.log)
             for host in self.hosts.values():
-                for control in self._near(host):
+                for control in self._regional_controls(host):
                     if self.network.open(control.name, host.name):
                         self._bring_level(host, control.replica)
 
-    def _near(self, host):
+    def _regional_controls(self, host):
         return [
             control
             for control in self.controls.values()
