--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -193,11 +193,11 @@
             leader = self.leader
             for control in self.controls.values():
                 if leader and self.network.open(leader, control.name):
-                    self._bring_level(control, self.log)
+                    self._advance_replica(control, self.log)
             for host in self.hosts.values():
                 for control in self._regional_controls(host):
                     if self.network.open(control.name, host.name):
-                        self._bring_level(host, control.replica)
+                        self._advance_replica(host, control.replica)
 
     def _regional_controls(self, host):
         return [
@@ -207,7 +207,7 @@
         ]
 
     @staticmethod
-    def _bring_level(who, known):
+    def _advance_replica(who, known):
         delta = known.after(who.replica.current.index)
         if delta.index > who.replica.current.index:
             who.replica.advance(delta)
@@ -223,7 +223,7 @@
         await before.close()
         made = self.controls[name] = ControlHost(self, name)
         made.voter.has_lease = before.voter.has_lease
-        self._bring_level(made, self.log)
+        self._advance_replica(made, self.log)
 
     def cut_region(self, region):
         """Cut one region off from the others."""
