--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -225,7 +225,7 @@
         made.voter.has_lease = before.voter.has_lease
         self._advance_replica(made, self.log)
 
-    def cut_region(self, region):
+    def isolate_region(self, region):
         """Cut one region off from the others."""
         self._isolated_region = region
         for one in self.network.hosts:
--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -78,7 +78,7 @@
 @played
 async def test_region_that_is_cut_off_holds_it_by_itself():
     fleet = await quarantined_fleet.Fleet(12).start()
-    fleet.cut_region(2)
+    fleet.isolate_region(2)
     cut_off = [h for h in fleet.hosts.values() if h.region == 2]
     await end_three(fleet, cut_off[:3])
     await fleet.wait_ms(200)
@@ -97,7 +97,7 @@
 async def test_region_that_is_cut_off_for_long_tries_it_once_a_minute():
     """And not once at each of its hosts."""
     fleet = await quarantined_fleet.Fleet(30).start()
-    fleet.cut_region(2)
+    fleet.isolate_region(2)
     cut_off = [h for h in fleet.hosts.values() if h.region == 2]
     await end_three(fleet, cut_off[:3])
     minutes, sent = 4, 0
@@ -112,7 +112,7 @@
 @played
 async def test_ends_on_both_sides_of_a_cut_add_up():
     fleet = await quarantined_fleet.Fleet(12).start()
-    fleet.cut_region(2)
+    fleet.isolate_region(2)
     hosts = list(fleet.hosts.values())
     await end_three(fleet, [hosts[0], hosts[2], hosts[5]])
     await fleet.wait_ms(1_000)
@@ -251,7 +251,7 @@
     async def _cut_region(self):
         if self._cut is None:
             self._cut = self._random.randrange(limited_fleet.REGIONS)
-            self._fleet.cut_region(self._cut)
+            self._fleet.isolate_region(self._cut)
             self._trouble_all()
 
     async def _heal(self):
