--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -239,7 +239,7 @@
         self._isolated_region = None
         self.network.heal()
 
-    def join_host(self, name):
+    def reconnect_host(self, name):
         """Let a host that was cut off be reached again."""
         for other in self.network.hosts:
             if limited_fleet.region_of(other) != limited_fleet.region_of(name):
--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -245,7 +245,7 @@
         for name, until_ms in list(self._frozen_ms.items()):
             if until_ms <= now_ms:
                 del self._frozen_ms[name]
-                self._fleet.join_host(name)
+                self._fleet.reconnect_host(name)
                 self._troubled_ms[name] = now_ms
 
     async def _cut_region(self):
