--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -250,7 +250,7 @@
                     continue
             self.network.join(name, other)
 
-    def held_by(self, digest):
+    def hosts_holding(self, digest):
         """Return the hosts that hold a request."""
         return [
             host.name
--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -48,13 +48,13 @@
     fleet = await quarantined_fleet.Fleet(count).start()
     await end_three(fleet)
     await fleet.wait_ms(500)
-    assert len(fleet.held_by(FATAL)) == count
+    assert len(fleet.hosts_holding(FATAL)) == count
     await fleet.wait_ms(1_500)
     # Decided, so that it holds on hosts that start now, too.
     assert FATAL in fleet.state.configuration.quarantine
     await fleet.restart_host(fleet.names[0])
     await fleet.wait_ms(500)
-    assert len(fleet.held_by(FATAL)) == count
+    assert len(fleet.hosts_holding(FATAL)) == count
     await fleet.close()
 
 
@@ -82,14 +82,14 @@
     cut_off = [h for h in fleet.hosts.values() if h.region == 2]
     await end_three(fleet, cut_off[:3])
     await fleet.wait_ms(200)
-    held = fleet.held_by(FATAL)
+    held = fleet.hosts_holding(FATAL)
     assert sorted(held) == sorted(host.name for host in cut_off)
     assert FATAL not in fleet.state.configuration.quarantine
     # Both sides learn of each other's once they can.
     fleet.heal()
     await fleet.wait_ms(CONTACT_MS)
     assert FATAL in fleet.state.configuration.quarantine
-    assert len(fleet.held_by(FATAL)) == 12
+    assert len(fleet.hosts_holding(FATAL)) == 12
     await fleet.close()
 
 
@@ -116,10 +116,10 @@
     hosts = list(fleet.hosts.values())
     await end_three(fleet, [hosts[0], hosts[2], hosts[5]])
     await fleet.wait_ms(1_000)
-    assert not fleet.held_by(FATAL)
+    assert not fleet.hosts_holding(FATAL)
     fleet.heal()
     await fleet.wait_ms(CONTACT_MS)
-    assert len(fleet.held_by(FATAL)) == 12
+    assert len(fleet.hosts_holding(FATAL)) == 12
     await fleet.close()
 
 
@@ -134,7 +134,7 @@
         await fleet.restart_control(name)
     await one.send(FATAL, next(fleet.endpoints))
     await fleet.wait_ms(1_000)
-    assert len(fleet.held_by(FATAL)) == 6
+    assert len(fleet.hosts_holding(FATAL)) == 6
     await fleet.close()
 
 
@@ -146,7 +146,7 @@
     await hosts[8].send(FATAL, 'good', fatal=False)
     await end_three(fleet, hosts[:3])
     await fleet.wait_ms(1_000)
-    assert not fleet.held_by(FATAL)
+    assert not fleet.hosts_holding(FATAL)
     await fleet.wait_ms(2_000)
     assert FATAL not in fleet.state.configuration.quarantine
     await fleet.close()
@@ -159,11 +159,11 @@
     await fleet.wait_ms(
         holds.hold_duration_ms(ended_runs.CRASH_THRESHOLD) + 3_000
     )
-    assert not fleet.held_by(FATAL)
+    assert not fleet.hosts_holding(FATAL)
     host = list(fleet.hosts.values())[4]
     assert await host.send(FATAL, next(fleet.endpoints))
     await fleet.wait_ms(500)
-    assert len(fleet.held_by(FATAL)) == 6
+    assert len(fleet.hosts_holding(FATAL)) == 6
     await fleet.wait_ms(1_000)
     [decided] = fleet.state.configuration.quarantine.values()
     assert decided.ends == ended_runs.CRASH_THRESHOLD + 1
