--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -258,7 +258,7 @@
             if host.guard.held_ms(digest) is not None
         ]
 
-    def sent(self):
+    def sent_totals(self):
         """Return how many messages were sent of each kind, and bytes."""
         total = collections.defaultdict(attending_fleet.Sent)
         for one in [*self.hosts.values(), *self.controls.values()]:
--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -67,7 +67,7 @@
         fleet = await quarantined_fleet.Fleet(hosts).start()
         await end_three(fleet)
         await fleet.wait_ms(1_000)
-        counts.append(fleet.sent()['RunsEnded'].messages)
+        counts.append(fleet.sent_totals()['RunsEnded'].messages)
         await fleet.close()
 
     for hosts in (20, 200):
