--- a/tests/group.py
+++ b/tests/group.py
@@ -30,7 +30,7 @@
 
 MS_PER_S = 1000
 # One way between regions, and how much longer a message may take.
-TRAVEL_MS = 80
+LATENCY_MS = 80
 JITTER_MS = 20
 LOOK_MS = 20
 REGIONS = 3
@@ -124,7 +124,7 @@
 class Network:
     """Carry messages between hosts, unless they are cut off."""
 
-    def __init__(self, seed, travel_ms=TRAVEL_MS, jitter_ms=JITTER_MS):
+    def __init__(self, seed, travel_ms=LATENCY_MS, jitter_ms=JITTER_MS):
         self._random = random.Random(seed)
         self._travel_ms = travel_ms
         self._jitter_ms = jitter_ms
