--- a/tests/group.py
+++ b/tests/group.py
@@ -32,7 +32,7 @@
 # One way between regions, and how much longer a message may take.
 LATENCY_MS = 80
 JITTER_MS = 20
-LOOK_MS = 20
+POLL_INTERVAL_MS = 20
 REGIONS = 3
 # As often as the control hosts of the product do.
 EXCHANGE_INTERVAL_MS = 1_000
@@ -368,7 +368,7 @@
         end_s = loop.time() + wait_ms / MS_PER_S
         while not (found := condition()):
             assert loop.time() < end_s, 'waited in vain'
-            await asyncio.sleep(LOOK_MS / MS_PER_S)
+            await asyncio.sleep(POLL_INTERVAL_MS / MS_PER_S)
         return found
 
     async def sleep_ms(self, delay_ms):
