--- a/tests/group.py
+++ b/tests/group.py
@@ -37,7 +37,7 @@
 # As often as the control hosts of the product do.
 EXCHANGE_INTERVAL_MS = 1_000
 # What cuts, restarts and elections can hold up a change for, by far.
-LONGEST_WAIT_MS = 60_000
+WAIT_TIMEOUT_MS = 60_000
 
 
 class _TimeSelector(selectors.DefaultSelector):
@@ -362,7 +362,7 @@
         for name in names:
             self.start(name)
 
-    async def until(self, condition, wait_ms=LONGEST_WAIT_MS):
+    async def until(self, condition, wait_ms=WAIT_TIMEOUT_MS):
         """Wait until a condition holds; return what it gives."""
         loop = asyncio.get_running_loop()
         end_s = loop.time() + wait_ms / MS_PER_S
@@ -379,13 +379,13 @@
         """Return the hosts that hold a lease."""
         return [host for host in self.running.values() if host.voter.has_lease]
 
-    async def leader(self, wait_ms=LONGEST_WAIT_MS):
+    async def leader(self, wait_ms=WAIT_TIMEOUT_MS):
         """Return the host that leads, once one does."""
         return await self.until(
             lambda: next(iter(self.leading()), None), wait_ms
         )
 
-    async def change(self, wait_ms=LONGEST_WAIT_MS):
+    async def change(self, wait_ms=WAIT_TIMEOUT_MS):
         """Have a change acknowledged; return its version."""
         version = self.acknowledged + 1
         loop = asyncio.get_running_loop()
@@ -402,7 +402,7 @@
             self.acknowledged = version
             return version
 
-    async def version(self, wait_ms=LONGEST_WAIT_MS):
+    async def version(self, wait_ms=WAIT_TIMEOUT_MS):
         """Return the version that a leader holds."""
         leader = await self.leader(wait_ms)
         return leader.voter.state.configuration.routes.version
