--- a/tests/group.py
+++ b/tests/group.py
@@ -40,7 +40,7 @@
 WAIT_TIMEOUT_MS = 60_000
 
 
-class _TimeSelector(selectors.DefaultSelector):
+class _VirtualTimeSelector(selectors.DefaultSelector):
     """Let the time that would be waited pass at once."""
 
     def __init__(self):
@@ -58,7 +58,7 @@
     """Run tasks in time that goes on by itself."""
 
     def __init__(self):
-        self._time_selector = _TimeSelector()
+        self._time_selector = _VirtualTimeSelector()
         super().__init__(self._time_selector)
         self.errors = []
         self.set_exception_handler(
