--- a/tests/group.py
+++ b/tests/group.py
@@ -54,7 +54,7 @@
         return super().select(0)
 
 
-class TimeLoop(asyncio.SelectorEventLoop):
+class VirtualTimeLoop(asyncio.SelectorEventLoop):
     """Run tasks in time that goes on by itself."""
 
     def __init__(self):
@@ -71,7 +71,7 @@
 
 def run(coroutine: collections.abc.Coroutine) -> None:
     """Run a coroutine to its end; a failed task of a host fails it."""
-    with asyncio.Runner(loop_factory=TimeLoop) as runner:
+    with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         runner.run(coroutine)
         assert runner.get_loop().errors == []
 
