--- a/tests/group.py
+++ b/tests/group.py
@@ -58,15 +58,15 @@
     """Run tasks in time that goes on by itself."""
 
     def __init__(self):
-        self._time_selector = _VirtualTimeSelector()
-        super().__init__(self._time_selector)
+        self._virtual_selector = _VirtualTimeSelector()
+        super().__init__(self._virtual_selector)
         self.errors = []
         self.set_exception_handler(
             lambda _loop, context: self.errors.append(context)
         )
 
     def time(self):
-        return self._time_selector.now_s
+        return self._virtual_selector.now_s
 
 
 def run(coroutine: collections.abc.Coroutine) -> None:
