--- a/tests/group.py
+++ b/tests/group.py
@@ -130,7 +130,7 @@
         self._jitter_ms = jitter_ms
         self._cut = set()
         self.hosts = {}
-        self.watch = _watch_nothing
+        self.watch = _ignore_message
 
     def cut(self, one, other):
         """Cut two hosts from each other."""
@@ -175,7 +175,7 @@
         return self.open(one, other)
 
 
-def _watch_nothing(_sender, _host, _message):
+def _ignore_message(_sender, _host, _message):
     return
 
 
