--- a/tests/group.py
+++ b/tests/group.py
@@ -126,7 +126,7 @@
 
     def __init__(self, seed, travel_ms=LATENCY_MS, jitter_ms=JITTER_MS):
         self._random = random.Random(seed)
-        self._travel_ms = travel_ms
+        self._latency_ms = travel_ms
         self._jitter_ms = jitter_ms
         self._cut = set()
         self.hosts = {}
@@ -170,7 +170,7 @@
         """Wait until a message is there; False if it never is."""
         if not self.open(one, other):
             return False
-        took_ms = self._travel_ms + self._random.uniform(0, self._jitter_ms)
+        took_ms = self._latency_ms + self._random.uniform(0, self._jitter_ms)
         await asyncio.sleep(took_ms / MS_PER_S)
         return self.open(one, other)
 
