--- a/tests/group.py
+++ b/tests/group.py
@@ -130,7 +130,7 @@
         self._jitter_ms = jitter_ms
         self._cut = set()
         self.hosts = {}
-        self.watch = _ignore_message
+        self.on_message = _ignore_message
 
     def cut(self, one, other):
         """Cut two hosts from each other."""
