--- a/tests/group.py
+++ b/tests/group.py
@@ -149,7 +149,7 @@
                 if one != other:
                     self.cut(one, other)
 
-    def join(self, one, other):
+    def reconnect(self, one, other):
         """Heal the cut between two hosts."""
         self._cut.discard(frozenset((one, other)))
 
--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -248,7 +248,7 @@
                     limited_fleet.region_of(name),
                 ):
                     continue
-            self.network.join(name, other)
+            self.network.reconnect(name, other)
 
     def hosts_holding(self, digest):
         """Return the hosts that hold a request."""
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -139,7 +139,7 @@
 
         def tell_only_the_one_that_left():
             network.cut_all()
-            network.join(leader.name, left)
+            network.reconnect(leader.name, left)
 
         change = AtChange(system)
         change.then(nothing).then(tell_only_the_one_that_left)
