--- a/tests/group.py
+++ b/tests/group.py
@@ -162,17 +162,17 @@
         """Heal every cut."""
         self._cut.clear()
 
-    def open(self, one, other):
+    def is_connected(self, one, other):
         """Tell whether messages get from one host to another."""
         return frozenset((one, other)) not in self._cut
 
     async def travel(self, one, other):
         """Wait until a message is there; False if it never is."""
-        if not self.open(one, other):
+        if not self.is_connected(one, other):
             return False
         took_ms = self._latency_ms + self._random.uniform(0, self._jitter_ms)
         await asyncio.sleep(took_ms / MS_PER_S)
-        return self.open(one, other)
+        return self.is_connected(one, other)
 
 
 def _ignore_message(_sender, _host, _message):
--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -51,11 +51,11 @@
     """Carry messages within a region at once, and slowly between them."""
 
     async def travel(self, one, other):
-        if not self.open(one, other):
+        if not self.is_connected(one, other):
             return False
         far = region_of(one) != region_of(other)
         await asyncio.sleep((80 if far else 1) / MS_PER_S)
-        return self.open(one, other)
+        return self.is_connected(one, other)
 
 
 def region_of(name):
--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -192,11 +192,11 @@
             await asyncio.sleep(REPLICATION_INTERVAL_S)
             leader = self.leader
             for control in self.controls.values():
-                if leader and self.network.open(leader, control.name):
+                if leader and self.network.is_connected(leader, control.name):
                     self._advance_replica(control, self.log)
             for host in self.hosts.values():
                 for control in self._regional_controls(host):
-                    if self.network.open(control.name, host.name):
+                    if self.network.is_connected(control.name, host.name):
                         self._advance_replica(host, control.replica)
 
     def _regional_controls(self, host):
