--- a/tests/group.py
+++ b/tests/group.py
@@ -166,7 +166,7 @@
         """Tell whether messages get from one host to another."""
         return frozenset((one, other)) not in self._cut
 
-    async def travel(self, one, other):
+    async def transmit(self, one, other):
         """Wait until a message is there; False if it never is."""
         if not self.is_connected(one, other):
             return False
--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -50,7 +50,7 @@
 class Travel(group.Network):
     """Carry messages within a region at once, and slowly between them."""
 
-    async def travel(self, one, other):
+    async def transmit(self, one, other):
         if not self.is_connected(one, other):
             return False
         far = region_of(one) != region_of(other)
--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -124,7 +124,7 @@
 
     lost_share = 0.0
 
-    async def travel(self, one, other):
+    async def transmit(self, one, other):
         arrived = await super().travel(one, other)
         return arrived and self._random.random() >= self.lost_share
 
