--- a/tests/group.py
+++ b/tests/group.py
@@ -189,7 +189,7 @@
         self._encoder = msgspec.msgpack.Encoder()
         self._decoder = msgspec.msgpack.Decoder(peer_calls.Message)
         self._answering = set()
-        self.ended = False
+        self.closed = False
 
     def answers(self, kind):
         def register(answerer):
@@ -230,7 +230,7 @@
         return self._encoder.encode(answer)
 
     async def close(self):
-        self.ended = True
+        self.closed = True
         for task in list(self._answering):
             task.cancel()
 
