--- a/tests/group.py
+++ b/tests/group.py
@@ -188,7 +188,7 @@
         self._answerers = {}
         self._encoder = msgspec.msgpack.Encoder()
         self._decoder = msgspec.msgpack.Decoder(peer_calls.Message)
-        self._answering = set()
+        self._call_tasks = set()
         self.closed = False
 
     def answers(self, kind):
@@ -203,8 +203,8 @@
         body = self._encoder.encode(message)
         answered = asyncio.get_running_loop().create_future()
         task = asyncio.ensure_future(self._carry(host, body, answered))
-        self._answering.add(task)
-        task.add_done_callback(self._answering.discard)
+        self._call_tasks.add(task)
+        task.add_done_callback(self._call_tasks.discard)
         try:
             async with clocks.timeout_ms(timeout_ms):
                 return self._decoder.decode(await answered)
@@ -231,7 +231,7 @@
 
     async def close(self):
         self.closed = True
-        for task in list(self._answering):
+        for task in list(self._call_tasks):
             task.cancel()
 
 
--- a/tests/stated_fleet.py
+++ b/tests/stated_fleet.py
@@ -113,8 +113,8 @@
         body = self._encoder.encode(message)
         self._count(host, body)
         task = asyncio.ensure_future(self._deliver(host, body))
-        self._answering.add(task)
-        task.add_done_callback(self._answering.discard)
+        self._call_tasks.add(task)
+        task.add_done_callback(self._call_tasks.discard)
         return len(body)
 
     async def _deliver(self, host, body):
