--- a/tests/attending_fleet.py
+++ b/tests/attending_fleet.py
@@ -47,7 +47,7 @@
             self.sent[key].messages += 1
             self.sent[key].bytes += len(body)
 
-    async def _carry(self, host, body, answered):
+    async def _deliver_call(self, host, body, answered):
         self._count(host, body)
         await super()._carry(host, body, answered)
 
--- a/tests/group.py
+++ b/tests/group.py
@@ -202,7 +202,7 @@
         self._network.watch(self.host, host, message)
         body = self._encoder.encode(message)
         answered = asyncio.get_running_loop().create_future()
-        task = asyncio.ensure_future(self._carry(host, body, answered))
+        task = asyncio.ensure_future(self._deliver_call(host, body, answered))
         self._call_tasks.add(task)
         task.add_done_callback(self._call_tasks.discard)
         try:
@@ -211,7 +211,7 @@
         except TimeoutError as error:
             raise protocol_errors.NoAnswerError(host, sent=True) from error
 
-    async def _carry(self, host, body, answered):
+    async def _deliver_call(self, host, body, answered):
         if not await self._network.travel(self.host, host):
             return
         there = self._network.hosts.get(host)
