--- a/benches/elections.py
+++ b/benches/elections.py
@@ -55,7 +55,7 @@
 
     async def play() -> None:
         system = group.Group(seed)
-        await system.found()
+        await system.bootstrap()
         await system.sleep_ms(SETTLE_MS + STEP_MS * seed)
         loop = asyncio.get_running_loop()
         began_s = loop.time()
--- a/tests/group.py
+++ b/tests/group.py
@@ -303,7 +303,7 @@
         self.seeds = list(names)
         self.acknowledged = 0
 
-    async def found(self):
+    async def bootstrap(self):
         """Start the first hosts of all, and wait until one leads."""
         for name in list(self.seeds):
             self.start(name, first_start=True)
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -80,7 +80,7 @@
 
     async def play():
         system = group.Group(seed=number)
-        leader = await system.found()
+        leader = await system.bootstrap()
         await system.change()
         cut = AtChange(system)
         for _number in range(1, number):
@@ -105,7 +105,7 @@
 
     async def play():
         system = group.Group(seed=1)
-        leader = await system.found()
+        leader = await system.bootstrap()
         await system.change()
         third, lost = [name for name in system.running if name != leader.name]
         cut = AtChange(system)
@@ -130,7 +130,7 @@
 
     async def play():
         system = group.Group(seed=1)
-        leader = await system.found()
+        leader = await system.bootstrap()
         await system.change()
         third, left = [name for name in system.running if name != leader.name]
         network = system.network
@@ -168,7 +168,7 @@
 
     async def play():
         system = group.Group(seed=after_ms)
-        leader = await system.found()
+        leader = await system.bootstrap()
         others = [name for name in system.running if name != leader.name]
         gone = leader.name if who == 'leader' else others[0]
         left = [name for name in system.running if name != gone]
@@ -193,7 +193,7 @@
 
     async def play():
         system = group.Group(seed)
-        await system.found()
+        await system.bootstrap()
         await system.sleep_ms(2_000 + 7 * seed)
         leader = await system.leader()
         await system.end(leader.name)
@@ -229,7 +229,7 @@
 
 async def confirmed_follower(system):
     """Return a leader, a follower's voter and the moment it confirmed."""
-    leader = await system.found()
+    leader = await system.bootstrap()
     voter = follower_of(leader, system).voter
     await system.until(lambda: voter.confirmed_age_ms is not None)
     return leader, voter, voter._confirmed_ms
@@ -270,7 +270,7 @@
 
     async def play():
         system = group.Group()
-        leader = await system.found()
+        leader = await system.bootstrap()
         follower = next(iter(leader.voter._lead._followers.values()))
         await system.until(lambda: follower.moment is not None)
         lead = leader.voter._lead
@@ -288,7 +288,7 @@
 
     async def play():
         system = group.Group()
-        leader = await system.found()
+        leader = await system.bootstrap()
         await system.sleep_ms(2_000)
         for host in system.running.values():
             age_ms = host.voter.confirmed_age_ms
--- a/tests/test_group_soak.py
+++ b/tests/test_group_soak.py
@@ -79,7 +79,7 @@
         await self.system.sleep_ms(self.random.uniform(least_ms, most_ms))
 
     async def play(self):
-        await self.system.found()
+        await self.system.bootstrap()
         for name in self.spare:
             self.system.start(name)
         loop = asyncio.get_running_loop()
