--- a/tests/group.py
+++ b/tests/group.py
@@ -333,7 +333,7 @@
             self.locations[name] = locations.Location(region, f'{region}-hall')
         return self.locations[name]
 
-    async def end(self, name, power=False):
+    async def stop_host(self, name, power=False):
         """End a host's process at once; its disk stays."""
         host = self.running.pop(name)
         del self.network.hosts[name]
@@ -344,21 +344,21 @@
     async def wipe(self, name):
         """Lose a host's disk, and start it with an empty one."""
         if name in self.running:
-            await self.end(name)
+            await self.stop_host(name)
         self.disks[name].wipe()
         return self.start(name)
 
     async def remove(self, name):
         """Lose a host for good."""
         if name in self.running:
-            await self.end(name)
+            await self.stop_host(name)
         del self.disks[name]
 
     async def restart_all(self):
         """Lose the power of all hosts, and start them again."""
         names = list(self.running)
         for name in names:
-            await self.end(name, power=True)
+            await self.stop_host(name, power=True)
         for name in names:
             self.start(name)
 
@@ -410,4 +410,4 @@
     async def close(self):
         """End every host."""
         for name in list(self.running):
-            await self.end(name)
+            await self.stop_host(name)
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -116,7 +116,7 @@
         newcomer = system.running['new'].voter
         assert not newcomer.is_voter
         await system.sleep_ms(5_000)
-        await system.end(third)
+        await system.stop_host(third)
         system.network.heal()
         await system.change(SETTLED_MS)
         assert newcomer.is_voter
@@ -176,7 +176,7 @@
         await system.sleep_ms(CATCH_UP_MS + after_ms)
         await system.change()
         lost = {'first': left[0], 'other': left[1], 'newest': back}[second]
-        await system.end(lost)
+        await system.stop_host(lost)
         system.disks[lost].wipe()
         await system.restart_all()
         system.start(lost)
@@ -196,7 +196,7 @@
         await system.bootstrap()
         await system.sleep_ms(2_000 + 7 * seed)
         leader = await system.leader()
-        await system.end(leader.name)
+        await system.stop_host(leader.name)
         await system.change()
         await system.close()
 
