--- a/tests/group.py
+++ b/tests/group.py
@@ -341,7 +341,7 @@
         if power:
             self.disks[name].lose_power()
 
-    async def wipe(self, name):
+    async def wipe_host(self, name):
         """Lose a host's disk, and start it with an empty one."""
         if name in self.running:
             await self.stop_host(name)
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -148,7 +148,7 @@
         kept = system.running[left].voter.storage
         await system.until(lambda: kept.electorate().voters.get('new'))
         await system.until(lambda: not kept.electorate().before)
-        await system.wipe(leader.name)
+        await system.wipe_host(leader.name)
         network.heal()
         await system.change(SETTLED_MS)
         assert third in system.running
