--- a/tests/group.py
+++ b/tests/group.py
@@ -348,7 +348,7 @@
         self.disks[name].wipe()
         return self.start(name)
 
-    async def remove(self, name):
+    async def delete_host(self, name):
         """Lose a host for good."""
         if name in self.running:
             await self.stop_host(name)
