--- a/tests/group.py
+++ b/tests/group.py
@@ -362,7 +362,7 @@
         for name in names:
             self.start(name)
 
-    async def until(self, condition, wait_ms=WAIT_TIMEOUT_MS):
+    async def wait_until(self, condition, wait_ms=WAIT_TIMEOUT_MS):
         """Wait until a condition holds; return what it gives."""
         loop = asyncio.get_running_loop()
         end_s = loop.time() + wait_ms / MS_PER_S
@@ -381,7 +381,7 @@
 
     async def leader(self, wait_ms=WAIT_TIMEOUT_MS):
         """Return the host that leads, once one does."""
-        return await self.until(
+        return await self.wait_until(
             lambda: next(iter(self.leading()), None), wait_ms
         )
 
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -88,7 +88,7 @@
         cut.then(system.network.cut_all)
         lost = next(name for name in system.running if name != leader.name)
         await lose_a_host(system, lost, how)
-        await system.until(lambda: cut.done)
+        await system.wait_until(lambda: cut.done)
         await system.sleep_ms(5_000)
         if power:
             await system.restart_all()
@@ -112,7 +112,7 @@
         cut.then(lambda: system.network.cut_off('new'))
         cut.then(system.network.cut_all)
         await lose_a_host(system, lost, 'replaced')
-        await system.until(lambda: cut.done)
+        await system.wait_until(lambda: cut.done)
         newcomer = system.running['new'].voter
         assert not newcomer.is_voter
         await system.sleep_ms(5_000)
@@ -144,10 +144,10 @@
         change = AtChange(system)
         change.then(nothing).then(tell_only_the_one_that_left)
         network.cut_off(left)
-        await system.until(lambda: change.done)
+        await system.wait_until(lambda: change.done)
         kept = system.running[left].voter.storage
-        await system.until(lambda: kept.electorate().voters.get('new'))
-        await system.until(lambda: not kept.electorate().before)
+        await system.wait_until(lambda: kept.electorate().voters.get('new'))
+        await system.wait_until(lambda: not kept.electorate().before)
         await system.wipe_host(leader.name)
         network.heal()
         await system.change(SETTLED_MS)
@@ -231,7 +231,7 @@
     """Return a leader, a follower's voter and the moment it confirmed."""
     leader = await system.bootstrap()
     voter = follower_of(leader, system).voter
-    await system.until(lambda: voter.confirmed_age_ms is not None)
+    await system.wait_until(lambda: voter.confirmed_age_ms is not None)
     return leader, voter, voter._confirmed_ms
 
 
@@ -272,11 +272,11 @@
         system = group.Group()
         leader = await system.bootstrap()
         follower = next(iter(leader.voter._lead._followers.values()))
-        await system.until(lambda: follower.moment is not None)
+        await system.wait_until(lambda: follower.moment is not None)
         lead = leader.voter._lead
         assert lead._next_message(follower).confirmed == follower.moment
         system.network.cut_off(leader.name)
-        await system.until(lambda: not leader.voter.has_lease)
+        await system.wait_until(lambda: not leader.voter.has_lease)
         assert lead._next_message(follower).confirmed is None
         await system.close()
 
--- a/tests/test_group_soak.py
+++ b/tests/test_group_soak.py
@@ -101,7 +101,7 @@
         assert held >= self.acknowledged
         self.system.acknowledged = self.proposed
         await self.system.change(SETTLED_MS)
-        await self.system.until(self.is_spread, SETTLED_MS)
+        await self.system.wait_until(self.is_spread, SETTLED_MS)
         looking.cancel()
         for task in background:
             with contextlib.suppress(asyncio.CancelledError):
