--- a/tests/group.py
+++ b/tests/group.py
@@ -375,14 +375,14 @@
         """Let time go on."""
         await asyncio.sleep(delay_ms / MS_PER_S)
 
-    def leading(self):
+    def lease_holders(self):
         """Return the hosts that hold a lease."""
         return [host for host in self.running.values() if host.voter.has_lease]
 
     async def leader(self, wait_ms=WAIT_TIMEOUT_MS):
         """Return the host that leads, once one does."""
         return await self.wait_until(
-            lambda: next(iter(self.leading()), None), wait_ms
+            lambda: next(iter(self.lease_holders()), None), wait_ms
         )
 
     async def change(self, wait_ms=WAIT_TIMEOUT_MS):
--- a/tests/test_group_soak.py
+++ b/tests/test_group_soak.py
@@ -69,7 +69,7 @@
 
     def draw(self):
         """Return a host that runs, the leader as often as any other."""
-        leading = [host.name for host in self.system.leading()]
+        leading = [host.name for host in self.system.lease_holders()]
         names = sorted(self.system.running)
         if leading and self.random.random() < 0.3:
             return leading[0]
@@ -110,7 +110,7 @@
 
     def is_spread(self):
         """Tell whether each region has one of the voters."""
-        for host in self.system.leading():
+        for host in self.system.lease_holders():
             deciding = host.voter.committed_electorate
             if deciding.before:
                 return False
@@ -121,7 +121,7 @@
     async def keep_changing(self):
         while True:
             await self.system.sleep_ms(CHANGE_EVERY_MS)
-            leader = next(iter(self.system.leading()), None)
+            leader = next(iter(self.system.lease_holders()), None)
             if leader is None:
                 continue
             self.proposed += 1
@@ -137,7 +137,7 @@
     async def look_at_leases(self):
         while True:
             await self.system.sleep_ms(LOOK_MS)
-            leading = self.system.leading()
+            leading = self.system.lease_holders()
             assert len(leading) <= 1, [host.name for host in leading]
             for host in leading:
                 held = host.voter.state.configuration.routes.version
