--- a/benches/elections.py
+++ b/benches/elections.py
@@ -60,7 +60,7 @@
         loop = asyncio.get_running_loop()
         began_s = loop.time()
         await happen(system)
-        await system.leader()
+        await system.wait_for_leader()
         took.append((loop.time() - began_s) * MS_PER_S)
         await system.close()
 
--- a/tests/group.py
+++ b/tests/group.py
@@ -307,7 +307,7 @@
         """Start the first hosts of all, and wait until one leads."""
         for name in list(self.seeds):
             self.start(name, first_start=True)
-        return await self.leader()
+        return await self.wait_for_leader()
 
     def start(self, name, first_start=False):
         """Start a host on its disk, an empty one if it is new."""
@@ -379,7 +379,7 @@
         """Return the hosts that hold a lease."""
         return [host for host in self.running.values() if host.voter.has_lease]
 
-    async def leader(self, wait_ms=WAIT_TIMEOUT_MS):
+    async def wait_for_leader(self, wait_ms=WAIT_TIMEOUT_MS):
         """Return the host that leads, once one does."""
         return await self.wait_until(
             lambda: next(iter(self.lease_holders()), None), wait_ms
@@ -392,7 +392,7 @@
         end_s = loop.time() + wait_ms / MS_PER_S
         while True:
             left_ms = (end_s - loop.time()) * MS_PER_S
-            leader = await self.leader(left_ms)
+            leader = await self.wait_for_leader(left_ms)
             table = routes.RouteTable(version=version, digest=str(version))
             try:
                 async with clocks.timeout_ms(left_ms):
@@ -404,7 +404,7 @@
 
     async def version(self, wait_ms=WAIT_TIMEOUT_MS):
         """Return the version that a leader holds."""
-        leader = await self.leader(wait_ms)
+        leader = await self.wait_for_leader(wait_ms)
         return leader.voter.state.configuration.routes.version
 
     async def close(self):
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -195,7 +195,7 @@
         system = group.Group(seed)
         await system.bootstrap()
         await system.sleep_ms(2_000 + 7 * seed)
-        leader = await system.leader()
+        leader = await system.wait_for_leader()
         await system.stop_host(leader.name)
         await system.change()
         await system.close()
--- a/tests/test_group_soak.py
+++ b/tests/test_group_soak.py
@@ -96,7 +96,7 @@
         changing, looking = background
         changing.cancel()
         self.tell('settle')
-        leader = await self.system.leader(SETTLED_MS)
+        leader = await self.system.wait_for_leader(SETTLED_MS)
         held = leader.voter.state.configuration.routes.version
         assert held >= self.acknowledged
         self.system.acknowledged = self.proposed
