--- a/tests/group.py
+++ b/tests/group.py
@@ -385,7 +385,7 @@
             lambda: next(iter(self.lease_holders()), None), wait_ms
         )
 
-    async def change(self, wait_ms=WAIT_TIMEOUT_MS):
+    async def commit_change(self, wait_ms=WAIT_TIMEOUT_MS):
         """Have a change acknowledged; return its version."""
         version = self.acknowledged + 1
         loop = asyncio.get_running_loop()
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -81,7 +81,7 @@
     async def play():
         system = group.Group(seed=number)
         leader = await system.bootstrap()
-        await system.change()
+        await system.commit_change()
         cut = AtChange(system)
         for _number in range(1, number):
             cut.then(nothing)
@@ -93,7 +93,7 @@
         if power:
             await system.restart_all()
         system.network.heal()
-        await system.change(SETTLED_MS)
+        await system.commit_change(SETTLED_MS)
         assert await system.version() == system.acknowledged
         await system.close()
 
@@ -106,7 +106,7 @@
     async def play():
         system = group.Group(seed=1)
         leader = await system.bootstrap()
-        await system.change()
+        await system.commit_change()
         third, lost = [name for name in system.running if name != leader.name]
         cut = AtChange(system)
         cut.then(lambda: system.network.cut_off('new'))
@@ -118,7 +118,7 @@
         await system.sleep_ms(5_000)
         await system.stop_host(third)
         system.network.heal()
-        await system.change(SETTLED_MS)
+        await system.commit_change(SETTLED_MS)
         assert newcomer.is_voter
         await system.close()
 
@@ -131,7 +131,7 @@
     async def play():
         system = group.Group(seed=1)
         leader = await system.bootstrap()
-        await system.change()
+        await system.commit_change()
         third, left = [name for name in system.running if name != leader.name]
         network = system.network
         system.start('new')
@@ -150,7 +150,7 @@
         await system.wait_until(lambda: not kept.electorate().before)
         await system.wipe_host(leader.name)
         network.heal()
-        await system.change(SETTLED_MS)
+        await system.commit_change(SETTLED_MS)
         assert third in system.running
         await system.close()
 
@@ -174,13 +174,13 @@
         left = [name for name in system.running if name != gone]
         back = await lose_a_host(system, gone, how)
         await system.sleep_ms(CATCH_UP_MS + after_ms)
-        await system.change()
+        await system.commit_change()
         lost = {'first': left[0], 'other': left[1], 'newest': back}[second]
         await system.stop_host(lost)
         system.disks[lost].wipe()
         await system.restart_all()
         system.start(lost)
-        await system.change(SETTLED_MS)
+        await system.commit_change(SETTLED_MS)
         assert await system.version() == system.acknowledged
         await system.close()
 
@@ -197,7 +197,7 @@
         await system.sleep_ms(2_000 + 7 * seed)
         leader = await system.wait_for_leader()
         await system.stop_host(leader.name)
-        await system.change()
+        await system.commit_change()
         await system.close()
 
     lost = []
@@ -293,7 +293,7 @@
         for host in system.running.values():
             age_ms = host.voter.confirmed_age_ms
             assert age_ms is not None and age_ms <= 800
-        await system.change()
+        await system.commit_change()
         system.network.cut_off(leader.name)
         await system.sleep_ms(1_000)
         assert leader.voter.confirmed_age_ms is None
--- a/tests/test_group_soak.py
+++ b/tests/test_group_soak.py
@@ -100,7 +100,7 @@
         held = leader.voter.state.configuration.routes.version
         assert held >= self.acknowledged
         self.system.acknowledged = self.proposed
-        await self.system.change(SETTLED_MS)
+        await self.system.commit_change(SETTLED_MS)
         await self.system.wait_until(self.is_spread, SETTLED_MS)
         looking.cancel()
         for task in background:
