--- a/tests/group.py
+++ b/tests/group.py
@@ -402,7 +402,7 @@
             self.acknowledged = version
             return version
 
-    async def version(self, wait_ms=WAIT_TIMEOUT_MS):
+    async def leader_version(self, wait_ms=WAIT_TIMEOUT_MS):
         """Return the version that a leader holds."""
         leader = await self.wait_for_leader(wait_ms)
         return leader.voter.state.configuration.routes.version
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -94,7 +94,7 @@
             await system.restart_all()
         system.network.heal()
         await system.commit_change(SETTLED_MS)
-        assert await system.version() == system.acknowledged
+        assert await system.leader_version() == system.acknowledged
         await system.close()
 
     group.run(play())
@@ -181,7 +181,7 @@
         await system.restart_all()
         system.start(lost)
         await system.commit_change(SETTLED_MS)
-        assert await system.version() == system.acknowledged
+        assert await system.leader_version() == system.acknowledged
         await system.close()
 
     group.run(play())
