--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -60,7 +60,7 @@
         ('team', 'POST', 'h', '/a/x?qb', b'ody'),
     ],
 )
-def test_requests_that_differ_have_names_that_differ(other):
+def test_different_requests_have_different_digests(other):
     assert fingerprints.digest_of(*CALL) == fingerprints.digest_of(*CALL)
     assert fingerprints.digest_of(*CALL) != fingerprints.digest_of(*other)
 
