--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -79,7 +79,7 @@
         ([('a', 0), ('a', ended_runs.DEDUP_WINDOW_MS + 1)], 2),
     ],
 )
-def test_an_end_is_counted_once(ends, count):
+def test_crash_is_counted_once(ends, count):
     clock = FakeClock()
     book = ended_runs.CrashHistory(clock)
     for endpoint, at_ms in ends:
