--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -87,7 +87,7 @@
     assert book.crash_count('d') == count
 
 
-def test_flood_of_others_pushes_out_nothing_that_ended_more_than_one():
+def test_single_crash_entries_do_not_evict_repeated_ones():
     clock = FakeClock()
     book = ended_runs.CrashHistory(clock)
     book.record_crash('d', 'a', clock.now_ms)
