--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -102,7 +102,7 @@
     assert kept == ended_runs.MAX_SINGLE_CRASH_ENTRIES
 
 
-def test_what_is_old_is_forgotten():
+def test_expired_crashes_are_evicted():
     clock = FakeClock()
     book = ended_runs.CrashHistory(clock)
     book.record_crash('d', 'a', clock.now_ms)
