--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -111,7 +111,7 @@
     assert book.crash_count('d') == 0
 
 
-def test_good_ends_are_kept_within_bounds():
+def test_recent_successes_are_bounded():
     clock = FakeClock()
     good = good_ends.RecentSuccesses(clock)
     for number in range(good_ends.MAX_ENTRIES + 1):
