--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -149,7 +149,7 @@
 # What a look at an endpoint tells.
 
 
-async def test_only_refused_connections_tell_of_an_end():
+async def test_only_refused_connection_counts_as_crash():
     with socket.create_server(('127.0.0.1', 0)) as listening:
         address = '127.0.0.1:{}'.format(listening.getsockname()[1])
         assert not await reachable.is_refused(address, 1_000)
