--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -156,7 +156,7 @@
     assert await reachable.is_refused(address, 1_000)
 
 
-async def test_silence_tells_of_no_end():
+async def test_connect_timeout_is_not_a_crash():
     """A full queue of connections lets no further one in."""
     with contextlib.ExitStack() as opened:
         listening = opened.enter_context(socket.socket())
