--- a/benches/switches_quarantine.py
+++ b/benches/switches_quarantine.py
@@ -21,7 +21,7 @@
         QUARANTINE + 'guard.py',
         'if self._recent_successes.has_recent(run.digest) or self._is_draining(run.endpoint):',
         'if self._recent_successes.has_recent(run.digest):',
-        f'{UNITS}::test_request_is_held_after_three_ends',
+        f'{UNITS}::test_request_is_held_after_three_crashes',
     ),
     Switch(
         'good ends at the same host forgotten',
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -254,7 +254,7 @@
         ({'leaving': 'c'}, 'abc', False),
     ],
 )
-async def test_request_is_held_after_three_ends(made, ends, held):
+async def test_request_is_held_after_three_crashes(made, ends, held):
     host = Host(**made)
     await host.end(*ends)
     assert (host.guard.remaining_hold_ms('d') is not None) == held
