--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -261,7 +261,7 @@
     assert host.guard.remaining_hold_ms('other') is None
 
 
-async def test_one_look_serves_all_runs_of_an_endpoint():
+async def test_one_probe_serves_all_runs_of_an_endpoint():
     host = Host()
     found = [host.guard.start_run(f'{n}', 'e', 'e:1') for n in range(20)]
     await asyncio.gather(*(host.guard.handle_broken_run(run) for run in found))
