--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -269,7 +269,7 @@
     assert len(host.told.ends) == 20
 
 
-async def test_look_that_takes_long_counts_once_it_is_done(monkeypatch):
+async def test_slow_probe_counts_once_it_completes(monkeypatch):
     """The call is sent on meanwhile, or its caller has left."""
     host = Host()
     done = asyncio.Event()
