--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -292,7 +292,7 @@
     await host.guard.close()
 
 
-async def test_endpoint_that_lived_is_looked_at_again():
+async def test_live_endpoint_is_probed_again():
     """An answer was lost there a moment before it ended."""
     host = Host(refused=False)
     await host.guard.handle_broken_run(
