--- a/benches/switches_quarantine.py
+++ b/benches/switches_quarantine.py
@@ -28,7 +28,7 @@
         QUARANTINE + 'guard.py',
         'if self._recent_successes.has_recent(run.digest) or self._is_draining(run.endpoint):',
         'if self._is_draining(run.endpoint):',
-        f'{UNITS}::test_good_end_clears_what_was_held_against_it',
+        f'{UNITS}::test_success_clears_recorded_crashes',
     ),
     Switch(
         'good ends at other hosts not asked for',
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -303,7 +303,7 @@
     assert host.guard.remaining_hold_ms('d') is not None
 
 
-async def test_good_end_clears_what_was_held_against_it():
+async def test_success_clears_recorded_crashes():
     host = Host()
     await host.end('a', 'b')
     host.guard.mark_succeeded(host.guard.start_run('d', 'c', 'c:1'))
