--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -317,7 +317,7 @@
     assert host.guard.remaining_hold_ms('d') is not None
 
 
-async def test_undecided_hold_ends_by_itself():
+async def test_provisional_hold_expires():
     host = Host()
     await host.end('a', 'b', 'c')
     host.clock.now_ms += holds.PROVISIONAL_HOLD_MS
