--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -325,7 +325,7 @@
 
 
 @pytest.mark.parametrize('on_probation', [False, True])
-async def test_what_is_decided_holds_until_it_is_let_go(on_probation):
+async def test_decided_hold_lasts_until_released(on_probation):
     host = Host()
     host.decide(quarantine.Quarantined('d', 4, on_probation))
     assert (host.guard.remaining_hold_ms('d') is None) == on_probation
