--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -335,7 +335,7 @@
     assert host.guard.remaining_hold_ms('d') is None
 
 
-async def test_one_more_end_of_a_trial_is_enough():
+async def test_one_crash_on_probation_is_enough():
     host = Host()
     host.decide(quarantine.Quarantined('d', 3, on_probation=True))
     await host.end('a')
