--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -343,7 +343,7 @@
 
 
 @pytest.mark.parametrize('worked', [False, True])
-async def test_word_of_a_hold_is_taken_unless_it_worked_of_late(worked):
+async def test_hold_is_applied_unless_request_succeeded_recently(worked):
     host = Host()
     if worked:
         host.guard.mark_succeeded(host.guard.start_run('d', 'e', 'e:1'))
