--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -417,7 +417,7 @@
         assert len(system.ends) == sent
 
 
-async def test_others_are_served_beside_it(tmp_path):
+async def test_other_requests_are_served_during_quarantine(tmp_path):
     """Those that say the same each time as well."""
     async with test_fatal_requests.passing_system(tmp_path) as system:
         for number in range(test_fatal_requests.COPIES):
