--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -442,7 +442,7 @@
                 assert got.endswith(b'whole')
 
 
-async def test_request_is_turned_away_by_hosts_of_regions_it_may_not_run_in(
+async def test_quarantined_request_is_refused_outside_its_home_regions(
     tmp_path,
 ):
     """At once, and not after a way to the others and back."""
