--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -455,7 +455,7 @@
 
 
 @pytest.mark.parametrize('body', [b'', b'body'])
-async def test_word_that_comes_while_a_connection_is_made_is_in_time(
+async def test_hold_received_while_connecting_prevents_send(
     tmp_path, monkeypatch, body
 ):
     async with test_fatal_requests.passing_system(tmp_path) as system:
