--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -540,7 +540,7 @@
     await engine.close()
 
 
-async def test_chat_is_served_again_once_an_operator_lets_it(tmp_path):
+async def test_chat_is_served_again_once_an_operator_clears_it(tmp_path):
     made = fleet.deployment(engines=4, controls=3)
     async with fleet.running(tmp_path, made) as running:
         await running.engine_faults(
