--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -173,7 +173,7 @@
 # What a host holds.
 
 
-class Told:
+class FakeReporter:
     """Note what would be told to control hosts."""
 
     def __init__(self):
@@ -213,7 +213,7 @@
     def __init__(self, refused=True, leaving=()):
         self.clock = FakeClock()
         self.replica = replica.Replica()
-        self.told = Told()
+        self.told = FakeReporter()
         self.peers = NoPeers()
         self.refused = refused
         self.looks = 0
@@ -508,7 +508,7 @@
     )
     known.serving = True
     client = web.HttpClient(1_000)
-    guard = Guard(known, Told(), NoPeers(), lambda _name: False, clock)
+    guard = Guard(known, FakeReporter(), NoPeers(), lambda _name: False, clock)
     dispatcher = dispatch.Dispatcher(
         'h', 'north', known, client, clock, guard=guard
     )
