--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -177,14 +177,14 @@
     """Note what would be told to control hosts."""
 
     def __init__(self):
-        self.ends = []
+        self.crashes = []
         self.clears = []
 
     def tell_holds(self, heard):
         self.heard = heard
 
     def ended(self, digest, endpoint):
-        self.ends.append((digest, endpoint))
+        self.crashes.append((digest, endpoint))
 
     def cleared(self, digest):
         self.clears.append(digest)
@@ -266,7 +266,7 @@
     found = [host.guard.start_run(f'{n}', 'e', 'e:1') for n in range(20)]
     await asyncio.gather(*(host.guard.handle_broken_run(run) for run in found))
     assert host.looks == 1
-    assert len(host.told.ends) == 20
+    assert len(host.told.crashes) == 20
 
 
 async def test_slow_probe_counts_once_it_completes(monkeypatch):
@@ -284,9 +284,9 @@
     left = asyncio.ensure_future(host.end('c'))
     await asyncio.sleep(0)
     left.cancel()
-    assert host.told.ends == []
+    assert host.told.crashes == []
     done.set()
-    while len(host.told.ends) < 3:
+    while len(host.told.crashes) < 3:
         await asyncio.sleep(0)
     assert host.guard.remaining_hold_ms('d') is not None
     await host.guard.close()
@@ -311,7 +311,7 @@
     await host.end('e', 'f', 'g')
     assert host.guard.remaining_hold_ms('d') is None
     # Nor is it held against it elsewhere.
-    assert [endpoint for _digest, endpoint in host.told.ends] == ['a', 'b']
+    assert [endpoint for _digest, endpoint in host.told.crashes] == ['a', 'b']
     host.clock.now_ms += good_ends.RETENTION_MS
     await host.end('h', 'i', 'j')
     assert host.guard.remaining_hold_ms('d') is not None
