--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -178,7 +178,7 @@
 
     def __init__(self):
         self.crashes = []
-        self.clears = []
+        self.successes = []
 
     def tell_holds(self, heard):
         self.heard = heard
@@ -187,7 +187,7 @@
         self.crashes.append((digest, endpoint))
 
     def cleared(self, digest):
-        self.clears.append(digest)
+        self.successes.append(digest)
 
     async def close(self):
         return
@@ -307,7 +307,7 @@
     host = Host()
     await host.end('a', 'b')
     host.guard.mark_succeeded(host.guard.start_run('d', 'c', 'c:1'))
-    assert host.told.clears == ['d']
+    assert host.told.successes == ['d']
     await host.end('e', 'f', 'g')
     assert host.guard.remaining_hold_ms('d') is None
     # Nor is it held against it elsewhere.
