--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -193,7 +193,7 @@
         return
 
 
-class NoPeers:
+class FakePeers:
     """Keep who answers what."""
 
     def __init__(self):
@@ -214,7 +214,7 @@
         self.clock = FakeClock()
         self.replica = replica.Replica()
         self.told = FakeReporter()
-        self.peers = NoPeers()
+        self.peers = FakePeers()
         self.refused = refused
         self.looks = 0
 
@@ -508,7 +508,9 @@
     )
     known.serving = True
     client = web.HttpClient(1_000)
-    guard = Guard(known, FakeReporter(), NoPeers(), lambda _name: False, clock)
+    guard = Guard(
+        known, FakeReporter(), FakePeers(), lambda _name: False, clock
+    )
     dispatcher = dispatch.Dispatcher(
         'h', 'north', known, client, clock, guard=guard
     )
