--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -207,7 +207,7 @@
         return register
 
 
-class Host:
+class GuardedHost:
     """Hold a guard with what it looks at."""
 
     def __init__(self, refused=True, leaving=()):
@@ -255,14 +255,14 @@
     ],
 )
 async def test_request_is_held_after_three_crashes(made, ends, held):
-    host = Host(**made)
+    host = GuardedHost(**made)
     await host.end(*ends)
     assert (host.guard.remaining_hold_ms('d') is not None) == held
     assert host.guard.remaining_hold_ms('other') is None
 
 
 async def test_one_probe_serves_all_runs_of_an_endpoint():
-    host = Host()
+    host = GuardedHost()
     found = [host.guard.start_run(f'{n}', 'e', 'e:1') for n in range(20)]
     await asyncio.gather(*(host.guard.handle_broken_run(run) for run in found))
     assert host.looks == 1
@@ -271,7 +271,7 @@
 
 async def test_slow_probe_counts_once_it_completes(monkeypatch):
     """The call is sent on meanwhile, or its caller has left."""
-    host = Host()
+    host = GuardedHost()
     done = asyncio.Event()
 
     async def look(_address, _timeout_ms):
@@ -294,7 +294,7 @@
 
 async def test_live_endpoint_is_probed_again():
     """An answer was lost there a moment before it ended."""
-    host = Host(refused=False)
+    host = GuardedHost(refused=False)
     await host.guard.handle_broken_run(
         host.guard.start_run('other', 'a', 'a:1')
     )
@@ -304,7 +304,7 @@
 
 
 async def test_success_clears_recorded_crashes():
-    host = Host()
+    host = GuardedHost()
     await host.end('a', 'b')
     host.guard.mark_succeeded(host.guard.start_run('d', 'c', 'c:1'))
     assert host.told.successes == ['d']
@@ -318,7 +318,7 @@
 
 
 async def test_provisional_hold_expires():
-    host = Host()
+    host = GuardedHost()
     await host.end('a', 'b', 'c')
     host.clock.now_ms += holds.PROVISIONAL_HOLD_MS
     assert host.guard.remaining_hold_ms('d') is None
@@ -326,7 +326,7 @@
 
 @pytest.mark.parametrize('on_probation', [False, True])
 async def test_decided_hold_lasts_until_released(on_probation):
-    host = Host()
+    host = GuardedHost()
     host.decide(quarantine.Quarantined('d', 4, on_probation))
     assert (host.guard.remaining_hold_ms('d') is None) == on_probation
     host.clock.now_ms += 10 * holds.MAX_HOLD_MS
@@ -336,7 +336,7 @@
 
 
 async def test_one_crash_on_probation_is_enough():
-    host = Host()
+    host = GuardedHost()
     host.decide(quarantine.Quarantined('d', 3, on_probation=True))
     await host.end('a')
     assert host.guard.remaining_hold_ms('d') is not None
@@ -344,7 +344,7 @@
 
 @pytest.mark.parametrize('worked', [False, True])
 async def test_hold_is_applied_unless_request_succeeded_recently(worked):
-    host = Host()
+    host = GuardedHost()
     if worked:
         host.guard.mark_succeeded(host.guard.start_run('d', 'e', 'e:1'))
     hear = host.peers.answerers[quarantining.HoldOff]
