--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -213,7 +213,7 @@
     def __init__(self, refused=True, leaving=()):
         self.clock = FakeClock()
         self.replica = replica.Replica()
-        self.told = FakeReporter()
+        self.reporter = FakeReporter()
         self.peers = FakePeers()
         self.refused = refused
         self.looks = 0
@@ -224,7 +224,7 @@
 
         self.guard = guards.Guard(
             self.replica,
-            self.told,
+            self.reporter,
             self.peers,
             lambda endpoint: endpoint in leaving,
             self.clock,
@@ -266,7 +266,7 @@
     found = [host.guard.start_run(f'{n}', 'e', 'e:1') for n in range(20)]
     await asyncio.gather(*(host.guard.handle_broken_run(run) for run in found))
     assert host.looks == 1
-    assert len(host.told.crashes) == 20
+    assert len(host.reporter.crashes) == 20
 
 
 async def test_slow_probe_counts_once_it_completes(monkeypatch):
@@ -284,9 +284,9 @@
     left = asyncio.ensure_future(host.end('c'))
     await asyncio.sleep(0)
     left.cancel()
-    assert host.told.crashes == []
+    assert host.reporter.crashes == []
     done.set()
-    while len(host.told.crashes) < 3:
+    while len(host.reporter.crashes) < 3:
         await asyncio.sleep(0)
     assert host.guard.remaining_hold_ms('d') is not None
     await host.guard.close()
@@ -307,11 +307,14 @@
     host = GuardedHost()
     await host.end('a', 'b')
     host.guard.mark_succeeded(host.guard.start_run('d', 'c', 'c:1'))
-    assert host.told.successes == ['d']
+    assert host.reporter.successes == ['d']
     await host.end('e', 'f', 'g')
     assert host.guard.remaining_hold_ms('d') is None
     # Nor is it held against it elsewhere.
-    assert [endpoint for _digest, endpoint in host.told.crashes] == ['a', 'b']
+    assert [endpoint for _digest, endpoint in host.reporter.crashes] == [
+        'a',
+        'b',
+    ]
     host.clock.now_ms += good_ends.RETENTION_MS
     await host.end('h', 'i', 'j')
     assert host.guard.remaining_hold_ms('d') is not None
