--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -216,10 +216,10 @@
         self.reporter = FakeReporter()
         self.peers = FakePeers()
         self.refused = refused
-        self.looks = 0
+        self.probe_count = 0
 
         async def look(_address, _timeout_ms):
-            self.looks += 1
+            self.probe_count += 1
             return self.refused
 
         self.guard = guards.Guard(
@@ -265,7 +265,7 @@
     host = GuardedHost()
     found = [host.guard.start_run(f'{n}', 'e', 'e:1') for n in range(20)]
     await asyncio.gather(*(host.guard.handle_broken_run(run) for run in found))
-    assert host.looks == 1
+    assert host.probe_count == 1
     assert len(host.reporter.crashes) == 20
 
 
