--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -231,7 +231,7 @@
             look,
         )
 
-    async def end(self, *names, digest='d'):
+    async def crash_endpoints(self, *names, digest='d'):
         for name in names:
             run = self.guard.start_run(digest, name, f'{name}:1')
             await self.guard.handle_broken_run(run)
@@ -256,7 +256,7 @@
 )
 async def test_request_is_held_after_three_crashes(made, ends, held):
     host = GuardedHost(**made)
-    await host.end(*ends)
+    await host.crash_endpoints(*ends)
     assert (host.guard.remaining_hold_ms('d') is not None) == held
     assert host.guard.remaining_hold_ms('other') is None
 
@@ -280,8 +280,8 @@
 
     monkeypatch.setattr(host.guard._run_tracker, '_look', look)
     monkeypatch.setattr(guards, 'LOOK_WAIT_MS', 1)
-    await host.end('a', 'b')
-    left = asyncio.ensure_future(host.end('c'))
+    await host.crash_endpoints('a', 'b')
+    left = asyncio.ensure_future(host.crash_endpoints('c'))
     await asyncio.sleep(0)
     left.cancel()
     assert host.reporter.crashes == []
@@ -299,16 +299,16 @@
         host.guard.start_run('other', 'a', 'a:1')
     )
     host.refused = True
-    await host.end('a', 'b', 'c')
+    await host.crash_endpoints('a', 'b', 'c')
     assert host.guard.remaining_hold_ms('d') is not None
 
 
 async def test_success_clears_recorded_crashes():
     host = GuardedHost()
-    await host.end('a', 'b')
+    await host.crash_endpoints('a', 'b')
     host.guard.mark_succeeded(host.guard.start_run('d', 'c', 'c:1'))
     assert host.reporter.successes == ['d']
-    await host.end('e', 'f', 'g')
+    await host.crash_endpoints('e', 'f', 'g')
     assert host.guard.remaining_hold_ms('d') is None
     # Nor is it held against it elsewhere.
     assert [endpoint for _digest, endpoint in host.reporter.crashes] == [
@@ -316,13 +316,13 @@
         'b',
     ]
     host.clock.now_ms += good_ends.RETENTION_MS
-    await host.end('h', 'i', 'j')
+    await host.crash_endpoints('h', 'i', 'j')
     assert host.guard.remaining_hold_ms('d') is not None
 
 
 async def test_provisional_hold_expires():
     host = GuardedHost()
-    await host.end('a', 'b', 'c')
+    await host.crash_endpoints('a', 'b', 'c')
     host.clock.now_ms += holds.PROVISIONAL_HOLD_MS
     assert host.guard.remaining_hold_ms('d') is None
 
@@ -341,7 +341,7 @@
 async def test_one_crash_on_probation_is_enough():
     host = GuardedHost()
     host.decide(quarantine.Quarantined('d', 3, on_probation=True))
-    await host.end('a')
+    await host.crash_endpoints('a')
     assert host.guard.remaining_hold_ms('d') is not None
 
 
