--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -237,7 +237,7 @@
             await self.guard.handle_broken_run(run)
             self.clock.now_ms += 1_000
 
-    def decide(self, *decided):
+    def set_decisions(self, *decided):
         self.replica.current = configuration.Configuration(
             quarantine={one.digest: one for one in decided}
         )
@@ -330,17 +330,17 @@
 @pytest.mark.parametrize('on_probation', [False, True])
 async def test_decided_hold_lasts_until_released(on_probation):
     host = GuardedHost()
-    host.decide(quarantine.Quarantined('d', 4, on_probation))
+    host.set_decisions(quarantine.Quarantined('d', 4, on_probation))
     assert (host.guard.remaining_hold_ms('d') is None) == on_probation
     host.clock.now_ms += 10 * holds.MAX_HOLD_MS
     assert (host.guard.remaining_hold_ms('d') is None) == on_probation
-    host.decide()
+    host.set_decisions()
     assert host.guard.remaining_hold_ms('d') is None
 
 
 async def test_one_crash_on_probation_is_enough():
     host = GuardedHost()
-    host.decide(quarantine.Quarantined('d', 3, on_probation=True))
+    host.set_decisions(quarantine.Quarantined('d', 3, on_probation=True))
     await host.crash_endpoints('a')
     assert host.guard.remaining_hold_ms('d') is not None
 
