--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -382,7 +382,7 @@
 # Whole systems.
 
 
-async def fill(system):
+async def quarantine_fatal_request(system):
     """Send a request that ends engines until it is held everywhere."""
     for number in range(test_fatal_requests.COPIES):
         await test_fatal_requests.ask(
@@ -402,7 +402,7 @@
 
 async def test_host_that_starts_holds_what_was_decided(tmp_path):
     async with test_fatal_requests.passing_system(tmp_path) as system:
-        await fill(system)
+        await quarantine_fatal_request(system)
         sent = len(system.ends)
         for one in [*system.entries, *system.controls]:
             await one.close()
@@ -450,7 +450,7 @@
 ):
     """At once, and not after a way to the others and back."""
     async with test_fatal_requests.passing_system(tmp_path) as system:
-        await fill(system)
+        await quarantine_fatal_request(system)
         await system.put(test_passing.route(homes=('south',)))
         got = await test_fatal_requests.ask(system, 0, FATAL, 'again')
         assert got.startswith(b'HTTP/1.1 503 ')
