--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -21,7 +21,7 @@
 FATAL = 'f' * 32
 SEEDS = int(os.environ.get('WRENSPOKE_SOAK_SEEDS', '10'))
 # What hosts that are in touch may take to learn of each other's news.
-CONTACT_MS = 6_000
+CONVERGENCE_MS = 6_000
 # Sends that are allowed later than that after the third end.
 LATE_LIMIT = 3
 
@@ -87,7 +87,7 @@
     assert FATAL not in fleet.state.configuration.quarantine
     # Both sides learn of each other's once they can.
     fleet.heal()
-    await fleet.wait_ms(CONTACT_MS)
+    await fleet.wait_ms(CONVERGENCE_MS)
     assert FATAL in fleet.state.configuration.quarantine
     assert len(fleet.hosts_holding(FATAL)) == 12
     await fleet.close()
@@ -118,7 +118,7 @@
     await fleet.wait_ms(1_000)
     assert not fleet.hosts_holding(FATAL)
     fleet.heal()
-    await fleet.wait_ms(CONTACT_MS)
+    await fleet.wait_ms(CONVERGENCE_MS)
     assert len(fleet.hosts_holding(FATAL)) == 12
     await fleet.close()
 
@@ -193,8 +193,8 @@
         self._random = fleet.random
         self._clock = group.LoopClock()
         # When each host was last in trouble, and when all were.
-        self._troubled_ms = dict.fromkeys(fleet.hosts, -CONTACT_MS)
-        self._all_ms = -CONTACT_MS
+        self._troubled_ms = dict.fromkeys(fleet.hosts, -CONVERGENCE_MS)
+        self._all_ms = -CONVERGENCE_MS
         self._cut = None
         # Until when hosts stand still.
         self._frozen_ms = {}
@@ -295,7 +295,7 @@
         if host.region == self._cut or self._fleet.network.lost_share:
             return False
         calm_ms = max(self._troubled_ms[host.name], self._all_ms)
-        return now_ms - calm_ms >= CONTACT_MS
+        return now_ms - calm_ms >= CONVERGENCE_MS
 
     def _note_sent(self, host):
         now_ms = self._clock.mono_ms()
@@ -303,7 +303,7 @@
         if len(self.ends_ms) <= ended_runs.CRASH_THRESHOLD:
             return
         third_ms = self.ends_ms[ended_runs.CRASH_THRESHOLD - 1]
-        if now_ms - third_ms > CONTACT_MS and self._in_touch(host):
+        if now_ms - third_ms > CONVERGENCE_MS and self._in_touch(host):
             self.late += 1
 
 
