--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -23,7 +23,7 @@
 # What hosts that are in touch may take to learn of each other's news.
 CONVERGENCE_MS = 6_000
 # Sends that are allowed later than that after the third end.
-LATE_LIMIT = 3
+MAX_LATE_SENDS = 3
 
 
 def played(test):
@@ -314,5 +314,5 @@
     series = Series(fleet)
     # One trial falls into it, and none after that.
     await series.play(2 * holds.BASE_HOLD_MS)
-    assert series.late <= LATE_LIMIT, series.ends_ms
+    assert series.late <= MAX_LATE_SENDS, series.ends_ms
     await fleet.close()
