--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -26,7 +26,7 @@
 MAX_LATE_SENDS = 3
 
 
-def played(test):
+def in_virtual_time(test):
     """Run a test in time of its own."""
 
     @functools.wraps(test)
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize('count', [20, 60, 200])
-@played
+@in_virtual_time
 async def test_every_host_holds_it_within_a_part_of_a_second(count):
     fleet = await quarantined_fleet.Fleet(count).start()
     await end_three(fleet)
@@ -62,7 +62,7 @@
     """Six control hosts hear of it, however many entry hosts there are."""
     counts = []
 
-    @played
+    @in_virtual_time
     async def test(hosts):
         fleet = await quarantined_fleet.Fleet(hosts).start()
         await end_three(fleet)
@@ -75,7 +75,7 @@
     assert counts[0] == counts[1] == 3 * quarantined_fleet.CONTROLS
 
 
-@played
+@in_virtual_time
 async def test_region_that_is_cut_off_holds_it_by_itself():
     fleet = await quarantined_fleet.Fleet(12).start()
     fleet.isolate_region(2)
@@ -93,7 +93,7 @@
     await fleet.close()
 
 
-@played
+@in_virtual_time
 async def test_region_that_is_cut_off_for_long_tries_it_once_a_minute():
     """And not once at each of its hosts."""
     fleet = await quarantined_fleet.Fleet(30).start()
@@ -109,7 +109,7 @@
     await fleet.close()
 
 
-@played
+@in_virtual_time
 async def test_ends_on_both_sides_of_a_cut_add_up():
     fleet = await quarantined_fleet.Fleet(12).start()
     fleet.isolate_region(2)
@@ -123,7 +123,7 @@
     await fleet.close()
 
 
-@played
+@in_virtual_time
 async def test_what_a_control_host_forgot_it_is_told_again():
     fleet = await quarantined_fleet.Fleet(6).start()
     one, other = list(fleet.hosts.values())[:2]
@@ -138,7 +138,7 @@
     await fleet.close()
 
 
-@played
+@in_virtual_time
 async def test_content_that_works_elsewhere_is_let_go():
     """It is common; three of the many that ran it ended by themselves."""
     fleet = await quarantined_fleet.Fleet(9).start()
@@ -152,7 +152,7 @@
     await fleet.close()
 
 
-@played
+@in_virtual_time
 async def test_trial_after_its_time_and_longer_after_another_end():
     fleet = await quarantined_fleet.Fleet(6).start()
     await end_three(fleet)
@@ -171,7 +171,7 @@
     await fleet.close()
 
 
-@played
+@in_virtual_time
 async def test_trial_that_goes_well_ends_it():
     fleet = await quarantined_fleet.Fleet(6).start()
     await end_three(fleet)
@@ -308,7 +308,7 @@
 
 
 @pytest.mark.parametrize('seed', range(SEEDS))
-@played
+@in_virtual_time
 async def test_few_are_sent_late_whatever_happens_beside(seed):
     fleet = await quarantined_fleet.Fleet(18, seed).start()
     series = Series(fleet)
