--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -36,7 +36,7 @@
     return run
 
 
-async def end_three(fleet, hosts=None):
+async def crash_three_endpoints(fleet, hosts=None):
     """Let three endpoints end under a request at hosts of the regions."""
     for host in hosts or list(fleet.hosts.values())[:3]:
         assert await host.send(FATAL, next(fleet.endpoints))
@@ -46,7 +46,7 @@
 @in_virtual_time
 async def test_every_host_holds_it_within_a_part_of_a_second(count):
     fleet = await quarantined_fleet.Fleet(count).start()
-    await end_three(fleet)
+    await crash_three_endpoints(fleet)
     await fleet.wait_ms(500)
     assert len(fleet.hosts_holding(FATAL)) == count
     await fleet.wait_ms(1_500)
@@ -65,7 +65,7 @@
     @in_virtual_time
     async def test(hosts):
         fleet = await quarantined_fleet.Fleet(hosts).start()
-        await end_three(fleet)
+        await crash_three_endpoints(fleet)
         await fleet.wait_ms(1_000)
         counts.append(fleet.sent_totals()['RunsEnded'].messages)
         await fleet.close()
@@ -80,7 +80,7 @@
     fleet = await quarantined_fleet.Fleet(12).start()
     fleet.isolate_region(2)
     cut_off = [h for h in fleet.hosts.values() if h.region == 2]
-    await end_three(fleet, cut_off[:3])
+    await crash_three_endpoints(fleet, cut_off[:3])
     await fleet.wait_ms(200)
     held = fleet.hosts_holding(FATAL)
     assert sorted(held) == sorted(host.name for host in cut_off)
@@ -99,7 +99,7 @@
     fleet = await quarantined_fleet.Fleet(30).start()
     fleet.isolate_region(2)
     cut_off = [h for h in fleet.hosts.values() if h.region == 2]
-    await end_three(fleet, cut_off[:3])
+    await crash_three_endpoints(fleet, cut_off[:3])
     minutes, sent = 4, 0
     for number in range(minutes * 60):
         await fleet.wait_ms(1_000)
@@ -114,7 +114,7 @@
     fleet = await quarantined_fleet.Fleet(12).start()
     fleet.isolate_region(2)
     hosts = list(fleet.hosts.values())
-    await end_three(fleet, [hosts[0], hosts[2], hosts[5]])
+    await crash_three_endpoints(fleet, [hosts[0], hosts[2], hosts[5]])
     await fleet.wait_ms(1_000)
     assert not fleet.hosts_holding(FATAL)
     fleet.heal()
@@ -144,7 +144,7 @@
     fleet = await quarantined_fleet.Fleet(9).start()
     hosts = list(fleet.hosts.values())
     await hosts[8].send(FATAL, 'good', fatal=False)
-    await end_three(fleet, hosts[:3])
+    await crash_three_endpoints(fleet, hosts[:3])
     await fleet.wait_ms(1_000)
     assert not fleet.hosts_holding(FATAL)
     await fleet.wait_ms(2_000)
@@ -155,7 +155,7 @@
 @in_virtual_time
 async def test_trial_after_its_time_and_longer_after_another_end():
     fleet = await quarantined_fleet.Fleet(6).start()
-    await end_three(fleet)
+    await crash_three_endpoints(fleet)
     await fleet.wait_ms(
         holds.hold_duration_ms(ended_runs.CRASH_THRESHOLD) + 3_000
     )
@@ -174,7 +174,7 @@
 @in_virtual_time
 async def test_trial_that_goes_well_ends_it():
     fleet = await quarantined_fleet.Fleet(6).start()
-    await end_three(fleet)
+    await crash_three_endpoints(fleet)
     await fleet.wait_ms(
         holds.hold_duration_ms(ended_runs.CRASH_THRESHOLD) + 3_000
     )
