--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize('count', [20, 60, 200])
 @in_virtual_time
-async def test_every_host_holds_it_within_a_part_of_a_second(count):
+async def test_every_host_holds_request_within_half_a_second(count):
     fleet = await quarantined_fleet.Fleet(count).start()
     await crash_three_endpoints(fleet)
     await fleet.wait_ms(500)
