--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -58,7 +58,7 @@
     await fleet.close()
 
 
-def test_word_of_ends_does_not_grow_with_the_hosts():
+def test_crash_report_count_is_independent_of_host_count():
     """Six control hosts hear of it, however many entry hosts there are."""
     counts = []
 
