--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -76,7 +76,7 @@
 
 
 @in_virtual_time
-async def test_region_that_is_cut_off_holds_it_by_itself():
+async def test_isolated_region_holds_request():
     fleet = await quarantined_fleet.Fleet(12).start()
     fleet.isolate_region(2)
     cut_off = [h for h in fleet.hosts.values() if h.region == 2]
