--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -94,7 +94,7 @@
 
 
 @in_virtual_time
-async def test_region_that_is_cut_off_for_long_tries_it_once_a_minute():
+async def test_long_isolated_region_retries_request_once_a_minute():
     """And not once at each of its hosts."""
     fleet = await quarantined_fleet.Fleet(30).start()
     fleet.isolate_region(2)
