--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -110,7 +110,7 @@
 
 
 @in_virtual_time
-async def test_ends_on_both_sides_of_a_cut_add_up():
+async def test_crashes_on_both_sides_of_a_partition_add_up():
     fleet = await quarantined_fleet.Fleet(12).start()
     fleet.isolate_region(2)
     hosts = list(fleet.hosts.values())
