--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -124,7 +124,7 @@
 
 
 @in_virtual_time
-async def test_what_a_control_host_forgot_it_is_told_again():
+async def test_crashes_are_reported_again_to_restarted_control_host():
     fleet = await quarantined_fleet.Fleet(6).start()
     one, other = list(fleet.hosts.values())[:2]
     await one.send(FATAL, next(fleet.endpoints))
