--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -139,7 +139,7 @@
 
 
 @in_virtual_time
-async def test_content_that_works_elsewhere_is_let_go():
+async def test_request_that_succeeds_elsewhere_is_released():
     """It is common; three of the many that ran it ended by themselves."""
     fleet = await quarantined_fleet.Fleet(9).start()
     hosts = list(fleet.hosts.values())
