--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -153,7 +153,7 @@
 
 
 @in_virtual_time
-async def test_trial_after_its_time_and_longer_after_another_end():
+async def test_failed_trial_doubles_the_hold():
     fleet = await quarantined_fleet.Fleet(6).start()
     await crash_three_endpoints(fleet)
     await fleet.wait_ms(
