--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -172,7 +172,7 @@
 
 
 @in_virtual_time
-async def test_trial_that_goes_well_ends_it():
+async def test_successful_trial_ends_quarantine():
     fleet = await quarantined_fleet.Fleet(6).start()
     await crash_three_endpoints(fleet)
     await fleet.wait_ms(
