--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -309,7 +309,7 @@
 
 @pytest.mark.parametrize('seed', range(SEEDS))
 @in_virtual_time
-async def test_few_are_sent_late_whatever_happens_beside(seed):
+async def test_few_requests_are_sent_late_under_faults(seed):
     fleet = await quarantined_fleet.Fleet(18, seed).start()
     series = Series(fleet)
     # One trial falls into it, and none after that.
