--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -185,7 +185,7 @@
     await fleet.close()
 
 
-class Series:
+class FaultSeries:
     """Draw what happens while a request that ends endpoints comes again."""
 
     def __init__(self, fleet):
@@ -311,7 +311,7 @@
 @in_virtual_time
 async def test_few_requests_are_sent_late_under_faults(seed):
     fleet = await quarantined_fleet.Fleet(18, seed).start()
-    series = Series(fleet)
+    series = FaultSeries(fleet)
     # One trial falls into it, and none after that.
     await series.play(2 * holds.BASE_HOLD_MS)
     assert series.late <= MAX_LATE_SENDS, series.ends_ms
