--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -193,7 +193,7 @@
         self._random = fleet.random
         self._clock = group.LoopClock()
         # When each host was last in trouble, and when all were.
-        self._troubled_ms = dict.fromkeys(fleet.hosts, -CONVERGENCE_MS)
+        self._disturbed_ms = dict.fromkeys(fleet.hosts, -CONVERGENCE_MS)
         self._all_ms = -CONVERGENCE_MS
         self._cut = None
         # Until when hosts stand still.
@@ -223,7 +223,7 @@
         for name in self._random.sample(self._fleet.names, count):
             if name not in self._frozen_ms:
                 await self._fleet.restart_host(name)
-                self._troubled_ms[name] = self._clock.mono_ms()
+                self._disturbed_ms[name] = self._clock.mono_ms()
 
     async def _restart_controls(self):
         """Restart one, or all at once."""
@@ -246,7 +246,7 @@
             if until_ms <= now_ms:
                 del self._frozen_ms[name]
                 self._fleet.reconnect_host(name)
-                self._troubled_ms[name] = now_ms
+                self._disturbed_ms[name] = now_ms
 
     async def _cut_region(self):
         if self._cut is None:
@@ -294,7 +294,7 @@
         now_ms = self._clock.mono_ms()
         if host.region == self._cut or self._fleet.network.lost_share:
             return False
-        calm_ms = max(self._troubled_ms[host.name], self._all_ms)
+        calm_ms = max(self._disturbed_ms[host.name], self._all_ms)
         return now_ms - calm_ms >= CONVERGENCE_MS
 
     def _note_sent(self, host):
