--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -194,7 +194,7 @@
         self._clock = group.LoopClock()
         # When each host was last in trouble, and when all were.
         self._disturbed_ms = dict.fromkeys(fleet.hosts, -CONVERGENCE_MS)
-        self._all_ms = -CONVERGENCE_MS
+        self._all_disturbed_ms = -CONVERGENCE_MS
         self._cut = None
         # Until when hosts stand still.
         self._frozen_ms = {}
@@ -288,13 +288,13 @@
     )
 
     def _trouble_all(self):
-        self._all_ms = self._clock.mono_ms()
+        self._all_disturbed_ms = self._clock.mono_ms()
 
     def _in_touch(self, host):
         now_ms = self._clock.mono_ms()
         if host.region == self._cut or self._fleet.network.lost_share:
             return False
-        calm_ms = max(self._disturbed_ms[host.name], self._all_ms)
+        calm_ms = max(self._disturbed_ms[host.name], self._all_disturbed_ms)
         return now_ms - calm_ms >= CONVERGENCE_MS
 
     def _note_sent(self, host):
