--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -195,7 +195,7 @@
         # When each host was last in trouble, and when all were.
         self._disturbed_ms = dict.fromkeys(fleet.hosts, -CONVERGENCE_MS)
         self._all_disturbed_ms = -CONVERGENCE_MS
-        self._cut = None
+        self._cut_off_region = None
         # Until when hosts stand still.
         self._frozen_ms = {}
         self.ends_ms = []
@@ -249,14 +249,16 @@
                 self._disturbed_ms[name] = now_ms
 
     async def _cut_region(self):
-        if self._cut is None:
-            self._cut = self._random.randrange(limited_fleet.REGIONS)
-            self._fleet.isolate_region(self._cut)
+        if self._cut_off_region is None:
+            self._cut_off_region = self._random.randrange(
+                limited_fleet.REGIONS
+            )
+            self._fleet.isolate_region(self._cut_off_region)
             self._trouble_all()
 
     async def _heal(self):
         self._fleet.heal()
-        self._cut = None
+        self._cut_off_region = None
         for name in self._frozen_ms:
             self._fleet.network.cut_off(name)
         self._trouble_all()
@@ -272,7 +274,7 @@
         names = [
             name
             for name in self._fleet.controls
-            if limited_fleet.region_of(name) != self._cut
+            if limited_fleet.region_of(name) != self._cut_off_region
         ]
         self._fleet.lead(self._random.choice(names))
         self._trouble_all()
@@ -292,7 +294,10 @@
 
     def _in_touch(self, host):
         now_ms = self._clock.mono_ms()
-        if host.region == self._cut or self._fleet.network.lost_share:
+        if (
+            host.region == self._cut_off_region
+            or self._fleet.network.lost_share
+        ):
             return False
         calm_ms = max(self._disturbed_ms[host.name], self._all_disturbed_ms)
         return now_ms - calm_ms >= CONVERGENCE_MS
