--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -197,7 +197,7 @@
         self._all_disturbed_ms = -CONVERGENCE_MS
         self._cut_off_region = None
         # Until when hosts stand still.
-        self._frozen_ms = {}
+        self._frozen_until_ms = {}
         self.ends_ms = []
         self.late = 0
 
@@ -211,7 +211,7 @@
             running = [
                 host
                 for name, host in self._fleet.hosts.items()
-                if name not in self._frozen_ms
+                if name not in self._frozen_until_ms
             ]
             host = self._random.choice(running)
             if await host.send(FATAL, next(self._fleet.endpoints)):
@@ -221,7 +221,7 @@
         """Restart one, or many at once."""
         count = self._random.choice([1, 1, len(self._fleet.names) // 2])
         for name in self._random.sample(self._fleet.names, count):
-            if name not in self._frozen_ms:
+            if name not in self._frozen_until_ms:
                 await self._fleet.restart_host(name)
                 self._disturbed_ms[name] = self._clock.mono_ms()
 
@@ -237,14 +237,14 @@
         """Let a host stand still; it goes on by what it held."""
         name = self._random.choice(self._fleet.names)
         for_ms = self._random.uniform(1_000, 8_000)
-        self._frozen_ms[name] = self._clock.mono_ms() + for_ms
+        self._frozen_until_ms[name] = self._clock.mono_ms() + for_ms
         self._fleet.network.cut_off(name)
 
     def _thaw(self):
         now_ms = self._clock.mono_ms()
-        for name, until_ms in list(self._frozen_ms.items()):
+        for name, until_ms in list(self._frozen_until_ms.items()):
             if until_ms <= now_ms:
-                del self._frozen_ms[name]
+                del self._frozen_until_ms[name]
                 self._fleet.reconnect_host(name)
                 self._disturbed_ms[name] = now_ms
 
@@ -259,7 +259,7 @@
     async def _heal(self):
         self._fleet.heal()
         self._cut_off_region = None
-        for name in self._frozen_ms:
+        for name in self._frozen_until_ms:
             self._fleet.network.cut_off(name)
         self._trouble_all()
 
