--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -198,7 +198,7 @@
         self._cut_off_region = None
         # Until when hosts stand still.
         self._frozen_until_ms = {}
-        self.ends_ms = []
+        self.crashes_ms = []
         self.late = 0
 
     async def play(self, for_ms):
@@ -304,10 +304,10 @@
 
     def _note_sent(self, host):
         now_ms = self._clock.mono_ms()
-        self.ends_ms.append(now_ms)
-        if len(self.ends_ms) <= ended_runs.CRASH_THRESHOLD:
+        self.crashes_ms.append(now_ms)
+        if len(self.crashes_ms) <= ended_runs.CRASH_THRESHOLD:
             return
-        third_ms = self.ends_ms[ended_runs.CRASH_THRESHOLD - 1]
+        third_ms = self.crashes_ms[ended_runs.CRASH_THRESHOLD - 1]
         if now_ms - third_ms > CONVERGENCE_MS and self._in_touch(host):
             self.late += 1
 
@@ -319,5 +319,5 @@
     series = FaultSeries(fleet)
     # One trial falls into it, and none after that.
     await series.play(2 * holds.BASE_HOLD_MS)
-    assert series.late <= MAX_LATE_SENDS, series.ends_ms
+    assert series.late <= MAX_LATE_SENDS, series.crashes_ms
     await fleet.close()
