--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -199,7 +199,7 @@
         # Until when hosts stand still.
         self._frozen_until_ms = {}
         self.crashes_ms = []
-        self.late = 0
+        self.late_sends = 0
 
     async def play(self, for_ms):
         until_ms = self._clock.mono_ms() + for_ms
@@ -309,7 +309,7 @@
             return
         third_ms = self.crashes_ms[ended_runs.CRASH_THRESHOLD - 1]
         if now_ms - third_ms > CONVERGENCE_MS and self._in_touch(host):
-            self.late += 1
+            self.late_sends += 1
 
 
 @pytest.mark.parametrize('seed', range(SEEDS))
@@ -319,5 +319,5 @@
     series = FaultSeries(fleet)
     # One trial falls into it, and none after that.
     await series.play(2 * holds.BASE_HOLD_MS)
-    assert series.late <= MAX_LATE_SENDS, series.crashes_ms
+    assert series.late_sends <= MAX_LATE_SENDS, series.crashes_ms
     await fleet.close()
