--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -207,7 +207,7 @@
             await self._fleet.wait_ms(self._random.uniform(100, 1_500))
             self._thaw()
             if self._random.random() < 0.25:
-                await self._random.choice(self.TROUBLES)(self)
+                await self._random.choice(self.FAULTS)(self)
             running = [
                 host
                 for name, host in self._fleet.hosts.items()
@@ -279,7 +279,7 @@
         self._fleet.lead(self._random.choice(names))
         self._trouble_all()
 
-    TROUBLES = (
+    FAULTS = (
         _restart_hosts,
         _restart_controls,
         _freeze,
