--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -205,7 +205,7 @@
         until_ms = self._clock.mono_ms() + for_ms
         while self._clock.mono_ms() < until_ms:
             await self._fleet.wait_ms(self._random.uniform(100, 1_500))
-            self._thaw()
+            self._thaw_hosts()
             if self._random.random() < 0.25:
                 await self._random.choice(self.FAULTS)(self)
             running = [
@@ -240,7 +240,7 @@
         self._frozen_until_ms[name] = self._clock.mono_ms() + for_ms
         self._fleet.network.cut_off(name)
 
-    def _thaw(self):
+    def _thaw_hosts(self):
         now_ms = self._clock.mono_ms()
         for name, until_ms in list(self._frozen_until_ms.items()):
             if until_ms <= now_ms:
