--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -233,7 +233,7 @@
             await self._fleet.restart_control(name)
         self._trouble_all()
 
-    async def _freeze(self):
+    async def _freeze_host(self):
         """Let a host stand still; it goes on by what it held."""
         name = self._random.choice(self._fleet.names)
         for_ms = self._random.uniform(1_000, 8_000)
@@ -282,7 +282,7 @@
     FAULTS = (
         _restart_hosts,
         _restart_controls,
-        _freeze,
+        _freeze_host,
         _cut_region,
         _heal,
         _lose_messages,
