--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -248,7 +248,7 @@
                 self._fleet.reconnect_host(name)
                 self._disturbed_ms[name] = now_ms
 
-    async def _cut_region(self):
+    async def _isolate_region(self):
         if self._cut_off_region is None:
             self._cut_off_region = self._random.randrange(
                 limited_fleet.REGIONS
@@ -283,7 +283,7 @@
         _restart_hosts,
         _restart_controls,
         _freeze_host,
-        _cut_region,
+        _isolate_region,
         _heal,
         _lose_messages,
         _lead_elsewhere,
