--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -256,7 +256,7 @@
             self._fleet.isolate_region(self._cut_off_region)
             self._trouble_all()
 
-    async def _heal(self):
+    async def _heal_network(self):
         self._fleet.heal()
         self._cut_off_region = None
         for name in self._frozen_until_ms:
@@ -284,7 +284,7 @@
         _restart_controls,
         _freeze_host,
         _isolate_region,
-        _heal,
+        _heal_network,
         _lose_messages,
         _lead_elsewhere,
     )
