--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -269,7 +269,7 @@
         network.lost_share = 0.0 if network.lost_share else 0.3
         self._trouble_all()
 
-    async def _lead_elsewhere(self):
+    async def _change_leader(self):
         """Let a control host of the larger side lead."""
         names = [
             name
@@ -286,7 +286,7 @@
         _isolate_region,
         _heal_network,
         _lose_messages,
-        _lead_elsewhere,
+        _change_leader,
     )
 
     def _trouble_all(self):
