--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -231,7 +231,7 @@
         count = self._random.choice([1, 1, len(names)])
         for name in self._random.sample(names, count):
             await self._fleet.restart_control(name)
-        self._trouble_all()
+        self._mark_all_disturbed()
 
     async def _freeze_host(self):
         """Let a host stand still; it goes on by what it held."""
@@ -254,20 +254,20 @@
                 limited_fleet.REGIONS
             )
             self._fleet.isolate_region(self._cut_off_region)
-            self._trouble_all()
+            self._mark_all_disturbed()
 
     async def _heal_network(self):
         self._fleet.heal()
         self._cut_off_region = None
         for name in self._frozen_until_ms:
             self._fleet.network.cut_off(name)
-        self._trouble_all()
+        self._mark_all_disturbed()
 
     async def _lose_messages(self):
         """Lose a share of all messages from now on, or none any more."""
         network = self._fleet.network
         network.lost_share = 0.0 if network.lost_share else 0.3
-        self._trouble_all()
+        self._mark_all_disturbed()
 
     async def _change_leader(self):
         """Let a control host of the larger side lead."""
@@ -277,7 +277,7 @@
             if limited_fleet.region_of(name) != self._cut_off_region
         ]
         self._fleet.lead(self._random.choice(names))
-        self._trouble_all()
+        self._mark_all_disturbed()
 
     FAULTS = (
         _restart_hosts,
@@ -289,7 +289,7 @@
         _change_leader,
     )
 
-    def _trouble_all(self):
+    def _mark_all_disturbed(self):
         self._all_disturbed_ms = self._clock.mono_ms()
 
     def _in_touch(self, host):
