--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -292,7 +292,7 @@
     def _mark_all_disturbed(self):
         self._all_disturbed_ms = self._clock.mono_ms()
 
-    def _in_touch(self, host):
+    def _is_converged(self, host):
         now_ms = self._clock.mono_ms()
         if (
             host.region == self._cut_off_region
@@ -308,7 +308,7 @@
         if len(self.crashes_ms) <= ended_runs.CRASH_THRESHOLD:
             return
         third_ms = self.crashes_ms[ended_runs.CRASH_THRESHOLD - 1]
-        if now_ms - third_ms > CONVERGENCE_MS and self._in_touch(host):
+        if now_ms - third_ms > CONVERGENCE_MS and self._is_converged(host):
             self.late_sends += 1
 
 
