--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -215,7 +215,7 @@
             ]
             host = self._random.choice(running)
             if await host.send(FATAL, next(self._fleet.endpoints)):
-                self._note_sent(host)
+                self._record_sent(host)
 
     async def _restart_hosts(self):
         """Restart one, or many at once."""
@@ -302,7 +302,7 @@
         calm_ms = max(self._disturbed_ms[host.name], self._all_disturbed_ms)
         return now_ms - calm_ms >= CONVERGENCE_MS
 
-    def _note_sent(self, host):
+    def _record_sent(self, host):
         now_ms = self._clock.mono_ms()
         self.crashes_ms.append(now_ms)
         if len(self.crashes_ms) <= ended_runs.CRASH_THRESHOLD:
