--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -201,7 +201,7 @@
         self.crashes_ms = []
         self.late_sends = 0
 
-    async def play(self, for_ms):
+    async def simulate(self, for_ms):
         until_ms = self._clock.mono_ms() + for_ms
         while self._clock.mono_ms() < until_ms:
             await self._fleet.wait_ms(self._random.uniform(100, 1_500))
@@ -318,6 +318,6 @@
     fleet = await quarantined_fleet.Fleet(18, seed).start()
     series = FaultSeries(fleet)
     # One trial falls into it, and none after that.
-    await series.play(2 * holds.BASE_HOLD_MS)
+    await series.simulate(2 * holds.BASE_HOLD_MS)
     assert series.late_sends <= MAX_LATE_SENDS, series.crashes_ms
     await fleet.close()
