--- a/tests/test_fatal_requests.py
+++ b/tests/test_fatal_requests.py
@@ -39,7 +39,7 @@
 RESET = endpoints.ScriptedEndpoint.RESET
 
 
-class EndingEngine:
+class CrashingEngine:
     """End under a fatal body, as a process: no connection is left.
 
     It is back, by the same address, once it is told to.
@@ -90,7 +90,7 @@
             await system.start_entry('south-hall')
         for hall in ('north-hall', 'south-hall'):
             for number in range(4):
-                engine = await EndingEngine(ends).start()
+                engine = await CrashingEngine(ends).start()
                 engines.append(engine)
                 await system.register(
                     f'{hall}-{number}', engine, data_centre=hall
