--- a/tests/test_fatal_requests.py
+++ b/tests/test_fatal_requests.py
@@ -46,7 +46,7 @@
     """
 
     def __init__(self, ends):
-        self._ends = ends
+        self._crashes = ends
         self._endpoint = endpoints.ScriptedEndpoint(self._answer)
         self.ended = False
 
@@ -66,7 +66,7 @@
         if FATAL not in sent:
             yield test_passing.answer(sent)
             return
-        self._ends.append(sent)
+        self._crashes.append(sent)
         self.ended = True
         self._endpoint.stop_listening()
         yield RESET
