--- a/tests/test_fatal_requests.py
+++ b/tests/test_fatal_requests.py
@@ -48,7 +48,7 @@
     def __init__(self, ends):
         self._crashes = ends
         self._endpoint = endpoints.ScriptedEndpoint(self._answer)
-        self.ended = False
+        self.crashed = False
 
     @property
     def address(self):
@@ -67,13 +67,13 @@
             yield test_passing.answer(sent)
             return
         self._crashes.append(sent)
-        self.ended = True
+        self.crashed = True
         self._endpoint.stop_listening()
         yield RESET
 
     async def come_back(self):
-        if self.ended:
-            self.ended = False
+        if self.crashed:
+            self.crashed = False
             await self._endpoint.listen_again()
 
     async def close(self):
