--- a/tests/test_fatal_requests.py
+++ b/tests/test_fatal_requests.py
@@ -71,7 +71,7 @@
         self._endpoint.stop_listening()
         yield RESET
 
-    async def come_back(self):
+    async def restart(self):
         if self.crashed:
             self.crashed = False
             await self._endpoint.listen_again()
@@ -123,7 +123,7 @@
     async with passing_system(tmp_path, kind) as system:
         for number in range(COPIES):
             await ask(system, number % 4, FATAL, f'fatal{number}')
-            await asyncio.gather(*(one.come_back() for one in system.engines))
+            await asyncio.gather(*(one.restart() for one in system.engines))
             await asyncio.sleep(PACE_S)
         assert len(system.ends) <= SENDS_LIMIT
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -388,7 +388,7 @@
         await test_fatal_requests.ask(
             system, number % 4, FATAL, f'fatal{number}'
         )
-        await asyncio.gather(*(one.come_back() for one in system.engines))
+        await asyncio.gather(*(one.restart() for one in system.engines))
         held = [entry.replica.current.quarantine for entry in system.entries]
         if all(held):
             return
@@ -436,7 +436,7 @@
             for answer in got[1:]:
                 refused = endpoints.header(answer, 'Wrenspoke-Refused')
                 assert refused != 'quarantined'
-            await asyncio.gather(*(one.come_back() for one in system.engines))
+            await asyncio.gather(*(one.restart() for one in system.engines))
         for host in range(4):
             for body in (b'common', b'new'):
                 got = await test_fatal_requests.ask(
