--- a/tests/test_fatal_requests.py
+++ b/tests/test_fatal_requests.py
@@ -81,7 +81,7 @@
 
 
 @contextlib.asynccontextmanager
-async def passing_system(folder, kind=routes.RouteKind.REPEATABLE):
+async def running_system(folder, kind=routes.RouteKind.REPEATABLE):
     """Run two regions of two hosts and four engines each."""
     ends, engines = [], []
     async with nodes.running(folder, controls=3) as system:
@@ -120,7 +120,7 @@
 async def test_request_that_ends_engines_is_not_sent_on_for_ever(
     tmp_path, kind
 ):
-    async with passing_system(tmp_path, kind) as system:
+    async with running_system(tmp_path, kind) as system:
         for number in range(COPIES):
             await ask(system, number % 4, FATAL, f'fatal{number}')
             await asyncio.gather(*(one.restart() for one in system.engines))
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -401,7 +401,7 @@
 
 
 async def test_host_that_starts_holds_what_was_decided(tmp_path):
-    async with test_fatal_requests.passing_system(tmp_path) as system:
+    async with test_fatal_requests.running_system(tmp_path) as system:
         await quarantine_fatal_request(system)
         sent = len(system.ends)
         for one in [*system.entries, *system.controls]:
@@ -422,7 +422,7 @@
 
 async def test_other_requests_are_served_during_quarantine(tmp_path):
     """Those that say the same each time as well."""
-    async with test_fatal_requests.passing_system(tmp_path) as system:
+    async with test_fatal_requests.running_system(tmp_path) as system:
         for number in range(test_fatal_requests.COPIES):
             asked = [FATAL, b'common', f'own {number}'.encode()]
             got = await asyncio.gather(
@@ -449,7 +449,7 @@
     tmp_path,
 ):
     """At once, and not after a way to the others and back."""
-    async with test_fatal_requests.passing_system(tmp_path) as system:
+    async with test_fatal_requests.running_system(tmp_path) as system:
         await quarantine_fatal_request(system)
         await system.put(test_passing.route(homes=('south',)))
         got = await test_fatal_requests.ask(system, 0, FATAL, 'again')
@@ -461,7 +461,7 @@
 async def test_hold_received_while_connecting_prevents_send(
     tmp_path, monkeypatch, body
 ):
-    async with test_fatal_requests.passing_system(tmp_path) as system:
+    async with test_fatal_requests.running_system(tmp_path) as system:
         host = system.entries[0]
         connector = host._client._pooled.connector
         connect = connector._create_connection
