--- a/tests/test_fatal_requests.py
+++ b/tests/test_fatal_requests.py
@@ -102,7 +102,7 @@
         await engine.close()
 
 
-async def ask(system, host, body, name):
+async def send_to_entry_host(system, host, body, name):
     """Return what a caller is answered by an entry host."""
     sent = test_passing.request(
         'POST /a/x HTTP/1.1',
@@ -122,7 +122,9 @@
 ):
     async with running_system(tmp_path, kind) as system:
         for number in range(COPIES):
-            await ask(system, number % 4, FATAL, f'fatal{number}')
+            await send_to_entry_host(
+                system, number % 4, FATAL, f'fatal{number}'
+            )
             await asyncio.gather(*(one.restart() for one in system.engines))
             await asyncio.sleep(PACE_S)
         assert len(system.ends) <= SENDS_LIMIT
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -385,7 +385,7 @@
 async def quarantine_fatal_request(system):
     """Send a request that ends engines until it is held everywhere."""
     for number in range(test_fatal_requests.COPIES):
-        await test_fatal_requests.ask(
+        await test_fatal_requests.send_to_entry_host(
             system, number % 4, FATAL, f'fatal{number}'
         )
         await asyncio.gather(*(one.restart() for one in system.engines))
@@ -413,7 +413,9 @@
         made = await system.start_entry()
         await nodes.until(lambda: made.replica.current.quarantine)
         await nodes.until(lambda: made.replica.serving)
-        got = await test_fatal_requests.ask(system, 0, FATAL, 'again')
+        got = await test_fatal_requests.send_to_entry_host(
+            system, 0, FATAL, 'again'
+        )
         assert got.startswith(b'HTTP/1.1 503 ')
         assert endpoints.header(got, 'Wrenspoke-Refused') == 'quarantined'
         assert float(endpoints.header(got, 'Retry-After')) > 200
@@ -427,7 +429,7 @@
             asked = [FATAL, b'common', f'own {number}'.encode()]
             got = await asyncio.gather(
                 *(
-                    test_fatal_requests.ask(
+                    test_fatal_requests.send_to_entry_host(
                         system, number % 4, body, f'q{place}-{number}'
                     )
                     for place, body in enumerate(asked)
@@ -439,7 +441,7 @@
             await asyncio.gather(*(one.restart() for one in system.engines))
         for host in range(4):
             for body in (b'common', b'new'):
-                got = await test_fatal_requests.ask(
+                got = await test_fatal_requests.send_to_entry_host(
                     system, host, body, f'last{host}'
                 )
                 assert got.endswith(b'whole')
@@ -452,7 +454,9 @@
     async with test_fatal_requests.running_system(tmp_path) as system:
         await quarantine_fatal_request(system)
         await system.put(test_passing.route(homes=('south',)))
-        got = await test_fatal_requests.ask(system, 0, FATAL, 'again')
+        got = await test_fatal_requests.send_to_entry_host(
+            system, 0, FATAL, 'again'
+        )
         assert got.startswith(b'HTTP/1.1 503 ')
         assert endpoints.header(got, 'Wrenspoke-Refused') == 'quarantined'
 
@@ -479,7 +483,9 @@
 
         monkeypatch.setattr(fingerprints, 'digest_of', note)
         monkeypatch.setattr(connector, '_create_connection', connect_late)
-        got = await test_fatal_requests.ask(system, 0, body, 'q')
+        got = await test_fatal_requests.send_to_entry_host(
+            system, 0, body, 'q'
+        )
         assert endpoints.header(got, 'Wrenspoke-Refused') == 'quarantined'
         assert not any(engine.requests for engine in system.engines)
 
