--- a/tests/test_fatal_requests.py
+++ b/tests/test_fatal_requests.py
@@ -117,7 +117,7 @@
 @pytest.mark.parametrize(
     'kind', [routes.RouteKind.REPEATABLE, routes.RouteKind.ONCE]
 )
-async def test_request_that_ends_engines_is_not_sent_on_for_ever(
+async def test_request_that_crashes_engines_is_not_retried_forever(
     tmp_path, kind
 ):
     async with running_system(tmp_path, kind) as system:
