--- a/tests/test_fatal_requests.py
+++ b/tests/test_fatal_requests.py
@@ -131,7 +131,7 @@
 
 
 @pytest.mark.parametrize('controls', [0, 3])
-async def test_chat_that_ends_engines_is_not_sent_on_for_ever(
+async def test_chat_that_crashes_engines_is_not_retried_forever(
     tmp_path, controls
 ):
     made = fleet.deployment(engines=4, controls=controls)
