--- a/tests/test_fatal_requests.py
+++ b/tests/test_fatal_requests.py
@@ -30,7 +30,7 @@
 SENDS_LIMIT = 6
 COPIES = 10
 # A caller that asks again takes longer; hosts can tell each other meanwhile.
-PACE_S = 0.3
+RESEND_INTERVAL_S = 0.3
 FATAL = b'fatal prompt'
 FATAL_CHAT = {
     'model': fleet.MODEL,
@@ -126,7 +126,7 @@
                 system, number % 4, FATAL, f'fatal{number}'
             )
             await asyncio.gather(*(one.restart() for one in system.engines))
-            await asyncio.sleep(PACE_S)
+            await asyncio.sleep(RESEND_INTERVAL_S)
         assert len(system.ends) <= SENDS_LIMIT
 
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -392,7 +392,7 @@
         held = [entry.replica.current.quarantine for entry in system.entries]
         if all(held):
             return
-        await asyncio.sleep(test_fatal_requests.PACE_S)
+        await asyncio.sleep(test_fatal_requests.RESEND_INTERVAL_S)
     await nodes.until(
         lambda: all(
             entry.replica.current.quarantine for entry in system.entries
