--- a/tests/test_fatal_requests.py
+++ b/tests/test_fatal_requests.py
@@ -27,7 +27,7 @@
 from wrenspoke.state import routes
 
 # What is allowed: three ends, and three sends more.
-SENDS_LIMIT = 6
+MAX_SENDS = 6
 COPIES = 10
 # A caller that asks again takes longer; hosts can tell each other meanwhile.
 RESEND_INTERVAL_S = 0.3
@@ -127,7 +127,7 @@
             )
             await asyncio.gather(*(one.restart() for one in system.engines))
             await asyncio.sleep(RESEND_INTERVAL_S)
-        assert len(system.ends) <= SENDS_LIMIT
+        assert len(system.ends) <= MAX_SENDS
 
 
 @pytest.mark.parametrize('controls', [0, 3])
@@ -143,4 +143,4 @@
         for number in range(COPIES):
             await callers[number % 2].chat(FATAL_CHAT)
             await running.wait_standins()
-        assert await running.engine_ends() <= SENDS_LIMIT
+        assert await running.engine_ends() <= MAX_SENDS
