--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -9,7 +9,7 @@
 
 # A change of voters is over within the silence that brings it about, an
 # election and some round trips.
-SETTLED_MS = 30_000
+SETTLE_TIMEOUT_MS = 30_000
 # A lost host counts as lost for so long after another in its place has
 # started; from then on one more may be lost.
 CATCH_UP_MS = 4_000
@@ -93,7 +93,7 @@
         if power:
             await system.restart_all()
         system.network.heal()
-        await system.commit_change(SETTLED_MS)
+        await system.commit_change(SETTLE_TIMEOUT_MS)
         assert await system.leader_version() == system.acknowledged
         await system.close()
 
@@ -118,7 +118,7 @@
         await system.sleep_ms(5_000)
         await system.stop_host(third)
         system.network.heal()
-        await system.commit_change(SETTLED_MS)
+        await system.commit_change(SETTLE_TIMEOUT_MS)
         assert newcomer.is_voter
         await system.close()
 
@@ -150,7 +150,7 @@
         await system.wait_until(lambda: not kept.electorate().before)
         await system.wipe_host(leader.name)
         network.heal()
-        await system.commit_change(SETTLED_MS)
+        await system.commit_change(SETTLE_TIMEOUT_MS)
         assert third in system.running
         await system.close()
 
@@ -180,7 +180,7 @@
         system.disks[lost].wipe()
         await system.restart_all()
         system.start(lost)
-        await system.commit_change(SETTLED_MS)
+        await system.commit_change(SETTLE_TIMEOUT_MS)
         assert await system.leader_version() == system.acknowledged
         await system.close()
 
