--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -12,7 +12,7 @@
 SETTLE_TIMEOUT_MS = 30_000
 # A lost host counts as lost for so long after another in its place has
 # started; from then on one more may be lost.
-CATCH_UP_MS = 4_000
+RECOVERY_MS = 4_000
 
 
 def carries_voters(message):
@@ -173,7 +173,7 @@
         gone = leader.name if who == 'leader' else others[0]
         left = [name for name in system.running if name != gone]
         back = await lose_a_host(system, gone, how)
-        await system.sleep_ms(CATCH_UP_MS + after_ms)
+        await system.sleep_ms(RECOVERY_MS + after_ms)
         await system.commit_change()
         lost = {'first': left[0], 'other': left[1], 'newest': back}[second]
         await system.stop_host(lost)
