--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -24,7 +24,7 @@
     )
 
 
-class AtChange:
+class OnVoterChange:
     """Do something as the n-th change of voters is sent."""
 
     def __init__(self, system):
@@ -82,7 +82,7 @@
         system = group.Group(seed=number)
         leader = await system.bootstrap()
         await system.commit_change()
-        cut = AtChange(system)
+        cut = OnVoterChange(system)
         for _number in range(1, number):
             cut.then(nothing)
         cut.then(system.network.cut_all)
@@ -108,7 +108,7 @@
         leader = await system.bootstrap()
         await system.commit_change()
         third, lost = [name for name in system.running if name != leader.name]
-        cut = AtChange(system)
+        cut = OnVoterChange(system)
         cut.then(lambda: system.network.cut_off('new'))
         cut.then(system.network.cut_all)
         await lose_a_host(system, lost, 'replaced')
@@ -141,7 +141,7 @@
             network.cut_all()
             network.reconnect(leader.name, left)
 
-        change = AtChange(system)
+        change = OnVoterChange(system)
         change.then(nothing).then(tell_only_the_one_that_left)
         network.cut_off(left)
         await system.wait_until(lambda: change.done)
