--- a/features/steps/promise_steps.py
+++ b/features/steps/promise_steps.py
@@ -38,7 +38,7 @@
     run(context, isolate())
 
 
-@behave.then('a driver in "{region}" gets a whole answer')
+@behave.add_action('a driver in "{region}" gets a whole answer')
 def step_driver_served(context, region):
     async def ask():
         return await context.fleet.caller(f'{region}-1').chat(CHAT)
@@ -47,7 +47,7 @@
     assert (result.outcome, result.text) == ('whole', WHOLE), result
 
 
-@behave.then(
+@behave.add_action(
     'a member of the other region is told at "{region}" that it was not run'
 )
 def step_member_told(context, region):
@@ -82,13 +82,13 @@
     context.result = run(context, send())
 
 
-@behave.then('the driver is told that it was not run')
+@behave.add_action('the driver is told that it was not run')
 def step_told_not_run(context):
     assert context.result.outcome == 'not_run', context.result
     assert context.result.headers['Retry-After']
 
 
-@behave.then('no service has run it')
+@behave.add_action('no service has run it')
 def step_no_service(context):
     async def ran():
         return await context.fleet.runs(f'{OTHER[context.region]}-records-1')
@@ -111,7 +111,7 @@
     context.index = confirmed.body['answer']['index']
 
 
-@behave.then('the plan is done')
+@behave.add_action('the plan is done')
 def step_plan_done(context):
     async def wait():
         operator = context.fleet.operator()
@@ -125,7 +125,9 @@
     run(context, wait())
 
 
-@behave.then('a chat asked for at "{host}" is whole and served elsewhere')
+@behave.add_action(
+    'a chat asked for at "{host}" is whole and served elsewhere'
+)
 def step_served_elsewhere(context, host):
     async def ask():
         return await context.fleet.caller(host).chat(CHAT)
@@ -154,13 +156,13 @@
     context.results = run(context, play())
 
 
-@behave.then('every stream ends whole')
+@behave.add_action('every stream ends whole')
 def step_all_whole(context):
     for result in context.results:
         assert (result.outcome, result.text) == ('whole', WHOLE), result
 
 
-@behave.then('every entry host holds it, also after each is restarted')
+@behave.add_action('every entry host holds it, also after each is restarted')
 def step_all_hold(context):
     async def check():
         running = context.fleet
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -33,7 +33,7 @@
         self._newest = max(one.last_index for one in kept)
         system.network.watch = self
 
-    def then(self, action):
+    def add_action(self, action):
         """Do this as the next change is sent."""
         self._actions.append(action)
         return self
@@ -84,8 +84,8 @@
         await system.commit_change()
         cut = OnVoterChange(system)
         for _number in range(1, number):
-            cut.then(nothing)
-        cut.then(system.network.cut_all)
+            cut.add_action(nothing)
+        cut.add_action(system.network.cut_all)
         lost = next(name for name in system.running if name != leader.name)
         await lose_a_host(system, lost, how)
         await system.wait_until(lambda: cut.done)
@@ -109,8 +109,8 @@
         await system.commit_change()
         third, lost = [name for name in system.running if name != leader.name]
         cut = OnVoterChange(system)
-        cut.then(lambda: system.network.cut_off('new'))
-        cut.then(system.network.cut_all)
+        cut.add_action(lambda: system.network.cut_off('new'))
+        cut.add_action(system.network.cut_all)
         await lose_a_host(system, lost, 'replaced')
         await system.wait_until(lambda: cut.done)
         newcomer = system.running['new'].voter
@@ -142,7 +142,7 @@
             network.reconnect(leader.name, left)
 
         change = OnVoterChange(system)
-        change.then(nothing).then(tell_only_the_one_that_left)
+        change.add_action(nothing).add_action(tell_only_the_one_that_left)
         network.cut_off(left)
         await system.wait_until(lambda: change.done)
         kept = system.running[left].voter.storage
