--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -39,7 +39,7 @@
         return self
 
     @property
-    def done(self):
+    def is_done(self):
         return not self._actions
 
     def __call__(self, _sender, _host, message):
@@ -88,7 +88,7 @@
         cut.add_action(system.network.cut_all)
         lost = next(name for name in system.running if name != leader.name)
         await lose_a_host(system, lost, how)
-        await system.wait_until(lambda: cut.done)
+        await system.wait_until(lambda: cut.is_done)
         await system.sleep_ms(5_000)
         if power:
             await system.restart_all()
@@ -112,7 +112,7 @@
         cut.add_action(lambda: system.network.cut_off('new'))
         cut.add_action(system.network.cut_all)
         await lose_a_host(system, lost, 'replaced')
-        await system.wait_until(lambda: cut.done)
+        await system.wait_until(lambda: cut.is_done)
         newcomer = system.running['new'].voter
         assert not newcomer.is_voter
         await system.sleep_ms(5_000)
@@ -144,7 +144,7 @@
         change = OnVoterChange(system)
         change.add_action(nothing).add_action(tell_only_the_one_that_left)
         network.cut_off(left)
-        await system.wait_until(lambda: change.done)
+        await system.wait_until(lambda: change.is_done)
         kept = system.running[left].voter.storage
         await system.wait_until(lambda: kept.electorate().voters.get('new'))
         await system.wait_until(lambda: not kept.electorate().before)
