--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -55,7 +55,7 @@
             self._actions.pop(0)()
 
 
-def nothing():
+def do_nothing():
     """Let the change be made."""
 
 
@@ -84,7 +84,7 @@
         await system.commit_change()
         cut = OnVoterChange(system)
         for _number in range(1, number):
-            cut.add_action(nothing)
+            cut.add_action(do_nothing)
         cut.add_action(system.network.cut_all)
         lost = next(name for name in system.running if name != leader.name)
         await lose_a_host(system, lost, how)
@@ -142,7 +142,7 @@
             network.reconnect(leader.name, left)
 
         change = OnVoterChange(system)
-        change.add_action(nothing).add_action(tell_only_the_one_that_left)
+        change.add_action(do_nothing).add_action(tell_only_the_one_that_left)
         network.cut_off(left)
         await system.wait_until(lambda: change.is_done)
         kept = system.running[left].voter.storage
