--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -59,7 +59,7 @@
     """Let the change be made."""
 
 
-async def lose_a_host(system, lost, how):
+async def lose_host(system, lost, how):
     """Lose a host or its disk; return the name that takes its place."""
     if how == 'wiped':
         await system.wipe(lost)
@@ -87,7 +87,7 @@
             cut.add_action(do_nothing)
         cut.add_action(system.network.cut_all)
         lost = next(name for name in system.running if name != leader.name)
-        await lose_a_host(system, lost, how)
+        await lose_host(system, lost, how)
         await system.wait_until(lambda: cut.is_done)
         await system.sleep_ms(5_000)
         if power:
@@ -111,7 +111,7 @@
         cut = OnVoterChange(system)
         cut.add_action(lambda: system.network.cut_off('new'))
         cut.add_action(system.network.cut_all)
-        await lose_a_host(system, lost, 'replaced')
+        await lose_host(system, lost, 'replaced')
         await system.wait_until(lambda: cut.is_done)
         newcomer = system.running['new'].voter
         assert not newcomer.is_voter
@@ -172,7 +172,7 @@
         others = [name for name in system.running if name != leader.name]
         gone = leader.name if who == 'leader' else others[0]
         left = [name for name in system.running if name != gone]
-        back = await lose_a_host(system, gone, how)
+        back = await lose_host(system, gone, how)
         await system.sleep_ms(RECOVERY_MS + after_ms)
         await system.commit_change()
         lost = {'first': left[0], 'other': left[1], 'newest': back}[second]
