--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -75,7 +75,9 @@
 @pytest.mark.parametrize('power', [False, True], ids=['healed', 'restarted'])
 @pytest.mark.parametrize('number', [1, 2])
 @pytest.mark.parametrize('how', ['replaced', 'wiped'])
-def test_cut_as_voters_change_leaves_a_group_that_can_lead(how, number, power):
+def test_partition_during_voter_change_leaves_an_electable_group(
+    how, number, power
+):
     """Whoever holds the change, and whoever does not, elect a leader."""
 
     async def play():
