--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -485,7 +485,7 @@
         ('        if not self.electorate.voters:\n'),
         ('        if not self.is_voter:\n'),
         (
-            'tests/test_group.py::test_newcomer_votes_before_it_knows_that_it_may'
+            'tests/test_group.py::test_new_voter_votes_before_it_receives_its_admission'
         ),
     ),
     Switch(
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -102,7 +102,7 @@
     group.run(play())
 
 
-def test_newcomer_votes_before_it_knows_that_it_may():
+def test_new_voter_votes_before_it_receives_its_admission():
     """Its vote is needed to tell it that it has one."""
 
     async def play():
