--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -469,7 +469,7 @@
         ('or not self._may_lead:\n                continue'),
         ('or not self.is_voter:\n                continue'),
         (
-            'tests/test_group.py::test_who_lost_its_vote_by_a_change_that_only_it_holds_may_stand'
+            'tests/test_group.py::test_voter_removed_by_an_uncommitted_change_may_campaign'
         ),
     ),
     Switch(
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -127,7 +127,7 @@
     group.run(play())
 
 
-def test_who_lost_its_vote_by_a_change_that_only_it_holds_may_stand():
+def test_voter_removed_by_an_uncommitted_change_may_campaign():
     """Nobody else can win against its log, and only it can end the change."""
 
     async def play():
