--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -163,9 +163,7 @@
 @pytest.mark.parametrize('who', ['leader', 'follower'])
 @pytest.mark.parametrize('how', ['replaced', 'wiped'])
 @pytest.mark.parametrize('after_ms', range(0, 6_000, 500))
-def test_lost_disk_leaves_a_group_that_may_lose_another(
-    how, who, second, after_ms
-):
+def test_group_survives_second_lost_disk(how, who, second, after_ms):
     """A second disk is lost, and all hosts lose power with it."""
 
     async def play():
