--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -477,7 +477,7 @@
         DECISIONS + 'agreement/voter.py',
         ('            self._pre_vote_yielded = True\n'),
         ('            pass\n'),
-        ('tests/test_group.py::test_two_that_ask_at_once_do_not_both_stand'),
+        ('tests/test_group.py::test_concurrent_pre_votes_start_one_election'),
     ),
     Switch(
         'own log says who has a vote',
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -188,7 +188,7 @@
 
 
 @pytest.mark.parametrize('seed', [3, 34, 49])
-def test_two_that_ask_at_once_do_not_both_stand(seed, monkeypatch):
+def test_concurrent_pre_votes_start_one_election(seed, monkeypatch):
     """Seeds with which they split the votes three times in a row and more."""
 
     async def play():
