--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -215,7 +215,7 @@
     return next(host for host in system.running.values() if host is not leader)
 
 
-def append(voter, confirmed, ahead=0):
+def heartbeat_message(voter, confirmed, ahead=0):
     """Return a heartbeat that confirms a moment."""
     kept = voter.storage
     return messages.Append(
@@ -243,10 +243,12 @@
         leader, voter, known_ms = await confirmed_follower(system)
         later_ms = known_ms + 5_000
         other = messages.Moment('another life', later_ms)
-        await voter._handle_append(leader.name, append(voter, other))
+        await voter._handle_append(
+            leader.name, heartbeat_message(voter, other)
+        )
         assert voter._confirmed_ms == known_ms
         own = messages.Moment(voter._life, later_ms)
-        await voter._handle_append(leader.name, append(voter, own))
+        await voter._handle_append(leader.name, heartbeat_message(voter, own))
         assert voter._confirmed_ms == later_ms
         await system.close()
 
@@ -258,7 +260,9 @@
         system = group.Group()
         leader, voter, known_ms = await confirmed_follower(system)
         moment = messages.Moment(voter._life, known_ms + 5_000)
-        await voter._handle_append(leader.name, append(voter, moment, ahead=1))
+        await voter._handle_append(
+            leader.name, heartbeat_message(voter, moment, ahead=1)
+        )
         assert voter._confirmed_ms == known_ms
         await system.close()
 
