--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -67,7 +67,7 @@
         ('        if moment is None or moment.life != self._instance_id:\n'),
         ('        if moment is None:\n'),
         (
-            'tests/test_group.py::test_follower_confirms_moments_of_its_own_life_only'
+            'tests/test_group.py::test_follower_confirms_only_moments_of_its_own_instance'
         ),
     ),
     Switch(
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -235,7 +235,7 @@
     return leader, voter, voter._confirmed_ms
 
 
-def test_follower_confirms_moments_of_its_own_life_only():
+def test_follower_confirms_only_moments_of_its_own_instance():
     """A restarted host's clock may have begun anew."""
 
     async def play():
