--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -287,7 +287,7 @@
     group.run(play())
 
 
-def test_followers_know_of_a_moment_not_long_ago():
+def test_followers_have_a_recently_confirmed_moment():
     """It rides on heartbeats: two ways to a far region and an interval."""
 
     async def play():
