--- a/tests/test_group_soak.py
+++ b/tests/test_group_soak.py
@@ -20,7 +20,7 @@
 STEPS = 14
 # A lost disk counts as lost for so long after another in its place has
 # been started and nothing else has happened; then one more may be lost.
-CATCH_UP_MS = 4_000
+RECOVERY_MS = 4_000
 SETTLED_MS = 30_000
 LOOK_MS = 50
 CHANGE_EVERY_MS = 400
@@ -61,7 +61,7 @@
         return (
             not self.down
             and not self.system.network.is_cut
-            and self.now_ms() - self.disturbed_ms >= CATCH_UP_MS
+            and self.now_ms() - self.disturbed_ms >= RECOVERY_MS
         )
 
     def disturb(self):
