--- a/tests/test_group_soak.py
+++ b/tests/test_group_soak.py
@@ -21,7 +21,7 @@
 # A lost disk counts as lost for so long after another in its place has
 # been started and nothing else has happened; then one more may be lost.
 RECOVERY_MS = 4_000
-SETTLED_MS = 30_000
+SETTLE_TIMEOUT_MS = 30_000
 LOOK_MS = 50
 CHANGE_EVERY_MS = 400
 CHANGE_TIMEOUT_MS = 3_000
@@ -96,12 +96,12 @@
         changing, looking = background
         changing.cancel()
         self.tell('settle')
-        leader = await self.system.wait_for_leader(SETTLED_MS)
+        leader = await self.system.wait_for_leader(SETTLE_TIMEOUT_MS)
         held = leader.voter.state.configuration.routes.version
         assert held >= self.acknowledged
         self.system.acknowledged = self.proposed
-        await self.system.commit_change(SETTLED_MS)
-        await self.system.wait_until(self.is_spread, SETTLED_MS)
+        await self.system.commit_change(SETTLE_TIMEOUT_MS)
+        await self.system.wait_until(self.is_spread, SETTLE_TIMEOUT_MS)
         looking.cancel()
         for task in background:
             with contextlib.suppress(asyncio.CancelledError):
