--- a/tests/test_group_soak.py
+++ b/tests/test_group_soak.py
@@ -22,7 +22,7 @@
 # been started and nothing else has happened; then one more may be lost.
 RECOVERY_MS = 4_000
 SETTLE_TIMEOUT_MS = 30_000
-LOOK_MS = 50
+POLL_INTERVAL_MS = 50
 CHANGE_EVERY_MS = 400
 CHANGE_TIMEOUT_MS = 3_000
 MISHAPS = {}
@@ -136,7 +136,7 @@
 
     async def look_at_leases(self):
         while True:
-            await self.system.sleep_ms(LOOK_MS)
+            await self.system.sleep_ms(POLL_INTERVAL_MS)
             leading = self.system.lease_holders()
             assert len(leading) <= 1, [host.name for host in leading]
             for host in leading:
