--- a/tests/test_group_soak.py
+++ b/tests/test_group_soak.py
@@ -23,7 +23,7 @@
 RECOVERY_MS = 4_000
 SETTLE_TIMEOUT_MS = 30_000
 POLL_INTERVAL_MS = 50
-CHANGE_EVERY_MS = 400
+CHANGE_INTERVAL_MS = 400
 CHANGE_TIMEOUT_MS = 3_000
 MISHAPS = {}
 
@@ -120,7 +120,7 @@
 
     async def keep_changing(self):
         while True:
-            await self.system.sleep_ms(CHANGE_EVERY_MS)
+            await self.system.sleep_ms(CHANGE_INTERVAL_MS)
             leader = next(iter(self.system.lease_holders()), None)
             if leader is None:
                 continue
