--- a/tests/test_group_soak.py
+++ b/tests/test_group_soak.py
@@ -25,12 +25,12 @@
 POLL_INTERVAL_MS = 50
 CHANGE_INTERVAL_MS = 400
 CHANGE_TIMEOUT_MS = 3_000
-MISHAPS = {}
+FAULTS = {}
 
 
 def mishap(function):
     """Register what may happen to a group."""
-    MISHAPS[function.__name__] = function
+    FAULTS[function.__name__] = function
     return function
 
 
@@ -90,8 +90,8 @@
         happening = []
         for _step in range(STEPS):
             await self.pause(0, 5_000)
-            name = self.random.choice(sorted(MISHAPS))
-            happening.append(loop.create_task(MISHAPS[name](self)))
+            name = self.random.choice(sorted(FAULTS))
+            happening.append(loop.create_task(FAULTS[name](self)))
         await asyncio.gather(*happening)
         changing, looking = background
         changing.cancel()
