--- a/tests/test_group_soak.py
+++ b/tests/test_group_soak.py
@@ -28,7 +28,7 @@
 FAULTS = {}
 
 
-def mishap(function):
+def fault(function):
     """Register what may happen to a group."""
     FAULTS[function.__name__] = function
     return function
@@ -149,7 +149,7 @@
         self.disturb()
 
 
-@mishap
+@fault
 async def kill(soak):
     """End a process, and start it again."""
     name = soak.draw()
@@ -163,7 +163,7 @@
     await soak.bring_back(name)
 
 
-@mishap
+@fault
 async def restart_all(soak):
     """Lose the power of all hosts."""
     soak.tell('restart_all')
@@ -171,7 +171,7 @@
     await soak.system.restart_all()
 
 
-@mishap
+@fault
 async def cut_all(soak):
     """Cut every host from every other for a while."""
     soak.tell('cut_all')
@@ -181,7 +181,7 @@
     soak.disturb()
 
 
-@mishap
+@fault
 async def cut_one(soak):
     """Cut one host from all others for a while."""
     name = soak.draw()
@@ -194,7 +194,7 @@
     soak.disturb()
 
 
-@mishap
+@fault
 async def cut_pair(soak):
     """Cut two hosts from each other for a while."""
     one, other = soak.draw(), soak.draw()
@@ -207,7 +207,7 @@
     soak.disturb()
 
 
-@mishap
+@fault
 async def wipe(soak):
     """Lose a disk, perhaps as all other hosts lose power."""
     name = soak.draw()
@@ -224,7 +224,7 @@
     await soak.bring_back(name)
 
 
-@mishap
+@fault
 async def replace(soak):
     """Lose a host for good; an empty one comes at another address."""
     name = soak.draw()
