--- a/tests/test_group_soak.py
+++ b/tests/test_group_soak.py
@@ -42,7 +42,7 @@
         names = [f'host{number}' for number in range(hosts)]
         self.system = group.Group(seed, names[:3])
         self.spare = names[3:]
-        self.down = set()
+        self.stopped_hosts = set()
         self.numbers = iter(range(hosts, 1_000))
         self.disturbed_ms = 0
         self.acknowledged = 0
@@ -59,7 +59,7 @@
     def calm(self):
         """Tell whether one more disk may be lost."""
         return (
-            not self.down
+            not self.stopped_hosts
             and not self.system.network.is_cut
             and self.now_ms() - self.disturbed_ms >= RECOVERY_MS
         )
@@ -145,7 +145,7 @@
 
     async def bring_back(self, name):
         self.system.start(name)
-        self.down.discard(name)
+        self.stopped_hosts.discard(name)
         self.disturb()
 
 
@@ -157,7 +157,7 @@
         return
     power = soak.random.random() < 0.5
     soak.tell('kill', name, power)
-    soak.down.add(name)
+    soak.stopped_hosts.add(name)
     await soak.system.end(name, power)
     await soak.pause(100, 6_000)
     await soak.bring_back(name)
@@ -215,7 +215,7 @@
         return
     with_power = soak.random.random() < 0.5
     soak.tell('wipe', name, with_power)
-    soak.down.add(name)
+    soak.stopped_hosts.add(name)
     await soak.system.end(name)
     soak.system.disks[name].wipe()
     if with_power:
@@ -233,7 +233,7 @@
     new = f'host{next(soak.numbers)}'
     soak.system.locations[new] = soak.system.location(name)
     soak.tell('replace', name, new)
-    soak.down.add(new)
+    soak.stopped_hosts.add(new)
     await soak.system.remove(name)
     seeds = [seed for seed in soak.system.seeds if seed != name]
     await soak.pause(100, 1_500)
