--- a/tests/test_group_soak.py
+++ b/tests/test_group_soak.py
@@ -43,7 +43,7 @@
         self.system = group.Group(seed, names[:3])
         self.spare = names[3:]
         self.stopped_hosts = set()
-        self.numbers = iter(range(hosts, 1_000))
+        self.host_numbers = iter(range(hosts, 1_000))
         self.disturbed_ms = 0
         self.acknowledged = 0
         self.proposed = 0
