--- a/tests/test_group_soak.py
+++ b/tests/test_group_soak.py
@@ -47,13 +47,13 @@
         self.disturbed_ms = 0
         self.acknowledged = 0
         self.proposed = 0
-        self.told = []
+        self.event_log = []
 
     def now_ms(self):
         return int(asyncio.get_running_loop().time() * 1000)
 
     def tell(self, *what):
-        self.told.append((self.now_ms(), *what))
+        self.event_log.append((self.now_ms(), *what))
 
     @property
     def calm(self):
@@ -249,5 +249,5 @@
     try:
         group.run(soak.play())
     finally:
-        for line in soak.told:
+        for line in soak.event_log:
             print(*line)
