--- a/tests/test_group_soak.py
+++ b/tests/test_group_soak.py
@@ -52,7 +52,7 @@
     def now_ms(self):
         return int(asyncio.get_running_loop().time() * 1000)
 
-    def tell(self, *what):
+    def record_event(self, *what):
         self.event_log.append((self.now_ms(), *what))
 
     @property
@@ -95,7 +95,7 @@
         await asyncio.gather(*happening)
         changing, looking = background
         changing.cancel()
-        self.tell('settle')
+        self.record_event('settle')
         leader = await self.system.wait_for_leader(SETTLE_TIMEOUT_MS)
         held = leader.voter.state.configuration.routes.version
         assert held >= self.acknowledged
