--- a/tests/test_group_soak.py
+++ b/tests/test_group_soak.py
@@ -56,7 +56,7 @@
         self.event_log.append((self.now_ms(), *what))
 
     @property
-    def calm(self):
+    def may_lose_disk(self):
         """Tell whether one more disk may be lost."""
         return (
             not self.stopped_hosts
@@ -211,7 +211,7 @@
 async def wipe(soak):
     """Lose a disk, perhaps as all other hosts lose power."""
     name = soak.draw()
-    if name is None or not soak.calm:
+    if name is None or not soak.may_lose_disk:
         return
     with_power = soak.random.random() < 0.5
     soak.tell('wipe', name, with_power)
@@ -228,7 +228,7 @@
 async def replace(soak):
     """Lose a host for good; an empty one comes at another address."""
     name = soak.draw()
-    if name is None or not soak.calm:
+    if name is None or not soak.may_lose_disk:
         return
     new = f'host{next(soak.numbers)}'
     soak.system.locations[new] = soak.system.location(name)
