--- a/tests/test_group_soak.py
+++ b/tests/test_group_soak.py
@@ -64,7 +64,7 @@
             and self.now_ms() - self.disturbed_ms >= RECOVERY_MS
         )
 
-    def disturb(self):
+    def mark_disturbed(self):
         self.disturbed_ms = self.now_ms()
 
     def draw(self):
@@ -146,7 +146,7 @@
     async def bring_back(self, name):
         self.system.start(name)
         self.stopped_hosts.discard(name)
-        self.disturb()
+        self.mark_disturbed()
 
 
 @fault
@@ -167,7 +167,7 @@
 async def restart_all(soak):
     """Lose the power of all hosts."""
     soak.tell('restart_all')
-    soak.disturb()
+    soak.mark_disturbed()
     await soak.system.restart_all()
 
 
@@ -178,7 +178,7 @@
     soak.system.network.cut_all()
     await soak.pause(500, 10_000)
     soak.system.network.heal()
-    soak.disturb()
+    soak.mark_disturbed()
 
 
 @fault
@@ -191,7 +191,7 @@
     soak.system.network.cut_off(name)
     await soak.pause(500, 10_000)
     soak.system.network.heal()
-    soak.disturb()
+    soak.mark_disturbed()
 
 
 @fault
@@ -204,7 +204,7 @@
     soak.system.network.cut(one, other)
     await soak.pause(500, 10_000)
     soak.system.network.heal()
-    soak.disturb()
+    soak.mark_disturbed()
 
 
 @fault
