--- a/tests/test_group_soak.py
+++ b/tests/test_group_soak.py
@@ -67,7 +67,7 @@
     def mark_disturbed(self):
         self.disturbed_ms = self.now_ms()
 
-    def draw(self):
+    def pick_host(self):
         """Return a host that runs, the leader as often as any other."""
         leading = [host.name for host in self.system.lease_holders()]
         names = sorted(self.system.running)
