--- a/tests/test_group_soak.py
+++ b/tests/test_group_soak.py
@@ -41,7 +41,7 @@
         self.random = random.Random(f'soak {seed}')
         names = [f'host{number}' for number in range(hosts)]
         self.system = group.Group(seed, names[:3])
-        self.spare = names[3:]
+        self.learners = names[3:]
         self.stopped_hosts = set()
         self.host_numbers = iter(range(hosts, 1_000))
         self.disturbed_ms = 0
@@ -80,7 +80,7 @@
 
     async def play(self):
         await self.system.bootstrap()
-        for name in self.spare:
+        for name in self.learners:
             self.system.start(name)
         loop = asyncio.get_running_loop()
         background = [
