--- a/tests/test_group_soak.py
+++ b/tests/test_group_soak.py
@@ -84,7 +84,7 @@
             self.system.start(name)
         loop = asyncio.get_running_loop()
         background = [
-            loop.create_task(self.keep_changing()),
+            loop.create_task(self.propose_changes()),
             loop.create_task(self.look_at_leases()),
         ]
         happening = []
@@ -118,7 +118,7 @@
             return len(where) == group.REGIONS == len(deciding.voters)
         return False
 
-    async def keep_changing(self):
+    async def propose_changes(self):
         while True:
             await self.system.sleep_ms(CHANGE_INTERVAL_MS)
             leader = next(iter(self.system.lease_holders()), None)
