--- a/tests/test_group_soak.py
+++ b/tests/test_group_soak.py
@@ -85,7 +85,7 @@
         loop = asyncio.get_running_loop()
         background = [
             loop.create_task(self.propose_changes()),
-            loop.create_task(self.look_at_leases()),
+            loop.create_task(self.check_leases()),
         ]
         happening = []
         for _step in range(STEPS):
@@ -134,7 +134,7 @@
                 continue
             self.acknowledged = version
 
-    async def look_at_leases(self):
+    async def check_leases(self):
         while True:
             await self.system.sleep_ms(POLL_INTERVAL_MS)
             leading = self.system.lease_holders()
