--- a/tests/test_group_soak.py
+++ b/tests/test_group_soak.py
@@ -143,7 +143,7 @@
                 held = host.voter.state.configuration.routes.version
                 assert held >= self.acknowledged, (host.name, held)
 
-    async def bring_back(self, name):
+    async def restart_stopped_host(self, name):
         self.system.start(name)
         self.stopped_hosts.discard(name)
         self.mark_disturbed()
@@ -160,7 +160,7 @@
     soak.stopped_hosts.add(name)
     await soak.system.end(name, power)
     await soak.pause(100, 6_000)
-    await soak.bring_back(name)
+    await soak.restart_stopped_host(name)
 
 
 @fault
@@ -221,7 +221,7 @@
     if with_power:
         await soak.system.restart_all()
     await soak.pause(100, 1_500)
-    await soak.bring_back(name)
+    await soak.restart_stopped_host(name)
 
 
 @fault
@@ -238,7 +238,7 @@
     seeds = [seed for seed in soak.system.seeds if seed != name]
     await soak.pause(100, 1_500)
     soak.system.seeds = [*seeds, new][-3:]
-    await soak.bring_back(new)
+    await soak.restart_stopped_host(new)
 
 
 @pytest.mark.parametrize('hosts', [3, 6])
