--- a/tests/test_group_soak.py
+++ b/tests/test_group_soak.py
@@ -243,7 +243,7 @@
 
 @pytest.mark.parametrize('hosts', [3, 6])
 @pytest.mark.parametrize('seed', range(SEEDS))
-def test_group_bears_what_it_must(seed, hosts):
+def test_group_recovers_from_overlapping_faults(seed, hosts):
     """One lease at a time, nothing acknowledged lost, a leader in the end."""
     soak = Soak(seed, hosts)
     try:
