--- a/tests/test_group_soak.py
+++ b/tests/test_group_soak.py
@@ -78,7 +78,7 @@
     async def pause(self, least_ms, most_ms):
         await self.system.sleep_ms(self.random.uniform(least_ms, most_ms))
 
-    async def play(self):
+    async def simulate(self):
         await self.system.bootstrap()
         for name in self.learners:
             self.system.start(name)
@@ -247,7 +247,7 @@
     """One lease at a time, nothing acknowledged lost, a leader in the end."""
     soak = Soak(seed, hosts)
     try:
-        group.run(soak.play())
+        group.run(soak.simulate())
     finally:
         for line in soak.event_log:
             print(*line)
