--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -24,7 +24,7 @@
 SEEDS = ['10.0.0.1:7', '10.0.0.2:7', '10.0.0.3:7']
 
 
-def kept_in(folder):
+def open_storage(folder):
     """Return the storage in a folder."""
     return storage.Storage(disk.Disk(folder))
 
@@ -32,7 +32,7 @@
 def test_seeds_write_the_same_first_entries(tmp_path):
     logs = []
     for seed in SEEDS:
-        kept = kept_in(tmp_path / seed)
+        kept = open_storage(tmp_path / seed)
         founding.bootstrap_seeds(kept, seed, SEEDS)
         logs.append([kept.entry(index) for index in (1, 2)])
         assert kept.electorate().voters[seed] == kept.meta.incarnation
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize('case', ['no seed', 'holds a log', 'was started'])
 def test_only_an_empty_disk_of_a_seed_founds(tmp_path, case):
-    kept = kept_in(tmp_path)
+    kept = open_storage(tmp_path)
     host = SEEDS[0]
     if case == 'no seed':
         host = '10.0.0.9:7'
@@ -68,7 +68,7 @@
 )
 def test_committed_entries_are_known_after_a_restart(tmp_path, case, known):
     """The note may be lost or torn, but never claims too much."""
-    kept = kept_in(tmp_path)
+    kept = open_storage(tmp_path)
     kept.save_meta()
     kept.append(
         [
@@ -87,7 +87,7 @@
     if case == 'torn':
         path = tmp_path / storage.COMMITTED
         path.write_bytes(path.read_bytes()[:-1])
-    assert kept_in(tmp_path).known_committed() == known
+    assert open_storage(tmp_path).known_committed() == known
 
 
 async def test_restart_of_all_holds_what_was_accepted(tmp_path):
