--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -512,7 +512,7 @@
         ('        self.commit(kept.known_committed())\n'),
         (''),
         (
-            'tests/test_founding.py::test_restart_of_all_holds_what_was_accepted'
+            'tests/test_founding.py::test_restart_of_all_keeps_accepted_routes'
         ),
     ),
     Switch(
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -90,7 +90,7 @@
     assert open_storage(tmp_path).known_committed() == known
 
 
-async def test_restart_of_all_holds_what_was_accepted(tmp_path):
+async def test_restart_of_all_keeps_accepted_routes(tmp_path):
     async with nodes.running(tmp_path, controls=3) as system:
         await system.put(version=7)
         leader = await system.leader()
