--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -108,7 +108,7 @@
         assert (await leader.decisions.read_routes()).version == 7
 
 
-async def test_wiped_disk_never_founds_and_is_admitted_anew(tmp_path):
+async def test_wiped_disk_never_bootstraps_and_is_readmitted(tmp_path):
     async with nodes.running(tmp_path, controls=3) as system:
         await system.put(version=3)
         lost = system.controls.pop(0)
