--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -134,7 +134,7 @@
     [(True, 0, True), (False, 0, False), (True, 2_000, False)],
     ids=['kept', 'lost', 'cold'],
 )
-async def test_restart_of_all_knows_the_endpoints_before_they_renew(
+async def test_restart_of_all_keeps_endpoints_until_they_renew(
     tmp_path, kept, warmup_left_ms, known
 ):
     async with nodes.running(tmp_path) as system:
