--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -431,7 +431,7 @@
             '            self._election_attempt_ms = self._heard_ms = self.clock.mono_ms()'
         ),
         (
-            'tests/test_founding.py::test_host_that_canvasses_may_still_vote_for_another'
+            'tests/test_founding.py::test_pre_candidate_may_still_vote_for_another'
         ),
     ),
     Switch(
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -240,7 +240,7 @@
         )
 
 
-async def test_host_that_canvasses_may_still_vote_for_another(tmp_path):
+async def test_pre_candidate_may_still_vote_for_another(tmp_path):
     """Its own canvass must not count as having heard a leader."""
     async with nodes.running(tmp_path, controls=2, entries=0) as system:
         await system.leader()
