--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -253,7 +253,7 @@
         assert not left.voter._has_leader_contact()
 
 
-async def test_read_is_refused_where_it_cannot_be_sure(tmp_path):
+async def test_read_is_refused_without_confirmation(tmp_path):
     async with nodes.running(tmp_path, controls=3) as system:
         await system.put(version=3)
         await system.leader()
