--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -309,7 +309,7 @@
 
 
 @pytest.mark.parametrize('case', ['behind', 'silent', 'never heard'])
-def test_only_a_host_that_holds_all_and_is_there_gets_a_vote(case):
+def test_only_caught_up_responsive_host_gets_a_vote(case):
     group = FakeGroup(3, {'a': 'A', 'b': 'B', 'lost': 'L'})
     known = group.followers(('b', 'B'), ('c', 'C'))
     if case == 'behind':
