--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -300,7 +300,7 @@
     assert found.before == (voters if verb == 'swap' else {})
 
 
-def test_a_change_of_places_is_ended_by_another_entry():
+def test_joint_electorate_is_ended_by_another_entry():
     new = {'a': 'A', 'b': 'B', 'c': 'C'}
     group = FakeGroup(3, new, before={'a': 'A', 'b': 'B', 'lost': 'L'})
     known = group.followers(('b', 'B'), ('c', 'C'))
