--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -386,7 +386,7 @@
         'voter unknown',
     ],
 )
-def test_voters_are_spread_again_once_they_can_be(where, change):
+def test_voter_is_replaced_to_improve_spread(where, change):
     group = FakeGroup(3, {'a': 'A', 'b': 'B', 'c': 'C'})
     assert_change_of_places(group, where, change)
 
