--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -503,7 +503,7 @@
         ('            if (self.term, self._leader_contact_ms) != before:'),
         ('            if False:'),
         (
-            'tests/test_founding.py::test_who_gave_its_vote_meanwhile_does_not_stand'
+            'tests/test_founding.py::test_host_that_voted_meanwhile_does_not_campaign'
         ),
     ),
     Switch(
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -430,7 +430,7 @@
         self.voters_limit = limit
 
 
-async def test_who_gave_its_vote_meanwhile_does_not_stand(tmp_path):
+async def test_host_that_voted_meanwhile_does_not_campaign(tmp_path):
     """Two that canvass at once must not end each other's lead."""
     async with nodes.running(tmp_path, controls=1, entries=0) as system:
         leader = await system.leader()
