--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -327,7 +327,7 @@
 )
 
 
-def assert_change_of_places(group, where, change):
+def assert_replacement(group, where, change):
     """Compare who takes whose place with what is expected, if anyone."""
     known = group.followers(*((host, host.upper()) for host in where))
     for host, location in where.items():
@@ -356,7 +356,7 @@
 )
 def test_voters_are_spread_over_regions(where, change):
     group = FakeGroup(3, {'a': 'A', 'b': 'B', 'lost': 'L'})
-    assert_change_of_places(group, where, change)
+    assert_replacement(group, where, change)
 
 
 @pytest.mark.parametrize(
@@ -388,7 +388,7 @@
 )
 def test_voter_is_replaced_to_improve_spread(where, change):
     group = FakeGroup(3, {'a': 'A', 'b': 'B', 'c': 'C'})
-    assert_change_of_places(group, where, change)
+    assert_replacement(group, where, change)
 
 
 class FakeGroup:
