--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -315,7 +315,7 @@
     if case == 'behind':
         known['c'].match_index = group.commit_index - 1
     elif case == 'silent':
-        known['c'].acked_ms -= FakeTimes.election_timeout_ms + 1
+        known['c'].acked_ms -= FakeSettings.election_timeout_ms + 1
     else:
         known['c'].acked_ms = None
     assert admissions.VoterPlanner(group, 0).next_change(known) is None
@@ -401,7 +401,7 @@
         self.clock = self.group = self
         self.location = NORTH
         self.now_ms = 100_000
-        self.settings = FakeTimes(limit)
+        self.settings = FakeSettings(limit)
 
     def mono_ms(self):
         return self.now_ms
@@ -420,7 +420,7 @@
         return known
 
 
-class FakeTimes:
+class FakeSettings:
     """Be the times that a lead goes by."""
 
     replace_after_ms = 8_000
