--- a/tests/test_execution.py
+++ b/tests/test_execution.py
@@ -40,13 +40,13 @@
         self.state = state
         self.has_lease = True
         self.led_since_ms = 0
-        self._lose_at = lose_at
+        self._lose_lease_on = lose_at
         self._index = state.index
 
     async def propose(self, entry):
         self._index += 1
         applied = self.state.apply(self._index, entry)
-        if isinstance(entry, self._lose_at):
+        if isinstance(entry, self._lose_lease_on):
             self.has_lease = False
         return applied
 
