--- a/tests/test_execution.py
+++ b/tests/test_execution.py
@@ -81,7 +81,7 @@
         return msgspec.json.encode({'models': self._models})
 
 
-def executor(lose_at=(), fenced=True, **control):
+def make_executor(lose_at=(), fenced=True, **control):
     """Return an executor with one confirmed load to carry out."""
     made = fleet.deployment(regions=('north',), control=control)
     made['endpoints'][0]['fenced'] = fenced
@@ -114,14 +114,14 @@
 
 async def test_lease_lost_after_the_number_was_committed():
     """The last look at the lease comes after every wait."""
-    made, voter, dispatcher, _clock = executor(entries.IssueOrder)
+    made, voter, dispatcher, _clock = make_executor(entries.IssueOrder)
     await made._execute_step(voter.state.plans['p1'])
     assert dispatcher.sent == []
     assert voter.state.plans['p1'].current is not None
 
 
 async def test_order_carries_the_index_that_allows_it():
-    made, voter, dispatcher, _clock = executor()
+    made, voter, dispatcher, _clock = make_executor()
     await made._execute_step(voter.state.plans['p1'])
     ((number, _at_ms),) = dispatcher.sent
     assert number > voter.state.plans['p1'].confirmed_index
@@ -131,7 +131,7 @@
 
 
 async def test_loads_are_spaced_for_the_weight_store():
-    made, voter, dispatcher, _clock = executor(weight_loads_per_minute=6)
+    made, voter, dispatcher, _clock = make_executor(weight_loads_per_minute=6)
     for name in ('p1', 'p2'):
         await made._execute_step(voter.state.plans[name])
     (_one, first_ms), (_two, second_ms) = dispatcher.sent
@@ -142,7 +142,7 @@
 async def test_old_leader_is_waited_out_where_numbers_are_ignored(
     fenced, waits
 ):
-    made, voter, dispatcher, clock = executor(
+    made, voter, dispatcher, clock = make_executor(
         fenced=fenced, election_timeout_ms=2000, order_timeout_ms=5000
     )
     voter.led_since_ms = clock.now_ms
@@ -153,7 +153,7 @@
 
 
 async def test_order_that_does_not_show_is_a_failed_step():
-    made, voter, dispatcher, _clock = executor()
+    made, voter, dispatcher, _clock = make_executor()
     dispatcher.models = FrozenList()
     await made._execute_step(voter.state.plans['p1'])
     plan = voter.state.plans['p1']
