--- a/tests/test_execution.py
+++ b/tests/test_execution.py
@@ -154,7 +154,7 @@
 
 async def test_order_that_does_not_show_is_a_failed_step():
     made, voter, dispatcher, _clock = make_executor()
-    dispatcher.models = FrozenList()
+    dispatcher.models = ReadOnlyList()
     await made._execute_step(voter.state.plans['p1'])
     plan = voter.state.plans['p1']
     assert plan.state is plans.PlanState.FAILED
@@ -167,7 +167,7 @@
     assert 'model-1' not in endpoint.models
 
 
-class FrozenList(list):
+class ReadOnlyList(list):
     """Take nothing in."""
 
     def append(self, _item):
