--- a/tests/test_execution.py
+++ b/tests/test_execution.py
@@ -139,9 +139,7 @@
 
 
 @pytest.mark.parametrize('fenced, waits', [(True, False), (False, True)])
-async def test_old_leader_is_waited_out_where_numbers_are_ignored(
-    fenced, waits
-):
+async def test_old_leader_is_waited_out_for_unfenced_endpoints(fenced, waits):
     made, voter, dispatcher, clock = make_executor(
         fenced=fenced, election_timeout_ms=2000, order_timeout_ms=5000
     )
