--- a/tests/test_execution.py
+++ b/tests/test_execution.py
@@ -150,7 +150,7 @@
     assert (at_ms - started_ms >= 7000) == waits
 
 
-async def test_order_that_does_not_show_is_a_failed_step():
+async def test_order_that_is_not_read_back_fails_the_step():
     made, voter, dispatcher, _clock = make_executor()
     dispatcher.models = ReadOnlyList()
     await made._execute_step(voter.state.plans['p1'])
