--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -12,7 +12,7 @@
 from wrenspoke.transport import errors
 from wrenspoke.transport import links
 
-ANOTHER_TRY = 100_000
+RETRY_NUMBER_OFFSET = 100_000
 CONTROLS = ('control-1', 'control-2', 'control-3')
 
 
@@ -46,7 +46,7 @@
         confirmed = await operator.confirm(number + 1, plan)
         if confirmed.body['answer']['verdict'] != 'moved_on':
             return confirmed
-        number += ANOTHER_TRY
+        number += RETRY_NUMBER_OFFSET
 
 
 async def in_force(running, index, hosts=('north-1', 'south-1')):
