--- a/benches/decisions.py
+++ b/benches/decisions.py
@@ -42,7 +42,7 @@
                     running.kill(victim)
                     running.start_control(victim)
                     kills += 1
-                intent = test_control.limit(f'team-{number}', number + 1)
+                intent = test_control.limit_intent(f'team-{number}', number + 1)
                 answer = await test_control.change(
                     operator, 2 * number, intent
                 )
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -16,7 +16,7 @@
 CONTROLS = ('control-1', 'control-2', 'control-3')
 
 
-def limit(team, rate):
+def limit_intent(team, rate):
     """Return the intent to set a team's limit."""
     return {
         'type': 'change_limit',
@@ -95,10 +95,10 @@
 
 async def test_same_number_gets_the_same_answer(running):
     operator = running.operator()
-    intent = limit('blue', 5)
+    intent = limit_intent('blue', 5)
     first = await operator.plan(1, intent)
     assert (await operator.plan(1, intent)).body == first.body
-    other = await operator.plan(1, limit('blue', 6))
+    other = await operator.plan(1, limit_intent('blue', 6))
     assert other.status == 409
     plan = first.body['answer']['plan']
     confirmed = await operator.confirm(2, plan)
@@ -106,13 +106,14 @@
     assert again.body['answer'] == confirmed.body['answer']
     # Another operator's numbers are their own.
     second = running.operator(fleet.TOKEN + '2')
-    assert (await second.plan(1, limit('red', 1))).status == 200
+    assert (await second.plan(1, limit_intent('red', 1))).status == 200
 
 
 async def test_race_of_operators_has_one_winner(running):
     one, two = running.operator(), running.operator(fleet.TOKEN + '2')
     made = await asyncio.gather(
-        one.plan(1, limit('blue', 1)), two.plan(1, limit('blue', 2))
+        one.plan(1, limit_intent('blue', 1)),
+        two.plan(1, limit_intent('blue', 2)),
     )
     plans = [answer.body['answer']['plan'] for answer in made]
     ended = await asyncio.gather(
@@ -130,7 +131,7 @@
         ({'type': 'drain'}, 'endpoint'),
         ({'type': 'fly'}, 'type'),
         ({'type': 'undrain', 'endpoint': 'north-chat-1'}, 'active'),
-        (limit('blue', 0), 'requests_per_s'),
+        (limit_intent('blue', 0), 'requests_per_s'),
         ({'type': 'load_model', 'endpoint': 'north-records-1',
           'model': 'm'}, 'engine'),
     ],
@@ -142,7 +143,7 @@
 
 
 async def test_unknown_token_is_refused(running):
-    answer = await running.operator('wrong').plan(1, limit('a', 1))
+    answer = await running.operator('wrong').plan(1, limit_intent('a', 1))
     assert answer.status == 401
 
 
@@ -183,7 +184,9 @@
                 running.kill(victim)
                 running.start_control(victim)
             team, rate = f'team-{number}', number + 1
-            answer = await change(operator, 2 * number, limit(team, rate))
+            answer = await change(
+                operator, 2 * number, limit_intent(team, rate)
+            )
             assert answer.status == 200, answer
             accepted[team] = rate
         index = answer.body['answer']['index']
@@ -212,7 +215,7 @@
 ):
     operator = running.operator()
     for number in range(5):
-        await change(operator, 10 * number, limit(f't{number}', 1))
+        await change(operator, 10 * number, limit_intent(f't{number}', 1))
     old = await running.control_status('control-2')
     running.kill('control-2')
     running.wipe('control-2')
@@ -231,7 +234,7 @@
     second = leader if leader != 'control-2' else 'control-1'
     running.kill(second)
     running.wipe(second)
-    answer = await change(operator, 1000, limit('after', 1))
+    answer = await change(operator, 1000, limit_intent('after', 1))
     assert answer.status == 200
     survivors = [host for host in CONTROLS if host != second]
     for host in survivors:
@@ -248,7 +251,7 @@
     import shutil
 
     operator = running.operator()
-    await change(operator, 1, limit('before', 1))
+    await change(operator, 1, limit_intent('before', 1))
     running.kill('control-3')
     folder = tmp_path / 'data' / 'control-3'
     copy = tmp_path / 'copy'
@@ -260,7 +263,7 @@
         return running.log('control-3').count('event=cleared') >= 2
 
     await fleet.until(cleared, 'the second start')
-    await change(operator, 10, limit('after', 1))
+    await change(operator, 10, limit_intent('after', 1))
     running.kill('control-3')
     shutil.rmtree(folder)
     shutil.copytree(copy, folder)
@@ -279,7 +282,7 @@
     running.isolate(leader)
     new = await running.leader(*others)
     operator = running.operator(hosts=others)
-    answer = await change(operator, 1, limit('new', 1))
+    answer = await change(operator, 1, limit_intent('new', 1))
     assert answer.status == 200
 
     async def no_lease():
@@ -305,7 +308,7 @@
 async def test_configuration_never_goes_back(running):
     """Through restarts without a disk, cut off from control or not."""
     operator = running.operator()
-    answer = await change(operator, 1, limit('one', 1))
+    answer = await change(operator, 1, limit_intent('one', 1))
     index = answer.body['answer']['index']
     await in_force(running, index)
     running.kill('north-1')
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -66,7 +66,7 @@
             runs = await running.all_runs(service)
             assert len(runs[request]) == 1
         answer = await test_control.change(
-            running.operator(), 1, test_control.limit('blue', 5)
+            running.operator(), 1, test_control.limit_intent('blue', 5)
         )
         await test_control.in_force(
             running,
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -140,7 +140,7 @@
     parts.append(planned)
     plan = planned.body['answer']['plan']
     parts.append(await operator.confirm(2, plan))
-    parts.append(await operator.plan(2, test_control.limit('a', 1)))
+    parts.append(await operator.plan(2, test_control.limit_intent('a', 1)))
     return '\n'.join(
         f'< {part.status}\n{msgspec.json.encode(part.body).decode()}\n'
         for part in parts
