--- a/benches/decisions.py
+++ b/benches/decisions.py
@@ -43,7 +43,7 @@
                     running.start_control(victim)
                     kills += 1
                 intent = test_control.limit_intent(f'team-{number}', number + 1)
-                answer = await test_control.change(
+                answer = await test_control.apply_intent(
                     operator, 2 * number, intent
                 )
                 assert answer.status == 200, answer
@@ -80,7 +80,7 @@
                     'endpoint': f'north-chat-{number}',
                     'model': 'small-2',
                 }
-                await test_control.change(operator, 10 * number, intent)
+                await test_control.apply_intent(operator, 10 * number, intent)
             old = await running.leader()
             await asyncio.sleep(1)
             running.freeze(old)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -33,7 +33,7 @@
         yield started
 
 
-async def change(operator, number, intent):
+async def apply_intent(operator, number, intent):
     """Plan and confirm; return the confirm's answer.
 
     Another plan's step may move the configuration on in between; then it
@@ -149,7 +149,7 @@
 
 async def test_model_is_loaded_by_order_and_read_back(running):
     operator = running.operator()
-    answer = await change(
+    answer = await apply_intent(
         operator,
         1,
         {
@@ -184,7 +184,7 @@
                 running.kill(victim)
                 running.start_control(victim)
             team, rate = f'team-{number}', number + 1
-            answer = await change(
+            answer = await apply_intent(
                 operator, 2 * number, limit_intent(team, rate)
             )
             assert answer.status == 200, answer
@@ -215,7 +215,9 @@
 ):
     operator = running.operator()
     for number in range(5):
-        await change(operator, 10 * number, limit_intent(f't{number}', 1))
+        await apply_intent(
+            operator, 10 * number, limit_intent(f't{number}', 1)
+        )
     old = await running.control_status('control-2')
     running.kill('control-2')
     running.wipe('control-2')
@@ -234,7 +236,7 @@
     second = leader if leader != 'control-2' else 'control-1'
     running.kill(second)
     running.wipe(second)
-    answer = await change(operator, 1000, limit_intent('after', 1))
+    answer = await apply_intent(operator, 1000, limit_intent('after', 1))
     assert answer.status == 200
     survivors = [host for host in CONTROLS if host != second]
     for host in survivors:
@@ -251,7 +253,7 @@
     import shutil
 
     operator = running.operator()
-    await change(operator, 1, limit_intent('before', 1))
+    await apply_intent(operator, 1, limit_intent('before', 1))
     running.kill('control-3')
     folder = tmp_path / 'data' / 'control-3'
     copy = tmp_path / 'copy'
@@ -263,7 +265,7 @@
         return running.log('control-3').count('event=cleared') >= 2
 
     await fleet.until(cleared, 'the second start')
-    await change(operator, 10, limit_intent('after', 1))
+    await apply_intent(operator, 10, limit_intent('after', 1))
     running.kill('control-3')
     shutil.rmtree(folder)
     shutil.copytree(copy, folder)
@@ -282,7 +284,7 @@
     running.isolate(leader)
     new = await running.leader(*others)
     operator = running.operator(hosts=others)
-    answer = await change(operator, 1, limit_intent('new', 1))
+    answer = await apply_intent(operator, 1, limit_intent('new', 1))
     assert answer.status == 200
 
     async def no_lease():
@@ -308,7 +310,7 @@
 async def test_configuration_never_goes_back(running):
     """Through restarts without a disk, cut off from control or not."""
     operator = running.operator()
-    answer = await change(operator, 1, limit_intent('one', 1))
+    answer = await apply_intent(operator, 1, limit_intent('one', 1))
     index = answer.body['answer']['index']
     await in_force(running, index)
     running.kill('north-1')
@@ -347,7 +349,7 @@
                 'endpoint': f'north-chat-{number}',
                 'model': 'small-2',
             }
-            answer = await change(operator, 10 * number, intent)
+            answer = await apply_intent(operator, 10 * number, intent)
             plans.append(answer.body['answer']['plan'])
         old = await running.leader()
         running.freeze(old)
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -65,7 +65,7 @@
             assert 'whole' in {one.outcome for one in results}
             runs = await running.all_runs(service)
             assert len(runs[request]) == 1
-        answer = await test_control.change(
+        answer = await test_control.apply_intent(
             running.operator(), 1, test_control.limit_intent('blue', 5)
         )
         await test_control.in_force(
