--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -49,7 +49,7 @@
         number += RETRY_NUMBER_OFFSET
 
 
-async def in_force(running, index, hosts=('north-1', 'south-1')):
+async def wait_in_force(running, index, hosts=('north-1', 'south-1')):
     """Wait until entry hosts have reached an index."""
 
     async def reached():
@@ -190,7 +190,7 @@
             assert answer.status == 200, answer
             accepted[team] = rate
         index = answer.body['answer']['index']
-        await in_force(running, index)
+        await wait_in_force(running, index)
         for host in CONTROLS:
             running.kill(host)
         for host in CONTROLS:
@@ -312,7 +312,7 @@
     operator = running.operator()
     answer = await apply_intent(operator, 1, limit_intent('one', 1))
     index = answer.body['answer']['index']
-    await in_force(running, index)
+    await wait_in_force(running, index)
     running.kill('north-1')
     running.start_entry('north-1')
     await running.wait_serving('north-1')
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -68,7 +68,7 @@
         answer = await test_control.apply_intent(
             running.operator(), 1, test_control.limit_intent('blue', 5)
         )
-        await test_control.in_force(
+        await test_control.wait_in_force(
             running,
             answer.body['answer']['index'],
             [host.host for host in entries],
--- a/tests/test_team_keys.py
+++ b/tests/test_team_keys.py
@@ -115,7 +115,7 @@
         assert (await ask('')).outcome == 'whole'
         issue = {'type': 'issue_key', 'team': 'blue', 'digest': digest}
         done = await test_control.apply_intent(operator, 1, issue)
-        await test_control.in_force(running, done.body['answer']['index'])
+        await test_control.wait_in_force(running, done.body['answer']['index'])
         assert (await ask(key)).outcome == 'whole'
         for wrong in ('', key + 'x', teams.new_key()):
             refused = await ask(wrong)
@@ -128,7 +128,7 @@
         assert key not in json.dumps(msgspec.to_builtins(shown.body))
         withdraw = {'type': 'withdraw_key', 'digest': digest}
         done = await test_control.apply_intent(operator, 3, withdraw)
-        await test_control.in_force(running, done.body['answer']['index'])
+        await test_control.wait_in_force(running, done.body['answer']['index'])
         # The last key is gone, and nobody may call.
         for wrong in ('', key):
             assert (await ask(wrong)).reason == 'unknown_key'
