--- a/benches/decisions.py
+++ b/benches/decisions.py
@@ -54,7 +54,7 @@
             await running.leader()
             await asyncio.sleep(SETTLE_S)
             held = {
-                host: len(await test_control.teams(running, host))
+                host: len(await test_control.limits_by_team(running, host))
                 for host in test_control.CONTROLS
             }
             return {'accepted': changes, 'kills': kills, 'held': held}
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -59,7 +59,7 @@
     await fleet.until(reached, f'index {index}')
 
 
-async def teams(running, host):
+async def limits_by_team(running, host):
     """Return the limits that a control host knows."""
     client = running.operator(hosts=[host])
     found = await client.show('/configuration')
@@ -199,7 +199,7 @@
         for host in CONTROLS:
 
             async def has_all(host=host):
-                found = await teams(running, host)
+                found = await limits_by_team(running, host)
                 rates = {
                     team: one['requests_per_s'] for team, one in found.items()
                 }
@@ -242,7 +242,7 @@
     for host in survivors:
 
         async def has_all(host=host):
-            found = set(await teams(running, host))
+            found = set(await limits_by_team(running, host))
             return found == {'after', *(f't{number}' for number in range(5))}
 
         await fleet.until(has_all, f'every change at {host}')
@@ -274,7 +274,9 @@
         lambda: 'event=old_disk' in running.log('control-3'), 'the notice'
     )
     await running.wait_voters(3)
-    found = await fleet.until(lambda: teams(running, 'control-3'), 'its state')
+    found = await fleet.until(
+        lambda: limits_by_team(running, 'control-3'), 'its state'
+    )
     assert set(found) >= {'before'}
 
 
