--- a/benches/decisions.py
+++ b/benches/decisions.py
@@ -106,7 +106,7 @@
 async def all_orders(running) -> dict[int, list[int]]:
     """Return the numbers that each engine obeyed."""
     return {
-        number: await test_control.orders(running, number)
+        number: await test_control.fencing_numbers(running, number)
         for number in range(1, 7)
     }
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -367,7 +367,9 @@
             return states == ['done'] * 4
 
         await fleet.until(all_done, 'the loads under the new leader')
-        before = [await orders(running, number) for number in range(1, 5)]
+        before = [
+            await fencing_numbers(running, number) for number in range(1, 5)
+        ]
         running.thaw(old)
 
         async def follows():
@@ -376,13 +378,15 @@
 
         await fleet.until(follows, 'the old leader to follow')
         await asyncio.sleep(1)
-        after = [await orders(running, number) for number in range(1, 5)]
+        after = [
+            await fencing_numbers(running, number) for number in range(1, 5)
+        ]
         assert after == before
         for numbers in after:
             assert numbers == sorted(numbers)
 
 
-async def orders(running, number):
+async def fencing_numbers(running, number):
     """Return the fencing numbers that an engine has obeyed."""
     told = await running.runs(f'north-chat-{number}')
     return [order['number'] for order in told['orders']]
