--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -136,7 +136,7 @@
           'model': 'm'}, 'engine'),
     ],
 )  # fmt: skip
-async def test_senseless_intents_are_refused(running, intent, field):
+async def test_invalid_intents_are_refused(running, intent, field):
     answer = await running.operator().plan(1, intent)
     assert answer.status == 400
     assert field in answer.body['error']['message']
