--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -201,7 +201,7 @@
         STATE + 'storage.py',
         ('        self._read_log()\n'),
         (''),
-        ('tests/test_control.py::test_restarts_forget_no_accepted_change'),
+        ('tests/test_control.py::test_restarts_keep_every_accepted_change'),
     ),
     Switch(
         'truncate keeps the file',
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -170,7 +170,7 @@
     assert orders[0]['number'] > 0
 
 
-async def test_restarts_forget_no_accepted_change(tmp_path):
+async def test_restarts_keep_every_accepted_change(tmp_path):
     """Kill random voters while changes are accepted; keep them all."""
     made = fleet.deployment(controls=3, control={'snapshot_entries': 40})
     chance = random.Random(7)
