--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -392,7 +392,7 @@
     return [order['number'] for order in told['orders']]
 
 
-async def test_unknown_key_gets_nothing(running):
+async def test_unknown_key_is_refused(running):
     """A host whose key is not in the settings is refused and logged."""
     identity = links.Identity('test', 'north-1', *links.new_keys())
     peers = [
