--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -269,14 +269,14 @@
         'wrenspoke/transport/links.py',
         ('        if self._identity.keyed and envelope.sender != host:'),
         ('        if False:'),
-        ('tests/test_control.py::test_unfit_messages_are_refused'),
+        ('tests/test_control.py::test_invalid_envelopes_are_refused'),
     ),
     Switch(
         'stale messages taken',
         'wrenspoke/transport/links.py',
         ('        if self._age_ms(envelope) > envelope.good_for_ms:'),
         ('        if False:'),
-        ('tests/test_control.py::test_unfit_messages_are_refused'),
+        ('tests/test_control.py::test_invalid_envelopes_are_refused'),
     ),
     Switch(
         'send waits inside pyzmq',
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -417,7 +417,7 @@
     ],
     ids=['other cluster', 'stale', 'posing as another'],
 )
-async def test_unfit_messages_are_refused(running, change_envelope, reason):
+async def test_invalid_envelopes_are_refused(running, change_envelope, reason):
     running.kill('north-1')
     identity = keys.read_identity(
         running.folder / 'keys',
