--- a/wrenspoke/coordination/quarantine/runs.py
+++ b/wrenspoke/coordination/quarantine/runs.py
@@ -59,10 +59,10 @@
     """Tell runs that ended their endpoint from runs that broke."""
 
     def __init__(
-        self, clock: clocks.Clock, look: Probe = reachable.is_refused
+        self, clock: clocks.Clock, probe: Probe = reachable.is_refused
     ):
         self._clock = clock
-        self._probe = look
+        self._probe = probe
         self._probe_results: dict[ids.EndpointId, _ProbeResult] = {}
 
     def start_run(
