--- a/wrenspoke/coordination/quarantine/reporter.py
+++ b/wrenspoke/coordination/quarantine/reporter.py
@@ -57,11 +57,11 @@
 
     def __init__(
         self,
-        gatherers: ListAggregators,
+        list_aggregators: ListAggregators,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
-        self._list_aggregators = gatherers
+        self._list_aggregators = list_aggregators
         self._peers = peers
         self._clock = clock
         self._local_crashes: collections.deque[LocalCrash] = collections.deque(
