--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -61,13 +61,13 @@
 
     def __init__(
         self,
-        elected: LocalVoter,
+        local_voter: LocalVoter,
         held: replica.Replica,
         hosts: ListEntryHosts,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
-        self._local_voter = elected
+        self._local_voter = local_voter
         self._replica = held
         self._list_entry_hosts = hosts
         self._peers = peers
