--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -62,13 +62,13 @@
     def __init__(
         self,
         local_voter: LocalVoter,
-        held: replica.Replica,
+        config_replica: replica.Replica,
         hosts: ListEntryHosts,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
         self._local_voter = local_voter
-        self._replica = held
+        self._replica = config_replica
         self._list_entry_hosts = hosts
         self._peers = peers
         self._clock = clock
