--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -63,13 +63,13 @@
         self,
         local_voter: LocalVoter,
         config_replica: replica.Replica,
-        hosts: ListEntryHosts,
+        list_entry_hosts: ListEntryHosts,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
         self._local_voter = local_voter
         self._replica = config_replica
-        self._list_entry_hosts = hosts
+        self._list_entry_hosts = list_entry_hosts
         self._peers = peers
         self._clock = clock
         self._instance_id = ids.new_unique()
