--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -47,14 +47,14 @@
 
     def __init__(
         self,
-        held: replica.Replica,
+        config_replica: replica.Replica,
         reporter: reporters.CrashReporter,
         peers: peer_calls.Peers,
         leaves: IsDraining,
         clock: clocks.Clock,
         look: runs.Probe = reachable.is_refused,
     ):
-        self._replica = held
+        self._replica = config_replica
         self._reporter = reporter
         self._is_draining = leaves
         self._clock = clock
