--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -50,13 +50,13 @@
         config_replica: replica.Replica,
         reporter: reporters.CrashReporter,
         peers: peer_calls.Peers,
-        leaves: IsDraining,
+        is_draining: IsDraining,
         clock: clocks.Clock,
         look: runs.Probe = reachable.is_refused,
     ):
         self._replica = config_replica
         self._reporter = reporter
-        self._is_draining = leaves
+        self._is_draining = is_draining
         self._clock = clock
         self._run_tracker = runs.RunTracker(clock, look)
         self._crash_history = ended_runs.CrashHistory(clock)
