--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -52,13 +52,13 @@
         peers: peer_calls.Peers,
         is_draining: IsDraining,
         clock: clocks.Clock,
-        look: runs.Probe = reachable.is_refused,
+        probe: runs.Probe = reachable.is_refused,
     ):
         self._replica = config_replica
         self._reporter = reporter
         self._is_draining = is_draining
         self._clock = clock
-        self._run_tracker = runs.RunTracker(clock, look)
+        self._run_tracker = runs.RunTracker(clock, probe)
         self._crash_history = ended_runs.CrashHistory(clock)
         self._recent_successes = good_ends.RecentSuccesses(clock)
         # Until when requests are held that no decision exists on.
