--- a/wrenspoke/coordination/agreement/admissions.py
+++ b/wrenspoke/coordination/agreement/admissions.py
@@ -39,8 +39,8 @@
 class VoterPlanner:
     """Find the next change of voters, as the leader sees the others."""
 
-    def __init__(self, group: LeaderState, since_ms: int):
-        self._leader_state = group
+    def __init__(self, leader_state: LeaderState, since_ms: int):
+        self._leader_state = leader_state
         self._since_ms = since_ms
 
     def next_change(self, known: Followers) -> entries.SetVoters | None:
