--- a/wrenspoke/coordination/agreement/canvass.py
+++ b/wrenspoke/coordination/agreement/canvass.py
@@ -19,12 +19,12 @@
         self,
         host: ids.HostId,
         disk: ids.Incarnation,
-        deciding: electorates.Electorate,
+        electorate: electorates.Electorate,
     ):
-        self._electorate = deciding
+        self._electorate = electorate
         self._granted = {host: disk}
         self._refused: dict[ids.HostId, str] = {}
-        self.other_voters = sorted(deciding.hosts - {host})
+        self.other_voters = sorted(electorate.hosts - {host})
 
     def record_reply(
         self, host: ids.HostId, answer: messages.VoteReply
