--- a/wrenspoke/coordination/agreement/clearance.py
+++ b/wrenspoke/coordination/agreement/clearance.py
@@ -37,13 +37,13 @@
 
     def __init__(
         self,
-        kept: storage.Storage,
+        store: storage.Storage,
         group: controls.ControlGroup,
         peers: peer_calls.Peers,
         limits: settings.ControlSettings,
         clock: clocks.Clock,
     ):
-        self._storage = kept
+        self._storage = store
         self._group = group
         self._peers = peers
         self._settings = limits
