--- a/wrenspoke/coordination/agreement/clearance.py
+++ b/wrenspoke/coordination/agreement/clearance.py
@@ -40,13 +40,13 @@
         store: storage.Storage,
         group: controls.ControlGroup,
         peers: peer_calls.Peers,
-        limits: settings.ControlSettings,
+        control_settings: settings.ControlSettings,
         clock: clocks.Clock,
     ):
         self._storage = store
         self._group = group
         self._peers = peers
-        self._settings = limits
+        self._settings = control_settings
         self._clock = clock
         self._start_id = ids.new_unique()
         self._start_counted = False
