--- a/wrenspoke/coordination/agreement/lead.py
+++ b/wrenspoke/coordination/agreement/lead.py
@@ -66,17 +66,17 @@
 
     def __init__(
         self,
-        group: LeaderNode,
+        node: LeaderNode,
         term: int,
         asked_ms: int,
         tasks: runtime.Tasks,
     ):
-        self._node = group
+        self._node = node
         self._tasks = tasks
-        self._start_index = group.storage.last_index + 1
+        self._start_index = node.storage.last_index + 1
         self._followers: dict[ids.HostId, followers.Follower] = {}
-        self._voter_planner = admissions.VoterPlanner(group, asked_ms)
-        self._electing_voters = group.electorate
+        self._voter_planner = admissions.VoterPlanner(node, asked_ms)
+        self._electing_voters = node.electorate
         self.term = term
         self.since_ms = asked_ms
         self.ended = False
