--- a/wrenspoke/coordination/agreement/lead.py
+++ b/wrenspoke/coordination/agreement/lead.py
@@ -68,17 +68,17 @@
         self,
         node: LeaderNode,
         term: int,
-        asked_ms: int,
+        vote_request_ms: int,
         tasks: runtime.Tasks,
     ):
         self._node = node
         self._tasks = tasks
         self._start_index = node.storage.last_index + 1
         self._followers: dict[ids.HostId, followers.Follower] = {}
-        self._voter_planner = admissions.VoterPlanner(node, asked_ms)
+        self._voter_planner = admissions.VoterPlanner(node, vote_request_ms)
         self._electing_voters = node.electorate
         self.term = term
-        self.since_ms = asked_ms
+        self.since_ms = vote_request_ms
         self.ended = False
 
     def start(self) -> None:
