--- a/wrenspoke/coordination/agreement/direct.py
+++ b/wrenspoke/coordination/agreement/direct.py
@@ -25,8 +25,8 @@
 class DirectDecisions:
     """Take operators' decisions on a control host."""
 
-    def __init__(self, elected: voter.Voter, clock: clocks.Clock):
-        self._voter = elected
+    def __init__(self, local_voter: voter.Voter, clock: clocks.Clock):
+        self._voter = local_voter
         self._clock = clock
 
     async def replace_routes(
