--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -69,7 +69,7 @@
         self,
         host: ids.HostId,
         deployment: settings.Deployment,
-        elected: voter.Voter,
+        local_voter: voter.Voter,
         dispatcher: dispatch.Dispatcher,
         clock: clocks.Clock,
     ):
@@ -79,7 +79,7 @@
         for entry in deployment.with_role('entry'):
             known = self._data_centres.setdefault(entry.region, set())
             known.add(entry.data_centre)
-        self._voter = elected
+        self._voter = local_voter
         self._dispatcher = dispatcher
         self._clock = clock
         self._standings: dict[ids.DataCentreId, ReceivedStatus] = {}
