--- a/wrenspoke/coordination/agreement/control.py
+++ b/wrenspoke/coordination/agreement/control.py
@@ -44,7 +44,7 @@
     def __init__(
         self,
         deployment: settings.Deployment,
-        elected: voter.Voter,
+        local_voter: voter.Voter,
         executor: execution.Executor,
         held: replica.Replica,
         peers: peer_calls.Peers,
@@ -54,7 +54,7 @@
             host.host: f'http://{host.ip}:{host.operator_port}'
             for host in deployment.with_role('control')
         }
-        self._voter = elected
+        self._voter = local_voter
         self._executor = executor
         self._replica = held
         self._clock = clock
