--- a/wrenspoke/coordination/agreement/control.py
+++ b/wrenspoke/coordination/agreement/control.py
@@ -46,7 +46,7 @@
         deployment: settings.Deployment,
         local_voter: voter.Voter,
         executor: execution.Executor,
-        held: replica.Replica,
+        config_replica: replica.Replica,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
@@ -56,7 +56,7 @@
         }
         self._voter = local_voter
         self._executor = executor
-        self._replica = held
+        self._replica = config_replica
         self._clock = clock
         self._peers = peers
         self._relays: dict[ids.HostId, int] = {}
