--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -94,7 +94,7 @@
         host: ids.HostId,
         location: locations.Location,
         group: controls.ControlGroup,
-        limits: settings.ControlSettings,
+        control_settings: settings.ControlSettings,
         kept: storage.Storage,
         peers: peer_calls.Peers,
         held: replica.Replica,
@@ -103,7 +103,7 @@
         self.host = host
         self.location = location
         self.group = group
-        self.settings = limits
+        self.settings = control_settings
         self.storage = kept
         self._peers = peers
         self._replica = held
@@ -121,7 +121,7 @@
         # accepted than what is committed here.
         self._confirmed_ms: int | None = None
         self._rollback_check = clearance.RollbackCheck(
-            kept, group, peers, limits, clock
+            kept, group, peers, control_settings, clock
         )
         self.role = Role.FOLLOWER
         self.leader: ids.HostId | None = None
