--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -95,7 +95,7 @@
         location: locations.Location,
         group: controls.ControlGroup,
         control_settings: settings.ControlSettings,
-        kept: storage.Storage,
+        store: storage.Storage,
         peers: peer_calls.Peers,
         held: replica.Replica,
         clock: clocks.Clock,
@@ -104,7 +104,7 @@
         self.location = location
         self.group = group
         self.settings = control_settings
-        self.storage = kept
+        self.storage = store
         self._peers = peers
         self._replica = held
         self.clock = clock
@@ -121,14 +121,14 @@
         # accepted than what is committed here.
         self._confirmed_ms: int | None = None
         self._rollback_check = clearance.RollbackCheck(
-            kept, group, peers, control_settings, clock
+            store, group, peers, control_settings, clock
         )
         self.role = Role.FOLLOWER
         self.leader: ids.HostId | None = None
-        self.commit_index = kept.snapshot.index
+        self.commit_index = store.snapshot.index
         self.state = replicated.ReplicatedState()
         self._load_snapshot()
-        self.commit(kept.known_committed())
+        self.commit(store.known_committed())
         peers.answers(messages.AskVote)(self._handle_vote_request)
         peers.answers(messages.Append)(self._handle_append)
         peers.answers(messages.Install)(self._handle_install)
