--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -97,7 +97,7 @@
         control_settings: settings.ControlSettings,
         store: storage.Storage,
         peers: peer_calls.Peers,
-        held: replica.Replica,
+        config_replica: replica.Replica,
         clock: clocks.Clock,
     ):
         self.host = host
@@ -106,7 +106,7 @@
         self.settings = control_settings
         self.storage = store
         self._peers = peers
-        self._replica = held
+        self._replica = config_replica
         self.clock = clock
         self._tasks = runtime.Tasks()
         self._leadership_tasks = runtime.Tasks()
