--- a/tests/attending_fleet.py
+++ b/tests/attending_fleet.py
@@ -132,7 +132,7 @@
     """Hold entry hosts, control hosts and endpoints of one system."""
 
     def __init__(self, entries, endpoints):
-        self.network = group.Network(seed=1, travel_ms=TRAVEL_MS, jitter_ms=1)
+        self.network = group.Network(seed=1, latency_ms=TRAVEL_MS, jitter_ms=1)
         self.control_names = [f'10.9.0.{n}:7000' for n in range(CONTROLS)]
         self.entry_names = [
             f'10.{n // 200}.1.{n % 200}:7000' for n in range(entries)
--- a/tests/group.py
+++ b/tests/group.py
@@ -124,9 +124,9 @@
 class Network:
     """Carry messages between hosts, unless they are cut off."""
 
-    def __init__(self, seed, travel_ms=LATENCY_MS, jitter_ms=JITTER_MS):
+    def __init__(self, seed, latency_ms=LATENCY_MS, jitter_ms=JITTER_MS):
         self._random = random.Random(seed)
-        self._latency_ms = travel_ms
+        self._latency_ms = latency_ms
         self._jitter_ms = jitter_ms
         self._cut = set()
         self.hosts = {}
--- a/tests/stated_fleet.py
+++ b/tests/stated_fleet.py
@@ -215,7 +215,7 @@
 
     def __init__(self, hosts, engines=3, seed=1, make=AskingHost):
         self.random = random.Random(seed)
-        self.network = LossyNetwork(seed, travel_ms=1, jitter_ms=1)
+        self.network = LossyNetwork(seed, latency_ms=1, jitter_ms=1)
         self.make = make
         self.engines = [Engine(f'e{number}') for number in range(engines)]
         self.names = [f'10.0.{n // 200}.{n % 200}:1' for n in range(hosts)]
--- a/tests/test_sent_calls.py
+++ b/tests/test_sent_calls.py
@@ -59,7 +59,7 @@
     """Hold the hosts of one region."""
 
     def __init__(self, hosts):
-        self.network = group.Network(1, travel_ms=1, jitter_ms=1)
+        self.network = group.Network(1, latency_ms=1, jitter_ms=1)
         self.names = [f'10.1.{n // 200}.{n % 200}:1' for n in range(hosts)]
         self.hosts = [Host(self, name) for name in self.names]
 
