--- a/tests/group.py
+++ b/tests/group.py
@@ -250,15 +250,15 @@
         self.peers.answers(attending.Exchange)(self._answer_exchange)
         self._group = controls.ControlGroup(name, seeds, clock)
         self._tasks = runtime.Tasks()
-        kept = storage.Storage(disk)
+        store = storage.Storage(disk)
         if first_start:
-            founding.bootstrap_seeds(kept, name, seeds)
+            founding.bootstrap_seeds(store, name, seeds)
         self.voter = voter.Voter(
             name,
             location,
             self._group,
             limits,
-            kept,
+            store,
             self.peers,
             replica.Replica(),
             clock,
