--- a/tests/test_execution.py
+++ b/tests/test_execution.py
@@ -36,11 +36,11 @@
 class FakeVoter:
     """Commit at once; lose the lease when told to."""
 
-    def __init__(self, state, lose_at):
+    def __init__(self, state, lose_lease_on):
         self.state = state
         self.has_lease = True
         self.led_since_ms = 0
-        self._lose_lease_on = lose_at
+        self._lose_lease_on = lose_lease_on
         self._index = state.index
 
     async def propose(self, entry):
