--- a/features/steps/promise_steps.py
+++ b/features/steps/promise_steps.py
@@ -19,13 +19,13 @@
 OTHER = {'north': 'south', 'south': 'north'}
 
 
-@behave.passed('two regions with two entry hosts each, behind links')
+@behave.given('two regions with two entry hosts each, behind links')
 def step_two_behind_links(context):
     made = fleet.deployment(entries=2)
     run(context, start(context, made, relays=True, token_ms=20))
 
 
-@behave.passed('two regions with an entry host each and a control host')
+@behave.given('two regions with an entry host each and a control host')
 def step_with_control(context):
     run(context, start(context, fleet.deployment(controls=1)))
 
@@ -38,7 +38,7 @@
     run(context, isolate())
 
 
-@behave.add_action('a driver in "{region}" gets a whole answer')
+@behave.then('a driver in "{region}" gets a whole answer')
 def step_driver_served(context, region):
     async def ask():
         return await context.fleet.caller(f'{region}-1').chat(CHAT)
@@ -47,7 +47,7 @@
     assert (result.outcome, result.text) == ('whole', WHOLE), result
 
 
-@behave.add_action(
+@behave.then(
     'a member of the other region is told at "{region}" that it was not run'
 )
 def step_member_told(context, region):
@@ -82,13 +82,13 @@
     context.result = run(context, send())
 
 
-@behave.add_action('the driver is told that it was not run')
+@behave.then('the driver is told that it was not run')
 def step_told_not_run(context):
     assert context.result.outcome == 'not_run', context.result
     assert context.result.headers['Retry-After']
 
 
-@behave.add_action('no service has run it')
+@behave.then('no service has run it')
 def step_no_service(context):
     async def ran():
         return await context.fleet.runs(f'{OTHER[context.region]}-records-1')
@@ -111,7 +111,7 @@
     context.index = confirmed.body['answer']['index']
 
 
-@behave.add_action('the plan is done')
+@behave.then('the plan is done')
 def step_plan_done(context):
     async def wait():
         operator = context.fleet.operator()
@@ -125,9 +125,7 @@
     run(context, wait())
 
 
-@behave.add_action(
-    'a chat asked for at "{host}" is whole and served elsewhere'
-)
+@behave.then('a chat asked for at "{host}" is whole and served elsewhere')
 def step_served_elsewhere(context, host):
     async def ask():
         return await context.fleet.caller(host).chat(CHAT)
@@ -156,13 +154,13 @@
     context.results = run(context, play())
 
 
-@behave.add_action('every stream ends whole')
+@behave.then('every stream ends whole')
 def step_all_whole(context):
     for result in context.results:
         assert (result.outcome, result.text) == ('whole', WHOLE), result
 
 
-@behave.add_action('every entry host holds it, also after each is restarted')
+@behave.then('every entry host holds it, also after each is restarted')
 def step_all_hold(context):
     async def check():
         running = context.fleet
--- a/features/steps/request_steps.py
+++ b/features/steps/request_steps.py
@@ -25,7 +25,7 @@
     context.fleet = await context.running.__aenter__()
 
 
-@behave.passed('two regions with an entry host each')
+@behave.given('two regions with an entry host each')
 def step_two_regions(context):
     run(context, start(context, fleet.deployment()))
 
@@ -48,7 +48,7 @@
     context.result = run(context, ask())
 
 
-@behave.add_action('the whole answer comes from an engine in "{home}"')
+@behave.then('the whole answer comes from an engine in "{home}"')
 def step_whole(context, home):
     words = engine.answer_words(MESSAGES, engine.DEFAULT_TOKENS)
     assert context.result.outcome == 'whole', context.result
@@ -57,7 +57,7 @@
     assert found[context.request] == [f'{home}-chat-1']
 
 
-@behave.add_action('no engine elsewhere has run it')
+@behave.then('no engine elsewhere has run it')
 def step_nowhere_else(context):
     found = run(context, context.fleet.all_runs('chat'))
     assert len(found[context.request]) == 1
@@ -75,14 +75,14 @@
     context.results = [run(context, send()) for _time in range(2)]
 
 
-@behave.add_action('both answers are the same')
+@behave.then('both answers are the same')
 def step_same(context):
     first, second = context.results
     assert first.outcome == second.outcome == 'whole', context.results
     assert first.body == second.body
 
 
-@behave.add_action('the service has run it once')
+@behave.then('the service has run it once')
 def step_once(context):
     found = run(context, context.fleet.all_runs('records'))
     assert found[context.request] == ['north-records-1']
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -239,7 +239,7 @@
     deadline=None,
     suppress_health_check=[hypothesis.HealthCheck.differing_executors],
 )
-@hypothesis.passed(
+@hypothesis.given(
     body=hypothesis.strategies.binary(max_size=60)
     | hypothesis.strategies.builds(
         lambda changes, cut: json.dumps({**HEARTBEAT, **changes}).encode()[
@@ -265,7 +265,7 @@
 
 
 @hypothesis.settings(max_examples=300, deadline=None)
-@hypothesis.passed(
+@hypothesis.given(
     changes=hypothesis.strategies.dictionaries(
         hypothesis.strategies.sampled_from(
             ['version', 'routes', 'services', 'limits', 'tenants']
--- a/tests/test_advertised.py
+++ b/tests/test_advertised.py
@@ -95,7 +95,7 @@
 )
 
 
-@hypothesis.passed(
+@hypothesis.given(
     strategies.lists(WORDS, max_size=3), strategies.none() | WORDS
 )
 def test_any_retry_after_is_read_or_refused(texts, sent):
@@ -173,7 +173,7 @@
     )
 
 
-@hypothesis.passed(
+@hypothesis.given(
     strategies.sampled_from(advertised.Origin),
     strategies.integers(100, 599),
     strategies.lists(WORDS, max_size=2),
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -9,7 +9,7 @@
 STREAM = b'id: 1\ndata: one\n\nid: 2\r\ndata: two\r\n\r\nid: 3\ndata: x\n\n'
 
 
-@hypothesis.passed(
+@hypothesis.given(
     cuts=strategies.lists(strategies.integers(0, len(STREAM)), max_size=8),
     whole_only=strategies.booleans(),
 )
--- a/tests/test_far.py
+++ b/tests/test_far.py
@@ -65,7 +65,7 @@
 
     for _answer in range(2):
         began_ms = north.clock.mono_ms()
-        await nodes.until(lambda start_run=began_ms: answered_since(start_run))
+        await nodes.until(lambda began=began_ms: answered_since(began))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_numerals.py
+++ b/tests/test_numerals.py
@@ -39,7 +39,7 @@
     assert numerals.decimal(text) == decimal
 
 
-@hypothesis.passed(strategies.text())
+@hypothesis.given(strategies.text())
 def test_any_text_is_a_number_or_none(text):
     for found in (numerals.whole(text), numerals.decimal(text)):
         assert found is None or 0 <= found < 10**18
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -24,7 +24,7 @@
 
 
 @hypothesis.settings(derandomize=True, max_examples=200, deadline=None)
-@hypothesis.passed(
+@hypothesis.given(
     asks=strategies.lists(
         strategies.tuples(
             strategies.sampled_from(HOSTS),
--- a/tests/test_stated_limits.py
+++ b/tests/test_stated_limits.py
@@ -45,7 +45,7 @@
         rates.read([text])
 
 
-@hypothesis.passed(strategies.lists(strategies.text(max_size=40), max_size=4))
+@hypothesis.given(strategies.lists(strategies.text(max_size=40), max_size=4))
 def test_any_text_is_a_rate_or_told(texts):
     try:
         rate_per_s = rates.read(texts)
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -183,7 +183,7 @@
 
 
 @hypothesis.settings(derandomize=True, max_examples=100)
-@hypothesis.passed(
+@hypothesis.given(
     bodies=strategies.lists(strategies.binary(min_size=1), max_size=5),
     cut=strategies.integers(0, 40),
 )
--- a/wrenspoke/coordination/membership/askers.py
+++ b/wrenspoke/coordination/membership/askers.py
@@ -166,6 +166,6 @@
     if length * length < len(hosts):
         length += 1
     return [
-        hosts[start_run : start_run + length]
-        for start_run in range(0, len(hosts), max(length, 1))
+        hosts[began : began + length]
+        for began in range(0, len(hosts), max(length, 1))
     ]
