--- a/benches/elections.py
+++ b/benches/elections.py
@@ -39,8 +39,8 @@
 @mishap('leader lost')
 async def lose_leader(system: group.Group) -> None:
     """End the host that leads."""
-    leader = await system.leader()
-    await system.end(leader.name)
+    leader = await system.wait_for_leader()
+    await system.stop_host(leader.name)
 
 
 @mishap('power lost')
--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -428,7 +428,7 @@
         DECISIONS + 'agreement/voter.py',
         ('            self._election_attempt_ms = self.clock.mono_ms()'),
         (
-            '            self._election_attempt_ms = self._heard_ms = self.clock.mono_ms()'
+            '            self._election_attempt_ms = self._leader_contact_ms = self.clock.mono_ms()'
         ),
         (
             'tests/test_founding.py::test_pre_candidate_may_still_vote_for_another'
--- a/tests/attending_fleet.py
+++ b/tests/attending_fleet.py
@@ -49,7 +49,7 @@
 
     async def _deliver_call(self, host, body, answered):
         self._count(host, body)
-        await super()._carry(host, body, answered)
+        await super()._deliver_call(host, body, answered)
 
     async def handle(self, sender, body):
         answer = await super().handle(sender, body)
@@ -60,7 +60,7 @@
 class Leading:
     """Stand in for a voter that leads."""
 
-    has_lease = led = True
+    has_lease = has_leader = True
     confirmed_age_ms = 0
     leader = None
     term = 1
--- a/tests/group.py
+++ b/tests/group.py
@@ -199,7 +199,7 @@
         return register
 
     async def call(self, host, message, timeout_ms):
-        self._network.watch(self.host, host, message)
+        self._network.on_message(self.host, host, message)
         body = self._encoder.encode(message)
         answered = asyncio.get_running_loop().create_future()
         task = asyncio.ensure_future(self._deliver_call(host, body, answered))
@@ -212,13 +212,13 @@
             raise protocol_errors.NoAnswerError(host, sent=True) from error
 
     async def _deliver_call(self, host, body, answered):
-        if not await self._network.travel(self.host, host):
+        if not await self._network.transmit(self.host, host):
             return
         there = self._network.hosts.get(host)
         if there is None:
             return
         answer = await there.handle(self.host, body)
-        if there.ended or not await self._network.travel(host, self.host):
+        if there.closed or not await self._network.transmit(host, self.host):
             return
         if not answered.done():
             answered.set_result(answer)
--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -37,7 +37,7 @@
     def __init__(self, state):
         self.has_lease = False
         self.leader = None
-        self.led_since_ms = 0
+        self.leader_since_ms = 0
         self.state = state
 
     async def propose(self, entry):
@@ -158,7 +158,7 @@
         self._term += 1
         if name is not None:
             self.voters[name].has_lease = True
-            self.voters[name].led_since_ms = group.LoopClock().mono_ms()
+            self.voters[name].leader_since_ms = group.LoopClock().mono_ms()
 
     def lead_of(self, host):
         """Return who leads, as hosts are told by the control host near by."""
--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -110,7 +110,7 @@
         if not fatal:
             self.guard.mark_succeeded(run)
             return True
-        self._fleet.ended.add(endpoint)
+        self._fleet.crashed_endpoints.add(endpoint)
         await self.guard.handle_broken_run(run)
         return True
 
@@ -125,7 +125,7 @@
     lost_share = 0.0
 
     async def transmit(self, one, other):
-        arrived = await super().travel(one, other)
+        arrived = await super().transmit(one, other)
         return arrived and self._random.random() >= self.lost_share
 
 
@@ -255,7 +255,7 @@
         return [
             host.name
             for host in self.hosts.values()
-            if host.guard.held_ms(digest) is not None
+            if host.guard.remaining_hold_ms(digest) is not None
         ]
 
     def sent_totals(self):
--- a/tests/stated_fleet.py
+++ b/tests/stated_fleet.py
@@ -118,10 +118,10 @@
         return len(body)
 
     async def _deliver(self, host, body):
-        if not await self._network.travel(self.host, host):
+        if not await self._network.transmit(self.host, host):
             return
         there = self._network.hosts.get(host)
-        if there is not None and not there.ended:
+        if there is not None and not there.closed:
             await there.hear(self.host, body)
 
     async def hear(self, sender, body):
@@ -136,7 +136,7 @@
     lost_share = 0.0
 
     async def transmit(self, one, other):
-        arrived = await super().travel(one, other)
+        arrived = await super().transmit(one, other)
         return arrived and self._random.random() >= self.lost_share
 
 
--- a/tests/test_attending_fleet.py
+++ b/tests/test_attending_fleet.py
@@ -243,7 +243,7 @@
 class Cut:
     """Stand in for a voter that is cut off from the leader."""
 
-    has_lease = led = False
+    has_lease = has_leader = False
     confirmed_age_ms = leader = None
     term = 1
 
--- a/tests/test_execution.py
+++ b/tests/test_execution.py
@@ -39,7 +39,7 @@
     def __init__(self, state, lose_lease_on):
         self.state = state
         self.has_lease = True
-        self.led_since_ms = 0
+        self.leader_since_ms = 0
         self._lose_lease_on = lose_lease_on
         self._index = state.index
 
@@ -143,7 +143,7 @@
     made, voter, dispatcher, clock = make_executor(
         fenced=fenced, election_timeout_ms=2000, order_timeout_ms=5000
     )
-    voter.led_since_ms = clock.now_ms
+    voter.leader_since_ms = clock.now_ms
     started_ms = clock.now_ms
     await made._execute_step(voter.state.plans['p1'])
     ((_number, at_ms),) = dispatcher.sent
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -441,11 +441,11 @@
         async def canvass(pre):
             asked.append(pre)
             # A vote for another is given while this one still asks.
-            elected._heard_ms = elected.clock.mono_ms()
+            elected._leader_contact_ms = elected.clock.mono_ms()
             return True
 
         elected._request_votes = canvass
         elected._step_down()
-        elected._heard_ms = elected.clock.mono_ms() - 10_000
+        elected._leader_contact_ms = elected.clock.mono_ms() - 10_000
         await nodes.until(lambda: asked)
         assert asked == [True] and elected.term == term
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -31,7 +31,7 @@
         self._actions = []
         kept = [host.voter.storage for host in system.running.values()]
         self._newest = max(one.last_index for one in kept)
-        system.network.watch = self
+        system.network.on_message = self
 
     def add_action(self, action):
         """Do this as the next change is sent."""
@@ -62,10 +62,10 @@
 async def lose_host(system, lost, how):
     """Lose a host or its disk; return the name that takes its place."""
     if how == 'wiped':
-        await system.wipe(lost)
+        await system.wipe_host(lost)
         return lost
     system.locations['new'] = system.location(lost)
-    await system.remove(lost)
+    await system.delete_host(lost)
     system.seeds = [name for name in system.seeds if name != lost] + ['new']
     await system.sleep_ms(1_000)
     system.start('new')
@@ -203,7 +203,7 @@
     lost = []
     monkeypatch.setattr(
         canvass.VoteTally,
-        'tell_lost',
+        'log_lost',
         lambda _self, asked, _silence_ms: lost.append(asked),
     )
     group.run(play())
@@ -247,7 +247,7 @@
             leader.name, heartbeat_message(voter, other)
         )
         assert voter._confirmed_ms == known_ms
-        own = messages.Moment(voter._life, later_ms)
+        own = messages.Moment(voter._instance_id, later_ms)
         await voter._handle_append(leader.name, heartbeat_message(voter, own))
         assert voter._confirmed_ms == later_ms
         await system.close()
@@ -259,7 +259,7 @@
     async def play():
         system = group.Group()
         leader, voter, known_ms = await confirmed_follower(system)
-        moment = messages.Moment(voter._life, known_ms + 5_000)
+        moment = messages.Moment(voter._instance_id, known_ms + 5_000)
         await voter._handle_append(
             leader.name, heartbeat_message(voter, moment, ahead=1)
         )
@@ -275,9 +275,9 @@
     async def play():
         system = group.Group()
         leader = await system.bootstrap()
-        follower = next(iter(leader.voter._lead._followers.values()))
+        follower = next(iter(leader.voter._leadership._followers.values()))
         await system.wait_until(lambda: follower.moment is not None)
-        lead = leader.voter._lead
+        lead = leader.voter._leadership
         assert lead._next_message(follower).confirmed == follower.moment
         system.network.cut_off(leader.name)
         await system.wait_until(lambda: not leader.voter.has_lease)
--- a/tests/test_group_soak.py
+++ b/tests/test_group_soak.py
@@ -88,7 +88,7 @@
             loop.create_task(self.check_leases()),
         ]
         happening = []
-        for _step in range(STEPS):
+        for _number in range(STEPS):
             await self.pause(0, 5_000)
             name = self.random.choice(sorted(FAULTS))
             happening.append(loop.create_task(FAULTS[name](self)))
@@ -152,13 +152,13 @@
 @fault
 async def kill(soak):
     """End a process, and start it again."""
-    name = soak.draw()
+    name = soak.pick_host()
     if name is None:
         return
     power = soak.random.random() < 0.5
-    soak.tell('kill', name, power)
+    soak.record_event('kill', name, power)
     soak.stopped_hosts.add(name)
-    await soak.system.end(name, power)
+    await soak.system.stop_host(name, power)
     await soak.pause(100, 6_000)
     await soak.restart_stopped_host(name)
 
@@ -166,7 +166,7 @@
 @fault
 async def restart_all(soak):
     """Lose the power of all hosts."""
-    soak.tell('restart_all')
+    soak.record_event('restart_all')
     soak.mark_disturbed()
     await soak.system.restart_all()
 
@@ -174,7 +174,7 @@
 @fault
 async def cut_all(soak):
     """Cut every host from every other for a while."""
-    soak.tell('cut_all')
+    soak.record_event('cut_all')
     soak.system.network.cut_all()
     await soak.pause(500, 10_000)
     soak.system.network.heal()
@@ -184,10 +184,10 @@
 @fault
 async def cut_one(soak):
     """Cut one host from all others for a while."""
-    name = soak.draw()
+    name = soak.pick_host()
     if name is None:
         return
-    soak.tell('cut_one', name)
+    soak.record_event('cut_one', name)
     soak.system.network.cut_off(name)
     await soak.pause(500, 10_000)
     soak.system.network.heal()
@@ -197,10 +197,10 @@
 @fault
 async def cut_pair(soak):
     """Cut two hosts from each other for a while."""
-    one, other = soak.draw(), soak.draw()
+    one, other = soak.pick_host(), soak.pick_host()
     if one is None or one == other:
         return
-    soak.tell('cut_pair', one, other)
+    soak.record_event('cut_pair', one, other)
     soak.system.network.cut(one, other)
     await soak.pause(500, 10_000)
     soak.system.network.heal()
@@ -210,13 +210,13 @@
 @fault
 async def wipe(soak):
     """Lose a disk, perhaps as all other hosts lose power."""
-    name = soak.draw()
+    name = soak.pick_host()
     if name is None or not soak.may_lose_disk:
         return
     with_power = soak.random.random() < 0.5
-    soak.tell('wipe', name, with_power)
+    soak.record_event('wipe', name, with_power)
     soak.stopped_hosts.add(name)
-    await soak.system.end(name)
+    await soak.system.stop_host(name)
     soak.system.disks[name].wipe()
     if with_power:
         await soak.system.restart_all()
@@ -227,14 +227,14 @@
 @fault
 async def replace(soak):
     """Lose a host for good; an empty one comes at another address."""
-    name = soak.draw()
+    name = soak.pick_host()
     if name is None or not soak.may_lose_disk:
         return
-    new = f'host{next(soak.numbers)}'
+    new = f'host{next(soak.host_numbers)}'
     soak.system.locations[new] = soak.system.location(name)
-    soak.tell('replace', name, new)
+    soak.record_event('replace', name, new)
     soak.stopped_hosts.add(new)
-    await soak.system.remove(name)
+    await soak.system.delete_host(name)
     seeds = [seed for seed in soak.system.seeds if seed != name]
     await soak.pause(100, 1_500)
     soak.system.seeds = [*seeds, new][-3:]
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -266,7 +266,7 @@
     voter = limited_fleet.Voter(state)
     voter.has_lease = True
     clock = group.LoopClock()
-    voter.led_since_ms = clock.mono_ms()
+    voter.leader_since_ms = clock.mono_ms()
     network = group.Network(1)
     peers = group.Peers('c', network)
     return allocator.Allocator(voter, peers, clock), voter
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -180,13 +180,13 @@
         self.crashes = []
         self.successes = []
 
-    def tell_holds(self, heard):
+    def set_hold_callback(self, heard):
         self.heard = heard
 
-    def ended(self, digest, endpoint):
+    def report_crash(self, digest, endpoint):
         self.crashes.append((digest, endpoint))
 
-    def cleared(self, digest):
+    def report_success(self, digest):
         self.successes.append(digest)
 
     async def close(self):
@@ -278,8 +278,8 @@
         await done.wait()
         return True
 
-    monkeypatch.setattr(host.guard._run_tracker, '_look', look)
-    monkeypatch.setattr(guards, 'LOOK_WAIT_MS', 1)
+    monkeypatch.setattr(host.guard._run_tracker, '_probe', look)
+    monkeypatch.setattr(guards, 'PROBE_WAIT_MS', 1)
     await host.crash_endpoints('a', 'b')
     left = asyncio.ensure_future(host.crash_endpoints('c'))
     await asyncio.sleep(0)
@@ -478,7 +478,9 @@
 
         async def connect_late(*arguments):
             made = await connect(*arguments)
-            host._guard._hold(quarantining.Hold(seen[-1], 3, 60_000))
+            host._guard._hold_provisionally(
+                quarantining.Hold(seen[-1], 3, 60_000)
+            )
             return made
 
         monkeypatch.setattr(fingerprints, 'digest_of', note)
--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -167,7 +167,7 @@
     await fleet.wait_ms(1_000)
     [decided] = fleet.state.configuration.quarantine.values()
     assert decided.ends == ended_runs.CRASH_THRESHOLD + 1
-    assert host.guard.held_ms(FATAL) > holds.BASE_HOLD_MS
+    assert host.guard.remaining_hold_ms(FATAL) > holds.BASE_HOLD_MS
     await fleet.close()
 
 
@@ -276,7 +276,7 @@
             for name in self._fleet.controls
             if limited_fleet.region_of(name) != self._cut_off_region
         ]
-        self._fleet.lead(self._random.choice(names))
+        self._fleet.set_leader(self._random.choice(names))
         self._mark_all_disturbed()
 
     FAULTS = (
--- a/tests/test_sent_calls.py
+++ b/tests/test_sent_calls.py
@@ -31,7 +31,7 @@
         return len(body)
 
     async def _hand_over(self, host, body):
-        if await self._network.travel(self.host, host):
+        if await self._network.transmit(self.host, host):
             there = self._network.hosts[host]
             message = there._decoder.decode(body)
             await there._answerers[type(message)](self.host, message)
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -123,7 +123,7 @@
     )
     made = lead.Leadership.__new__(lead.Leadership)
     made.ended = False
-    made._group = group
+    made._node = group
     made._start_index = 1
     made._followers = {'other': follower}
     return lambda: made.has_lease
--- a/wrenspoke/coordination/agreement/control.py
+++ b/wrenspoke/coordination/agreement/control.py
@@ -104,7 +104,7 @@
         """Bring a standing to the leader, if a plan waits for it."""
         elected = self._voter
         if elected.role is voter.Role.LEADER:
-            self._executor.hear(standing)
+            self._executor.update_status(standing)
             return
         if elected.leader is None or not elected.state.running():
             return
@@ -113,9 +113,9 @@
     async def _handle_status(
         self, _sender: ids.HostId, message: messages.PassStanding
     ) -> None:
-        self._executor.hear(message.standing)
+        self._executor.update_status(message.standing)
 
-    async def create_plan(
+    async def plan(
         self, operator: ids.OperatorId, request: operators.PlanRequest
     ) -> operators.OperatorAnswer:
         """Make a plan; the same request again gets the same answer."""
@@ -137,7 +137,7 @@
         entry = entries.MakePlan(operator, request.number, digest, plan)
         return await self._propose(entry)
 
-    async def confirm_plan(
+    async def confirm(
         self,
         operator: ids.OperatorId,
         plan: ids.PlanId,
--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -203,11 +203,11 @@
         now_ms = self._clock.mono_ms()
         for data_centre in self._data_centres.get(endpoint.region, ()):
             heard = self._standings.get(data_centre)
-            if heard is None or now_ms - heard.heard_ms > STATUS_MAX_AGE_MS:
+            if heard is None or now_ms - heard.received_ms > STATUS_MAX_AGE_MS:
                 return f'{data_centre} is not heard from'
-            if heard.standing.low_index < plan.reached_index:
+            if heard.status.low_index < plan.reached_index:
                 return f'{data_centre} has not got the change'
-            for busy in heard.standing.busy:
+            for busy in heard.status.busy:
                 if busy.endpoint == endpoint.endpoint:
                     return f'{busy.in_flight} requests in flight'
         return ''
@@ -260,7 +260,7 @@
         if found.fenced:
             return
         due_ms = (
-            self._voter.led_since_ms
+            self._voter.leader_since_ms
             + self._settings.election_timeout_ms
             + self._settings.order_timeout_ms
         )
--- a/wrenspoke/coordination/agreement/lead.py
+++ b/wrenspoke/coordination/agreement/lead.py
@@ -105,7 +105,7 @@
     def wake_replication(self) -> None:
         """Let the followers be sent what is new."""
         for follower in self._followers.values():
-            follower.more.set()
+            follower.has_new_entries.set()
 
     def quorum_acked_ms(self) -> int:
         """Return since when a majority is known to follow this leader."""
@@ -157,7 +157,7 @@
     ) -> None:
         """Keep one other control host's log equal to ours."""
         while not self.ended and self._followers.get(host) is follower:
-            follower.more.clear()
+            follower.has_new_entries.clear()
             sent_ms = self._node.clock.mono_ms()
             answer = await self._node.call(host, self._next_message(follower))
             if self.ended:
@@ -175,7 +175,7 @@
         left_ms = sent_ms + interval_ms - self._node.clock.mono_ms()
         try:
             async with clocks.timeout_ms(max(left_ms, 1)):
-                await follower.more.wait()
+                await follower.has_new_entries.wait()
         except TimeoutError:
             return
 
--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -153,7 +153,7 @@
         """Return who leads, as far as is known."""
 
     @property
-    def led_since_ms(self) -> int:
+    def leader_since_ms(self) -> int:
         """Return when the votes for this lead were asked for."""
 
     @property
@@ -193,7 +193,7 @@
         if not self._elected.has_lease:
             return await self._pass_on(sender, message)
         lender = message.lender or sender
-        self.lead_since(self._elected.led_since_ms)
+        self.lead_since(self._elected.leader_since_ms)
         if self._is_late(lender, message):
             return messages.Refusal('a later question was answered')
         self._heard_ms[lender] = self._clock.mono_ms()
--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -205,7 +205,7 @@
             hosts = self.roster.after(hosts_revision)
         return attending.Attended(
             self._voter.has_lease,
-            self._voter.led,
+            self._voter.has_leader,
             self._life,
             self.registry.revision,
             self.roster.revision,
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -70,7 +70,7 @@
         self._instance_id = ids.new_unique()
         self._tasks = runtime.Tasks()
         self.refused_count = 0
-        reporter.tell_holds(self._hold_provisionally)
+        reporter.set_hold_callback(self._hold_provisionally)
         peers.answers(quarantining.HoldOff)(self._handle_hold_off)
         peers.answers(quarantining.RunsEnded)(self._collect_crash_reports)
 
@@ -143,7 +143,7 @@
         known = self._crash_history.clear(digest)
         known |= self._provisional_until_ms.pop(digest, None) is not None
         if known or digest in self._replica.current.quarantine:
-            self._reporter.cleared(digest)
+            self._reporter.report_success(digest)
 
     async def handle_broken_run(self, run: runs.Run) -> None:
         """Check whether a run that broke off crashed its endpoint.
@@ -166,7 +166,7 @@
             run.endpoint
         ):
             return
-        self._reporter.ended(run.digest, run.endpoint)
+        self._reporter.report_crash(run.digest, run.endpoint)
         self._count_crash(run.digest, run.endpoint, self._clock.mono_ms())
 
     def _count_crash(
--- a/wrenspoke/coordination/quarantine/reporter.py
+++ b/wrenspoke/coordination/quarantine/reporter.py
@@ -86,7 +86,7 @@
         end = (digest, endpoint, self._clock.mono_ms())
         self._local_crashes.append(end)
         for queue in self._active_queues():
-            queue.ends.append(end)
+            queue.crashes.append(end)
 
     def report_success(self, digest: ids.RequestDigest) -> None:
         """Tell that an endpoint ran a request to a good end."""
@@ -108,27 +108,27 @@
 
     async def _send_queue(self, host: ids.HostId, queue: _ReportQueue) -> None:
         await self._clock.sleep_ms(BATCH_DELAY_MS)
-        while not queue.empty and self._queues.get(host) is queue:
+        while not queue.is_empty and self._queues.get(host) is queue:
             if not await self._send_batch(host, queue):
                 await self._clock.sleep_ms(RETRY_INTERVAL_MS)
 
     async def _send_batch(self, host: ids.HostId, queue: _ReportQueue) -> bool:
-        ends, cleared = self._unexpired(queue.ends), list(queue.cleared)
-        queue.ends.clear()
+        ends, cleared = self._unexpired(queue.crashes), list(queue.cleared)
+        queue.crashes.clear()
         queue.cleared.clear()
         answer = await self._send_report(host, ends, cleared)
         if answer is None:
-            queue.ends.extendleft(reversed(ends))
+            queue.crashes.extendleft(reversed(ends))
             queue.cleared.update(dict.fromkeys(cleared))
             return False
         for hold in answer.holds:
             if self._hold_callback is not None:
                 self._hold_callback(hold)
-        if answer.life != queue.life:
+        if answer.life != queue.instance_id:
             # It knows nothing of what it was told before.
-            queue.life = answer.life
+            queue.instance_id = answer.life
             older = set(self._unexpired(self._local_crashes)).difference(ends)
-            queue.ends.extend(sorted(older, key=_crashed_ms))
+            queue.crashes.extend(sorted(older, key=_crashed_ms))
         return True
 
     async def _send_report(
--- a/wrenspoke/coordination/quarantine/runs.py
+++ b/wrenspoke/coordination/quarantine/runs.py
@@ -82,7 +82,7 @@
             digest=run.digest,
             endpoint=run.endpoint,
             endpoint_ended=ended,
-            ran_ms=self._clock.mono_ms() - run.began_ms,
+            ran_ms=self._clock.mono_ms() - run.dispatched_ms,
         )
         return ended
 
--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -355,13 +355,13 @@
         if not self._is_guarded(send):
             return contextlib.nullcontext()
         address = urllib.parse.urlsplit(endpoint.url).netloc
-        return self._guard.watching(send.head.digest, send.endpoint, address)
+        return self._guard.track_run(send.head.digest, send.endpoint, address)
 
     def _held_ms(self, send: Send) -> int | None:
         """Return for how long endpoints are sent no such work."""
         if not self._is_guarded(send):
             return None
-        return self._guard.held_ms(send.head.digest)
+        return self._guard.remaining_hold_ms(send.head.digest)
 
     def _checked(
         self, send: Send, send_permit: endpoint_gate.GatePermit | None
--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -242,7 +242,7 @@
 
     def _check_quarantine(self, head: requests.RequestHead) -> None:
         """Turn away at once what no endpoint is sent."""
-        held_ms = self._guard.refuse(head.digest)
+        held_ms = self._guard.refuse_if_held(head.digest)
         if held_ms is not None:
             raise errors.EndedError(
                 outcomes.Ending(
@@ -453,7 +453,7 @@
             'sent_to_endpoints': self._server.dispatcher.sent,
             'retries_spent': self._server.budget.spent,
             'retries_denied': self._server.budget.denied,
-            'quarantine_refused': self._guard.refused,
+            'quarantine_refused': self._guard.refused_count,
             'in_quarantine': len(self._replica.current.quarantine),
             'peers': {
                 host: self._members.usable(host) for host in self._members.near
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -369,7 +369,7 @@
         :raises QuarantinedError: no endpoint is sent it now
         """
         while self._left_ms(work) > tries.LEAST_LEFT_MS:
-            held_ms = self._guard.refuse(work.call.digest)
+            held_ms = self._guard.refuse_if_held(work.call.digest)
             if held_ms is not None:
                 raise errors.QuarantinedError(held_ms)
             work.permit = self._access.renewed(work.call, work.permit)
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -199,7 +199,7 @@
         client = self._endpoints if place.host is None else self._hosts
         watched = contextlib.nullcontext()
         if place.endpoint is not None:
-            watched = self._guard.watching(
+            watched = self._guard.track_run(
                 call.digest, place.endpoint, place.address
             )
         try:
@@ -234,7 +234,7 @@
         self, call: dialects.Call, permit: access.Permit, place: Place
     ) -> bool:
         """Tell, as the first byte is about to leave, whether it still may."""
-        if self._guard.held_ms(call.digest) is not None:
+        if self._guard.remaining_hold_ms(call.digest) is not None:
             return False
         if place.endpoint is not None and not place.send_permit.is_valid():
             return False
