--- a/benches/fatal_requests.py
+++ b/benches/fatal_requests.py
@@ -22,7 +22,7 @@
 
 import msgspec
 
-from wrenspoke.coordination.quarantine import ended_runs
+from wrenspoke.coordination.quarantine import crash_history
 from wrenspoke.coordination.quarantine import good_ends
 from wrenspoke.protocol import quarantining
 
@@ -104,7 +104,7 @@
         self._trouble = trouble
         self._random = random.Random(seed)
         self._time = Time()
-        self._book = ended_runs.CrashHistory(self._time)
+        self._book = crash_history.CrashHistory(self._time)
         self._events: list[tuple] = []
         self._number = itertools.count()
         self._up = dict.fromkeys(range(ENGINES), 0)
@@ -234,7 +234,7 @@
         self._at(at_ms + SPREAD_MS, self._learn, call.digest, engine, at_ms)
 
     def _learn(self, digest: str, engine: int, ended_ms: int) -> None:
-        good_ms = self._good.get(digest, -ended_runs.RETENTION_MS)
+        good_ms = self._good.get(digest, -crash_history.RETENTION_MS)
         if good_ms > ended_ms - good_ends.RETENTION_MS:
             return
         count = self._book.record_crash(digest, f'{engine}-{ended_ms}', ended_ms)
--- a/benches/switches_quarantine.py
+++ b/benches/switches_quarantine.py
@@ -55,14 +55,14 @@
     ),
     Switch(
         'an end counts for each host that tells it',
-        QUARANTINE + 'ended_runs.py',
+        QUARANTINE + 'crash_history.py',
         'if any(_is_duplicate(end, endpoint, ended_ms) for end in ends):',
         'if False:',
         f'{UNITS}::test_crash_is_counted_once',
     ),
     Switch(
         'floods push out what ended more than one',
-        QUARANTINE + 'ended_runs.py',
+        QUARANTINE + 'crash_history.py',
         'kept, limit = self._single_crashes, MAX_SINGLE_CRASH_ENTRIES',
         'kept, limit = self._repeated_crashes, MAX_REPEATED_CRASH_ENTRIES',
         f'{UNITS}::test_single_crash_entries_do_not_evict_repeated'
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -15,7 +15,7 @@
 from tests import test_passing
 from wrenspoke.coordination import errors as coordination_errors
 from wrenspoke.coordination.membership import replica
-from wrenspoke.coordination.quarantine import ended_runs
+from wrenspoke.coordination.quarantine import crash_history
 from wrenspoke.coordination.quarantine import good_ends
 from wrenspoke.coordination.quarantine import guard as guards
 from wrenspoke.coordination.quarantine import holds
@@ -74,14 +74,14 @@
         ([('a', 0)], 1),
         ([('a', 0), ('b', 0)], 2),
         # Told by two hosts that ran it there.
-        ([('a', 0), ('a', ended_runs.DEDUP_WINDOW_MS)], 1),
+        ([('a', 0), ('a', crash_history.DEDUP_WINDOW_MS)], 1),
         # It was back, under the same name.
-        ([('a', 0), ('a', ended_runs.DEDUP_WINDOW_MS + 1)], 2),
+        ([('a', 0), ('a', crash_history.DEDUP_WINDOW_MS + 1)], 2),
     ],
 )
 def test_crash_is_counted_once(ends, count):
     clock = FakeClock()
-    book = ended_runs.CrashHistory(clock)
+    book = crash_history.CrashHistory(clock)
     for endpoint, at_ms in ends:
         book.record_crash('d', endpoint, clock.now_ms + at_ms)
     assert book.crash_count('d') == count
@@ -89,24 +89,24 @@
 
 def test_single_crash_entries_do_not_evict_repeated_ones():
     clock = FakeClock()
-    book = ended_runs.CrashHistory(clock)
+    book = crash_history.CrashHistory(clock)
     book.record_crash('d', 'a', clock.now_ms)
     book.record_crash('d', 'b', clock.now_ms)
-    for number in range(2 * ended_runs.MAX_SINGLE_CRASH_ENTRIES):
+    for number in range(2 * crash_history.MAX_SINGLE_CRASH_ENTRIES):
         book.record_crash(f'{number}', 'c', clock.now_ms)
     assert book.crash_count('d') == 2
     kept = sum(
         book.crash_count(f'{number}')
-        for number in range(2 * ended_runs.MAX_SINGLE_CRASH_ENTRIES)
+        for number in range(2 * crash_history.MAX_SINGLE_CRASH_ENTRIES)
     )
-    assert kept == ended_runs.MAX_SINGLE_CRASH_ENTRIES
+    assert kept == crash_history.MAX_SINGLE_CRASH_ENTRIES
 
 
 def test_expired_crashes_are_evicted():
     clock = FakeClock()
-    book = ended_runs.CrashHistory(clock)
+    book = crash_history.CrashHistory(clock)
     book.record_crash('d', 'a', clock.now_ms)
-    clock.now_ms += ended_runs.RETENTION_MS
+    clock.now_ms += crash_history.RETENTION_MS
     book.record_crash('other', 'a', clock.now_ms)
     assert book.crash_count('d') == 0
 
--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -14,7 +14,7 @@
 from tests import group
 from tests import limited_fleet
 from tests import quarantined_fleet
-from wrenspoke.coordination.quarantine import ended_runs
+from wrenspoke.coordination.quarantine import crash_history
 from wrenspoke.coordination.quarantine import gatherer
 from wrenspoke.coordination.quarantine import holds
 
@@ -157,7 +157,7 @@
     fleet = await quarantined_fleet.Fleet(6).start()
     await crash_three_endpoints(fleet)
     await fleet.wait_ms(
-        holds.hold_duration_ms(ended_runs.CRASH_THRESHOLD) + 3_000
+        holds.hold_duration_ms(crash_history.CRASH_THRESHOLD) + 3_000
     )
     assert not fleet.hosts_holding(FATAL)
     host = list(fleet.hosts.values())[4]
@@ -166,7 +166,7 @@
     assert len(fleet.hosts_holding(FATAL)) == 6
     await fleet.wait_ms(1_000)
     [decided] = fleet.state.configuration.quarantine.values()
-    assert decided.ends == ended_runs.CRASH_THRESHOLD + 1
+    assert decided.ends == crash_history.CRASH_THRESHOLD + 1
     assert host.guard.remaining_hold_ms(FATAL) > holds.BASE_HOLD_MS
     await fleet.close()
 
@@ -176,7 +176,7 @@
     fleet = await quarantined_fleet.Fleet(6).start()
     await crash_three_endpoints(fleet)
     await fleet.wait_ms(
-        holds.hold_duration_ms(ended_runs.CRASH_THRESHOLD) + 3_000
+        holds.hold_duration_ms(crash_history.CRASH_THRESHOLD) + 3_000
     )
     host = list(fleet.hosts.values())[4]
     assert await host.send(FATAL, 'mended', fatal=False)
@@ -305,9 +305,9 @@
     def _record_sent(self, host):
         now_ms = self._clock.mono_ms()
         self.crashes_ms.append(now_ms)
-        if len(self.crashes_ms) <= ended_runs.CRASH_THRESHOLD:
+        if len(self.crashes_ms) <= crash_history.CRASH_THRESHOLD:
             return
-        third_ms = self.crashes_ms[ended_runs.CRASH_THRESHOLD - 1]
+        third_ms = self.crashes_ms[crash_history.CRASH_THRESHOLD - 1]
         if now_ms - third_ms > CONVERGENCE_MS and self._is_converged(host):
             self.late_sends += 1
 
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -20,7 +20,7 @@
 from wrenspoke.coordination.membership import lease
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.membership import roster
-from wrenspoke.coordination.quarantine import ended_runs
+from wrenspoke.coordination.quarantine import crash_history
 from wrenspoke.coordination.quarantine import good_ends
 from wrenspoke.coordination.serving import shares
 from wrenspoke.coordination.serving import spending
@@ -231,7 +231,7 @@
 
 
 def end_of_an_endpoint(clock):
-    made = ended_runs.CrashHistory(clock)
+    made = crash_history.CrashHistory(clock)
     made.record_crash('d', 'e', clock.mono_ms())
 
     def kept():
@@ -264,7 +264,7 @@
         (message_that_waited, SUSPENDED_MS),
         (spent_repeat, SUSPENDED_MS),
         (good_end, good_ends.RETENTION_MS + 1),
-        (end_of_an_endpoint, ended_runs.RETENTION_MS + 1),
+        (end_of_an_endpoint, crash_history.RETENTION_MS + 1),
     ],
 )
 def test_what_was_held_ends_while_the_machine_stands_still(
--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -17,7 +17,7 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.membership import replica
-from wrenspoke.coordination.quarantine import ended_runs
+from wrenspoke.coordination.quarantine import crash_history
 from wrenspoke.coordination.quarantine import holds
 from wrenspoke import ids
 from wrenspoke.protocol import errors as protocol_errors
@@ -73,7 +73,7 @@
         self._peers = peers
         self._clock = clock
         self._instance_id = ids.new_unique()
-        self._crash_history = ended_runs.CrashHistory(clock)
+        self._crash_history = crash_history.CrashHistory(clock)
         # Requests found to end endpoints and not decided on, with when entry
         # hosts were told.
         self._notified_ms: dict[ids.RequestDigest, int] = {}
@@ -121,7 +121,7 @@
             end.digest, end.endpoint, now_ms - end.age_ms
         )
         ends = self._crash_count(end.digest)
-        if ends < ended_runs.CRASH_THRESHOLD:
+        if ends < crash_history.CRASH_THRESHOLD:
             return False
         told_ms = self._notified_ms.get(end.digest)
         if told_ms is not None and now_ms - told_ms < RENOTIFY_INTERVAL_MS:
@@ -229,7 +229,7 @@
                 gone.append(before.digest)
         self._pending_releases &= now.keys()
         for digest in list(self._notified_ms):
-            if self._crash_count(digest) < ended_runs.CRASH_THRESHOLD:
+            if self._crash_count(digest) < crash_history.CRASH_THRESHOLD:
                 # Forgotten before anybody could decide on it.
                 del self._notified_ms[digest]
         if gone:
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -16,7 +16,7 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.membership import replica
-from wrenspoke.coordination.quarantine import ended_runs
+from wrenspoke.coordination.quarantine import crash_history
 from wrenspoke.coordination.quarantine import good_ends
 from wrenspoke.coordination.quarantine import holds
 from wrenspoke.coordination.quarantine import reporter as reporters
@@ -59,7 +59,7 @@
         self._is_draining = is_draining
         self._clock = clock
         self._run_tracker = runs.RunTracker(clock, probe)
-        self._crash_history = ended_runs.CrashHistory(clock)
+        self._crash_history = crash_history.CrashHistory(clock)
         self._recent_successes = good_ends.RecentSuccesses(clock)
         # Until when requests are held that no decision exists on.
         self._provisional_until_ms: collections.OrderedDict[
@@ -179,7 +179,7 @@
         decided = self._replica.current.quarantine.get(digest)
         if decided is not None:
             ends += decided.ends
-        if ends >= ended_runs.CRASH_THRESHOLD:
+        if ends >= crash_history.CRASH_THRESHOLD:
             hold = quarantining.Hold(digest, ends, holds.PROVISIONAL_HOLD_MS)
             self._hold_provisionally(hold)
 
--- a/wrenspoke/coordination/quarantine/holds.py
+++ b/wrenspoke/coordination/quarantine/holds.py
@@ -1,6 +1,6 @@
 """For how long a request is not sent that endpoints ended under."""
 
-from wrenspoke.coordination.quarantine import ended_runs
+from wrenspoke.coordination.quarantine import crash_history
 
 # An engine that ended loads its weights for minutes, so that a trial costs
 # about as much as it is put off; what did nothing is held up no longer.
@@ -15,5 +15,5 @@
 
 def hold_duration_ms(ends: int) -> int:
     """Return for how long a request is held after so many ends."""
-    trials = max(ends - ended_runs.CRASH_THRESHOLD, 0)
+    trials = max(ends - crash_history.CRASH_THRESHOLD, 0)
     return min(BASE_HOLD_MS * 2**trials, MAX_HOLD_MS)
--- a/wrenspoke/coordination/quarantine/reporter.py
+++ b/wrenspoke/coordination/quarantine/reporter.py
@@ -12,7 +12,7 @@
 import structlog
 
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.quarantine import ended_runs
+from wrenspoke.coordination.quarantine import crash_history
 from wrenspoke import ids
 from wrenspoke.protocol import errors as protocol_errors
 from wrenspoke.protocol import peers as peer_calls
@@ -156,7 +156,7 @@
     def _unexpired(
         self, ends: collections.abc.Iterable[LocalCrash]
     ) -> list[LocalCrash]:
-        oldest_ms = self._clock.mono_ms() - ended_runs.RETENTION_MS
+        oldest_ms = self._clock.mono_ms() - crash_history.RETENTION_MS
         return [end for end in ends if _crashed_ms(end) > oldest_ms]
 
 
