--- a/benches/fatal_requests.py
+++ b/benches/fatal_requests.py
@@ -23,7 +23,7 @@
 import msgspec
 
 from wrenspoke.coordination.quarantine import crash_history
-from wrenspoke.coordination.quarantine import good_ends
+from wrenspoke.coordination.quarantine import recent_successes
 from wrenspoke.protocol import quarantining
 
 ENGINES = 12
@@ -235,7 +235,7 @@
 
     def _learn(self, digest: str, engine: int, ended_ms: int) -> None:
         good_ms = self._good.get(digest, -crash_history.RETENTION_MS)
-        if good_ms > ended_ms - good_ends.RETENTION_MS:
+        if good_ms > ended_ms - recent_successes.RETENTION_MS:
             return
         count = self._book.record_crash(digest, f'{engine}-{ended_ms}', ended_ms)
         if self._way.ends is not None and count >= self._way.ends:
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -16,7 +16,7 @@
 from wrenspoke.coordination import errors as coordination_errors
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.quarantine import crash_history
-from wrenspoke.coordination.quarantine import good_ends
+from wrenspoke.coordination.quarantine import recent_successes
 from wrenspoke.coordination.quarantine import guard as guards
 from wrenspoke.coordination.quarantine import holds
 from wrenspoke.coordination.serving import dispatch
@@ -113,8 +113,8 @@
 
 def test_recent_successes_are_bounded():
     clock = FakeClock()
-    good = good_ends.RecentSuccesses(clock)
-    for number in range(good_ends.MAX_ENTRIES + 1):
+    good = recent_successes.RecentSuccesses(clock)
+    for number in range(recent_successes.MAX_ENTRIES + 1):
         good.add_success(f'{number}')
     assert not good.has_recent('0')
     assert good.has_recent('1')
@@ -315,7 +315,7 @@
         'a',
         'b',
     ]
-    host.clock.now_ms += good_ends.RETENTION_MS
+    host.clock.now_ms += recent_successes.RETENTION_MS
     await host.crash_endpoints('h', 'i', 'j')
     assert host.guard.remaining_hold_ms('d') is not None
 
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -21,7 +21,7 @@
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.membership import roster
 from wrenspoke.coordination.quarantine import crash_history
-from wrenspoke.coordination.quarantine import good_ends
+from wrenspoke.coordination.quarantine import recent_successes
 from wrenspoke.coordination.serving import shares
 from wrenspoke.coordination.serving import spending
 from wrenspoke.protocol import attending
@@ -225,7 +225,7 @@
 
 
 def good_end(clock):
-    made = good_ends.RecentSuccesses(clock)
+    made = recent_successes.RecentSuccesses(clock)
     made.add_success('d')
     return lambda: made.has_recent('d')
 
@@ -263,7 +263,7 @@
         (host_that_may_send, SUSPENDED_MS),
         (message_that_waited, SUSPENDED_MS),
         (spent_repeat, SUSPENDED_MS),
-        (good_end, good_ends.RETENTION_MS + 1),
+        (good_end, recent_successes.RETENTION_MS + 1),
         (end_of_an_endpoint, crash_history.RETENTION_MS + 1),
     ],
 )
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -17,7 +17,7 @@
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.quarantine import crash_history
-from wrenspoke.coordination.quarantine import good_ends
+from wrenspoke.coordination.quarantine import recent_successes
 from wrenspoke.coordination.quarantine import holds
 from wrenspoke.coordination.quarantine import reporter as reporters
 from wrenspoke.coordination.quarantine import runs
@@ -60,7 +60,7 @@
         self._clock = clock
         self._run_tracker = runs.RunTracker(clock, probe)
         self._crash_history = crash_history.CrashHistory(clock)
-        self._recent_successes = good_ends.RecentSuccesses(clock)
+        self._recent_successes = recent_successes.RecentSuccesses(clock)
         # Until when requests are held that no decision exists on.
         self._provisional_until_ms: collections.OrderedDict[
             ids.RequestDigest, int
