--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -18,7 +18,7 @@
 from wrenspoke.coordination.quarantine import crash_history
 from wrenspoke.coordination.quarantine import recent_successes
 from wrenspoke.coordination.quarantine import guard as guards
-from wrenspoke.coordination.quarantine import holds
+from wrenspoke.coordination.quarantine import hold_durations
 from wrenspoke.coordination.serving import dispatch
 from wrenspoke.protocol import fingerprints
 from wrenspoke.protocol import headers
@@ -131,7 +131,7 @@
     ],
 )
 def test_hold_doubles_with_each_end_up_to_a_bound(ends, hold_ms):
-    assert holds.hold_duration_ms(ends) == hold_ms
+    assert hold_durations.hold_duration_ms(ends) == hold_ms
 
 
 def test_quarantine_is_bounded_and_keeps_what_is_held():
@@ -323,7 +323,7 @@
 async def test_provisional_hold_expires():
     host = GuardedHost()
     await host.crash_endpoints('a', 'b', 'c')
-    host.clock.now_ms += holds.PROVISIONAL_HOLD_MS
+    host.clock.now_ms += hold_durations.PROVISIONAL_HOLD_MS
     assert host.guard.remaining_hold_ms('d') is None
 
 
@@ -332,7 +332,7 @@
     host = GuardedHost()
     host.set_decisions(quarantine.Quarantined('d', 4, on_probation))
     assert (host.guard.remaining_hold_ms('d') is None) == on_probation
-    host.clock.now_ms += 10 * holds.MAX_HOLD_MS
+    host.clock.now_ms += 10 * hold_durations.MAX_HOLD_MS
     assert (host.guard.remaining_hold_ms('d') is None) == on_probation
     host.set_decisions()
     assert host.guard.remaining_hold_ms('d') is None
--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -16,7 +16,7 @@
 from tests import quarantined_fleet
 from wrenspoke.coordination.quarantine import crash_history
 from wrenspoke.coordination.quarantine import gatherer
-from wrenspoke.coordination.quarantine import holds
+from wrenspoke.coordination.quarantine import hold_durations
 
 FATAL = 'f' * 32
 SEEDS = int(os.environ.get('WRENSPOKE_SOAK_SEEDS', '10'))
@@ -157,7 +157,7 @@
     fleet = await quarantined_fleet.Fleet(6).start()
     await crash_three_endpoints(fleet)
     await fleet.wait_ms(
-        holds.hold_duration_ms(crash_history.CRASH_THRESHOLD) + 3_000
+        hold_durations.hold_duration_ms(crash_history.CRASH_THRESHOLD) + 3_000
     )
     assert not fleet.hosts_holding(FATAL)
     host = list(fleet.hosts.values())[4]
@@ -167,7 +167,7 @@
     await fleet.wait_ms(1_000)
     [decided] = fleet.state.configuration.quarantine.values()
     assert decided.ends == crash_history.CRASH_THRESHOLD + 1
-    assert host.guard.remaining_hold_ms(FATAL) > holds.BASE_HOLD_MS
+    assert host.guard.remaining_hold_ms(FATAL) > hold_durations.BASE_HOLD_MS
     await fleet.close()
 
 
@@ -176,7 +176,7 @@
     fleet = await quarantined_fleet.Fleet(6).start()
     await crash_three_endpoints(fleet)
     await fleet.wait_ms(
-        holds.hold_duration_ms(crash_history.CRASH_THRESHOLD) + 3_000
+        hold_durations.hold_duration_ms(crash_history.CRASH_THRESHOLD) + 3_000
     )
     host = list(fleet.hosts.values())[4]
     assert await host.send(FATAL, 'mended', fatal=False)
@@ -318,6 +318,6 @@
     fleet = await quarantined_fleet.Fleet(18, seed).start()
     series = FaultSeries(fleet)
     # One trial falls into it, and none after that.
-    await series.simulate(2 * holds.BASE_HOLD_MS)
+    await series.simulate(2 * hold_durations.BASE_HOLD_MS)
     assert series.late_sends <= MAX_LATE_SENDS, series.crashes_ms
     await fleet.close()
--- a/wrenspoke/coordination/quarantine/gatherer.py
+++ b/wrenspoke/coordination/quarantine/gatherer.py
@@ -18,7 +18,7 @@
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.quarantine import crash_history
-from wrenspoke.coordination.quarantine import holds
+from wrenspoke.coordination.quarantine import hold_durations
 from wrenspoke import ids
 from wrenspoke.protocol import errors as protocol_errors
 from wrenspoke.protocol import peers as peer_calls
@@ -39,7 +39,7 @@
 CALL_TIMEOUT_MS = 1_000
 # Without a leader holds end by themselves: who ends one more endpoint then
 # has all others told again, or each of them would end one.
-RENOTIFY_INTERVAL_MS = holds.PROVISIONAL_HOLD_MS // 2
+RENOTIFY_INTERVAL_MS = hold_durations.PROVISIONAL_HOLD_MS // 2
 
 # Returns the entry hosts of this region, or of all.
 ListEntryHosts = collections.abc.Callable[[bool], list[ids.HostId]]
@@ -153,7 +153,9 @@
 
     def _make_hold(self, digest: ids.RequestDigest) -> quarantining.Hold:
         ends = self._crash_count(digest)
-        return quarantining.Hold(digest, ends, holds.hold_duration_ms(ends))
+        return quarantining.Hold(
+            digest, ends, hold_durations.hold_duration_ms(ends)
+        )
 
     def _handle_success(self, digest: ids.RequestDigest) -> None:
         """Take note that a request came to a good end somewhere."""
@@ -280,7 +282,7 @@
         for found, since_ms in self._decided_ms.items():
             if found.on_probation or found.digest in self._pending_releases:
                 continue
-            if now_ms - since_ms < holds.hold_duration_ms(found.ends):
+            if now_ms - since_ms < hold_durations.hold_duration_ms(found.ends):
                 continue
             due.append(msgspec.structs.replace(found, on_probation=True))
         return due
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -18,7 +18,7 @@
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.quarantine import crash_history
 from wrenspoke.coordination.quarantine import recent_successes
-from wrenspoke.coordination.quarantine import holds
+from wrenspoke.coordination.quarantine import hold_durations
 from wrenspoke.coordination.quarantine import reporter as reporters
 from wrenspoke.coordination.quarantine import runs
 from wrenspoke import ids
@@ -105,7 +105,7 @@
         known_ms = self._decision_seen_ms.setdefault(
             decided, self._clock.mono_ms()
         )
-        return known_ms + holds.hold_duration_ms(decided.ends)
+        return known_ms + hold_durations.hold_duration_ms(decided.ends)
 
     # How runs end.
 
@@ -180,7 +180,9 @@
         if decided is not None:
             ends += decided.ends
         if ends >= crash_history.CRASH_THRESHOLD:
-            hold = quarantining.Hold(digest, ends, holds.PROVISIONAL_HOLD_MS)
+            hold = quarantining.Hold(
+                digest, ends, hold_durations.PROVISIONAL_HOLD_MS
+            )
             self._hold_provisionally(hold)
 
     # What others say.
@@ -192,7 +194,7 @@
         if hold.digest not in self._provisional_until_ms:
             logger.warning('request_held', digest=hold.digest, ends=hold.ends)
         self._provisional_until_ms[hold.digest] = self._clock.mono_ms() + min(
-            hold.for_ms, holds.PROVISIONAL_HOLD_MS
+            hold.for_ms, hold_durations.PROVISIONAL_HOLD_MS
         )
         self._provisional_until_ms.move_to_end(hold.digest)
         if len(self._provisional_until_ms) > MAX_HOLDS:
@@ -234,7 +236,7 @@
                 quarantining.Hold(
                     digest,
                     self._crash_history.crash_count(digest),
-                    holds.PROVISIONAL_HOLD_MS,
+                    hold_durations.PROVISIONAL_HOLD_MS,
                 )
                 for digest in told
                 if self.remaining_hold_ms(digest) is not None
