--- a/benches/switches_quarantine.py
+++ b/benches/switches_quarantine.py
@@ -41,14 +41,14 @@
     ),
     Switch(
         'a look for each run',
-        QUARANTINE + 'runs.py',
+        QUARANTINE + 'run_tracker.py',
         'if look is None or not look.is_reusable(now_ms):',
         'if True:',
         f'{UNITS}::test_one_probe_serves_all_runs_of_an_endpoint',
     ),
     Switch(
         'an endpoint that lived is taken to live on',
-        QUARANTINE + 'runs.py',
+        QUARANTINE + 'run_tracker.py',
         'return not self.refused.done() or self.refused.result()',
         'return True',
         f'{UNITS}::test_live_endpoint_is_probed_again',
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -20,7 +20,7 @@
 from wrenspoke.coordination.quarantine import recent_successes
 from wrenspoke.coordination.quarantine import hold_durations
 from wrenspoke.coordination.quarantine import reporter as reporters
-from wrenspoke.coordination.quarantine import runs
+from wrenspoke.coordination.quarantine import run_tracker
 from wrenspoke import ids
 from wrenspoke.protocol import peers as peer_calls
 from wrenspoke.protocol import quarantining
@@ -52,13 +52,13 @@
         peers: peer_calls.Peers,
         is_draining: IsDraining,
         clock: clocks.Clock,
-        probe: runs.Probe = reachable.is_refused,
+        probe: run_tracker.Probe = reachable.is_refused,
     ):
         self._replica = config_replica
         self._reporter = reporter
         self._is_draining = is_draining
         self._clock = clock
-        self._run_tracker = runs.RunTracker(clock, probe)
+        self._run_tracker = run_tracker.RunTracker(clock, probe)
         self._crash_history = crash_history.CrashHistory(clock)
         self._recent_successes = recent_successes.RecentSuccesses(clock)
         # Until when requests are held that no decision exists on.
@@ -115,7 +115,7 @@
         digest: ids.RequestDigest,
         endpoint: ids.EndpointId,
         address: str,
-    ) -> collections.abc.AsyncIterator[runs.Run]:
+    ) -> collections.abc.AsyncIterator[run_tracker.Run]:
         """Watch a run for as long as the block lasts.
 
         Where it broke off, the reason is looked for before a retry.
@@ -132,11 +132,11 @@
         digest: ids.RequestDigest,
         endpoint: ids.EndpointId,
         address: str,
-    ) -> runs.Run:
+    ) -> run_tracker.Run:
         """Record that a request is sent to an endpoint."""
         return self._run_tracker.start_run(digest, endpoint, address)
 
-    def mark_succeeded(self, run: runs.Run) -> None:
+    def mark_succeeded(self, run: run_tracker.Run) -> None:
         """Record a run that ended well, and clear its request."""
         digest = run.digest
         self._recent_successes.add_success(digest)
@@ -145,7 +145,7 @@
         if known or digest in self._replica.current.quarantine:
             self._reporter.report_success(digest)
 
-    async def handle_broken_run(self, run: runs.Run) -> None:
+    async def handle_broken_run(self, run: run_tracker.Run) -> None:
         """Check whether a run that broke off crashed its endpoint.
 
         The check goes on if it takes longer than the call waits for it, or
@@ -154,7 +154,7 @@
         noting = self._tasks.start(self._record_if_crashed(run), fatal=False)
         await asyncio.wait([noting], timeout=PROBE_WAIT_MS / MS_PER_S)
 
-    async def _record_if_crashed(self, run: runs.Run) -> None:
+    async def _record_if_crashed(self, run: run_tracker.Run) -> None:
         """Count a run against its request, if its endpoint crashed.
 
         Not if the request ended well elsewhere recently, or if the endpoint
