--- a/benches/switches_quarantine.py
+++ b/benches/switches_quarantine.py
@@ -99,14 +99,14 @@
     ),
     Switch(
         'what could not be told is dropped',
-        QUARANTINE + 'reporter.py',
+        QUARANTINE + 'crash_reporter.py',
         '            queue.crashes.extendleft(reversed(ends))\n',
         '',
         f'{FLEET}::test_crashes_on_both_sides_of_a_partition_add_up',
     ),
     Switch(
         'control hosts that start are told nothing again',
-        QUARANTINE + 'reporter.py',
+        QUARANTINE + 'crash_reporter.py',
         'if answer.life != queue.instance_id:',
         'if False:',
         f'{FLEET}::test_crashes_are_reported_again_to_restarted_control_host',
--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -18,7 +18,7 @@
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.quarantine import gatherer
 from wrenspoke.coordination.quarantine import guard
-from wrenspoke.coordination.quarantine import reporter
+from wrenspoke.coordination.quarantine import crash_reporter
 from wrenspoke.protocol import messages
 from wrenspoke.state import replicated
 
@@ -92,7 +92,7 @@
         self._fleet = fleet
         self.guard = guard.Guard(
             self.replica,
-            reporter.CrashReporter(
+            crash_reporter.CrashReporter(
                 lambda: list(fleet.controls), self.peers, self.clock
             ),
             self.peers,
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -23,7 +23,7 @@
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.membership import views
 from wrenspoke.coordination.quarantine import guard
-from wrenspoke.coordination.quarantine import reporter
+from wrenspoke.coordination.quarantine import crash_reporter
 from wrenspoke.coordination.serving import access
 from wrenspoke.coordination.serving import availability
 from wrenspoke.coordination.serving import choice
@@ -242,7 +242,9 @@
         """Build what holds back requests that end endpoints."""
         self._guard = guard.Guard(
             self.replica,
-            reporter.CrashReporter(self.group.others, self.peers, self.clock),
+            crash_reporter.CrashReporter(
+                self.group.others, self.peers, self.clock
+            ),
             self.peers,
             self._leaves,
             self.clock,
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -18,7 +18,7 @@
 from wrenspoke.coordination.membership import reach
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.quarantine import guard
-from wrenspoke.coordination.quarantine import reporter
+from wrenspoke.coordination.quarantine import crash_reporter
 from wrenspoke.coordination.serving import decisions
 from wrenspoke.coordination.serving import dispatch
 from wrenspoke.coordination.serving import forwarding
@@ -160,7 +160,9 @@
         gatherers = [ids.HostId(host.host) for host in told]
         self._guard = guard.Guard(
             self.replica,
-            reporter.CrashReporter(lambda: gatherers, self.peers, self._clock),
+            crash_reporter.CrashReporter(
+                lambda: gatherers, self.peers, self._clock
+            ),
             self.peers,
             self._leaves,
             self._clock,
