--- a/benches/switches_quarantine.py
+++ b/benches/switches_quarantine.py
@@ -70,14 +70,14 @@
     ),
     Switch(
         'nobody told by control hosts',
-        QUARANTINE + 'gatherer.py',
+        QUARANTINE + 'crash_aggregator.py',
         '            self._tasks.start(self._notify_entry_hosts(found), fatal=False)\n',
         '',
         f'{FLEET}::test_isolated_region_holds_request',
     ),
     Switch(
         'nobody told again',
-        QUARANTINE + 'gatherer.py',
+        QUARANTINE + 'crash_aggregator.py',
         'now_ms - told_ms < RENOTIFY_INTERVAL_MS',
         'True',
         f'{FLEET}::test_long_isolated_region_retries_request_once_a'
@@ -85,14 +85,14 @@
     ),
     Switch(
         'nothing decided',
-        QUARANTINE + 'gatherer.py',
+        QUARANTINE + 'crash_aggregator.py',
         'if not self._local_voter.has_lease or self._proposing:',
         'if True:',
         f'{FLEET}::test_every_host_holds_request_within_half_a_second',
     ),
     Switch(
         'nothing decided (series)',
-        QUARANTINE + 'gatherer.py',
+        QUARANTINE + 'crash_aggregator.py',
         'if not self._local_voter.has_lease or self._proposing:',
         'if True:',
         f'{FLEET}::test_few_requests_are_sent_late_under_faults',
@@ -113,21 +113,21 @@
     ),
     Switch(
         'no trials',
-        QUARANTINE + 'gatherer.py',
+        QUARANTINE + 'crash_aggregator.py',
         'entered += self._due_for_probation(now_ms)',
         'pass',
         f'{FLEET}::test_successful_trial_ends_quarantine',
     ),
     Switch(
         'trials begin at nothing',
-        QUARANTINE + 'gatherer.py',
+        QUARANTINE + 'crash_aggregator.py',
         'before = 0 if decided is None else decided.ends',
         'before = 0',
         f'{FLEET}::test_failed_trial_doubles_the_hold',
     ),
     Switch(
         'holds stay after an operator ended them',
-        QUARANTINE + 'gatherer.py',
+        QUARANTINE + 'crash_aggregator.py',
         '            self._tasks.start(self._notify_entry_hosts([], gone), fatal=False)\n',
         '            pass\n',
         f'{UNITS}::test_chat_is_served_again_once_an_operator_clears_it',
--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -16,7 +16,7 @@
 from tests import limited_fleet
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.membership import replica
-from wrenspoke.coordination.quarantine import gatherer
+from wrenspoke.coordination.quarantine import crash_aggregator
 from wrenspoke.coordination.quarantine import guard
 from wrenspoke.coordination.quarantine import crash_reporter
 from wrenspoke.protocol import messages
@@ -56,7 +56,7 @@
         self.replica = replica.Replica()
         self.voter = FakeVoter(fleet)
         self._fleet = fleet
-        self._aggregator = gatherer.CrashAggregator(
+        self._aggregator = crash_aggregator.CrashAggregator(
             self.voter,
             self.replica,
             self._entry_hosts,
--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -15,7 +15,7 @@
 from tests import limited_fleet
 from tests import quarantined_fleet
 from wrenspoke.coordination.quarantine import crash_history
-from wrenspoke.coordination.quarantine import gatherer
+from wrenspoke.coordination.quarantine import crash_aggregator
 from wrenspoke.coordination.quarantine import hold_durations
 
 FATAL = 'f' * 32
@@ -180,7 +180,7 @@
     )
     host = list(fleet.hosts.values())[4]
     assert await host.send(FATAL, 'mended', fatal=False)
-    await fleet.wait_ms(2 * gatherer.CHECK_INTERVAL_MS + 1_000)
+    await fleet.wait_ms(2 * crash_aggregator.CHECK_INTERVAL_MS + 1_000)
     assert not fleet.state.configuration.quarantine
     await fleet.close()
 
--- a/wrenspoke/control_node.py
+++ b/wrenspoke/control_node.py
@@ -17,7 +17,7 @@
 from wrenspoke.coordination.membership import kept_registry
 from wrenspoke.coordination.membership import registrar
 from wrenspoke.coordination.membership import replica
-from wrenspoke.coordination.quarantine import gatherer
+from wrenspoke.coordination.quarantine import crash_aggregator
 from wrenspoke import ids
 from wrenspoke import mechanisms
 from wrenspoke import node as nodes
@@ -72,7 +72,7 @@
         self._allocator = allocator.Allocator(
             self.voter, self.peers, self.clock
         )
-        self._gatherer = gatherer.CrashAggregator(
+        self._gatherer = crash_aggregator.CrashAggregator(
             self.voter, self.replica, self._entry_hosts, self.peers, self.clock
         )
         self._tasks = runtime.Tasks()
--- a/wrenspoke/controld.py
+++ b/wrenspoke/controld.py
@@ -13,7 +13,7 @@
 from wrenspoke.coordination.agreement import voter
 from wrenspoke.coordination.membership import controls
 from wrenspoke.coordination.membership import replica
-from wrenspoke.coordination.quarantine import gatherer
+from wrenspoke.coordination.quarantine import crash_aggregator
 from wrenspoke.coordination.serving import dispatch
 from wrenspoke import ids
 from wrenspoke import keys
@@ -85,7 +85,7 @@
             self.peers,
             clock,
         )
-        self._gatherer = gatherer.CrashAggregator(
+        self._gatherer = crash_aggregator.CrashAggregator(
             self.voter, self.replica, self._entry_hosts, self.peers, clock
         )
         surface = operators.OperatorSurface(self.control, deployment.operators)
