--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -188,7 +188,7 @@
     ),
     Switch(
         'no admission',
-        DECISIONS + 'agreement/admissions.py',
+        DECISIONS + 'agreement/voter_planner.py',
         ('        deciding = self._leader_state.electorate\n'),
         ('        return None\n'),
         (
@@ -436,7 +436,7 @@
     ),
     Switch(
         'voters stay where they are',
-        DECISIONS + 'agreement/admissions.py',
+        DECISIONS + 'agreement/voter_planner.py',
         ('            or self._improve_spread(voters, known)\n'),
         (''),
         ('tests/test_group_soak.py'),
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tests import nodes
-from wrenspoke.coordination.agreement import admissions
+from wrenspoke.coordination.agreement import voter_planner
 from wrenspoke.coordination.agreement import followers
 from wrenspoke.coordination.agreement import founding
 from wrenspoke.coordination.agreement import voter
@@ -285,7 +285,7 @@
 def test_voters_are_changed_one_at_a_time(limit, voters, change):
     group = FakeGroup(limit, voters)
     known = group.followers(('b', 'B'), ('c', 'C'))
-    found = admissions.VoterPlanner(group, 0).next_change(known)
+    found = voter_planner.VoterPlanner(group, 0).next_change(known)
     if change is None:
         assert found is None
         return
@@ -304,7 +304,7 @@
     new = {'a': 'A', 'b': 'B', 'c': 'C'}
     group = FakeGroup(3, new, before={'a': 'A', 'b': 'B', 'lost': 'L'})
     known = group.followers(('b', 'B'), ('c', 'C'))
-    found = admissions.VoterPlanner(group, 0).next_change(known)
+    found = voter_planner.VoterPlanner(group, 0).next_change(known)
     assert (found.voters, found.before) == (new, {})
 
 
@@ -318,7 +318,7 @@
         known['c'].acked_ms -= FakeSettings.election_timeout_ms + 1
     else:
         known['c'].acked_ms = None
-    assert admissions.VoterPlanner(group, 0).next_change(known) is None
+    assert voter_planner.VoterPlanner(group, 0).next_change(known) is None
 
 
 NORTH, SOUTH, WEST = (
@@ -332,7 +332,7 @@
     known = group.followers(*((host, host.upper()) for host in where))
     for host, location in where.items():
         known[host].location = location
-    found = admissions.VoterPlanner(group, 0).next_change(known)
+    found = voter_planner.VoterPlanner(group, 0).next_change(known)
     if change is None:
         assert found is None
         return
--- a/wrenspoke/coordination/agreement/lead.py
+++ b/wrenspoke/coordination/agreement/lead.py
@@ -6,7 +6,7 @@
 import structlog
 
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.agreement import admissions
+from wrenspoke.coordination.agreement import voter_planner
 from wrenspoke.coordination.agreement import followers
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.membership import controls
@@ -75,7 +75,7 @@
         self._tasks = tasks
         self._start_index = node.storage.last_index + 1
         self._followers: dict[ids.HostId, followers.Follower] = {}
-        self._voter_planner = admissions.VoterPlanner(node, vote_request_ms)
+        self._voter_planner = voter_planner.VoterPlanner(node, vote_request_ms)
         self._electing_voters = node.electorate
         self.term = term
         self.since_ms = vote_request_ms
