--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -3,7 +3,7 @@
 import pytest
 
 from tests import group
-from wrenspoke.coordination.agreement import canvass
+from wrenspoke.coordination.agreement import vote_tally
 from wrenspoke.protocol import messages
 from wrenspoke.state import entries
 
@@ -202,7 +202,7 @@
 
     lost = []
     monkeypatch.setattr(
-        canvass.VoteTally,
+        vote_tally.VoteTally,
         'log_lost',
         lambda _self, asked, _silence_ms: lost.append(asked),
     )
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -27,7 +27,7 @@
 import structlog
 
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.agreement import canvass
+from wrenspoke.coordination.agreement import vote_tally
 from wrenspoke.coordination.agreement import clearance
 from wrenspoke.coordination.agreement import lead
 from wrenspoke.coordination import errors
@@ -307,7 +307,9 @@
             self.storage.last_term,
             pre,
         )
-        votes = canvass.VoteTally(self.host, self.incarnation, self.electorate)
+        votes = vote_tally.VoteTally(
+            self.host, self.incarnation, self.electorate
+        )
         tasks = [
             asyncio.get_running_loop().create_task(
                 self._request_vote(host, message)
