--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -150,7 +150,7 @@
     ),
     Switch(
         'old disk votes',
-        DECISIONS + 'agreement/clearance.py',
+        DECISIONS + 'agreement/rollback_check.py',
         ('if answer.known_boot >= meta.boot:'),
         ('if False:'),
         ('tests/test_control.py::test_old_copy_of_a_disk_gets_no_vote'),
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -28,7 +28,7 @@
 
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.agreement import vote_tally
-from wrenspoke.coordination.agreement import clearance
+from wrenspoke.coordination.agreement import rollback_check
 from wrenspoke.coordination.agreement import lead
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.membership import controls
@@ -120,7 +120,7 @@
         # For which moment a leader's word says that nothing newer was
         # accepted than what is committed here.
         self._confirmed_ms: int | None = None
-        self._rollback_check = clearance.RollbackCheck(
+        self._rollback_check = rollback_check.RollbackCheck(
             store, group, peers, control_settings, clock
         )
         self.role = Role.FOLLOWER
