--- a/tests/group.py
+++ b/tests/group.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.agreement import founding
+from wrenspoke.coordination.agreement import bootstrap
 from wrenspoke.coordination.agreement import voter
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.membership import controls
@@ -252,7 +252,7 @@
         self._tasks = runtime.Tasks()
         store = storage.Storage(disk)
         if first_start:
-            founding.bootstrap_seeds(store, name, seeds)
+            bootstrap.bootstrap_seeds(store, name, seeds)
         self.voter = voter.Voter(
             name,
             location,
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -7,7 +7,7 @@
 from tests import nodes
 from wrenspoke.coordination.agreement import voter_planner
 from wrenspoke.coordination.agreement import followers
-from wrenspoke.coordination.agreement import founding
+from wrenspoke.coordination.agreement import bootstrap
 from wrenspoke.coordination.agreement import voter
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.membership import kept_registry
@@ -33,7 +33,7 @@
     logs = []
     for seed in SEEDS:
         kept = open_storage(tmp_path / seed)
-        founding.bootstrap_seeds(kept, seed, SEEDS)
+        bootstrap.bootstrap_seeds(kept, seed, SEEDS)
         logs.append([kept.entry(index) for index in (1, 2)])
         assert kept.electorate().voters[seed] == kept.meta.incarnation
     assert logs[0] == logs[1] == logs[2]
@@ -51,7 +51,7 @@
     else:
         kept.meta.boot = 1
     before = kept.last_index
-    founding.bootstrap_seeds(kept, host, SEEDS)
+    bootstrap.bootstrap_seeds(kept, host, SEEDS)
     assert kept.last_index == before
 
 
--- a/wrenspoke/control_node.py
+++ b/wrenspoke/control_node.py
@@ -10,7 +10,7 @@
 
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.agreement import direct
-from wrenspoke.coordination.agreement import founding
+from wrenspoke.coordination.agreement import bootstrap
 from wrenspoke.coordination.agreement import voter
 from wrenspoke.coordination.limiting import allocator
 from wrenspoke.coordination.membership import controls
@@ -44,7 +44,7 @@
         self.replica = replica.Replica()
         kept = storage.Storage(disk.Disk(pathlib.Path(node.data_folder)))
         if node.first_start:
-            founding.bootstrap_seeds(kept, node.host, node.seed_hosts)
+            bootstrap.bootstrap_seeds(kept, node.host, node.seed_hosts)
         self.voter = voter.Voter(
             node.host,
             locations.Location(node.region, node.data_centre),
--- a/wrenspoke/controld.py
+++ b/wrenspoke/controld.py
@@ -9,7 +9,7 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.agreement import control
 from wrenspoke.coordination.agreement import execution
-from wrenspoke.coordination.agreement import founding
+from wrenspoke.coordination.agreement import bootstrap
 from wrenspoke.coordination.agreement import voter
 from wrenspoke.coordination.membership import controls
 from wrenspoke.coordination.membership import replica
@@ -150,7 +150,7 @@
     folder = path.parent / deployment.host(name).data_folder
     kept = storage.Storage(disk.Disk(folder))
     first = entries.Found(deployment.first_configuration())
-    founding.bootstrap_single(kept, ids.HostId(name), first)
+    bootstrap.bootstrap_single(kept, ids.HostId(name), first)
 
 
 async def serve(path: pathlib.Path, name: str) -> None:
