--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -81,7 +81,7 @@
     ),
     Switch(
         'leader without a lease confirms',
-        DECISIONS + 'agreement/lead.py',
+        DECISIONS + 'agreement/leadership.py',
         ('            follower.moment if self.has_lease else None,\n'),
         ('            follower.moment,\n'),
         ('tests/test_group.py::test_leader_without_a_lease_confirms_nothing'),
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -12,7 +12,7 @@
 
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.agreement import followers
-from wrenspoke.coordination.agreement import lead
+from wrenspoke.coordination.agreement import leadership
 from wrenspoke.coordination.limiting import allocator
 from wrenspoke.coordination.limiting import lender
 from wrenspoke.coordination.membership import attendance
@@ -121,7 +121,7 @@
             reached=lambda held: held('other', 'disk')
         ),
     )
-    made = lead.Leadership.__new__(lead.Leadership)
+    made = leadership.Leadership.__new__(leadership.Leadership)
     made.ended = False
     made._node = group
     made._start_index = 1
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -29,7 +29,7 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.agreement import vote_tally
 from wrenspoke.coordination.agreement import rollback_check
-from wrenspoke.coordination.agreement import lead
+from wrenspoke.coordination.agreement import leadership
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.membership import controls
 from wrenspoke.coordination.membership import replica
@@ -110,7 +110,7 @@
         self.clock = clock
         self._tasks = runtime.Tasks()
         self._leadership_tasks = runtime.Tasks()
-        self._leadership: lead.Leadership | None = None
+        self._leadership: leadership.Leadership | None = None
         self._pending_proposals: dict[int, tuple[int, asyncio.Future]] = {}
         self._leader_contact_ms = clock.mono_ms()
         self._election_attempt_ms = self._leader_contact_ms
@@ -462,7 +462,7 @@
         self.role = Role.LEADER
         self.leader = self.host
         logger.info('leading', term=self.term)
-        self._leadership = lead.Leadership(
+        self._leadership = leadership.Leadership(
             self, self.term, asked_ms, self._leadership_tasks
         )
         try:
