--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -9,7 +9,7 @@
 import os
 
 from wrenspoke import control_node
-from wrenspoke.coordination.agreement import direct
+from wrenspoke.coordination.agreement import direct_decisions
 from wrenspoke import entry_node
 from wrenspoke import node as settings
 from wrenspoke.protocol import dialect as dialects
@@ -141,7 +141,9 @@
             digest=repr((found, teams)),
             teams=teams,
         )
-        decisions = direct.DirectDecisions(leader.voter, leader.clock)
+        decisions = direct_decisions.DirectDecisions(
+            leader.voter, leader.clock
+        )
         await decisions.replace_routes(table)
         await until(
             lambda: all(
--- a/wrenspoke/control_node.py
+++ b/wrenspoke/control_node.py
@@ -9,7 +9,7 @@
 import structlog
 
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.agreement import direct
+from wrenspoke.coordination.agreement import direct_decisions
 from wrenspoke.coordination.agreement import bootstrap
 from wrenspoke.coordination.agreement import voter
 from wrenspoke.coordination.limiting import allocator
@@ -76,7 +76,9 @@
             self.voter, self.replica, self._entry_hosts, self.peers, self.clock
         )
         self._tasks = runtime.Tasks()
-        self.decisions = direct.DirectDecisions(self.voter, self.clock)
+        self.decisions = direct_decisions.DirectDecisions(
+            self.voter, self.clock
+        )
 
     def _entry_hosts(self, everywhere: bool) -> list[ids.HostId]:
         """Return the entry hosts of this region, or of all."""
