--- a/wrenspoke/controld.py
+++ b/wrenspoke/controld.py
@@ -7,7 +7,7 @@
 
 from wrenspoke import arguments
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.agreement import control
+from wrenspoke.coordination.agreement import control_service
 from wrenspoke.coordination.agreement import execution
 from wrenspoke.coordination.agreement import bootstrap
 from wrenspoke.coordination.agreement import voter
@@ -77,7 +77,7 @@
         self._executor = execution.Executor(
             host, deployment, self.voter, dispatcher, clock
         )
-        self.control = control.ControlService(
+        self.control = control_service.ControlService(
             deployment,
             self.voter,
             self._executor,
