--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -17,8 +17,8 @@
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.quarantine import crash_aggregator
-from wrenspoke.coordination.quarantine import guard
 from wrenspoke.coordination.quarantine import crash_reporter
+from wrenspoke.coordination.quarantine import guard
 from wrenspoke.protocol import messages
 from wrenspoke.state import replicated
 
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -5,10 +5,10 @@
 import pytest
 
 from tests import nodes
-from wrenspoke.coordination.agreement import voter_planner
-from wrenspoke.coordination.agreement import followers
 from wrenspoke.coordination.agreement import bootstrap
+from wrenspoke.coordination.agreement import followers
 from wrenspoke.coordination.agreement import voter
+from wrenspoke.coordination.agreement import voter_planner
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.membership import kept_registry
 from wrenspoke import node as settings
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -16,9 +16,9 @@
 from wrenspoke.coordination import errors as coordination_errors
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.quarantine import crash_history
-from wrenspoke.coordination.quarantine import recent_successes
 from wrenspoke.coordination.quarantine import guard as guards
 from wrenspoke.coordination.quarantine import hold_durations
+from wrenspoke.coordination.quarantine import recent_successes
 from wrenspoke.coordination.serving import dispatch
 from wrenspoke.protocol import fingerprints
 from wrenspoke.protocol import headers
--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -14,8 +14,8 @@
 from tests import group
 from tests import limited_fleet
 from tests import quarantined_fleet
-from wrenspoke.coordination.quarantine import crash_history
 from wrenspoke.coordination.quarantine import crash_aggregator
+from wrenspoke.coordination.quarantine import crash_history
 from wrenspoke.coordination.quarantine import hold_durations
 
 FATAL = 'f' * 32
--- a/wrenspoke/control_node.py
+++ b/wrenspoke/control_node.py
@@ -9,8 +9,8 @@
 import structlog
 
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.agreement import direct_decisions
 from wrenspoke.coordination.agreement import bootstrap
+from wrenspoke.coordination.agreement import direct_decisions
 from wrenspoke.coordination.agreement import voter
 from wrenspoke.coordination.limiting import allocator
 from wrenspoke.coordination.membership import controls
--- a/wrenspoke/controld.py
+++ b/wrenspoke/controld.py
@@ -7,9 +7,9 @@
 
 from wrenspoke import arguments
 from wrenspoke import clock as clocks
+from wrenspoke.coordination.agreement import bootstrap
 from wrenspoke.coordination.agreement import control_service
 from wrenspoke.coordination.agreement import execution
-from wrenspoke.coordination.agreement import bootstrap
 from wrenspoke.coordination.agreement import voter
 from wrenspoke.coordination.membership import controls
 from wrenspoke.coordination.membership import replica
--- a/wrenspoke/coordination/agreement/leadership.py
+++ b/wrenspoke/coordination/agreement/leadership.py
@@ -6,8 +6,8 @@
 import structlog
 
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.agreement import voter_planner
 from wrenspoke.coordination.agreement import followers
+from wrenspoke.coordination.agreement import voter_planner
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.membership import controls
 from wrenspoke import ids
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -27,9 +27,9 @@
 import structlog
 
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.agreement import vote_tally
-from wrenspoke.coordination.agreement import rollback_check
 from wrenspoke.coordination.agreement import leadership
+from wrenspoke.coordination.agreement import rollback_check
+from wrenspoke.coordination.agreement import vote_tally
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.membership import controls
 from wrenspoke.coordination.membership import replica
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -17,9 +17,9 @@
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.quarantine import crash_history
-from wrenspoke.coordination.quarantine import recent_successes
-from wrenspoke.coordination.quarantine import hold_durations
 from wrenspoke.coordination.quarantine import crash_reporter as reporters
+from wrenspoke.coordination.quarantine import hold_durations
+from wrenspoke.coordination.quarantine import recent_successes
 from wrenspoke.coordination.quarantine import run_tracker
 from wrenspoke import ids
 from wrenspoke.protocol import peers as peer_calls
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -22,8 +22,8 @@
 from wrenspoke.coordination.membership import reach
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.membership import views
-from wrenspoke.coordination.quarantine import guard
 from wrenspoke.coordination.quarantine import crash_reporter
+from wrenspoke.coordination.quarantine import guard
 from wrenspoke.coordination.serving import access
 from wrenspoke.coordination.serving import availability
 from wrenspoke.coordination.serving import choice
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -17,8 +17,8 @@
 from wrenspoke.coordination.membership import pulls
 from wrenspoke.coordination.membership import reach
 from wrenspoke.coordination.membership import replica
-from wrenspoke.coordination.quarantine import guard
 from wrenspoke.coordination.quarantine import crash_reporter
+from wrenspoke.coordination.quarantine import guard
 from wrenspoke.coordination.serving import decisions
 from wrenspoke.coordination.serving import dispatch
 from wrenspoke.coordination.serving import forwarding
