--- a/wrenspoke/coordination/quarantine/crash_history.py
+++ b/wrenspoke/coordination/quarantine/crash_history.py
@@ -45,14 +45,14 @@
         self,
         digest: ids.RequestDigest,
         endpoint: ids.EndpointId,
-        ended_ms: int,
+        crashed_ms: int,
     ) -> int:
         """Note that an endpoint ended; return how many did under it."""
         self._evict_expired()
         ends = self._crashes_of(digest)
-        if any(_is_duplicate(end, endpoint, ended_ms) for end in ends):
+        if any(_is_duplicate(end, endpoint, crashed_ms) for end in ends):
             return len(ends)
-        ends = [*ends, (endpoint, ended_ms)]
+        ends = [*ends, (endpoint, crashed_ms)]
         self._single_crashes.pop(digest, None)
         self._repeated_crashes.pop(digest, None)
         kept, limit = self._repeated_crashes, MAX_REPEATED_CRASH_ENTRIES
