--- a/benches/switches_quarantine.py
+++ b/benches/switches_quarantine.py
@@ -56,7 +56,7 @@
     Switch(
         'an end counts for each host that tells it',
         QUARANTINE + 'crash_history.py',
-        'if any(_is_duplicate(end, endpoint, crashed_ms) for end in ends):',
+        'if any(_is_duplicate(end, endpoint, crashed_ms) for end in crashes):',
         'if False:',
         f'{UNITS}::test_crash_is_counted_once',
     ),
--- a/wrenspoke/coordination/quarantine/crash_history.py
+++ b/wrenspoke/coordination/quarantine/crash_history.py
@@ -49,19 +49,19 @@
     ) -> int:
         """Note that an endpoint ended; return how many did under it."""
         self._evict_expired()
-        ends = self._crashes_of(digest)
-        if any(_is_duplicate(end, endpoint, crashed_ms) for end in ends):
-            return len(ends)
-        ends = [*ends, (endpoint, crashed_ms)]
+        crashes = self._crashes_of(digest)
+        if any(_is_duplicate(end, endpoint, crashed_ms) for end in crashes):
+            return len(crashes)
+        crashes = [*crashes, (endpoint, crashed_ms)]
         self._single_crashes.pop(digest, None)
         self._repeated_crashes.pop(digest, None)
         kept, limit = self._repeated_crashes, MAX_REPEATED_CRASH_ENTRIES
-        if len(ends) == 1:
+        if len(crashes) == 1:
             kept, limit = self._single_crashes, MAX_SINGLE_CRASH_ENTRIES
-        kept[digest] = ends
+        kept[digest] = crashes
         if len(kept) > limit:
             kept.popitem(last=False)
-        return len(ends)
+        return len(crashes)
 
     def clear(self, digest: ids.RequestDigest) -> bool:
         """Forget what is held against a request; False if nothing is."""
