--- a/benches/switches_quarantine.py
+++ b/benches/switches_quarantine.py
@@ -63,8 +63,8 @@
     Switch(
         'floods push out what ended more than one',
         QUARANTINE + 'crash_history.py',
-        'kept, limit = self._single_crashes, MAX_SINGLE_CRASH_ENTRIES',
-        'kept, limit = self._repeated_crashes, MAX_REPEATED_CRASH_ENTRIES',
+        'entries, limit = self._single_crashes, MAX_SINGLE_CRASH_ENTRIES',
+        'entries, limit = self._repeated_crashes, MAX_REPEATED_CRASH_ENTRIES',
         f'{UNITS}::test_single_crash_entries_do_not_evict_repeated'
         '_ones',
     ),
--- a/wrenspoke/coordination/quarantine/crash_history.py
+++ b/wrenspoke/coordination/quarantine/crash_history.py
@@ -55,12 +55,12 @@
         crashes = [*crashes, (endpoint, crashed_ms)]
         self._single_crashes.pop(digest, None)
         self._repeated_crashes.pop(digest, None)
-        kept, limit = self._repeated_crashes, MAX_REPEATED_CRASH_ENTRIES
+        entries, limit = self._repeated_crashes, MAX_REPEATED_CRASH_ENTRIES
         if len(crashes) == 1:
-            kept, limit = self._single_crashes, MAX_SINGLE_CRASH_ENTRIES
-        kept[digest] = crashes
-        if len(kept) > limit:
-            kept.popitem(last=False)
+            entries, limit = self._single_crashes, MAX_SINGLE_CRASH_ENTRIES
+        entries[digest] = crashes
+        if len(entries) > limit:
+            entries.popitem(last=False)
         return len(crashes)
 
     def clear(self, digest: ids.RequestDigest) -> bool:
