--- a/wrenspoke/coordination/quarantine/crash_history.py
+++ b/wrenspoke/coordination/quarantine/crash_history.py
@@ -65,8 +65,8 @@
 
     def clear(self, digest: ids.RequestDigest) -> bool:
         """Forget what is held against a request; False if nothing is."""
-        once = self._single_crashes.pop(digest, None)
-        return bool(once or self._repeated_crashes.pop(digest, None))
+        single = self._single_crashes.pop(digest, None)
+        return bool(single or self._repeated_crashes.pop(digest, None))
 
     def crash_count(self, digest: ids.RequestDigest) -> int:
         """Return how many endpoints ended under a request."""
