--- a/wrenspoke/coordination/quarantine/crash_history.py
+++ b/wrenspoke/coordination/quarantine/crash_history.py
@@ -81,12 +81,12 @@
 
     def _evict_expired(self) -> None:
         oldest_ms = self._clock.mono_ms() - RETENTION_MS
-        for kept in (self._single_crashes, self._repeated_crashes):
-            while kept:
-                digest = next(iter(kept))
-                if kept[digest][-1][1] > oldest_ms:
+        for entries in (self._single_crashes, self._repeated_crashes):
+            while entries:
+                digest = next(iter(entries))
+                if entries[digest][-1][1] > oldest_ms:
                     break
-                del kept[digest]
+                del entries[digest]
 
 
 def _is_duplicate(
