--- a/wrenspoke/coordination/quarantine/crash_history.py
+++ b/wrenspoke/coordination/quarantine/crash_history.py
@@ -90,6 +90,6 @@
 
 
 def _is_duplicate(
-    end: CrashRecord, endpoint: ids.EndpointId, ended_ms: int
+    crash: CrashRecord, endpoint: ids.EndpointId, ended_ms: int
 ) -> bool:
-    return end[0] == endpoint and abs(end[1] - ended_ms) <= DEDUP_WINDOW_MS
+    return crash[0] == endpoint and abs(crash[1] - ended_ms) <= DEDUP_WINDOW_MS
