--- a/wrenspoke/coordination/quarantine/crash_history.py
+++ b/wrenspoke/coordination/quarantine/crash_history.py
@@ -90,6 +90,8 @@
 
 
 def _is_duplicate(
-    crash: CrashRecord, endpoint: ids.EndpointId, ended_ms: int
+    crash: CrashRecord, endpoint: ids.EndpointId, crashed_ms: int
 ) -> bool:
-    return crash[0] == endpoint and abs(crash[1] - ended_ms) <= DEDUP_WINDOW_MS
+    return (
+        crash[0] == endpoint and abs(crash[1] - crashed_ms) <= DEDUP_WINDOW_MS
+    )
