--- a/wrenspoke/coordination/quarantine/recent_successes.py
+++ b/wrenspoke/coordination/quarantine/recent_successes.py
@@ -30,7 +30,7 @@
 
     def has_recent(self, digest: ids.RequestDigest) -> bool:
         """Tell whether a request came to a good end of late."""
-        ended_ms = self._succeeded_ms.get(digest)
-        if ended_ms is None:
+        succeeded_ms = self._succeeded_ms.get(digest)
+        if succeeded_ms is None:
             return False
-        return self._clock.mono_ms() - ended_ms <= RETENTION_MS
+        return self._clock.mono_ms() - succeeded_ms <= RETENTION_MS
