--- a/wrenspoke/coordination/quarantine/hold_durations.py
+++ b/wrenspoke/coordination/quarantine/hold_durations.py
@@ -13,7 +13,7 @@
 PROVISIONAL_HOLD_MS = 60_000
 
 
-def hold_duration_ms(ends: int) -> int:
+def hold_duration_ms(crashes: int) -> int:
     """Return for how long a request is held after so many ends."""
-    trials = max(ends - crash_history.CRASH_THRESHOLD, 0)
+    trials = max(crashes - crash_history.CRASH_THRESHOLD, 0)
     return min(BASE_HOLD_MS * 2**trials, MAX_HOLD_MS)
