--- a/wrenspoke/coordination/quarantine/hold_durations.py
+++ b/wrenspoke/coordination/quarantine/hold_durations.py
@@ -15,5 +15,5 @@
 
 def hold_duration_ms(crashes: int) -> int:
     """Return for how long a request is held after so many ends."""
-    trials = max(crashes - crash_history.CRASH_THRESHOLD, 0)
-    return min(BASE_HOLD_MS * 2**trials, MAX_HOLD_MS)
+    failed_trials = max(crashes - crash_history.CRASH_THRESHOLD, 0)
+    return min(BASE_HOLD_MS * 2**failed_trials, MAX_HOLD_MS)
