--- a/wrenspoke/coordination/quarantine/run_tracker.py
+++ b/wrenspoke/coordination/quarantine/run_tracker.py
@@ -76,15 +76,15 @@
 
     async def check_crashed(self, run: Run) -> bool:
         """Take a run that broke off; return whether its endpoint ended."""
-        ended = await self._probe_liveness(run)
+        crashed = await self._probe_liveness(run)
         logger.info(
             'run_broke',
             digest=run.digest,
             endpoint=run.endpoint,
-            endpoint_ended=ended,
+            endpoint_ended=crashed,
             ran_ms=self._clock.mono_ms() - run.dispatched_ms,
         )
-        return ended
+        return crashed
 
     async def _probe_liveness(self, run: Run) -> bool:
         look = self._probe_results.get(run.endpoint)
