--- a/benches/switches_quarantine.py
+++ b/benches/switches_quarantine.py
@@ -42,7 +42,7 @@
     Switch(
         'a look for each run',
         QUARANTINE + 'run_tracker.py',
-        'if look is None or not look.is_reusable(now_ms):',
+        'if result is None or not result.is_reusable(now_ms):',
         'if True:',
         f'{UNITS}::test_one_probe_serves_all_runs_of_an_endpoint',
     ),
--- a/wrenspoke/coordination/quarantine/run_tracker.py
+++ b/wrenspoke/coordination/quarantine/run_tracker.py
@@ -87,18 +87,18 @@
         return crashed
 
     async def _probe_liveness(self, run: Run) -> bool:
-        look = self._probe_results.get(run.endpoint)
+        result = self._probe_results.get(run.endpoint)
         now_ms = self._clock.mono_ms()
-        if look is None or not look.is_reusable(now_ms):
+        if result is None or not result.is_reusable(now_ms):
             self._evict_stale_results(now_ms)
-            look = self._probe_results[run.endpoint] = _ProbeResult(
+            result = self._probe_results[run.endpoint] = _ProbeResult(
                 now_ms,
                 asyncio.ensure_future(
                     self._probe(run.address, LIVENESS_PROBE_TIMEOUT_MS)
                 ),
             )
         # Who leaves must not take the look from the others that wait.
-        return await asyncio.shield(look.refused)
+        return await asyncio.shield(result.refused)
 
     def _evict_stale_results(self, now_ms: int) -> None:
         for endpoint, look in list(self._probe_results.items()):
