--- a/wrenspoke/coordination/quarantine/run_tracker.py
+++ b/wrenspoke/coordination/quarantine/run_tracker.py
@@ -101,6 +101,6 @@
         return await asyncio.shield(result.refused)
 
     def _evict_stale_results(self, now_ms: int) -> None:
-        for endpoint, look in list(self._probe_results.items()):
-            if not look.is_reusable(now_ms):
+        for endpoint, result in list(self._probe_results.items()):
+            if not result.is_reusable(now_ms):
                 del self._probe_results[endpoint]
