--- a/wrenspoke/coordination/quarantine/crash_reporter.py
+++ b/wrenspoke/coordination/quarantine/crash_reporter.py
@@ -71,9 +71,9 @@
         self._hold_callback: HoldCallback | None = None
         self._tasks = runtime.Tasks()
 
-    def set_hold_callback(self, heard: HoldCallback) -> None:
+    def set_hold_callback(self, callback: HoldCallback) -> None:
         """Have what gathering hosts hold off told to ``heard``."""
-        self._hold_callback = heard
+        self._hold_callback = callback
 
     async def close(self) -> None:
         """Tell nobody any more."""
