--- a/wrenspoke/coordination/quarantine/crash_reporter.py
+++ b/wrenspoke/coordination/quarantine/crash_reporter.py
@@ -83,10 +83,10 @@
         self, digest: ids.RequestDigest, endpoint: ids.EndpointId
     ) -> None:
         """Tell that an endpoint has just ended under a request."""
-        end = (digest, endpoint, self._clock.mono_ms())
-        self._local_crashes.append(end)
+        crash = (digest, endpoint, self._clock.mono_ms())
+        self._local_crashes.append(crash)
         for queue in self._active_queues():
-            queue.crashes.append(end)
+            queue.crashes.append(crash)
 
     def report_success(self, digest: ids.RequestDigest) -> None:
         """Tell that an endpoint ran a request to a good end."""
