--- a/wrenspoke/coordination/quarantine/crash_reporter.py
+++ b/wrenspoke/coordination/quarantine/crash_reporter.py
@@ -95,10 +95,10 @@
 
     def _active_queues(self) -> list[_ReportQueue]:
         """Return the queues of all who gather, about to be emptied."""
-        gatherers = self._list_aggregators()
-        for host in set(self._queues).difference(gatherers):
+        aggregators = self._list_aggregators()
+        for host in set(self._queues).difference(aggregators):
             del self._queues[host]
-        for host in gatherers:
+        for host in aggregators:
             queue = self._queues.setdefault(host, _ReportQueue())
             if queue.task is None or queue.task.done():
                 queue.task = self._tasks.start(
