--- a/benches/switches_quarantine.py
+++ b/benches/switches_quarantine.py
@@ -100,7 +100,7 @@
     Switch(
         'what could not be told is dropped',
         QUARANTINE + 'crash_reporter.py',
-        '            queue.crashes.extendleft(reversed(ends))\n',
+        '            queue.crashes.extendleft(reversed(crashes))\n',
         '',
         f'{FLEET}::test_crashes_on_both_sides_of_a_partition_add_up',
     ),
--- a/wrenspoke/coordination/quarantine/crash_reporter.py
+++ b/wrenspoke/coordination/quarantine/crash_reporter.py
@@ -113,12 +113,12 @@
                 await self._clock.sleep_ms(RETRY_INTERVAL_MS)
 
     async def _send_batch(self, host: ids.HostId, queue: _ReportQueue) -> bool:
-        ends, cleared = self._unexpired(queue.crashes), list(queue.cleared)
+        crashes, cleared = self._unexpired(queue.crashes), list(queue.cleared)
         queue.crashes.clear()
         queue.cleared.clear()
-        answer = await self._send_report(host, ends, cleared)
+        answer = await self._send_report(host, crashes, cleared)
         if answer is None:
-            queue.crashes.extendleft(reversed(ends))
+            queue.crashes.extendleft(reversed(crashes))
             queue.cleared.update(dict.fromkeys(cleared))
             return False
         for hold in answer.holds:
@@ -127,7 +127,9 @@
         if answer.life != queue.instance_id:
             # It knows nothing of what it was told before.
             queue.instance_id = answer.life
-            older = set(self._unexpired(self._local_crashes)).difference(ends)
+            older = set(self._unexpired(self._local_crashes)).difference(
+                crashes
+            )
             queue.crashes.extend(sorted(older, key=_crashed_ms))
         return True
 
