--- a/wrenspoke/coordination/quarantine/crash_reporter.py
+++ b/wrenspoke/coordination/quarantine/crash_reporter.py
@@ -136,13 +136,13 @@
     async def _send_report(
         self,
         host: ids.HostId,
-        ends: list[LocalCrash],
+        crashes: list[LocalCrash],
         cleared: list[ids.RequestDigest],
     ) -> quarantining.RunsNoted | None:
         now_ms = self._clock.mono_ms()
         told = [
             quarantining.RunEnd(digest, endpoint, now_ms - ended_ms)
-            for digest, endpoint, ended_ms in ends
+            for digest, endpoint, ended_ms in crashes
         ]
         message = quarantining.RunsEnded(told, cleared)
         try:
