--- a/wrenspoke/coordination/quarantine/crash_reporter.py
+++ b/wrenspoke/coordination/quarantine/crash_reporter.py
@@ -140,11 +140,11 @@
         cleared: list[ids.RequestDigest],
     ) -> quarantining.RunsNoted | None:
         now_ms = self._clock.mono_ms()
-        told = [
+        run_ends = [
             quarantining.RunEnd(digest, endpoint, now_ms - ended_ms)
             for digest, endpoint, ended_ms in crashes
         ]
-        message = quarantining.RunsEnded(told, cleared)
+        message = quarantining.RunsEnded(run_ends, cleared)
         try:
             answer = await self._peers.call(host, message, CALL_TIMEOUT_MS)
         except protocol_errors.ProtocolError as error:
