--- a/wrenspoke/coordination/quarantine/crash_reporter.py
+++ b/wrenspoke/coordination/quarantine/crash_reporter.py
@@ -156,10 +156,10 @@
         return answer
 
     def _unexpired(
-        self, ends: collections.abc.Iterable[LocalCrash]
+        self, crashes: collections.abc.Iterable[LocalCrash]
     ) -> list[LocalCrash]:
         oldest_ms = self._clock.mono_ms() - crash_history.RETENTION_MS
-        return [end for end in ends if _crashed_ms(end) > oldest_ms]
+        return [end for end in crashes if _crashed_ms(end) > oldest_ms]
 
 
 def _crashed_ms(end: LocalCrash) -> int:
