--- a/wrenspoke/coordination/quarantine/crash_reporter.py
+++ b/wrenspoke/coordination/quarantine/crash_reporter.py
@@ -162,5 +162,5 @@
         return [end for end in crashes if _crashed_ms(end) > oldest_ms]
 
 
-def _crashed_ms(end: LocalCrash) -> int:
-    return end[2]
+def _crashed_ms(crash: LocalCrash) -> int:
+    return crash[2]
