--- a/benches/switches_quarantine.py
+++ b/benches/switches_quarantine.py
@@ -71,7 +71,7 @@
     Switch(
         'nobody told by control hosts',
         QUARANTINE + 'crash_aggregator.py',
-        '            self._tasks.start(self._notify_entry_hosts(found), fatal=False)\n',
+        '            self._tasks.start(self._notify_entry_hosts(new_holds), fatal=False)\n',
         '',
         f'{FLEET}::test_isolated_region_holds_request',
     ),
--- a/wrenspoke/coordination/quarantine/crash_aggregator.py
+++ b/wrenspoke/coordination/quarantine/crash_aggregator.py
@@ -99,12 +99,12 @@
         now_ms = self._clock.mono_ms()
         for digest in message.cleared:
             self._handle_success(digest)
-        found = []
+        new_holds = []
         for end in message.ends:
             if self._record_crash(end, now_ms):
-                found.append(self._make_hold(end.digest))
-        if found:
-            self._tasks.start(self._notify_entry_hosts(found), fatal=False)
+                new_holds.append(self._make_hold(end.digest))
+        if new_holds:
+            self._tasks.start(self._notify_entry_hosts(new_holds), fatal=False)
             self._tasks.start(self._propose_after_objections())
         told = {end.digest for end in message.ends}
         return quarantining.RunsNoted(
