--- a/wrenspoke/coordination/quarantine/crash_aggregator.py
+++ b/wrenspoke/coordination/quarantine/crash_aggregator.py
@@ -106,10 +106,10 @@
         if new_holds:
             self._tasks.start(self._notify_entry_hosts(new_holds), fatal=False)
             self._tasks.start(self._propose_after_objections())
-        told = {end.digest for end in message.ends}
+        reported = {end.digest for end in message.ends}
         return quarantining.RunsNoted(
             self._instance_id,
-            [self._make_hold(one) for one in told if self._is_held(one)],
+            [self._make_hold(one) for one in reported if self._is_held(one)],
         )
 
     def _record_crash(self, end: quarantining.RunEnd, now_ms: int) -> bool:
