--- a/wrenspoke/coordination/quarantine/crash_aggregator.py
+++ b/wrenspoke/coordination/quarantine/crash_aggregator.py
@@ -120,8 +120,8 @@
         self._crash_history.record_crash(
             end.digest, end.endpoint, now_ms - end.age_ms
         )
-        ends = self._crash_count(end.digest)
-        if ends < crash_history.CRASH_THRESHOLD:
+        crashes = self._crash_count(end.digest)
+        if crashes < crash_history.CRASH_THRESHOLD:
             return False
         told_ms = self._notified_ms.get(end.digest)
         if told_ms is not None and now_ms - told_ms < RENOTIFY_INTERVAL_MS:
@@ -129,7 +129,7 @@
         logger.warning(
             'request_ends_endpoints',
             digest=end.digest,
-            ends=ends,
+            crashes=crashes,
             endpoint=end.endpoint,
         )
         self._notified_ms[end.digest] = now_ms
