--- a/benches/switches_quarantine.py
+++ b/benches/switches_quarantine.py
@@ -78,7 +78,7 @@
     Switch(
         'nobody told again',
         QUARANTINE + 'crash_aggregator.py',
-        'now_ms - told_ms < RENOTIFY_INTERVAL_MS',
+        'now_ms - notified_ms < RENOTIFY_INTERVAL_MS',
         'True',
         f'{FLEET}::test_long_isolated_region_retries_request_once_a'
         '_minute',
--- a/wrenspoke/coordination/quarantine/crash_aggregator.py
+++ b/wrenspoke/coordination/quarantine/crash_aggregator.py
@@ -123,8 +123,11 @@
         crashes = self._crash_count(end.digest)
         if crashes < crash_history.CRASH_THRESHOLD:
             return False
-        told_ms = self._notified_ms.get(end.digest)
-        if told_ms is not None and now_ms - told_ms < RENOTIFY_INTERVAL_MS:
+        notified_ms = self._notified_ms.get(end.digest)
+        if (
+            notified_ms is not None
+            and now_ms - notified_ms < RENOTIFY_INTERVAL_MS
+        ):
             return False
         logger.warning(
             'request_ends_endpoints',
