--- a/benches/switches_quarantine.py
+++ b/benches/switches_quarantine.py
@@ -121,8 +121,8 @@
     Switch(
         'trials begin at nothing',
         QUARANTINE + 'crash_aggregator.py',
-        'before = 0 if decided is None else decided.ends',
-        'before = 0',
+        'earlier_crashes = 0 if decided is None else decided.ends',
+        'earlier_crashes = 0',
         f'{FLEET}::test_failed_trial_doubles_the_hold',
     ),
     Switch(
--- a/wrenspoke/coordination/quarantine/crash_aggregator.py
+++ b/wrenspoke/coordination/quarantine/crash_aggregator.py
@@ -146,8 +146,8 @@
     def _crash_count(self, digest: ids.RequestDigest) -> int:
         """Return how many endpoints ended, those before a trial too."""
         decided = self._quarantine.get(digest)
-        before = 0 if decided is None else decided.ends
-        return before + self._crash_history.crash_count(digest)
+        earlier_crashes = 0 if decided is None else decided.ends
+        return earlier_crashes + self._crash_history.crash_count(digest)
 
     def _is_held(self, digest: ids.RequestDigest) -> bool:
         if digest in self._notified_ms:
