--- a/wrenspoke/coordination/quarantine/crash_aggregator.py
+++ b/wrenspoke/coordination/quarantine/crash_aggregator.py
@@ -155,9 +155,9 @@
         return quarantine.held(self._quarantine, digest) is not None
 
     def _make_hold(self, digest: ids.RequestDigest) -> quarantining.Hold:
-        ends = self._crash_count(digest)
+        crashes = self._crash_count(digest)
         return quarantining.Hold(
-            digest, ends, hold_durations.hold_duration_ms(ends)
+            digest, crashes, hold_durations.hold_duration_ms(crashes)
         )
 
     def _handle_success(self, digest: ids.RequestDigest) -> None:
