--- a/wrenspoke/coordination/quarantine/crash_aggregator.py
+++ b/wrenspoke/coordination/quarantine/crash_aggregator.py
@@ -175,10 +175,10 @@
 
     async def _notify_entry_hosts(
         self,
-        found: list[quarantining.Hold],
+        new_holds: list[quarantining.Hold],
         released: collections.abc.Iterable[ids.RequestDigest] = (),
     ) -> None:
-        message = quarantining.HoldOff(found, list(released))
+        message = quarantining.HoldOff(new_holds, list(released))
         hosts = self._list_entry_hosts(self._local_voter.has_lease)
         await asyncio.gather(
             *(self._notify_entry_host(host, message) for host in hosts)
