--- a/wrenspoke/coordination/quarantine/crash_aggregator.py
+++ b/wrenspoke/coordination/quarantine/crash_aggregator.py
@@ -216,8 +216,8 @@
 
     def _sync_decisions(self) -> None:
         """Note what was decided since, and tell what was let go."""
-        now = self._quarantine
-        for found in now.values():
+        current = self._quarantine
+        for found in current.values():
             if found not in self._decided_ms:
                 self._decided_ms[found] = self._clock.mono_ms()
             if not found.on_probation:
@@ -226,13 +226,13 @@
                 self._notified_ms.pop(found.digest, None)
         gone = []
         for before in list(self._decided_ms):
-            if now.get(before.digest) == before:
+            if current.get(before.digest) == before:
                 continue
             del self._decided_ms[before]
-            if before.digest not in now:
+            if before.digest not in current:
                 self._crash_history.clear(before.digest)
                 gone.append(before.digest)
-        self._pending_releases &= now.keys()
+        self._pending_releases &= current.keys()
         for digest in list(self._notified_ms):
             if self._crash_count(digest) < crash_history.CRASH_THRESHOLD:
                 # Forgotten before anybody could decide on it.
