--- a/wrenspoke/coordination/quarantine/crash_aggregator.py
+++ b/wrenspoke/coordination/quarantine/crash_aggregator.py
@@ -217,13 +217,13 @@
     def _sync_decisions(self) -> None:
         """Note what was decided since, and tell what was let go."""
         current = self._quarantine
-        for found in current.values():
-            if found not in self._decided_ms:
-                self._decided_ms[found] = self._clock.mono_ms()
-            if not found.on_probation:
+        for decision in current.values():
+            if decision not in self._decided_ms:
+                self._decided_ms[decision] = self._clock.mono_ms()
+            if not decision.on_probation:
                 # Ends from here on are of a trial.
-                self._crash_history.clear(found.digest)
-                self._notified_ms.pop(found.digest, None)
+                self._crash_history.clear(decision.digest)
+                self._notified_ms.pop(decision.digest, None)
         gone = []
         for before in list(self._decided_ms):
             if current.get(before.digest) == before:
