--- a/wrenspoke/coordination/quarantine/crash_aggregator.py
+++ b/wrenspoke/coordination/quarantine/crash_aggregator.py
@@ -225,13 +225,13 @@
                 self._crash_history.clear(decision.digest)
                 self._notified_ms.pop(decision.digest, None)
         gone = []
-        for before in list(self._decided_ms):
-            if current.get(before.digest) == before:
+        for known in list(self._decided_ms):
+            if current.get(known.digest) == known:
                 continue
-            del self._decided_ms[before]
-            if before.digest not in current:
-                self._crash_history.clear(before.digest)
-                gone.append(before.digest)
+            del self._decided_ms[known]
+            if known.digest not in current:
+                self._crash_history.clear(known.digest)
+                gone.append(known.digest)
         self._pending_releases &= current.keys()
         for digest in list(self._notified_ms):
             if self._crash_count(digest) < crash_history.CRASH_THRESHOLD:
