--- a/wrenspoke/coordination/quarantine/crash_aggregator.py
+++ b/wrenspoke/coordination/quarantine/crash_aggregator.py
@@ -224,21 +224,23 @@
                 # Ends from here on are of a trial.
                 self._crash_history.clear(decision.digest)
                 self._notified_ms.pop(decision.digest, None)
-        gone = []
+        released = []
         for known in list(self._decided_ms):
             if current.get(known.digest) == known:
                 continue
             del self._decided_ms[known]
             if known.digest not in current:
                 self._crash_history.clear(known.digest)
-                gone.append(known.digest)
+                released.append(known.digest)
         self._pending_releases &= current.keys()
         for digest in list(self._notified_ms):
             if self._crash_count(digest) < crash_history.CRASH_THRESHOLD:
                 # Forgotten before anybody could decide on it.
                 del self._notified_ms[digest]
-        if gone:
-            self._tasks.start(self._notify_entry_hosts([], gone), fatal=False)
+        if released:
+            self._tasks.start(
+                self._notify_entry_hosts([], released), fatal=False
+            )
 
     async def _propose_if_leader(self) -> None:
         """Have what is due decided, in one change, if this host leads."""
