--- a/wrenspoke/coordination/quarantine/crash_aggregator.py
+++ b/wrenspoke/coordination/quarantine/crash_aggregator.py
@@ -256,8 +256,8 @@
         now_ms = self._clock.mono_ms()
         entered = [
             quarantine.Quarantined(digest, self._crash_count(digest))
-            for digest, told_ms in self._notified_ms.items()
-            if now_ms - told_ms >= OBJECTION_WINDOW_MS
+            for digest, notified_ms in self._notified_ms.items()
+            if now_ms - notified_ms >= OBJECTION_WINDOW_MS
         ]
         entered += self._due_for_probation(now_ms)
         if not entered and not self._pending_releases:
