--- a/wrenspoke/coordination/quarantine/crash_aggregator.py
+++ b/wrenspoke/coordination/quarantine/crash_aggregator.py
@@ -273,12 +273,12 @@
         self._sync_decisions()
         for digest in change.cleared:
             logger.info('quarantine_left', digest=digest)
-        for found in entered:
+        for decision in entered:
             logger.warning(
                 'quarantine_changed',
-                digest=found.digest,
-                ends=found.ends,
-                on_probation=found.on_probation,
+                digest=decision.digest,
+                ends=decision.ends,
+                on_probation=decision.on_probation,
             )
 
     def _due_for_probation(self, now_ms: int) -> list[quarantine.Quarantined]:
