--- a/benches/switches_quarantine.py
+++ b/benches/switches_quarantine.py
@@ -114,7 +114,7 @@
     Switch(
         'no trials',
         QUARANTINE + 'crash_aggregator.py',
-        'entered += self._due_for_probation(now_ms)',
+        'decisions += self._due_for_probation(now_ms)',
         'pass',
         f'{FLEET}::test_successful_trial_ends_quarantine',
     ),
--- a/wrenspoke/coordination/quarantine/crash_aggregator.py
+++ b/wrenspoke/coordination/quarantine/crash_aggregator.py
@@ -254,16 +254,16 @@
 
     async def _propose_due(self) -> None:
         now_ms = self._clock.mono_ms()
-        entered = [
+        decisions = [
             quarantine.Quarantined(digest, self._crash_count(digest))
             for digest, notified_ms in self._notified_ms.items()
             if now_ms - notified_ms >= OBJECTION_WINDOW_MS
         ]
-        entered += self._due_for_probation(now_ms)
-        if not entered and not self._pending_releases:
+        decisions += self._due_for_probation(now_ms)
+        if not decisions and not self._pending_releases:
             return
         change = configuration.SetQuarantine(
-            tuple(entered), tuple(self._pending_releases)
+            tuple(decisions), tuple(self._pending_releases)
         )
         try:
             await self._local_voter.propose(entries.SetQuarantine(change))
@@ -273,7 +273,7 @@
         self._sync_decisions()
         for digest in change.cleared:
             logger.info('quarantine_left', digest=digest)
-        for decision in entered:
+        for decision in decisions:
             logger.warning(
                 'quarantine_changed',
                 digest=decision.digest,
