--- a/wrenspoke/coordination/quarantine/crash_aggregator.py
+++ b/wrenspoke/coordination/quarantine/crash_aggregator.py
@@ -284,10 +284,15 @@
     def _due_for_probation(self, now_ms: int) -> list[quarantine.Quarantined]:
         """Return, on probation, what has been held for long enough."""
         due = []
-        for found, since_ms in self._decided_ms.items():
-            if found.on_probation or found.digest in self._pending_releases:
+        for decision, since_ms in self._decided_ms.items():
+            if (
+                decision.on_probation
+                or decision.digest in self._pending_releases
+            ):
                 continue
-            if now_ms - since_ms < hold_durations.hold_duration_ms(found.ends):
+            if now_ms - since_ms < hold_durations.hold_duration_ms(
+                decision.ends
+            ):
                 continue
-            due.append(msgspec.structs.replace(found, on_probation=True))
+            due.append(msgspec.structs.replace(decision, on_probation=True))
         return due
