--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -102,10 +102,10 @@
     def _decided_hold_end_ms(self, decided: quarantine.Quarantined) -> int:
         if len(self._decision_seen_ms) > MAX_HOLDS:
             self._decision_seen_ms.clear()
-        known_ms = self._decision_seen_ms.setdefault(
+        decision_seen_ms = self._decision_seen_ms.setdefault(
             decided, self._clock.mono_ms()
         )
-        return known_ms + hold_durations.hold_duration_ms(decided.ends)
+        return decision_seen_ms + hold_durations.hold_duration_ms(decided.ends)
 
     # How runs end.
 
