--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -140,9 +140,9 @@
         """Record a run that ended well, and clear its request."""
         digest = run.digest
         self._recent_successes.add_success(digest)
-        known = self._crash_history.clear(digest)
-        known |= self._provisional_until_ms.pop(digest, None) is not None
-        if known or digest in self._replica.current.quarantine:
+        was_suspect = self._crash_history.clear(digest)
+        was_suspect |= self._provisional_until_ms.pop(digest, None) is not None
+        if was_suspect or digest in self._replica.current.quarantine:
             self._reporter.report_success(digest)
 
     async def handle_broken_run(self, run: run_tracker.Run) -> None:
