--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -151,8 +151,8 @@
         The check goes on if it takes longer than the call waits for it, or
         if the caller leaves.
         """
-        noting = self._tasks.start(self._record_if_crashed(run), fatal=False)
-        await asyncio.wait([noting], timeout=PROBE_WAIT_MS / MS_PER_S)
+        checking = self._tasks.start(self._record_if_crashed(run), fatal=False)
+        await asyncio.wait([checking], timeout=PROBE_WAIT_MS / MS_PER_S)
 
     async def _record_if_crashed(self, run: run_tracker.Run) -> None:
         """Count a run against its request, if its endpoint crashed.
