--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -173,9 +173,9 @@
         self,
         digest: ids.RequestDigest,
         endpoint: ids.EndpointId,
-        ended_ms: int,
+        crashed_ms: int,
     ) -> None:
-        ends = self._crash_history.record_crash(digest, endpoint, ended_ms)
+        ends = self._crash_history.record_crash(digest, endpoint, crashed_ms)
         decided = self._replica.current.quarantine.get(digest)
         if decided is not None:
             ends += decided.ends
