--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -175,13 +175,15 @@
         endpoint: ids.EndpointId,
         crashed_ms: int,
     ) -> None:
-        ends = self._crash_history.record_crash(digest, endpoint, crashed_ms)
+        crashes = self._crash_history.record_crash(
+            digest, endpoint, crashed_ms
+        )
         decided = self._replica.current.quarantine.get(digest)
         if decided is not None:
-            ends += decided.ends
-        if ends >= crash_history.CRASH_THRESHOLD:
+            crashes += decided.ends
+        if crashes >= crash_history.CRASH_THRESHOLD:
             hold = quarantining.Hold(
-                digest, ends, hold_durations.PROVISIONAL_HOLD_MS
+                digest, crashes, hold_durations.PROVISIONAL_HOLD_MS
             )
             self._hold_provisionally(hold)
 
