--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -231,7 +231,7 @@
                 self._count_crash(
                     end.digest, end.endpoint, now_ms - end.age_ms
                 )
-        told = {end.digest for end in message.ends}
+        reported = {end.digest for end in message.ends}
         return quarantining.RunsNoted(
             self._instance_id,
             [
@@ -240,7 +240,7 @@
                     self._crash_history.crash_count(digest),
                     hold_durations.PROVISIONAL_HOLD_MS,
                 )
-                for digest in told
+                for digest in reported
                 if self.remaining_hold_ms(digest) is not None
             ],
         )
