--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -437,7 +437,7 @@
     Switch(
         'voters stay where they are',
         DECISIONS + 'agreement/voter_planner.py',
-        ('            or self._improve_spread(voters, known)\n'),
+        ('            or self._improve_spread(voters, follower_states)\n'),
         (''),
         ('tests/test_group_soak.py'),
     ),
--- a/wrenspoke/coordination/agreement/voter_planner.py
+++ b/wrenspoke/coordination/agreement/voter_planner.py
@@ -43,7 +43,9 @@
         self._leader_state = leader_state
         self._since_ms = since_ms
 
-    def next_change(self, known: Followers) -> entries.SetVoters | None:
+    def next_change(
+        self, follower_states: Followers
+    ) -> entries.SetVoters | None:
         """Return the next change of voters, None where all is well.
 
         The last one must be committed.
@@ -53,11 +55,11 @@
             return entries.SetVoters(deciding.voters, 'the change is over')
         voters = deciding.voters
         return (
-            self._replace_disk(voters, known)
-            or self._add_voter(voters, known)
-            or self._remove_voter(voters, known)
-            or self._replace_silent_voter(voters, known)
-            or self._improve_spread(voters, known)
+            self._replace_disk(voters, follower_states)
+            or self._add_voter(voters, follower_states)
+            or self._remove_voter(voters, follower_states)
+            or self._replace_silent_voter(voters, follower_states)
+            or self._improve_spread(voters, follower_states)
         )
 
     @property
