--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -189,7 +189,7 @@
     Switch(
         'no admission',
         DECISIONS + 'agreement/voter_planner.py',
-        ('        deciding = self._leader_state.electorate\n'),
+        ('        electorate = self._leader_state.electorate\n'),
         ('        return None\n'),
         (
             'tests/test_control.py::test_lost_disk_is_readmitted_and'
--- a/wrenspoke/coordination/agreement/voter_planner.py
+++ b/wrenspoke/coordination/agreement/voter_planner.py
@@ -50,10 +50,10 @@
 
         The last one must be committed.
         """
-        deciding = self._leader_state.electorate
-        if deciding.before:
-            return entries.SetVoters(deciding.voters, 'the change is over')
-        voters = deciding.voters
+        electorate = self._leader_state.electorate
+        if electorate.before:
+            return entries.SetVoters(electorate.voters, 'the change is over')
+        voters = electorate.voters
         return (
             self._replace_disk(voters, follower_states)
             or self._add_voter(voters, follower_states)
