--- a/wrenspoke/coordination/agreement/voter_planner.py
+++ b/wrenspoke/coordination/agreement/voter_planner.py
@@ -76,10 +76,10 @@
         return age_ms <= self._leader_state.settings.election_timeout_ms
 
     def _replace_disk(
-        self, voters: electorates.Voters, known: Followers
+        self, voters: electorates.Voters, follower_states: Followers
     ) -> entries.SetVoters | None:
         """Let a host's new disk take the vote of the one that it lost."""
-        for host, follower in known.items():
+        for host, follower in follower_states.items():
             lost = voters.get(host)
             if lost is None or lost == follower.incarnation:
                 continue
