--- a/wrenspoke/coordination/agreement/voter_planner.py
+++ b/wrenspoke/coordination/agreement/voter_planner.py
@@ -80,15 +80,15 @@
     ) -> entries.SetVoters | None:
         """Let a host's new disk take the vote of the one that it lost."""
         for host, follower in follower_states.items():
-            lost = voters.get(host)
-            if lost is None or lost == follower.incarnation:
+            previous_disk = voters.get(host)
+            if previous_disk is None or previous_disk == follower.incarnation:
                 continue
             if not self._is_eligible(follower):
                 continue
             found = follower.incarnation
             return entries.SetVoters(
                 {**voters, host: found},
-                f'{host} lost disk {lost}, holds all on {found}',
+                f'{host} lost disk {previous_disk}, holds all on {found}',
                 voters,
             )
         return None
