--- a/wrenspoke/coordination/agreement/voter_planner.py
+++ b/wrenspoke/coordination/agreement/voter_planner.py
@@ -85,10 +85,10 @@
                 continue
             if not self._is_eligible(follower):
                 continue
-            found = follower.incarnation
+            admitted_disk = follower.incarnation
             return entries.SetVoters(
-                {**voters, host: found},
-                f'{host} lost disk {previous_disk}, holds all on {found}',
+                {**voters, host: admitted_disk},
+                f'{host} lost disk {previous_disk}, holds all on {admitted_disk}',
                 voters,
             )
         return None
