--- a/wrenspoke/coordination/agreement/voter_planner.py
+++ b/wrenspoke/coordination/agreement/voter_planner.py
@@ -94,12 +94,12 @@
         return None
 
     def _eligible_learners(
-        self, voters: electorates.Voters, known: Followers
+        self, voters: electorates.Voters, follower_states: Followers
     ) -> dict[ids.HostId, ids.Incarnation]:
         """Return the hosts without a vote that could have one at once."""
         return {
             host: follower.incarnation
-            for host, follower in known.items()
+            for host, follower in follower_states.items()
             if host not in voters and self._is_eligible(follower)
         }
 
