--- a/wrenspoke/coordination/agreement/voter_planner.py
+++ b/wrenspoke/coordination/agreement/voter_planner.py
@@ -104,12 +104,12 @@
         }
 
     def _add_voter(
-        self, voters: electorates.Voters, known: Followers
+        self, voters: electorates.Voters, follower_states: Followers
     ) -> entries.SetVoters | None:
         if self._limit is not None and len(voters) >= self._limit:
             return None
-        standing_by = self._eligible_learners(voters, known)
-        host = self._best_spread_host(standing_by, voters, known)
+        standing_by = self._eligible_learners(voters, follower_states)
+        host = self._best_spread_host(standing_by, voters, follower_states)
         if host is None:
             return None
         disk = standing_by[host]
