--- a/wrenspoke/coordination/agreement/voter_planner.py
+++ b/wrenspoke/coordination/agreement/voter_planner.py
@@ -108,11 +108,11 @@
     ) -> entries.SetVoters | None:
         if self._limit is not None and len(voters) >= self._limit:
             return None
-        standing_by = self._eligible_learners(voters, follower_states)
-        host = self._best_spread_host(standing_by, voters, follower_states)
+        learners = self._eligible_learners(voters, follower_states)
+        host = self._best_spread_host(learners, voters, follower_states)
         if host is None:
             return None
-        disk = standing_by[host]
+        disk = learners[host]
         return entries.SetVoters(
             {**voters, host: disk}, f'{host} holds all on disk {disk}'
         )
