--- a/wrenspoke/coordination/agreement/voter_planner.py
+++ b/wrenspoke/coordination/agreement/voter_planner.py
@@ -118,11 +118,11 @@
         )
 
     def _remove_voter(
-        self, voters: electorates.Voters, known: Followers
+        self, voters: electorates.Voters, follower_states: Followers
     ) -> entries.SetVoters | None:
         if self._limit is None or len(voters) <= self._limit:
             return None
-        gone = self._longest_silent_voter(voters, known)
+        gone = self._longest_silent_voter(voters, follower_states)
         left = _without_host(voters, gone)
         return entries.SetVoters(left, f'{gone} is one too many')
 
