--- a/wrenspoke/coordination/agreement/voter_planner.py
+++ b/wrenspoke/coordination/agreement/voter_planner.py
@@ -122,9 +122,9 @@
     ) -> entries.SetVoters | None:
         if self._limit is None or len(voters) <= self._limit:
             return None
-        gone = self._longest_silent_voter(voters, follower_states)
-        left = _without_host(voters, gone)
-        return entries.SetVoters(left, f'{gone} is one too many')
+        removed = self._longest_silent_voter(voters, follower_states)
+        left = _without_host(voters, removed)
+        return entries.SetVoters(left, f'{removed} is one too many')
 
     def _replace_silent_voter(
         self, voters: electorates.Voters, known: Followers
