--- a/wrenspoke/coordination/agreement/voter_planner.py
+++ b/wrenspoke/coordination/agreement/voter_planner.py
@@ -123,8 +123,8 @@
         if self._limit is None or len(voters) <= self._limit:
             return None
         removed = self._longest_silent_voter(voters, follower_states)
-        left = _without_host(voters, removed)
-        return entries.SetVoters(left, f'{removed} is one too many')
+        remaining = _without_host(voters, removed)
+        return entries.SetVoters(remaining, f'{removed} is one too many')
 
     def _replace_silent_voter(
         self, voters: electorates.Voters, known: Followers
