--- a/wrenspoke/coordination/agreement/voter_planner.py
+++ b/wrenspoke/coordination/agreement/voter_planner.py
@@ -127,22 +127,22 @@
         return entries.SetVoters(remaining, f'{removed} is one too many')
 
     def _replace_silent_voter(
-        self, voters: electorates.Voters, known: Followers
+        self, voters: electorates.Voters, follower_states: Followers
     ) -> entries.SetVoters | None:
         """Let a host that stands by take the place of a silent one.
 
         Until it has, one more lost disk may end the group. That costs two
         entries, and a host that comes back after all stands by itself.
         """
-        silent = self._longest_silent_voter(voters, known)
+        silent = self._longest_silent_voter(voters, follower_states)
         if silent is None or self._limit is None:
             return None
-        silence_ms = self._silence_ms(silent, known)
+        silence_ms = self._silence_ms(silent, follower_states)
         if silence_ms <= self._leader_state.settings.replace_after_ms:
             return None
-        standing_by = self._eligible_learners(voters, known)
+        standing_by = self._eligible_learners(voters, follower_states)
         left = _without_host(voters, silent)
-        host = self._best_spread_host(standing_by, left, known)
+        host = self._best_spread_host(standing_by, left, follower_states)
         if host is None:
             return None
         return entries.SetVoters(
