--- a/wrenspoke/coordination/agreement/voter_planner.py
+++ b/wrenspoke/coordination/agreement/voter_planner.py
@@ -140,13 +140,13 @@
         silence_ms = self._silence_ms(silent, follower_states)
         if silence_ms <= self._leader_state.settings.replace_after_ms:
             return None
-        standing_by = self._eligible_learners(voters, follower_states)
+        learners = self._eligible_learners(voters, follower_states)
         left = _without_host(voters, silent)
-        host = self._best_spread_host(standing_by, left, follower_states)
+        host = self._best_spread_host(learners, left, follower_states)
         if host is None:
             return None
         return entries.SetVoters(
-            {**left, host: standing_by[host]},
+            {**left, host: learners[host]},
             f'{silent} silent for {silence_ms} ms, {host} takes its place',
             voters,
         )
