--- a/wrenspoke/coordination/agreement/voter_planner.py
+++ b/wrenspoke/coordination/agreement/voter_planner.py
@@ -141,12 +141,12 @@
         if silence_ms <= self._leader_state.settings.replace_after_ms:
             return None
         learners = self._eligible_learners(voters, follower_states)
-        left = _without_host(voters, silent)
-        host = self._best_spread_host(learners, left, follower_states)
+        remaining = _without_host(voters, silent)
+        host = self._best_spread_host(learners, remaining, follower_states)
         if host is None:
             return None
         return entries.SetVoters(
-            {**left, host: learners[host]},
+            {**remaining, host: learners[host]},
             f'{silent} silent for {silence_ms} ms, {host} takes its place',
             voters,
         )
