--- a/wrenspoke/coordination/agreement/voter_planner.py
+++ b/wrenspoke/coordination/agreement/voter_planner.py
@@ -152,23 +152,26 @@
         )
 
     def _improve_spread(
-        self, voters: electorates.Voters, known: Followers
+        self, voters: electorates.Voters, follower_states: Followers
     ) -> entries.SetVoters | None:
         """Spread the voters over more places, so that one may be lost.
 
         Two voters stand in one region after another one was lost, and its
         host takes a place again once it is back.
         """
-        if not all(self._location(host, known) for host in voters):
+        if not all(self._location(host, follower_states) for host in voters):
             # A voter that has not answered in this lead yet may be one of
             # those that spread them.
             return None
-        spread = self._spread(voters, known)
-        standing_by = self._eligible_learners(voters, known)
+        spread = self._spread(voters, follower_states)
+        standing_by = self._eligible_learners(voters, follower_states)
         for gone in sorted(voters.keys() - {self._leader_state.host}):
             left = _without_host(voters, gone)
-            host = self._best_spread_host(standing_by, left, known)
-            if host is None or self._spread([*left, host], known) <= spread:
+            host = self._best_spread_host(standing_by, left, follower_states)
+            if (
+                host is None
+                or self._spread([*left, host], follower_states) <= spread
+            ):
                 continue
             return entries.SetVoters(
                 {**left, host: standing_by[host]},
