--- a/wrenspoke/coordination/agreement/voter_planner.py
+++ b/wrenspoke/coordination/agreement/voter_planner.py
@@ -164,17 +164,17 @@
             # those that spread them.
             return None
         spread = self._spread(voters, follower_states)
-        standing_by = self._eligible_learners(voters, follower_states)
+        learners = self._eligible_learners(voters, follower_states)
         for gone in sorted(voters.keys() - {self._leader_state.host}):
             left = _without_host(voters, gone)
-            host = self._best_spread_host(standing_by, left, follower_states)
+            host = self._best_spread_host(learners, left, follower_states)
             if (
                 host is None
                 or self._spread([*left, host], follower_states) <= spread
             ):
                 continue
             return entries.SetVoters(
-                {**left, host: standing_by[host]},
+                {**left, host: learners[host]},
                 f'{host} stands elsewhere than {gone}',
                 voters,
             )
