--- a/wrenspoke/coordination/agreement/voter_planner.py
+++ b/wrenspoke/coordination/agreement/voter_planner.py
@@ -165,8 +165,8 @@
             return None
         spread = self._spread(voters, follower_states)
         learners = self._eligible_learners(voters, follower_states)
-        for gone in sorted(voters.keys() - {self._leader_state.host}):
-            left = _without_host(voters, gone)
+        for removed in sorted(voters.keys() - {self._leader_state.host}):
+            left = _without_host(voters, removed)
             host = self._best_spread_host(learners, left, follower_states)
             if (
                 host is None
@@ -175,7 +175,7 @@
                 continue
             return entries.SetVoters(
                 {**left, host: learners[host]},
-                f'{host} stands elsewhere than {gone}',
+                f'{host} stands elsewhere than {removed}',
                 voters,
             )
         return None
