--- a/wrenspoke/coordination/agreement/voter_planner.py
+++ b/wrenspoke/coordination/agreement/voter_planner.py
@@ -166,15 +166,15 @@
         spread = self._spread(voters, follower_states)
         learners = self._eligible_learners(voters, follower_states)
         for removed in sorted(voters.keys() - {self._leader_state.host}):
-            left = _without_host(voters, removed)
-            host = self._best_spread_host(learners, left, follower_states)
+            remaining = _without_host(voters, removed)
+            host = self._best_spread_host(learners, remaining, follower_states)
             if (
                 host is None
-                or self._spread([*left, host], follower_states) <= spread
+                or self._spread([*remaining, host], follower_states) <= spread
             ):
                 continue
             return entries.SetVoters(
-                {**left, host: learners[host]},
+                {**remaining, host: learners[host]},
                 f'{host} stands elsewhere than {removed}',
                 voters,
             )
