--- a/wrenspoke/coordination/agreement/voter_planner.py
+++ b/wrenspoke/coordination/agreement/voter_planner.py
@@ -184,12 +184,12 @@
         self,
         standing_by: collections.abc.Iterable[ids.HostId],
         voters: collections.abc.Iterable[ids.HostId],
-        known: Followers,
+        follower_states: Followers,
     ) -> ids.HostId | None:
         """Return who spreads some voters most, None where nobody is."""
         return max(
             sorted(standing_by),
-            key=lambda host: self._spread([*voters, host], known),
+            key=lambda host: self._spread([*voters, host], follower_states),
             default=None,
         )
 
