--- a/wrenspoke/coordination/agreement/voter_planner.py
+++ b/wrenspoke/coordination/agreement/voter_planner.py
@@ -182,13 +182,13 @@
 
     def _best_spread_host(
         self,
-        standing_by: collections.abc.Iterable[ids.HostId],
+        learners: collections.abc.Iterable[ids.HostId],
         voters: collections.abc.Iterable[ids.HostId],
         follower_states: Followers,
     ) -> ids.HostId | None:
         """Return who spreads some voters most, None where nobody is."""
         return max(
-            sorted(standing_by),
+            sorted(learners),
             key=lambda host: self._spread([*voters, host], follower_states),
             default=None,
         )
