--- a/wrenspoke/coordination/agreement/voter_planner.py
+++ b/wrenspoke/coordination/agreement/voter_planner.py
@@ -194,13 +194,17 @@
         )
 
     def _spread(
-        self, hosts: collections.abc.Iterable[ids.HostId], known: Followers
+        self,
+        hosts: collections.abc.Iterable[ids.HostId],
+        follower_states: Followers,
     ) -> tuple[int, int]:
         """Return in how many regions and data centres hosts stand.
 
         Those that did not say where count for none.
         """
-        found = {self._location(host, known) for host in hosts} - {None}
+        found = {self._location(host, follower_states) for host in hosts} - {
+            None
+        }
         return len({one.region for one in found}), len(found)
 
     def _location(
