--- a/wrenspoke/coordination/agreement/voter_planner.py
+++ b/wrenspoke/coordination/agreement/voter_planner.py
@@ -202,10 +202,10 @@
 
         Those that did not say where count for none.
         """
-        found = {self._location(host, follower_states) for host in hosts} - {
-            None
-        }
-        return len({one.region for one in found}), len(found)
+        host_locations = {
+            self._location(host, follower_states) for host in hosts
+        } - {None}
+        return len({one.region for one in host_locations}), len(host_locations)
 
     def _location(
         self, host: ids.HostId, known: Followers
