--- a/wrenspoke/coordination/agreement/voter_planner.py
+++ b/wrenspoke/coordination/agreement/voter_planner.py
@@ -208,11 +208,13 @@
         return len({one.region for one in host_locations}), len(host_locations)
 
     def _location(
-        self, host: ids.HostId, known: Followers
+        self, host: ids.HostId, follower_states: Followers
     ) -> locations.Location | None:
         if host == self._leader_state.host:
             return self._leader_state.location
-        return known[host].location if host in known else None
+        return (
+            follower_states[host].location if host in follower_states else None
+        )
 
     def _longest_silent_voter(
         self, voters: electorates.Voters, known: Followers
