--- a/wrenspoke/coordination/agreement/voter_planner.py
+++ b/wrenspoke/coordination/agreement/voter_planner.py
@@ -217,12 +217,12 @@
         )
 
     def _longest_silent_voter(
-        self, voters: electorates.Voters, known: Followers
+        self, voters: electorates.Voters, follower_states: Followers
     ) -> ids.HostId | None:
         others = [host for host in voters if host != self._leader_state.host]
         return max(
             others,
-            key=lambda host: self._silence_ms(host, known),
+            key=lambda host: self._silence_ms(host, follower_states),
             default=None,
         )
 
