--- a/wrenspoke/coordination/agreement/voter_planner.py
+++ b/wrenspoke/coordination/agreement/voter_planner.py
@@ -226,7 +226,7 @@
             default=None,
         )
 
-    def _silence_ms(self, host: ids.HostId, known: Followers) -> int:
+    def _silence_ms(self, host: ids.HostId, follower_states: Followers) -> int:
         """Return for how long a voter has not followed, as far as known.
 
         One that has not in this lead may have been silent before: had each
@@ -234,7 +234,7 @@
         second longer.
         """
         now_ms = self._leader_state.clock.mono_ms()
-        follower = known.get(host)
+        follower = follower_states.get(host)
         if follower is not None and follower.acked_ms is not None:
             return now_ms - follower.acked_ms
         silence_ms = self._leader_state.group.silence_ms(host)
