--- a/wrenspoke/coordination/agreement/voter_planner.py
+++ b/wrenspoke/coordination/agreement/voter_planner.py
@@ -242,6 +242,6 @@
 
 
 def _without_host(
-    voters: electorates.Voters, left_out: ids.HostId
+    voters: electorates.Voters, excluded: ids.HostId
 ) -> electorates.Voters:
-    return {host: disk for host, disk in voters.items() if host != left_out}
+    return {host: disk for host, disk in voters.items() if host != excluded}
