--- a/wrenspoke/coordination/agreement/vote_tally.py
+++ b/wrenspoke/coordination/agreement/vote_tally.py
@@ -47,7 +47,7 @@
             )
         )
 
-    def log_lost(self, asked: messages.AskVote, silence_ms: int) -> None:
+    def log_lost(self, request: messages.AskVote, silence_ms: int) -> None:
         """Log who kept this host from leading, and why.
 
         ``silence_ms`` is how long no leader was heard. Who is in none of
@@ -60,9 +60,9 @@
         )
         logger.warning(
             'canvass_lost',
-            term=asked.term,
-            pre=asked.pre,
-            last_index=asked.last_index,
+            term=request.term,
+            pre=request.pre,
+            last_index=request.last_index,
             silence_ms=silence_ms,
             voters=sorted(self._electorate.voters),
             before=sorted(self._electorate.before),
