--- a/wrenspoke/coordination/agreement/vote_tally.py
+++ b/wrenspoke/coordination/agreement/vote_tally.py
@@ -53,7 +53,7 @@
         ``silence_ms`` is how long no leader was heard. Who is in none of
         the lists gave no answer.
         """
-        silent = (
+        unanswered = (
             set(self.other_voters)
             - self._granted.keys()
             - self._refused.keys()
@@ -68,5 +68,5 @@
             before=sorted(self._electorate.before),
             passed=sorted(self._granted),
             refused=dict(sorted(self._refused.items())),
-            silent=sorted(silent),
+            unanswered=sorted(unanswered),
         )
