--- a/wrenspoke/coordination/agreement/rollback_check.py
+++ b/wrenspoke/coordination/agreement/rollback_check.py
@@ -66,7 +66,7 @@
             return None
 
     async def wait_until_passed(
-        self, become_new: collections.abc.Callable[[], None]
+        self, on_rollback: collections.abc.Callable[[], None]
     ) -> None:
         """Make sure that this disk is no old copy of itself.
 
@@ -77,7 +77,7 @@
             with contextlib.suppress(state_errors.DiskFullError):
                 if not self._start_counted:
                     self._count_start()
-                await self._send_hello(become_new)
+                await self._send_hello(on_rollback)
             if not self.passed:
                 await self._clock.sleep_ms(HELLO_INTERVAL_MS)
 
