--- a/wrenspoke/coordination/agreement/rollback_check.py
+++ b/wrenspoke/coordination/agreement/rollback_check.py
@@ -91,7 +91,7 @@
         self._start_counted = True
 
     async def _send_hello(
-        self, become_new: collections.abc.Callable[[], None]
+        self, on_rollback: collections.abc.Callable[[], None]
     ) -> None:
         meta = self._storage.meta
         message = messages.Hello(meta.incarnation, meta.boot, self._start_id)
@@ -114,7 +114,7 @@
                     told_by=host,
                 )
                 self._storage.forget_all()
-                become_new()
+                on_rollback()
                 self._storage.meta.boot = 1
                 self._storage.save_meta()
                 return
