--- a/wrenspoke/coordination/agreement/rollback_check.py
+++ b/wrenspoke/coordination/agreement/rollback_check.py
@@ -95,8 +95,8 @@
     ) -> None:
         meta = self._storage.meta
         message = messages.Hello(meta.incarnation, meta.boot, self._start_id)
-        deciding = self._storage.electorate()
-        known = {*self._group.others(), *deciding.hosts}
+        electorate = self._storage.electorate()
+        known = {*self._group.others(), *electorate.hosts}
         others = sorted(known - {self._group.host})
         answers = await asyncio.gather(
             *(self._call(host, message) for host in others)
@@ -123,7 +123,7 @@
         def knows(host: ids.HostId, disk: ids.Incarnation) -> int:
             return int(host in heard or disk == meta.incarnation)
 
-        if not deciding.voters or deciding.reached(knows):
+        if not electorate.voters or electorate.reached(knows):
             self.passed = True
             logger.info(
                 'cleared', incarnation=meta.incarnation, boot=meta.boot
