--- a/wrenspoke/coordination/agreement/rollback_check.py
+++ b/wrenspoke/coordination/agreement/rollback_check.py
@@ -101,7 +101,7 @@
         answers = await asyncio.gather(
             *(self._call(host, message) for host in others)
         )
-        heard = set()
+        acknowledged = set()
         for host, answer in zip(others, answers):
             if not isinstance(answer, messages.HelloReply):
                 continue
@@ -118,10 +118,10 @@
                 self._storage.meta.boot = 1
                 self._storage.save_meta()
                 return
-            heard.add(host)
+            acknowledged.add(host)
 
         def knows(host: ids.HostId, disk: ids.Incarnation) -> int:
-            return int(host in heard or disk == meta.incarnation)
+            return int(host in acknowledged or disk == meta.incarnation)
 
         if not electorate.voters or electorate.reached(knows):
             self.passed = True
