--- a/wrenspoke/coordination/agreement/rollback_check.py
+++ b/wrenspoke/coordination/agreement/rollback_check.py
@@ -120,10 +120,10 @@
                 return
             acknowledged.add(host)
 
-        def knows(host: ids.HostId, disk: ids.Incarnation) -> int:
+        def has_acknowledged(host: ids.HostId, disk: ids.Incarnation) -> int:
             return int(host in acknowledged or disk == meta.incarnation)
 
-        if not electorate.voters or electorate.reached(knows):
+        if not electorate.voters or electorate.reached(has_acknowledged):
             self.passed = True
             logger.info(
                 'cleared', incarnation=meta.incarnation, boot=meta.boot
