--- a/wrenspoke/coordination/agreement/rollback_check.py
+++ b/wrenspoke/coordination/agreement/rollback_check.py
@@ -135,11 +135,11 @@
         self._group.hear(sender)
         boots = self._storage.meta.boots
         known = boots.get(message.incarnation, (0, ''))
-        heard = (message.boot, message.start)
-        if known == heard:
+        reported = (message.boot, message.start)
+        if known == reported:
             return messages.HelloReply(0)
         if message.boot > known[0]:
-            boots[message.incarnation] = heard
+            boots[message.incarnation] = reported
             try:
                 self._storage.save_meta()
             except state_errors.DiskFullError as error:
