--- a/benches/switches_quarantine.py
+++ b/benches/switches_quarantine.py
@@ -128,7 +128,9 @@
     Switch(
         'holds stay after an operator ended them',
         QUARANTINE + 'crash_aggregator.py',
-        '            self._tasks.start(self._notify_entry_hosts([], released), fatal=False)\n',
+        '            self._tasks.start(\n'
+        '                self._notify_entry_hosts([], released), fatal=False\n'
+        '            )\n',
         '            pass\n',
         f'{UNITS}::test_chat_is_served_again_once_an_operator_clears_it',
     ),
--- a/wrenspoke/coordination/agreement/voter_planner.py
+++ b/wrenspoke/coordination/agreement/voter_planner.py
@@ -85,10 +85,10 @@
                 continue
             if not self._is_eligible(follower):
                 continue
-            admitted_disk = follower.incarnation
+            new_disk = follower.incarnation
             return entries.SetVoters(
-                {**voters, host: admitted_disk},
-                f'{host} lost disk {previous_disk}, holds all on {admitted_disk}',
+                {**voters, host: new_disk},
+                f'{host} lost disk {previous_disk}, holds all on {new_disk}',
                 voters,
             )
         return None
