--- a/wrenspoke/coordination/agreement/vote_tally.py
+++ b/wrenspoke/coordination/agreement/vote_tally.py
@@ -66,7 +66,7 @@
             silence_ms=silence_ms,
             voters=sorted(self._electorate.voters),
             before=sorted(self._electorate.before),
-            passed=sorted(self._granted),
+            given=sorted(self._granted),
             refused=dict(sorted(self._refused.items())),
-            unanswered=sorted(unanswered),
+            silent=sorted(unanswered),
         )
--- a/wrenspoke/coordination/quarantine/crash_aggregator.py
+++ b/wrenspoke/coordination/quarantine/crash_aggregator.py
@@ -132,7 +132,7 @@
         logger.warning(
             'request_ends_endpoints',
             digest=end.digest,
-            crashes=crashes,
+            ends=crashes,
             endpoint=end.endpoint,
         )
         self._notified_ms[end.digest] = now_ms
