--- a/tests/test_team_keys.py
+++ b/tests/test_team_keys.py
@@ -73,7 +73,7 @@
     assert requests.HeaderReader(found).key() == key
 
 
-def command(tmp_path, made, *more, passed=None):
+def command(tmp_path, made, *more, given=None):
     """Run ``wrenspoke team-key``; return what it says, by name."""
     path = tmp_path / 'deployment.json'
     path.write_text(json.dumps(made))
@@ -81,7 +81,7 @@
         [sys.executable, '-m', 'wrenspoke.cli', 'team-key', str(path), *more],
         capture_output=True,
         text=True,
-        input=passed,
+        input=given,
     )
     assert done.returncode == 0, done.stderr
     return dict(line.split(': ') for line in done.stdout.splitlines())
@@ -90,7 +90,7 @@
 def test_command_tells_the_digest_of_the_key_that_it_made(tmp_path):
     made = fleet.deployment()
     drawn = command(tmp_path, made)
-    again = command(tmp_path, made, '--of', passed=drawn['key'] + '\n')
+    again = command(tmp_path, made, '--of', given=drawn['key'] + '\n')
     assert again == {'digest': drawn['digest']}
     assert command(tmp_path, made)['key'] != drawn['key']
 
