--- a/benches/decisions.py
+++ b/benches/decisions.py
@@ -42,8 +42,8 @@
                     running.kill(victim)
                     running.start_control(victim)
                     kills += 1
-                intent = test_control.limit(f'team-{number}', number + 1)
-                answer = await test_control.change(
+                intent = test_control.limit_intent(f'team-{number}', number + 1)
+                answer = await test_control.apply_intent(
                     operator, 2 * number, intent
                 )
                 assert answer.status == 200, answer
@@ -54,7 +54,7 @@
             await running.leader()
             await asyncio.sleep(SETTLE_S)
             held = {
-                host: len(await test_control.teams(running, host))
+                host: len(await test_control.limits_by_team(running, host))
                 for host in test_control.CONTROLS
             }
             return {'accepted': changes, 'kills': kills, 'held': held}
@@ -80,7 +80,7 @@
                     'endpoint': f'north-chat-{number}',
                     'model': 'small-2',
                 }
-                await test_control.change(operator, 10 * number, intent)
+                await test_control.apply_intent(operator, 10 * number, intent)
             old = await running.leader()
             await asyncio.sleep(1)
             running.freeze(old)
@@ -106,7 +106,7 @@
 async def all_orders(running) -> dict[int, list[int]]:
     """Return the numbers that each engine obeyed."""
     return {
-        number: await test_control.orders(running, number)
+        number: await test_control.fencing_numbers(running, number)
         for number in range(1, 7)
     }
 
--- a/benches/elections.py
+++ b/benches/elections.py
@@ -39,8 +39,8 @@
 @mishap('leader lost')
 async def lose_leader(system: group.Group) -> None:
     """End the host that leads."""
-    leader = await system.leader()
-    await system.end(leader.name)
+    leader = await system.wait_for_leader()
+    await system.stop_host(leader.name)
 
 
 @mishap('power lost')
@@ -55,12 +55,12 @@
 
     async def play() -> None:
         system = group.Group(seed)
-        await system.found()
+        await system.bootstrap()
         await system.sleep_ms(SETTLE_MS + STEP_MS * seed)
         loop = asyncio.get_running_loop()
         began_s = loop.time()
         await happen(system)
-        await system.leader()
+        await system.wait_for_leader()
         took.append((loop.time() - began_s) * MS_PER_S)
         await system.close()
 
--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -150,7 +150,7 @@
     ),
     Switch(
         'old disk votes',
-        DECISIONS + 'agreement/clearance.py',
+        DECISIONS + 'agreement/rollback_check.py',
         ('if answer.known_boot >= meta.boot:'),
         ('if False:'),
         ('tests/test_control.py::test_old_copy_of_a_disk_gets_no_vote'),
@@ -188,8 +188,8 @@
     ),
     Switch(
         'no admission',
-        DECISIONS + 'agreement/admissions.py',
-        ('        deciding = self._group.electorate\n'),
+        DECISIONS + 'agreement/voter_planner.py',
+        ('        electorate = self._leader_state.electorate\n'),
         ('        return None\n'),
         (
             'tests/test_control.py::test_lost_disk_is_readmitted_and'
@@ -201,7 +201,7 @@
         STATE + 'storage.py',
         ('        self._read_log()\n'),
         (''),
-        ('tests/test_control.py::test_restarts_forget_no_accepted_change'),
+        ('tests/test_control.py::test_restarts_keep_every_accepted_change'),
     ),
     Switch(
         'truncate keeps the file',
@@ -256,9 +256,9 @@
             '            raise errors.NotLeaderError(None,'
             ' may_be_accepted=False)\n'
             '\n'
-            '    async def _pause'
+            '    async def _poll_pause'
         ),
-        ('        return\n\n    async def _pause'),
+        ('        return\n\n    async def _poll_pause'),
         (
             'tests/test_execution.py::test_lease_lost_after_the_numb'
             'er_was_committed'
@@ -269,14 +269,14 @@
         'wrenspoke/transport/links.py',
         ('        if self._identity.keyed and envelope.sender != host:'),
         ('        if False:'),
-        ('tests/test_control.py::test_unfit_messages_are_refused'),
+        ('tests/test_control.py::test_invalid_envelopes_are_refused'),
     ),
     Switch(
         'stale messages taken',
         'wrenspoke/transport/links.py',
         ('        if self._age_ms(envelope) > envelope.good_for_ms:'),
         ('        if False:'),
-        ('tests/test_control.py::test_unfit_messages_are_refused'),
+        ('tests/test_control.py::test_invalid_envelopes_are_refused'),
     ),
     Switch(
         'send waits inside pyzmq',
@@ -426,18 +426,18 @@
     Switch(
         'own canvass counts as a leader heard',
         DECISIONS + 'agreement/voter.py',
-        ('            self._canvassed_ms = self.clock.mono_ms()'),
+        ('            self._election_attempt_ms = self.clock.mono_ms()'),
         (
-            '            self._canvassed_ms = self._heard_ms = self.clock.mono_ms()'
+            '            self._election_attempt_ms = self._leader_contact_ms = self.clock.mono_ms()'
         ),
         (
-            'tests/test_founding.py::test_host_that_canvasses_may_still_vote_for_another'
+            'tests/test_founding.py::test_pre_candidate_may_still_vote_for_another'
         ),
     ),
     Switch(
         'voters stay where they are',
-        DECISIONS + 'agreement/admissions.py',
-        ('            or self._spreading(voters, known)\n'),
+        DECISIONS + 'agreement/voter_planner.py',
+        ('            or self._improve_spread(voters, follower_states)\n'),
         (''),
         ('tests/test_group_soak.py'),
     ),
@@ -473,15 +473,15 @@
         ('or not self._may_lead:\n                continue'),
         ('or not self.is_voter:\n                continue'),
         (
-            'tests/test_group.py::test_who_lost_its_vote_by_a_change_that_only_it_holds_may_stand'
+            'tests/test_group.py::test_voter_removed_by_an_uncommitted_change_may_campaign'
         ),
     ),
     Switch(
         'two that ask at once both stand',
         DECISIONS + 'agreement/voter.py',
-        ('            self._yields = True\n'),
+        ('            self._pre_vote_yielded = True\n'),
         ('            pass\n'),
-        ('tests/test_group.py::test_two_that_ask_at_once_do_not_both_stand'),
+        ('tests/test_group.py::test_concurrent_pre_votes_start_one_election'),
     ),
     Switch(
         'own log says who has a vote',
@@ -489,7 +489,7 @@
         ('        if not self.electorate.voters:\n'),
         ('        if not self.is_voter:\n'),
         (
-            'tests/test_group.py::test_newcomer_votes_before_it_knows_that_it_may'
+            'tests/test_group.py::test_new_voter_votes_before_it_receives_its_admission'
         ),
     ),
     Switch(
@@ -504,19 +504,19 @@
     Switch(
         'stands after giving its vote',
         DECISIONS + 'agreement/voter.py',
-        ('            if (self.term, self._heard_ms) != before:'),
+        ('            if (self.term, self._leader_contact_ms) != before:'),
         ('            if False:'),
         (
-            'tests/test_founding.py::test_who_gave_its_vote_meanwhile_does_not_stand'
+            'tests/test_founding.py::test_host_that_voted_meanwhile_does_not_campaign'
         ),
     ),
     Switch(
         'committed entries not known after a restart',
         DECISIONS + 'agreement/voter.py',
-        ('        self.commit(kept.known_committed())\n'),
+        ('        self.commit(store.known_committed())\n'),
         (''),
         (
-            'tests/test_founding.py::test_restart_of_all_holds_what_was_accepted'
+            'tests/test_founding.py::test_restart_of_all_keeps_accepted_routes'
         ),
     ),
     Switch(
--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -64,10 +64,10 @@
     Switch(
         'moment of another life confirmed',
         DECISIONS + 'agreement/voter.py',
-        ('        if moment is None or moment.life != self._life:\n'),
+        ('        if moment is None or moment.life != self._instance_id:\n'),
         ('        if moment is None:\n'),
         (
-            'tests/test_group.py::test_follower_confirms_moments_of_its_own_life_only'
+            'tests/test_group.py::test_follower_confirms_only_moments_of_its_own_instance'
         ),
     ),
     Switch(
@@ -81,7 +81,7 @@
     ),
     Switch(
         'leader without a lease confirms',
-        DECISIONS + 'agreement/lead.py',
+        DECISIONS + 'agreement/leadership.py',
         ('            follower.moment if self.has_lease else None,\n'),
         ('            follower.moment,\n'),
         ('tests/test_group.py::test_leader_without_a_lease_confirms_nothing'),
--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -115,15 +115,15 @@
         body = self._encoder.encode(message)
         self._count(host, body)
         task = asyncio.ensure_future(self._deliver(host, body))
-        self._answering.add(task)
-        task.add_done_callback(self._answering.discard)
+        self._call_tasks.add(task)
+        task.add_done_callback(self._call_tasks.discard)
         return len(body)
 
     async def _deliver(self, host, body):
-        if not await self._network.travel(self.host, host):
+        if not await self._network.transmit(self.host, host):
             return
         there = self._network.hosts.get(host)
-        if there is not None and not there.ended:
+        if there is not None and not there.closed:
             await there.handle_message(self.host, body)
 
     async def handle_message(self, sender, body):
@@ -137,8 +137,8 @@
 
     lost_share = 0.0
 
-    async def travel(self, one, other):
-        arrived = await super().travel(one, other)
+    async def transmit(self, one, other):
+        arrived = await super().transmit(one, other)
         return arrived and self._random.random() >= self.lost_share
 
 
@@ -219,7 +219,7 @@
 
     def __init__(self, hosts, engines=3, seed=1, make=SimulatedHost):
         self.random = random.Random(seed)
-        self.network = LossyNetwork(seed, travel_ms=1, jitter_ms=1)
+        self.network = LossyNetwork(seed, latency_ms=1, jitter_ms=1)
         self.make = make
         self.engines = [Engine(f'e{number}') for number in range(engines)]
         self.names = [f'10.0.{n // 200}.{n % 200}:1' for n in range(hosts)]
--- a/tests/group.py
+++ b/tests/group.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.agreement import founding
+from wrenspoke.coordination.agreement import bootstrap
 from wrenspoke.coordination.agreement import voter
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.membership import control_group
@@ -30,17 +30,17 @@
 
 MS_PER_S = 1000
 # One way between regions, and how much longer a message may take.
-TRAVEL_MS = 80
+LATENCY_MS = 80
 JITTER_MS = 20
-LOOK_MS = 20
+POLL_INTERVAL_MS = 20
 REGIONS = 3
 # As often as the control hosts of the product do.
 EXCHANGE_INTERVAL_MS = 1_000
 # What cuts, restarts and elections can hold up a change for, by far.
-LONGEST_WAIT_MS = 60_000
+WAIT_TIMEOUT_MS = 60_000
 
 
-class _TimeSelector(selectors.DefaultSelector):
+class _VirtualTimeSelector(selectors.DefaultSelector):
     """Let the time that would be waited pass at once."""
 
     def __init__(self):
@@ -54,24 +54,24 @@
         return super().select(0)
 
 
-class TimeLoop(asyncio.SelectorEventLoop):
+class VirtualTimeLoop(asyncio.SelectorEventLoop):
     """Run tasks in time that goes on by itself."""
 
     def __init__(self):
-        self._time_selector = _TimeSelector()
-        super().__init__(self._time_selector)
+        self._virtual_selector = _VirtualTimeSelector()
+        super().__init__(self._virtual_selector)
         self.errors = []
         self.set_exception_handler(
             lambda _loop, context: self.errors.append(context)
         )
 
     def time(self):
-        return self._time_selector.now_s
+        return self._virtual_selector.now_s
 
 
 def run(coroutine: collections.abc.Coroutine) -> None:
     """Run a coroutine to its end; a failed task of a host fails it."""
-    with asyncio.Runner(loop_factory=TimeLoop) as runner:
+    with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         runner.run(coroutine)
         assert runner.get_loop().errors == []
 
@@ -124,13 +124,13 @@
 class Network:
     """Carry messages between hosts, unless they are cut off."""
 
-    def __init__(self, seed, travel_ms=TRAVEL_MS, jitter_ms=JITTER_MS):
+    def __init__(self, seed, latency_ms=LATENCY_MS, jitter_ms=JITTER_MS):
         self._random = random.Random(seed)
-        self._travel_ms = travel_ms
+        self._latency_ms = latency_ms
         self._jitter_ms = jitter_ms
         self._cut = set()
         self.hosts = {}
-        self.watch = _watch_nothing
+        self.on_message = _ignore_message
 
     def cut(self, one, other):
         """Cut two hosts from each other."""
@@ -149,7 +149,7 @@
                 if one != other:
                     self.cut(one, other)
 
-    def join(self, one, other):
+    def reconnect(self, one, other):
         """Heal the cut between two hosts."""
         self._cut.discard(frozenset((one, other)))
 
@@ -162,20 +162,20 @@
         """Heal every cut."""
         self._cut.clear()
 
-    def open(self, one, other):
+    def is_connected(self, one, other):
         """Tell whether messages get from one host to another."""
         return frozenset((one, other)) not in self._cut
 
-    async def travel(self, one, other):
+    async def transmit(self, one, other):
         """Wait until a message is there; False if it never is."""
-        if not self.open(one, other):
+        if not self.is_connected(one, other):
             return False
-        took_ms = self._travel_ms + self._random.uniform(0, self._jitter_ms)
+        took_ms = self._latency_ms + self._random.uniform(0, self._jitter_ms)
         await asyncio.sleep(took_ms / MS_PER_S)
-        return self.open(one, other)
+        return self.is_connected(one, other)
 
 
-def _watch_nothing(_sender, _host, _message):
+def _ignore_message(_sender, _host, _message):
     return
 
 
@@ -188,8 +188,8 @@
         self._answerers = {}
         self._encoder = msgspec.msgpack.Encoder()
         self._decoder = msgspec.msgpack.Decoder(peer_calls.Message)
-        self._answering = set()
-        self.ended = False
+        self._call_tasks = set()
+        self.closed = False
 
     def answers(self, kind):
         def register(answerer):
@@ -199,26 +199,26 @@
         return register
 
     async def call(self, host, message, timeout_ms):
-        self._network.watch(self.host, host, message)
+        self._network.on_message(self.host, host, message)
         body = self._encoder.encode(message)
         answered = asyncio.get_running_loop().create_future()
-        task = asyncio.ensure_future(self._carry(host, body, answered))
-        self._answering.add(task)
-        task.add_done_callback(self._answering.discard)
+        task = asyncio.ensure_future(self._deliver_call(host, body, answered))
+        self._call_tasks.add(task)
+        task.add_done_callback(self._call_tasks.discard)
         try:
             async with clocks.timeout_ms(timeout_ms):
                 return self._decoder.decode(await answered)
         except TimeoutError as error:
             raise protocol_errors.NoAnswerError(host, sent=True) from error
 
-    async def _carry(self, host, body, answered):
-        if not await self._network.travel(self.host, host):
+    async def _deliver_call(self, host, body, answered):
+        if not await self._network.transmit(self.host, host):
             return
         there = self._network.hosts.get(host)
         if there is None:
             return
         answer = await there.handle(self.host, body)
-        if there.ended or not await self._network.travel(host, self.host):
+        if there.closed or not await self._network.transmit(host, self.host):
             return
         if not answered.done():
             answered.set_result(answer)
@@ -230,8 +230,8 @@
         return self._encoder.encode(answer)
 
     async def close(self):
-        self.ended = True
-        for task in list(self._answering):
+        self.closed = True
+        for task in list(self._call_tasks):
             task.cancel()
 
 
@@ -250,15 +250,15 @@
         self.peers.answers(attending.Exchange)(self._answer_exchange)
         self._group = control_group.ControlGroup(name, seeds, clock)
         self._tasks = runtime.Tasks()
-        kept = storage.Storage(disk)
+        store = storage.Storage(disk)
         if first_start:
-            founding.found_together(kept, name, seeds)
+            bootstrap.bootstrap_seeds(store, name, seeds)
         self.voter = voter.Voter(
             name,
             location,
             self._group,
             limits,
-            kept,
+            store,
             self.peers,
             replica.Replica(),
             clock,
@@ -303,11 +303,11 @@
         self.seeds = list(names)
         self.acknowledged = 0
 
-    async def found(self):
+    async def bootstrap(self):
         """Start the first hosts of all, and wait until one leads."""
         for name in list(self.seeds):
             self.start(name, first_start=True)
-        return await self.leader()
+        return await self.wait_for_leader()
 
     def start(self, name, first_start=False):
         """Start a host on its disk, an empty one if it is new."""
@@ -333,7 +333,7 @@
             self.locations[name] = locations.Location(region, f'{region}-hall')
         return self.locations[name]
 
-    async def end(self, name, power=False):
+    async def stop_host(self, name, power=False):
         """End a host's process at once; its disk stays."""
         host = self.running.pop(name)
         del self.network.hosts[name]
@@ -341,58 +341,58 @@
         if power:
             self.disks[name].lose_power()
 
-    async def wipe(self, name):
+    async def wipe_host(self, name):
         """Lose a host's disk, and start it with an empty one."""
         if name in self.running:
-            await self.end(name)
+            await self.stop_host(name)
         self.disks[name].wipe()
         return self.start(name)
 
-    async def remove(self, name):
+    async def delete_host(self, name):
         """Lose a host for good."""
         if name in self.running:
-            await self.end(name)
+            await self.stop_host(name)
         del self.disks[name]
 
     async def restart_all(self):
         """Lose the power of all hosts, and start them again."""
         names = list(self.running)
         for name in names:
-            await self.end(name, power=True)
+            await self.stop_host(name, power=True)
         for name in names:
             self.start(name)
 
-    async def until(self, condition, wait_ms=LONGEST_WAIT_MS):
+    async def wait_until(self, condition, wait_ms=WAIT_TIMEOUT_MS):
         """Wait until a condition holds; return what it gives."""
         loop = asyncio.get_running_loop()
         end_s = loop.time() + wait_ms / MS_PER_S
         while not (found := condition()):
             assert loop.time() < end_s, 'waited in vain'
-            await asyncio.sleep(LOOK_MS / MS_PER_S)
+            await asyncio.sleep(POLL_INTERVAL_MS / MS_PER_S)
         return found
 
     async def sleep_ms(self, delay_ms):
         """Let time go on."""
         await asyncio.sleep(delay_ms / MS_PER_S)
 
-    def leading(self):
+    def lease_holders(self):
         """Return the hosts that hold a lease."""
         return [host for host in self.running.values() if host.voter.has_lease]
 
-    async def leader(self, wait_ms=LONGEST_WAIT_MS):
+    async def wait_for_leader(self, wait_ms=WAIT_TIMEOUT_MS):
         """Return the host that leads, once one does."""
-        return await self.until(
-            lambda: next(iter(self.leading()), None), wait_ms
+        return await self.wait_until(
+            lambda: next(iter(self.lease_holders()), None), wait_ms
         )
 
-    async def change(self, wait_ms=LONGEST_WAIT_MS):
+    async def commit_change(self, wait_ms=WAIT_TIMEOUT_MS):
         """Have a change acknowledged; return its version."""
         version = self.acknowledged + 1
         loop = asyncio.get_running_loop()
         end_s = loop.time() + wait_ms / MS_PER_S
         while True:
             left_ms = (end_s - loop.time()) * MS_PER_S
-            leader = await self.leader(left_ms)
+            leader = await self.wait_for_leader(left_ms)
             table = routes.RouteTable(version=version, digest=str(version))
             try:
                 async with clocks.timeout_ms(left_ms):
@@ -402,12 +402,12 @@
             self.acknowledged = version
             return version
 
-    async def version(self, wait_ms=LONGEST_WAIT_MS):
+    async def leader_version(self, wait_ms=WAIT_TIMEOUT_MS):
         """Return the version that a leader holds."""
-        leader = await self.leader(wait_ms)
+        leader = await self.wait_for_leader(wait_ms)
         return leader.voter.state.configuration.routes.version
 
     async def close(self):
         """End every host."""
         for name in list(self.running):
-            await self.end(name)
+            await self.stop_host(name)
--- a/tests/membership_fleet.py
+++ b/tests/membership_fleet.py
@@ -47,9 +47,9 @@
             self.sent[key].messages += 1
             self.sent[key].bytes += len(body)
 
-    async def _carry(self, host, body, answered):
+    async def _deliver_call(self, host, body, answered):
         self._count(host, body)
-        await super()._carry(host, body, answered)
+        await super()._deliver_call(host, body, answered)
 
     async def handle(self, sender, body):
         answer = await super().handle(sender, body)
@@ -60,7 +60,7 @@
 class LeadingVoter:
     """Stand in for a voter that leads."""
 
-    has_lease = led = True
+    has_lease = has_leader = True
     confirmed_age_ms = 0
     leader = None
     term = 1
@@ -132,7 +132,7 @@
     """Hold entry hosts, control hosts and endpoints of one system."""
 
     def __init__(self, entries, endpoints):
-        self.network = group.Network(seed=1, travel_ms=TRAVEL_MS, jitter_ms=1)
+        self.network = group.Network(seed=1, latency_ms=TRAVEL_MS, jitter_ms=1)
         self.control_names = [f'10.9.0.{n}:7000' for n in range(CONTROLS)]
         self.entry_names = [
             f'10.{n // 200}.1.{n % 200}:7000' for n in range(entries)
--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -16,9 +16,9 @@
 from tests import team_limit_fleet
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.membership import replica
-from wrenspoke.coordination.quarantine import gatherer
+from wrenspoke.coordination.quarantine import crash_aggregator
+from wrenspoke.coordination.quarantine import crash_reporter
 from wrenspoke.coordination.quarantine import guard
-from wrenspoke.coordination.quarantine import reporter
 from wrenspoke.protocol import messages
 from wrenspoke.state import replicated
 
@@ -28,11 +28,11 @@
 # A majority of the control hosts of far regions.
 COMMIT_S = 0.16
 # Control hosts and entry hosts hear of a decision so much later.
-HEARD_INTERVAL_S = 0.2
-FATAL_AFTER_S = 0.1
+REPLICATION_INTERVAL_S = 0.2
+CRASH_DELAY_S = 0.1
 
 
-class Voter:
+class FakeVoter:
     """Lead, or not, as a test says."""
 
     def __init__(self, fleet):
@@ -54,16 +54,16 @@
         self.peers = membership_fleet.CountingPeers(name, fleet.network)
         fleet.network.hosts[name] = self.peers
         self.replica = replica.Replica()
-        self.voter = Voter(fleet)
+        self.voter = FakeVoter(fleet)
         self._fleet = fleet
-        self._gatherer = gatherer.Gatherer(
+        self._aggregator = crash_aggregator.CrashAggregator(
             self.voter,
             self.replica,
             self._entry_hosts,
             self.peers,
             group.LoopClock(),
         )
-        self._gatherer.start()
+        self._aggregator.start()
 
     def _entry_hosts(self, everywhere):
         region = team_limit_fleet.region_of(self.name)
@@ -75,7 +75,7 @@
 
     async def close(self):
         await self.peers.close()
-        await self._gatherer.close()
+        await self._aggregator.close()
 
 
 class EntryHost:
@@ -92,7 +92,7 @@
         self._fleet = fleet
         self.guard = guard.Guard(
             self.replica,
-            reporter.Reporter(
+            crash_reporter.CrashReporter(
                 lambda: list(fleet.controls), self.peers, self.clock
             ),
             self.peers,
@@ -103,15 +103,15 @@
 
     async def send(self, digest, endpoint, fatal=True):
         """Run a request at an endpoint; False if it is held."""
-        if self.guard.held_ms(digest) is not None:
+        if self.guard.remaining_hold_ms(digest) is not None:
             return False
-        run = self.guard.began(digest, endpoint, endpoint)
-        await asyncio.sleep(FATAL_AFTER_S)
+        run = self.guard.start_run(digest, endpoint, endpoint)
+        await asyncio.sleep(CRASH_DELAY_S)
         if not fatal:
-            self.guard.ended_well(run)
+            self.guard.mark_succeeded(run)
             return True
-        self._fleet.ended.add(endpoint)
-        await self.guard.broke(run)
+        self._fleet.crashed_endpoints.add(endpoint)
+        await self.guard.handle_broken_run(run)
         return True
 
     async def close(self):
@@ -119,13 +119,13 @@
         await self.guard.close()
 
 
-class Lossy(team_limit_fleet.RegionalNetwork):
+class LossyNetwork(team_limit_fleet.RegionalNetwork):
     """Lose a share of the messages, for as long as a test says."""
 
     lost_share = 0.0
 
-    async def travel(self, one, other):
-        arrived = await super().travel(one, other)
+    async def transmit(self, one, other):
+        arrived = await super().transmit(one, other)
         return arrived and self._random.random() >= self.lost_share
 
 
@@ -134,7 +134,7 @@
 
     def __init__(self, hosts, seed=1):
         self.random = random.Random(seed)
-        self.network = Lossy(seed)
+        self.network = LossyNetwork(seed)
         self.state = replicated.ReplicatedState()
         self.log = replica.Replica()
         self.names = [
@@ -142,22 +142,22 @@
         ]
         self.controls = {}
         self.hosts = {}
-        self.ended = set()
+        self.crashed_endpoints = set()
         self.endpoints = (f'e{number}' for number in itertools.count())
-        self._hearing = None
-        self._region_cut = None
+        self._replication_task = None
+        self._isolated_region = None
 
     async def start(self):
         for number in range(CONTROLS):
             name = f'10.{number % REGIONS}.250.{number}:1'
             self.controls[name] = ControlHost(self, name)
-        self.lead(next(iter(self.controls)))
+        self.set_leader(next(iter(self.controls)))
         for name in self.names:
             self.hosts[name] = EntryHost(self, name)
-        self._hearing = asyncio.ensure_future(self._hear())
+        self._replication_task = asyncio.ensure_future(self._replicate_decisions())
         return self
 
-    def lead(self, name):
+    def set_leader(self, name):
         """Let one control host lead, or none."""
         for control in self.controls.values():
             control.voter.has_lease = control.name == name
@@ -183,21 +183,21 @@
 
     async def is_refused(self, address, _timeout_ms):
         """Tell whether an endpoint has ended."""
-        return address in self.ended
+        return address in self.crashed_endpoints
 
-    async def _hear(self):
+    async def _replicate_decisions(self):
         while True:
-            await asyncio.sleep(HEARD_INTERVAL_S)
+            await asyncio.sleep(REPLICATION_INTERVAL_S)
             leader = self.leader
             for control in self.controls.values():
-                if leader and self.network.open(leader, control.name):
-                    self._bring_level(control, self.log)
+                if leader and self.network.is_connected(leader, control.name):
+                    self._advance_replica(control, self.log)
             for host in self.hosts.values():
-                for control in self._near(host):
-                    if self.network.open(control.name, host.name):
-                        self._bring_level(host, control.replica)
+                for control in self._regional_controls(host):
+                    if self.network.is_connected(control.name, host.name):
+                        self._advance_replica(host, control.replica)
 
-    def _near(self, host):
+    def _regional_controls(self, host):
         return [
             control
             for control in self.controls.values()
@@ -205,7 +205,7 @@
         ]
 
     @staticmethod
-    def _bring_level(who, known):
+    def _advance_replica(who, known):
         delta = known.delta_since(who.replica.current.index)
         if delta.index > who.replica.current.index:
             who.replica.apply_delta(delta)
@@ -221,11 +221,11 @@
         await before.close()
         made = self.controls[name] = ControlHost(self, name)
         made.voter.has_lease = before.voter.has_lease
-        self._bring_level(made, self.log)
+        self._advance_replica(made, self.log)
 
-    def cut_region(self, region):
+    def isolate_region(self, region):
         """Cut one region off from the others."""
-        self._region_cut = region
+        self._isolated_region = region
         for one in self.network.hosts:
             for other in self.network.hosts:
                 if team_limit_fleet.region_of(one) == region:
@@ -234,31 +234,31 @@
 
     def heal(self):
         """Heal every cut."""
-        self._region_cut = None
+        self._isolated_region = None
         self.network.heal()
 
-    def join_host(self, name):
+    def reconnect_host(self, name):
         """Let a host that was cut off be reached again."""
         for other in self.network.hosts:
             if team_limit_fleet.region_of(other) != team_limit_fleet.region_of(
                 name
             ):
-                if self._region_cut in (
+                if self._isolated_region in (
                     team_limit_fleet.region_of(other),
                     team_limit_fleet.region_of(name),
                 ):
                     continue
-            self.network.join(name, other)
+            self.network.reconnect(name, other)
 
-    def held_by(self, digest):
+    def hosts_holding(self, digest):
         """Return the hosts that hold a request."""
         return [
             host.name
             for host in self.hosts.values()
-            if host.guard.held_ms(digest) is not None
+            if host.guard.remaining_hold_ms(digest) is not None
         ]
 
-    def sent(self):
+    def sent_totals(self):
         """Return how many messages were sent of each kind, and bytes."""
         total = collections.defaultdict(membership_fleet.SentCount)
         for one in [*self.hosts.values(), *self.controls.values()]:
@@ -272,6 +272,6 @@
         await asyncio.sleep(delay_ms / MS_PER_S)
 
     async def close(self):
-        self._hearing.cancel()
+        self._replication_task.cancel()
         for one in [*self.hosts.values(), *self.controls.values()]:
             await one.close()
--- a/tests/team_limit_fleet.py
+++ b/tests/team_limit_fleet.py
@@ -37,7 +37,7 @@
     def __init__(self, state):
         self.has_lease = False
         self.leader = None
-        self.led_since_ms = 0
+        self.leader_since_ms = 0
         self.state = state
 
     async def propose(self, entry):
@@ -50,12 +50,12 @@
 class RegionalNetwork(group.Network):
     """Carry messages within a region at once, and slowly between them."""
 
-    async def travel(self, one, other):
-        if not self.open(one, other):
+    async def transmit(self, one, other):
+        if not self.is_connected(one, other):
             return False
         far = region_of(one) != region_of(other)
         await asyncio.sleep((80 if far else 1) / MS_PER_S)
-        return self.open(one, other)
+        return self.is_connected(one, other)
 
 
 def region_of(name):
@@ -158,7 +158,7 @@
         self._term += 1
         if name is not None:
             self.voters[name].has_lease = True
-            self.voters[name].led_since_ms = group.LoopClock().mono_ms()
+            self.voters[name].leader_since_ms = group.LoopClock().mono_ms()
 
     def lead_of(self, host):
         """Return who leads, as hosts are told by the control host near by."""
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -12,11 +12,11 @@
 from wrenspoke.transport import errors
 from wrenspoke.transport import links
 
-ANOTHER_TRY = 100_000
+RETRY_NUMBER_OFFSET = 100_000
 CONTROLS = ('control-1', 'control-2', 'control-3')
 
 
-def limit(team, rate):
+def limit_intent(team, rate):
     """Return the intent to set a team's limit."""
     return {
         'type': 'change_limit',
@@ -33,7 +33,7 @@
         yield started
 
 
-async def change(operator, number, intent):
+async def apply_intent(operator, number, intent):
     """Plan and confirm; return the confirm's answer.
 
     Another plan's step may move the configuration on in between; then it
@@ -46,10 +46,10 @@
         confirmed = await operator.confirm(number + 1, plan)
         if confirmed.body['answer']['verdict'] != 'moved_on':
             return confirmed
-        number += ANOTHER_TRY
+        number += RETRY_NUMBER_OFFSET
 
 
-async def in_force(running, index, hosts=('north-1', 'south-1')):
+async def wait_in_force(running, index, hosts=('north-1', 'south-1')):
     """Wait until entry hosts have reached an index."""
 
     async def reached():
@@ -59,7 +59,7 @@
     await fleet.until(reached, f'index {index}')
 
 
-async def teams(running, host):
+async def limits_by_team(running, host):
     """Return the limits that a control host knows."""
     client = running.operator(hosts=[host])
     found = await client.show('/configuration')
@@ -95,10 +95,10 @@
 
 async def test_same_number_gets_the_same_answer(running):
     operator = running.operator()
-    intent = limit('blue', 5)
+    intent = limit_intent('blue', 5)
     first = await operator.plan(1, intent)
     assert (await operator.plan(1, intent)).body == first.body
-    other = await operator.plan(1, limit('blue', 6))
+    other = await operator.plan(1, limit_intent('blue', 6))
     assert other.status == 409
     plan = first.body['answer']['plan']
     confirmed = await operator.confirm(2, plan)
@@ -106,13 +106,14 @@
     assert again.body['answer'] == confirmed.body['answer']
     # Another operator's numbers are their own.
     second = running.operator(fleet.TOKEN + '2')
-    assert (await second.plan(1, limit('red', 1))).status == 200
+    assert (await second.plan(1, limit_intent('red', 1))).status == 200
 
 
 async def test_race_of_operators_has_one_winner(running):
     one, two = running.operator(), running.operator(fleet.TOKEN + '2')
     made = await asyncio.gather(
-        one.plan(1, limit('blue', 1)), two.plan(1, limit('blue', 2))
+        one.plan(1, limit_intent('blue', 1)),
+        two.plan(1, limit_intent('blue', 2)),
     )
     plans = [answer.body['answer']['plan'] for answer in made]
     ended = await asyncio.gather(
@@ -130,25 +131,25 @@
         ({'type': 'drain'}, 'endpoint'),
         ({'type': 'fly'}, 'type'),
         ({'type': 'undrain', 'endpoint': 'north-chat-1'}, 'active'),
-        (limit('blue', 0), 'requests_per_s'),
+        (limit_intent('blue', 0), 'requests_per_s'),
         ({'type': 'load_model', 'endpoint': 'north-records-1',
           'model': 'm'}, 'engine'),
     ],
 )  # fmt: skip
-async def test_senseless_intents_are_refused(running, intent, field):
+async def test_invalid_intents_are_refused(running, intent, field):
     answer = await running.operator().plan(1, intent)
     assert answer.status == 400
     assert field in answer.body['error']['message']
 
 
 async def test_unknown_token_is_refused(running):
-    answer = await running.operator('wrong').plan(1, limit('a', 1))
+    answer = await running.operator('wrong').plan(1, limit_intent('a', 1))
     assert answer.status == 401
 
 
 async def test_model_is_loaded_by_order_and_read_back(running):
     operator = running.operator()
-    answer = await change(
+    answer = await apply_intent(
         operator,
         1,
         {
@@ -169,7 +170,7 @@
     assert orders[0]['number'] > 0
 
 
-async def test_restarts_forget_no_accepted_change(tmp_path):
+async def test_restarts_keep_every_accepted_change(tmp_path):
     """Kill random voters while changes are accepted; keep them all."""
     made = fleet.deployment(controls=3, control={'snapshot_entries': 40})
     chance = random.Random(7)
@@ -183,11 +184,13 @@
                 running.kill(victim)
                 running.start_control(victim)
             team, rate = f'team-{number}', number + 1
-            answer = await change(operator, 2 * number, limit(team, rate))
+            answer = await apply_intent(
+                operator, 2 * number, limit_intent(team, rate)
+            )
             assert answer.status == 200, answer
             accepted[team] = rate
         index = answer.body['answer']['index']
-        await in_force(running, index)
+        await wait_in_force(running, index)
         for host in CONTROLS:
             running.kill(host)
         for host in CONTROLS:
@@ -196,7 +199,7 @@
         for host in CONTROLS:
 
             async def has_all(host=host):
-                found = await teams(running, host)
+                found = await limits_by_team(running, host)
                 rates = {
                     team: one['requests_per_s'] for team, one in found.items()
                 }
@@ -212,7 +215,9 @@
 ):
     operator = running.operator()
     for number in range(5):
-        await change(operator, 10 * number, limit(f't{number}', 1))
+        await apply_intent(
+            operator, 10 * number, limit_intent(f't{number}', 1)
+        )
     old = await running.control_status('control-2')
     running.kill('control-2')
     running.wipe('control-2')
@@ -231,13 +236,13 @@
     second = leader if leader != 'control-2' else 'control-1'
     running.kill(second)
     running.wipe(second)
-    answer = await change(operator, 1000, limit('after', 1))
+    answer = await apply_intent(operator, 1000, limit_intent('after', 1))
     assert answer.status == 200
     survivors = [host for host in CONTROLS if host != second]
     for host in survivors:
 
         async def has_all(host=host):
-            found = set(await teams(running, host))
+            found = set(await limits_by_team(running, host))
             return found == {'after', *(f't{number}' for number in range(5))}
 
         await fleet.until(has_all, f'every change at {host}')
@@ -248,7 +253,7 @@
     import shutil
 
     operator = running.operator()
-    await change(operator, 1, limit('before', 1))
+    await apply_intent(operator, 1, limit_intent('before', 1))
     running.kill('control-3')
     folder = tmp_path / 'data' / 'control-3'
     copy = tmp_path / 'copy'
@@ -260,7 +265,7 @@
         return running.log('control-3').count('event=cleared') >= 2
 
     await fleet.until(cleared, 'the second start')
-    await change(operator, 10, limit('after', 1))
+    await apply_intent(operator, 10, limit_intent('after', 1))
     running.kill('control-3')
     shutil.rmtree(folder)
     shutil.copytree(copy, folder)
@@ -269,7 +274,9 @@
         lambda: 'event=old_disk' in running.log('control-3'), 'the notice'
     )
     await running.wait_voters(3)
-    found = await fleet.until(lambda: teams(running, 'control-3'), 'its state')
+    found = await fleet.until(
+        lambda: limits_by_team(running, 'control-3'), 'its state'
+    )
     assert set(found) >= {'before'}
 
 
@@ -279,7 +286,7 @@
     running.isolate(leader)
     new = await running.leader(*others)
     operator = running.operator(hosts=others)
-    answer = await change(operator, 1, limit('new', 1))
+    answer = await apply_intent(operator, 1, limit_intent('new', 1))
     assert answer.status == 200
 
     async def no_lease():
@@ -305,9 +312,9 @@
 async def test_configuration_never_goes_back(running):
     """Through restarts without a disk, cut off from control or not."""
     operator = running.operator()
-    answer = await change(operator, 1, limit('one', 1))
+    answer = await apply_intent(operator, 1, limit_intent('one', 1))
     index = answer.body['answer']['index']
-    await in_force(running, index)
+    await wait_in_force(running, index)
     running.kill('north-1')
     running.start_entry('north-1')
     await running.wait_serving('north-1')
@@ -344,7 +351,7 @@
                 'endpoint': f'north-chat-{number}',
                 'model': 'small-2',
             }
-            answer = await change(operator, 10 * number, intent)
+            answer = await apply_intent(operator, 10 * number, intent)
             plans.append(answer.body['answer']['plan'])
         old = await running.leader()
         running.freeze(old)
@@ -360,7 +367,9 @@
             return states == ['done'] * 4
 
         await fleet.until(all_done, 'the loads under the new leader')
-        before = [await orders(running, number) for number in range(1, 5)]
+        before = [
+            await fencing_numbers(running, number) for number in range(1, 5)
+        ]
         running.thaw(old)
 
         async def follows():
@@ -369,19 +378,21 @@
 
         await fleet.until(follows, 'the old leader to follow')
         await asyncio.sleep(1)
-        after = [await orders(running, number) for number in range(1, 5)]
+        after = [
+            await fencing_numbers(running, number) for number in range(1, 5)
+        ]
         assert after == before
         for numbers in after:
             assert numbers == sorted(numbers)
 
 
-async def orders(running, number):
+async def fencing_numbers(running, number):
     """Return the fencing numbers that an engine has obeyed."""
     told = await running.runs(f'north-chat-{number}')
     return [order['number'] for order in told['orders']]
 
 
-async def test_unknown_key_gets_nothing(running):
+async def test_unknown_key_is_refused(running):
     """A host whose key is not in the settings is refused and logged."""
     identity = links.Identity('test', 'north-1', *links.new_keys())
     peers = [
@@ -406,7 +417,7 @@
     ],
     ids=['other cluster', 'stale', 'posing as another'],
 )
-async def test_unfit_messages_are_refused(running, change_envelope, reason):
+async def test_invalid_envelopes_are_refused(running, change_envelope, reason):
     running.kill('north-1')
     identity = keys.read_identity(
         running.folder / 'keys',
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -65,10 +65,10 @@
             assert 'whole' in {one.outcome for one in results}
             runs = await running.all_runs(service)
             assert len(runs[request]) == 1
-        answer = await test_control.change(
-            running.operator(), 1, test_control.limit('blue', 5)
+        answer = await test_control.apply_intent(
+            running.operator(), 1, test_control.limit_intent('blue', 5)
         )
-        await test_control.in_force(
+        await test_control.wait_in_force(
             running,
             answer.body['answer']['index'],
             [host.host for host in entries],
--- a/tests/test_execution.py
+++ b/tests/test_execution.py
@@ -36,17 +36,17 @@
 class FakeVoter:
     """Commit at once; lose the lease when told to."""
 
-    def __init__(self, state, lose_at):
+    def __init__(self, state, lose_lease_on):
         self.state = state
         self.has_lease = True
-        self.led_since_ms = 0
-        self._lose_at = lose_at
+        self.leader_since_ms = 0
+        self._lose_lease_on = lose_lease_on
         self._index = state.index
 
     async def propose(self, entry):
         self._index += 1
         applied = self.state.apply(self._index, entry)
-        if isinstance(entry, self._lose_at):
+        if isinstance(entry, self._lose_lease_on):
             self.has_lease = False
         return applied
 
@@ -81,7 +81,7 @@
         return msgspec.json.encode({'models': self._models})
 
 
-def executor(lose_at=(), fenced=True, **control):
+def make_executor(lose_at=(), fenced=True, **control):
     """Return an executor with one confirmed load to carry out."""
     made = fleet.deployment(regions=('north',), control=control)
     made['endpoints'][0]['fenced'] = fenced
@@ -114,15 +114,15 @@
 
 async def test_lease_lost_after_the_number_was_committed():
     """The last look at the lease comes after every wait."""
-    made, voter, dispatcher, _clock = executor(entries.IssueOrder)
-    await made._step(voter.state.plans['p1'])
+    made, voter, dispatcher, _clock = make_executor(entries.IssueOrder)
+    await made._execute_step(voter.state.plans['p1'])
     assert dispatcher.sent == []
     assert voter.state.plans['p1'].current is not None
 
 
 async def test_order_carries_the_index_that_allows_it():
-    made, voter, dispatcher, _clock = executor()
-    await made._step(voter.state.plans['p1'])
+    made, voter, dispatcher, _clock = make_executor()
+    await made._execute_step(voter.state.plans['p1'])
     ((number, _at_ms),) = dispatcher.sent
     assert number > voter.state.plans['p1'].confirmed_index
     assert voter.state.plans['p1'].state is plans.PlanState.DONE
@@ -131,35 +131,33 @@
 
 
 async def test_loads_are_spaced_for_the_weight_store():
-    made, voter, dispatcher, _clock = executor(weight_loads_per_minute=6)
+    made, voter, dispatcher, _clock = make_executor(weight_loads_per_minute=6)
     for name in ('p1', 'p2'):
-        await made._step(voter.state.plans[name])
+        await made._execute_step(voter.state.plans[name])
     (_one, first_ms), (_two, second_ms) = dispatcher.sent
     assert second_ms - first_ms >= 10_000
 
 
 @pytest.mark.parametrize('fenced, waits', [(True, False), (False, True)])
-async def test_old_leader_is_waited_out_where_numbers_are_ignored(
-    fenced, waits
-):
-    made, voter, dispatcher, clock = executor(
+async def test_old_leader_is_waited_out_for_unfenced_endpoints(fenced, waits):
+    made, voter, dispatcher, clock = make_executor(
         fenced=fenced, election_timeout_ms=2000, order_timeout_ms=5000
     )
-    voter.led_since_ms = clock.now_ms
+    voter.leader_since_ms = clock.now_ms
     started_ms = clock.now_ms
-    await made._step(voter.state.plans['p1'])
+    await made._execute_step(voter.state.plans['p1'])
     ((_number, at_ms),) = dispatcher.sent
     assert (at_ms - started_ms >= 7000) == waits
 
 
-async def test_order_that_does_not_show_is_a_failed_step():
-    made, voter, dispatcher, _clock = executor()
-    dispatcher.models = FrozenList()
-    await made._step(voter.state.plans['p1'])
+async def test_order_that_is_not_read_back_fails_the_step():
+    made, voter, dispatcher, _clock = make_executor()
+    dispatcher.models = ReadOnlyList()
+    await made._execute_step(voter.state.plans['p1'])
     plan = voter.state.plans['p1']
     assert plan.state is plans.PlanState.FAILED
     assert 'does not show' in plan.ends[0].detail
-    assert len(dispatcher.sent) == execution.ORDER_TRIES
+    assert len(dispatcher.sent) == execution.ORDER_ATTEMPTS
     numbers = [number for number, _at_ms in dispatcher.sent]
     assert numbers == sorted(set(numbers))
     endpoint = voter.state.configuration.endpoint(NAME)
@@ -167,7 +165,7 @@
     assert 'model-1' not in endpoint.models
 
 
-class FrozenList(list):
+class ReadOnlyList(list):
     """Take nothing in."""
 
     def append(self, _item):
--- a/tests/test_fatal_requests.py
+++ b/tests/test_fatal_requests.py
@@ -27,10 +27,10 @@
 from wrenspoke.state import routes
 
 # What is allowed: three ends, and three sends more.
-SENDS_LIMIT = 6
+MAX_SENDS = 6
 COPIES = 10
 # A caller that asks again takes longer; hosts can tell each other meanwhile.
-PACE_S = 0.3
+RESEND_INTERVAL_S = 0.3
 FATAL = b'fatal prompt'
 FATAL_CHAT = {
     'model': fleet.MODEL,
@@ -39,16 +39,16 @@
 RESET = endpoints.ScriptedEndpoint.RESET
 
 
-class EndingEngine:
+class CrashingEngine:
     """End under a fatal body, as a process: no connection is left.
 
     It is back, by the same address, once it is told to.
     """
 
     def __init__(self, ends):
-        self._ends = ends
+        self._crashes = ends
         self._endpoint = endpoints.ScriptedEndpoint(self._answer)
-        self.ended = False
+        self.crashed = False
 
     @property
     def address(self):
@@ -66,14 +66,14 @@
         if FATAL not in sent:
             yield test_passing.answer(sent)
             return
-        self._ends.append(sent)
-        self.ended = True
+        self._crashes.append(sent)
+        self.crashed = True
         self._endpoint.abort_all()
         yield RESET
 
-    async def come_back(self):
-        if self.ended:
-            self.ended = False
+    async def restart(self):
+        if self.crashed:
+            self.crashed = False
             await self._endpoint.listen_at_same_address()
 
     async def close(self):
@@ -81,7 +81,7 @@
 
 
 @contextlib.asynccontextmanager
-async def passing_system(folder, kind=routes.RouteKind.REPEATABLE):
+async def running_system(folder, kind=routes.RouteKind.REPEATABLE):
     """Run two regions of two hosts and four engines each."""
     ends, engines = [], []
     async with nodes.running(folder, controls=3) as system:
@@ -90,7 +90,7 @@
             await system.start_entry('south-hall')
         for hall in ('north-hall', 'south-hall'):
             for number in range(4):
-                engine = await EndingEngine(ends).start()
+                engine = await CrashingEngine(ends).start()
                 engines.append(engine)
                 await system.register(
                     f'{hall}-{number}', engine, data_centre=hall
@@ -102,7 +102,7 @@
         await engine.close()
 
 
-async def ask(system, host, body, name):
+async def send_to_entry_host(system, host, body, name):
     """Return what a caller is answered by an entry host."""
     sent = test_passing.request(
         'POST /a/x HTTP/1.1',
@@ -117,19 +117,19 @@
 @pytest.mark.parametrize(
     'kind', [routes.RouteKind.REPEATABLE, routes.RouteKind.ONCE]
 )
-async def test_request_that_ends_engines_is_not_sent_on_for_ever(
+async def test_request_that_crashes_engines_is_not_retried_forever(
     tmp_path, kind
 ):
-    async with passing_system(tmp_path, kind) as system:
+    async with running_system(tmp_path, kind) as system:
         for number in range(COPIES):
-            await ask(system, number % 4, FATAL, f'fatal{number}')
-            await asyncio.gather(*(one.come_back() for one in system.engines))
-            await asyncio.sleep(PACE_S)
-        assert len(system.ends) <= SENDS_LIMIT
+            await send_to_entry_host(system, number % 4, FATAL, f'fatal{number}')
+            await asyncio.gather(*(one.restart() for one in system.engines))
+            await asyncio.sleep(RESEND_INTERVAL_S)
+        assert len(system.ends) <= MAX_SENDS
 
 
 @pytest.mark.parametrize('controls', [0, 3])
-async def test_chat_that_ends_engines_is_not_sent_on_for_ever(
+async def test_chat_that_crashes_engines_is_not_retried_forever(
     tmp_path, controls
 ):
     made = fleet.deployment(engines=4, controls=controls)
@@ -141,4 +141,4 @@
         for number in range(COPIES):
             await callers[number % 2].chat(FATAL_CHAT)
             await running.wait_standins()
-        assert await running.engine_ends() <= SENDS_LIMIT
+        assert await running.engine_ends() <= MAX_SENDS
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -5,10 +5,10 @@
 import pytest
 
 from tests import nodes
-from wrenspoke.coordination.agreement import admissions
+from wrenspoke.coordination.agreement import bootstrap
 from wrenspoke.coordination.agreement import followers
-from wrenspoke.coordination.agreement import founding
 from wrenspoke.coordination.agreement import voter
+from wrenspoke.coordination.agreement import voter_planner
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.membership import registry_snapshot
 from wrenspoke import node as settings
@@ -24,7 +24,7 @@
 SEEDS = ['10.0.0.1:7', '10.0.0.2:7', '10.0.0.3:7']
 
 
-def kept_in(folder):
+def open_storage(folder):
     """Return the storage in a folder."""
     return storage.Storage(disk.Disk(folder))
 
@@ -32,8 +32,8 @@
 def test_seeds_write_the_same_first_entries(tmp_path):
     logs = []
     for seed in SEEDS:
-        kept = kept_in(tmp_path / seed)
-        founding.found_together(kept, seed, SEEDS)
+        kept = open_storage(tmp_path / seed)
+        bootstrap.bootstrap_seeds(kept, seed, SEEDS)
         logs.append([kept.entry(index) for index in (1, 2)])
         assert kept.electorate().voters[seed] == kept.meta.incarnation
     assert logs[0] == logs[1] == logs[2]
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize('case', ['no seed', 'holds a log', 'was started'])
 def test_only_an_empty_disk_of_a_seed_founds(tmp_path, case):
-    kept = kept_in(tmp_path)
+    kept = open_storage(tmp_path)
     host = SEEDS[0]
     if case == 'no seed':
         host = '10.0.0.9:7'
@@ -51,7 +51,7 @@
     else:
         kept.meta.boot = 1
     before = kept.last_index
-    founding.found_together(kept, host, SEEDS)
+    bootstrap.bootstrap_seeds(kept, host, SEEDS)
     assert kept.last_index == before
 
 
@@ -68,7 +68,7 @@
 )
 def test_committed_entries_are_known_after_a_restart(tmp_path, case, known):
     """The note may be lost or torn, but never claims too much."""
-    kept = kept_in(tmp_path)
+    kept = open_storage(tmp_path)
     kept.save_meta()
     kept.append(
         [
@@ -87,10 +87,10 @@
     if case == 'torn':
         path = tmp_path / storage.COMMITTED
         path.write_bytes(path.read_bytes()[:-1])
-    assert kept_in(tmp_path).known_committed() == known
+    assert open_storage(tmp_path).known_committed() == known
 
 
-async def test_restart_of_all_holds_what_was_accepted(tmp_path):
+async def test_restart_of_all_keeps_accepted_routes(tmp_path):
     async with nodes.running(tmp_path, controls=3) as system:
         await system.put(version=7)
         leader = await system.leader()
@@ -108,7 +108,7 @@
         assert (await leader.decisions.read_routes()).version == 7
 
 
-async def test_wiped_disk_never_founds_and_is_admitted_anew(tmp_path):
+async def test_wiped_disk_never_bootstraps_and_is_readmitted(tmp_path):
     async with nodes.running(tmp_path, controls=3) as system:
         await system.put(version=3)
         lost = system.controls.pop(0)
@@ -134,7 +134,7 @@
     [(True, 0, True), (False, 0, False), (True, 2_000, False)],
     ids=['kept', 'lost', 'cold'],
 )
-async def test_restart_of_all_knows_the_endpoints_before_they_renew(
+async def test_restart_of_all_keeps_endpoints_until_they_renew(
     tmp_path, kept, warmup_left_ms, known
 ):
     async with nodes.running(tmp_path) as system:
@@ -240,7 +240,7 @@
         )
 
 
-async def test_host_that_canvasses_may_still_vote_for_another(tmp_path):
+async def test_pre_candidate_may_still_vote_for_another(tmp_path):
     """Its own canvass must not count as having heard a leader."""
     async with nodes.running(tmp_path, controls=2, entries=0) as system:
         await system.leader()
@@ -249,11 +249,11 @@
         await gone.close()
         await nodes.until(lambda: left.voter.role is voter.Role.FOLLOWER)
         before_ms = left.clock.mono_ms()
-        await nodes.until(lambda: left.voter._canvassed_ms > before_ms)
-        assert not left.voter._hears_leader()
+        await nodes.until(lambda: left.voter._election_attempt_ms > before_ms)
+        assert not left.voter._has_leader_contact()
 
 
-async def test_read_is_refused_where_it_cannot_be_sure(tmp_path):
+async def test_read_is_refused_without_confirmation(tmp_path):
     async with nodes.running(tmp_path, controls=3) as system:
         await system.put(version=3)
         await system.leader()
@@ -285,7 +285,7 @@
 def test_voters_are_changed_one_at_a_time(limit, voters, change):
     group = FakeGroup(limit, voters)
     known = group.followers(('b', 'B'), ('c', 'C'))
-    found = admissions.Admissions(group, 0).next_change(known)
+    found = voter_planner.VoterPlanner(group, 0).next_change(known)
     if change is None:
         assert found is None
         return
@@ -300,25 +300,25 @@
     assert found.before == (voters if verb == 'swap' else {})
 
 
-def test_a_change_of_places_is_ended_by_another_entry():
+def test_joint_electorate_is_ended_by_another_entry():
     new = {'a': 'A', 'b': 'B', 'c': 'C'}
     group = FakeGroup(3, new, before={'a': 'A', 'b': 'B', 'lost': 'L'})
     known = group.followers(('b', 'B'), ('c', 'C'))
-    found = admissions.Admissions(group, 0).next_change(known)
+    found = voter_planner.VoterPlanner(group, 0).next_change(known)
     assert (found.voters, found.before) == (new, {})
 
 
 @pytest.mark.parametrize('case', ['behind', 'silent', 'never heard'])
-def test_only_a_host_that_holds_all_and_is_there_gets_a_vote(case):
+def test_only_caught_up_responsive_host_gets_a_vote(case):
     group = FakeGroup(3, {'a': 'A', 'b': 'B', 'lost': 'L'})
     known = group.followers(('b', 'B'), ('c', 'C'))
     if case == 'behind':
         known['c'].match_index = group.commit_index - 1
     elif case == 'silent':
-        known['c'].acked_ms -= FakeTimes.election_timeout_ms + 1
+        known['c'].acked_ms -= FakeSettings.election_timeout_ms + 1
     else:
         known['c'].acked_ms = None
-    assert admissions.Admissions(group, 0).next_change(known) is None
+    assert voter_planner.VoterPlanner(group, 0).next_change(known) is None
 
 
 NORTH, SOUTH, WEST = (
@@ -327,12 +327,12 @@
 )
 
 
-def assert_change_of_places(group, where, change):
+def assert_replacement(group, where, change):
     """Compare who takes whose place with what is expected, if anyone."""
     known = group.followers(*((host, host.upper()) for host in where))
     for host, location in where.items():
         known[host].location = location
-    found = admissions.Admissions(group, 0).next_change(known)
+    found = voter_planner.VoterPlanner(group, 0).next_change(known)
     if change is None:
         assert found is None
         return
@@ -356,7 +356,7 @@
 )
 def test_voters_are_spread_over_regions(where, change):
     group = FakeGroup(3, {'a': 'A', 'b': 'B', 'lost': 'L'})
-    assert_change_of_places(group, where, change)
+    assert_replacement(group, where, change)
 
 
 @pytest.mark.parametrize(
@@ -386,9 +386,9 @@
         'voter unknown',
     ],
 )
-def test_voters_are_spread_again_once_they_can_be(where, change):
+def test_voter_is_replaced_to_improve_spread(where, change):
     group = FakeGroup(3, {'a': 'A', 'b': 'B', 'c': 'C'})
-    assert_change_of_places(group, where, change)
+    assert_replacement(group, where, change)
 
 
 class FakeGroup:
@@ -401,7 +401,7 @@
         self.clock = self.group = self
         self.location = NORTH
         self.now_ms = 100_000
-        self.settings = FakeTimes(limit)
+        self.settings = FakeSettings(limit)
 
     def mono_ms(self):
         return self.now_ms
@@ -420,7 +420,7 @@
         return known
 
 
-class FakeTimes:
+class FakeSettings:
     """Be the times that a lead goes by."""
 
     replace_after_ms = 8_000
@@ -430,7 +430,7 @@
         self.voters_limit = limit
 
 
-async def test_who_gave_its_vote_meanwhile_does_not_stand(tmp_path):
+async def test_host_that_voted_meanwhile_does_not_campaign(tmp_path):
     """Two that canvass at once must not end each other's lead."""
     async with nodes.running(tmp_path, controls=1, entries=0) as system:
         leader = await system.leader()
@@ -441,11 +441,11 @@
         async def canvass(pre):
             asked.append(pre)
             # A vote for another is given while this one still asks.
-            elected._heard_ms = elected.clock.mono_ms()
+            elected._leader_contact_ms = elected.clock.mono_ms()
             return True
 
-        elected._canvass = canvass
+        elected._request_votes = canvass
         elected._step_down()
-        elected._heard_ms = elected.clock.mono_ms() - 10_000
+        elected._leader_contact_ms = elected.clock.mono_ms() - 10_000
         await nodes.until(lambda: asked)
         assert asked == [True] and elected.term == term
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -3,16 +3,16 @@
 import pytest
 
 from tests import group
-from wrenspoke.coordination.agreement import canvass
+from wrenspoke.coordination.agreement import vote_tally
 from wrenspoke.protocol import messages
 from wrenspoke.state import entries
 
 # A change of voters is over within the silence that brings it about, an
 # election and some round trips.
-SETTLED_MS = 30_000
+SETTLE_TIMEOUT_MS = 30_000
 # A lost host counts as lost for so long after another in its place has
 # started; from then on one more may be lost.
-CATCH_UP_MS = 4_000
+RECOVERY_MS = 4_000
 
 
 def carries_voters(message):
@@ -24,22 +24,22 @@
     )
 
 
-class AtChange:
+class OnVoterChange:
     """Do something as the n-th change of voters is sent."""
 
     def __init__(self, system):
         self._actions = []
         kept = [host.voter.storage for host in system.running.values()]
         self._newest = max(one.last_index for one in kept)
-        system.network.watch = self
+        system.network.on_message = self
 
-    def then(self, action):
+    def add_action(self, action):
         """Do this as the next change is sent."""
         self._actions.append(action)
         return self
 
     @property
-    def done(self):
+    def is_done(self):
         return not self._actions
 
     def __call__(self, _sender, _host, message):
@@ -55,17 +55,17 @@
             self._actions.pop(0)()
 
 
-def nothing():
+def do_nothing():
     """Let the change be made."""
 
 
-async def lose_a_host(system, lost, how):
+async def lose_host(system, lost, how):
     """Lose a host or its disk; return the name that takes its place."""
     if how == 'wiped':
-        await system.wipe(lost)
+        await system.wipe_host(lost)
         return lost
     system.locations['new'] = system.location(lost)
-    await system.remove(lost)
+    await system.delete_host(lost)
     system.seeds = [name for name in system.seeds if name != lost] + ['new']
     await system.sleep_ms(1_000)
     system.start('new')
@@ -75,63 +75,65 @@
 @pytest.mark.parametrize('power', [False, True], ids=['healed', 'restarted'])
 @pytest.mark.parametrize('number', [1, 2])
 @pytest.mark.parametrize('how', ['replaced', 'wiped'])
-def test_cut_as_voters_change_leaves_a_group_that_can_lead(how, number, power):
+def test_partition_during_voter_change_leaves_an_electable_group(
+    how, number, power
+):
     """Whoever holds the change, and whoever does not, elect a leader."""
 
     async def play():
         system = group.Group(seed=number)
-        leader = await system.found()
-        await system.change()
-        cut = AtChange(system)
+        leader = await system.bootstrap()
+        await system.commit_change()
+        cut = OnVoterChange(system)
         for _number in range(1, number):
-            cut.then(nothing)
-        cut.then(system.network.cut_all)
+            cut.add_action(do_nothing)
+        cut.add_action(system.network.cut_all)
         lost = next(name for name in system.running if name != leader.name)
-        await lose_a_host(system, lost, how)
-        await system.until(lambda: cut.done)
+        await lose_host(system, lost, how)
+        await system.wait_until(lambda: cut.is_done)
         await system.sleep_ms(5_000)
         if power:
             await system.restart_all()
         system.network.heal()
-        await system.change(SETTLED_MS)
-        assert await system.version() == system.acknowledged
+        await system.commit_change(SETTLE_TIMEOUT_MS)
+        assert await system.leader_version() == system.acknowledged
         await system.close()
 
     group.run(play())
 
 
-def test_newcomer_votes_before_it_knows_that_it_may():
+def test_new_voter_votes_before_it_receives_its_admission():
     """Its vote is needed to tell it that it has one."""
 
     async def play():
         system = group.Group(seed=1)
-        leader = await system.found()
-        await system.change()
+        leader = await system.bootstrap()
+        await system.commit_change()
         third, lost = [name for name in system.running if name != leader.name]
-        cut = AtChange(system)
-        cut.then(lambda: system.network.cut_off('new'))
-        cut.then(system.network.cut_all)
-        await lose_a_host(system, lost, 'replaced')
-        await system.until(lambda: cut.done)
+        cut = OnVoterChange(system)
+        cut.add_action(lambda: system.network.cut_off('new'))
+        cut.add_action(system.network.cut_all)
+        await lose_host(system, lost, 'replaced')
+        await system.wait_until(lambda: cut.is_done)
         newcomer = system.running['new'].voter
         assert not newcomer.is_voter
         await system.sleep_ms(5_000)
-        await system.end(third)
+        await system.stop_host(third)
         system.network.heal()
-        await system.change(SETTLED_MS)
+        await system.commit_change(SETTLE_TIMEOUT_MS)
         assert newcomer.is_voter
         await system.close()
 
     group.run(play())
 
 
-def test_who_lost_its_vote_by_a_change_that_only_it_holds_may_stand():
+def test_voter_removed_by_an_uncommitted_change_may_campaign():
     """Nobody else can win against its log, and only it can end the change."""
 
     async def play():
         system = group.Group(seed=1)
-        leader = await system.found()
-        await system.change()
+        leader = await system.bootstrap()
+        await system.commit_change()
         third, left = [name for name in system.running if name != leader.name]
         network = system.network
         system.start('new')
@@ -139,18 +141,18 @@
 
         def tell_only_the_one_that_left():
             network.cut_all()
-            network.join(leader.name, left)
+            network.reconnect(leader.name, left)
 
-        change = AtChange(system)
-        change.then(nothing).then(tell_only_the_one_that_left)
+        change = OnVoterChange(system)
+        change.add_action(do_nothing).add_action(tell_only_the_one_that_left)
         network.cut_off(left)
-        await system.until(lambda: change.done)
+        await system.wait_until(lambda: change.is_done)
         kept = system.running[left].voter.storage
-        await system.until(lambda: kept.electorate().voters.get('new'))
-        await system.until(lambda: not kept.electorate().before)
-        await system.wipe(leader.name)
+        await system.wait_until(lambda: kept.electorate().voters.get('new'))
+        await system.wait_until(lambda: not kept.electorate().before)
+        await system.wipe_host(leader.name)
         network.heal()
-        await system.change(SETTLED_MS)
+        await system.commit_change(SETTLE_TIMEOUT_MS)
         assert third in system.running
         await system.close()
 
@@ -161,49 +163,47 @@
 @pytest.mark.parametrize('who', ['leader', 'follower'])
 @pytest.mark.parametrize('how', ['replaced', 'wiped'])
 @pytest.mark.parametrize('after_ms', range(0, 6_000, 500))
-def test_lost_disk_leaves_a_group_that_may_lose_another(
-    how, who, second, after_ms
-):
+def test_group_survives_second_lost_disk(how, who, second, after_ms):
     """A second disk is lost, and all hosts lose power with it."""
 
     async def play():
         system = group.Group(seed=after_ms)
-        leader = await system.found()
+        leader = await system.bootstrap()
         others = [name for name in system.running if name != leader.name]
         gone = leader.name if who == 'leader' else others[0]
         left = [name for name in system.running if name != gone]
-        back = await lose_a_host(system, gone, how)
-        await system.sleep_ms(CATCH_UP_MS + after_ms)
-        await system.change()
+        back = await lose_host(system, gone, how)
+        await system.sleep_ms(RECOVERY_MS + after_ms)
+        await system.commit_change()
         lost = {'first': left[0], 'other': left[1], 'newest': back}[second]
-        await system.end(lost)
+        await system.stop_host(lost)
         system.disks[lost].wipe()
         await system.restart_all()
         system.start(lost)
-        await system.change(SETTLED_MS)
-        assert await system.version() == system.acknowledged
+        await system.commit_change(SETTLE_TIMEOUT_MS)
+        assert await system.leader_version() == system.acknowledged
         await system.close()
 
     group.run(play())
 
 
 @pytest.mark.parametrize('seed', [3, 34, 49])
-def test_two_that_ask_at_once_do_not_both_stand(seed, monkeypatch):
+def test_concurrent_pre_votes_start_one_election(seed, monkeypatch):
     """Seeds with which they split the votes three times in a row and more."""
 
     async def play():
         system = group.Group(seed)
-        await system.found()
+        await system.bootstrap()
         await system.sleep_ms(2_000 + 7 * seed)
-        leader = await system.leader()
-        await system.end(leader.name)
-        await system.change()
+        leader = await system.wait_for_leader()
+        await system.stop_host(leader.name)
+        await system.commit_change()
         await system.close()
 
     lost = []
     monkeypatch.setattr(
-        canvass.Canvass,
-        'tell_lost',
+        vote_tally.VoteTally,
+        'log_lost',
         lambda _self, asked, _silence_ms: lost.append(asked),
     )
     group.run(play())
@@ -215,7 +215,7 @@
     return next(host for host in system.running.values() if host is not leader)
 
 
-def append(voter, confirmed, ahead=0):
+def heartbeat_message(voter, confirmed, ahead=0):
     """Return a heartbeat that confirms a moment."""
     kept = voter.storage
     return messages.Append(
@@ -229,13 +229,13 @@
 
 async def confirmed_follower(system):
     """Return a leader, a follower's voter and the moment it confirmed."""
-    leader = await system.found()
+    leader = await system.bootstrap()
     voter = follower_of(leader, system).voter
-    await system.until(lambda: voter.confirmed_age_ms is not None)
+    await system.wait_until(lambda: voter.confirmed_age_ms is not None)
     return leader, voter, voter._confirmed_ms
 
 
-def test_follower_confirms_moments_of_its_own_life_only():
+def test_follower_confirms_only_moments_of_its_own_instance():
     """A restarted host's clock may have begun anew."""
 
     async def play():
@@ -243,10 +243,12 @@
         leader, voter, known_ms = await confirmed_follower(system)
         later_ms = known_ms + 5_000
         other = messages.Moment('another life', later_ms)
-        await voter._answer_append(leader.name, append(voter, other))
+        await voter._handle_append(
+            leader.name, heartbeat_message(voter, other)
+        )
         assert voter._confirmed_ms == known_ms
-        own = messages.Moment(voter._life, later_ms)
-        await voter._answer_append(leader.name, append(voter, own))
+        own = messages.Moment(voter._instance_id, later_ms)
+        await voter._handle_append(leader.name, heartbeat_message(voter, own))
         assert voter._confirmed_ms == later_ms
         await system.close()
 
@@ -257,8 +259,10 @@
     async def play():
         system = group.Group()
         leader, voter, known_ms = await confirmed_follower(system)
-        moment = messages.Moment(voter._life, known_ms + 5_000)
-        await voter._answer_append(leader.name, append(voter, moment, ahead=1))
+        moment = messages.Moment(voter._instance_id, known_ms + 5_000)
+        await voter._handle_append(
+            leader.name, heartbeat_message(voter, moment, ahead=1)
+        )
         assert voter._confirmed_ms == known_ms
         await system.close()
 
@@ -270,30 +274,30 @@
 
     async def play():
         system = group.Group()
-        leader = await system.found()
-        follower = next(iter(leader.voter._lead._followers.values()))
-        await system.until(lambda: follower.moment is not None)
-        lead = leader.voter._lead
-        assert lead._message_for(follower).confirmed == follower.moment
+        leader = await system.bootstrap()
+        follower = next(iter(leader.voter._leadership._followers.values()))
+        await system.wait_until(lambda: follower.moment is not None)
+        lead = leader.voter._leadership
+        assert lead._next_message(follower).confirmed == follower.moment
         system.network.cut_off(leader.name)
-        await system.until(lambda: not leader.voter.has_lease)
-        assert lead._message_for(follower).confirmed is None
+        await system.wait_until(lambda: not leader.voter.has_lease)
+        assert lead._next_message(follower).confirmed is None
         await system.close()
 
     group.run(play())
 
 
-def test_followers_know_of_a_moment_not_long_ago():
+def test_followers_have_a_recently_confirmed_moment():
     """It rides on heartbeats: two ways to a far region and an interval."""
 
     async def play():
         system = group.Group()
-        leader = await system.found()
+        leader = await system.bootstrap()
         await system.sleep_ms(2_000)
         for host in system.running.values():
             age_ms = host.voter.confirmed_age_ms
             assert age_ms is not None and age_ms <= 800
-        await system.change()
+        await system.commit_change()
         system.network.cut_off(leader.name)
         await system.sleep_ms(1_000)
         assert leader.voter.confirmed_age_ms is None
--- a/tests/test_group_soak.py
+++ b/tests/test_group_soak.py
@@ -20,17 +20,17 @@
 STEPS = 14
 # A lost disk counts as lost for so long after another in its place has
 # been started and nothing else has happened; then one more may be lost.
-CATCH_UP_MS = 4_000
-SETTLED_MS = 30_000
-LOOK_MS = 50
-CHANGE_EVERY_MS = 400
+RECOVERY_MS = 4_000
+SETTLE_TIMEOUT_MS = 30_000
+POLL_INTERVAL_MS = 50
+CHANGE_INTERVAL_MS = 400
 CHANGE_TIMEOUT_MS = 3_000
-MISHAPS = {}
+FAULTS = {}
 
 
-def mishap(function):
+def fault(function):
     """Register what may happen to a group."""
-    MISHAPS[function.__name__] = function
+    FAULTS[function.__name__] = function
     return function
 
 
@@ -41,35 +41,35 @@
         self.random = random.Random(f'soak {seed}')
         names = [f'host{number}' for number in range(hosts)]
         self.system = group.Group(seed, names[:3])
-        self.spare = names[3:]
-        self.down = set()
-        self.numbers = iter(range(hosts, 1_000))
+        self.learners = names[3:]
+        self.stopped_hosts = set()
+        self.host_numbers = iter(range(hosts, 1_000))
         self.disturbed_ms = 0
         self.acknowledged = 0
         self.proposed = 0
-        self.told = []
+        self.event_log = []
 
     def now_ms(self):
         return int(asyncio.get_running_loop().time() * 1000)
 
-    def tell(self, *what):
-        self.told.append((self.now_ms(), *what))
+    def record_event(self, *what):
+        self.event_log.append((self.now_ms(), *what))
 
     @property
-    def calm(self):
+    def may_lose_disk(self):
         """Tell whether one more disk may be lost."""
         return (
-            not self.down
+            not self.stopped_hosts
             and not self.system.network.is_cut
-            and self.now_ms() - self.disturbed_ms >= CATCH_UP_MS
+            and self.now_ms() - self.disturbed_ms >= RECOVERY_MS
         )
 
-    def disturb(self):
+    def mark_disturbed(self):
         self.disturbed_ms = self.now_ms()
 
-    def draw(self):
+    def pick_host(self):
         """Return a host that runs, the leader as often as any other."""
-        leading = [host.name for host in self.system.leading()]
+        leading = [host.name for host in self.system.lease_holders()]
         names = sorted(self.system.running)
         if leading and self.random.random() < 0.3:
             return leading[0]
@@ -78,30 +78,30 @@
     async def pause(self, least_ms, most_ms):
         await self.system.sleep_ms(self.random.uniform(least_ms, most_ms))
 
-    async def play(self):
-        await self.system.found()
-        for name in self.spare:
+    async def simulate(self):
+        await self.system.bootstrap()
+        for name in self.learners:
             self.system.start(name)
         loop = asyncio.get_running_loop()
         background = [
-            loop.create_task(self.keep_changing()),
-            loop.create_task(self.look_at_leases()),
+            loop.create_task(self.propose_changes()),
+            loop.create_task(self.check_leases()),
         ]
         happening = []
-        for _step in range(STEPS):
+        for _number in range(STEPS):
             await self.pause(0, 5_000)
-            name = self.random.choice(sorted(MISHAPS))
-            happening.append(loop.create_task(MISHAPS[name](self)))
+            name = self.random.choice(sorted(FAULTS))
+            happening.append(loop.create_task(FAULTS[name](self)))
         await asyncio.gather(*happening)
         changing, looking = background
         changing.cancel()
-        self.tell('settle')
-        leader = await self.system.leader(SETTLED_MS)
+        self.record_event('settle')
+        leader = await self.system.wait_for_leader(SETTLE_TIMEOUT_MS)
         held = leader.voter.state.configuration.routes.version
         assert held >= self.acknowledged
         self.system.acknowledged = self.proposed
-        await self.system.change(SETTLED_MS)
-        await self.system.until(self.is_spread, SETTLED_MS)
+        await self.system.commit_change(SETTLE_TIMEOUT_MS)
+        await self.system.wait_until(self.is_spread, SETTLE_TIMEOUT_MS)
         looking.cancel()
         for task in background:
             with contextlib.suppress(asyncio.CancelledError):
@@ -110,7 +110,7 @@
 
     def is_spread(self):
         """Tell whether each region has one of the voters."""
-        for host in self.system.leading():
+        for host in self.system.lease_holders():
             deciding = host.voter.committed_electorate
             if deciding.before:
                 return False
@@ -118,10 +118,10 @@
             return len(where) == group.REGIONS == len(deciding.voters)
         return False
 
-    async def keep_changing(self):
+    async def propose_changes(self):
         while True:
-            await self.system.sleep_ms(CHANGE_EVERY_MS)
-            leader = next(iter(self.system.leading()), None)
+            await self.system.sleep_ms(CHANGE_INTERVAL_MS)
+            leader = next(iter(self.system.lease_holders()), None)
             if leader is None:
                 continue
             self.proposed += 1
@@ -134,120 +134,120 @@
                 continue
             self.acknowledged = version
 
-    async def look_at_leases(self):
+    async def check_leases(self):
         while True:
-            await self.system.sleep_ms(LOOK_MS)
-            leading = self.system.leading()
+            await self.system.sleep_ms(POLL_INTERVAL_MS)
+            leading = self.system.lease_holders()
             assert len(leading) <= 1, [host.name for host in leading]
             for host in leading:
                 held = host.voter.state.configuration.routes.version
                 assert held >= self.acknowledged, (host.name, held)
 
-    async def bring_back(self, name):
+    async def restart_stopped_host(self, name):
         self.system.start(name)
-        self.down.discard(name)
-        self.disturb()
+        self.stopped_hosts.discard(name)
+        self.mark_disturbed()
 
 
-@mishap
+@fault
 async def kill(soak):
     """End a process, and start it again."""
-    name = soak.draw()
+    name = soak.pick_host()
     if name is None:
         return
     power = soak.random.random() < 0.5
-    soak.tell('kill', name, power)
-    soak.down.add(name)
-    await soak.system.end(name, power)
+    soak.record_event('kill', name, power)
+    soak.stopped_hosts.add(name)
+    await soak.system.stop_host(name, power)
     await soak.pause(100, 6_000)
-    await soak.bring_back(name)
+    await soak.restart_stopped_host(name)
 
 
-@mishap
+@fault
 async def restart_all(soak):
     """Lose the power of all hosts."""
-    soak.tell('restart_all')
-    soak.disturb()
+    soak.record_event('restart_all')
+    soak.mark_disturbed()
     await soak.system.restart_all()
 
 
-@mishap
+@fault
 async def cut_all(soak):
     """Cut every host from every other for a while."""
-    soak.tell('cut_all')
+    soak.record_event('cut_all')
     soak.system.network.cut_all()
     await soak.pause(500, 10_000)
     soak.system.network.heal()
-    soak.disturb()
+    soak.mark_disturbed()
 
 
-@mishap
+@fault
 async def cut_one(soak):
     """Cut one host from all others for a while."""
-    name = soak.draw()
+    name = soak.pick_host()
     if name is None:
         return
-    soak.tell('cut_one', name)
+    soak.record_event('cut_one', name)
     soak.system.network.cut_off(name)
     await soak.pause(500, 10_000)
     soak.system.network.heal()
-    soak.disturb()
+    soak.mark_disturbed()
 
 
-@mishap
+@fault
 async def cut_pair(soak):
     """Cut two hosts from each other for a while."""
-    one, other = soak.draw(), soak.draw()
+    one, other = soak.pick_host(), soak.pick_host()
     if one is None or one == other:
         return
-    soak.tell('cut_pair', one, other)
+    soak.record_event('cut_pair', one, other)
     soak.system.network.cut(one, other)
     await soak.pause(500, 10_000)
     soak.system.network.heal()
-    soak.disturb()
+    soak.mark_disturbed()
 
 
-@mishap
+@fault
 async def wipe(soak):
     """Lose a disk, perhaps as all other hosts lose power."""
-    name = soak.draw()
-    if name is None or not soak.calm:
+    name = soak.pick_host()
+    if name is None or not soak.may_lose_disk:
         return
     with_power = soak.random.random() < 0.5
-    soak.tell('wipe', name, with_power)
-    soak.down.add(name)
-    await soak.system.end(name)
+    soak.record_event('wipe', name, with_power)
+    soak.stopped_hosts.add(name)
+    await soak.system.stop_host(name)
     soak.system.disks[name].wipe()
     if with_power:
         await soak.system.restart_all()
     await soak.pause(100, 1_500)
-    await soak.bring_back(name)
+    await soak.restart_stopped_host(name)
 
 
-@mishap
+@fault
 async def replace(soak):
     """Lose a host for good; an empty one comes at another address."""
-    name = soak.draw()
-    if name is None or not soak.calm:
+    name = soak.pick_host()
+    if name is None or not soak.may_lose_disk:
         return
-    new = f'host{next(soak.numbers)}'
+    new = f'host{next(soak.host_numbers)}'
     soak.system.locations[new] = soak.system.location(name)
-    soak.tell('replace', name, new)
-    soak.down.add(new)
-    await soak.system.remove(name)
+    soak.record_event('replace', name, new)
+    soak.stopped_hosts.add(new)
+    await soak.system.delete_host(name)
     seeds = [seed for seed in soak.system.seeds if seed != name]
     await soak.pause(100, 1_500)
     soak.system.seeds = [*seeds, new][-3:]
-    await soak.bring_back(new)
+    await soak.restart_stopped_host(new)
 
 
 @pytest.mark.parametrize('hosts', [3, 6])
 @pytest.mark.parametrize('seed', range(SEEDS))
-def test_group_bears_what_it_must(seed, hosts):
+def test_group_recovers_from_overlapping_faults(seed, hosts):
     """One lease at a time, nothing acknowledged lost, a leader in the end."""
     soak = Soak(seed, hosts)
     try:
-        group.run(soak.play())
+        group.run(soak.simulate())
     finally:
-        for line in soak.told:
+        for line in soak.event_log:
             print(*line)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -15,10 +15,10 @@
 from tests import test_passing
 from wrenspoke.coordination import errors as coordination_errors
 from wrenspoke.coordination.membership import replica
-from wrenspoke.coordination.quarantine import ended_runs
-from wrenspoke.coordination.quarantine import good_ends
+from wrenspoke.coordination.quarantine import crash_history
 from wrenspoke.coordination.quarantine import guard as guards
-from wrenspoke.coordination.quarantine import holds
+from wrenspoke.coordination.quarantine import hold_durations
+from wrenspoke.coordination.quarantine import recent_successes
 from wrenspoke.coordination.serving import dispatch
 from wrenspoke.protocol import fingerprints
 from wrenspoke.protocol import headers
@@ -60,7 +60,7 @@
         ('team', 'POST', 'h', '/a/x?qb', b'ody'),
     ],
 )
-def test_requests_that_differ_have_names_that_differ(other):
+def test_different_requests_have_different_digests(other):
     assert fingerprints.digest_of(*CALL) == fingerprints.digest_of(*CALL)
     assert fingerprints.digest_of(*CALL) != fingerprints.digest_of(*other)
 
@@ -74,49 +74,50 @@
         ([('a', 0)], 1),
         ([('a', 0), ('b', 0)], 2),
         # Told by two hosts that ran it there.
-        ([('a', 0), ('a', ended_runs.SAME_END_MS)], 1),
+        ([('a', 0), ('a', crash_history.DEDUP_WINDOW_MS)], 1),
         # It was back, under the same name.
-        ([('a', 0), ('a', ended_runs.SAME_END_MS + 1)], 2),
+        ([('a', 0), ('a', crash_history.DEDUP_WINDOW_MS + 1)], 2),
     ],
 )
-def test_an_end_is_counted_once(ends, count):
+def test_crash_is_counted_once(ends, count):
     clock = FakeClock()
-    book = ended_runs.EndedRuns(clock)
+    book = crash_history.CrashHistory(clock)
     for endpoint, at_ms in ends:
-        book.note('d', endpoint, clock.now_ms + at_ms)
-    assert book.count('d') == count
+        book.record_crash('d', endpoint, clock.now_ms + at_ms)
+    assert book.crash_count('d') == count
 
 
-def test_flood_of_others_pushes_out_nothing_that_ended_more_than_one():
+def test_single_crash_entries_do_not_evict_repeated_ones():
     clock = FakeClock()
-    book = ended_runs.EndedRuns(clock)
-    book.note('d', 'a', clock.now_ms)
-    book.note('d', 'b', clock.now_ms)
-    for number in range(2 * ended_runs.KEPT_ONCE):
-        book.note(f'{number}', 'c', clock.now_ms)
-    assert book.count('d') == 2
+    book = crash_history.CrashHistory(clock)
+    book.record_crash('d', 'a', clock.now_ms)
+    book.record_crash('d', 'b', clock.now_ms)
+    for number in range(2 * crash_history.MAX_SINGLE_CRASH_ENTRIES):
+        book.record_crash(f'{number}', 'c', clock.now_ms)
+    assert book.crash_count('d') == 2
     kept = sum(
-        book.count(f'{number}') for number in range(2 * ended_runs.KEPT_ONCE)
+        book.crash_count(f'{number}')
+        for number in range(2 * crash_history.MAX_SINGLE_CRASH_ENTRIES)
     )
-    assert kept == ended_runs.KEPT_ONCE
+    assert kept == crash_history.MAX_SINGLE_CRASH_ENTRIES
 
 
-def test_what_is_old_is_forgotten():
+def test_expired_crashes_are_evicted():
     clock = FakeClock()
-    book = ended_runs.EndedRuns(clock)
-    book.note('d', 'a', clock.now_ms)
-    clock.now_ms += ended_runs.KEPT_MS
-    book.note('other', 'a', clock.now_ms)
-    assert book.count('d') == 0
+    book = crash_history.CrashHistory(clock)
+    book.record_crash('d', 'a', clock.now_ms)
+    clock.now_ms += crash_history.RETENTION_MS
+    book.record_crash('other', 'a', clock.now_ms)
+    assert book.crash_count('d') == 0
 
 
-def test_good_ends_are_kept_within_bounds():
+def test_recent_successes_are_bounded():
     clock = FakeClock()
-    good = good_ends.GoodEnds(clock)
-    for number in range(good_ends.KEPT_LIMIT + 1):
-        good.note(f'{number}')
-    assert not good.lately('0')
-    assert good.lately('1')
+    good = recent_successes.RecentSuccesses(clock)
+    for number in range(recent_successes.MAX_ENTRIES + 1):
+        good.add_success(f'{number}')
+    assert not good.has_recent('0')
+    assert good.has_recent('1')
 
 
 @pytest.mark.parametrize(
@@ -130,7 +131,7 @@
     ],
 )
 def test_hold_doubles_with_each_end_up_to_a_bound(ends, hold_ms):
-    assert holds.hold_ms(ends) == hold_ms
+    assert hold_durations.hold_duration_ms(ends) == hold_ms
 
 
 def test_quarantine_is_bounded_and_keeps_what_is_held():
@@ -148,14 +149,14 @@
 # What a look at an endpoint tells.
 
 
-async def test_only_refused_connections_tell_of_an_end():
+async def test_only_refused_connection_counts_as_crash():
     with socket.create_server(('127.0.0.1', 0)) as listening:
         address = '127.0.0.1:{}'.format(listening.getsockname()[1])
         assert not await reachable.is_refused(address, 1_000)
     assert await reachable.is_refused(address, 1_000)
 
 
-async def test_silence_tells_of_no_end():
+async def test_connect_timeout_is_not_a_crash():
     """A full queue of connections lets no further one in."""
     with contextlib.ExitStack() as opened:
         listening = opened.enter_context(socket.socket())
@@ -172,27 +173,27 @@
 # What a host holds.
 
 
-class Told:
+class FakeReporter:
     """Note what would be told to control hosts."""
 
     def __init__(self):
-        self.ends = []
-        self.clears = []
+        self.crashes = []
+        self.successes = []
 
-    def tell_holds(self, heard):
+    def set_hold_callback(self, heard):
         self.heard = heard
 
-    def ended(self, digest, endpoint):
-        self.ends.append((digest, endpoint))
+    def report_crash(self, digest, endpoint):
+        self.crashes.append((digest, endpoint))
 
-    def cleared(self, digest):
-        self.clears.append(digest)
+    def report_success(self, digest):
+        self.successes.append(digest)
 
     async def close(self):
         return
 
 
-class NoPeers:
+class FakePeers:
     """Keep who answers what."""
 
     def __init__(self):
@@ -206,37 +207,37 @@
         return register
 
 
-class Host:
+class GuardedHost:
     """Hold a guard with what it looks at."""
 
     def __init__(self, refused=True, leaving=()):
         self.clock = FakeClock()
         self.replica = replica.Replica()
-        self.told = Told()
-        self.peers = NoPeers()
+        self.reporter = FakeReporter()
+        self.peers = FakePeers()
         self.refused = refused
-        self.looks = 0
+        self.probe_count = 0
 
         async def look(_address, _timeout_ms):
-            self.looks += 1
+            self.probe_count += 1
             return self.refused
 
         self.guard = guards.Guard(
             self.replica,
-            self.told,
+            self.reporter,
             self.peers,
             lambda endpoint: endpoint in leaving,
             self.clock,
             look,
         )
 
-    async def end(self, *names, digest='d'):
+    async def crash_endpoints(self, *names, digest='d'):
         for name in names:
-            run = self.guard.began(digest, name, f'{name}:1')
-            await self.guard.broke(run)
+            run = self.guard.start_run(digest, name, f'{name}:1')
+            await self.guard.handle_broken_run(run)
             self.clock.now_ms += 1_000
 
-    def decide(self, *decided):
+    def set_decisions(self, *decided):
         self.replica.current = configuration.Configuration(
             quarantine={one.digest: one for one in decided}
         )
@@ -253,104 +254,109 @@
         ({'leaving': 'c'}, 'abc', False),
     ],
 )
-async def test_request_is_held_after_three_ends(made, ends, held):
-    host = Host(**made)
-    await host.end(*ends)
-    assert (host.guard.held_ms('d') is not None) == held
-    assert host.guard.held_ms('other') is None
+async def test_request_is_held_after_three_crashes(made, ends, held):
+    host = GuardedHost(**made)
+    await host.crash_endpoints(*ends)
+    assert (host.guard.remaining_hold_ms('d') is not None) == held
+    assert host.guard.remaining_hold_ms('other') is None
 
 
-async def test_one_look_serves_all_runs_of_an_endpoint():
-    host = Host()
-    found = [host.guard.began(f'{n}', 'e', 'e:1') for n in range(20)]
-    await asyncio.gather(*(host.guard.broke(run) for run in found))
-    assert host.looks == 1
-    assert len(host.told.ends) == 20
+async def test_one_probe_serves_all_runs_of_an_endpoint():
+    host = GuardedHost()
+    found = [host.guard.start_run(f'{n}', 'e', 'e:1') for n in range(20)]
+    await asyncio.gather(*(host.guard.handle_broken_run(run) for run in found))
+    assert host.probe_count == 1
+    assert len(host.reporter.crashes) == 20
 
 
-async def test_look_that_takes_long_counts_once_it_is_done(monkeypatch):
+async def test_slow_probe_counts_once_it_completes(monkeypatch):
     """The call is sent on meanwhile, or its caller has left."""
-    host = Host()
+    host = GuardedHost()
     done = asyncio.Event()
 
     async def look(_address, _timeout_ms):
         await done.wait()
         return True
 
-    monkeypatch.setattr(host.guard._watch, '_look', look)
-    monkeypatch.setattr(guards, 'LOOK_WAIT_MS', 1)
-    await host.end('a', 'b')
-    left = asyncio.ensure_future(host.end('c'))
+    monkeypatch.setattr(host.guard._run_tracker, '_probe', look)
+    monkeypatch.setattr(guards, 'PROBE_WAIT_MS', 1)
+    await host.crash_endpoints('a', 'b')
+    left = asyncio.ensure_future(host.crash_endpoints('c'))
     await asyncio.sleep(0)
     left.cancel()
-    assert host.told.ends == []
+    assert host.reporter.crashes == []
     done.set()
-    while len(host.told.ends) < 3:
+    while len(host.reporter.crashes) < 3:
         await asyncio.sleep(0)
-    assert host.guard.held_ms('d') is not None
+    assert host.guard.remaining_hold_ms('d') is not None
     await host.guard.close()
 
 
-async def test_endpoint_that_lived_is_looked_at_again():
+async def test_live_endpoint_is_probed_again():
     """An answer was lost there a moment before it ended."""
-    host = Host(refused=False)
-    await host.guard.broke(host.guard.began('other', 'a', 'a:1'))
+    host = GuardedHost(refused=False)
+    await host.guard.handle_broken_run(
+        host.guard.start_run('other', 'a', 'a:1')
+    )
     host.refused = True
-    await host.end('a', 'b', 'c')
-    assert host.guard.held_ms('d') is not None
+    await host.crash_endpoints('a', 'b', 'c')
+    assert host.guard.remaining_hold_ms('d') is not None
 
 
-async def test_good_end_clears_what_was_held_against_it():
-    host = Host()
-    await host.end('a', 'b')
-    host.guard.ended_well(host.guard.began('d', 'c', 'c:1'))
-    assert host.told.clears == ['d']
-    await host.end('e', 'f', 'g')
-    assert host.guard.held_ms('d') is None
+async def test_success_clears_recorded_crashes():
+    host = GuardedHost()
+    await host.crash_endpoints('a', 'b')
+    host.guard.mark_succeeded(host.guard.start_run('d', 'c', 'c:1'))
+    assert host.reporter.successes == ['d']
+    await host.crash_endpoints('e', 'f', 'g')
+    assert host.guard.remaining_hold_ms('d') is None
     # Nor is it held against it elsewhere.
-    assert [endpoint for _digest, endpoint in host.told.ends] == ['a', 'b']
-    host.clock.now_ms += good_ends.KEPT_MS
-    await host.end('h', 'i', 'j')
-    assert host.guard.held_ms('d') is not None
+    assert [endpoint for _digest, endpoint in host.reporter.crashes] == [
+        'a',
+        'b',
+    ]
+    host.clock.now_ms += recent_successes.RETENTION_MS
+    await host.crash_endpoints('h', 'i', 'j')
+    assert host.guard.remaining_hold_ms('d') is not None
 
 
-async def test_undecided_hold_ends_by_itself():
-    host = Host()
-    await host.end('a', 'b', 'c')
-    host.clock.now_ms += holds.UNDECIDED_HOLD_MS
-    assert host.guard.held_ms('d') is None
+async def test_provisional_hold_expires():
+    host = GuardedHost()
+    await host.crash_endpoints('a', 'b', 'c')
+    host.clock.now_ms += hold_durations.PROVISIONAL_HOLD_MS
+    assert host.guard.remaining_hold_ms('d') is None
 
 
 @pytest.mark.parametrize('on_probation', [False, True])
-async def test_what_is_decided_holds_until_it_is_let_go(on_probation):
-    host = Host()
-    host.decide(quarantine.Quarantined('d', 4, on_probation))
-    assert (host.guard.held_ms('d') is None) == on_probation
-    host.clock.now_ms += 10 * holds.LONGEST_HOLD_MS
-    assert (host.guard.held_ms('d') is None) == on_probation
-    host.decide()
-    assert host.guard.held_ms('d') is None
+async def test_decided_hold_lasts_until_released(on_probation):
+    host = GuardedHost()
+    host.set_decisions(quarantine.Quarantined('d', 4, on_probation))
+    assert (host.guard.remaining_hold_ms('d') is None) == on_probation
+    host.clock.now_ms += 10 * hold_durations.MAX_HOLD_MS
+    assert (host.guard.remaining_hold_ms('d') is None) == on_probation
+    host.set_decisions()
+    assert host.guard.remaining_hold_ms('d') is None
 
 
-async def test_one_more_end_of_a_trial_is_enough():
-    host = Host()
-    host.decide(quarantine.Quarantined('d', 3, on_probation=True))
-    await host.end('a')
-    assert host.guard.held_ms('d') is not None
+async def test_one_crash_on_probation_is_enough():
+    host = GuardedHost()
+    host.set_decisions(quarantine.Quarantined('d', 3, on_probation=True))
+    await host.crash_endpoints('a')
+    assert host.guard.remaining_hold_ms('d') is not None
 
 
 @pytest.mark.parametrize('worked', [False, True])
-async def test_word_of_a_hold_is_taken_unless_it_worked_of_late(worked):
-    host = Host()
+async def test_hold_is_applied_unless_request_succeeded_recently(worked):
+    host = GuardedHost()
     if worked:
-        host.guard.ended_well(host.guard.began('d', 'e', 'e:1'))
+        host.guard.mark_succeeded(host.guard.start_run('d', 'e', 'e:1'))
     hear = host.peers.answerers[quarantining.HoldOff]
     told = quarantining.HoldOff([quarantining.Hold('d', 3, 300_000)])
     answer = await hear('control', told)
     assert answer.cleared == (['d'] if worked else [])
-    assert (host.guard.held_ms('d') is None) == worked
+    assert (host.guard.remaining_hold_ms('d') is None) == worked
     await hear('control', quarantining.HoldOff([], ['d']))
-    assert host.guard.held_ms('d') is None
+    assert host.guard.remaining_hold_ms('d') is None
 
 
 # Operators.
@@ -376,17 +382,17 @@
 # Whole systems.
 
 
-async def fill(system):
+async def quarantine_fatal_request(system):
     """Send a request that ends engines until it is held everywhere."""
     for number in range(test_fatal_requests.COPIES):
-        await test_fatal_requests.ask(
+        await test_fatal_requests.send_to_entry_host(
             system, number % 4, FATAL, f'fatal{number}'
         )
-        await asyncio.gather(*(one.come_back() for one in system.engines))
+        await asyncio.gather(*(one.restart() for one in system.engines))
         held = [entry.replica.current.quarantine for entry in system.entries]
         if all(held):
             return
-        await asyncio.sleep(test_fatal_requests.PACE_S)
+        await asyncio.sleep(test_fatal_requests.RESEND_INTERVAL_S)
     await nodes.until(
         lambda: all(
             entry.replica.current.quarantine for entry in system.entries
@@ -395,8 +401,8 @@
 
 
 async def test_host_that_starts_holds_what_was_decided(tmp_path):
-    async with test_fatal_requests.passing_system(tmp_path) as system:
-        await fill(system)
+    async with test_fatal_requests.running_system(tmp_path) as system:
+        await quarantine_fatal_request(system)
         sent = len(system.ends)
         for one in [*system.entries, *system.controls]:
             await one.close()
@@ -407,21 +413,23 @@
         made = await system.start_entry()
         await nodes.until(lambda: made.replica.current.quarantine)
         await nodes.until(lambda: made.replica.serving)
-        got = await test_fatal_requests.ask(system, 0, FATAL, 'again')
+        got = await test_fatal_requests.send_to_entry_host(
+            system, 0, FATAL, 'again'
+        )
         assert got.startswith(b'HTTP/1.1 503 ')
         assert endpoints.header(got, 'Wrenspoke-Refused') == 'quarantined'
         assert float(endpoints.header(got, 'Retry-After')) > 200
         assert len(system.ends) == sent
 
 
-async def test_others_are_served_beside_it(tmp_path):
+async def test_other_requests_are_served_during_quarantine(tmp_path):
     """Those that say the same each time as well."""
-    async with test_fatal_requests.passing_system(tmp_path) as system:
+    async with test_fatal_requests.running_system(tmp_path) as system:
         for number in range(test_fatal_requests.COPIES):
             asked = [FATAL, b'common', f'own {number}'.encode()]
             got = await asyncio.gather(
                 *(
-                    test_fatal_requests.ask(
+                    test_fatal_requests.send_to_entry_host(
                         system, number % 4, body, f'q{place}-{number}'
                     )
                     for place, body in enumerate(asked)
@@ -430,32 +438,34 @@
             for answer in got[1:]:
                 refused = endpoints.header(answer, 'Wrenspoke-Refused')
                 assert refused != 'quarantined'
-            await asyncio.gather(*(one.come_back() for one in system.engines))
+            await asyncio.gather(*(one.restart() for one in system.engines))
         for host in range(4):
             for body in (b'common', b'new'):
-                got = await test_fatal_requests.ask(
+                got = await test_fatal_requests.send_to_entry_host(
                     system, host, body, f'last{host}'
                 )
                 assert got.endswith(b'whole')
 
 
-async def test_request_is_turned_away_by_hosts_of_regions_it_may_not_run_in(
+async def test_quarantined_request_is_refused_outside_its_home_regions(
     tmp_path,
 ):
     """At once, and not after a way to the others and back."""
-    async with test_fatal_requests.passing_system(tmp_path) as system:
-        await fill(system)
+    async with test_fatal_requests.running_system(tmp_path) as system:
+        await quarantine_fatal_request(system)
         await system.put(test_passing.route(homes=('south',)))
-        got = await test_fatal_requests.ask(system, 0, FATAL, 'again')
+        got = await test_fatal_requests.send_to_entry_host(
+            system, 0, FATAL, 'again'
+        )
         assert got.startswith(b'HTTP/1.1 503 ')
         assert endpoints.header(got, 'Wrenspoke-Refused') == 'quarantined'
 
 
 @pytest.mark.parametrize('body', [b'', b'body'])
-async def test_word_that_comes_while_a_connection_is_made_is_in_time(
+async def test_hold_received_while_connecting_prevents_send(
     tmp_path, monkeypatch, body
 ):
-    async with test_fatal_requests.passing_system(tmp_path) as system:
+    async with test_fatal_requests.running_system(tmp_path) as system:
         host = system.entries[0]
         connector = host._client._pooled.connector
         connect = connector._create_connection
@@ -468,12 +478,16 @@
 
         async def connect_late(*arguments):
             made = await connect(*arguments)
-            host._guard._hold(quarantining.Hold(seen[-1], 3, 60_000))
+            host._guard._hold_provisionally(
+                quarantining.Hold(seen[-1], 3, 60_000)
+            )
             return made
 
         monkeypatch.setattr(fingerprints, 'digest_of', note)
         monkeypatch.setattr(connector, '_create_connection', connect_late)
-        got = await test_fatal_requests.ask(system, 0, body, 'q')
+        got = await test_fatal_requests.send_to_entry_host(
+            system, 0, body, 'q'
+        )
         assert endpoints.header(got, 'Wrenspoke-Refused') == 'quarantined'
         assert not any(engine.requests for engine in system.engines)
 
@@ -483,7 +497,7 @@
     held = []
 
     class Guard(guards.Guard):
-        def held_ms(self, digest):
+        def remaining_hold_ms(self, digest):
             return 1_000 if held else None
 
     clock = FakeClock()
@@ -505,7 +519,9 @@
     )
     known.serving = True
     client = web.HttpClient(1_000)
-    guard = Guard(known, Told(), NoPeers(), lambda _name: False, clock)
+    guard = Guard(
+        known, FakeReporter(), FakePeers(), lambda _name: False, clock
+    )
     dispatcher = dispatch.Dispatcher(
         'h', 'north', known, client, clock, guard=guard
     )
@@ -537,7 +553,7 @@
     await engine.close()
 
 
-async def test_chat_is_served_again_once_an_operator_lets_it(tmp_path):
+async def test_chat_is_served_again_once_an_operator_clears_it(tmp_path):
     made = fleet.deployment(engines=4, controls=3)
     async with fleet.running(tmp_path, made) as running:
         await running.engine_faults(
--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -14,19 +14,19 @@
 from tests import group
 from tests import quarantined_fleet
 from tests import team_limit_fleet
-from wrenspoke.coordination.quarantine import ended_runs
-from wrenspoke.coordination.quarantine import gatherer
-from wrenspoke.coordination.quarantine import holds
+from wrenspoke.coordination.quarantine import crash_aggregator
+from wrenspoke.coordination.quarantine import crash_history
+from wrenspoke.coordination.quarantine import hold_durations
 
 FATAL = 'f' * 32
 SEEDS = int(os.environ.get('WRENSPOKE_SOAK_SEEDS', '10'))
 # What hosts that are in touch may take to learn of each other's news.
-CONTACT_MS = 6_000
+CONVERGENCE_MS = 6_000
 # Sends that are allowed later than that after the third end.
-LATE_LIMIT = 3
+MAX_LATE_SENDS = 3
 
 
-def played(test):
+def in_virtual_time(test):
     """Run a test in time of its own."""
 
     @functools.wraps(test)
@@ -36,38 +36,38 @@
     return run
 
 
-async def end_three(fleet, hosts=None):
+async def crash_three_endpoints(fleet, hosts=None):
     """Let three endpoints end under a request at hosts of the regions."""
     for host in hosts or list(fleet.hosts.values())[:3]:
         assert await host.send(FATAL, next(fleet.endpoints))
 
 
 @pytest.mark.parametrize('count', [20, 60, 200])
-@played
-async def test_every_host_holds_it_within_a_part_of_a_second(count):
+@in_virtual_time
+async def test_every_host_holds_request_within_half_a_second(count):
     fleet = await quarantined_fleet.Fleet(count).start()
-    await end_three(fleet)
+    await crash_three_endpoints(fleet)
     await fleet.wait_ms(500)
-    assert len(fleet.held_by(FATAL)) == count
+    assert len(fleet.hosts_holding(FATAL)) == count
     await fleet.wait_ms(1_500)
     # Decided, so that it holds on hosts that start now, too.
     assert FATAL in fleet.state.configuration.quarantine
     await fleet.restart_host(fleet.names[0])
     await fleet.wait_ms(500)
-    assert len(fleet.held_by(FATAL)) == count
+    assert len(fleet.hosts_holding(FATAL)) == count
     await fleet.close()
 
 
-def test_word_of_ends_does_not_grow_with_the_hosts():
+def test_crash_report_count_is_independent_of_host_count():
     """Six control hosts hear of it, however many entry hosts there are."""
     counts = []
 
-    @played
+    @in_virtual_time
     async def test(hosts):
         fleet = await quarantined_fleet.Fleet(hosts).start()
-        await end_three(fleet)
+        await crash_three_endpoints(fleet)
         await fleet.wait_ms(1_000)
-        counts.append(fleet.sent()['RunsEnded'].messages)
+        counts.append(fleet.sent_totals()['RunsEnded'].messages)
         await fleet.close()
 
     for hosts in (20, 200):
@@ -75,31 +75,31 @@
     assert counts[0] == counts[1] == 3 * quarantined_fleet.CONTROLS
 
 
-@played
-async def test_region_that_is_cut_off_holds_it_by_itself():
+@in_virtual_time
+async def test_isolated_region_holds_request():
     fleet = await quarantined_fleet.Fleet(12).start()
-    fleet.cut_region(2)
+    fleet.isolate_region(2)
     cut_off = [h for h in fleet.hosts.values() if h.region == 2]
-    await end_three(fleet, cut_off[:3])
+    await crash_three_endpoints(fleet, cut_off[:3])
     await fleet.wait_ms(200)
-    held = fleet.held_by(FATAL)
+    held = fleet.hosts_holding(FATAL)
     assert sorted(held) == sorted(host.name for host in cut_off)
     assert FATAL not in fleet.state.configuration.quarantine
     # Both sides learn of each other's once they can.
     fleet.heal()
-    await fleet.wait_ms(CONTACT_MS)
+    await fleet.wait_ms(CONVERGENCE_MS)
     assert FATAL in fleet.state.configuration.quarantine
-    assert len(fleet.held_by(FATAL)) == 12
+    assert len(fleet.hosts_holding(FATAL)) == 12
     await fleet.close()
 
 
-@played
-async def test_region_that_is_cut_off_for_long_tries_it_once_a_minute():
+@in_virtual_time
+async def test_long_isolated_region_retries_request_once_a_minute():
     """And not once at each of its hosts."""
     fleet = await quarantined_fleet.Fleet(30).start()
-    fleet.cut_region(2)
+    fleet.isolate_region(2)
     cut_off = [h for h in fleet.hosts.values() if h.region == 2]
-    await end_three(fleet, cut_off[:3])
+    await crash_three_endpoints(fleet, cut_off[:3])
     minutes, sent = 4, 0
     for number in range(minutes * 60):
         await fleet.wait_ms(1_000)
@@ -109,22 +109,22 @@
     await fleet.close()
 
 
-@played
-async def test_ends_on_both_sides_of_a_cut_add_up():
+@in_virtual_time
+async def test_crashes_on_both_sides_of_a_partition_add_up():
     fleet = await quarantined_fleet.Fleet(12).start()
-    fleet.cut_region(2)
+    fleet.isolate_region(2)
     hosts = list(fleet.hosts.values())
-    await end_three(fleet, [hosts[0], hosts[2], hosts[5]])
+    await crash_three_endpoints(fleet, [hosts[0], hosts[2], hosts[5]])
     await fleet.wait_ms(1_000)
-    assert not fleet.held_by(FATAL)
+    assert not fleet.hosts_holding(FATAL)
     fleet.heal()
-    await fleet.wait_ms(CONTACT_MS)
-    assert len(fleet.held_by(FATAL)) == 12
+    await fleet.wait_ms(CONVERGENCE_MS)
+    assert len(fleet.hosts_holding(FATAL)) == 12
     await fleet.close()
 
 
-@played
-async def test_what_a_control_host_forgot_it_is_told_again():
+@in_virtual_time
+async def test_crashes_are_reported_again_to_restarted_control_host():
     fleet = await quarantined_fleet.Fleet(6).start()
     one, other = list(fleet.hosts.values())[:2]
     await one.send(FATAL, next(fleet.endpoints))
@@ -134,54 +134,54 @@
         await fleet.restart_control(name)
     await one.send(FATAL, next(fleet.endpoints))
     await fleet.wait_ms(1_000)
-    assert len(fleet.held_by(FATAL)) == 6
+    assert len(fleet.hosts_holding(FATAL)) == 6
     await fleet.close()
 
 
-@played
-async def test_content_that_works_elsewhere_is_let_go():
+@in_virtual_time
+async def test_request_that_succeeds_elsewhere_is_released():
     """It is common; three of the many that ran it ended by themselves."""
     fleet = await quarantined_fleet.Fleet(9).start()
     hosts = list(fleet.hosts.values())
     await hosts[8].send(FATAL, 'good', fatal=False)
-    await end_three(fleet, hosts[:3])
+    await crash_three_endpoints(fleet, hosts[:3])
     await fleet.wait_ms(1_000)
-    assert not fleet.held_by(FATAL)
+    assert not fleet.hosts_holding(FATAL)
     await fleet.wait_ms(2_000)
     assert FATAL not in fleet.state.configuration.quarantine
     await fleet.close()
 
 
-@played
-async def test_trial_after_its_time_and_longer_after_another_end():
+@in_virtual_time
+async def test_failed_trial_doubles_the_hold():
     fleet = await quarantined_fleet.Fleet(6).start()
-    await end_three(fleet)
-    await fleet.wait_ms(holds.hold_ms(ended_runs.FATAL_ENDS) + 3_000)
-    assert not fleet.held_by(FATAL)
+    await crash_three_endpoints(fleet)
+    await fleet.wait_ms(hold_durations.hold_duration_ms(crash_history.CRASH_THRESHOLD) + 3_000)
+    assert not fleet.hosts_holding(FATAL)
     host = list(fleet.hosts.values())[4]
     assert await host.send(FATAL, next(fleet.endpoints))
     await fleet.wait_ms(500)
-    assert len(fleet.held_by(FATAL)) == 6
+    assert len(fleet.hosts_holding(FATAL)) == 6
     await fleet.wait_ms(1_000)
     [decided] = fleet.state.configuration.quarantine.values()
-    assert decided.ends == ended_runs.FATAL_ENDS + 1
-    assert host.guard.held_ms(FATAL) > holds.FIRST_HOLD_MS
+    assert decided.ends == crash_history.CRASH_THRESHOLD + 1
+    assert host.guard.remaining_hold_ms(FATAL) > hold_durations.BASE_HOLD_MS
     await fleet.close()
 
 
-@played
-async def test_trial_that_goes_well_ends_it():
+@in_virtual_time
+async def test_successful_trial_ends_quarantine():
     fleet = await quarantined_fleet.Fleet(6).start()
-    await end_three(fleet)
-    await fleet.wait_ms(holds.hold_ms(ended_runs.FATAL_ENDS) + 3_000)
+    await crash_three_endpoints(fleet)
+    await fleet.wait_ms(hold_durations.hold_duration_ms(crash_history.CRASH_THRESHOLD) + 3_000)
     host = list(fleet.hosts.values())[4]
     assert await host.send(FATAL, 'mended', fatal=False)
-    await fleet.wait_ms(2 * gatherer.LOOK_INTERVAL_MS + 1_000)
+    await fleet.wait_ms(2 * crash_aggregator.CHECK_INTERVAL_MS + 1_000)
     assert not fleet.state.configuration.quarantine
     await fleet.close()
 
 
-class Series:
+class FaultSeries:
     """Draw what happens while a request that ends endpoints comes again."""
 
     def __init__(self, fleet):
@@ -189,37 +189,37 @@
         self._random = fleet.random
         self._clock = group.LoopClock()
         # When each host was last in trouble, and when all were.
-        self._troubled_ms = dict.fromkeys(fleet.hosts, -CONTACT_MS)
-        self._all_ms = -CONTACT_MS
-        self._cut = None
+        self._disturbed_ms = dict.fromkeys(fleet.hosts, -CONVERGENCE_MS)
+        self._all_disturbed_ms = -CONVERGENCE_MS
+        self._cut_off_region = None
         # Until when hosts stand still.
-        self._frozen_ms = {}
-        self.ends_ms = []
-        self.late = 0
+        self._frozen_until_ms = {}
+        self.crashes_ms = []
+        self.late_sends = 0
 
-    async def play(self, for_ms):
+    async def simulate(self, for_ms):
         until_ms = self._clock.mono_ms() + for_ms
         while self._clock.mono_ms() < until_ms:
             await self._fleet.wait_ms(self._random.uniform(100, 1_500))
-            self._thaw()
+            self._thaw_hosts()
             if self._random.random() < 0.25:
-                await self._random.choice(self.TROUBLES)(self)
+                await self._random.choice(self.FAULTS)(self)
             running = [
                 host
                 for name, host in self._fleet.hosts.items()
-                if name not in self._frozen_ms
+                if name not in self._frozen_until_ms
             ]
             host = self._random.choice(running)
             if await host.send(FATAL, next(self._fleet.endpoints)):
-                self._note_sent(host)
+                self._record_sent(host)
 
     async def _restart_hosts(self):
         """Restart one, or many at once."""
         count = self._random.choice([1, 1, len(self._fleet.names) // 2])
         for name in self._random.sample(self._fleet.names, count):
-            if name not in self._frozen_ms:
+            if name not in self._frozen_until_ms:
                 await self._fleet.restart_host(name)
-                self._troubled_ms[name] = self._clock.mono_ms()
+                self._disturbed_ms[name] = self._clock.mono_ms()
 
     async def _restart_controls(self):
         """Restart one, or all at once."""
@@ -227,88 +227,88 @@
         count = self._random.choice([1, 1, len(names)])
         for name in self._random.sample(names, count):
             await self._fleet.restart_control(name)
-        self._trouble_all()
+        self._mark_all_disturbed()
 
-    async def _freeze(self):
+    async def _freeze_host(self):
         """Let a host stand still; it goes on by what it held."""
         name = self._random.choice(self._fleet.names)
         for_ms = self._random.uniform(1_000, 8_000)
-        self._frozen_ms[name] = self._clock.mono_ms() + for_ms
+        self._frozen_until_ms[name] = self._clock.mono_ms() + for_ms
         self._fleet.network.cut_off(name)
 
-    def _thaw(self):
+    def _thaw_hosts(self):
         now_ms = self._clock.mono_ms()
-        for name, until_ms in list(self._frozen_ms.items()):
+        for name, until_ms in list(self._frozen_until_ms.items()):
             if until_ms <= now_ms:
-                del self._frozen_ms[name]
-                self._fleet.join_host(name)
-                self._troubled_ms[name] = now_ms
+                del self._frozen_until_ms[name]
+                self._fleet.reconnect_host(name)
+                self._disturbed_ms[name] = now_ms
 
-    async def _cut_region(self):
-        if self._cut is None:
-            self._cut = self._random.randrange(team_limit_fleet.REGIONS)
-            self._fleet.cut_region(self._cut)
-            self._trouble_all()
+    async def _isolate_region(self):
+        if self._cut_off_region is None:
+            self._cut_off_region = self._random.randrange(team_limit_fleet.REGIONS)
+            self._fleet.isolate_region(self._cut_off_region)
+            self._mark_all_disturbed()
 
-    async def _heal(self):
+    async def _heal_network(self):
         self._fleet.heal()
-        self._cut = None
-        for name in self._frozen_ms:
+        self._cut_off_region = None
+        for name in self._frozen_until_ms:
             self._fleet.network.cut_off(name)
-        self._trouble_all()
+        self._mark_all_disturbed()
 
     async def _lose_messages(self):
         """Lose a share of all messages from now on, or none any more."""
         network = self._fleet.network
         network.lost_share = 0.0 if network.lost_share else 0.3
-        self._trouble_all()
+        self._mark_all_disturbed()
 
-    async def _lead_elsewhere(self):
+    async def _change_leader(self):
         """Let a control host of the larger side lead."""
         names = [
             name
             for name in self._fleet.controls
-            if team_limit_fleet.region_of(name) != self._cut
+            if team_limit_fleet.region_of(name) != self._cut_off_region
         ]
-        self._fleet.lead(self._random.choice(names))
-        self._trouble_all()
+        self._fleet.set_leader(self._random.choice(names))
+        self._mark_all_disturbed()
 
-    TROUBLES = (
+    FAULTS = (
         _restart_hosts,
         _restart_controls,
-        _freeze,
-        _cut_region,
-        _heal,
+        _freeze_host,
+        _isolate_region,
+        _heal_network,
         _lose_messages,
-        _lead_elsewhere,
+        _change_leader,
     )
 
-    def _trouble_all(self):
-        self._all_ms = self._clock.mono_ms()
+    def _mark_all_disturbed(self):
+        self._all_disturbed_ms = self._clock.mono_ms()
 
-    def _in_touch(self, host):
+    def _is_converged(self, host):
         now_ms = self._clock.mono_ms()
-        if host.region == self._cut or self._fleet.network.lost_share:
+        if host.region == self._cut_off_region or self._fleet.network.lost_share:
             return False
-        calm_ms = max(self._troubled_ms[host.name], self._all_ms)
-        return now_ms - calm_ms >= CONTACT_MS
+        calm_ms = max(self._disturbed_ms[host.name], self._all_disturbed_ms)
+        return now_ms - calm_ms >= CONVERGENCE_MS
 
-    def _note_sent(self, host):
+    def _record_sent(self, host):
         now_ms = self._clock.mono_ms()
-        self.ends_ms.append(now_ms)
-        if len(self.ends_ms) <= ended_runs.FATAL_ENDS:
+        self.crashes_ms.append(now_ms)
+        if len(self.crashes_ms) <= crash_history.CRASH_THRESHOLD:
             return
-        third_ms = self.ends_ms[ended_runs.FATAL_ENDS - 1]
-        if now_ms - third_ms > CONTACT_MS and self._in_touch(host):
-            self.late += 1
+        third_ms = self.crashes_ms[crash_history.CRASH_THRESHOLD - 1]
+        if now_ms - third_ms > CONVERGENCE_MS and self._is_converged(host):
+            self.late_sends += 1
 
 
 @pytest.mark.parametrize('seed', range(SEEDS))
-@played
-async def test_few_are_sent_late_whatever_happens_beside(seed):
+@in_virtual_time
+async def test_few_requests_are_sent_late_under_faults(seed):
     fleet = await quarantined_fleet.Fleet(18, seed).start()
-    series = Series(fleet)
+    series = FaultSeries(fleet)
     # One trial falls into it, and none after that.
-    await series.play(2 * holds.FIRST_HOLD_MS)
-    assert series.late <= LATE_LIMIT, series.ends_ms
+    await series.simulate(2 * hold_durations.BASE_HOLD_MS)
+    assert series.late_sends <= MAX_LATE_SENDS, series.crashes_ms
     await fleet.close()
--- a/tests/test_sent_calls.py
+++ b/tests/test_sent_calls.py
@@ -31,7 +31,7 @@
         return len(body)
 
     async def _hand_over(self, host, body):
-        if await self._network.travel(self.host, host):
+        if await self._network.transmit(self.host, host):
             there = self._network.hosts[host]
             message = there._decoder.decode(body)
             await there._answerers[type(message)](self.host, message)
@@ -61,7 +61,7 @@
     """Hold the hosts of one region."""
 
     def __init__(self, hosts):
-        self.network = group.Network(1, travel_ms=1, jitter_ms=1)
+        self.network = group.Network(1, latency_ms=1, jitter_ms=1)
         self.names = [f'10.1.{n // 200}.{n % 200}:1' for n in range(hosts)]
         self.hosts = [Host(self, name) for name in self.names]
 
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -12,7 +12,7 @@
 
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.agreement import followers
-from wrenspoke.coordination.agreement import lead
+from wrenspoke.coordination.agreement import leadership
 from wrenspoke.coordination.limiting import allocator
 from wrenspoke.coordination.limiting import team_buckets
 from wrenspoke.coordination.membership import control_group
@@ -20,8 +20,8 @@
 from wrenspoke.coordination.membership import lease
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.membership import roster
-from wrenspoke.coordination.quarantine import ended_runs
-from wrenspoke.coordination.quarantine import good_ends
+from wrenspoke.coordination.quarantine import crash_history
+from wrenspoke.coordination.quarantine import recent_successes
 from wrenspoke.coordination.serving import shared_retry_budget
 from wrenspoke.coordination.serving import team_rate_limits
 from wrenspoke.protocol import attending
@@ -121,9 +121,9 @@
             reached=lambda held: held('other', 'disk')
         ),
     )
-    made = lead.Lead.__new__(lead.Lead)
-    made.over = False
-    made._group = group
+    made = leadership.Leadership.__new__(leadership.Leadership)
+    made.ended = False
+    made._node = group
     made._start_index = 1
     made._followers = {'other': follower}
     return lambda: made.has_lease
@@ -225,18 +225,18 @@
 
 
 def good_end(clock):
-    made = good_ends.GoodEnds(clock)
-    made.note('d')
-    return lambda: made.lately('d')
+    made = recent_successes.RecentSuccesses(clock)
+    made.add_success('d')
+    return lambda: made.has_recent('d')
 
 
 def end_of_an_endpoint(clock):
-    made = ended_runs.EndedRuns(clock)
-    made.note('d', 'e', clock.mono_ms())
+    made = crash_history.CrashHistory(clock)
+    made.record_crash('d', 'e', clock.mono_ms())
 
     def kept():
-        made.note('other', 'e', clock.mono_ms())
-        return made.count('d') > 0
+        made.record_crash('other', 'e', clock.mono_ms())
+        return made.crash_count('d') > 0
 
     return kept
 
@@ -265,8 +265,8 @@
         (host_that_may_send, SUSPENDED_MS),
         (message_that_waited, SUSPENDED_MS),
         (spent_repeat, SUSPENDED_MS),
-        (good_end, good_ends.KEPT_MS + 1),
-        (end_of_an_endpoint, ended_runs.KEPT_MS + 1),
+        (good_end, recent_successes.RETENTION_MS + 1),
+        (end_of_an_endpoint, crash_history.RETENTION_MS + 1),
     ],
 )
 def test_what_was_held_ends_while_the_machine_stands_still(
--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -269,7 +269,7 @@
     voter = team_limit_fleet.FakeVoter(state)
     voter.has_lease = True
     clock = group.LoopClock()
-    voter.led_since_ms = clock.mono_ms()
+    voter.leader_since_ms = clock.mono_ms()
     network = group.Network(1)
     peers = group.Peers('c', network)
     return allocator.Allocator(voter, peers, clock), voter
--- a/wrenspoke/control_node.py
+++ b/wrenspoke/control_node.py
@@ -9,15 +9,15 @@
 import structlog
 
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.agreement import direct
-from wrenspoke.coordination.agreement import founding
+from wrenspoke.coordination.agreement import bootstrap
+from wrenspoke.coordination.agreement import direct_decisions
 from wrenspoke.coordination.agreement import voter
 from wrenspoke.coordination.limiting import allocator
 from wrenspoke.coordination.membership import control_group
 from wrenspoke.coordination.membership import registrar
 from wrenspoke.coordination.membership import registry_snapshot
 from wrenspoke.coordination.membership import replica
-from wrenspoke.coordination.quarantine import gatherer
+from wrenspoke.coordination.quarantine import crash_aggregator
 from wrenspoke import ids
 from wrenspoke import mechanisms
 from wrenspoke import node as nodes
@@ -44,7 +44,7 @@
         self.replica = replica.Replica()
         kept = storage.Storage(disk.Disk(pathlib.Path(node.data_folder)))
         if node.first_start:
-            founding.found_together(kept, node.host, node.seed_hosts)
+            bootstrap.bootstrap_seeds(kept, node.host, node.seed_hosts)
         self.voter = voter.Voter(
             node.host,
             locations.Location(node.region, node.data_centre),
@@ -72,11 +72,13 @@
         self._allocator = allocator.Allocator(
             self.voter, self.peers, self.clock
         )
-        self._gatherer = gatherer.Gatherer(
+        self._gatherer = crash_aggregator.CrashAggregator(
             self.voter, self.replica, self._entry_hosts, self.peers, self.clock
         )
         self._tasks = runtime.Tasks()
-        self.decisions = direct.DirectDecisions(self.voter, self.clock)
+        self.decisions = direct_decisions.DirectDecisions(
+            self.voter, self.clock
+        )
 
     def _entry_hosts(self, everywhere: bool) -> list[ids.HostId]:
         """Return the entry hosts of this region, or of all."""
--- a/wrenspoke/controld.py
+++ b/wrenspoke/controld.py
@@ -7,13 +7,13 @@
 
 from wrenspoke import arguments
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.agreement import control
+from wrenspoke.coordination.agreement import bootstrap
+from wrenspoke.coordination.agreement import control_service
 from wrenspoke.coordination.agreement import execution
-from wrenspoke.coordination.agreement import founding
 from wrenspoke.coordination.agreement import voter
 from wrenspoke.coordination.membership import control_group
 from wrenspoke.coordination.membership import replica
-from wrenspoke.coordination.quarantine import gatherer
+from wrenspoke.coordination.quarantine import crash_aggregator
 from wrenspoke.coordination.serving import dispatch
 from wrenspoke import ids
 from wrenspoke import keys
@@ -77,7 +77,7 @@
         self._executor = execution.Executor(
             host, deployment, self.voter, dispatcher, clock
         )
-        self.control = control.Control(
+        self.control = control_service.ControlService(
             deployment,
             self.voter,
             self._executor,
@@ -85,7 +85,7 @@
             self.peers,
             clock,
         )
-        self._gatherer = gatherer.Gatherer(
+        self._gatherer = crash_aggregator.CrashAggregator(
             self.voter, self.replica, self._entry_hosts, self.peers, clock
         )
         surface = operators.OperatorSurface(self.control, deployment.operators)
@@ -150,7 +150,7 @@
     folder = path.parent / deployment.host(name).data_folder
     kept = storage.Storage(disk.Disk(folder))
     first = entries.Found(deployment.first_configuration())
-    founding.found(kept, ids.HostId(name), first)
+    bootstrap.bootstrap_single(kept, ids.HostId(name), first)
 
 
 async def serve(path: pathlib.Path, name: str) -> None:
--- a/wrenspoke/coordination/agreement/founding.py
+++ b/wrenspoke/coordination/agreement/bootstrap.py
@@ -13,7 +13,7 @@
 logger = structlog.get_logger(__name__)
 
 
-def found(
+def bootstrap_single(
     kept: storage.Storage, host: ids.HostId, first: entries.Found
 ) -> None:
     """Begin a new group on an empty disk, with one voter.
@@ -38,7 +38,7 @@
     )
 
 
-def found_together(
+def bootstrap_seeds(
     kept: storage.Storage,
     host: ids.HostId,
     seeds: typing.Iterable[ids.HostId],
@@ -52,7 +52,7 @@
     """
     if host not in seeds or kept.last_index or kept.meta.boot:
         return
-    voters = {seed: _founding_incarnation(seed) for seed in sorted(seeds)}
+    voters = {seed: _bootstrap_incarnation(seed) for seed in sorted(seeds)}
     kept.meta.incarnation = voters[host]
     kept.meta.term = 1
     kept.save_meta()
@@ -66,5 +66,5 @@
     logger.info('founded', voters=list(voters))
 
 
-def _founding_incarnation(host: ids.HostId) -> ids.Incarnation:
+def _bootstrap_incarnation(host: ids.HostId) -> ids.Incarnation:
     return ids.Incarnation(f'founding-{host}')
--- a/wrenspoke/coordination/agreement/control.py
+++ b/wrenspoke/coordination/agreement/control_service.py
@@ -23,13 +23,13 @@
 
 logger = structlog.get_logger(__name__)
 
-RELAY_KEPT_MS = 60_000
+RELAY_EXPIRY_MS = 60_000
 OK = 200
 BAD_REQUEST = 400
 NOT_FOUND = 404
 CONFLICT = 409
 UNAVAILABLE = 503
-STATUSES = {
+VERDICT_STATUSES = {
     replicated.Verdict.ACCEPTED: OK,
     replicated.Verdict.CONFLICT: CONFLICT,
     replicated.Verdict.MOVED_ON: CONFLICT,
@@ -38,15 +38,15 @@
 }
 
 
-class Control:
+class ControlService:
     """Plan, confirm and explain; hand the configuration to entry hosts."""
 
     def __init__(
         self,
         deployment: settings.Deployment,
-        elected: voter.Voter,
+        local_voter: voter.Voter,
         executor: execution.Executor,
-        held: replica.Replica,
+        config_replica: replica.Replica,
         peers: peer_calls.Peers,
         clock: clocks.Clock,
     ):
@@ -54,25 +54,25 @@
             host.host: f'http://{host.ip}:{host.operator_port}'
             for host in deployment.with_role('control')
         }
-        self._voter = elected
+        self._voter = local_voter
         self._executor = executor
-        self._replica = held
+        self._replica = config_replica
         self._clock = clock
         self._peers = peers
         self._relays: dict[ids.HostId, int] = {}
         self._tasks = runtime.Tasks()
-        peers.answers(messages.PullConfiguration)(self._answer_pull)
-        peers.answers(messages.PassStanding)(self._hear_standing)
+        peers.answers(messages.PullConfiguration)(self._serve_pull)
+        peers.answers(messages.PassStanding)(self._handle_status)
 
     def start(self) -> None:
         """Begin to tell relays of changes."""
-        self._tasks.start(self._spread_news())
+        self._tasks.start(self._notify_relays())
 
     async def close(self) -> None:
         """End the task."""
         await self._tasks.close()
 
-    async def _spread_news(self) -> None:
+    async def _notify_relays(self) -> None:
         """Tell the relays that pull here of each change, at once."""
         told = 0
         while True:
@@ -84,43 +84,43 @@
             told = index
             now_ms = self._clock.mono_ms()
             for host, pulled_ms in list(self._relays.items()):
-                if now_ms - pulled_ms > RELAY_KEPT_MS:
+                if now_ms - pulled_ms > RELAY_EXPIRY_MS:
                     del self._relays[host]
                     continue
                 await self._peers.tell(host, messages.News(index))
 
-    async def _answer_pull(
+    async def _serve_pull(
         self, sender: ids.HostId, message: messages.PullConfiguration
     ) -> messages.ConfigurationDelta:
         if message.standing is not None:
-            await self._pass_on(message.standing)
+            await self._forward_status(message.standing)
             self._relays[sender] = self._clock.mono_ms()
         delta = self._replica.delta_since(message.after)
         delta.confirmed = self._voter.has_lease
         delta.leader = self._voter.leader
         return delta
 
-    async def _pass_on(self, standing: messages.Standing) -> None:
+    async def _forward_status(self, standing: messages.Standing) -> None:
         """Bring a standing to the leader, if a plan waits for it."""
         elected = self._voter
         if elected.role is voter.Role.LEADER:
-            self._executor.hear(standing)
+            self._executor.update_status(standing)
             return
         if elected.leader is None or not elected.state.running():
             return
         await self._peers.tell(elected.leader, messages.PassStanding(standing))
 
-    async def _hear_standing(
+    async def _handle_status(
         self, _sender: ids.HostId, message: messages.PassStanding
     ) -> None:
-        self._executor.hear(message.standing)
+        self._executor.update_status(message.standing)
 
     async def plan(
         self, operator: ids.OperatorId, request: operators.PlanRequest
     ) -> operators.OperatorAnswer:
         """Make a plan; the same request again gets the same answer."""
-        digest = _digest('plan', request)
-        known = self._known(operator, request.number, digest)
+        digest = _request_digest('plan', request)
+        known = self._known_answer(operator, request.number, digest)
         if known is not None:
             return known
         try:
@@ -133,7 +133,7 @@
                 self._executor.load_wait_ms(),
             )
         except state_errors.StateError as error:
-            return _error(BAD_REQUEST, f'intent: {error}')
+            return _error_answer(BAD_REQUEST, f'intent: {error}')
         entry = entries.MakePlan(operator, request.number, digest, plan)
         return await self._propose(entry)
 
@@ -144,8 +144,8 @@
         request: operators.ConfirmRequest,
     ) -> operators.OperatorAnswer:
         """Put a plan in force; the same again gets the same answer."""
-        digest = _digest(f'confirm {plan}', request)
-        known = self._known(operator, request.number, digest)
+        digest = _request_digest(f'confirm {plan}', request)
+        known = self._known_answer(operator, request.number, digest)
         if known is not None:
             return known
         return await self._propose(
@@ -158,13 +158,13 @@
             )
         )
 
-    def _known(
+    def _known_answer(
         self, operator: ids.OperatorId, number: int, digest: str
     ) -> operators.OperatorAnswer | None:
         if not self._voter.has_lease:
-            return self._not_leader(may_be_accepted=False)
+            return self._not_leader_answer(may_be_accepted=False)
         answer = self._voter.state.known_answer(operator, number, digest)
-        return None if answer is None else self._answered(answer)
+        return None if answer is None else self._answer_for(answer)
 
     async def _propose(
         self, entry: entries.MakePlan | entries.ConfirmPlan
@@ -172,7 +172,7 @@
         try:
             applied = await self._voter.propose(entry)
         except errors.NotLeaderError as error:
-            return self._not_leader(error.may_be_accepted)
+            return self._not_leader_answer(error.may_be_accepted)
         logger.info(
             'operator_decision',
             operator=entry.operator,
@@ -181,16 +181,20 @@
             plan=applied.answer.plan,
             detail=applied.answer.detail,
         )
-        return self._answered(applied.answer)
+        return self._answer_for(applied.answer)
 
-    def _answered(self, answer: replicated.Answer) -> operators.OperatorAnswer:
+    def _answer_for(
+        self, answer: replicated.Answer
+    ) -> operators.OperatorAnswer:
         body = {'answer': answer}
         plan = self._voter.state.plans.get(answer.plan)
         if plan is not None:
             body['plan'] = plan
-        return operators.OperatorAnswer(STATUSES[answer.verdict], body)
+        return operators.OperatorAnswer(VERDICT_STATUSES[answer.verdict], body)
 
-    def _not_leader(self, may_be_accepted: bool) -> operators.OperatorAnswer:
+    def _not_leader_answer(
+        self, may_be_accepted: bool
+    ) -> operators.OperatorAnswer:
         leader = self._voter.leader
         body = {
             'error': {
@@ -207,10 +211,10 @@
         """Tell what a plan is, how far it has come and why."""
         found = self._voter.state.plans.get(plan)
         if found is None:
-            return _error(NOT_FOUND, f'no plan {plan}')
+            return _error_answer(NOT_FOUND, f'no plan {plan}')
         body = {
             'plan': found,
-            'waits_for': self._executor.waiting_for.get(plan, ''),
+            'waits_for': self._executor.wait_reasons.get(plan, ''),
         }
         return operators.OperatorAnswer(OK, body)
 
@@ -249,10 +253,10 @@
         return operators.OperatorAnswer(OK, body)
 
 
-def _digest(what: str, request: msgspec.Struct) -> str:
+def _request_digest(what: str, request: msgspec.Struct) -> str:
     body = what.encode() + msgspec.json.encode(request)
     return hashlib.sha256(body).hexdigest()
 
 
-def _error(status: int, message: str) -> operators.OperatorAnswer:
+def _error_answer(status: int, message: str) -> operators.OperatorAnswer:
     return operators.OperatorAnswer(status, {'error': {'message': message}})
--- a/wrenspoke/coordination/agreement/direct.py
+++ b/wrenspoke/coordination/agreement/direct_decisions.py
@@ -19,14 +19,14 @@
 # An operator waits a second for an answer; a host that does not lead
 # waits a part of it for a leader to be found.
 LEADER_WAIT_MS = 600
-LOOK_INTERVAL_MS = 50
+LEADER_POLL_INTERVAL_MS = 50
 
 
 class DirectDecisions:
     """Take operators' decisions on a control host."""
 
-    def __init__(self, elected: voter.Voter, clock: clocks.Clock):
-        self._voter = elected
+    def __init__(self, local_voter: voter.Voter, clock: clocks.Clock):
+        self._voter = local_voter
         self._clock = clock
 
     async def replace_routes(
@@ -38,7 +38,7 @@
         :raises NotLeaderError: this host does not lead
         """
         routes.check(table)
-        await self._wait_for_lead()
+        await self._wait_for_leadership()
         held = self._voter.state.configuration.routes
         if replicated.routes_verdict(held, table) is (
             replicated.Verdict.CONFLICT
@@ -49,7 +49,7 @@
                 self._voter.commit_index,
                 f'version {table.version} says something else',
             )
-        return await self._decide(entries.ReplaceRoutes(table))
+        return await self._propose_entry(entries.ReplaceRoutes(table))
 
     async def set_evacuation(
         self, data_centre: ids.DataCentreId, evacuated: bool
@@ -58,10 +58,12 @@
 
         :raises NotLeaderError: this host does not lead
         """
-        await self._wait_for_lead()
-        return await self._decide(entries.Evacuate(data_centre, evacuated))
+        await self._wait_for_leadership()
+        return await self._propose_entry(
+            entries.Evacuate(data_centre, evacuated)
+        )
 
-    async def _decide(self, entry: entries.Entry) -> replicated.Answer:
+    async def _propose_entry(self, entry: entries.Entry) -> replicated.Answer:
         applied = await self._voter.propose(entry)
         logger.info(
             'operator_decision',
@@ -72,7 +74,7 @@
         )
         return applied.answer
 
-    async def _wait_for_lead(self) -> None:
+    async def _wait_for_leadership(self) -> None:
         """Return once this host leads with a lease.
 
         :raises NotLeaderError: another host leads, or none is found
@@ -90,7 +92,7 @@
                     has_vote=self._voter.is_voter,
                 )
                 raise errors.NotLeaderError(None, may_be_accepted=False)
-            await self._clock.sleep_ms(LOOK_INTERVAL_MS)
+            await self._clock.sleep_ms(LEADER_POLL_INTERVAL_MS)
 
     async def read_routes(self) -> routes.RouteTable:
         """Return the newest table that was accepted anywhere.
@@ -108,7 +110,7 @@
                 )
                 index = None
                 break
-            await self._clock.sleep_ms(LOOK_INTERVAL_MS)
+            await self._clock.sleep_ms(LEADER_POLL_INTERVAL_MS)
         if index is None:
             raise errors.NotLeaderError(
                 self._voter.leader, may_be_accepted=False
--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -32,11 +32,11 @@
 STATE_PATH = '/state'
 ANSWER_LIMIT_BYTES = 64 * 1024
 OK = 200
-OLD_NUMBER = 409
-ORDER_TRIES = 5
-TRY_INTERVAL_MS = 500
+STALE_FENCE_STATUS = 409
+ORDER_ATTEMPTS = 5
+ORDER_RETRY_INTERVAL_MS = 500
 MS_PER_MINUTE = 60_000
-STANDING_AGE_LIMIT_MS = 5_000
+STATUS_MAX_AGE_MS = 5_000
 
 
 class EngineState(msgspec.Struct):
@@ -51,11 +51,11 @@
 
 
 @dataclasses.dataclass
-class HeardStanding:
+class ReceivedStatus:
     """Hold what a data centre last told, and when."""
 
-    standing: messages.Standing
-    heard_ms: int
+    status: messages.Standing
+    received_ms: int
 
 
 class OrderFailedError(errors.CoordinationError):
@@ -69,7 +69,7 @@
         self,
         host: ids.HostId,
         deployment: settings.Deployment,
-        elected: voter.Voter,
+        local_voter: voter.Voter,
         dispatcher: dispatch.Dispatcher,
         clock: clocks.Clock,
     ):
@@ -79,25 +79,25 @@
         for entry in deployment.with_role('entry'):
             known = self._data_centres.setdefault(entry.region, set())
             known.add(entry.data_centre)
-        self._voter = elected
+        self._voter = local_voter
         self._dispatcher = dispatcher
         self._clock = clock
-        self._standings: dict[ids.DataCentreId, HeardStanding] = {}
-        self._steps: dict[ids.PlanId, asyncio.Task] = {}
+        self._standings: dict[ids.DataCentreId, ReceivedStatus] = {}
+        self._step_tasks: dict[ids.PlanId, asyncio.Task] = {}
         self._tasks = runtime.Tasks()
-        self.waiting_for: dict[ids.PlanId, str] = {}
+        self.wait_reasons: dict[ids.PlanId, str] = {}
 
     def start(self) -> None:
         """Begin to look for steps to carry out."""
-        self._tasks.start(self._run())
+        self._tasks.start(self._run_plans())
 
     async def close(self) -> None:
         """End every task."""
         await self._tasks.close()
 
-    def hear(self, standing: messages.Standing) -> None:
+    def update_status(self, standing: messages.Standing) -> None:
         """Note how far a data centre has come."""
-        self._standings[standing.data_centre] = HeardStanding(
+        self._standings[standing.data_centre] = ReceivedStatus(
             standing, self._clock.mono_ms()
         )
 
@@ -117,34 +117,34 @@
     def _next_load_ms(self) -> int:
         return self._voter.state.last_load_ms + self._load_interval_ms()
 
-    async def _run(self) -> None:
+    async def _run_plans(self) -> None:
         while True:
             await self._clock.sleep_ms(self._settings.drain_poll_interval_ms)
             if not self._voter.has_lease:
                 continue
             for plan in self._voter.state.running():
-                if plan.plan in self._steps:
+                if plan.plan in self._step_tasks:
                     continue
-                task = self._tasks.start(self._step(plan), fatal=False)
-                self._steps[plan.plan] = task
+                task = self._tasks.start(self._execute_step(plan), fatal=False)
+                self._step_tasks[plan.plan] = task
                 task.add_done_callback(
-                    lambda _task, name=plan.plan: self._steps.pop(name)
+                    lambda _task, name=plan.plan: self._step_tasks.pop(name)
                 )
 
-    async def _step(self, plan: plans.Plan) -> None:
+    async def _execute_step(self, plan: plans.Plan) -> None:
         step = plan.current
         try:
             if isinstance(step, plans.WaitIdle):
-                detail = await self._wait_idle(plan, step)
+                detail = await self._wait_until_idle(plan, step)
             else:
-                detail = await self._order(plan, step)
+                detail = await self._execute_order(plan, step)
             succeeded = True
         except OrderFailedError as error:
             succeeded, detail = False, str(error)
         except errors.NotLeaderError:
             return
         finally:
-            self.waiting_for.pop(plan.plan, None)
+            self.wait_reasons.pop(plan.plan, None)
         logger.info(
             'step_ended',
             plan=plan.plan,
@@ -164,62 +164,63 @@
         except errors.NotLeaderError:
             return
 
-    def _check_lead(self) -> None:
+    def _check_leadership(self) -> None:
         if not self._voter.has_lease:
             raise errors.NotLeaderError(None, may_be_accepted=False)
 
-    async def _pause(self) -> None:
+    async def _poll_pause(self) -> None:
         await self._clock.sleep_ms(self._settings.drain_poll_interval_ms)
-        self._check_lead()
+        self._check_leadership()
 
     # Waiting for an endpoint to finish.
 
-    async def _wait_idle(self, plan: plans.Plan, step: plans.WaitIdle) -> str:
+    async def _wait_until_idle(
+        self, plan: plans.Plan, step: plans.WaitIdle
+    ) -> str:
         """Return once no host can send to the endpoint and none waits.
 
         Only entry hosts of the endpoint's region send to it, so only
         their data centres have to be heard.
         """
         while True:
-            self._check_lead()
+            self._check_leadership()
             found = self._voter.state.configuration.endpoints.get(
                 step.endpoint
             )
             if found is None:
                 return 'endpoint is gone'
-            waits = self._unsettled(plan, found)
+            waits = self._in_flight_reason(plan, found)
             if not waits:
-                waits = await self._engine_waits(found)
+                waits = await self._engine_busy_reason(found)
             if not waits:
                 return 'idle'
-            self.waiting_for[plan.plan] = waits
-            await self._pause()
+            self.wait_reasons[plan.plan] = waits
+            await self._poll_pause()
 
-    def _unsettled(
+    def _in_flight_reason(
         self, plan: plans.Plan, endpoint: configuration.Endpoint
     ) -> str:
         now_ms = self._clock.mono_ms()
         for data_centre in self._data_centres.get(endpoint.region, ()):
             heard = self._standings.get(data_centre)
-            if (
-                heard is None
-                or now_ms - heard.heard_ms > STANDING_AGE_LIMIT_MS
-            ):
+            if heard is None or now_ms - heard.received_ms > STATUS_MAX_AGE_MS:
                 return f'{data_centre} is not heard from'
-            if heard.standing.low_index < plan.reached_index:
+            if heard.status.low_index < plan.reached_index:
                 return f'{data_centre} has not got the change'
-            for busy in heard.standing.busy:
+            for busy in heard.status.busy:
                 if busy.endpoint == endpoint.endpoint:
                     return f'{busy.in_flight} requests in flight'
         return ''
 
-    async def _engine_waits(self, endpoint: configuration.Endpoint) -> str:
+    async def _engine_busy_reason(
+        self, endpoint: configuration.Endpoint
+    ) -> str:
         services = self._voter.state.configuration.services
         kind = services[endpoint.service].kind
         if kind is not configuration.ServiceKind.ENGINE:
             return ''
         try:
-            state = await self._read_state(endpoint.endpoint)
+            state = await self._read_engine_state(endpoint.endpoint)
         except OrderFailedError:
             # An engine that does not answer has no work to finish.
             return ''
@@ -229,16 +230,16 @@
 
     # Orders.
 
-    async def _order(self, plan: plans.Plan, step: plans.Order) -> str:
-        await self._wait_for_predecessor(plan, step)
-        await self._wait_for_weights(plan, step)
+    async def _execute_order(self, plan: plans.Plan, step: plans.Order) -> str:
+        await self._wait_out_old_leader(plan, step)
+        await self._wait_for_load_slot(plan, step)
         problem = ''
-        for _try in range(ORDER_TRIES):
-            self._check_lead()
-            number = await self._issue(plan)
+        for _try in range(ORDER_ATTEMPTS):
+            self._check_leadership()
+            number = await self._commit_order(plan)
             try:
-                await self._send(step, number)
-                await self._read_back(step)
+                await self._send_order(step, number)
+                await self._verify_order(step)
                 return f'order {number} took effect'
             except OrderFailedError as error:
                 problem = str(error)
@@ -248,10 +249,10 @@
                     number=number,
                     error=problem,
                 )
-            await self._clock.sleep_ms(TRY_INTERVAL_MS)
+            await self._clock.sleep_ms(ORDER_RETRY_INTERVAL_MS)
         raise OrderFailedError(problem)
 
-    async def _wait_for_predecessor(
+    async def _wait_out_old_leader(
         self, plan: plans.Plan, step: plans.Order
     ) -> None:
         """Wait out the old leader where the engine would obey it."""
@@ -259,22 +260,22 @@
         if found.fenced:
             return
         due_ms = (
-            self._voter.led_since_ms
+            self._voter.leader_since_ms
             + self._settings.election_timeout_ms
             + self._settings.order_timeout_ms
         )
         while self._clock.mono_ms() < due_ms:
-            self.waiting_for[plan.plan] = "the old leader's orders"
-            await self._pause()
+            self.wait_reasons[plan.plan] = "the old leader's orders"
+            await self._poll_pause()
 
-    async def _wait_for_weights(
+    async def _wait_for_load_slot(
         self, plan: plans.Plan, step: plans.Order
     ) -> None:
         while step.loads and self._clock.wall_ms() < self._next_load_ms():
-            self.waiting_for[plan.plan] = 'the weight store'
-            await self._pause()
+            self.wait_reasons[plan.plan] = 'the weight store'
+            await self._poll_pause()
 
-    async def _issue(self, plan: plans.Plan) -> int:
+    async def _commit_order(self, plan: plans.Plan) -> int:
         """Commit the right to send, and return the fencing number."""
         await self._voter.propose(
             entries.IssueOrder(
@@ -286,7 +287,7 @@
             raise errors.NotLeaderError(None, may_be_accepted=False)
         return found.issued_index
 
-    async def _send(self, step: plans.Order, number: int) -> None:
+    async def _send_order(self, step: plans.Order, number: int) -> None:
         body = {'kind': step.kind}
         for field in ('model', 'adapter', 'role'):
             value = getattr(step, field)
@@ -302,17 +303,17 @@
         )
         # The last look before the order goes out. What is left of the
         # lease bounds how late it can arrive from here.
-        self._check_lead()
+        self._check_leadership()
         logger.info(
             'order_sent', endpoint=step.endpoint, number=number, **body
         )
-        status = await self._exchange(send, None)
-        if status == OLD_NUMBER:
+        status = await self._send_request(send, None)
+        if status == STALE_FENCE_STATUS:
             raise OrderFailedError(f'number {number} was refused as old')
         if status != OK:
             raise OrderFailedError(f'engine answered {status}')
 
-    async def _exchange(
+    async def _send_request(
         self, send: dispatch.Send, into: list[bytes] | None
     ) -> int:
         try:
@@ -325,12 +326,14 @@
             into.append(body)
         return answer.status
 
-    async def _read_state(self, endpoint: ids.EndpointId) -> EngineState:
+    async def _read_engine_state(
+        self, endpoint: ids.EndpointId
+    ) -> EngineState:
         send = dispatch.Send(
             dispatch.Purpose.ORDER, endpoint, 'GET', STATE_PATH
         )
         bodies: list[bytes] = []
-        status = await self._exchange(send, bodies)
+        status = await self._send_request(send, bodies)
         if status != OK:
             raise OrderFailedError(f'engine answered {status}')
         try:
@@ -338,9 +341,9 @@
         except msgspec.DecodeError as error:
             raise OrderFailedError(str(error)) from error
 
-    async def _read_back(self, step: plans.Order) -> None:
+    async def _verify_order(self, step: plans.Order) -> None:
         """Look whether the engine is now as the order says."""
-        state = await self._read_state(step.endpoint)
+        state = await self._read_engine_state(step.endpoint)
         if step.kind == 'role':
             held = state.role == step.role
         elif step.adapter:
--- a/wrenspoke/coordination/agreement/lead.py
+++ b/wrenspoke/coordination/agreement/leadership.py
@@ -6,8 +6,8 @@
 import structlog
 
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.agreement import admissions
 from wrenspoke.coordination.agreement import followers
+from wrenspoke.coordination.agreement import voter_planner
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.membership import control_group
 from wrenspoke import ids
@@ -24,11 +24,11 @@
 
 logger = structlog.get_logger(__name__)
 
-BATCH_ENTRIES = 256
-LEASE_SHARE = 0.8
+MAX_BATCH_ENTRIES = 256
+LEASE_FRACTION = 0.8
 
 
-class Group(typing.Protocol):
+class LeaderNode(typing.Protocol):
     """Be what a lead needs of the voter that holds it."""
 
     host: ids.HostId
@@ -61,74 +61,74 @@
         """Write an entry and wait until it is applied."""
 
 
-class Lead:
+class Leadership:
     """Hold what a leader does from its election to its end."""
 
     def __init__(
         self,
-        group: Group,
+        node: LeaderNode,
         term: int,
-        asked_ms: int,
+        vote_request_ms: int,
         tasks: runtime.Tasks,
     ):
-        self._group = group
+        self._node = node
         self._tasks = tasks
-        self._start_index = group.storage.last_index + 1
+        self._start_index = node.storage.last_index + 1
         self._followers: dict[ids.HostId, followers.Follower] = {}
-        self._admissions = admissions.Admissions(group, asked_ms)
-        self._elected_by = group.electorate
+        self._voter_planner = voter_planner.VoterPlanner(node, vote_request_ms)
+        self._electing_voters = node.electorate
         self.term = term
-        self.since_ms = asked_ms
-        self.over = False
+        self.since_ms = vote_request_ms
+        self.ended = False
 
     def start(self) -> None:
         """Begin to replicate and to admit."""
-        self._follow_group()
-        self._tasks.start(self._admit())
+        self._sync_followers()
+        self._tasks.start(self._maintain_voters())
 
-    def _follow_group(self) -> None:
+    def _sync_followers(self) -> None:
         """Replicate to control hosts that are new, not to those gone."""
         wanted = {
-            *self._group.group.other_hosts(),
-            *self._group.electorate.hosts,
+            *self._node.group.other_hosts(),
+            *self._node.electorate.hosts,
         }
-        wanted.discard(self._group.host)
+        wanted.discard(self._node.host)
         for host in sorted(wanted - self._followers.keys()):
             follower = followers.Follower(self._start_index)
             self._followers[host] = follower
-            self._tasks.start(self._replicate(host, follower))
+            self._tasks.start(self._replicate_to(host, follower))
         for host in self._followers.keys() - wanted:
             del self._followers[host]
 
     def end(self) -> None:
         """Let every task of this lead end."""
-        self.over = True
-        self.wake()
+        self.ended = True
+        self.wake_replication()
 
-    def wake(self) -> None:
+    def wake_replication(self) -> None:
         """Let the followers be sent what is new."""
         for follower in self._followers.values():
-            follower.more.set()
+            follower.has_new_entries.set()
 
     def quorum_acked_ms(self) -> int:
         """Return since when a majority is known to follow this leader."""
-        now_ms = self._group.clock.mono_ms()
+        now_ms = self._node.clock.mono_ms()
 
         def acked_ms(host: ids.HostId, disk: ids.Incarnation) -> int:
-            if self._is_own(host, disk):
+            if self._is_local_disk(host, disk):
                 return now_ms
-            follower = self._follower_on(host, disk)
+            follower = self._follower_on_disk(host, disk)
             if follower is not None and follower.acked_ms is not None:
                 return follower.acked_ms
-            return self.since_ms if self._elected_by.has(host, disk) else 0
+            return self.since_ms if self._electing_voters.has(host, disk) else 0
 
-        return self._group.electorate.reached(acked_ms)
+        return self._node.electorate.reached(acked_ms)
 
-    def _is_own(self, host: ids.HostId, disk: ids.Incarnation) -> bool:
-        group = self._group
+    def _is_local_disk(self, host: ids.HostId, disk: ids.Incarnation) -> bool:
+        group = self._node
         return host == group.host and disk == group.incarnation
 
-    def _follower_on(
+    def _follower_on_disk(
         self, host: ids.HostId, disk: ids.Incarnation
     ) -> followers.Follower | None:
         """Return what is known of a host, None if its disk is another."""
@@ -144,59 +144,59 @@
         A majority that answered a message sent at some time gives no
         vote to others for an election timeout from then.
         """
-        if self.over:
+        if self.ended:
             return False
-        if self._group.commit_index < self._start_index:
+        if self._node.commit_index < self._start_index:
             return False
-        age_ms = self._group.clock.mono_ms() - self.quorum_acked_ms()
-        return age_ms < self._group.settings.election_timeout_ms * LEASE_SHARE
+        age_ms = self._node.clock.mono_ms() - self.quorum_acked_ms()
+        return age_ms < self._node.settings.election_timeout_ms * LEASE_FRACTION
 
-    async def _replicate(
+    async def _replicate_to(
         self, host: ids.HostId, follower: followers.Follower
     ) -> None:
         """Keep one other control host's log equal to ours."""
-        while not self.over and self._followers.get(host) is follower:
-            follower.more.clear()
-            sent_ms = self._group.clock.mono_ms()
-            answer = await self._group.call(host, self._message_for(follower))
-            if self.over:
+        while not self.ended and self._followers.get(host) is follower:
+            follower.has_new_entries.clear()
+            sent_ms = self._node.clock.mono_ms()
+            answer = await self._node.call(host, self._next_message(follower))
+            if self.ended:
                 return
             if isinstance(answer, messages.AppendReply):
-                self._note_answer(host, follower, answer, sent_ms)
-                if follower.next_index <= self._group.storage.last_index:
+                self._handle_reply(host, follower, answer, sent_ms)
+                if follower.next_index <= self._node.storage.last_index:
                     continue
-            await self._wait_for_more(follower, sent_ms)
+            await self._wait_for_new_entries(follower, sent_ms)
 
-    async def _wait_for_more(
+    async def _wait_for_new_entries(
         self, follower: followers.Follower, sent_ms: int
     ) -> None:
-        interval_ms = self._group.settings.beat_interval_ms
-        left_ms = sent_ms + interval_ms - self._group.clock.mono_ms()
+        interval_ms = self._node.settings.beat_interval_ms
+        left_ms = sent_ms + interval_ms - self._node.clock.mono_ms()
         try:
             async with clocks.timeout_ms(max(left_ms, 1)):
-                await follower.more.wait()
+                await follower.has_new_entries.wait()
         except TimeoutError:
             return
 
-    def _message_for(
+    def _next_message(
         self, follower: followers.Follower
     ) -> messages.Append | messages.Install:
         previous = follower.next_index - 1
-        previous_term = self._group.storage.term_at(previous)
+        previous_term = self._node.storage.term_at(previous)
         if previous_term is None:
-            return messages.Install(self.term, self._group.storage.snapshot)
+            return messages.Install(self.term, self._node.storage.snapshot)
         return messages.Append(
             self.term,
             previous,
             previous_term,
-            self._group.commit_index,
-            self._group.storage.entries_from(
-                follower.next_index, BATCH_ENTRIES
+            self._node.commit_index,
+            self._node.storage.entries_from(
+                follower.next_index, MAX_BATCH_ENTRIES
             ),
             follower.moment if self.has_lease else None,
         )
 
-    def _note_answer(
+    def _handle_reply(
         self,
         host: ids.HostId,
         follower: followers.Follower,
@@ -206,7 +206,7 @@
         if answer.term > self.term:
             # Without room for the term on the disk the lead is over too.
             with contextlib.suppress(state_errors.DiskFullError):
-                self._group.adopt_term(answer.term)
+                self._node.adopt_term(answer.term)
             return
         if answer.incarnation != follower.incarnation:
             follower.incarnation = answer.incarnation
@@ -226,29 +226,29 @@
         """Commit what a majority holds, if an entry of this term is."""
 
         def held_index(host: ids.HostId, disk: ids.Incarnation) -> int:
-            if self._is_own(host, disk):
-                return self._group.storage.last_index
-            follower = self._follower_on(host, disk)
+            if self._is_local_disk(host, disk):
+                return self._node.storage.last_index
+            follower = self._follower_on_disk(host, disk)
             return 0 if follower is None else follower.match_index
 
-        index = self._group.electorate.reached(held_index)
-        if self._group.storage.term_at(index) != self.term:
+        index = self._node.electorate.reached(held_index)
+        if self._node.storage.term_at(index) != self.term:
             return
-        if index > self._group.commit_index:
-            self._group.commit(index)
+        if index > self._node.commit_index:
+            self._node.commit(index)
             # The followers apply it when they are told.
-            self.wake()
+            self.wake_replication()
 
-    async def _admit(self) -> None:
+    async def _maintain_voters(self) -> None:
         """Keep the voters complete, by one change at a time."""
-        while not self.over:
-            await self._group.clock.sleep_ms(
-                self._group.settings.beat_interval_ms
+        while not self.ended:
+            await self._node.clock.sleep_ms(
+                self._node.settings.beat_interval_ms
             )
-            self._follow_group()
+            self._sync_followers()
             if not self.has_lease:
                 continue
-            change = self._admissions.next_change(self._followers)
+            change = self._voter_planner.next_change(self._followers)
             if change is None:
                 continue
             logger.warning(
@@ -258,6 +258,6 @@
                 reason=change.reason,
             )
             try:
-                await self._group.propose(change)
+                await self._node.propose(change)
             except errors.NotLeaderError:
                 return
--- a/wrenspoke/coordination/agreement/clearance.py
+++ b/wrenspoke/coordination/agreement/rollback_check.py
@@ -32,28 +32,28 @@
 HELLO_INTERVAL_MS = 200
 
 
-class Clearance:
+class RollbackCheck:
     """Tell the others of this start, and remember theirs."""
 
     def __init__(
         self,
-        kept: storage.Storage,
+        store: storage.Storage,
         group: control_group.ControlGroup,
         peers: peer_calls.Peers,
-        limits: settings.ControlSettings,
+        control_settings: settings.ControlSettings,
         clock: clocks.Clock,
     ):
-        self._storage = kept
+        self._storage = store
         self._group = group
         self._peers = peers
-        self._settings = limits
+        self._settings = control_settings
         self._clock = clock
-        self._start = ids.new_unique()
-        self._counted = False
-        self.given = False
+        self._start_id = ids.new_unique()
+        self._start_counted = False
+        self.passed = False
         with contextlib.suppress(state_errors.DiskFullError):
             self._count_start()
-        peers.answers(messages.Hello)(self._answer_hello)
+        peers.answers(messages.Hello)(self._handle_hello)
 
     async def _call(
         self, host: ids.HostId, message: messages.Hello
@@ -65,20 +65,20 @@
         except protocol_errors.ProtocolError:
             return None
 
-    async def obtain(
-        self, become_new: collections.abc.Callable[[], None]
+    async def wait_until_passed(
+        self, on_rollback: collections.abc.Callable[[], None]
     ) -> None:
         """Make sure that this disk is no old copy of itself.
 
         ``become_new`` is called if it was one, and now holds nothing.
         """
-        while not self.given:
+        while not self.passed:
             # Without room on the disk it tries again until there is some.
             with contextlib.suppress(state_errors.DiskFullError):
-                if not self._counted:
+                if not self._start_counted:
                     self._count_start()
-                await self._say_hello(become_new)
-            if not self.given:
+                await self._send_hello(on_rollback)
+            if not self.passed:
                 await self._clock.sleep_ms(HELLO_INTERVAL_MS)
 
     def _count_start(self) -> None:
@@ -88,20 +88,20 @@
         """
         self._storage.meta.boot += 1
         self._storage.save_meta()
-        self._counted = True
+        self._start_counted = True
 
-    async def _say_hello(
-        self, become_new: collections.abc.Callable[[], None]
+    async def _send_hello(
+        self, on_rollback: collections.abc.Callable[[], None]
     ) -> None:
         meta = self._storage.meta
-        message = messages.Hello(meta.incarnation, meta.boot, self._start)
-        deciding = self._storage.electorate()
-        known = {*self._group.other_hosts(), *deciding.hosts}
+        message = messages.Hello(meta.incarnation, meta.boot, self._start_id)
+        electorate = self._storage.electorate()
+        known = {*self._group.other_hosts(), *electorate.hosts}
         others = sorted(known - {self._group.host})
         answers = await asyncio.gather(
             *(self._call(host, message) for host in others)
         )
-        heard = set()
+        acknowledged = set()
         for host, answer in zip(others, answers):
             if not isinstance(answer, messages.HelloReply):
                 continue
@@ -114,32 +114,32 @@
                     told_by=host,
                 )
                 self._storage.forget_all()
-                become_new()
+                on_rollback()
                 self._storage.meta.boot = 1
                 self._storage.save_meta()
                 return
-            heard.add(host)
+            acknowledged.add(host)
 
-        def knows(host: ids.HostId, disk: ids.Incarnation) -> int:
-            return int(host in heard or disk == meta.incarnation)
+        def has_acknowledged(host: ids.HostId, disk: ids.Incarnation) -> int:
+            return int(host in acknowledged or disk == meta.incarnation)
 
-        if not deciding.voters or deciding.reached(knows):
-            self.given = True
+        if not electorate.voters or electorate.reached(has_acknowledged):
+            self.passed = True
             logger.info(
                 'cleared', incarnation=meta.incarnation, boot=meta.boot
             )
 
-    async def _answer_hello(
+    async def _handle_hello(
         self, sender: ids.HostId, message: messages.Hello
     ) -> messages.HelloReply | messages.Refusal:
         self._group.record_contact(sender)
         boots = self._storage.meta.boots
         known = boots.get(message.incarnation, (0, ''))
-        heard = (message.boot, message.start)
-        if known == heard:
+        reported = (message.boot, message.start)
+        if known == reported:
             return messages.HelloReply(0)
         if message.boot > known[0]:
-            boots[message.incarnation] = heard
+            boots[message.incarnation] = reported
             try:
                 self._storage.save_meta()
             except state_errors.DiskFullError as error:
--- a/wrenspoke/coordination/agreement/canvass.py
+++ b/wrenspoke/coordination/agreement/vote_tally.py
@@ -9,7 +9,7 @@
 logger = structlog.get_logger(__name__)
 
 
-class Canvass:
+class VoteTally:
     """Hold what the voters answered to one call for votes.
 
     A vote counts where it comes from the disk that was admitted.
@@ -19,19 +19,21 @@
         self,
         host: ids.HostId,
         disk: ids.Incarnation,
-        deciding: electorates.Electorate,
+        electorate: electorates.Electorate,
     ):
-        self._deciding = deciding
-        self._given = {host: disk}
+        self._electorate = electorate
+        self._granted = {host: disk}
         self._refused: dict[ids.HostId, str] = {}
-        self.others = sorted(deciding.hosts - {host})
+        self.other_voters = sorted(electorate.hosts - {host})
 
-    def note(self, host: ids.HostId, answer: messages.VoteReply) -> None:
+    def record_reply(
+        self, host: ids.HostId, answer: messages.VoteReply
+    ) -> None:
         """Count an answer."""
-        if not self._deciding.has(host, answer.incarnation):
+        if not self._electorate.has(host, answer.incarnation):
             self._refused[host] = f'other disk {answer.incarnation}'
         elif answer.granted:
-            self._given[host] = answer.incarnation
+            self._granted[host] = answer.incarnation
         else:
             reason = answer.refused
             self._refused[host] = 'unsaid' if reason is None else reason.value
@@ -40,27 +42,31 @@
     def won(self) -> bool:
         """Tell whether a majority gave its vote."""
         return bool(
-            self._deciding.reached(
-                lambda host, disk: int(self._given.get(host) == disk)
+            self._electorate.reached(
+                lambda host, disk: int(self._granted.get(host) == disk)
             )
         )
 
-    def tell_lost(self, asked: messages.AskVote, silence_ms: int) -> None:
+    def log_lost(self, request: messages.AskVote, silence_ms: int) -> None:
         """Log who kept this host from leading, and why.
 
         ``silence_ms`` is how long no leader was heard. Who is in none of
         the lists gave no answer.
         """
-        silent = set(self.others) - self._given.keys() - self._refused.keys()
+        unanswered = (
+            set(self.other_voters)
+            - self._granted.keys()
+            - self._refused.keys()
+        )
         logger.warning(
             'canvass_lost',
-            term=asked.term,
-            pre=asked.pre,
-            last_index=asked.last_index,
+            term=request.term,
+            pre=request.pre,
+            last_index=request.last_index,
             silence_ms=silence_ms,
-            voters=sorted(self._deciding.voters),
-            before=sorted(self._deciding.before),
-            given=sorted(self._given),
+            voters=sorted(self._electorate.voters),
+            before=sorted(self._electorate.before),
+            given=sorted(self._granted),
             refused=dict(sorted(self._refused.items())),
-            silent=sorted(silent),
+            silent=sorted(unanswered),
         )
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -27,9 +27,9 @@
 import structlog
 
 from wrenspoke import clock as clocks
-from wrenspoke.coordination.agreement import canvass
-from wrenspoke.coordination.agreement import clearance
-from wrenspoke.coordination.agreement import lead
+from wrenspoke.coordination.agreement import leadership
+from wrenspoke.coordination.agreement import rollback_check
+from wrenspoke.coordination.agreement import vote_tally
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.membership import control_group
 from wrenspoke.coordination.membership import replica
@@ -65,7 +65,7 @@
     LEADER = 'leader'
 
 
-def _needs_disk(
+def _refuse_if_disk_full(
     answer: collections.abc.Callable,
 ) -> collections.abc.Callable:
     """Decorate what answers a message and has to write something first.
@@ -94,45 +94,45 @@
         host: ids.HostId,
         location: locations.Location,
         group: control_group.ControlGroup,
-        limits: settings.ControlSettings,
-        kept: storage.Storage,
+        control_settings: settings.ControlSettings,
+        store: storage.Storage,
         peers: peer_calls.Peers,
-        held: replica.Replica,
+        config_replica: replica.Replica,
         clock: clocks.Clock,
     ):
         self.host = host
         self.location = location
         self.group = group
-        self.settings = limits
-        self.storage = kept
+        self.settings = control_settings
+        self.storage = store
         self._peers = peers
-        self._replica = held
+        self._replica = config_replica
         self.clock = clock
         self._tasks = runtime.Tasks()
-        self._leading = runtime.Tasks()
-        self._lead: lead.Lead | None = None
-        self._proposed: dict[int, tuple[int, asyncio.Future]] = {}
-        self._heard_ms = clock.mono_ms()
-        self._canvassed_ms = self._heard_ms
-        self._asking = False
-        self._yields = False
-        self._life = ids.new_unique()
+        self._leadership_tasks = runtime.Tasks()
+        self._leadership: leadership.Leadership | None = None
+        self._pending_proposals: dict[int, tuple[int, asyncio.Future]] = {}
+        self._leader_contact_ms = clock.mono_ms()
+        self._election_attempt_ms = self._leader_contact_ms
+        self._pre_vote_running = False
+        self._pre_vote_yielded = False
+        self._instance_id = ids.new_unique()
         # For which moment a leader's word says that nothing newer was
         # accepted than what is committed here.
         self._confirmed_ms: int | None = None
-        self._clearance = clearance.Clearance(
-            kept, group, peers, limits, clock
+        self._rollback_check = rollback_check.RollbackCheck(
+            store, group, peers, control_settings, clock
         )
         self.role = Role.FOLLOWER
         self.leader: ids.HostId | None = None
-        self.commit_index = kept.snapshot.index
+        self.commit_index = store.snapshot.index
         self.state = replicated.ReplicatedState()
         self._load_snapshot()
-        self.commit(kept.known_committed())
-        peers.answers(messages.AskVote)(self._answer_vote)
-        peers.answers(messages.Append)(self._answer_append)
-        peers.answers(messages.Install)(self._answer_install)
-        peers.answers(attending.ConfirmIndex)(self._answer_confirm)
+        self.commit(store.known_committed())
+        peers.answers(messages.AskVote)(self._handle_vote_request)
+        peers.answers(messages.Append)(self._handle_append)
+        peers.answers(messages.Install)(self._handle_install)
+        peers.answers(attending.ConfirmIndex)(self._handle_confirm_index)
 
     # State that is on the disk.
 
@@ -198,90 +198,90 @@
 
     def start(self) -> None:
         """Take part, once the others know of this start."""
-        self._heard_ms = self.clock.mono_ms()
-        self._tasks.start(self._clearance.obtain(self._become_new))
-        self._tasks.start(self._watch())
+        self._leader_contact_ms = self.clock.mono_ms()
+        self._tasks.start(self._rollback_check.wait_until_passed(self._reset_state))
+        self._tasks.start(self._run_election_timer())
 
     async def close(self) -> None:
         """End every task."""
         self._step_down()
-        await self._leading.close()
+        await self._leadership_tasks.close()
         await self._tasks.close()
 
-    def _become_new(self) -> None:
+    def _reset_state(self) -> None:
         """Hold nothing any more, as the disk was an old copy."""
         self.state = replicated.ReplicatedState()
         self.commit_index = 0
 
     # Elections.
 
-    def _patience_ms(self) -> float:
+    def _random_election_timeout_ms(self) -> float:
         least_ms = self.settings.election_timeout_ms
         return random.uniform(least_ms, 2 * least_ms)
 
-    def _hears_leader(self) -> bool:
-        silence_ms = self.clock.mono_ms() - self._heard_ms
+    def _has_leader_contact(self) -> bool:
+        silence_ms = self.clock.mono_ms() - self._leader_contact_ms
         return silence_ms < self.settings.election_timeout_ms
 
     @property
-    def led(self) -> bool:
+    def has_leader(self) -> bool:
         """Tell whether this host leads, or heard from who does of late."""
         if self.role is Role.LEADER:
             return self.has_lease
-        return self.leader is not None and self._hears_leader()
+        return self.leader is not None and self._has_leader_contact()
 
-    async def _watch(self) -> None:
+    async def _run_election_timer(self) -> None:
         """Stand for election when the leader falls silent."""
-        patience_ms = self._patience_ms()
+        patience_ms = self._random_election_timeout_ms()
         while True:
             await self.clock.sleep_ms(self.settings.beat_interval_ms / 2)
             self.storage.check()
             if self.role is Role.LEADER:
-                self._check_lead()
+                self._check_quorum()
                 continue
             waited_ms = self.clock.mono_ms() - max(
-                self._heard_ms, self._canvassed_ms
+                self._leader_contact_ms, self._election_attempt_ms
             )
             if waited_ms < patience_ms:
                 continue
-            patience_ms = self._patience_ms()
+            patience_ms = self._random_election_timeout_ms()
             # Not as if a leader was heard: two hosts that canvass in turn
             # would refuse each other their votes.
-            self._canvassed_ms = self.clock.mono_ms()
-            if not self._clearance.given or not self._may_lead:
+            self._election_attempt_ms = self.clock.mono_ms()
+            if not self._rollback_check.passed or not self._may_lead:
                 continue
-            before = (self.term, self._heard_ms)
+            before = (self.term, self._leader_contact_ms)
             # Without room on the disk there is nothing to stand with.
             with contextlib.suppress(state_errors.DiskFullError):
-                if not await self._ask_beforehand():
+                if not await self._run_pre_vote():
                     continue
-                if (self.term, self._heard_ms) != before:
+                if (self.term, self._leader_contact_ms) != before:
                     # Another stood meanwhile and has this host's vote, or
                     # leads already; a higher term would only end its lead.
                     continue
-                await self._stand()
+                await self._run_election()
 
-    async def _ask_beforehand(self) -> bool:
+    async def _run_pre_vote(self) -> bool:
         """Return whether this host would win and should stand."""
-        self._asking, self._yields = True, False
+        self._pre_vote_running, self._pre_vote_yielded = True, False
         try:
-            won = await self._canvass(pre=True)
+            won = await self._request_votes(pre=True)
         finally:
-            self._asking = False
-        if won and self._yields:
+            self._pre_vote_running = False
+        if won and self._pre_vote_yielded:
             logger.info('canvass_yielded', term=self.term + 1)
-        return won and not self._yields
+        return won and not self._pre_vote_yielded
 
-    def _yield_to(self, sender: ids.HostId) -> None:
+    def _yield_pre_vote_to(self, sender: ids.HostId) -> None:
         """Let one of two go on that ask beforehand at the same time.
 
         Both would stand, vote for themselves and wait another time-out.
         The names decide, as both know them.
         """
-        if self._asking and sender < self.host:
-            self._yields = True
+        if self._pre_vote_running and sender < self.host:
+            self._pre_vote_yielded = True
 
-    async def _stand(self) -> None:
+    async def _run_election(self) -> None:
         meta = self.storage.meta
         meta.term += 1
         meta.voted_for = self.host
@@ -291,11 +291,11 @@
         term = meta.term
         logger.info('election', term=term)
         asked_ms = self.clock.mono_ms()
-        won = await self._canvass(pre=False)
+        won = await self._request_votes(pre=False)
         if won and self.role is Role.CANDIDATE and self.term == term:
-            self._begin_to_lead(asked_ms)
+            self._become_leader(asked_ms)
 
-    async def _canvass(self, pre: bool) -> bool:
+    async def _request_votes(self, pre: bool) -> bool:
         """Ask for votes and return whether a majority gave them."""
         term = self.term + 1 if pre else self.term
         message = messages.AskVote(
@@ -305,10 +305,10 @@
             self.storage.last_term,
             pre,
         )
-        votes = canvass.Canvass(self.host, self.incarnation, self.electorate)
+        votes = vote_tally.VoteTally(self.host, self.incarnation, self.electorate)
         tasks = [
-            asyncio.get_running_loop().create_task(self._ask(host, message))
-            for host in votes.others
+            asyncio.get_running_loop().create_task(self._request_vote(host, message))
+            for host in votes.other_voters
         ]
         try:
             for earliest in asyncio.as_completed(tasks):
@@ -321,16 +321,16 @@
                     )
                     self.adopt_term(answer.term)
                     return False
-                votes.note(host, answer)
+                votes.record_reply(host, answer)
                 if votes.won:
                     break
         finally:
             await runtime.cancel(tasks)
         if not votes.won:
-            votes.tell_lost(message, self.clock.mono_ms() - self._heard_ms)
+            votes.log_lost(message, self.clock.mono_ms() - self._leader_contact_ms)
         return votes.won
 
-    async def _ask(
+    async def _request_vote(
         self, host: ids.HostId, message: messages.AskVote
     ) -> tuple[ids.HostId, messages.VoteReply | None]:
         answer = await self.call(host, message)
@@ -351,20 +351,20 @@
         self.group.record_contact(host)
         return answer
 
-    @_needs_disk
-    async def _answer_vote(
+    @_refuse_if_disk_full
+    async def _handle_vote_request(
         self, sender: ids.HostId, message: messages.AskVote
     ) -> messages.VoteReply:
         refused = self._vote_refusal(message)
         if refused is None and message.pre:
-            self._yield_to(sender)
+            self._yield_pre_vote_to(sender)
         elif refused is None:
-            refused = self._give_vote(sender, message.term)
+            refused = self._grant_vote(sender, message.term)
         return messages.VoteReply(
             self.term, refused is None, self.incarnation, refused
         )
 
-    def _give_vote(
+    def _grant_vote(
         self, sender: ids.HostId, term: int
     ) -> messages.VoteRefusal | None:
         """Note a vote on the disk; return why none can be given."""
@@ -374,7 +374,7 @@
             return messages.VoteRefusal.VOTED
         meta.voted_for = sender
         self.storage.save_meta()
-        self._heard_ms = self.clock.mono_ms()
+        self._leader_contact_ms = self.clock.mono_ms()
         return None
 
     def _vote_refusal(
@@ -390,13 +390,13 @@
         holds no voters at all was never admitted as it is, and may have
         forgotten that it was.
         """
-        if not self._clearance.given:
+        if not self._rollback_check.passed:
             return messages.VoteRefusal.NOT_CLEARED
         if not self.electorate.voters:
             return messages.VoteRefusal.NO_VOTE
         if message.term < self.term:
             return messages.VoteRefusal.OLD_TERM
-        if self._hears_leader():
+        if self._has_leader_contact():
             return messages.VoteRefusal.LEADER_HEARD
         if self.has_lease:
             return messages.VoteRefusal.LEADS
@@ -417,17 +417,17 @@
         if self.has_lease:
             return self.commit_index
         if self.leader is None or self.leader == self.host:
-            self._tell_unconfirmed('no leader')
+            self._log_unconfirmed_index('no leader')
             return None
         answer = await self.call(self.leader, attending.ConfirmIndex())
         if not isinstance(answer, attending.IndexConfirmed):
-            self._tell_unconfirmed('leader gave no answer')
+            self._log_unconfirmed_index('leader gave no answer')
             return None
         if answer.index is None:
-            self._tell_unconfirmed('leader has no lease')
+            self._log_unconfirmed_index('leader has no lease')
         return answer.index
 
-    def _tell_unconfirmed(self, reason: str) -> None:
+    def _log_unconfirmed_index(self, reason: str) -> None:
         """Log why it is not known whether something newer was accepted."""
         logger.warning(
             'index_unconfirmed',
@@ -438,10 +438,10 @@
             commit_index=self.commit_index,
             last_index=self.storage.last_index,
             has_vote=self.is_voter,
-            silence_ms=self.clock.mono_ms() - self._heard_ms,
+            silence_ms=self.clock.mono_ms() - self._leader_contact_ms,
         )
 
-    async def _answer_confirm(
+    async def _handle_confirm_index(
         self, _sender: ids.HostId, _message: attending.ConfirmIndex
     ) -> attending.IndexConfirmed:
         return attending.IndexConfirmed(
@@ -450,46 +450,46 @@
 
     # Leading.
 
-    def _begin_to_lead(self, asked_ms: int) -> None:
+    def _become_leader(self, asked_ms: int) -> None:
         self.role = Role.LEADER
         self.leader = self.host
         logger.info('leading', term=self.term)
-        self._lead = lead.Lead(self, self.term, asked_ms, self._leading)
+        self._leadership = leadership.Leadership(self, self.term, asked_ms, self._leadership_tasks)
         try:
-            self._append(entries.LeaderStart(self.host))
+            self._append_entry(entries.LeaderStart(self.host))
         except state_errors.DiskFullError:
             self._step_down()
             raise
-        self._lead.start()
+        self._leadership.start()
 
     def _step_down(self) -> None:
         self.role = Role.FOLLOWER
-        if self._lead is None:
+        if self._leadership is None:
             return
-        logger.warning('stepped_down', term=self._lead.term)
-        self._lead.end()
-        self._lead = None
+        logger.warning('stepped_down', term=self._leadership.term)
+        self._leadership.end()
+        self._leadership = None
         self.leader = None
-        for _term, future in self._proposed.values():
+        for _term, future in self._pending_proposals.values():
             if not future.done():
                 future.set_exception(
                     errors.NotLeaderError(None, may_be_accepted=True)
                 )
-        self._proposed.clear()
+        self._pending_proposals.clear()
 
     @property
     def has_lease(self) -> bool:
         """Tell whether no other host can be leader now."""
-        return self._lead is not None and self._lead.has_lease
+        return self._leadership is not None and self._leadership.has_lease
 
     @property
-    def led_since_ms(self) -> int:
+    def leader_since_ms(self) -> int:
         """Return when the votes for this lead were asked for."""
-        return 0 if self._lead is None else self._lead.since_ms
+        return 0 if self._leadership is None else self._leadership.since_ms
 
-    def _check_lead(self) -> None:
+    def _check_quorum(self) -> None:
         """Step down without a majority for long, or without a vote."""
-        silence_ms = self.clock.mono_ms() - self._lead.quorum_acked_ms()
+        silence_ms = self.clock.mono_ms() - self._leadership.quorum_acked_ms()
         silent = silence_ms > 2 * self.settings.election_timeout_ms
         if silent or not self._may_lead:
             self._step_down()
@@ -504,26 +504,26 @@
             raise errors.NotLeaderError(self.leader, may_be_accepted=False)
         future = asyncio.get_running_loop().create_future()
         index = self.storage.last_index + 1
-        self._proposed[index] = (self.term, future)
+        self._pending_proposals[index] = (self.term, future)
         try:
-            self._append(entry)
+            self._append_entry(entry)
         except state_errors.DiskFullError as error:
-            del self._proposed[index]
+            del self._pending_proposals[index]
             self._step_down()
             raise errors.NotLeaderError(None, may_be_accepted=False) from error
         return await future
 
-    def _append(self, entry: entries.Entry) -> None:
+    def _append_entry(self, entry: entries.Entry) -> None:
         index = self.storage.last_index + 1
         self.storage.append(
             [entries.LogEntry(index, self.term, entry, self.commit_index)]
         )
-        self._lead.wake()
-        self._lead.advance_commit()
+        self._leadership.wake_replication()
+        self._leadership.advance_commit()
 
     # Following.
 
-    def _follow(self, leader: ids.HostId, term: int) -> bool:
+    def _accept_leader(self, leader: ids.HostId, term: int) -> bool:
         """Take a leader's word; False if its term is over."""
         self.group.record_contact(leader)
         if term < self.term:
@@ -534,7 +534,7 @@
         if self.leader != leader:
             self.leader = leader
             logger.info('following', leader=leader, term=term)
-        self._heard_ms = self.clock.mono_ms()
+        self._leader_contact_ms = self.clock.mono_ms()
         return True
 
     def _append_reply(
@@ -546,14 +546,14 @@
             last_index,
             self.incarnation,
             self.location,
-            messages.Moment(self._life, self.clock.mono_ms()),
+            messages.Moment(self._instance_id, self.clock.mono_ms()),
         )
 
-    @_needs_disk
-    async def _answer_append(
+    @_refuse_if_disk_full
+    async def _handle_append(
         self, sender: ids.HostId, message: messages.Append
     ) -> messages.AppendReply:
-        if not self._follow(sender, message.term):
+        if not self._accept_leader(sender, message.term):
             return self._append_reply(False, self.storage.last_index)
         kept = self.storage
         previous = message.previous_index
@@ -562,16 +562,16 @@
         if previous >= kept.snapshot.index:
             if kept.term_at(previous) != message.previous_term:
                 return self._append_reply(False, previous)
-        last = self._take(message.added)
+        last = self._store_entries(message.added)
         matched = max(previous + len(message.added), last)
         self.commit(min(message.commit, matched))
-        self._note_confirmed(message)
+        self._update_confirmed_ms(message)
         return self._append_reply(True, matched)
 
-    def _note_confirmed(self, message: messages.Append) -> None:
+    def _update_confirmed_ms(self, message: messages.Append) -> None:
         """Note for which moment all is known here that was accepted."""
         moment = message.confirmed
-        if moment is None or moment.life != self._life:
+        if moment is None or moment.life != self._instance_id:
             return
         if self.commit_index >= message.commit:
             self._confirmed_ms = max(self._confirmed_ms or 0, moment.at_ms)
@@ -589,7 +589,7 @@
             return None
         return self.clock.mono_ms() - self._confirmed_ms
 
-    def _take(self, added: list[entries.LogEntry]) -> int:
+    def _store_entries(self, added: list[entries.LogEntry]) -> int:
         """Write what is new; drop what contradicts it."""
         kept = self.storage
         for place, entry in enumerate(added):
@@ -604,11 +604,11 @@
             break
         return added[-1].index if added else 0
 
-    @_needs_disk
-    async def _answer_install(
+    @_refuse_if_disk_full
+    async def _handle_install(
         self, sender: ids.HostId, message: messages.Install
     ) -> messages.AppendReply:
-        if not self._follow(sender, message.term):
+        if not self._accept_leader(sender, message.term):
             return self._append_reply(False, self.storage.last_index)
         if message.snapshot.index > self.commit_index:
             self.storage.save_snapshot(message.snapshot)
@@ -626,14 +626,14 @@
             entry = self.storage.entry(self.commit_index + 1)
             if entry is None:
                 break
-            self._apply(entry)
+            self._apply_entry(entry)
             self.commit_index = entry.index
             advanced = True
         if advanced:
             self.storage.note_committed(self.commit_index)
-        self._compact()
+        self._compact_log()
 
-    def _apply(self, entry: entries.LogEntry) -> None:
+    def _apply_entry(self, entry: entries.LogEntry) -> None:
         applied = self.state.apply(entry.index, entry.entry)
         if applied.change is not None:
             self._replica.apply_delta(
@@ -641,7 +641,7 @@
                     index=entry.index, changes=[(entry.index, applied.change)]
                 )
             )
-        term, future = self._proposed.pop(entry.index, (0, None))
+        term, future = self._pending_proposals.pop(entry.index, (0, None))
         if future is None or future.done():
             return
         if term == entry.term:
@@ -651,7 +651,7 @@
                 errors.NotLeaderError(self.leader, may_be_accepted=False)
             )
 
-    def _compact(self) -> None:
+    def _compact_log(self) -> None:
         kept = self.storage
         covered = self.commit_index - kept.snapshot.index
         large = covered and kept.log_bytes > LOG_LIMIT_BYTES
--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -157,7 +157,7 @@
         """Return who leads, as far as is known."""
 
     @property
-    def led_since_ms(self) -> int:
+    def leader_since_ms(self) -> int:
         """Return when the votes for this lead were asked for."""
 
     @property
@@ -197,7 +197,7 @@
         if not self._local_voter.has_lease:
             return await self._forward(sender, message)
         holder = message.lender or sender
-        self.begin_leadership(self._local_voter.led_since_ms)
+        self.begin_leadership(self._local_voter.leader_since_ms)
         if self._is_stale(holder, message):
             return messages.Refusal('a later question was answered')
         self._last_seen_ms[holder] = self._clock.mono_ms()
--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -207,7 +207,7 @@
             hosts = self.roster.changes_since(hosts_revision)
         return attending.Attended(
             self._voter.has_lease,
-            self._voter.led,
+            self._voter.has_leader,
             self._instance_id,
             self.registry.revision,
             self.roster.revision,
