--- /dev/null
+++ b/wrenspoke/coordination/quarantine/crash_aggregator.py
@@ -0,0 +1,298 @@
+"""A control host gathers under which requests endpoints ended.
+
+Every control host hears what all entry hosts see. Each tells the entry
+hosts of its region at once what they should not send, and the one that leads
+those of all regions. That one has it decided, so that it lasts over the loss
+of power and is known to every host that starts, thaws or comes back from a
+cut.
+"""
+
+import asyncio
+import collections.abc
+import typing
+
+import msgspec
+import structlog
+
+from wrenspoke import clock as clocks
+from wrenspoke.coordination import errors
+from wrenspoke.coordination.membership import replica
+from wrenspoke.coordination.quarantine import crash_history
+from wrenspoke.coordination.quarantine import hold_durations
+from wrenspoke import ids
+from wrenspoke.protocol import errors as protocol_errors
+from wrenspoke.protocol import peers as peer_calls
+from wrenspoke.protocol import quarantining
+from wrenspoke import runtime
+from wrenspoke.state import configuration
+from wrenspoke.state import entries
+from wrenspoke.state import quarantine
+from wrenspoke.state import replicated
+
+logger = structlog.get_logger(__name__)
+
+# Trials are due after minutes.
+CHECK_INTERVAL_MS = 1_000
+# Two far round trips: a host that ran the request well of late says so
+# before it is decided. It is held meanwhile.
+OBJECTION_WINDOW_MS = 350
+CALL_TIMEOUT_MS = 1_000
+# Without a leader holds end by themselves: who ends one more endpoint then
+# has all others told again, or each of them would end one.
+RENOTIFY_INTERVAL_MS = hold_durations.PROVISIONAL_HOLD_MS // 2
+
+# Returns the entry hosts of this region, or of all.
+ListEntryHosts = collections.abc.Callable[[bool], list[ids.HostId]]
+
+
+class LocalVoter(typing.Protocol):
+    """A voter that can have an entry decided."""
+
+    @property
+    def has_lease(self) -> bool:
+        """Tell whether no other host can be leader now."""
+
+    async def propose(self, entry: entries.Entry) -> replicated.Applied:
+        """Write an entry and wait until it is applied."""
+
+
+class CrashAggregator:
+    """Gather ends of endpoints, and have requests put into quarantine."""
+
+    def __init__(
+        self,
+        local_voter: LocalVoter,
+        config_replica: replica.Replica,
+        list_entry_hosts: ListEntryHosts,
+        peers: peer_calls.Peers,
+        clock: clocks.Clock,
+    ):
+        self._local_voter = local_voter
+        self._replica = config_replica
+        self._list_entry_hosts = list_entry_hosts
+        self._peers = peers
+        self._clock = clock
+        self._instance_id = ids.new_unique()
+        self._crash_history = crash_history.CrashHistory(clock)
+        # Requests found to end endpoints and not decided on, with when entry
+        # hosts were told.
+        self._notified_ms: dict[ids.RequestDigest, int] = {}
+        # Those in quarantine that came to a good end.
+        self._pending_releases: set[ids.RequestDigest] = set()
+        # What is decided, and since when that is known here.
+        self._decided_ms: dict[quarantine.Quarantined, int] = {}
+        self._proposing = False
+        self._tasks = runtime.Tasks()
+        peers.answers(quarantining.RunsEnded)(self._handle_runs_ended)
+
+    def start(self) -> None:
+        """Begin to have requests decided on."""
+        self._tasks.start(self._watch_decisions())
+
+    async def close(self) -> None:
+        """End every task."""
+        await self._tasks.close()
+
+    async def _handle_runs_ended(
+        self, _sender: ids.HostId, message: quarantining.RunsEnded
+    ) -> quarantining.RunsNoted:
+        now_ms = self._clock.mono_ms()
+        for digest in message.cleared:
+            self._handle_success(digest)
+        new_holds = []
+        for end in message.ends:
+            if self._record_crash(end, now_ms):
+                new_holds.append(self._make_hold(end.digest))
+        if new_holds:
+            self._tasks.start(self._notify_entry_hosts(new_holds), fatal=False)
+            self._tasks.start(self._propose_after_objections())
+        reported = {end.digest for end in message.ends}
+        return quarantining.RunsNoted(
+            self._instance_id,
+            [self._make_hold(one) for one in reported if self._is_held(one)],
+        )
+
+    def _record_crash(self, end: quarantining.RunEnd, now_ms: int) -> bool:
+        """Note an end; return whether it makes its request a fatal one."""
+        if quarantine.held(self._quarantine, end.digest) is not None:
+            # Sent before that was known.
+            return False
+        self._crash_history.record_crash(
+            end.digest, end.endpoint, now_ms - end.age_ms
+        )
+        crashes = self._crash_count(end.digest)
+        if crashes < crash_history.CRASH_THRESHOLD:
+            return False
+        notified_ms = self._notified_ms.get(end.digest)
+        if (
+            notified_ms is not None
+            and now_ms - notified_ms < RENOTIFY_INTERVAL_MS
+        ):
+            return False
+        logger.warning(
+            'request_ends_endpoints',
+            digest=end.digest,
+            ends=crashes,
+            endpoint=end.endpoint,
+        )
+        self._notified_ms[end.digest] = now_ms
+        return True
+
+    @property
+    def _quarantine(self) -> quarantine.Quarantine:
+        """Return what is decided, as far as it is known here."""
+        return self._replica.current.quarantine
+
+    def _crash_count(self, digest: ids.RequestDigest) -> int:
+        """Return how many endpoints ended, those before a trial too."""
+        decided = self._quarantine.get(digest)
+        earlier_crashes = 0 if decided is None else decided.ends
+        return earlier_crashes + self._crash_history.crash_count(digest)
+
+    def _is_held(self, digest: ids.RequestDigest) -> bool:
+        if digest in self._notified_ms:
+            return True
+        return quarantine.held(self._quarantine, digest) is not None
+
+    def _make_hold(self, digest: ids.RequestDigest) -> quarantining.Hold:
+        crashes = self._crash_count(digest)
+        return quarantining.Hold(
+            digest, crashes, hold_durations.hold_duration_ms(crashes)
+        )
+
+    def _handle_success(self, digest: ids.RequestDigest) -> None:
+        """Take note that a request came to a good end somewhere."""
+        self._crash_history.clear(digest)
+        if self._notified_ms.pop(digest, None) is not None:
+            logger.info('request_cleared', digest=digest)
+            self._tasks.start(
+                self._notify_entry_hosts([], [digest]), fatal=False
+            )
+        if digest in self._quarantine:
+            self._pending_releases.add(digest)
+
+    # Telling entry hosts.
+
+    async def _notify_entry_hosts(
+        self,
+        new_holds: list[quarantining.Hold],
+        released: collections.abc.Iterable[ids.RequestDigest] = (),
+    ) -> None:
+        message = quarantining.HoldOff(new_holds, list(released))
+        hosts = self._list_entry_hosts(self._local_voter.has_lease)
+        await asyncio.gather(
+            *(self._notify_entry_host(host, message) for host in hosts)
+        )
+
+    async def _notify_entry_host(
+        self, host: ids.HostId, message: quarantining.HoldOff
+    ) -> None:
+        try:
+            answer = await self._peers.call(host, message, CALL_TIMEOUT_MS)
+        except protocol_errors.ProtocolError as error:
+            logger.info('hold_not_told', peer=host, reason=str(error))
+            return
+        if isinstance(answer, quarantining.HoldTaken):
+            for digest in answer.cleared:
+                self._handle_success(digest)
+
+    # Having it decided.
+
+    async def _propose_after_objections(self) -> None:
+        await self._clock.sleep_ms(OBJECTION_WINDOW_MS)
+        await self._propose_if_leader()
+
+    async def _watch_decisions(self) -> None:
+        """Look at what time brings, and at each decision as it is made."""
+        while True:
+            changed = self._replica.changed
+            self._sync_decisions()
+            await self._propose_if_leader()
+            try:
+                async with clocks.timeout_ms(CHECK_INTERVAL_MS):
+                    await changed.wait()
+            except TimeoutError:
+                continue
+
+    def _sync_decisions(self) -> None:
+        """Note what was decided since, and tell what was let go."""
+        current = self._quarantine
+        for decision in current.values():
+            if decision not in self._decided_ms:
+                self._decided_ms[decision] = self._clock.mono_ms()
+            if not decision.on_probation:
+                # Ends from here on are of a trial.
+                self._crash_history.clear(decision.digest)
+                self._notified_ms.pop(decision.digest, None)
+        released = []
+        for known in list(self._decided_ms):
+            if current.get(known.digest) == known:
+                continue
+            del self._decided_ms[known]
+            if known.digest not in current:
+                self._crash_history.clear(known.digest)
+                released.append(known.digest)
+        self._pending_releases &= current.keys()
+        for digest in list(self._notified_ms):
+            if self._crash_count(digest) < crash_history.CRASH_THRESHOLD:
+                # Forgotten before anybody could decide on it.
+                del self._notified_ms[digest]
+        if released:
+            self._tasks.start(
+                self._notify_entry_hosts([], released), fatal=False
+            )
+
+    async def _propose_if_leader(self) -> None:
+        """Have what is due decided, in one change, if this host leads."""
+        if not self._local_voter.has_lease or self._proposing:
+            return
+        self._proposing = True
+        try:
+            await self._propose_due()
+        finally:
+            self._proposing = False
+
+    async def _propose_due(self) -> None:
+        now_ms = self._clock.mono_ms()
+        decisions = [
+            quarantine.Quarantined(digest, self._crash_count(digest))
+            for digest, notified_ms in self._notified_ms.items()
+            if now_ms - notified_ms >= OBJECTION_WINDOW_MS
+        ]
+        decisions += self._due_for_probation(now_ms)
+        if not decisions and not self._pending_releases:
+            return
+        change = configuration.SetQuarantine(
+            tuple(decisions), tuple(self._pending_releases)
+        )
+        try:
+            await self._local_voter.propose(entries.SetQuarantine(change))
+        except errors.NotLeaderError as error:
+            logger.info('quarantine_not_decided', reason=str(error))
+            return
+        self._sync_decisions()
+        for digest in change.cleared:
+            logger.info('quarantine_left', digest=digest)
+        for decision in decisions:
+            logger.warning(
+                'quarantine_changed',
+                digest=decision.digest,
+                ends=decision.ends,
+                on_probation=decision.on_probation,
+            )
+
+    def _due_for_probation(self, now_ms: int) -> list[quarantine.Quarantined]:
+        """Return, on probation, what has been held for long enough."""
+        due = []
+        for decision, since_ms in self._decided_ms.items():
+            if (
+                decision.on_probation
+                or decision.digest in self._pending_releases
+            ):
+                continue
+            if now_ms - since_ms < hold_durations.hold_duration_ms(
+                decision.ends
+            ):
+                continue
+            due.append(msgspec.structs.replace(decision, on_probation=True))
+        return due
--- /dev/null
+++ b/wrenspoke/coordination/quarantine/crash_reporter.py
@@ -0,0 +1,166 @@
+"""Tell who gathers them of endpoints that ended under requests.
+
+Every control host is told, so that whichever leads knows what all hosts of
+all regions have seen, also right after another led. Those are few, however
+many entry hosts there are.
+"""
+
+import asyncio
+import collections
+import collections.abc
+
+import structlog
+
+from wrenspoke import clock as clocks
+from wrenspoke.coordination.quarantine import crash_history
+from wrenspoke import ids
+from wrenspoke.protocol import errors as protocol_errors
+from wrenspoke.protocol import peers as peer_calls
+from wrenspoke.protocol import quarantining
+from wrenspoke import runtime
+
+logger = structlog.get_logger(__name__)
+
+# All calls of an endpoint that ended are told in one message.
+BATCH_DELAY_MS = 4
+# Some far round trips of 160 ms.
+CALL_TIMEOUT_MS = 1_000
+# To who could not be told: soon after a cut has healed, and next to nothing
+# while it lasts.
+RETRY_INTERVAL_MS = 500
+# Told again to a control host that has started anew.
+MAX_QUEUED_CRASHES = 1_000
+
+ListAggregators = collections.abc.Callable[[], list[ids.HostId]]
+HoldCallback = collections.abc.Callable[[quarantining.Hold], None]
+LocalCrash = tuple[ids.RequestDigest, ids.EndpointId, int]
+
+
+class _ReportQueue:
+    """Hold what one gathering host has not been told."""
+
+    def __init__(self):
+        self.crashes: collections.deque[LocalCrash] = collections.deque(
+            maxlen=MAX_QUEUED_CRASHES
+        )
+        self.cleared: dict[ids.RequestDigest, None] = {}
+        self.instance_id = ''
+        self.task: asyncio.Task | None = None
+
+    @property
+    def is_empty(self) -> bool:
+        return not self.crashes and not self.cleared
+
+
+class CrashReporter:
+    """Tell each gathering host once, for as long as it takes."""
+
+    def __init__(
+        self,
+        list_aggregators: ListAggregators,
+        peers: peer_calls.Peers,
+        clock: clocks.Clock,
+    ):
+        self._list_aggregators = list_aggregators
+        self._peers = peers
+        self._clock = clock
+        self._local_crashes: collections.deque[LocalCrash] = collections.deque(
+            maxlen=MAX_QUEUED_CRASHES
+        )
+        self._queues: dict[ids.HostId, _ReportQueue] = {}
+        self._hold_callback: HoldCallback | None = None
+        self._tasks = runtime.Tasks()
+
+    def set_hold_callback(self, callback: HoldCallback) -> None:
+        """Have what gathering hosts hold off told to ``heard``."""
+        self._hold_callback = callback
+
+    async def close(self) -> None:
+        """Tell nobody any more."""
+        await self._tasks.close()
+
+    def report_crash(
+        self, digest: ids.RequestDigest, endpoint: ids.EndpointId
+    ) -> None:
+        """Tell that an endpoint has just ended under a request."""
+        crash = (digest, endpoint, self._clock.mono_ms())
+        self._local_crashes.append(crash)
+        for queue in self._active_queues():
+            queue.crashes.append(crash)
+
+    def report_success(self, digest: ids.RequestDigest) -> None:
+        """Tell that an endpoint ran a request to a good end."""
+        for queue in self._active_queues():
+            queue.cleared[digest] = None
+
+    def _active_queues(self) -> list[_ReportQueue]:
+        """Return the queues of all who gather, about to be emptied."""
+        aggregators = self._list_aggregators()
+        for host in set(self._queues).difference(aggregators):
+            del self._queues[host]
+        for host in aggregators:
+            queue = self._queues.setdefault(host, _ReportQueue())
+            if queue.task is None or queue.task.done():
+                queue.task = self._tasks.start(
+                    self._send_queue(host, queue), fatal=False
+                )
+        return list(self._queues.values())
+
+    async def _send_queue(self, host: ids.HostId, queue: _ReportQueue) -> None:
+        await self._clock.sleep_ms(BATCH_DELAY_MS)
+        while not queue.is_empty and self._queues.get(host) is queue:
+            if not await self._send_batch(host, queue):
+                await self._clock.sleep_ms(RETRY_INTERVAL_MS)
+
+    async def _send_batch(self, host: ids.HostId, queue: _ReportQueue) -> bool:
+        crashes, cleared = self._unexpired(queue.crashes), list(queue.cleared)
+        queue.crashes.clear()
+        queue.cleared.clear()
+        answer = await self._send_report(host, crashes, cleared)
+        if answer is None:
+            queue.crashes.extendleft(reversed(crashes))
+            queue.cleared.update(dict.fromkeys(cleared))
+            return False
+        for hold in answer.holds:
+            if self._hold_callback is not None:
+                self._hold_callback(hold)
+        if answer.life != queue.instance_id:
+            # It knows nothing of what it was told before.
+            queue.instance_id = answer.life
+            older = set(self._unexpired(self._local_crashes)).difference(
+                crashes
+            )
+            queue.crashes.extend(sorted(older, key=_crashed_ms))
+        return True
+
+    async def _send_report(
+        self,
+        host: ids.HostId,
+        crashes: list[LocalCrash],
+        cleared: list[ids.RequestDigest],
+    ) -> quarantining.RunsNoted | None:
+        now_ms = self._clock.mono_ms()
+        run_ends = [
+            quarantining.RunEnd(digest, endpoint, now_ms - ended_ms)
+            for digest, endpoint, ended_ms in crashes
+        ]
+        message = quarantining.RunsEnded(run_ends, cleared)
+        try:
+            answer = await self._peers.call(host, message, CALL_TIMEOUT_MS)
+        except protocol_errors.ProtocolError as error:
+            logger.info('ends_not_told', peer=host, reason=str(error))
+            return None
+        if not isinstance(answer, quarantining.RunsNoted):
+            logger.info('ends_not_told', peer=host, reason=repr(answer))
+            return None
+        return answer
+
+    def _unexpired(
+        self, crashes: collections.abc.Iterable[LocalCrash]
+    ) -> list[LocalCrash]:
+        oldest_ms = self._clock.mono_ms() - crash_history.RETENTION_MS
+        return [end for end in crashes if _crashed_ms(end) > oldest_ms]
+
+
+def _crashed_ms(crash: LocalCrash) -> int:
+    return crash[2]
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -16,11 +16,11 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.membership import replica
-from wrenspoke.coordination.quarantine import ended_runs
-from wrenspoke.coordination.quarantine import good_ends
-from wrenspoke.coordination.quarantine import holds
-from wrenspoke.coordination.quarantine import reporter as reporters
-from wrenspoke.coordination.quarantine import runs
+from wrenspoke.coordination.quarantine import crash_history
+from wrenspoke.coordination.quarantine import crash_reporter as reporters
+from wrenspoke.coordination.quarantine import hold_durations
+from wrenspoke.coordination.quarantine import recent_successes
+from wrenspoke.coordination.quarantine import run_tracker
 from wrenspoke import ids
 from wrenspoke.protocol import peers as peer_calls
 from wrenspoke.protocol import quarantining
@@ -32,14 +32,14 @@
 logger = structlog.get_logger(__name__)
 
 # A call that broke off waits for so long to learn why before it is retried.
-LOOK_WAIT_MS = 50
+PROBE_WAIT_MS = 50
 # A caller is told to come back no sooner.
-LEAST_WAIT_MS = 1_000
+MIN_HOLD_RETRY_MS = 1_000
 MS_PER_S = 1_000
 # As many as are kept of what is decided.
-KEPT_LIMIT = quarantine.KEPT_LIMIT
+MAX_HOLDS = quarantine.KEPT_LIMIT
 
-Leaves = collections.abc.Callable[[ids.EndpointId], bool]
+IsDraining = collections.abc.Callable[[ids.EndpointId], bool]
 
 
 class Guard:
@@ -47,32 +47,32 @@
 
     def __init__(
         self,
-        held: replica.Replica,
-        reporter: reporters.Reporter,
+        config_replica: replica.Replica,
+        reporter: reporters.CrashReporter,
         peers: peer_calls.Peers,
-        leaves: Leaves,
+        is_draining: IsDraining,
         clock: clocks.Clock,
-        look: runs.Look = reachable.is_refused,
+        probe: run_tracker.Probe = reachable.is_refused,
     ):
-        self._replica = held
+        self._replica = config_replica
         self._reporter = reporter
-        self._leaves = leaves
+        self._is_draining = is_draining
         self._clock = clock
-        self._watch = runs.RunWatch(clock, look)
-        self._ended = ended_runs.EndedRuns(clock)
-        self._good = good_ends.GoodEnds(clock)
+        self._run_tracker = run_tracker.RunTracker(clock, probe)
+        self._crash_history = crash_history.CrashHistory(clock)
+        self._recent_successes = recent_successes.RecentSuccesses(clock)
         # Until when requests are held that no decision exists on.
-        self._undecided_ms: collections.OrderedDict[ids.RequestDigest, int] = (
-            collections.OrderedDict()
-        )
+        self._provisional_until_ms: collections.OrderedDict[
+            ids.RequestDigest, int
+        ] = collections.OrderedDict()
         # When this host learned of each decision.
-        self._known_ms: dict[quarantine.Quarantined, int] = {}
-        self._life = ids.new_unique()
+        self._decision_seen_ms: dict[quarantine.Quarantined, int] = {}
+        self._instance_id = ids.new_unique()
         self._tasks = runtime.Tasks()
-        self.refused = 0
-        reporter.tell_holds(self._hold)
-        peers.answers(quarantining.HoldOff)(self._hear_holds)
-        peers.answers(quarantining.RunsEnded)(self._hear_ends)
+        self.refused_count = 0
+        reporter.set_hold_callback(self._hold_provisionally)
+        peers.answers(quarantining.HoldOff)(self._handle_hold_off)
+        peers.answers(quarantining.RunsEnded)(self._collect_crash_reports)
 
     async def close(self) -> None:
         """End every task."""
@@ -81,154 +81,166 @@
 
     # What may be sent.
 
-    def held_ms(self, digest: ids.RequestDigest) -> int | None:
+    def remaining_hold_ms(self, digest: ids.RequestDigest) -> int | None:
         """Return for how long a request is held, None if it may be sent."""
         now_ms = self._clock.mono_ms()
         decided = quarantine.held(self._replica.current.quarantine, digest)
         if decided is not None:
             # Only another decision releases it.
-            left_ms = self._decided_until_ms(decided) - now_ms
-            return max(left_ms, LEAST_WAIT_MS)
-        left_ms = self._undecided_ms.get(digest, 0) - now_ms
-        return max(left_ms, LEAST_WAIT_MS) if left_ms > 0 else None
+            left_ms = self._decided_hold_end_ms(decided) - now_ms
+            return max(left_ms, MIN_HOLD_RETRY_MS)
+        left_ms = self._provisional_until_ms.get(digest, 0) - now_ms
+        return max(left_ms, MIN_HOLD_RETRY_MS) if left_ms > 0 else None
 
-    def refuse(self, digest: ids.RequestDigest) -> int | None:
+    def refuse_if_held(self, digest: ids.RequestDigest) -> int | None:
         """Return for how long a request is refused, and count it."""
-        held_ms = self.held_ms(digest)
+        held_ms = self.remaining_hold_ms(digest)
         if held_ms is not None:
-            self.refused += 1
+            self.refused_count += 1
         return held_ms
 
-    def _decided_until_ms(self, decided: quarantine.Quarantined) -> int:
-        if len(self._known_ms) > KEPT_LIMIT:
-            self._known_ms.clear()
-        known_ms = self._known_ms.setdefault(decided, self._clock.mono_ms())
-        return known_ms + holds.hold_ms(decided.ends)
+    def _decided_hold_end_ms(self, decided: quarantine.Quarantined) -> int:
+        if len(self._decision_seen_ms) > MAX_HOLDS:
+            self._decision_seen_ms.clear()
+        decision_seen_ms = self._decision_seen_ms.setdefault(
+            decided, self._clock.mono_ms()
+        )
+        return decision_seen_ms + hold_durations.hold_duration_ms(decided.ends)
 
     # How runs end.
 
     @contextlib.asynccontextmanager
-    async def watching(
+    async def track_run(
         self,
         digest: ids.RequestDigest,
         endpoint: ids.EndpointId,
         address: str,
-    ) -> collections.abc.AsyncIterator[runs.Run]:
+    ) -> collections.abc.AsyncIterator[run_tracker.Run]:
         """Watch a run for as long as the block lasts.
 
         Where it broke off, the reason is looked for before a retry.
         """
-        run = self.began(digest, endpoint, address)
+        run = self.start_run(digest, endpoint, address)
         try:
             yield run
         except (errors.MaybeSentError, transport_errors.MaybeSentError):
-            await self.broke(run)
+            await self.handle_broken_run(run)
             raise
 
-    def began(
+    def start_run(
         self,
         digest: ids.RequestDigest,
         endpoint: ids.EndpointId,
         address: str,
-    ) -> runs.Run:
+    ) -> run_tracker.Run:
         """Record that a request is sent to an endpoint."""
-        return self._watch.began(digest, endpoint, address)
+        return self._run_tracker.start_run(digest, endpoint, address)
 
-    def ended_well(self, run: runs.Run) -> None:
+    def mark_succeeded(self, run: run_tracker.Run) -> None:
         """Record a run that ended well, and clear its request."""
         digest = run.digest
-        self._good.note(digest)
-        known = self._ended.clear(digest)
-        known |= self._undecided_ms.pop(digest, None) is not None
-        if known or digest in self._replica.current.quarantine:
-            self._reporter.cleared(digest)
+        self._recent_successes.add_success(digest)
+        was_suspect = self._crash_history.clear(digest)
+        was_suspect |= self._provisional_until_ms.pop(digest, None) is not None
+        if was_suspect or digest in self._replica.current.quarantine:
+            self._reporter.report_success(digest)
 
-    async def broke(self, run: runs.Run) -> None:
+    async def handle_broken_run(self, run: run_tracker.Run) -> None:
         """Check whether a run that broke off crashed its endpoint.
 
         The check goes on if it takes longer than the call waits for it, or
         if the caller leaves.
         """
-        noting = self._tasks.start(self._note_broken(run), fatal=False)
-        await asyncio.wait([noting], timeout=LOOK_WAIT_MS / MS_PER_S)
+        checking = self._tasks.start(self._record_if_crashed(run), fatal=False)
+        await asyncio.wait([checking], timeout=PROBE_WAIT_MS / MS_PER_S)
 
-    async def _note_broken(self, run: runs.Run) -> None:
+    async def _record_if_crashed(self, run: run_tracker.Run) -> None:
         """Count a run against its request, if its endpoint crashed.
 
         Not if the request ended well elsewhere recently, or if the endpoint
         was leaving.
         """
-        if not await self._watch.broke(run) or not run.digest:
+        if not await self._run_tracker.check_crashed(run) or not run.digest:
             return
-        if self._good.lately(run.digest) or self._leaves(run.endpoint):
+        if self._recent_successes.has_recent(run.digest) or self._is_draining(
+            run.endpoint
+        ):
             return
-        self._reporter.ended(run.digest, run.endpoint)
-        self._note_end(run.digest, run.endpoint, self._clock.mono_ms())
+        self._reporter.report_crash(run.digest, run.endpoint)
+        self._count_crash(run.digest, run.endpoint, self._clock.mono_ms())
 
-    def _note_end(
+    def _count_crash(
         self,
         digest: ids.RequestDigest,
         endpoint: ids.EndpointId,
-        ended_ms: int,
+        crashed_ms: int,
     ) -> None:
-        ends = self._ended.note(digest, endpoint, ended_ms)
+        crashes = self._crash_history.record_crash(
+            digest, endpoint, crashed_ms
+        )
         decided = self._replica.current.quarantine.get(digest)
         if decided is not None:
-            ends += decided.ends
-        if ends >= ended_runs.FATAL_ENDS:
-            hold = quarantining.Hold(digest, ends, holds.UNDECIDED_HOLD_MS)
-            self._hold(hold)
+            crashes += decided.ends
+        if crashes >= crash_history.CRASH_THRESHOLD:
+            hold = quarantining.Hold(
+                digest, crashes, hold_durations.PROVISIONAL_HOLD_MS
+            )
+            self._hold_provisionally(hold)
 
     # What others say.
 
-    def _hold(self, hold: quarantining.Hold) -> None:
+    def _hold_provisionally(self, hold: quarantining.Hold) -> None:
         """Hold a request until there is a decision on it."""
-        if self._good.lately(hold.digest):
+        if self._recent_successes.has_recent(hold.digest):
             return
-        if hold.digest not in self._undecided_ms:
+        if hold.digest not in self._provisional_until_ms:
             logger.warning('request_held', digest=hold.digest, ends=hold.ends)
-        self._undecided_ms[hold.digest] = self._clock.mono_ms() + min(
-            hold.for_ms, holds.UNDECIDED_HOLD_MS
+        self._provisional_until_ms[hold.digest] = self._clock.mono_ms() + min(
+            hold.for_ms, hold_durations.PROVISIONAL_HOLD_MS
         )
-        self._undecided_ms.move_to_end(hold.digest)
-        if len(self._undecided_ms) > KEPT_LIMIT:
-            self._undecided_ms.popitem(last=False)
+        self._provisional_until_ms.move_to_end(hold.digest)
+        if len(self._provisional_until_ms) > MAX_HOLDS:
+            self._provisional_until_ms.popitem(last=False)
 
-    async def _hear_holds(
+    async def _handle_hold_off(
         self, _sender: ids.HostId, message: quarantining.HoldOff
     ) -> quarantining.HoldTaken:
         for digest in message.released:
-            self._undecided_ms.pop(digest, None)
-            self._ended.clear(digest)
+            self._provisional_until_ms.pop(digest, None)
+            self._crash_history.clear(digest)
         for hold in message.holds:
-            self._hold(hold)
+            self._hold_provisionally(hold)
         return quarantining.HoldTaken(
             [
                 hold.digest
                 for hold in message.holds
-                if self._good.lately(hold.digest)
+                if self._recent_successes.has_recent(hold.digest)
             ]
         )
 
-    async def _hear_ends(
+    async def _collect_crash_reports(
         self, _sender: ids.HostId, message: quarantining.RunsEnded
     ) -> quarantining.RunsNoted:
         """Gather ends here, where there are no control hosts."""
         now_ms = self._clock.mono_ms()
         for digest in message.cleared:
-            self._ended.clear(digest)
-            self._undecided_ms.pop(digest, None)
+            self._crash_history.clear(digest)
+            self._provisional_until_ms.pop(digest, None)
         for end in message.ends:
-            if not self._good.lately(end.digest):
-                self._note_end(end.digest, end.endpoint, now_ms - end.age_ms)
-        told = {end.digest for end in message.ends}
+            if not self._recent_successes.has_recent(end.digest):
+                self._count_crash(
+                    end.digest, end.endpoint, now_ms - end.age_ms
+                )
+        reported = {end.digest for end in message.ends}
         return quarantining.RunsNoted(
-            self._life,
+            self._instance_id,
             [
                 quarantining.Hold(
-                    digest, self._ended.count(digest), holds.UNDECIDED_HOLD_MS
+                    digest,
+                    self._crash_history.crash_count(digest),
+                    hold_durations.PROVISIONAL_HOLD_MS,
                 )
-                for digest in told
-                if self.held_ms(digest) is not None
+                for digest in reported
+                if self.remaining_hold_ms(digest) is not None
             ],
         )
--- a/wrenspoke/coordination/quarantine/runs.py
+++ b/wrenspoke/coordination/quarantine/run_tracker.py
@@ -21,14 +21,14 @@
 
 # Endpoints are near: a connection takes a millisecond or two, but behind a
 # full link or after a packet was lost, which is sent again after a second.
-LOOK_TIMEOUT_MS = 1_500
+LIVENESS_PROBE_TIMEOUT_MS = 1_500
 # All calls of an endpoint that ends break within some milliseconds; one
 # that is back takes seconds to start.
-LOOK_SERVES_MS = 500
+PROBE_REUSE_MS = 500
 
 
 # Tells whether connections to an address are refused.
-Look = collections.abc.Callable[[str, int], collections.abc.Awaitable[bool]]
+Probe = collections.abc.Callable[[str, int], collections.abc.Awaitable[bool]]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -38,32 +38,34 @@
     digest: ids.RequestDigest
     endpoint: ids.EndpointId
     address: str
-    began_ms: int
+    dispatched_ms: int
 
 
 @dataclasses.dataclass(slots=True)
-class _Look:
+class _ProbeResult:
     """Hold what a look at an endpoint showed, or will show."""
 
-    began_ms: int
+    probed_ms: int
     refused: asyncio.Future
 
-    def serves(self, now_ms: int) -> bool:
+    def is_reusable(self, now_ms: int) -> bool:
         """Tell whether it shows what a run broke by that breaks now."""
-        if now_ms - self.began_ms > LOOK_SERVES_MS:
+        if now_ms - self.probed_ms > PROBE_REUSE_MS:
             return False
         return not self.refused.done() or self.refused.result()
 
 
-class RunWatch:
+class RunTracker:
     """Tell runs that ended their endpoint from runs that broke."""
 
-    def __init__(self, clock: clocks.Clock, look: Look = reachable.is_refused):
+    def __init__(
+        self, clock: clocks.Clock, probe: Probe = reachable.is_refused
+    ):
         self._clock = clock
-        self._look = look
-        self._looks: dict[ids.EndpointId, _Look] = {}
+        self._probe = probe
+        self._probe_results: dict[ids.EndpointId, _ProbeResult] = {}
 
-    def began(
+    def start_run(
         self,
         digest: ids.RequestDigest,
         endpoint: ids.EndpointId,
@@ -72,33 +74,33 @@
         """Note that an endpoint is sent a request."""
         return Run(digest, endpoint, address, self._clock.mono_ms())
 
-    async def broke(self, run: Run) -> bool:
+    async def check_crashed(self, run: Run) -> bool:
         """Take a run that broke off; return whether its endpoint ended."""
-        ended = await self._has_ended(run)
+        crashed = await self._probe_liveness(run)
         logger.info(
             'run_broke',
             digest=run.digest,
             endpoint=run.endpoint,
-            endpoint_ended=ended,
-            ran_ms=self._clock.mono_ms() - run.began_ms,
+            endpoint_ended=crashed,
+            ran_ms=self._clock.mono_ms() - run.dispatched_ms,
         )
-        return ended
+        return crashed
 
-    async def _has_ended(self, run: Run) -> bool:
-        look = self._looks.get(run.endpoint)
+    async def _probe_liveness(self, run: Run) -> bool:
+        result = self._probe_results.get(run.endpoint)
         now_ms = self._clock.mono_ms()
-        if look is None or not look.serves(now_ms):
-            self._forget_looks(now_ms)
-            look = self._looks[run.endpoint] = _Look(
+        if result is None or not result.is_reusable(now_ms):
+            self._evict_stale_results(now_ms)
+            result = self._probe_results[run.endpoint] = _ProbeResult(
                 now_ms,
                 asyncio.ensure_future(
-                    self._look(run.address, LOOK_TIMEOUT_MS)
+                    self._probe(run.address, LIVENESS_PROBE_TIMEOUT_MS)
                 ),
             )
         # Who leaves must not take the look from the others that wait.
-        return await asyncio.shield(look.refused)
+        return await asyncio.shield(result.refused)
 
-    def _forget_looks(self, now_ms: int) -> None:
-        for endpoint, look in list(self._looks.items()):
-            if not look.serves(now_ms):
-                del self._looks[endpoint]
+    def _evict_stale_results(self, now_ms: int) -> None:
+        for endpoint, result in list(self._probe_results.items()):
+            if not result.is_reusable(now_ms):
+                del self._probe_results[endpoint]
--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -287,7 +287,7 @@
                 _reject_unframed(send, response)
                 yield EndpointResponse(response, send.echo_id)
             if run is not None:
-                self._guard.ended_well(run)
+                self._guard.mark_succeeded(run)
         except transport_errors.NotSentError as error:
             if send.ticket is not None:
                 send.ticket.mark_unsent()
@@ -361,13 +361,13 @@
         if not self._is_guarded(send):
             return contextlib.nullcontext()
         address = urllib.parse.urlsplit(endpoint.url).netloc
-        return self._guard.watching(send.head.digest, send.endpoint, address)
+        return self._guard.track_run(send.head.digest, send.endpoint, address)
 
     def _quarantined_ms(self, send: Send) -> int | None:
         """Return for how long endpoints are sent no such work."""
         if not self._is_guarded(send):
             return None
-        return self._guard.held_ms(send.head.digest)
+        return self._guard.remaining_hold_ms(send.head.digest)
 
     def _run_checks(
         self, send: Send, send_permit: endpoint_gate.GatePermit | None
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -373,7 +373,7 @@
         :raises QuarantinedError: no endpoint is sent it now
         """
         while self._left_ms(context) > attempts.MIN_TIME_LEFT_MS:
-            held_ms = self._guard.refuse(context.call.digest)
+            held_ms = self._guard.refuse_if_held(context.call.digest)
             if held_ms is not None:
                 raise errors.QuarantinedError(held_ms)
             context.permit = self._access_control.reauthorize(
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -211,7 +211,7 @@
         )
         tracked = contextlib.nullcontext()
         if destination.endpoint is not None:
-            tracked = self._guard.watching(
+            tracked = self._guard.track_run(
                 call.digest, destination.endpoint, destination.address
             )
         try:
@@ -236,7 +236,7 @@
                 finally:
                     self._count_traffic(call, destination, answer)
             if run is not None and verdict is Verdict.ANSWERED:
-                self._guard.ended_well(run)
+                self._guard.mark_succeeded(run)
         except transport_errors.HeldBackError as error:
             raise errors.SendAbortedError(str(error)) from error
         except transport_errors.NotSentError as error:
@@ -251,7 +251,7 @@
         destination: Destination,
     ) -> bool:
         """Tell, as the first byte is about to leave, whether it still may."""
-        if self._guard.held_ms(call.digest) is not None:
+        if self._guard.remaining_hold_ms(call.digest) is not None:
             return False
         if (
             destination.endpoint is not None
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -22,8 +22,8 @@
 from wrenspoke.coordination.membership import region_views
 from wrenspoke.coordination.membership import remote_hosts
 from wrenspoke.coordination.membership import replica
+from wrenspoke.coordination.quarantine import crash_reporter
 from wrenspoke.coordination.quarantine import guard
-from wrenspoke.coordination.quarantine import reporter
 from wrenspoke.coordination.serving import access
 from wrenspoke.coordination.serving import attempts
 from wrenspoke.coordination.serving import availability
@@ -242,7 +242,7 @@
         """Build what holds back requests that end endpoints."""
         self._guard = guard.Guard(
             self.replica,
-            reporter.Reporter(self.group.other_hosts, self.peers, self.clock),
+            crash_reporter.CrashReporter(self.group.other_hosts, self.peers, self.clock),
             self.peers,
             self._leaves,
             self.clock,
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -17,8 +17,8 @@
 from wrenspoke.coordination.membership import members
 from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import replica
+from wrenspoke.coordination.quarantine import crash_reporter
 from wrenspoke.coordination.quarantine import guard
-from wrenspoke.coordination.quarantine import reporter
 from wrenspoke.coordination.serving import concurrency_limits
 from wrenspoke.coordination.serving import decisions
 from wrenspoke.coordination.serving import dispatch
@@ -160,7 +160,7 @@
         gatherers = [ids.HostId(host.host) for host in told]
         self._guard = guard.Guard(
             self.replica,
-            reporter.Reporter(lambda: gatherers, self.peers, self._clock),
+            crash_reporter.CrashReporter(lambda: gatherers, self.peers, self._clock),
             self.peers,
             self._leaves,
             self._clock,
