--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -34,8 +34,7 @@
         ('if issued_ms < self.trusted_since_ms:'),
         ('if False:'),
         (
-            'tests/test_once.py::test_hosts_that_forgot_together_do_'
-            'not_run_it_again'
+            'tests/test_once.py::test_majority_restarted_together_does_not_run_it_again'
         ),
     ),
     Switch(
@@ -237,8 +236,7 @@
         ('await self._reach.reachable('),
         ('list('),
         (
-            'tests/test_regions.py::test_cut_region_serves_on_and_sa'
-            'ys_at_once_what_it_cannot'
+            'tests/test_regions.py::test_partitioned_region_serves_locally_and_fails_fast'
         ),
     ),
     Switch(
@@ -343,8 +341,7 @@
         ),
         (''),
         (
-            'tests/test_regions.py::test_work_goes_away_from_a_home_'
-            'without_engines'
+            'tests/test_regions.py::test_unbound_work_leaves_a_region_without_engines'
         ),
     ),
     Switch(
@@ -353,8 +350,7 @@
         ('        if ending.reason not in FAILOVER_REASONS:'),
         ('        if True:'),
         (
-            'tests/test_regions.py::test_work_goes_away_from_a_home_'
-            'without_engines'
+            'tests/test_regions.py::test_unbound_work_leaves_a_region_without_engines'
         ),
     ),
     Switch(
--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -154,7 +154,9 @@
         self.set_leader(next(iter(self.controls)))
         for name in self.names:
             self.hosts[name] = EntryHost(self, name)
-        self._replication_task = asyncio.ensure_future(self._replicate_decisions())
+        self._replication_task = asyncio.ensure_future(
+            self._replicate_decisions()
+        )
         return self
 
     def set_leader(self, name):
--- a/tests/test_fatal_requests.py
+++ b/tests/test_fatal_requests.py
@@ -122,7 +122,9 @@
 ):
     async with running_system(tmp_path, kind) as system:
         for number in range(COPIES):
-            await send_to_entry_host(system, number % 4, FATAL, f'fatal{number}')
+            await send_to_entry_host(
+                system, number % 4, FATAL, f'fatal{number}'
+            )
             await asyncio.gather(*(one.restart() for one in system.engines))
             await asyncio.sleep(RESEND_INTERVAL_S)
         assert len(system.ends) <= MAX_SENDS
--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -156,7 +156,9 @@
 async def test_failed_trial_doubles_the_hold():
     fleet = await quarantined_fleet.Fleet(6).start()
     await crash_three_endpoints(fleet)
-    await fleet.wait_ms(hold_durations.hold_duration_ms(crash_history.CRASH_THRESHOLD) + 3_000)
+    await fleet.wait_ms(
+        hold_durations.hold_duration_ms(crash_history.CRASH_THRESHOLD) + 3_000
+    )
     assert not fleet.hosts_holding(FATAL)
     host = list(fleet.hosts.values())[4]
     assert await host.send(FATAL, next(fleet.endpoints))
@@ -173,7 +175,9 @@
 async def test_successful_trial_ends_quarantine():
     fleet = await quarantined_fleet.Fleet(6).start()
     await crash_three_endpoints(fleet)
-    await fleet.wait_ms(hold_durations.hold_duration_ms(crash_history.CRASH_THRESHOLD) + 3_000)
+    await fleet.wait_ms(
+        hold_durations.hold_duration_ms(crash_history.CRASH_THRESHOLD) + 3_000
+    )
     host = list(fleet.hosts.values())[4]
     assert await host.send(FATAL, 'mended', fatal=False)
     await fleet.wait_ms(2 * crash_aggregator.CHECK_INTERVAL_MS + 1_000)
@@ -246,7 +250,9 @@
 
     async def _isolate_region(self):
         if self._cut_off_region is None:
-            self._cut_off_region = self._random.randrange(team_limit_fleet.REGIONS)
+            self._cut_off_region = self._random.randrange(
+                team_limit_fleet.REGIONS
+            )
             self._fleet.isolate_region(self._cut_off_region)
             self._mark_all_disturbed()
 
@@ -288,7 +294,10 @@
 
     def _is_converged(self, host):
         now_ms = self._clock.mono_ms()
-        if host.region == self._cut_off_region or self._fleet.network.lost_share:
+        if (
+            host.region == self._cut_off_region
+            or self._fleet.network.lost_share
+        ):
             return False
         calm_ms = max(self._disturbed_ms[host.name], self._all_disturbed_ms)
         return now_ms - calm_ms >= CONVERGENCE_MS
--- a/wrenspoke/coordination/agreement/leadership.py
+++ b/wrenspoke/coordination/agreement/leadership.py
@@ -120,7 +120,9 @@
             follower = self._follower_on_disk(host, disk)
             if follower is not None and follower.acked_ms is not None:
                 return follower.acked_ms
-            return self.since_ms if self._electing_voters.has(host, disk) else 0
+            return (
+                self.since_ms if self._electing_voters.has(host, disk) else 0
+            )
 
         return self._node.electorate.reached(acked_ms)
 
@@ -149,7 +151,9 @@
         if self._node.commit_index < self._start_index:
             return False
         age_ms = self._node.clock.mono_ms() - self.quorum_acked_ms()
-        return age_ms < self._node.settings.election_timeout_ms * LEASE_FRACTION
+        return (
+            age_ms < self._node.settings.election_timeout_ms * LEASE_FRACTION
+        )
 
     async def _replicate_to(
         self, host: ids.HostId, follower: followers.Follower
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -199,7 +199,9 @@
     def start(self) -> None:
         """Take part, once the others know of this start."""
         self._leader_contact_ms = self.clock.mono_ms()
-        self._tasks.start(self._rollback_check.wait_until_passed(self._reset_state))
+        self._tasks.start(
+            self._rollback_check.wait_until_passed(self._reset_state)
+        )
         self._tasks.start(self._run_election_timer())
 
     async def close(self) -> None:
@@ -305,9 +307,13 @@
             self.storage.last_term,
             pre,
         )
-        votes = vote_tally.VoteTally(self.host, self.incarnation, self.electorate)
+        votes = vote_tally.VoteTally(
+            self.host, self.incarnation, self.electorate
+        )
         tasks = [
-            asyncio.get_running_loop().create_task(self._request_vote(host, message))
+            asyncio.get_running_loop().create_task(
+                self._request_vote(host, message)
+            )
             for host in votes.other_voters
         ]
         try:
@@ -327,7 +333,9 @@
         finally:
             await runtime.cancel(tasks)
         if not votes.won:
-            votes.log_lost(message, self.clock.mono_ms() - self._leader_contact_ms)
+            votes.log_lost(
+                message, self.clock.mono_ms() - self._leader_contact_ms
+            )
         return votes.won
 
     async def _request_vote(
@@ -454,7 +462,9 @@
         self.role = Role.LEADER
         self.leader = self.host
         logger.info('leading', term=self.term)
-        self._leadership = leadership.Leadership(self, self.term, asked_ms, self._leadership_tasks)
+        self._leadership = leadership.Leadership(
+            self, self.term, asked_ms, self._leadership_tasks
+        )
         try:
             self._append_entry(entries.LeaderStart(self.host))
         except state_errors.DiskFullError:
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -242,7 +242,9 @@
         """Build what holds back requests that end endpoints."""
         self._guard = guard.Guard(
             self.replica,
-            crash_reporter.CrashReporter(self.group.other_hosts, self.peers, self.clock),
+            crash_reporter.CrashReporter(
+                self.group.other_hosts, self.peers, self.clock
+            ),
             self.peers,
             self._leaves,
             self.clock,
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -160,7 +160,9 @@
         gatherers = [ids.HostId(host.host) for host in told]
         self._guard = guard.Guard(
             self.replica,
-            crash_reporter.CrashReporter(lambda: gatherers, self.peers, self._clock),
+            crash_reporter.CrashReporter(
+                lambda: gatherers, self.peers, self._clock
+            ),
             self.peers,
             self._leaves,
             self._clock,
