--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -1,8 +1,8 @@
-"""Choose the endpoint or the other region that serves a call.
+"""Select the endpoint or the remote host that serves a call.
 
-What may get work (see ``availability``) is ranked by what it would cost
-the call and others. The same estimates are what this region offers to
-others.
+Available endpoints (see ``availability``) are ranked by what they would cost
+the call and concurrent calls (see ``costs``). The same estimates are offered
+to the hosts of other regions.
 """
 
 import collections.abc
@@ -28,27 +28,27 @@
 from wrenspoke.state import registry
 from wrenspoke.state import routes
 
-# Added for an endpoint that has not renewed its registration for long:
-# more than any wait elsewhere, less than having none.
+# Added for an endpoint whose registration has not been renewed recently, so
+# that it is used only where there is no other.
 STALE_REGISTRATION_PENALTY_MS = 5_000
-# Added where every endpoint is set aside: other regions go before them.
+# Added where every endpoint is degraded, so that other regions are preferred.
 DEGRADED_PENALTY_MS = 3_000
-# Added where an engine's memory or batch is full: about the time in which
-# one of its streams ends.
+# Added where an engine's KV cache or batch is full: roughly the time until
+# one of its streams completes.
 NO_CAPACITY_PENALTY_MS = 500.0
 EMPTY_CALL = dialects.Call(ids.RequestId(''), '', '', '', [], 0, 0)
 
 
 @dataclasses.dataclass(slots=True)
 class EndpointSelection:
-    """Name the endpoint that a call goes to, and how it was found.
-
-    ``first_ms`` is when its first piece is expected, with what speaks
-    against the endpoint added, ``cost_ms`` what that costs the call and
-    others (see ``costs``), ``room`` whether it can begin at once,
-    ``usual`` whether it is the one that hosts agree on for the prompt's
-    prefix. From ``source`` it can take ``moved_tokens`` of the prompt
-    over, instead of reading them.
+    """A candidate endpoint for a call, with its estimates.
+
+    ``first_ms`` is the expected time to the first piece with all penalties
+    added, and ``cost_ms`` the resulting cost (see ``costs``).
+    ``can_start_now`` is whether the call would start without queueing, and
+    ``has_affinity`` whether the prompt's prefix hashes to this endpoint. If
+    ``source`` is set, the KV cache of ``moved_tokens`` prompt tokens can be
+    fetched from there instead of being computed.
     """
 
     registered: registry.Registered
@@ -63,7 +63,7 @@
 
 
 class EndpointSelector:
-    """Choose among registered endpoints and other regions."""
+    """Selects among registered endpoints and hosts of other regions."""
 
     def __init__(
         self,
@@ -93,7 +93,7 @@
         self.in_flight: dict[ids.EndpointId, int] = {}
 
     def serving_regions(self, route: routes.Route) -> list[ids.RegionId]:
-        """Return the regions that may serve a route, this one first."""
+        """Return the regions that may serve a route, the local one first."""
         allowed = {
             region for region in self._regions.values() if route.allows(region)
         }
@@ -102,7 +102,7 @@
     def draw_service(
         self, targets: tuple[routes.Target, ...]
     ) -> ids.ServiceId:
-        """Draw one of a route's services by their weights."""
+        """Return one of a route's services, picked at random by weight."""
         weights = [target.weight for target in targets]
         return self._random.choices(targets, weights)[0].service
 
@@ -114,7 +114,7 @@
         excluded: collections.abc.Container[ids.EndpointId],
         bounds: costs.LatencyBounds,
     ) -> EndpointSelection | None:
-        """Return the best endpoint of this region, None without one."""
+        """Return the cheapest local endpoint, or None if there is none."""
         admissible = [
             found
             for found in self._availability.usable_endpoints(
@@ -168,7 +168,7 @@
     def _cost_ms(
         self, bounds: costs.LatencyBounds, item: 'EndpointSelection'
     ) -> float:
-        """Return what an endpoint would cost the call and others."""
+        """Return an endpoint's cost to the call and to concurrent calls."""
         found = item.estimate
         end_ms = found.end_ms + item.first_ms - found.first_ms
         waiting_ms = costs.latency_cost_ms(
@@ -229,10 +229,11 @@
         call: dialects.Call,
         candidates: list[registry.Registered],
     ) -> prefix_index.CacheHolder | None:
-        """Return the engine that keeps the most of a prompt.
+        """Return the engine that caches the longest prefix of a prompt.
 
-        Only what this host sent there counts: where every host trusted
-        the usual engine to have it, too few would send it there.
+        Only prompts that were sent there count, not affinity: if all hosts
+        assumed that the affinity engine holds a prefix, too few would send
+        it there.
         """
         if service.batch is None:
             return None
@@ -242,7 +243,7 @@
         return self._estimator.prefixes.best_cache_holder(call.parts, names)
 
     def _supports_transfer(self, service: routes.RoutedService) -> bool:
-        """Tell whether engines can take prompts over from each other."""
+        """Return whether engines can transfer KV cache to each other."""
         if service.batch is None or not service.batch.moves:
             return False
         return self._is_enabled(mechanisms.Mechanism.TAKING_OVER)
@@ -253,7 +254,7 @@
         call: dialects.Call,
         holder: prefix_index.CacheHolder | None,
     ) -> None:
-        """Let an engine take from the holder what it lacks of a prompt."""
+        """Set the source of a cache transfer, if one is worth its cost."""
         name = item.registered.said.endpoint
         if holder is None or holder.endpoint == name:
             return
@@ -266,13 +267,13 @@
         item.moved_tokens = holder.tokens - kept
 
     def estimate_spread(self, service: ids.ServiceId) -> float:
-        """Return how far estimates of a service are off, in the mean."""
+        """Return the mean absolute log error of a service's estimates."""
         return self._estimator.model_for(service).spread
 
     def allowed_remote_regions(
         self, route: routes.Route
     ) -> list[ids.RegionId]:
-        """Return the other regions that may serve a route, in any order."""
+        """Return the remote regions that may serve a route, shuffled."""
         regions = [
             region
             for region in self.serving_regions(route)
@@ -284,12 +285,12 @@
     def endpoint_retry_after_ms(
         self, service: routes.RoutedService, urgency: int
     ) -> float | None:
-        """Return when a call that was turned away should come back.
+        """Return in how many ms a refused call should be retried.
 
-        That is once an endpoint here takes calls again: one that is cold
-        has warmed up, one that was set aside is tried again, one that named
-        a limit takes more. Where all name limits those that were turned
-        away come one behind the other. None if nothing tells.
+        That is once a local endpoint has warmed up, its ejection has ended,
+        or its advertised limit admits more. If all endpoints advertise
+        limits, retries are spread out at the rate that these admit. None if
+        no endpoint gives a time.
         """
         now_ms = self._clock.mono_ms()
         usable = self._availability.usable_endpoints(
@@ -316,14 +317,14 @@
         return max(min(waits_ms), line.schedule(urgency, sum(shares)))
 
     def all_in_backoff(self, service: routes.RoutedService) -> bool:
-        """Return whether every endpoint of a service asked for backoff."""
+        """Return whether this host backs off from all of its endpoints."""
         usable = self._availability.usable_endpoints(
             service.service, self._region
         )
         return bool(usable) and all(map(self._availability.in_backoff, usable))
 
     def free_slots(self, service: routes.RoutedService) -> int:
-        """Return the places of a service here that are known to be free."""
+        """Return the number of batch slots known to be free locally."""
         return sum(
             self._estimator.free_slots(found, service)
             for found in self._availability.healthy_endpoints(
@@ -332,7 +333,7 @@
         )
 
     def build_offers(self) -> list[messages.Offer]:
-        """Return what calls to each service would find in this region."""
+        """Return the offers for each service to be sent to other regions."""
         services = self._replica.current.routes.services.values()
         made = [self._build_offer(service) for service in services]
         return [offer for offer in made if offer is not None]
@@ -345,7 +346,8 @@
         )
         if not found:
             return None
-        # Endpoints with a limit are reserved for their own region.
+        # Endpoints that advertise a limit are kept for local calls, if there
+        # are others.
         unlimited = [
             one
             for one in found
@@ -394,9 +396,9 @@
         region: ids.RegionId,
         excluded: collections.abc.Container[ids.HostId],
     ) -> attending.HostRecord | None:
-        """Return an entry host of another region to pass a call to.
+        """Return an entry host of another region to forward a call to.
 
-        The first two that answer share what this host passes on.
+        Calls are spread over the first ``TARGETS_PER_REGION`` reachable hosts.
         """
         hosts = [
             record
