--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -1,9 +1,8 @@
-"""Decide where a passed-through call is sent next: here or elsewhere.
+"""Select the next destination of a passed-through call.
 
-Every place that may serve is weighed alike: by when the first piece is
-expected there, what of that its caller notices, what the call takes from
-others, and what is known to be lost on the way. What can't be served before
-its deadline anywhere is turned away at once.
+Local endpoints and remote regions are compared by one cost: the expected
+latency of the call, the load that it puts on others, and the overhead of
+forwarding. A call that is unlikely to meet its deadline is refused at once.
 """
 
 import collections.abc
@@ -27,35 +26,36 @@
 
 logger = structlog.get_logger(__name__)
 
-# A call that misses its deadline four times in five is not sent.
+# Calls that miss their deadline with a higher probability are refused.
 DEADLINE_MISS_LIMIT = 0.8
-# What a KB that goes to another region is worth, in ms of first piece: of
-# a prompt of 20 KB about the round trip that it travels.
+# Cost of a KB sent to another region, in ms of time to the first piece.
 REMOTE_KB_COST_MS = 3.0
-# What any call is worth that stays: a host more that may fail on its way.
+# Cost of forwarding any call: one more host that may fail.
 REMOTE_CALL_COST_MS = 20.0
 MIN_RETRY_AFTER_MS = 100
 
 
 class BusyError(errors.CoordinationError):
-    """Say that the host that passed a call on can do better itself."""
+    """Raised if the forwarding host can serve the call sooner itself."""
 
     def __init__(self, first_ms: float):
-        super().__init__(f'first piece after {first_ms:.0f} ms')
+        super().__init__(f'busy: first piece expected after {first_ms:.0f} ms')
         self.first_ms = first_ms
 
 
 class UnmeetableDeadlineError(errors.CoordinationError):
-    """Say that a call can't be served before its deadline."""
+    """Raised if a call is unlikely to meet its deadline."""
 
     def __init__(self, first_ms: float, retry_after_ms: int):
-        super().__init__(f'first piece after {first_ms:.0f} ms')
+        super().__init__(
+            f'deadline missed: first piece expected after {first_ms:.0f} ms'
+        )
         self.first_ms = first_ms
         self.retry_after_ms = retry_after_ms
 
 
 class DestinationSelector:
-    """Find the place for a call's next try."""
+    """Selects the destination of a call's next attempt."""
 
     def __init__(
         self,
@@ -78,10 +78,10 @@
     def next_destination(
         self, context: call_context.CallContext
     ) -> sending.Destination | None:
-        """Return where to send a call, None where nothing takes it.
+        """Return where to send a call, or None if no destination is left.
 
-        :raises BusyError: who passed it on can do better
-        :raises HopelessError: no place would serve it in time
+        :raises BusyError: the forwarding host can serve it sooner itself
+        :raises UnmeetableDeadlineError: no destination would meet its deadline
         """
         hop = context.hop
         if hop is not None and hop.region not in (None, self._region):
@@ -125,9 +125,9 @@
         first_ms: float,
         end_ms: float,
     ) -> None:
-        """Turn away what would most likely miss its deadline.
+        """Refuse a call that would most likely miss its deadline.
 
-        What was sent before, and may go on, is not turned away.
+        A call that was sent before is not refused, as it may be resumed.
         """
         spread = self._selector.estimate_spread(context.service.service)
         lost = costs.deadline_miss_probability(
@@ -138,7 +138,7 @@
         if not self._is_enabled(mechanisms.Mechanism.REFUSING_HOPELESS):
             return
         logger.info(
-            'hopeless',
+            'deadline_unmeetable',
             request=context.call.request,
             route=context.route.name,
             first_ms=round(first_ms),
@@ -213,7 +213,7 @@
     def _best_remote_offer(
         self, context: call_context.CallContext, bounds: costs.LatencyBounds
     ) -> tuple[remote_regions.RegionOffer | None, float]:
-        """Return the best other region and what it costs."""
+        """Return the cheapest remote offer and its cost in ms."""
         best, best_ms = None, 0.0
         spread = self._selector.estimate_spread(context.service.service)
         for region in self._selector.allowed_remote_regions(context.route):
@@ -242,7 +242,7 @@
     def _find_relay_host(
         self, context: call_context.CallContext, region: ids.RegionId
     ) -> attending.HostRecord | None:
-        """Return a host by way of which a region can be reached."""
+        """Return a host of a third region that can reach a region."""
         allowed = self._selector.allowed_remote_regions(context.route)
         for host in self._remote_regions.relay_hosts(region, allowed):
             if host.host not in context.attempted:
@@ -252,7 +252,7 @@
     def _relay_destination(
         self, context: call_context.CallContext, region: ids.RegionId
     ) -> sending.Destination | None:
-        """Return the host that a call for a third region goes on to."""
+        """Return the destination of a call that this host relays."""
         if region in context.refusing_regions or not context.route.allows(
             region
         ):
@@ -288,7 +288,8 @@
         found: remote_regions.RegionOffer,
         local: endpoint_selector.EndpointSelection | None,
     ) -> sending.Destination:
-        # Where it is turned back, the way there and back is lost as well.
+        # Not reduced by the travel time, as a refused call would lose the
+        # round trip as well.
         limit_ms = context.deadline_ms - self._clock.mono_ms()
         if local is not None:
             limit_ms = min(limit_ms, local.first_ms)
