--- a/wrenspoke/coordination/serving/call_context.py
+++ b/wrenspoke/coordination/serving/call_context.py
@@ -1,4 +1,4 @@
-"""How far serving one passed-through call has come."""
+"""State of serving one passed-through call."""
 
 import dataclasses
 
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass
 class RetainedResponse:
-    """Hold an endpoint's failure while another try is made."""
+    """An endpoint's error response, kept while the call is retried."""
 
     status: int
     fields: dialects.Fields
@@ -22,7 +22,11 @@
 
 @dataclasses.dataclass
 class CallContext:
-    """Hold how far serving one call has come."""
+    """State of serving one call, over all of its attempts.
+
+    ``runs`` counts the endpoints that may have run it, ``send_count`` the
+    sends that may have reached one.
+    """
 
     call: dialects.Call
     permit: access.RoutePermit
@@ -40,9 +44,9 @@
     attempted: set[str] = dataclasses.field(default_factory=set)
     cause: str = ''
     retry_after_ms: int | None = None
-    # When a host elsewhere that could not send it said to come back.
+    # Retry-After of a remote host that had no endpoint for it.
     remote_retry_after_ms: int | None = None
-    # Endpoints that took no more when it was about to be sent.
+    # Permits denied by endpoint limits.
     permit_rejections: int = 0
     first_piece_at_ms: int | None = None
     last_piece_at_ms: int | None = None
@@ -52,35 +56,35 @@
 
     @property
     def route(self) -> routes.Route:
-        """Return the call's route, with the homes that its team allows."""
+        """Return the call's route, restricted to its team's homes."""
         return self.permit.route
 
     def record_piece(self, now_ms: int) -> None:
-        """Note that a piece of the answer goes to the caller."""
+        """Record that a piece of the response is sent to the caller."""
         if self.last_piece_at_ms is not None:
             pause_ms = now_ms - self.last_piece_at_ms
             self.longest_pause_ms = max(self.longest_pause_ms, pause_ms)
         self.last_piece_at_ms = now_ms
 
     def mark_not_run(self) -> None:
-        """Take back that the last send may have run."""
+        """Record that the last send was not run."""
         self.count_runs(-1)
         self.unexecuted_sends += 1
 
     def count_runs(self, delta: int) -> None:
-        """Count runs, and tell them to a host that passed the call on."""
+        """Add to the runs, also to those reported to the forwarding host."""
         self.runs += delta
         if self.hop is not None:
             self.reply.runs = self.runs
 
     @property
     def runs_limit(self) -> int:
-        """Return how many endpoints may run it, as seen from here."""
+        """Return how many endpoints may run the call from this host on."""
         if self.hop is not None:
             return self.hop.attempts_left
         return self.route.attempts_limit
 
     @property
     def may_have_run(self) -> bool:
-        """Tell whether an endpoint may have begun it."""
+        """Return whether an endpoint may have started the call."""
         return self.runs > 0
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -1,9 +1,9 @@
-"""Serve calls that are passed through: routes, tries and their ends.
+"""Serve passed-through calls: authorization, limits, attempts, final errors.
 
-A call is sent to one endpoint at a time. What may run twice is tried
-again within the route's attempts and the shared budget; what may not is
-only sent again after a promise that it was not run. Given up on, it gets
-its final answer at once.
+A call is sent to one endpoint at a time. Calls of repeatable routes are
+retried within the route's attempts and the shared retry budget; other calls
+are sent again only if they are known not to have run. When no attempt is
+left, the caller gets the final response at once.
 """
 
 import asyncio
@@ -40,22 +40,21 @@
 BAD_GATEWAY = 502
 UNAVAILABLE = 503
 GATEWAY_TIMEOUT = 504
-# Sends that reached no endpoint, or that it refused unrun.
+# Sends of a call that reached no endpoint or were refused without being run.
 UNEXECUTED_SENDS_LIMIT = 4
-# Permits that one call asks for, where each is denied. Each denial starts a
-# backoff, so that later calls do not ask the same endpoint.
+# Permits that may be denied to a call before it is given up on. Each denial
+# starts a backoff, so that later calls skip the endpoint.
 PERMIT_REJECTIONS_LIMIT = 8
-# A host that lags waits for the configuration that the first went by.
+# How long to wait for the configuration that the forwarding host used.
 CATCH_UP_MS = 600
-# Where nothing tells when an endpoint is back: some pings of other regions.
+# Retry-After where no endpoint gives a time.
 RETRY_AFTER_MS = 500
-# A host that starts has what it needs 0.2 to 0.7 s later; calls wait for
-# that, as they would be late after coming back.
+# How long calls wait for a starting host to get its configuration and lease.
 START_WAIT_MS = 1_000
 START_RETRY_AFTER_MS = 1_000
 
 
-# What is said to a caller that the configuration does not let be served.
+# Status and reason for callers that may not be served.
 _DENIALS = {
     errors.NoRouteError: (NOT_FOUND, passing.Refusal.NO_ROUTE),
     errors.UnknownKeyError: (UNAUTHORIZED, passing.Refusal.UNKNOWN_KEY),
@@ -64,7 +63,7 @@
 
 
 class PassThrough:
-    """Serve passed-through calls on an entry host."""
+    """Serves passed-through calls on an entry host."""
 
     def __init__(
         self,
@@ -97,12 +96,12 @@
 
     @property
     def body_limit_bytes(self) -> int:
-        """Return how large a body may be."""
+        """Return the maximum size of a request body."""
         return self._replica.current.routes.limits.body_bytes
 
     @property
     def ready(self) -> bool:
-        """Tell whether this host should be given requests."""
+        """Return whether load balancers should send requests here."""
         return (
             not self.leaving
             and self._replica.serving
@@ -116,7 +115,7 @@
         reply: passing.Reply,
         hop: passing.Hop | None,
     ) -> None:
-        """Answer one call."""
+        """Serve one call; ``hop`` is set if another host forwarded it."""
         self.in_flight += 1
         if hop is not None:
             reply.runs = 0
@@ -130,7 +129,7 @@
     async def _serve_and_refund(
         self, context: call_context.CallContext
     ) -> None:
-        """Serve a call; what it took and did not use is given back."""
+        """Serve a call; refund its tokens if no endpoint can have run it."""
         try:
             await self._serve(context)
         finally:
@@ -143,7 +142,7 @@
         reply: passing.Reply,
         hop: passing.Hop | None,
     ) -> call_context.CallContext | None:
-        """Find the call's route; answer it where there is none."""
+        """Return the context to serve a call in, or None if it was refused."""
         if self.closed:
             await self._refuse(call, reply, passing.Refusal.LEAVING)
             return None
@@ -166,7 +165,7 @@
             await self._deny(call, reply, error)
             return None
         call.digest = _digest_of(call, permit)
-        # Of the table that the permit is by, which may be a newer one.
+        # The permit may be based on a newer table than the one read above.
         table = self._replica.current.routes
         service = table.service(self._select_service(permit.route, hop))
         try:
@@ -191,11 +190,12 @@
         permit: access.RoutePermit,
         hop: passing.Hop | None,
     ) -> limiters.Reservation | None:
-        """Take what a call needs of its team's limit.
+        """Take a call's tokens from its team's limit.
 
-        It counts where the caller sent it; open routes count for nobody.
+        Forwarded calls were counted by the first host; open routes are not
+        limited.
 
-        :raises OverLimitError: there is not enough now
+        :raises OverLimitError: too few tokens are left
         """
         if hop is not None or permit.team is None or permit.route.open:
             return None
@@ -207,7 +207,7 @@
         reply: passing.Reply,
         error: limiters.OverLimitError,
     ) -> None:
-        """Tell a caller when its team's limit has room for its call."""
+        """Refuse a call with the time until its team's limit admits it."""
         logger.info(
             'request_over_limit',
             request=call.request,
@@ -223,12 +223,12 @@
         )
 
     async def _permit(self, call: dialects.Call) -> access.RoutePermit:
-        """Return what a call may do.
+        """Authorize a call, waiting for this host's first lease if need be.
 
-        A host that has just started is waited for; one that lost its
-        lease may be cut off for long, and callers find another one.
+        There is no wait for a lease that was lost, as the host may be
+        partitioned for long.
 
-        :raises DeniedError: it may not be served, or not here
+        :raises DeniedError: the call may not be served, or not here
         """
         try:
             return self._access_control.authorize(call)
@@ -249,7 +249,7 @@
         reply: passing.Reply,
         error: errors.DeniedError,
     ) -> None:
-        """Refuse what the configuration does not let this host serve."""
+        """Refuse a call that the configuration denies."""
         status, reason = _DENIALS[type(error)]
         logger.info(
             'request_denied',
@@ -275,13 +275,13 @@
 
     @property
     def _has_current_configuration(self) -> bool:
-        """Tell whether what this host holds may be served by."""
+        """Return whether this host's configuration may be served from."""
         return self._replica.serving and self._discovery.recently_ran
 
     async def _wait_for_current_configuration(
         self, call: dialects.Call
     ) -> None:
-        """Let a caller's call wait for what a host needs that starts."""
+        """Wait for the configuration of a host that is starting."""
         try:
             async with clocks.timeout_ms(min(START_WAIT_MS, call.left_ms)):
                 while not self._has_current_configuration:
@@ -310,7 +310,7 @@
 
     async def _serve(self, context: call_context.CallContext) -> None:
         if context.hop is None:
-            # Counted where the caller sent it, and nowhere else.
+            # Forwarded calls were counted by the first host.
             self._retry_budget.record_request(context.service.service)
         try:
             async with clocks.timeout_ms(self._left_ms(context)):
@@ -352,10 +352,10 @@
     async def _refuse_quarantined(
         self, context: call_context.CallContext, error: errors.QuarantinedError
     ) -> None:
-        """Turn away at once what no endpoint is sent.
+        """Refuse a quarantined request with a 503 and the time that is left.
 
-        It is no fault of how the caller asks, and may be served once it is
-        tried again; so it is told when, and not that it asks wrongly.
+        Not with a 4xx status: the request may be valid, and may be served
+        after the quarantine.
         """
         logger.info(
             'quarantine_refused',
@@ -368,9 +368,9 @@
         )
 
     async def _run_attempts(self, context: call_context.CallContext) -> bool:
-        """Try until it is answered; False when it is given up.
+        """Attempt a call until it is answered; False if it is given up on.
 
-        :raises QuarantinedError: no endpoint is sent it now
+        :raises QuarantinedError: the request is quarantined
         """
         while self._left_ms(context) > attempts.MIN_TIME_LEFT_MS:
             held_ms = self._guard.refuse_if_held(context.call.digest)
@@ -383,8 +383,7 @@
             if destination is None:
                 context.cause = context.cause or 'no_endpoint'
                 return False
-            # Before the budget of repeats, which a call that is not sent
-            # leaves as it is.
+            # Before the retry budget, which is spent only by actual sends.
             if not await self._attempts.acquire_permit(context, destination):
                 if context.permit_rejections >= PERMIT_REJECTIONS_LIMIT:
                     return False
@@ -414,7 +413,7 @@
     async def _give_up(
         self, context: call_context.CallContext, status: int
     ) -> None:
-        """Give the final answer, at once, and say whether it has run."""
+        """Send the final response; a 503 says that the call was not run."""
         if not context.may_have_run:
             status = UNAVAILABLE
         logger.warning(
@@ -452,10 +451,7 @@
         await context.reply.refuse(status, reason, retry_after_ms)
 
     def _retry_hint_ms(self, context: call_context.CallContext) -> int:
-        """Return when a caller that found no endpoint should come back.
-
-        Callers that are sent away together are spread.
-        """
+        """Return a jittered Retry-After for a call without an endpoint."""
         known_ms = self._selector.endpoint_retry_after_ms(
             context.service, context.permit.urgency
         )
@@ -467,7 +463,7 @@
         return retry_schedule.jittered_ms(known_ms, urgency)
 
     async def drain(self, timeout_ms: int) -> bool:
-        """Take nothing new and wait; True if all of it ended."""
+        """Refuse new calls and wait; return whether all calls completed."""
         self.leaving = True
         self.closed = True
         end_ms = self._clock.mono_ms() + timeout_ms
@@ -479,7 +475,7 @@
 def _digest_of(
     call: dialects.Call, permit: access.RoutePermit
 ) -> ids.RequestDigest:
-    """Return what a call asks for; a team may show another key each time."""
+    """Return the digest of a request, by team and not by its current key."""
     if permit.team is not None:
         caller = permit.team.team
     else:
