--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -1,8 +1,8 @@
-"""Make one attempt at serving a passed-through call.
+"""Run one attempt at a passed-through call.
 
-A call is sent once, to an endpoint or to a host of another region. The
-response is passed on, or held back where another attempt is due. Health,
-pace and time to the first piece are learned from it.
+The call is sent once, to an endpoint or to a host of another region. Its
+response is forwarded to the caller, or retained if another attempt is due.
+Outcome, pace and time to the first piece are recorded.
 """
 
 import asyncio
@@ -34,14 +34,14 @@
 OK_STATUSES = range(200, 300)
 UNAVAILABLE = 503
 SERVER_ERRORS = range(500, 600)
-# Responses up to this size are buffered, so that one cut short can be retried.
+# Responses up to this size are buffered, so that a truncated one is retried.
 BUFFERED_BODY_LIMIT_BYTES = 8 * 1024 * 1024
-# With less time left an attempt is not worth making.
+# No attempt is started with less time left.
 MIN_TIME_LEFT_MS = 20
 
 
 class AttemptRunner:
-    """Send calls, and pass responses on or hold them back."""
+    """Sends calls, and forwards or retains their responses."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
         context: call_context.CallContext,
         destination: sending.Destination,
     ) -> bool:
-        """Send once; return whether the caller has its answer."""
+        """Send a call once; return whether the caller got its response."""
         counts = self._selector.in_flight
         counts[destination.name] = counts.get(destination.name, 0) + 1
         last_event = context.call.last_event
@@ -119,7 +119,7 @@
         context: call_context.CallContext,
         destination: sending.Destination,
     ) -> bool:
-        """Acquire a permit to send; False where the endpoint takes no more."""
+        """Acquire a permit to send; return False if a limit denies it."""
         try:
             await self._sender.acquire_permit(
                 destination, _permit_rank(context, destination)
@@ -191,10 +191,10 @@
         context: call_context.CallContext,
         destination: sending.Destination,
     ) -> collections.abc.AsyncIterator[None]:
-        """Give up on a host that falls silent, if the call may be retried.
+        """Abort if the remote host becomes unreachable, on repeatable routes.
 
-        A call that may not run twice waits: the response may come once a
-        partition has healed.
+        Other calls wait for a response, which may come once a partition has
+        healed.
         """
         if destination.host is None or not context.route.repeatable:
             yield
@@ -212,7 +212,9 @@
         except TimeoutError as error:
             if not bound.expired():
                 raise
-            raise errors.MaybeSentError('host fell silent') from error
+            raise errors.MaybeSentError(
+                f'host {destination.host} became unreachable'
+            ) from error
 
     def _on_failure(
         self,
@@ -223,7 +225,7 @@
     ) -> None:
         context.cause = cause
         if destination.host is None or not destination.answered:
-            # A host that answers and breaks off lost its endpoint.
+            # A host whose response breaks off has lost its endpoint.
             self._outlier_detector.record_failure(
                 destination.address, cause, destination.sent_ms, certain
             )
@@ -244,8 +246,8 @@
     ) -> None:
         """Record that a send was rejected by a check at send time.
 
-        Where another team holds its key now, the place may be tried again;
-        not where the permit expired on the way.
+        The destination may be tried again, e.g. if the key belongs to another
+        team now, unless the permit has expired.
         """
         if (
             destination.send_permit is None
@@ -254,7 +256,7 @@
             context.attempted.discard(destination.name)
         context.cause = f'{destination.name}: may not go there any more'
         logger.warning(
-            'held_back',
+            'send_aborted',
             request=context.call.request,
             route=context.route.name,
             place=destination.name,
@@ -268,7 +270,7 @@
         destination: sending.Destination,
         answer: sending.UpstreamResponse,
     ) -> bool:
-        """Pass a response on, or hold it back where another attempt is due."""
+        """Forward a response, or retain it if another attempt is due."""
         destination.answered = True
         if context.retained_response is not None and answer.refused is None:
             self._retry_outcomes.record_outcome(
@@ -279,7 +281,7 @@
         if answer.verdict is sending.Verdict.MISDIRECTED:
             context.mark_not_run()
             context.cause = 'not here any more'
-            # Nothing of this life of it will come back.
+            # This instance of the endpoint is gone for good.
             self._discovery.withdraw(
                 destination.endpoint,
                 destination.chosen.registered.said.born_ms,
@@ -328,10 +330,11 @@
         destination: sending.Destination,
         answer: sending.UpstreamResponse,
     ) -> bool:
-        """Take the refusal of a host of another region.
+        """Handle the refusal of a host of another region.
 
-        :raises UnknownKeyError: by its configuration, which is no older
-        :raises QuarantinedError: it knows that endpoints ended under it
+        :raises UnknownKeyError: its configuration, which is no older than
+            this host's, does not have the key
+        :raises QuarantinedError: the request is quarantined there
         """
         context.cause = f'{destination.name}: {answer.refused}'
         if answer.status == UNAVAILABLE:
@@ -362,15 +365,13 @@
             and self._left_ms(context) > MIN_TIME_LEFT_MS
         )
 
-    # Streams.
-
     async def _forward_stream(
         self,
         context: call_context.CallContext,
         destination: sending.Destination,
         answer: sending.UpstreamResponse,
     ) -> None:
-        """Pass a stream on; the head is sent with the first piece."""
+        """Forward a stream; its head is sent with the first piece."""
         tracker = event_tracker.EventTracker(
             whole_only=context.route.resumable
         )
@@ -384,7 +385,7 @@
         answer: sending.UpstreamResponse,
         tracker: event_tracker.EventTracker,
     ) -> None:
-        """Pass events on, and record the engine's pace."""
+        """Forward events, and record the engine's pace."""
         with self._gap_recorder(context, destination) as paced:
             async for chunk in answer.chunks():
                 data = tracker.feed(chunk)
@@ -436,7 +437,7 @@
         destination: sending.Destination,
         answer: sending.UpstreamResponse,
     ) -> bool:
-        """Continue a stream that another endpoint began."""
+        """Resume a stream that another endpoint started."""
         if answer.status not in OK_STATUSES:
             context.cause = f'not resumed: status {answer.status}'
             return False
@@ -485,9 +486,9 @@
     def _time_to_first_ms(
         context: call_context.CallContext, destination: sending.Destination
     ) -> int | None:
-        """Return how long the first piece took after the call was sent.
+        """Return the time from the send to the first piece.
 
-        None where another endpoint gave it.
+        None if the first piece came from another endpoint.
         """
         if (
             context.first_piece_at_ms is None
@@ -500,9 +501,9 @@
 def _permit_rank(
     context: call_context.CallContext, destination: sending.Destination
 ) -> int:
-    """Return a call's rank among those that want the same endpoint.
+    """Return a call's rank in the queue for an endpoint's permits.
 
-    A stream that another endpoint began goes first.
+    Streams to be resumed go first.
     """
     if context.tracker is not None or destination.chosen is None:
         return endpoint_limits.FIRST_RANK
--- a/wrenspoke/coordination/serving/event_tracker.py
+++ b/wrenspoke/coordination/serving/event_tracker.py
@@ -1,20 +1,20 @@
-"""Follow the events of a stream as its bytes pass.
+"""Track the server-sent events of a stream as its bytes are forwarded.
 
-An event ends with an empty line. A stream that may be taken up elsewhere
-is passed on in whole events only, since its endpoint may break off inside
-one, and the next begins behind the last whole one.
+An event ends with an empty line. A resumable stream is forwarded in whole
+events only: its endpoint may break off inside one, and the endpoint that
+resumes it starts after the last whole event.
 """
 
 import re
 
 EVENT_END = re.compile(rb'\r\n\r\n|\n\n|\r\r')
 ID_LINE = re.compile(rb'^id: ?([^\r\n]*)', re.MULTILINE)
-# No event of text is larger; a stream without ends is passed on as it is.
+# Streams with larger events are forwarded unbuffered.
 EVENT_BUFFER_LIMIT_BYTES = 1024 * 1024
 
 
 class EventTracker:
-    """Know the last whole event of a stream."""
+    """Tracks the last whole event of a stream."""
 
     def __init__(self, whole_only: bool):
         self._whole_only = whole_only
@@ -23,7 +23,7 @@
         self.event_count = 0
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes and return those that may be passed on."""
+        """Add received bytes and return those that may be forwarded."""
         self._buffer += data
         end = 0
         for found in EVENT_END.finditer(self._buffer):
@@ -34,7 +34,7 @@
             return whole
         if self._whole_only:
             return whole + self._flush_buffer()
-        # What is passed on piece by piece is still looked at whole.
+        # Forwarded as received, but parsed in whole events.
         self._buffer = self._buffer[-EVENT_BUFFER_LIMIT_BYTES:]
         return data
 
@@ -49,9 +49,9 @@
         return rest
 
     def take_remainder(self) -> bytes:
-        """Return what is held back behind the last whole event."""
+        """Return the buffered bytes after the last whole event."""
         return self._flush_buffer() if self._whole_only else b''
 
     def discard_partial(self) -> None:
-        """Drop a part of an event; the next stream sends it whole."""
+        """Discard a partial event, which the resumed stream repeats."""
         self._buffer = b''
