--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -1,9 +1,8 @@
-"""What other regions offer for a call, by what their hosts last said.
+"""Estimate what other regions offer for a call, from their hosts' status.
 
-The hosts that were asked, by this one or by another of its region, say
-with each answer to a ping what a call would find there. What this region's
-hosts passed on since then is added, and what a call was told when it was
-turned back goes before both.
+Hosts report their offers with each answer to a ping, to this host or to
+another one of its region. Calls that this region's hosts have forwarded
+since are added, and the wait reported by a busy region takes precedence.
 """
 
 import collections
@@ -25,27 +24,27 @@
 from wrenspoke.protocol import messages
 from wrenspoke.state import routes
 
-# First piece through a region whose hosts have not said what they offer: a
-# round trip of 160 ms between far regions and some work there.
+# Expected time to the first piece from a region without reported offers.
 DEFAULT_FIRST_MS = 250.0
-# What a region said when it turned a call back is believed for so long,
-# some pings; the next ones tell anew.
+# How long the wait reported by a busy region applies.
 BUSY_WAIT_TTL_MS = 800
-# A host that has not got this host's configuration after so long would
-# turn calls back: two pings, and the time a change takes to every host.
+# A host that has not reported this host's configuration index for so long
+# gets no calls, as it would refuse them.
 CONFIGURATION_LAG_LIMIT_MS = 800
-# Host time in which a call is taken over there, on both ways.
+# Time that the hosts need to forward a call and its response.
 FORWARDING_OVERHEAD_MS = 6.0
-# Between a region and a service in the name of what is kept there; no
-# endpoint's name holds it, as it would end a path.
+# Separates region and service in cache keys; endpoint names don't contain it.
 CACHE_KEY_SEPARATOR = '/'
 
 
 @dataclasses.dataclass(slots=True)
 class RegionOffer:
-    """Hold what one region offers for one call, through which host.
+    """What a region offers for one call, and through which host.
 
-    The host is of another region where this one is cut off from it.
+    ``first_ms`` and ``end_ms`` are the expected times to the first piece and
+    to the end of the response, ``remote_prefill_ms`` the time that an engine
+    there needs for the prompt. The host belongs to a third region if the
+    offering region is unreachable from here.
     """
 
     region: ids.RegionId
@@ -56,7 +55,7 @@
 
 
 class RemoteRegions:
-    """Hold what is known of other regions."""
+    """Tracks the offers of other regions and the calls forwarded to them."""
 
     def __init__(
         self,
@@ -90,7 +89,7 @@
         call: dialects.Call,
         host: attending.HostRecord,
     ) -> RegionOffer | None:
-        """Return what a region offers through a host; None if nothing."""
+        """Return a region's offer through a host, or None without one."""
         remote = self._latest_status(host)
         if remote is None:
             return _default_offer(region, host)
@@ -128,9 +127,10 @@
     def relay_offers(
         self, unreachable: list[ids.RegionId]
     ) -> dict[ids.RegionId, list[messages.Offer]]:
-        """Return what a host that some regions are cut off from is told.
+        """Return the offers of regions that a remote host can't reach.
 
-        It may pass calls for them to this host, a travel away from them.
+        The remote host may relay calls through this one, so that the round
+        trip from here is added to the waits.
         """
         found: dict[ids.RegionId, list[messages.Offer]] = {}
         for region in unreachable:
@@ -153,9 +153,9 @@
     def relay_hosts(
         self, region: ids.RegionId, allowed: list[ids.RegionId]
     ) -> list[attending.HostRecord]:
-        """Return hosts of other regions that reach a region for this one.
+        """Return hosts of other regions that can relay calls to a region.
 
-        Only ``allowed`` regions may be gone through.
+        Only hosts of ``allowed`` regions are considered.
         """
         hosts = []
         for via_region in allowed:
@@ -172,7 +172,7 @@
     def _latest_status(
         self, host: attending.HostRecord
     ) -> host_pinger.RemoteState | region_views.RegionView | None:
-        """Return what a host last said, or else another of its region."""
+        """Return a host's last status, or one received by a peer host."""
         if self._pinger.is_answering(host.host):
             return self._pinger.state_of(host.host)
         found = self._views.latest_view(host.region)
@@ -184,7 +184,7 @@
     def _has_stale_configuration(
         self, remote: host_pinger.RemoteState | region_views.RegionView
     ) -> bool:
-        """Tell whether a host goes by an older configuration for long."""
+        """Return whether a host's configuration is behind for too long."""
         if self._replica.current.index != self._index:
             self._index = self._replica.current.index
             self._index_ms = self._clock.mono_ms()
@@ -210,7 +210,7 @@
         remote: host_pinger.RemoteState | region_views.RegionView,
         found: messages.Offer,
     ) -> float:
-        """Return what was passed on and is not in the offer yet."""
+        """Return the wait due to forwarded calls newer than the offer."""
         passed = self._forwarded.get(region)
         if not passed:
             return 0.0
@@ -226,7 +226,7 @@
         service: routes.RoutedService,
         call: dialects.Call,
     ) -> None:
-        """Note that a call goes to a region, and tell this one's hosts."""
+        """Record a forwarded call, and broadcast it to this region's hosts."""
         unread = self._uncached_tokens(region, service, call)
         passed = self._forwarded.setdefault(region, collections.deque())
         passed.append((self._clock.mono_ms(), unread))
@@ -240,7 +240,7 @@
             self._broadcaster.publish(name, unread, call.parts)
 
     def _on_peer_forwarded(self, sent: attending.SentCall) -> None:
-        """Note that another host of this region passed a call on."""
+        """Record a call that another host of this region forwarded."""
         region, found, name = sent.endpoint.partition(CACHE_KEY_SEPARATOR)
         service = self._replica.current.routes.service(ids.ServiceId(name))
         if not found or service is None or service.batch is None:
@@ -257,7 +257,7 @@
     def record_busy(
         self, region: ids.RegionId, service: ids.ServiceId, wait_ms: float
     ) -> None:
-        """Note what a region said when it turned a call back."""
+        """Record the wait that a region reported when it refused a call."""
         self._busy_waits[region, service] = (wait_ms, self._clock.mono_ms())
 
 
