--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -1,8 +1,8 @@
-"""Know which endpoints of this region may get work, and how much.
+"""Determine which endpoints may get requests from this host.
 
-An endpoint must be ready, of the service, in this region and outside of
-evacuated data centres. A cold endpoint is used by one entry host alone, at
-the pace that it bears, so that the sum over all hosts keeps to it.
+An endpoint must be ready, belong to the service and the region, and be
+outside evacuated data centres. A cold endpoint gets requests from one entry
+host only, at its warmup rate, so that all hosts together keep to it.
 """
 
 import collections.abc
@@ -22,13 +22,13 @@
 from wrenspoke.state import routes
 
 MS_PER_S = 1000
-# An endpoint renews about every 1.2 s, sometimes a second late, and half a
-# second more brings what changed here.
+# How long an endpoint of a restored data centre counts as cold unless its
+# status is known: longer than a renewal takes to get here.
 RESTORED_UNCERTAIN_MS = 3_000
 
 
 class Availability:
-    """Tell which endpoints may get work from this host."""
+    """Tracks which endpoints may get requests from this host."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
     def usable_endpoints(
         self, service: ids.ServiceId, region: ids.RegionId
     ) -> list[registry.Registered]:
-        """Return the endpoints of a service that may get new work."""
+        """Return the endpoints of a service that may get new requests."""
         self.update_evacuations()
         return [
             found
@@ -77,7 +77,7 @@
     def warm_endpoints(
         self, service: ids.ServiceId, region: ids.RegionId
     ) -> list[registry.Registered]:
-        """Return the usable endpoints that bear more than a few requests."""
+        """Return the usable endpoints that have warmed up."""
         return [
             found
             for found in self.usable_endpoints(service, region)
@@ -85,11 +85,12 @@
         ]
 
     def update_evacuations(self) -> None:
-        """Take endpoints that were just taken back for cold.
+        """Apply changed evacuations, and probe endpoints just restored.
 
-        They may have turned cold unseen; they are asked, and their next
-        renewal tells, or, as only changes are heard here, that no change
-        is heard.
+        Endpoints of a restored data centre may have become cold, so they
+        count as such until a probe or a renewal says otherwise. Renewals
+        without changes are not received here: after a while without one,
+        the endpoint's earlier status is valid.
         """
         evacuated = set(self._replica.current.evacuated)
         taken_back = self._evacuated - evacuated
@@ -114,7 +115,7 @@
     def healthy_endpoints(
         self, service: ids.ServiceId, region: ids.RegionId
     ) -> list[registry.Registered]:
-        """Return the warm endpoints that take work now."""
+        """Return the warm endpoints that are not degraded or limited now."""
         return [
             found
             for found in self.warm_endpoints(service, region)
@@ -122,30 +123,30 @@
         ]
 
     def advertises_limit(self, found: registry.Registered) -> bool:
-        """Tell whether an endpoint names a limit."""
+        """Return whether an endpoint advertises a rate limit."""
         return self._gate.limits.rate_per_s(_life_of(found)) is not None
 
     def share_per_s(self, found: registry.Registered) -> float | None:
-        """Return this host's part of an endpoint's limit, None without."""
+        """Return this host's share of an endpoint's limit, if it has one."""
         return self._gate.limits.share_per_s(_life_of(found))
 
     def limit_wait_ms(self, found: registry.Registered) -> int:
-        """Return for how long an endpoint is sent nothing more, in ms."""
+        """Return in how many ms an endpoint's limit admits a request."""
         if self._gate.is_idle:
             return 0
         return self._gate.remaining_ms(_life_of(found))
 
     def _announced_leaving(self, found: registry.Registered) -> bool:
-        """Return whether an endpoint said in an answer that it leaves."""
+        """Return whether an endpoint announced its leaving in a response."""
         leaving = self._gate.leaving
         return not leaving.is_idle and leaving.is_leaving(_life_of(found))
 
     def in_backoff(self, found: registry.Registered) -> bool:
-        """Return whether this host backs off from an endpoint."""
+        """Return whether this host is backing off from an endpoint."""
         return self._gate.backoffs.remaining_ms(_life_of(found)) > 0
 
     def is_cold(self, found: registry.Registered) -> bool:
-        """Tell whether an endpoint bears a few requests only."""
+        """Return whether an endpoint must be limited to its warmup rate."""
         if found.warm_ms > self._clock.mono_ms():
             return True
         taken_back_ms = self._restored_at_ms.get(found.said.data_centre)
@@ -165,7 +166,7 @@
         service: routes.RoutedService,
         candidates: list[registry.Registered],
     ) -> registry.Registered | None:
-        """Return a cold endpoint whose next request is due from here."""
+        """Return a cold endpoint that is due a request from this host."""
         if service.warmup_per_s <= 0:
             return None
         now_ms = self._clock.mono_ms()
@@ -183,9 +184,10 @@
         return None
 
     def is_degraded(self, found: registry.Registered) -> bool:
-        """Tell whether others should be used before an endpoint.
+        """Return whether other endpoints should be preferred.
 
-        Its calls failed here, or it is silent to all hosts of the region.
+        That is if the endpoint is ejected, or if it does not answer the load
+        polls of any host in the region.
         """
         if self.is_ejected(found.said.address):
             return True
@@ -194,7 +196,7 @@
         return self._engine_loads.silent(found.said.endpoint)
 
     def is_ejected(self, place: str) -> bool:
-        """Tell whether a place is to be left alone for now."""
+        """Return whether an address is ejected by outlier detection."""
         if not self._is_enabled(mechanisms.Mechanism.SETTING_ASIDE):
             return False
         return self._outlier_detector.is_ejected(place)
--- a/wrenspoke/coordination/serving/warmup_probe.py
+++ b/wrenspoke/coordination/serving/warmup_probe.py
@@ -1,9 +1,8 @@
-"""Ask endpoints that were just taken back whether they are warm.
+"""Probe the warmup status of endpoints in restored data centres.
 
-Endpoints of a data centre that was evacuated may have turned cold
-meanwhile. Their next renewal tells, a second or more later; their health
-answer tells at once. Two hosts ask each endpoint and tell the region's
-others, however many there are.
+Endpoints may have become cold while their data centre was evacuated. Their
+health response says so before their next renewal does. Two hosts probe each
+endpoint and broadcast the result to the region's other hosts.
 """
 
 import asyncio
@@ -32,16 +31,16 @@
 logger = structlog.get_logger(__name__)
 
 OK = 200
-# What was told before this host learned that the data centre was taken
-# back counts: the change takes a second at most from host to host.
+# Other hosts' results that were received up to so long before this host
+# learned of the restored data centre are valid.
 EARLY_STATUS_MS = 1_000
-# A near endpoint that takes longer is busy enough.
+# Endpoints of the same region respond sooner unless overloaded.
 PROBE_TIMEOUT_MS = 400
 BODY_LIMIT_BYTES = 64 * 1024
 
 
 class WarmupProbe:
-    """Know for how long endpoints that were taken back stay cold."""
+    """Tracks until when endpoints of restored data centres are cold."""
 
     def __init__(
         self,
@@ -58,24 +57,24 @@
         self._client = client
         self._gate = gate
         self._clock = clock
-        # From when on an endpoint is warm, and when that was heard.
+        # From when on an endpoint is warm, and when that was received.
         self._warm_ms: dict[ids.EndpointId, tuple[int, int]] = {}
         self._tasks = runtime.Tasks()
         pollers.add_listener(self._on_region_message)
 
     async def close(self) -> None:
-        """End every question."""
+        """Cancel all probes."""
         await self._tasks.close()
 
     def warm_ms(self, endpoint: ids.EndpointId) -> int | None:
-        """Return from when on an endpoint is warm, None if not known."""
+        """Return from when on an endpoint is warm, None if unknown."""
         warm_ms, _heard_ms = self._warm_ms.get(endpoint, (None, 0))
         return warm_ms
 
     def start_probes(
         self, taken_back: collections.abc.Iterable[registry.Registered]
     ) -> None:
-        """Begin to ask endpoints that were taken back."""
+        """Start to probe endpoints of restored data centres."""
         early_ms = self._clock.mono_ms() - EARLY_STATUS_MS
         chosen = []
         for one in taken_back:
@@ -115,7 +114,7 @@
         life = limiting.EndpointLife(said.endpoint, said.born_ms)
         try:
             async with clocks.timeout_ms(PROBE_TIMEOUT_MS):
-                # A look takes a slot, as a request does.
+                # A probe counts against the endpoint's limit.
                 send_permit = await self._gate.acquire(
                     life, endpoint_limits.LAST_RANK
                 )
@@ -135,13 +134,15 @@
             transport_errors.TransportError,
         ) as error:
             logger.info(
-                'warmth_unknown', endpoint=said.endpoint, cause=repr(error)
+                'warmup_probe_failed',
+                endpoint=said.endpoint,
+                cause=repr(error),
             )
             return None
         instance = response.headers.get(self._dialect.instance)
         if response.status != OK or instance != said.endpoint:
             logger.info(
-                'warmth_unknown',
+                'warmup_probe_failed',
                 endpoint=said.endpoint,
                 status=response.status,
                 instance=instance,
@@ -152,7 +153,7 @@
         status = attending.WarmupStatus(said.endpoint, int(left_ms))
         self._record_status(status)
         logger.info(
-            'warmth_known', endpoint=said.endpoint, warmup_left_ms=left_ms
+            'warmup_status', endpoint=said.endpoint, warmup_left_ms=left_ms
         )
         return status
 
@@ -162,7 +163,7 @@
         send_permit: endpoint_gate.GatePermit,
         response: aiohttp.ClientResponse,
     ) -> None:
-        """Note what an endpoint says of itself in a health answer."""
+        """Record the limits advertised in a health response."""
         instance = response.headers.get(self._dialect.instance)
         source = advertised.Origin.UNNAMED
         if instance not in (None, life.endpoint):
@@ -174,7 +175,7 @@
         )
 
     def keep_only(self, endpoints: set[ids.EndpointId]) -> None:
-        """Forget endpoints that are gone."""
+        """Drop the state of endpoints that are not in ``endpoints``."""
         for endpoint in list(self._warm_ms):
             if endpoint not in endpoints:
                 del self._warm_ms[endpoint]
