--- a/wrenspoke/coordination/serving/backlog.py
+++ b/wrenspoke/coordination/serving/backlog.py
@@ -1,10 +1,10 @@
-"""Know how much an engine has yet to read before a new call.
+"""Estimate the prompt tokens queued at each engine before a new call.
 
-Three views are joined: the calls that this host sent and that have given
-no first piece yet; what the engine itself last reported, which is some
-hundred ms old, with what was sent since; and all that was sent to it, read
-off at its pace. What the region's other hosts send is told by them; while
-nothing is heard of them they are taken to send as much as this one.
+Three estimates are combined: the calls of this host that have not given a
+first piece yet; the engine's last load report, plus the calls sent since;
+and all calls sent to the engine, drained at its prefill speed. Calls of the
+region's other hosts are received by broadcast; without broadcasts, the other
+hosts are assumed to send at this host's rate.
 """
 
 import collections
@@ -14,34 +14,33 @@
 from wrenspoke import ids
 from wrenspoke.state import loads
 
-# Reports show an engine as it was some hundred ms before.
+# Age of a load report's contents when it is received.
 REPORT_LAG_MS = 200
-# Own sends are counted over so long to tell what others send meanwhile.
+# Window of this host's send rate, which is assumed for its peers as well.
 SEND_RATE_WINDOW_MS = 1_000
-# Longer than the oldest report that is gone by.
+# Must exceed the age of the oldest load report in use.
 PEER_PROMPTS_TTL_MS = 4_000
-# Weight of a new call in the mean length that a waiting call has.
+# Weight of a new call in the mean prompt length.
 PROMPT_LENGTH_SMOOTHING = 0.05
-# Other hosts of the region are heard while they tell of their calls; one
-# that is cut off from them soon is not.
+# Without a broadcast for so long, this host may be partitioned from its peers.
 PEER_REPORT_TIMEOUT_MS = 500
-# What was sent so lately others have not told yet.
+# Peers' calls of the last few ms have not been broadcast yet.
 PEER_REPORT_LAG_MS = 25
-# Reports count calls, and what was sent tells their tokens; either errs.
+# Weight of the reported estimate, which counts calls instead of tokens.
 REPORTED_WEIGHT = 0.25
 INITIAL_PROMPT_TOKENS = 1_000.0
 
 
 @dataclasses.dataclass(slots=True)
 class PendingPrompt:
-    """Be one call that an engine was sent and has not answered yet."""
+    """A prompt sent to an engine, with its tokens to be computed there."""
 
     sent_ms: int
     tokens: float
 
 
 class _EngineBacklog:
-    """Hold this host's calls at one engine."""
+    """Prompts sent to one engine."""
 
     def __init__(self):
         self.waiting: dict[int, PendingPrompt] = {}
@@ -49,30 +48,30 @@
         self.peer_prompts: collections.deque[PendingPrompt] = (
             collections.deque()
         )
-        # When all that was sent is read.
+        # When all prompts sent so far should be computed.
         self.drained_at_ms = 0.0
-        # Since when the engine has read nothing but what waits now.
+        # Since when the engine has worked on the prompts waiting now.
         self.progress_since_ms = 0
 
 
 class Backlog:
-    """Reckon the tokens that wait at each engine."""
+    """Estimates the prompt tokens queued at each engine."""
 
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
         self._engines: dict[ids.EndpointId, _EngineBacklog] = {}
         self._mean_prompt_tokens = INITIAL_PROMPT_TOKENS
         self._last_number = 0
-        # Entry hosts of this region, this one among them.
+        # Entry hosts of this region, including this one.
         self.host_count = 1
         self._last_peer_report_ms: int | None = None
 
     def add_prompt(
         self, endpoint: ids.EndpointId, tokens: float, token_ms: float = 0.0
     ) -> int:
-        """Note a call; return the number by which its end is told.
+        """Add a prompt; return the number to remove it by.
 
-        ``token_ms`` is what the engine takes to read a token.
+        ``token_ms`` is the engine's prefill time for a token.
         """
         engine = self._engines.setdefault(endpoint, _EngineBacklog())
         now_ms = self._clock.mono_ms()
@@ -97,7 +96,7 @@
         token_ms: float,
         age_ms: int,
     ) -> None:
-        """Note a call that another host of the region sent a while ago."""
+        """Add a prompt sent ``age_ms`` ago by another host of the region."""
         engine = self._engines.setdefault(endpoint, _EngineBacklog())
         now_ms = self._clock.mono_ms()
         self._last_peer_report_ms = now_ms
@@ -111,7 +110,7 @@
 
     @property
     def has_peer_reports(self) -> bool:
-        """Tell whether other hosts tell this one of their calls."""
+        """Return whether other hosts' broadcasts have been received lately."""
         if self._last_peer_report_ms is None:
             return False
         return (
@@ -120,7 +119,7 @@
         )
 
     def remove_prompt(self, endpoint: ids.EndpointId, number: int) -> None:
-        """Note that a call gave its first piece, or ended without one."""
+        """Remove a prompt whose call gave its first piece, or ended."""
         engine = self._engines.get(endpoint)
         if engine is None or engine.waiting.pop(number, None) is None:
             return
@@ -132,7 +131,7 @@
         load: loads.EngineLoad | None,
         token_ms: float,
     ) -> float:
-        """Return the tokens that a call sent now has before it."""
+        """Return the prompt tokens queued ahead of a call sent now."""
         engine = self._engines.get(endpoint)
         own = 0.0 if engine is None else self._own_tokens(engine, token_ms)
         if not self.has_peer_reports:
@@ -150,12 +149,12 @@
         return max(own, joined)
 
     def _own_tokens(self, engine: _EngineBacklog, token_ms: float) -> float:
-        """Return what waits of this host's calls."""
+        """Return the tokens queued by this host."""
         if not engine.waiting:
             return 0.0
         waiting = sum(found.tokens for found in engine.waiting.values())
         read = (self._clock.mono_ms() - engine.progress_since_ms) / token_ms
-        # The last one is not read yet, or it would have answered.
+        # The last prompt is incomplete, as its call has not answered.
         newest = next(reversed(engine.waiting.values()))
         return max(waiting - read, min(newest.tokens, waiting))
 
@@ -165,7 +164,7 @@
         load: loads.EngineLoad,
         token_ms: float,
     ) -> float:
-        """Return what a report says that waits, brought up to now."""
+        """Return the tokens queued by a load report, extrapolated to now."""
         age_ms = load.age_ms + REPORT_LAG_MS
         waiting = load.queued * self._mean_prompt_tokens
         if engine is not None:
@@ -196,14 +195,14 @@
         )
 
     def _send_rate(self, engine: _EngineBacklog) -> float:
-        """Return the tokens a ms that this host sent an engine lately."""
+        """Return the tokens per ms that this host sends to an engine."""
         since_ms = self._clock.mono_ms() - SEND_RATE_WINDOW_MS
         while engine.sent and engine.sent[0].sent_ms < since_ms:
             engine.sent.popleft()
         return sum(found.tokens for found in engine.sent) / SEND_RATE_WINDOW_MS
 
     def keep_only(self, endpoints: set[ids.EndpointId]) -> None:
-        """Forget engines that are gone."""
+        """Drop the state of engines that are not in ``endpoints``."""
         for endpoint in list(self._engines):
             if endpoint not in endpoints:
                 del self._engines[endpoint]
--- a/wrenspoke/coordination/serving/costs.py
+++ b/wrenspoke/coordination/serving/costs.py
@@ -1,34 +1,31 @@
-"""Weigh what a place would make of a call, in milliseconds of first piece.
+"""Compute the cost of serving a call at a destination, in milliseconds.
 
-A place costs the target times the chance that the call is late there, and
-as much again times the chance that its deadline passes. Beside that stand
-what it takes from others: the time in which an engine reads the call's
-prompt, and the bytes that go to another region.
+The cost is the route's target time, times the probability that the first
+piece is late, plus the same times the probability that the deadline is
+missed. Callers of this module add the cost to others: an engine's prefill
+time, pauses of concurrent streams, and bytes sent to another region.
 """
 
 import dataclasses
 import math
 
-# The error of an estimate is taken to be log-normal; the spread that is
-# learned is a mean of absolute errors, of which a standard deviation is
-# this many times as much.
+# Standard deviation of a normal distribution per mean absolute deviation;
+# errors of estimates are assumed to be log-normal.
 DEVIATION_PER_MEAN_ERROR = 1.2533
 MIN_DEVIATION = 0.1
 MIN_MS = 1.0
-# What is expected sooner is better, if only a little, where both are in
-# time.
+# Weight of the time to the end, which decides between destinations that both
+# meet the target.
 COMPLETION_WEIGHT = 0.1
 BYTES_PER_KB = 1_000
-# How far a caller is off in what it expects an answer's length to be, in the
-# mean, as a logarithm: right at the median, often by half or twice.
+# Mean absolute log error of the response lengths expected by callers.
 LENGTH_SPREAD = 0.5
-# Pauses are bounded by the longest one that was seen, so that they are
-# known better than first pieces.
+# Mean absolute log error of pauses, which are bounded by the longest observed.
 PAUSE_SPREAD = 0.08
 
 
 def miss_probability(first_ms: float, left_ms: float, spread: float) -> float:
-    """Return the chance that a first piece comes after ``left_ms``."""
+    """Return the probability that a first piece comes after ``left_ms``."""
     if left_ms <= MIN_MS:
         return 1.0
     deviation = max(DEVIATION_PER_MEAN_ERROR * spread, MIN_DEVIATION)
@@ -38,7 +35,7 @@
 
 @dataclasses.dataclass(slots=True)
 class LatencyBounds:
-    """Hold what a call has left: to its target, and to its deadline."""
+    """Time that a call has left to its target and to its deadline, in ms."""
 
     target_ms: float
     target_left_ms: float
@@ -49,7 +46,7 @@
 def deadline_miss_probability(
     bounds: LatencyBounds, first_ms: float, end_ms: float, spread: float
 ) -> float:
-    """Return the chance that an answer is not whole by its deadline."""
+    """Return the probability that a response ends after the deadline."""
     left_ms = bounds.deadline_left_ms
     return max(
         miss_probability(first_ms, left_ms, spread),
@@ -60,7 +57,7 @@
 def latency_cost_ms(
     bounds: LatencyBounds, first_ms: float, end_ms: float, spread: float
 ) -> float:
-    """Return what a first piece and an end at such times cost a caller."""
+    """Return the cost of a response's expected latency to its caller."""
     late = miss_probability(first_ms, bounds.target_left_ms, spread)
     gone = deadline_miss_probability(bounds, first_ms, end_ms, spread)
     return bounds.target_ms * (late + gone) + COMPLETION_WEIGHT * end_ms
@@ -69,7 +66,7 @@
 def pause_cost_ms(
     bounds: LatencyBounds, pause_ms: float, harmed: int
 ) -> float:
-    """Return what a pause costs the streams that run beside a call."""
+    """Return the cost of a pause to the concurrent streams."""
     if bounds.pause_target_ms is None or not harmed:
         return 0.0
     late = miss_probability(pause_ms, bounds.pause_target_ms, PAUSE_SPREAD)
