--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -1,9 +1,8 @@
-"""Estimate when an endpoint would give the first piece of an answer.
+"""Estimate when an endpoint would send the first piece of a response.
 
-For engines the prompt counts: what of it is still to be read there, what
-waits before it, and whether the memory holds it. What the engine takes
-over from another one need not be read. Other endpoints are estimated by
-their places.
+For engines it depends on the prompt tokens that are not cached there, the
+tokens queued ahead, and the free KV cache. KV cache fetched from another
+engine need not be computed. Other endpoints are estimated by their slots.
 """
 
 import dataclasses
@@ -22,25 +21,25 @@
 from wrenspoke.state import registry
 from wrenspoke.state import routes
 
-# Of a plain endpoint, how long a request holds its place.
+# How long a request holds a slot of an endpoint that is not an engine.
 INITIAL_HOLD_MS = 30.0
 HOLD_WEIGHT = 0.1
-# Moves go one after the other, and take twice as long between data centres.
+# Transfers of KV cache are queued, and are slower between data centres.
 TRANSFER_WAIT_FACTOR = 2.0
 
 
 @dataclasses.dataclass(slots=True)
 class Estimate:
-    """Say what a call would find at an endpoint.
-
-    ``unread_tokens`` of its prompt are still to be read there, with
-    ``ahead_tokens`` of others before it; ``reading_ms`` is what reading
-    them takes from others, ``moving_ms`` what a move of memory takes
-    first. After ``end_ms`` the answer is whole; ``pause_ms`` is the
-    longest pause that streams there have while it is read, and ``harmed``
-    how many of them that pause would make late. ``room`` tells whether it
-    can begin at once, ``spread`` how far estimates are off in the mean,
-    as a logarithm.
+    """Estimated latency of a call at an endpoint.
+
+    ``first_ms`` and ``end_ms`` are the times to the first piece and to the
+    end of the response. ``uncached_tokens`` of the prompt are to be computed
+    there in ``prefill_ms``, with ``queued_tokens`` of other prompts ahead,
+    after a transfer of KV cache in ``transfer_ms``. ``pause_ms`` is the
+    longest pause that this causes for the streams there, and
+    ``delayed_streams`` how many on-time streams it could make late.
+    ``can_start_now`` is whether KV cache and batch have room for the call,
+    ``spread`` the mean absolute log error of the estimates.
     """
 
     first_ms: float
@@ -56,7 +55,7 @@
 
 
 class Estimator:
-    """Estimate first pieces by reports, own sends and what was learned."""
+    """Estimates latencies from load reports, sent calls and past responses."""
 
     def __init__(
         self, engine_loads: engine_loads.EngineLoads, clock: clocks.Clock
@@ -69,7 +68,7 @@
         self._hold_ms: dict[ids.ServiceId, float] = {}
 
     def model_for(self, service: ids.ServiceId) -> prefill_model.PrefillModel:
-        """Return what was learned of a service's engines."""
+        """Return the prefill model of a service's engines."""
         found = self._models.get(service)
         if found is None:
             found = self._models[service] = prefill_model.PrefillModel()
@@ -84,10 +83,12 @@
         usual: bool,
         moved_tokens: float = 0.0,
     ) -> Estimate:
-        """Return what a call would find at an endpoint.
+        """Return the estimate for a call at an endpoint.
 
-        ``moved_tokens`` is what it takes over from another engine, and
-        ``usual`` says that hosts agree on it for the prompt's prefix.
+        ``in_flight`` is the number of this host's calls there, ``usual``
+        whether the prompt's prefix hashes to the endpoint, and
+        ``moved_tokens`` the tokens whose KV cache would be fetched from
+        another engine.
         """
         said = found.said
         if service.batch is None:
@@ -97,7 +98,7 @@
             return Estimate(first_ms, first_ms)
         model = self.model_for(said.service)
         load = self._engine_loads.load(said.endpoint)
-        # Where others tell what they send, nothing needs to be supposed.
+        # Affinity is only assumed without broadcasts from the other hosts.
         usual = usual and not self.backlog.has_peer_reports
         kept = self.prefixes.cached_tokens(said.endpoint, call.parts, usual)
         unread = max(call.tokens_in - kept - moved_tokens, 0.0)
@@ -131,7 +132,7 @@
     def free_slots(
         self, found: registry.Registered, service: routes.RoutedService
     ) -> int:
-        """Return the places of an engine that its last report left free."""
+        """Return an engine's free batch slots, by its last load report."""
         load = self._engine_loads.load(found.said.endpoint)
         if service.batch is None or load is None:
             return 0
@@ -144,9 +145,10 @@
         call: dialects.Call,
         estimate: Estimate,
     ) -> int | None:
-        """Note that a call goes to an endpoint.
+        """Record that a call is sent to an endpoint.
 
-        Returns the number by which ``note_read`` is told of it.
+        Returns the number to be passed to ``record_prefilled``, or None if
+        the endpoint is not an engine.
         """
         if service.batch is None:
             return None
@@ -165,14 +167,14 @@
     def _token_ms(
         self, endpoint: ids.EndpointId, service: ids.ServiceId
     ) -> float:
-        """Return what an engine takes to read a token."""
+        """Return an engine's prefill time for a token."""
         model = self.model_for(service)
         return model.token_ms * model.speed_factor(endpoint)
 
     def record_peer_sent(
         self, sent: attending.SentCall, service: routes.RoutedService
     ) -> None:
-        """Note a call that another host of the region sent to an engine."""
+        """Record a call that another host of the region sent to an engine."""
         if service.batch is None:
             return
         parts = sent_call_broadcast.prompt_parts(sent)
@@ -189,7 +191,7 @@
     def record_prefilled(
         self, endpoint: ids.EndpointId, number: int | None
     ) -> None:
-        """Note that a call gave its first piece, or ended without one."""
+        """Record that a call gave its first piece, or ended without one."""
         if number is not None:
             self.backlog.remove_prompt(endpoint, number)
 
@@ -200,7 +202,7 @@
         estimate: Estimate,
         took_ms: float,
     ) -> None:
-        """Learn from the time to a first piece or a whole answer."""
+        """Update the models with the time to a first piece or a response."""
         if service.batch is None:
             old = self._hold_ms.get(service.service, INITIAL_HOLD_MS)
             moved = HOLD_WEIGHT * (took_ms - old)
@@ -214,7 +216,7 @@
         )
 
     def keep_only(self, endpoints: set[ids.EndpointId]) -> None:
-        """Forget endpoints that are gone."""
+        """Drop the state of endpoints that are not in ``endpoints``."""
         self.prefixes.keep_only(endpoints)
         self.backlog.keep_only(endpoints)
         self.pace.keep_only(endpoints)
--- a/wrenspoke/coordination/serving/outlier_detection.py
+++ b/wrenspoke/coordination/serving/outlier_detection.py
@@ -1,10 +1,10 @@
-"""Passive health checks: eject endpoints and hosts after failures.
+"""Passive outlier detection: eject endpoints and hosts after failures.
 
 No probes are sent. After several consecutive failures an address is ejected
 for a time that doubles with each further ejection; failures of requests that
 were in flight then do not count again. An unreachable address is used again
-as soon as it responds. Callers may still use ejected addresses where there
-are no others.
+as soon as it responds. Ejected addresses may still be used if there are no
+others.
 """
 
 import dataclasses
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(slots=True)
 class EjectionState:
-    """The health of one address."""
+    """Failures and ejections of one address."""
 
     failures: int = 0
     ejection_ms: int = 0
@@ -33,7 +33,7 @@
 
 
 class OutlierDetector:
-    """Track outcomes of requests by address."""
+    """Tracks outcomes of requests by address."""
 
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
@@ -54,19 +54,18 @@
     def record_success(self, place: str) -> None:
         """Record a successful request."""
         if self._states.pop(place, EjectionState()).ejection_ms:
-            logger.info('place_recovered', place=place)
+            logger.info('address_recovered', place=place)
 
     def record_failure(
         self, place: str, cause: str, sent_ms: int, certain: bool = False
     ) -> None:
-        """Record the failure of a request that was sent at some time.
+        """Record the failure of a request that was sent at ``sent_ms``.
 
-        ``certain`` says that the address can't be reached, for which one
-        failure is enough.
+        If ``certain``, the address is unreachable and is ejected at once.
         """
         found = self._states.setdefault(place, EjectionState())
         if sent_ms < found.ejected_since_ms:
-            # In flight at the last ejection, which it was part of.
+            # In flight at the last ejection, which it led to.
             return
         found.failures += 1
         if not certain and found.failures < CONSECUTIVE_FAILURES_LIMIT:
@@ -78,7 +77,7 @@
         found.ejected_until_ms = now_ms + found.ejection_ms
         found.unreachable = certain
         logger.warning(
-            'place_set_aside',
+            'address_ejected',
             place=place,
             cause=cause,
             failures=found.failures,
@@ -86,10 +85,10 @@
         )
 
     def record_reachable(self, place: str, asked_ms: int) -> None:
-        """Record a response to a check that was sent at some time.
+        """Record a response to a check that was sent at ``asked_ms``.
 
-        It ends the ejection of an unreachable address, and not one for bad
-        responses, which may go on.
+        It ends the ejection of an unreachable address, but not one for error
+        responses.
         """
         found = self._states.get(place)
         if found is None or not found.unreachable:
@@ -98,11 +97,11 @@
             self.record_success(place)
 
     def reset_address(self, place: str) -> None:
-        """Drop an address's state, as another process runs there now."""
+        """Drop an address's state after its process was replaced."""
         self._states.pop(place, None)
 
     def keep_only(self, places: set[str]) -> None:
-        """Drop addresses that are not in use any more."""
+        """Drop the state of addresses that are not in ``places``."""
         for place in list(self._states):
             if place not in places:
                 del self._states[place]
