--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -1,9 +1,8 @@
-"""Know how quickly engines give the events of their streams.
+"""Track the pace at which engines send the events of their streams.
 
-An engine reads prompts between the tokens of all streams that run there,
-so that streams slow down while it reads, and crawl while more comes than
-it can read. How long the gaps between events are is seen from the streams
-that pass through this host.
+An engine computes prompts between the decode steps of its streams, which
+slow down meanwhile. The gaps between events are measured on the streams that
+this host forwards.
 """
 
 import math
@@ -12,36 +11,35 @@
 from wrenspoke import clock as clocks
 from wrenspoke import ids
 
-# Until it was seen: a few ms for each token of an event.
+# Initial gap for each token of an event.
 INITIAL_TOKEN_MS = 8.0
-# What was seen this long ago counts a third for the present pace.
+# Time constant of the present pace.
 SHORT_TERM_MS = 1_000.0
-# What was usual over this time is expected where nothing was seen lately.
+# Time constant of the usual pace, expected without recent samples.
 LONG_TERM_MS = 20_000.0
-# What slows an engine down at present is taken to last so long.
+# How long the present pace is expected to last.
 SLOWDOWN_MS = 2_000.0
-# The longest gap seen is forgotten to a half over this time.
+# Half-life of the longest gap.
 LONGEST_GAP_HALF_LIFE_MS = 30_000.0
 
 
 class PaceForecast(typing.NamedTuple):
-    """State how long events are expected to take.
+    """Expected gaps between the events of a stream.
 
-    ``usual_ms`` lies between two of a stream as a rule, ``present_ms`` in
-    the present crowd, which does not last.
+    ``present_ms`` applies to the next events, ``usual_ms`` after that.
     """
 
     usual_ms: float
     present_ms: float
 
     def stream_ms(self, events: float) -> float:
-        """Return how long so many events take."""
+        """Return the expected duration of a stream of so many events."""
         slowed = min(events, SLOWDOWN_MS / self.present_ms)
         return slowed * self.present_ms + (events - slowed) * self.usual_ms
 
 
 class _DecayingMean:
-    """Be the mean of what was seen; older values fade with time."""
+    """Mean of samples with exponentially decaying weights."""
 
     __slots__ = ('_time_constant_ms', '_total', '_weight', '_at_ms')
 
@@ -58,7 +56,7 @@
         self._at_ms = now_ms
 
     def value(self, usual: float, now_ms: int) -> float:
-        """Return the mean, joined by ``usual`` as one more value."""
+        """Return the mean of the samples and of ``usual`` as one more."""
         kept = self._decay_factor(now_ms)
         return (kept * self._total + usual) / (kept * self._weight + 1.0)
 
@@ -67,7 +65,7 @@
 
 
 class _EnginePace:
-    """Hold the pace of one engine."""
+    """Pace of one engine."""
 
     __slots__ = (
         'initial_gap_ms',
@@ -84,19 +82,19 @@
         self.long_term = _DecayingMean(LONG_TERM_MS, first_ms, now_ms)
         self.longest_gap_ms = 0.0
         self.longest_gap_at_ms = now_ms
-        # Streams from here that have not paused for too long yet.
+        # This host's streams without a late pause so far.
         self.on_time_streams = 0
 
 
 class PaceTracker:
-    """Hold the pace of every engine that streams come from."""
+    """Tracks the pace of every engine that sends streams to this host."""
 
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
         self._engines: dict[ids.EndpointId, _EnginePace] = {}
 
     def now_ms(self) -> int:
-        """Return the time by which gaps are measured."""
+        """Return the monotonic time by which gaps are measured."""
         return self._clock.mono_ms()
 
     def _engine_pace(
@@ -113,7 +111,7 @@
     def record_gap(
         self, endpoint: ids.EndpointId, event_tokens: int, gap_ms: float
     ) -> None:
-        """Learn from the time between two events of a stream."""
+        """Record the time between two events of a stream."""
         found = self._engine_pace(endpoint, event_tokens)
         now_ms = self._clock.mono_ms()
         found.short_term.add_sample(gap_ms, now_ms)
@@ -128,7 +126,7 @@
     def forecast(
         self, endpoint: ids.EndpointId, event_tokens: int
     ) -> PaceForecast:
-        """Return the pace that is to be expected of an engine."""
+        """Return the expected pace of an engine."""
         found = self._engine_pace(endpoint, event_tokens)
         now_ms = self._clock.mono_ms()
         usual_ms = found.long_term.value(found.initial_gap_ms, now_ms)
@@ -136,36 +134,36 @@
         return PaceForecast(usual_ms, max(usual_ms, present_ms))
 
     def longest_gap_ms(self, endpoint: ids.EndpointId) -> float:
-        """Return how long an engine's events take while it reads."""
+        """Return the longest recent gap of an engine, decayed by age."""
         found = self._engines.get(endpoint)
         return 0.0 if found is None else found.longest_gap_ms
 
     def add_stream(self, endpoint: ids.EndpointId, event_tokens: int) -> None:
-        """Count a stream that begins."""
+        """Count a stream that starts."""
         self._engine_pace(endpoint, event_tokens).on_time_streams += 1
 
     def remove_stream(self, endpoint: ids.EndpointId) -> None:
-        """Count a stream no more, as it has ended or paused too long."""
+        """Stop counting a stream that has ended or paused too long."""
         found = self._engines.get(endpoint)
         if found is not None:
             found.on_time_streams = max(found.on_time_streams - 1, 0)
 
     def on_time_streams(self, endpoint: ids.EndpointId) -> int:
-        """Return the streams that a long pause would make late."""
+        """Return the number of streams without a late pause so far."""
         found = self._engines.get(endpoint)
         return 0 if found is None else found.on_time_streams
 
     def keep_only(self, endpoints: set[ids.EndpointId]) -> None:
-        """Forget engines that are gone."""
+        """Drop the state of engines that are not in ``endpoints``."""
         for endpoint in list(self._engines):
             if endpoint not in endpoints:
                 del self._engines[endpoint]
 
 
 class StreamGapRecorder:
-    """Follow one stream of an engine, and let its pace be learned.
+    """Records the gaps of one stream in its engine's pace.
 
-    A stream that comes by way of another host tells nothing of an engine.
+    Streams forwarded by another host, without an endpoint, are ignored.
     """
 
     def __init__(
@@ -189,7 +187,7 @@
         self._stop_counting()
 
     def record_piece(self) -> None:
-        """Note that a piece has come."""
+        """Record the arrival of a piece."""
         if self._endpoint is None:
             return
         now_ms = self._pace.now_ms()
--- a/wrenspoke/coordination/serving/prefix_index.py
+++ b/wrenspoke/coordination/serving/prefix_index.py
@@ -1,9 +1,9 @@
-"""Know which engine keeps which parts of prompts, without asking.
+"""Index the prompt prefixes that engines hold in their KV caches.
 
-What an engine keeps is remembered from what was sent there, least lately
-used first out, as engines do. Hosts of a region tell each other of it. While
-they hear nothing they agree on one engine for a prefix, by rendezvous
-hashing, and take it to have what all of them send there.
+An engine's cache is modelled from the prompts sent there, with LRU eviction
+as in the engine. Hosts of a region broadcast their sends to each other.
+Without broadcasts, a prefix is mapped to one engine by rendezvous hashing,
+which is assumed to hold what all hosts send there.
 """
 
 import collections
@@ -16,26 +16,24 @@
 
 Parts = tuple[dialects.PromptPart, ...]
 
-# Of the shared parts of a prompt, what the engine that hosts agree on
-# should hold: some were never read there, some gave way.
+# Share of a prompt's shared parts that its affinity engine is assumed to hold.
 AFFINITY_CACHED_SHARE = 0.8
 MAX_CACHED_PARTS = 20_000
-# Begins the names of what is kept and asked for by nobody.
+# Marks cache entries that no other prompt can match.
 PRIVATE_PART_PREFIX = ' '
-# Fewer tokens are read again sooner than a move of them begins: about the
-# time of one step of an engine.
+# Fewer tokens are computed again sooner than they are transferred.
 MIN_TRANSFER_TOKENS = 256
 
 
 class CacheHolder(msgspec.Struct, frozen=True):
-    """Name an engine that keeps the first tokens of a prompt."""
+    """An engine that caches the first ``tokens`` of a prompt."""
 
     endpoint: ids.EndpointId
     tokens: float
 
 
 class PrefixCacheModel:
-    """Remember the parts of prompts that were sent to one engine."""
+    """Models the prefix cache of one engine, with LRU eviction."""
 
     def __init__(self, capacity_tokens: int):
         self._capacity_tokens = capacity_tokens
@@ -46,7 +44,7 @@
         self._private_count = 0
 
     def cached_tokens(self, parts: Parts) -> int:
-        """Return how many tokens from the start on are kept."""
+        """Return how many leading tokens of a prompt are cached."""
         kept = 0
         for part in parts:
             if part.part not in self._parts:
@@ -55,9 +53,9 @@
         return kept
 
     def record_prompt(self, parts: Parts, own_tokens: int = 0) -> None:
-        """Note that a prompt was read, and forget the oldest for it.
+        """Record a prompt as cached, and evict the oldest parts for it.
 
-        ``own_tokens`` are of nobody else's use, but take room.
+        ``own_tokens`` can't be shared with other prompts, but take space.
         """
         for part in parts:
             self._insert_part(part.part, part.tokens)
@@ -80,7 +78,7 @@
 
 
 class PrefixIndex:
-    """Hold what is known of every engine's kept parts."""
+    """Maps engines to the parts of prompts that they cache."""
 
     def __init__(self):
         self._caches: dict[ids.EndpointId, PrefixCacheModel] = {}
@@ -88,7 +86,7 @@
     def cached_tokens(
         self, endpoint: ids.EndpointId, parts: Parts, usual: bool
     ) -> float:
-        """Return how much of a prompt an engine should keep."""
+        """Return how many tokens of a prompt an engine should have cached."""
         memory = self._caches.get(endpoint)
         kept = memory.cached_tokens(parts) if memory else 0
         if usual:
@@ -98,7 +96,7 @@
     def best_cache_holder(
         self, parts: Parts, names: list[ids.EndpointId]
     ) -> CacheHolder | None:
-        """Return which of some engines is known to keep the most."""
+        """Return the engine that caches the most, None if none caches any."""
         best = None
         for name in names:
             kept = self.cached_tokens(name, parts, usual=False)
@@ -113,10 +111,10 @@
         parts: Parts,
         own_tokens: int = 0,
     ) -> None:
-        """Note that an engine reads a prompt.
+        """Record that an engine computes a prompt.
 
-        ``own_tokens`` are what it keeps besides: what it makes, and what of
-        a prompt was not named.
+        ``own_tokens`` are cached besides: generated tokens, and parts of a
+        prompt without a name.
         """
         memory = self._caches.get(endpoint)
         if memory is None:
@@ -125,16 +123,16 @@
         memory.record_prompt(parts, own_tokens)
 
     def keep_only(self, endpoints: set[ids.EndpointId]) -> None:
-        """Forget engines that are gone."""
+        """Drop the state of engines that are not in ``endpoints``."""
         for endpoint in list(self._caches):
             if endpoint not in endpoints:
                 del self._caches[endpoint]
 
 
 def shared_tokens(parts: Parts) -> int:
-    """Return the tokens of a prompt that other prompts may have too.
+    """Return the tokens of a prompt that other prompts may share.
 
-    The last part is the request's own.
+    The last part belongs to the request alone.
     """
     return sum(part.tokens for part in parts[:-1])
 
@@ -142,7 +140,10 @@
 def affinity_endpoint(
     parts: Parts, names: list[ids.EndpointId]
 ) -> ids.EndpointId | None:
-    """Return the endpoint that all hosts agree on for a prefix."""
+    """Return the endpoint that a prompt's shared prefix hashes to.
+
+    None if the prompt has no shared prefix, or without endpoints.
+    """
     if len(parts) < 2 or not names:
         return None
     return routing.rendezvous(parts[-2].part, names)[0]
