--- a/wrenspoke/coordination/serving/prefill_model.py
+++ b/wrenspoke/coordination/serving/prefill_model.py
@@ -1,46 +1,47 @@
-"""Learn how soon an engine gives the first piece of an answer.
-
-The model is a sum: a part that every call takes, a part for each token of
-the prompt that is still to be read, and one for each token that waits to
-be read before it. Its figures are learned by recursive least squares with
-forgetting (Haykin, Adaptive Filter Theory, chapter 10), pooled over all
-engines of a service, since few calls go to each; what an engine differs by
-is a factor of its own. Errors count by their share of what was expected,
-and large ones only up to a bound, so that a call that hung teaches little.
+"""Model the time until an engine sends the first piece of a response.
+
+The model is linear: a base time, a time per uncached token of the prompt,
+and a time per token queued ahead of it. Its coefficients are estimated by
+recursive least squares with exponential forgetting (Haykin, Adaptive Filter
+Theory, chapter 10), pooled over all engines of a service, as each gets few
+calls; each engine has a speed factor of its own. Errors are relative to the
+expected time and bounded, so that outliers have little influence.
 """
 
 import math
 
 from wrenspoke import ids
 
-# Until it is learned: a few steps of an engine, and 20 tokens a ms, which
-# is on the slow side, so that a first crowd is spread rather than piled up.
+# Initial coefficients. They are on the slow side, so that the first calls are
+# spread over the engines.
 INITIAL_BASE_MS = 30.0
 INITIAL_TOKEN_MS = 0.05
-# About how many samples are remembered is the inverse of what is missing
-# to 1: some seconds of one host's calls.
+# The model follows about the last ``1 / (1 - FORGETTING_FACTOR)`` samples.
 FORGETTING_FACTOR = 0.98
-# How sure the start values are, as a variance of figures scaled to one.
+# Variances of the coefficients, relative to their initial values.
 INITIAL_VARIANCE = 4.0
 MAX_VARIANCE = 50.0
-# Prompt lengths are counted in thousands, which keeps figures near one.
+# Prompt lengths are scaled, so that the coefficients are of a similar size.
 SCALE_TOKENS = 1_000.0
-# An error beyond this share of what was expected counts as this much.
+# Bound of the relative error of one sample.
 ERROR_BOUND = 0.5
-# Nothing is quicker than this share of the pooled start value; keeps a row
-# of odd samples from making a figure zero or negative.
+# Lower bound of a coefficient, as a share of its initial value: keeps it
+# positive after a series of outliers.
 MIN_COEFFICIENT_SHARE = 0.05
 FACTOR_WEIGHT = 0.1
-# An engine is not taken for more than this much quicker or slower.
+# Bound of an engine's speed factor, as a logarithm.
 FACTOR_BOUND = math.log(8.0)
 SPREAD_WEIGHT = 0.05
 INITIAL_SPREAD = 0.5
-# The least time that errors are compared with: clocks tell whole ms.
+# Shortest time that errors are relative to, given clocks of whole ms.
 MIN_MS = 5.0
 
 
 class PrefillModel:
-    """Hold what was learned of the engines of one service."""
+    """Model of the engines of one service.
+
+    ``spread`` is the mean absolute log error of the expected times.
+    """
 
     def __init__(self):
         self._coefficients = [
@@ -68,20 +69,20 @@
 
     @property
     def token_ms(self) -> float:
-        """Return how long an ordinary engine reads at a token."""
+        """Return the prefill time per token of an average engine."""
         return self._coefficients[1] / SCALE_TOKENS
 
     def speed_factor(self, endpoint: ids.EndpointId) -> float:
-        """Return how many times as long as an ordinary engine one takes."""
+        """Return an engine's time relative to that of an average engine."""
         return math.exp(self._factors.get(endpoint, 0.0))
 
     def first_ms(
         self, endpoint: ids.EndpointId, unread: float, ahead: float
     ) -> float:
-        """Return when the first piece is expected after a call is sent.
+        """Return the expected time from sending a call to its first piece.
 
-        ``unread`` tokens of its prompt are still to be read there, and
-        ``ahead`` tokens of others before it.
+        ``unread`` are the uncached tokens of its prompt, and ``ahead`` the
+        tokens of other prompts queued before it.
         """
         return self._pooled_ms(_inputs(unread, ahead)) * self.speed_factor(
             endpoint
@@ -94,7 +95,7 @@
         ahead: float,
         took_ms: float,
     ) -> None:
-        """Learn from a first piece that took ``took_ms``."""
+        """Update the model with the actual time to a first piece."""
         inputs = _inputs(unread, ahead)
         expected_ms = max(self._pooled_ms(inputs), MIN_MS)
         ratio = max(took_ms, MIN_MS) / expected_ms
@@ -106,7 +107,7 @@
         self._update_factor(endpoint, off)
 
     def _update_factor(self, endpoint: ids.EndpointId, off: float) -> None:
-        """Move an engine's factor; what all have in common is pooled."""
+        """Update an engine's factor; move the common part to the model."""
         bounded = min(max(off, -ERROR_BOUND), ERROR_BOUND)
         known = self._factors.get(endpoint, 0.0) + FACTOR_WEIGHT * bounded
         self._factors[endpoint] = min(max(known, -FACTOR_BOUND), FACTOR_BOUND)
@@ -127,7 +128,7 @@
         expected_ms: float,
         ratio: float,
     ) -> None:
-        """Take one step of least squares, by relative errors."""
+        """Do one step of recursive least squares, on relative errors."""
         error = min(max(ratio - 1.0, -ERROR_BOUND), ERROR_BOUND)
         scaled = [value / expected_ms for value in inputs]
         spread = [
@@ -148,7 +149,7 @@
         self._bound_variance()
 
     def _bound_variance(self) -> None:
-        """Forget no figure that nothing has told of for long."""
+        """Bound the variances, which grow without informative samples."""
         for row in range(3):
             if self._variance[row][row] <= self._max_variance[row]:
                 continue
@@ -160,7 +161,7 @@
                 self._variance[column][row] *= shrink
 
     def keep_only(self, endpoints: set[ids.EndpointId]) -> None:
-        """Forget engines that are gone."""
+        """Drop the state of engines that are not in ``endpoints``."""
         for endpoint in list(self._factors):
             if endpoint not in endpoints:
                 del self._factors[endpoint]
--- a/wrenspoke/coordination/serving/sampling.py
+++ b/wrenspoke/coordination/serving/sampling.py
@@ -1,7 +1,7 @@
-"""Which of many endpoints are weighed for a call.
+"""Sample the endpoints that are evaluated for a call.
 
-To weigh an endpoint takes an entry host 50 us, with every call. A few drawn
-for each call, with those that keep its prompt, cost the same in any region.
+Evaluating an endpoint takes CPU time for every call. A random sample, plus
+the endpoints that cache the prompt, bounds it in regions of any size.
 """
 
 import collections.abc
@@ -10,9 +10,8 @@
 from wrenspoke import ids
 from wrenspoke.state import registry
 
-# Few enough to weigh for each call, however many there are: reports are some
-# hundred ms old, so the best of many is little better than the best of these.
-# Fewer make calls wait in small regions, where hosts know engines better.
+# Load reports are too old for the best of all endpoints to be much better than
+# the best of so many. A smaller sample lengthens waits in small regions.
 SAMPLE_SIZE = 16
 
 
@@ -21,7 +20,7 @@
     always: collections.abc.Container[ids.EndpointId],
     rng: random.Random,
 ) -> list[registry.Registered]:
-    """Return some endpoints by chance, and those that are always weighed."""
+    """Return a random sample of endpoints, plus those in ``always``."""
     if len(candidates) <= SAMPLE_SIZE:
         return candidates
     drawn = rng.sample(candidates, SAMPLE_SIZE)
