--- a/wrenspoke/coordination/serving/__init__.py
+++ b/wrenspoke/coordination/serving/__init__.py
@@ -1,1 +1,1 @@
-"""How a request is served, from its entry to its end."""
+"""Serving of requests on entry hosts."""
--- a/wrenspoke/coordination/serving/shared_retry_budget.py
+++ b/wrenspoke/coordination/serving/shared_retry_budget.py
@@ -1,11 +1,11 @@
-"""Budgets that all entry hosts share, each spending its part.
-
-A service may be sent a number of repeats in any window that is a share of
-its requests and a fixed number over all hosts. Each host keeps to its own
-requests' share and its part of the fixed number, so that the sum holds
-without any word between them. Parts are whole repeats: where there are more
-hosts than repeats, some hosts have one, which ones is drawn for each
-service. The parts are cut below the bounds, as hosts may be counted late.
+"""Retry budgets that all entry hosts share without coordination.
+
+In any window a service may be sent as many retries as a share of its
+requests, plus a fixed number, over all hosts. Each host keeps to that share
+of its own requests and to its part of the fixed number. Parts are whole
+retries: with more hosts than retries, some hosts have one, chosen by hashing
+for each service. The parts add up to less than the bounds, as hosts may
+learn late of changes in the number of hosts.
 """
 
 import collections
@@ -18,13 +18,13 @@
 from wrenspoke.coordination.serving import routing
 from wrenspoke import ids
 
-# Requests and repeats do not fall into the same window; a part of the
-# allowance is left unspent for that.
+# Usable share of the budget: a request and its retries may fall into
+# different windows.
 USABLE_SHARE = 0.7
 
 
 class RetryBounds(msgspec.Struct, frozen=True):
-    """Bound the repeats that a service is sent over all hosts."""
+    """Bounds on the retries that a service is sent by all hosts."""
 
     ratio: float = 0.1
     fixed: float = 10
@@ -32,7 +32,7 @@
 
 
 class SlidingWindow:
-    """Count events of the last while."""
+    """Counts the events of the last ``window_ms``."""
 
     def __init__(self, window_ms: int):
         self._window_ms = window_ms
@@ -43,7 +43,7 @@
         self._times_ms.append(now_ms)
 
     def count(self, now_ms: int) -> int:
-        """Return how many events the window holds."""
+        """Return the number of events in the window that ends now."""
         while self._times_ms and (
             self._times_ms[0] <= now_ms - self._window_ms
         ):
@@ -52,7 +52,7 @@
 
 
 class SharedRetryBudget:
-    """Keep this host's part of the retry budgets, by service."""
+    """Keeps this host's part of the retry budgets, by service."""
 
     def __init__(
         self, host: ids.HostId, bounds: RetryBounds, clock: clocks.Clock
@@ -67,18 +67,18 @@
         self.denied = 0
 
     def set_hosts(self, hosts: collections.abc.Iterable[ids.HostId]) -> None:
-        """Take over who else shares the budgets."""
+        """Set the hosts that share the budgets; this one is always added."""
         hosts = {*hosts, self._host}
         if hosts != self._hosts:
             self._hosts = hosts
             self._fixed_shares.clear()
 
     def record_request(self, service: ids.ServiceId) -> None:
-        """Count a request that callers sent for a service."""
+        """Count a request that a caller sent for a service."""
         self._window(self._requests, service).add(self._clock.mono_ms())
 
     def spend(self, service: ids.ServiceId) -> bool:
-        """Take a repeat from the budget; False when there is none."""
+        """Take a retry from the budget; False if there is none left."""
         now_ms = self._clock.mono_ms()
         repeats = self._window(self._retries, service)
         if repeats.count(now_ms) + 1 > self._allowance(service, now_ms):
@@ -93,7 +93,7 @@
         return math.floor(earned) + self._fixed_share(service)
 
     def _fixed_share(self, service: ids.ServiceId) -> int:
-        """Return this host's part of the fixed number, in whole repeats."""
+        """Return this host's part of the fixed number, in whole retries."""
         part = self._fixed_shares.get(service)
         if part is None:
             whole = math.floor(USABLE_SHARE * self._bounds.fixed)
