--- a/wrenspoke/coordination/serving/sent_call_broadcast.py
+++ b/wrenspoke/coordination/serving/sent_call_broadcast.py
@@ -1,12 +1,11 @@
-"""Tell the hosts of a region what each of them sends to its engines.
+"""Broadcast the calls sent to engines among a region's hosts.
 
-Engines report their load some hundred ms late, and a region's hosts share
-them. By its own calls and reports alone a host of many chooses little
-better than by chance, so hosts tell each other of their calls. They also
-hear which prefixes engines have read.
+A region's hosts share its engines, whose load reports are some hundred ms
+old. Broadcasts of sent calls keep the hosts' backlog estimates current, and
+tell which prefixes engines have cached.
 
-Each host tells one collecting host at once, which tells all others a few
-times a second, by way of some of them.
+Each host sends its calls to a collecting host, chosen by engine, without
+delay. Collecting hosts broadcast them to all others several times a second.
 """
 
 import asyncio
@@ -26,21 +25,21 @@
 
 logger = structlog.get_logger(__name__)
 
-# Calls sent within a moment go in one message.
+# Delay to batch calls into one message.
 BATCH_DELAY_MS = 4
-# A collecting host tells the others so often, times the number of collecting
-# hosts: each host hears 40 messages a second at the most, 1% of a core.
+# Interval of a collecting host's broadcasts, times the number of collecting
+# hosts: bounds the messages that each host receives.
 BROADCAST_INTERVAL_MS = 25
-# However many collect, what is told later is of little use.
+# Upper bound of the interval, as older data is of little use.
 MAX_BROADCAST_INTERVAL_MS = 200
-# What waits to be told beyond this is dropped: it is late already.
+# Calls queued beyond this number are dropped.
 BATCH_LIMIT = 2_000
 
 Listener = collections.abc.Callable[[attending.SentCall], None]
 
 
 class SentCallBroadcaster:
-    """Tell the region's other hosts of sent calls, and hear of theirs."""
+    """Broadcasts sent calls to the region's hosts, and receives theirs."""
 
     def __init__(
         self,
@@ -55,9 +54,9 @@
         self._peers = peers
         self._clock = clock
         self._listeners: list[Listener] = []
-        # What this host sent and has not told, with when it was sent.
+        # Own calls to be sent to collecting hosts, with their send times.
         self._own: list[tuple[int, attending.SentCall]] = []
-        # What others told this host that it has not told the rest.
+        # Collected calls to be broadcast, with their send times.
         self._collected: list[tuple[int, attending.SentCall]] = []
         self._own_added = asyncio.Event()
         self._tasks = runtime.Tasks()
@@ -65,16 +64,16 @@
         peers.answers(attending.TellSent)(self._on_sent_calls)
 
     def subscribe(self, listener: Listener) -> None:
-        """Have every call that another host sent told to ``listener``."""
+        """Call ``listener`` with every call that another host sent."""
         self._listeners.append(listener)
 
     def start(self) -> None:
-        """Begin to tell."""
+        """Start the tasks that send and broadcast calls."""
         self._tasks.start(self._send_own())
         self._tasks.start(self._broadcast_collected())
 
     async def close(self) -> None:
-        """End every task."""
+        """Stop all tasks."""
         await self._tasks.close()
 
     def publish(
@@ -84,10 +83,11 @@
         parts: collections.abc.Sequence[dialects.PromptPart],
         made_tokens: int = 0,
     ) -> None:
-        """Note that this host sends a call to an engine.
+        """Queue a call that this host sends to an engine.
 
-        ``tokens`` are to be read there; of ``parts`` the last is the call's
-        own, of which others are told the size alone, with what is made.
+        ``tokens`` are the uncached tokens of its prompt. The last of
+        ``parts`` belongs to the call alone: only its size is sent, added to
+        ``made_tokens``, the expected length of the response.
         """
         if len(self._own) >= BATCH_LIMIT:
             return
@@ -171,12 +171,12 @@
 def prompt_parts(
     sent: attending.SentCall,
 ) -> tuple[dialects.PromptPart, ...]:
-    """Return what other prompts may share with a call, as calls hold it."""
+    """Return the parts of a call's prompt that other prompts may share."""
     return tuple(
         dialects.PromptPart(part, tokens) for part, tokens in sent.parts
     )
 
 
 def host_checksum(host: ids.HostId) -> int:
-    """Return a short number by which a host knows its own calls again."""
+    """Return the number that identifies a host's calls in broadcasts."""
     return zlib.crc32(host.encode())
