--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -1,4 +1,4 @@
-"""What waits at an engine, by own calls and by its reports."""
+"""Backlog estimates: own calls, load reports, and peers' calls."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 
 class FakeClock:
-    """Stand still until told."""
+    """Clock that a test sets."""
 
     def __init__(self):
         self.now_ms = 100_000
@@ -19,12 +19,12 @@
 
 
 def load(queued, age_ms=0):
-    """Return what an engine reported."""
+    """Return an engine's load report."""
     return loads.EngineLoad('e', queued, queued, 0, 10**6, age_ms)
 
 
 def backlog_after(clock, *calls):
-    """Return a backlog after calls of (tokens, ms later) to one engine."""
+    """Return a backlog after calls of (tokens, ms until the next)."""
     made = backlog.Backlog(clock)
     numbers = []
     for tokens, later_ms in calls:
@@ -41,7 +41,7 @@
         ([(5_000, 40), (3_000, 0)], [], 6_000),
         ([(5_000, 0), (3_000, 0)], [0], 3_000),
         ([(5_000, 0), (3_000, 0)], [0, 1], 0),
-        # It has not answered, so that it still is to be read.
+        # Without a response, the prompt counts as still queued.
         ([(5_000, 1_000)], [], 5_000),
     ],
     ids=[
@@ -84,7 +84,7 @@
         made.remove_prompt('e', number)
     alone = made.tokens_ahead('e', load(40), TOKEN_MS)
     made.host_count = 3
-    # 10 tokens a ms from each of two others, while the report is old.
+    # 10 tokens per ms from each of two others, for the age of the report.
     more = made.tokens_ahead('e', load(40), TOKEN_MS) - alone
     assert more == pytest.approx(2 * 10 * backlog.REPORT_LAG_MS, rel=0.01)
 
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -1,4 +1,4 @@
-"""What a place costs a call and others, and the pace of engines."""
+"""Costs of destinations, and the pace of engines."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 
 class FakeClock:
-    """Stand still until told."""
+    """Clock that a test sets."""
 
     def __init__(self):
         self.now_ms = 100_000
@@ -83,7 +83,7 @@
         known.record_gap('e', 6, 500)
     slowed = known.forecast('e', 6)
     assert slowed.present_ms > 200 and slowed.usual_ms < 80
-    # Two seconds of it, then as usual.
+    # Two seconds at the present pace, then at the usual one.
     assert slowed.stream_ms(100) < 2_000 + 100 * slowed.usual_ms
     clock.now_ms += 10_000
     assert known.forecast('e', 6).present_ms < 1.2 * slowed.usual_ms
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -1,9 +1,8 @@
-"""Many hosts that see the same late reports of the engines they share.
+"""Load balancing by many hosts that share engines and delayed load reports.
 
-Pattern: 3 to 200 entry hosts of a region send calls with prompts of 1,500
-tokens in the mean to its engines, each by its own backlog and by reports
-that come every 400 ms and are 100 ms old then. Rates are a share of what
-the engines read, 38.7 tokens a ms, as on deployments of that kind.
+Simulates entry hosts of one region that select engines by their own backlog
+and by load reports. Guards against herding on the engine that a report shows
+as idle.
 """
 
 import heapq
@@ -25,14 +24,14 @@
 WARM_UP_MS = 2_000
 SEEDS = range(3)
 BUSY_SHARE = 0.8
-# Hosts of a region hear of what others sent when it is about so old.
+# Age of peers' calls when a broadcast arrives.
 TOLD_MS = 25
-# Two sets of seeds of one policy differ by as much.
+# Difference between sets of seeds of the same policy.
 NOISE = 0.15
 
 
 class SimulatedClock:
-    """Tell the time of the played region."""
+    """Clock of the simulated region."""
 
     def __init__(self):
         self.now_ms = 0.0
@@ -42,7 +41,7 @@
 
 
 class SimulatedRegion:
-    """Play the calls of some hosts at some engines."""
+    """Simulates the calls of some hosts to some engines."""
 
     def __init__(self, hosts, engines, share, seed, sampling, told_ms=None):
         self._told_ms = told_ms
@@ -67,7 +66,7 @@
         self.waits_ms = []
 
     def simulate(self):
-        """Return the mean time that calls wait before they are read."""
+        """Return the mean time that prompts are queued, in ms."""
         report_ms = INTERVAL_MS
         call_ms = 0.0
         while call_ms < SIMULATED_MS:
@@ -95,7 +94,7 @@
             host.remove_prompt(name, number)
 
     def _tell(self, now_ms):
-        """Let hosts hear what others sent some time before."""
+        """Deliver broadcasts of calls that peers sent before."""
         while self._to_tell and self._to_tell[0][0] <= now_ms:
             due_ms, sender, name, tokens = self._to_tell.pop(0)
             self._clock.now_ms = due_ms
@@ -135,12 +134,12 @@
 
 
 def all_endpoints(candidates, _always, _chance):
-    """Weigh all endpoints, as a host does that has few."""
+    """Sample all endpoints, as a host with few does."""
     return candidates
 
 
 def waits_ms(hosts, engines, share, sampling, told_ms=None):
-    """Return the mean wait over some seeds."""
+    """Return the mean queueing time over all seeds."""
     return statistics.mean(
         SimulatedRegion(
             hosts, engines, share, seed, sampling, told_ms
@@ -152,14 +151,14 @@
 @pytest.mark.parametrize('share, most', [(0.5, 0.6), (0.8, 0.6), (0.95, 0.8)])
 @pytest.mark.parametrize('hosts, engines', [(10, 7), (20, 14), (66, 24)])
 def test_broadcast_of_sent_calls_shortens_waits(hosts, engines, share, most):
-    """Each hears of the others' calls when they are a moment old."""
+    """Hosts receive each other's calls ``TOLD_MS`` after they are sent."""
     unheard_ms = waits_ms(hosts, engines, share, sampling.sample)
     told_ms = waits_ms(hosts, engines, share, sampling.sample, TOLD_MS)
     assert told_ms < most * unheard_ms
 
 
 def test_hosts_without_peer_reports_assume_equal_rates():
-    """Who hears nothing takes others to send as much as itself."""
+    """Without broadcasts, peers are assumed to send at the same rate."""
     clock = SimulatedClock()
     made = backlog.Backlog(clock)
     made.host_count = 3
@@ -177,7 +176,7 @@
     'hosts, engines', [(20, 20), (28, 32), (66, 24), (200, 72)]
 )
 def test_sampling_does_not_lengthen_waits(hosts, engines):
-    """Reports are too old for the best of all to be much better."""
+    """The best of a sample is about as good as the best of all."""
     weighing_all_ms = waits_ms(hosts, engines, BUSY_SHARE, all_endpoints)
     weighing_some_ms = waits_ms(hosts, engines, BUSY_SHARE, sampling.sample)
     assert weighing_some_ms <= (1 + NOISE) * weighing_all_ms
