--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -1,4 +1,4 @@
-"""What outcomes say about a place."""
+"""Ejection of addresses by the outcomes of their requests."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 
 class FakeClock:
-    """Stand still until told."""
+    """Clock that a test sets."""
 
     def __init__(self):
         self.now_ms = 0
--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -1,4 +1,4 @@
-"""What other regions offer for a call, by what their hosts said."""
+"""Offers of other regions, from the status of their hosts."""
 
 import pytest
 
@@ -31,7 +31,7 @@
 
 
 class FakePings:
-    """Be what pings told of one host, and who is near."""
+    """Stands in for the pinger and the remote hosts, with one host."""
 
     def __init__(self, said):
         self.remote_state = host_pinger.RemoteState(0, said, 50.0)
@@ -48,7 +48,7 @@
 
 
 class FakeBroadcaster:
-    """Be what hosts of this region tell each other."""
+    """Stands in for the broadcasts among this region's hosts."""
 
     def __init__(self):
         self.published = []
@@ -62,7 +62,7 @@
 
 
 def remote_regions_with(said, index=1, told=None):
-    """Return what is known of other regions, and the clock."""
+    """Return remote regions with one host's status, its pings and a clock."""
     clock = test_registry.FakeClock()
     held = replica.Replica()
     held.current = configuration.Configuration(
@@ -117,12 +117,12 @@
     )
     made.record_forwarded('south', SERVICE, CALL)
     again = made.offer_for_call('south', SERVICE, CALL, HOST)
-    # Its prompt is kept there now, and waits at one of two engines.
+    # Its prompt is cached there now, and is queued at one of two engines.
     assert again.first_ms == pytest.approx(first_ms - 100 + 50)
 
 
 def test_calls_forwarded_by_peer_hosts_are_counted():
-    """Hosts of one region that see the same offer don't all take it."""
+    """Guards against herding on one offer by all hosts of a region."""
     told = FakeBroadcaster()
     made, _found, _clock = remote_regions_with(pong(), told=told)
     other, _other_found, _other_clock = remote_regions_with(
@@ -134,9 +134,9 @@
     shared = [(part.part, part.tokens) for part in parts[:-1]]
     told.listener(attending.SentCall(1, name, tokens, 0, shared))
     again = made.offer_for_call('south', SERVICE, CALL, HOST)
-    # Its shared part is kept there now, and waits at one of two engines.
+    # Its shared part is cached there now, and queued at one of two engines.
     assert again.first_ms == pytest.approx(first_ms - 80 + 50)
-    # What is sent to this region's engines says nothing of others.
+    # Calls to this region's own engines are ignored.
     told.listener(attending.SentCall(1, 'i-engine', 10**6, 0))
     assert made.offer_for_call('south', SERVICE, CALL, HOST).first_ms == (
         again.first_ms
--- a/tests/test_prefixes.py
+++ b/tests/test_prefixes.py
@@ -1,4 +1,4 @@
-"""What hosts know of prompts' parts, and where long prompts go."""
+"""The index of prompt prefixes cached by engines."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 
 def parts(*names, tokens=1_000):
-    """Return shared parts of equal size, and one of the request's own."""
+    """Return shared parts of equal size, plus one private part."""
     shared = [dialects.PromptPart(name, tokens) for name in names]
     return (*shared, OWN)
 
@@ -26,7 +26,7 @@
             parts('a', 'b'),
             ('e2', 2_300),
         ),
-        # Whoever is not asked is not named: it drains, or falls silent.
+        # Engines outside the candidates, e.g. draining ones, don't count.
         ([('gone', parts('a', 'b'))], parts('a', 'b'), None),
     ],
     ids=[
@@ -66,7 +66,7 @@
 
 
 def test_generated_tokens_evict_cached_prefixes():
-    """Chats that nobody asks for again push prefixes out."""
+    """Generated tokens take cache space, though no prompt shares them."""
     known = prefix_index.PrefixIndex()
     known.record_prompt('e1', 5_000, parts('a'))
     for _number in range(3):
