--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -1,4 +1,4 @@
-"""What is learned of engines, against a simulated engine."""
+"""The prefill model, trained on a simulated engine."""
 
 import random
 import statistics
@@ -12,14 +12,14 @@
 
 
 class SimulatedEngine:
-    """Give first pieces after known times, with noise and some hangs."""
+    """Engine with known latency, log-normal noise and some hangs."""
 
     def __init__(self, seed):
         self.slowed = 1.0
         self._random = random.Random(seed)
 
     def call(self):
-        """Return the engine, unread and waiting tokens, and the time."""
+        """Return an engine, uncached and queued tokens, and the time taken."""
         chance = self._random
         name = chance.choice(list(ENGINES))
         lengths = ((100, 900), (1_000, 9_000))
@@ -34,7 +34,7 @@
 
 
 def train(model, engine, calls):
-    """Let a model learn, and return expected over real times."""
+    """Train a model, and return the ratios of expected to actual times."""
     ratios = []
     for _number in range(calls):
         name, unread, ahead, took_ms = engine.call()
@@ -74,7 +74,7 @@
 
 
 def test_queued_and_own_tokens_are_distinguished():
-    """Waiting tokens cost half here, as other hosts' calls drain too."""
+    """Queued tokens take half the time of the call's own tokens here."""
     model = prefill_model.PrefillModel()
     chance = random.Random(1)
     for _number in range(300):
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -1,4 +1,4 @@
-"""Whether repeats pay, by what they came to."""
+"""Retries depend on the success rate of past retries."""
 
 import random
 
--- a/tests/test_sent_calls.py
+++ b/tests/test_sent_calls.py
@@ -1,7 +1,7 @@
-"""Hosts of a region hear what others send, soon and at little cost.
+"""Broadcasts of sent calls: delivery, delay, and messages per host.
 
-Pattern: a region's busy hour, four calls a second at each host, to one
-engine for every two hosts; counted in messages and bytes a host.
+Simulates regions where each host sends four calls a second, with one engine
+for every two hosts.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
 
 
 class TellingPeers(membership_fleet.CountingPeers):
-    """Carry what is told without an answer, and count it too."""
+    """Delivers and counts one-way messages as well."""
 
     async def tell(self, host, message):
         body = self._encoder.encode(message)
@@ -38,7 +38,7 @@
 
 
 class Host:
-    """Tell of calls, and note when those of others were heard."""
+    """Host that broadcasts its calls and records those received."""
 
     def __init__(self, fleet, name):
         self.peers = TellingPeers(name, fleet.network)
@@ -58,7 +58,7 @@
 
 
 class Fleet:
-    """Hold the hosts of one region."""
+    """Hosts of one region."""
 
     def __init__(self, hosts):
         self.network = group.Network(1, latency_ms=1, jitter_ms=1)
@@ -66,7 +66,7 @@
         self.hosts = [Host(self, name) for name in self.names]
 
     async def send_calls(self):
-        """Let every host send calls at an even pace."""
+        """Send calls from all hosts at a constant rate; return the count."""
         calls = 0
         interval_ms = 1_000 / CALLS_PER_S / len(self.hosts)
         while calls * interval_ms < SIMULATED_MS:
@@ -106,7 +106,7 @@
 
 @pytest.mark.parametrize('hosts', [10, 20, 60, 200])
 def test_no_host_sends_more_as_the_region_grows(hosts):
-    """Not counted: that one message grows with the region's calls."""
+    """Counts messages, not bytes, which grow with the region's calls."""
 
     async def play():
         fleet = Fleet(hosts)
@@ -114,7 +114,7 @@
         for host in fleet.hosts:
             sent = host.peers.sent
             told = sent['TellSent'].messages + sent['TellRegion'].messages
-            # Its own calls, and a part of each of 40 tellings a second.
+            # Its own calls, and relays of 40 broadcasts a second.
             parts = 2 * 40 * hosts**0.5
             assert told / (SIMULATED_MS / 1_000) < CALLS_PER_S + parts
         whole = sum(
@@ -127,7 +127,7 @@
 
 
 def test_lost_collector_does_not_block_senders():
-    """Hosts that hear nothing go by reports, as before."""
+    """Hosts without broadcasts keep sending."""
 
     async def play():
         fleet = Fleet(10)
