--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -1,4 +1,4 @@
-"""Events of a stream, however its bytes are cut."""
+"""Event tracking, independent of chunk boundaries."""
 
 import hypothesis
 from hypothesis import strategies
--- a/tests/test_spending.py
+++ b/tests/test_spending.py
@@ -1,4 +1,4 @@
-"""Budgets that hosts share without a word between them."""
+"""Retry budgets that hosts share without coordination."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 
 class FakeClock:
-    """Stand still until told."""
+    """Clock that a test sets."""
 
     def __init__(self):
         self.now_ms = 0
@@ -18,7 +18,7 @@
 
 
 def shared_budgets(count, bounds, clock):
-    """Return the budgets of hosts that share them."""
+    """Return the budgets of ``count`` hosts that share them."""
     names = [f'10.0.{number // 250}.{number % 250}' for number in range(count)]
     every = [
         shared_retry_budget.SharedRetryBudget(name, bounds, clock)
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize('hosts', [20, 60, 200, 710])
 def test_fixed_part_is_fully_distributed(hosts):
-    """Parts below one are no budget that nobody can use."""
+    """Guards against parts rounded down to zero on every host."""
     bounds = shared_retry_budget.RetryBounds(0.2, 56, WINDOW_MS)
     spent = 0
     for budget in shared_budgets(hosts, bounds, FakeClock()):
--- a/tests/test_warmth.py
+++ b/tests/test_warmth.py
@@ -1,4 +1,4 @@
-"""What is heard of endpoints that were taken back."""
+"""Warmup status of endpoints in restored data centres."""
 
 import pytest
 
@@ -27,7 +27,7 @@
     asking = region_pollers.RegionPollers(
         'north', 'h1', held, test_engine_loads.NoPeers()
     )
-    # One that two other hosts ask.
+    # An endpoint that two other hosts probe.
     number = next(n for n in range(99) if not asking.is_poller_of(f'e{n}'))
     endpoint = test_engine_loads.registered(number)
     made = warmup_probe.WarmupProbe(
