--- a/tests/test_far.py
+++ b/tests/test_far.py
@@ -1,4 +1,4 @@
-"""Calls between regions, and what hosts share without a word."""
+"""Calls between regions, and estimates that hosts share."""
 
 import asyncio
 
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 async def system(tmp_path):
-    """Run entry hosts in two regions, two of them in the south."""
+    """Run one entry host in the north and two in the south."""
     made = []
     async with nodes.running(tmp_path) as running:
         for _number in range(2):
@@ -47,11 +47,10 @@
 
 
 async def wait_for_pongs(system):
-    """Wait until the north's host knows what the south's offer now.
+    """Wait until the north's host has current offers from the other hosts.
 
-    What a host offers comes with its answers to pings. The last answer
-    may be older than what was put in force or registered since, and one
-    that is under way too; the one after it is not.
+    Offers come with answers to pings. The last answer and one in flight may
+    be older than the latest change; the second answer from now is not.
     """
     north = system.entries[0]
     others = [other.node.host for other in system.entries[1:]]
@@ -92,7 +91,7 @@
 
 
 async def test_runs_elsewhere_count_against_the_attempts(system):
-    """Every endpoint fails; two hosts of the south may be asked."""
+    """All endpoints fail; a second host of the south may be used."""
     await system.put(route(attempts_limit=2))
     failing = [
         await system.add(
@@ -118,7 +117,7 @@
 
 
 async def cut_north_from_south(system, monkeypatch):
-    """Leave the north a way to the south by a third region's host."""
+    """Partition north and south, which a third region can both reach."""
     west = await system.start_entry('west-hall')
     north, *south = system.entries[:3]
     cut = {one.node.host for one in south}
@@ -164,7 +163,7 @@
 async def test_relayed_call_uses_no_warmup_request_of_the_relay(
     system, monkeypatch
 ):
-    """What only goes through must not cost its region a warming call."""
+    """Guards against warmup requests lost to calls that are only relayed."""
     await system.put(route(), warmup_per_s=0.1)
     there = await system.add('e2', 'south-hall')
     west = await cut_north_from_south(system, monkeypatch)
@@ -181,7 +180,7 @@
     'kind', [routes.RouteKind.REPEATABLE, routes.RouteKind.ONCE]
 )
 async def test_caller_disconnect_cancels_the_remote_request(system, kind):
-    """Nothing was answered yet, and nothing new is sent."""
+    """The request is cancelled before its response, and is not retried."""
     stall = endpoints.ScriptedEndpoint.STALL
     await system.put(test_passing.route(kind, homes=('south',)))
     there = await system.add('e2', 'south-hall', lambda _s, _n: [stall])
@@ -222,7 +221,7 @@
 
 
 async def forward_call(system, **changes):
-    """Pass a call to a host in the south as another host would."""
+    """Forward a call to a host in the south as another host would."""
     held = system.entries[1].replica.current
     hop = passing.Hop(
         'elsewhere', 'r/a/', 's', held.index, 1, changes.pop('limit_ms', None)
@@ -261,7 +260,7 @@
 
 
 async def test_call_is_never_passed_on_twice(system):
-    """There is no endpoint in the south; the north's is not asked."""
+    """There is no endpoint in the south, and the north's is not used."""
     await system.put(route())
     here = await system.add('e1', 'north-hall')
     assert await forward_call(system) == (503, 'unsent')
@@ -269,7 +268,7 @@
 
 
 async def test_cold_endpoint_is_used_by_one_host_at_its_pace(system):
-    """Both hosts of the south ask; the sum keeps to what it bears."""
+    """Both hosts of the south together keep to its warmup rate."""
     await system.put(route(), warmup_per_s=2.0)
     cold = await system.add('e2', 'south-hall', warmup_left_ms=60_000)
     south = [one.node.callers_address for one in system.entries[1:]]
@@ -284,7 +283,7 @@
 
 
 class ReportingEngine:
-    """Answer calls, and reports by the load that a test states."""
+    """Answers calls, and load polls with the load that a test sets."""
 
     def __init__(self, load):
         self.load = load
@@ -297,7 +296,7 @@
 
     @property
     def calls(self):
-        """Return the calls that came, without those for reports."""
+        """Return the received calls without load polls."""
         return [
             sent
             for sent in self.endpoint.requests
@@ -307,7 +306,7 @@
 
 @pytest.mark.parametrize('moves', [True, False])
 async def test_prompt_cache_is_fetched_from_its_holder(tmp_path, moves):
-    """The engine that read it has no room any more."""
+    """The engine that caches the prompt is full."""
     parts = 'Wrenspoke-Prompt-Parts: a:2000,b:1000,own:100'
     async with nodes.running(tmp_path, reports=nodes.Reports()) as system:
         batch = routes.Batch(8, 9_000, 1_000, 10_000.0, moves)
@@ -337,7 +336,7 @@
 
 
 async def test_busy_remote_host_is_not_counted_as_a_run(tmp_path):
-    """No engine has room; what may run once is served all the same."""
+    """All engines are full; a call that may run once is still served."""
     async with nodes.running(tmp_path, reports=nodes.Reports()) as system:
         await system.start_entry('south-hall')
         batch = routes.Batch(8, 9_000)
@@ -367,7 +366,7 @@
 
 
 async def test_engine_without_memory_is_skipped(tmp_path):
-    """By its own report its memory is full; the other one's is not."""
+    """One engine reports a full KV cache, the other one does not."""
     async with nodes.running(tmp_path, reports=nodes.Reports()) as system:
         batch = routes.Batch(8, 1_000)
         await system.put(route(), batch=batch)
@@ -397,7 +396,7 @@
 async def test_what_cannot_be_served_in_time_is_refused_at_once(
     tmp_path, tokens_in, deadline_ms, served
 ):
-    """It is told when to come back, and no engine is sent anything."""
+    """The refusal has a Retry-After, and no engine is sent anything."""
     async with nodes.running(tmp_path, reports=nodes.Reports()) as system:
         batch = routes.Batch(8, 9_000_000)
         await system.put(route(), batch=batch)
@@ -419,6 +418,6 @@
         if not served:
             assert got.startswith(b'HTTP/1.1 503 ')
             wait_s = float(endpoints.header(got, 'Retry-After'))
-            # The time to read it, less the target, spread by a half more.
+            # The prefill time less the target, plus up to half as jitter.
             assert 90 <= wait_s <= 160
         await engine.endpoint.close()
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -1,7 +1,7 @@
-"""No way of sending a call on leads out of its homes, at any moment.
+"""A call is never sent outside its route's home regions.
 
-The homes are those of the route that is in force when the call leaves,
-not those of when it came or its place was chosen.
+The homes in force when the call is sent count, not those in force when it
+arrived or when its destination was selected.
 """
 
 import asyncio
@@ -22,14 +22,14 @@
 
 
 def start_request(system, **changes):
-    """Ask the north's host for a call with a body."""
+    """Start a request with a body at the north's host."""
     headers = [f'Content-Length: {len(BODY)}', *changes.pop('headers', ())]
     sent = request(POST, headers, BODY, **changes)
     return asyncio.ensure_future(endpoints.send_raw(system.north, sent))
 
 
 def record_forwarded_bodies(monkeypatch, *entries):
-    """Return a list that fills with the bodies that hosts are passed."""
+    """Return a list that collects the bodies forwarded to hosts."""
     taken = []
 
     def watch(entry):
@@ -48,9 +48,9 @@
 
 
 class HoldingEndpoint:
-    """Answer after a table was put in force in the middle of it.
+    """Endpoint that pauses in its response until the test continues it.
 
-    Endpoints run in the same loop as the hosts.
+    Runs in the same loop as the hosts.
     """
 
     def __init__(self, *pieces):
@@ -82,12 +82,12 @@
 
 
 def failure(sent):
-    """Answer with a failure that is tried elsewhere."""
+    """Return a server error, which is retried elsewhere."""
     return b'', answer(sent, status='500 Failed')
 
 
 def broken_stream(sent):
-    """Begin a stream and break it off behind its first event."""
+    """Return a stream that breaks off after its first event."""
     head, event = test_passing.chunked(sent, b'id: 1\ndata: a\n\n')
     return head + event, b''
 
@@ -111,7 +111,7 @@
 async def test_later_attempt_uses_the_homes_in_force_then(
     system, kind, homes, tries, monkeypatch
 ):
-    """The homes change while the first endpoint works."""
+    """The homes change while the first endpoint serves the call."""
     route_kind, script, changes = KINDS[kind]
 
     def route(**more):
@@ -136,7 +136,7 @@
 
 
 async def test_homes_are_checked_again_once_connected(system, monkeypatch):
-    """The homes change while the connection to the south is made."""
+    """The homes change during the connect to the south."""
 
     def route(**more):
         return test_passing.route(routes.RouteKind.ONCE, **more)
@@ -158,7 +158,7 @@
     monkeypatch.setattr(connector, '_create_connection', connect_late)
     got = await start_request(system)
     assert taken == [] and there.requests == []
-    # It was not run, so the homes that hold now may serve it.
+    # The call was not run, so the new homes may serve it.
     assert got.endswith(b'whole') and len(here.requests) == 1
 
 
@@ -166,7 +166,7 @@
     'homes', [('south', 'north'), ('north',)], ids=['through', 'to']
 )
 async def test_relay_uses_the_homes_in_force_then(system, monkeypatch, homes):
-    """They change as the call is to go to the south through the west."""
+    """The homes change during the connect to the relay in the west."""
     await system.put(test_far.route())
     there = await system.add('e2', 'south-hall')
     west = await test_far.cut_north_from_south(system, monkeypatch)
@@ -186,7 +186,7 @@
 
 
 async def test_relay_host_applies_its_own_newer_homes(system, monkeypatch):
-    """The first host has not heard of the change."""
+    """The first host has not received the change."""
     await system.put(test_far.route())
     there = await system.add('e2', 'south-hall')
     west = await test_far.cut_north_from_south(system, monkeypatch)
--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -1,4 +1,4 @@
-"""Requests passed through: the bytes each side gets, and every end."""
+"""Passed-through requests: forwarded bytes, retries, and final responses."""
 
 import asyncio
 import os
@@ -23,7 +23,7 @@
 
 @pytest.fixture(scope='module')
 def event_loop_policy():
-    """Run on the loop that daemons run on: it tells ends apart itself."""
+    """Run on uvloop, as the daemons do: it reports ends of files itself."""
     os.environ[runtime.URING_VARIABLE] = '0'
     return uvloop.EventLoopPolicy()
 
@@ -42,7 +42,7 @@
 
 
 def request(line='GET /a/x HTTP/1.1', headers=(), body=b'', request_id='q1'):
-    """Return a request's bytes; the connection is to close after it."""
+    """Return a request's bytes, with ``Connection: close``."""
     head = [
         line,
         'Host: h.example',
@@ -54,7 +54,7 @@
 
 
 def answer(sent, body=b'whole', status='200 OK', extra=b''):
-    """Return a whole answer's bytes."""
+    """Return the bytes of a whole response."""
     return (
         f'HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n'.encode()
         + endpoints.echo_header(sent, ID)
@@ -65,7 +65,7 @@
 
 
 def chunked(sent, *pieces):
-    """Return a stream's head and its pieces, without the end."""
+    """Return a stream's head and its chunks, without the last chunk."""
     head = (
         b'HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n'
         b'Transfer-Encoding: chunked\r\n'
@@ -80,7 +80,7 @@
 
 @pytest.fixture
 async def system(tmp_path):
-    """Run one control and one entry host, and scripted endpoints."""
+    """Run one control and one entry host, with scripted endpoints."""
     made = []
     async with nodes.running(tmp_path) as running:
 
@@ -184,7 +184,7 @@
 async def test_failure_is_tried_again_where_it_may_be(
     system, kind, attempts, status, sends
 ):
-    """A failure that stays is the endpoint's own, not one of ours."""
+    """A failure that is not retried is forwarded as it is."""
     await system.put(route(kind, attempts_limit=attempts))
     count = []
 
@@ -223,7 +223,7 @@
 @pytest.mark.parametrize('name', BROKEN)
 @pytest.mark.parametrize('kind', [ONCE, REPEATABLE])
 async def test_broken_answer_is_never_passed_as_whole(system, name, kind):
-    """What may run once is not sent again, and not told as unrun."""
+    """Calls that must run once only are not retried, nor reported as unrun."""
     await system.put(route(kind, attempts_limit=2))
     count = []
 
@@ -243,7 +243,7 @@
 
 
 async def test_reset_after_the_last_bytes_is_an_incomplete_body(system):
-    """libuv tells it as an end of file."""
+    """libuv reports such a reset as an end of file."""
     await system.put(route())
     endpoint = endpoints.ResettingEndpoint(
         lambda sent: (
@@ -274,7 +274,7 @@
 
 
 async def test_surplus_response_is_not_matched_to_the_next_request(system):
-    """An answer behind an answer must not reach the next request."""
+    """Bytes after a response must not be taken for the next one."""
     await system.put(route(REPEATABLE, attempts_limit=2))
     await system.add(
         'e',
@@ -291,7 +291,7 @@
 
 
 async def test_misdirected_endpoint_is_deregistered(system):
-    """One refusal is enough, for this host and for all others."""
+    """One 421 response removes the endpoint from all hosts."""
     await system.put(route())
     other = await system.add(
         'e1', lambda sent, _number: [answer(sent, b'', '421 Other')]
@@ -332,7 +332,7 @@
     ],
 )
 async def test_request_without_route_is_not_found(system, line, host, status):
-    """There is no endpoint either: what has a route is not run."""
+    """There is no endpoint either, so requests with a route get a 503."""
     await system.put(route())
     sent = request(line).replace(b'h.example', host.encode())
     got = await system.ask(sent)
@@ -441,7 +441,7 @@
 
 @pytest.mark.parametrize('resumable', [True, False])
 async def test_broken_stream_is_resumed_or_aborted(system, resumable):
-    """No event is lost, doubled or torn; no end is made up."""
+    """No event is lost, duplicated or cut; a broken stream has no end."""
     await system.put(route(STREAM, resumable=resumable, attempts_limit=2))
     count = []
 
@@ -505,7 +505,7 @@
 async def test_restored_endpoint_is_used_at_once_only_if_warm(
     system, warmup_per_s, health, at_once
 ):
-    """A cold one gets no more than it bears from one host."""
+    """A cold endpoint gets requests from one host, at its warmup rate."""
 
     def script(sent, _number):
         if sent.startswith(b'GET /health '):
@@ -523,7 +523,7 @@
 
 
 async def evacuate_and_restore(system):
-    """Let the data centre be evacuated and used again, as seen here."""
+    """Evacuate the data centre and restore it, as seen by the entry host."""
     leader = await system.leader()
     [entry] = system.entries
     for evacuated in (True, False):
@@ -538,7 +538,7 @@
 
 
 async def test_restored_endpoint_is_used_again_without_a_status(system):
-    """For a while it may be cold; hearing of no change, it is not."""
+    """It counts as cold for a limited time if its status is unknown."""
     await system.put(route(), warmup_per_s=2.0)
     await system.add('e', lambda sent, _number: [answer(sent)])
     await evacuate_and_restore(system)
