--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -39,7 +39,7 @@
     """Raised if the forwarding host can serve the call sooner itself."""
 
     def __init__(self, first_ms: float):
-        super().__init__(f'busy: first piece expected after {first_ms:.0f} ms')
+        super().__init__(f'busy, first piece expected in {first_ms:.0f} ms')
         self.first_ms = first_ms
 
 
@@ -48,7 +48,7 @@
 
     def __init__(self, first_ms: float, retry_after_ms: int):
         super().__init__(
-            f'deadline missed: first piece expected after {first_ms:.0f} ms'
+            f'deadline unmeetable, first piece expected in {first_ms:.0f} ms'
         )
         self.first_ms = first_ms
         self.retry_after_ms = retry_after_ms
