--- a/tests/test_sent_calls.py
+++ b/tests/test_sent_calls.py
@@ -127,7 +127,7 @@
 
 
 def test_lost_collector_does_not_block_senders():
-    """Hosts without broadcasts keep sending."""
+    """Without the collecting host nothing is received, and none is blocked."""
 
     async def play():
         fleet = Fleet(10)
