--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -1,4 +1,8 @@
-"""Choose an endpoint for a request, or let it wait, or turn it away."""
+"""Schedule requests onto the endpoints of this region.
+
+A request gets a concurrency slot at an endpoint, waits in the queue of its
+service, or is rejected.
+"""
 
 import asyncio
 import collections.abc
@@ -30,7 +34,7 @@
 
 
 class Slot:
-    """Hold a place at one endpoint until it is released."""
+    """Concurrency slot at one endpoint, held until it is released."""
 
     def __init__(
         self,
@@ -49,7 +53,11 @@
     def release(
         self, succeeded: bool = False, overloaded: bool = False
     ) -> None:
-        """Give the place back, once."""
+        """Return the slot; later calls have no effect.
+
+        :param succeeded: the response may raise the limit
+        :param overloaded: the endpoint rejected the request
+        """
         if not self.open:
             return
         self.open = False
@@ -67,7 +75,7 @@
 
 
 class Queue:
-    """Hold the requests of one service that wait, the urgent first."""
+    """Bounded priority queue of the waiting requests of one service."""
 
     def __init__(self, limit: int):
         self._limit = limit
@@ -78,11 +86,14 @@
         return len(self._waiters)
 
     def count_ahead(self, head: requests.RequestHead) -> int:
-        """Return how many of those that wait go before a request."""
+        """Return how many waiting requests precede a new one."""
         return sum(waiter.rank <= -head.priority for waiter in self._waiters)
 
     def enqueue(self, head: requests.RequestHead) -> _Waiter | None:
-        """Add a request; None when those that wait go before it."""
+        """Add a request; return None if the queue has no room for it.
+
+        A full queue evicts its last waiter if that one has a lower priority.
+        """
         self._next_sequence += 1
         waiter = _Waiter(
             -head.priority,
@@ -101,11 +112,11 @@
         return waiter
 
     def dequeue(self, waiter: _Waiter) -> None:
-        """Take a request out."""
+        """Remove a waiter; one that has left already is ignored."""
         self._waiters.discard(waiter)
 
     def wake_next(self) -> None:
-        """Let the first that sleeps look again."""
+        """Wake the first waiter that has not been woken yet."""
         for waiter in self._waiters:
             if waiter.woken.done():
                 continue
@@ -114,7 +125,7 @@
 
 
 class EndpointScheduler:
-    """Give requests a place at an endpoint of this region."""
+    """Assigns requests to endpoints of this region."""
 
     def __init__(
         self,
@@ -144,9 +155,10 @@
         head: requests.RequestHead,
         excluded: collections.abc.Set[ids.EndpointId] = frozenset(),
     ) -> Slot:
-        """Return a place, after a wait if need be.
+        """Acquire a slot at an endpoint, queueing the request if necessary.
 
-        :raises EndedError: there is no endpoint, or none in time
+        :raises RequestEndedError: no endpoint serves the request, or none
+            has a free slot before its deadline
         """
         queue = self._queue_for(head.service)
         waiter = None
@@ -165,7 +177,9 @@
                     queue.dequeue(waiter)
                 waiter = queue.enqueue(head)
                 if waiter is None:
-                    raise self._overload_error(ranked, queue, 'queue is full')
+                    raise self._overload_error(
+                        ranked, queue, 'queue of the service is full'
+                    )
                 await self._wait_in_queue(head, waiter, ranked, queue)
         finally:
             if waiter is not None:
@@ -174,7 +188,7 @@
     def eligible_endpoints(
         self, head: requests.RequestHead
     ) -> set[ids.EndpointId]:
-        """Return this region's endpoints that take such a request."""
+        """Return the endpoints of this region that can serve a request."""
         return {item.endpoint for item in self._candidates(head)}
 
     def _candidates(
@@ -191,7 +205,10 @@
         ]
 
     def acquire_slot_at(self, endpoint: ids.EndpointId) -> Slot | None:
-        """Return a place at one endpoint for work it already has."""
+        """Acquire a slot for work that an endpoint has already begun.
+
+        The slot is granted even above the limit; None for an unknown endpoint.
+        """
         found = self._replica.current.endpoints.get(endpoint)
         if found is None:
             return None
@@ -204,7 +221,10 @@
         )
 
     def estimate_response_ms(self, head: requests.RequestHead) -> float:
-        """Estimate the first token's time here; infinite without any."""
+        """Estimate the time to first token in this region, in ms.
+
+        Infinite if no endpoint can serve the request.
+        """
         candidates = self._candidates(head)
         if not candidates:
             return INFINITE_MS
@@ -295,8 +315,8 @@
         wait_ms = self._wait_ms(endpoints, queue.count_ahead(head) + 1)
         if wait_ms <= left_ms:
             return
-        # The most urgent wait where it is reckoned that they are late, and
-        # not where endpoints say so themselves.
+        # HIGH priority queues despite a late estimate, unless every endpoint
+        # advertises a rate limit, which makes the estimate reliable.
         urgent = head.priority is requests.Priority.HIGH
         if urgent and not all(map(self._is_limited, endpoints)):
             return
@@ -309,10 +329,12 @@
         head: requests.RequestHead,
         endpoints: typing.Sequence[configuration.Endpoint],
     ) -> None:
-        """Refuse at once what every endpoint asked to be spared.
+        """Reject a request immediately if every endpoint is backing off.
 
-        A request waits for an endpoint that is about to be used again. The
-        urgent are told to come back before the others.
+        It queues instead if a backoff ends within the recheck interval. The
+        Retry-After is longer for lower priorities.
+
+        :raises RequestEndedError: all endpoints are backing off
         """
         if self._gate.backoffs.is_idle:
             return
@@ -328,7 +350,7 @@
             outcomes.Ending(
                 outcomes.Outcome.NOT_RUN,
                 outcomes.Reason.OVERLOAD,
-                'every endpoint asked for backoff',
+                'every endpoint is in backoff',
                 retry_schedule.jittered_ms(soonest_ms, urgency),
             )
         )
@@ -356,13 +378,13 @@
         return self._gate.limits.rate_per_s(life) is not None
 
     def _blocked_ms(self, endpoint: ids.EndpointId) -> int:
-        """Return for how long an endpoint is sent nothing more, in ms."""
+        """Return how long an endpoint accepts no requests, in ms."""
         if self._gate.is_idle:
             return 0
         return self._gate.remaining_ms(_life_of(endpoint))
 
     def _is_draining(self, endpoint: ids.EndpointId) -> bool:
-        """Return whether an endpoint said in an answer that it leaves."""
+        """Return whether a response of an endpoint announced draining."""
         leaving = self._gate.leaving
         return not leaving.is_idle and leaving.is_leaving(_life_of(endpoint))
 
@@ -393,7 +415,7 @@
         left_ms = head.deadline_ms - self._clock.mono_ms()
         if left_ms <= 0:
             raise self._overload_error(
-                ranked, queue, 'deadline passed waiting'
+                ranked, queue, 'deadline exceeded while queued'
             )
         blocked_ms = [
             self._blocked_ms(item.endpoint.endpoint) for item in ranked
@@ -408,7 +430,11 @@
         except TimeoutError:
             return
         if not still_queued:
-            raise self._overload_error(ranked, queue, 'gave way to others')
+            raise self._overload_error(
+                ranked,
+                queue,
+                'evicted from the queue by a higher-priority request',
+            )
 
     def _queue_for(self, service: ids.ServiceId) -> Queue:
         queue = self._queues.get(service)
@@ -418,5 +444,5 @@
 
 
 def _life_of(endpoint: ids.EndpointId) -> limiting.EndpointLife:
-    """Return the one life that endpoints with a configured name have."""
+    """Return the only incarnation that a configured endpoint has."""
     return limiting.EndpointLife(endpoint)
