--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -1,8 +1,8 @@
-"""The one place from which anything is sent to an endpoint.
+"""Send requests to configured endpoints.
 
-First tries, retries, resumed streams, load polls and orders all go
-through ``Dispatcher.send``, which checks in a fixed order what must hold
-and is the only code that reads an endpoint's address.
+First attempts, retries, resumed streams, load polls and orders all go
+through ``Dispatcher.send``. It runs every check in a fixed order and is the
+only code that reads an endpoint's address.
 """
 
 import collections.abc
@@ -36,12 +36,12 @@
 
 MAX_HOPS = 1
 BODILESS_STATUSES = frozenset([204, 304])
-# Header names in responses of configured endpoints.
+# Header names in the responses of configured endpoints.
 DIALECT = dialects.Dialect()
 
 
 class Purpose(enum.Enum):
-    """Say why something is sent to an endpoint."""
+    """Reason for sending a request to an endpoint."""
 
     FIRST = 'first'
     RETRY = 'retry'
@@ -56,10 +56,9 @@
 
 
 class ClaimTicket:
-    """Show that the ledger let one once-only attempt through.
+    """Proof that a once-only attempt won its claim in the ledger.
 
-    It is good for one send. ``unsent`` makes it good again, where it is
-    certain that nothing left this host.
+    A ticket is valid for one send.
     """
 
     def __init__(self, request: ids.RequestId, attempt_id: ids.AttemptId):
@@ -68,13 +67,13 @@
         self.used = False
 
     def mark_unsent(self) -> None:
-        """Take back a use that sent nothing."""
+        """Make the ticket valid again after a send that sent no bytes."""
         self.used = False
 
 
 @dataclasses.dataclass
 class Send:
-    """Hold everything about one send."""
+    """Parameters of one request to an endpoint."""
 
     purpose: Purpose
     endpoint: ids.EndpointId
@@ -91,14 +90,14 @@
 
     @property
     def echo_id(self) -> str:
-        """Return the id that the endpoint is to echo."""
+        """Return the id that the endpoint has to echo in its response."""
         request = 'control' if self.head is None else self.head.request
         return f'{request}/{self.attempt_id}'
 
 
 @dataclasses.dataclass
 class CheckContext:
-    """Hold what the checks look at besides the send itself."""
+    """State that the checks evaluate a send against."""
 
     host: ids.HostId
     region: ids.RegionId
@@ -115,7 +114,7 @@
 
 
 def check(name: str) -> collections.abc.Callable[[Check], Check]:
-    """Return a decorator that adds a check behind those before it."""
+    """Return a decorator that appends a check to ``CHECKS``."""
 
     def register(function: Check) -> Check:
         CHECKS[name] = function
@@ -126,7 +125,7 @@
 
 @check('configuration')
 def check_configuration(send: Send, context: CheckContext) -> str | None:
-    """Send nothing by a configuration that may have been left behind."""
+    """Reject work while the configuration of this host may be stale."""
     if send.purpose in WORK and not context.configuration_current:
         return 'this host was stopped and has to look for changes first'
     return None
@@ -134,7 +133,7 @@
 
 @check('quarantine')
 def check_quarantine(send: Send, context: CheckContext) -> str | None:
-    """Send no endpoint what endpoints ended under."""
+    """Reject quarantined work."""
     if send.purpose in WORK and context.quarantined_ms is not None:
         return (
             f'endpoints ended under it; held for {context.quarantined_ms} ms'
@@ -144,7 +143,7 @@
 
 @check('residency')
 def check_residency(send: Send, context: CheckContext) -> str | None:
-    """Keep work in this region, and bound work in its home."""
+    """Reject work outside this region, and bound work outside its home."""
     region = context.endpoint.region
     if send.purpose in WORK and region != context.region:
         return f'{region} is not the region of this host'
@@ -156,7 +155,7 @@
 
 @check('hops')
 def check_hops(send: Send, context: CheckContext) -> str | None:
-    """Refuse what was passed on too often or came back."""
+    """Reject a request with too many hops or a forwarding loop."""
     if send.head is None:
         return None
     path = send.head.path_of_hosts
@@ -169,7 +168,7 @@
 
 @check('deadline')
 def check_deadline(send: Send, context: CheckContext) -> str | None:
-    """Refuse what nobody waits for."""
+    """Reject a request whose deadline has passed."""
     if send.head is not None and send.head.deadline_ms <= context.now_ms:
         return 'deadline has passed'
     return None
@@ -177,7 +176,7 @@
 
 @check('endpoint_state')
 def check_endpoint_state(send: Send, context: CheckContext) -> str | None:
-    """Give no new work to an endpoint that leaves."""
+    """Reject new work for an endpoint that is draining."""
     if send.purpose in NEW_WORK and not context.takes_work:
         return f'{send.endpoint} takes no new work'
     return None
@@ -185,7 +184,7 @@
 
 @check('limits')
 def check_limits(send: Send, _context: CheckContext) -> str | None:
-    """Refuse work without a place at its endpoint."""
+    """Reject work that holds no open slot at its endpoint."""
     if send.purpose not in WORK:
         return None
     if send.slot is None or not send.slot.open:
@@ -197,7 +196,7 @@
 
 @check('endpoint_limit')
 def check_endpoint_limit(send: Send, context: CheckContext) -> str | None:
-    """Send no work without a permit that is still valid."""
+    """Reject work whose permit is no longer valid."""
     if send.purpose in WORK and not context.admitted:
         return 'no valid permit'
     return None
@@ -205,7 +204,7 @@
 
 @check('claim')
 def check_claim(send: Send, _context: CheckContext) -> str | None:
-    """Let a once-only request through once, by its claim."""
+    """Reject a once-only request without an unused ticket; use it up."""
     if send.head is None or not send.head.once:
         return None
     ticket = send.ticket
@@ -218,7 +217,7 @@
 
 
 class EndpointResponse(response_body.ResponseBody):
-    """Hold the head of an endpoint's answer; the body is read from it."""
+    """Status and headers of an endpoint's response, and its body reader."""
 
     def __init__(self, response: aiohttp.ClientResponse, name: str):
         super().__init__(response)
@@ -228,7 +227,7 @@
 
 
 class Dispatcher:
-    """Send to endpoints, after every check."""
+    """Sends requests to endpoints after running every check."""
 
     def __init__(
         self,
@@ -255,15 +254,15 @@
     async def send(
         self, send: Send
     ) -> collections.abc.AsyncIterator[EndpointResponse]:
-        """Send once and yield the answer's head.
+        """Send one request and yield the head of its response.
 
         Leaving the block early cancels the work at the endpoint.
 
-        :raises EndpointBusyError: the endpoint is sent nothing more for now
+        :raises EndpointBusyError: the endpoint accepts no requests for now
         :raises SendRefusedError: a check failed; nothing was sent
         :raises NotSentError: no connection; nothing was sent
-        :raises OverloadedError: the endpoint turned it away unrun
-        :raises MaybeSentError: it may have been run
+        :raises OverloadedError: the endpoint rejected it without running it
+        :raises MaybeSentError: the endpoint may have run it
         """
         send_permit = await self._acquire_permit(send)
         endpoint = self._run_checks(send, send_permit)
@@ -292,7 +291,7 @@
             if send.ticket is not None:
                 send.ticket.mark_unsent()
             if send_permit is not None and not send_permit.is_valid():
-                # It says nothing of the endpoint: the permit has ended.
+                # The permit expired; the endpoint itself did not fail.
                 raise errors.EndpointBackoffError(send.endpoint, 0) from error
             raise errors.NotSentError(str(error)) from error
         except transport_errors.MaybeSentError as error:
@@ -303,9 +302,9 @@
     ) -> endpoint_gate.GatePermit | None:
         """Acquire a permit to send to an endpoint.
 
-        A stream that the endpoint has begun goes before all others.
+        Resuming a stream has precedence over all other work.
 
-        :raises EndpointBusyError: it is sent nothing more for now
+        :raises EndpointBusyError: the endpoint accepts no requests for now
         """
         if self._gate is None:
             return None
@@ -325,7 +324,7 @@
     def _may_send(
         self, send: Send, send_permit: endpoint_gate.GatePermit | None
     ) -> bool:
-        """Tell, as the first byte is about to leave, whether it still may."""
+        """Return whether a send is still allowed before its first byte."""
         if self._quarantined_ms(send) is not None:
             return False
         return send_permit is None or send_permit.is_valid()
@@ -337,7 +336,7 @@
         send_permit: endpoint_gate.GatePermit | None,
         response: aiohttp.ClientResponse,
     ) -> None:
-        """Note what an endpoint says of itself, whatever it answered."""
+        """Record the state that a response of any status advertises."""
         if send_permit is None:
             return
         echoed = send.echo_id
@@ -349,7 +348,7 @@
         )
 
     def _is_guarded(self, send: Send) -> bool:
-        """Tell whether a send gives work that may end its endpoint."""
+        """Return whether a send is work that the quarantine guard tracks."""
         if self._guard is None or send.head is None:
             return False
         return send.purpose in WORK
@@ -357,14 +356,14 @@
     def _tracked_run(
         self, send: Send, endpoint: configuration.Endpoint
     ) -> contextlib.AbstractAsyncContextManager:
-        """Return what watches a send; nothing where it gives no work."""
+        """Return a context that tracks a run; a null context if unguarded."""
         if not self._is_guarded(send):
             return contextlib.nullcontext()
         address = urllib.parse.urlsplit(endpoint.url).netloc
         return self._guard.track_run(send.head.digest, send.endpoint, address)
 
     def _quarantined_ms(self, send: Send) -> int | None:
-        """Return for how long endpoints are sent no such work."""
+        """Return the remaining quarantine in ms, None without one."""
         if not self._is_guarded(send):
             return None
         return self._guard.remaining_hold_ms(send.head.digest)
@@ -374,7 +373,9 @@
     ) -> configuration.Endpoint:
         endpoint = self._replica.current.endpoints.get(send.endpoint)
         if endpoint is None:
-            raise errors.SendRefusedError('endpoint_state', 'is gone')
+            raise errors.SendRefusedError(
+                'endpoint_state', f'{send.endpoint} is not configured'
+            )
         context = CheckContext(
             host=self._host,
             region=self._region,
@@ -417,8 +418,8 @@
         if response.status not in advertised.REFUSALS:
             return
         if send.head is not None and send.head.once:
-            # An endpoint's word that it was busy does not prove that a
-            # once-only request was not run; the caller gets the answer.
+            # An overload status does not prove that a once-only request was
+            # not run, so the response goes to the caller.
             return
         life = limiting.EndpointLife(send.endpoint)
         backs_off = self._gate is not None and bool(
@@ -435,12 +436,14 @@
         if _echo_matches(send, endpoint, response):
             return
         logger.warning(
-            'answer_crossed',
+            'response_id_mismatch',
             endpoint=send.endpoint,
             expected=send.echo_id,
             found=response.headers.get(headers.ECHO),
         )
-        raise errors.MaybeSentError("answer is another request's")
+        raise errors.MaybeSentError(
+            f'{send.endpoint} echoed the id of another request'
+        )
 
 
 def _echo_matches(
@@ -448,17 +451,22 @@
     endpoint: configuration.Endpoint,
     response: aiohttp.ClientResponse,
 ) -> bool:
-    """Tell whether an answer is to what was sent."""
+    """Return whether a response echoes the id of the request."""
     if not endpoint.echoes_request_id:
         return True
     return response.headers.get(headers.ECHO) == send.echo_id
 
 
 def _reject_unframed(send: Send, response: aiohttp.ClientResponse) -> None:
-    """Refuse a body whose end can't be told from a broken connection."""
+    """Reject a body that is delimited by the end of the connection.
+
+    Its regular end can't be distinguished from a broken connection.
+    """
     if send.method == 'HEAD' or response.status in BODILESS_STATUSES:
         return
     chunked = 'chunked' in response.headers.get('Transfer-Encoding', '')
     if chunked or response.content_length is not None:
         return
-    raise errors.MaybeSentError('answer states no length')
+    raise errors.MaybeSentError(
+        f'{send.endpoint} sent neither Content-Length nor chunked encoding'
+    )
