--- a/wrenspoke/coordination/serving/response_body.py
+++ b/wrenspoke/coordination/serving/response_body.py
@@ -1,4 +1,4 @@
-"""Read the body of an endpoint's answer."""
+"""Read the bodies of endpoints' responses."""
 
 import collections.abc
 
@@ -10,16 +10,17 @@
 
 
 class ResponseBody:
-    """Read a body to its stated end, whole or as it comes."""
+    """Reads a body up to its declared end, buffered or streamed."""
 
     def __init__(self, response: aiohttp.ClientResponse):
         self._response = response
         self.bytes_read = 0
 
     async def read_all(self, limit_bytes: int) -> bytes:
-        """Return the whole body.
+        """Read and return the complete body.
 
-        :raises MaybeSentError: it was cut short, too long or unending
+        :raises MaybeSentError: it is truncated, has no declared end or
+            exceeds ``limit_bytes``
         """
         try:
             body = await web.read_whole(self._response, limit_bytes)
@@ -29,9 +30,9 @@
             raise errors.MaybeSentError(str(error)) from error
 
     async def chunks(self) -> collections.abc.AsyncIterator[bytes]:
-        """Yield the body as it comes.
+        """Yield the chunks of the body as they arrive.
 
-        :raises MaybeSentError: it was cut short
+        :raises MaybeSentError: it is truncated
         """
         try:
             async for chunk in web.read_chunks(self._response):
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -1,10 +1,10 @@
-"""Send a call on to an endpoint or to a host of another region, once.
+"""Send a passed-through call to an endpoint or a host of another region.
 
-This is the only place that writes to registered endpoints, and the only
-one from which a call's body leaves. As it does, its homes are looked at
-again, and whether endpoints ended under it. What came back is told apart:
-an answer, a promise that nothing was run, or nothing that says whether the
-call was run.
+Registered endpoints are sent requests from here only, and no other module
+sends the body of a call. Immediately before the first byte the allowed
+regions of the call and its quarantine are checked again. A response is
+classified as an answer or as proof that the call was not run; an error
+leaves open whether it was run.
 """
 
 import collections.abc
@@ -36,12 +36,12 @@
 
 logger = structlog.get_logger(__name__)
 
-# Kinds of traffic beside the messages on links: bodies, without heads.
+# Traffic kinds for bodies, counted without heads, beside link messages.
 CALL, ANSWER = 'call_body', 'answer_body'
 
 
 class Verdict(enum.Enum):
-    """Say what an answer's head means."""
+    """Classification of a response by its status and headers."""
 
     ANSWERED = 'answered'
     NOT_RUN = 'not_run'
@@ -50,10 +50,10 @@
 
 @dataclasses.dataclass
 class Destination:
-    """Say where a call is sent: an endpoint, or a host elsewhere.
+    """Target of one send: an endpoint, or a host of another region.
 
-    ``stands_in`` is the region of who takes it, ``region`` the one that a
-    host is to serve it in.
+    ``located_in`` is the region of the target itself, ``serving_region`` the
+    region in which a host has to serve the call.
     """
 
     address: str
@@ -70,35 +70,35 @@
 
     @property
     def life(self) -> limiting.EndpointLife:
-        """Return which life of the endpoint was chosen."""
+        """Return the selected incarnation of the endpoint."""
         return limiting.EndpointLife(
             self.endpoint, self.chosen.registered.said.born_ms
         )
 
     @property
     def expected_ms(self) -> int | None:
-        """Return when a first piece was expected of an endpoint."""
+        """Return the estimated time to first piece in ms, None for a host."""
         if self.chosen is None:
             return None
         return round(self.chosen.estimate.first_ms)
 
     @property
     def regions(self) -> tuple[ids.RegionId, ...]:
-        """Return the regions that a call enters by going there."""
+        """Return the regions that a call enters on its way."""
         if self.serving_region is None:
             return (self.located_in,)
         return (self.located_in, self.serving_region)
 
     @property
     def name(self) -> str:
-        """Return the endpoint's or host's name, for logs."""
+        """Return the name of the endpoint or host."""
         return self.endpoint or self.host
 
 
 class UpstreamResponse(response_body.ResponseBody):
-    """Hold the head of an answer; the body is read from it.
+    """Head of a response, and the reader of its body.
 
-    ``runs`` is how many endpoints a host that answers for others used.
+    ``runs`` is how many endpoints a forwarding host used for the call.
     """
 
     def __init__(
@@ -122,22 +122,22 @@
 
 
 def _parse_retry_after_ms(fields: collections.abc.Mapping[str, str]) -> float:
-    """Return how long a host says that a call would wait, 0 if not."""
+    """Return the Retry-After of a host in ms, 0 if missing or malformed."""
     found_s = numerals.decimal(fields.get('Retry-After', ''))
     return 0.0 if found_s is None else found_s * passing.MS_PER_S
 
 
 def _parse_runs(text: str | None) -> int:
-    """Return how many endpoints ran a call, by a host's own word.
+    """Return how many endpoints ran a call according to a host.
 
-    Where it says nothing, one is taken to have run it.
+    A missing or malformed count is taken as one run.
     """
     found = None if text is None else numerals.whole(text)
     return 1 if found is None else found
 
 
 def _parse_refusal(text: str | None) -> passing.Refusal | None:
-    """Return why a host gave its own word; what is unknown is a failure."""
+    """Return why a host refused a call; unknown reasons are GAVE_UP."""
     if text is None:
         return None
     try:
@@ -147,7 +147,7 @@
 
 
 class Sender:
-    """Write calls to endpoints and hosts, and read what comes back."""
+    """Sends calls to endpoints and hosts, and classifies the responses."""
 
     def __init__(
         self,
@@ -170,9 +170,9 @@
     async def acquire_permit(
         self, destination: Destination, rank: int
     ) -> None:
-        """Acquire a permit to send to a place's endpoint.
+        """Acquire a permit for the endpoint of a destination, if it is one.
 
-        :raises EndpointBusyError: it is sent nothing more for now
+        :raises EndpointBusyError: the endpoint accepts no requests for now
         """
         if destination.endpoint is not None:
             destination.send_permit = await self._gate.acquire(
@@ -188,13 +188,13 @@
         left_ms: int,
         last_event: str | None,
     ) -> collections.abc.AsyncIterator[UpstreamResponse]:
-        """Send once and yield the answer's head.
+        """Send a call once and yield the head of the response.
 
-        Leaving the block early closes the connection, which ends the
-        work on the other side.
+        Leaving the block early closes the connection, which cancels the
+        work of the receiver.
 
         :raises NotSentError: no connection; nothing was sent
-        :raises HeldBackError: it may not go there now; nothing was sent
+        :raises SendAbortedError: no longer allowed; nothing was sent
         :raises MaybeSentError: it may have been run
         """
         may_leave = functools.partial(
@@ -250,7 +250,7 @@
         permit: access.RoutePermit,
         destination: Destination,
     ) -> bool:
-        """Tell, as the first byte is about to leave, whether it still may."""
+        """Return whether a send is still allowed before its first byte."""
         if self._guard.remaining_hold_ms(call.digest) is not None:
             return False
         if (
@@ -268,7 +268,7 @@
         destination: Destination,
         response: aiohttp.ClientResponse,
     ) -> None:
-        """Note what an endpoint says of itself, whatever it answered."""
+        """Record the state that a response of any status advertises."""
         if destination.endpoint is None:
             return
         echoed = response.headers.get(self._dialect.request)
@@ -285,7 +285,7 @@
         destination: Destination,
         answer: UpstreamResponse,
     ) -> None:
-        """Count what went to a host elsewhere and came back from it."""
+        """Count the body bytes exchanged with a host of another region."""
         if destination.host is None:
             return
         peer_location = locations.Location(
@@ -312,7 +312,7 @@
         if destination.hop is not None:
             hop = msgspec.json.encode(destination.hop).decode()
             fields.append((passing.HOP, hop))
-            # The host there looks the key up itself.
+            # The receiving host looks the key up in its own table.
             return fields + call.credentials
         fields += self._identity_fields(call, permit)
         fields.append((dialect.endpoint, destination.endpoint))
@@ -329,11 +329,11 @@
     def _identity_fields(
         self, call: dialects.Call, permit: access.RoutePermit
     ) -> dialects.Fields:
-        """Return what tells an endpoint whose call it is.
+        """Return the headers that identify the caller to an endpoint.
 
-        Where there are teams that is a team's name, whatever the caller
-        says, and never the key. Where there are none, the caller's own
-        headers are passed on like all others.
+        With teams configured that is the name of the authenticated team,
+        never the key or a name that the caller sent. Without teams the
+        credentials of the caller are forwarded unchanged.
         """
         if permit.team is not None:
             return [(self._dialect.team, permit.team.team)]
@@ -345,9 +345,9 @@
         destination: Destination,
         response: aiohttp.ClientResponse,
     ) -> Verdict:
-        """Judge a head; another request's answer counts as none.
+        """Classify a response by its status and headers.
 
-        :raises MaybeSentError: the answer belongs to another request
+        :raises MaybeSentError: it echoes the id of another request
         """
         if (
             response.status == advertised.MISDIRECTED
@@ -364,11 +364,13 @@
         echoed = response.headers.get(self._dialect.request)
         if echoed != call.request:
             logger.warning(
-                'answer_crossed',
+                'response_id_mismatch',
                 request=call.request,
                 place=destination.name,
                 found=echoed,
                 status=response.status,
             )
-            raise errors.MaybeSentError("answer is another request's")
+            raise errors.MaybeSentError(
+                f'{destination.name} echoed the id of another request'
+            )
         return Verdict.ANSWERED
