--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -1,4 +1,8 @@
-"""Decide for each request where it is served, and see it to its end."""
+"""Entry point for requests of callers on an entry host.
+
+The gateway authenticates a request, applies rules, limits and quarantine,
+selects the region that serves it, and reports how it ended.
+"""
 
 import asyncio
 import typing
@@ -32,7 +36,8 @@
 
 logger = structlog.get_logger(__name__)
 
-# Reasons given by the ledger, or before any attempt could have run.
+# The outcome of these also holds for resends: the ledger determined it, or
+# the request is invalid and no attempt can have run.
 DEFINITIVE_REASONS = frozenset(
     [
         outcomes.Reason.CLAIM_REFUSED,
@@ -41,7 +46,7 @@
     ]
 )
 
-# Reasons for which another region may do better.
+# Reasons for which a request may fail over to another region.
 FAILOVER_REASONS = frozenset(
     [
         outcomes.Reason.NO_ENDPOINT,
@@ -52,7 +57,7 @@
 
 
 class Gateway:
-    """Serve callers on one entry host."""
+    """Serves callers on one entry host."""
 
     def __init__(
         self,
@@ -94,13 +99,13 @@
 
     @property
     def in_flight(self) -> int:
-        """Return how many requests are being served."""
+        """Return the number of requests in progress."""
         return self._in_flight
 
     async def drain(self, timeout_ms: int) -> bool:
-        """Turn new work away and wait until nothing is in flight.
+        """Reject new requests and wait until none is in flight.
 
-        False means that time ran out.
+        Return False if some are left after ``timeout_ms``.
         """
         self._closing = True
         try:
@@ -114,7 +119,7 @@
     async def serve(
         self, head: requests.RequestHead, body: bytes, reply: replies.Reply
     ) -> None:
-        """Answer one request, with its end if there is no answer."""
+        """Serve one request; reply with its ending if it gets no response."""
         self._in_flight += 1
         self._idle.clear()
         started_ms = self._clock.mono_ms()
@@ -153,12 +158,12 @@
         if not self._replica.serving:
             raise self._not_run_error(
                 outcomes.Reason.NO_CONFIGURATION,
-                'this host holds no configuration yet; ask another',
+                'this host has no current configuration; use another host',
             )
         if self._closing:
             raise self._not_run_error(
                 outcomes.Reason.DRAINING,
-                'this host is leaving; ask the directory for another',
+                'this host is draining; get another host from the directory',
             )
         if head.service not in self._replica.current.services:
             raise self._bad_request_error(
@@ -184,7 +189,7 @@
             if head.forwarded:
                 raise self._not_run_error(
                     outcomes.Reason.HOP_LIMIT,
-                    f'was passed on already and belongs in {region}',
+                    f'was forwarded already and has to be served in {region}',
                 )
             await self._forwarder.forward(head, body, region, reply)
             return
@@ -208,7 +213,11 @@
         ending: outcomes.Ending,
         reply: replies.Reply,
     ) -> ids.RegionId | None:
-        """Return a region for what this one could not even begin."""
+        """Return a region to forward a failed request to, None without one.
+
+        Only requests that were not run and that are neither bound, once-only
+        nor low priority fail over.
+        """
         if ending.outcome is not outcomes.Outcome.NOT_RUN or reply.started:
             return None
         if ending.reason not in FAILOVER_REASONS:
@@ -222,10 +231,12 @@
     def _authenticate(
         self, head: requests.RequestHead
     ) -> requests.RequestHead:
-        """Return a request of the team that its key proves.
+        """Return a request with the team of its key, and without the key.
 
-        Until a key was issued callers name their teams themselves. A
-        forwarded request was proved where its caller sent it.
+        Until the first key is issued the team header is trusted. The first
+        host has authenticated a forwarded request.
+
+        :raises RequestEndedError: the key is missing or unknown
         """
         current = self._replica.current
         if not current.proved or head.forwarded:
@@ -237,29 +248,33 @@
                 outcomes.Ending(
                     outcomes.Outcome.NOT_RUN,
                     outcomes.Reason.UNKNOWN_KEY,
-                    'no team holds the key that was shown',
+                    'the key is missing or held by no team',
                 )
             )
         return msgspec.structs.replace(head, team=team, key='')
 
     def _check_quarantine(self, head: requests.RequestHead) -> None:
-        """Turn away at once what no endpoint is sent."""
+        """Reject a quarantined request.
+
+        :raises RequestEndedError: it is quarantined
+        """
         held_ms = self._guard.refuse_if_held(head.digest)
         if held_ms is not None:
             raise errors.RequestEndedError(
                 outcomes.Ending(
                     outcomes.Outcome.NOT_RUN,
                     outcomes.Reason.QUARANTINED,
-                    f'endpoints ended under this request ({head.digest})',
+                    f'endpoints failed running this request ({head.digest})',
                     held_ms,
                 )
             )
 
     def _check_team_limit(self, head: requests.RequestHead) -> None:
-        """Turn a request away that is over its team's limit.
+        """Reject a request that exceeds its team's rate limit.
 
-        The host that a caller asked counts it; a forwarded one has been
-        counted.
+        The first host counts a request; forwarded ones are not counted again.
+
+        :raises RequestEndedError: the team is over its limit
         """
         if head.forwarded:
             return
@@ -295,7 +310,12 @@
     def _apply_rules(
         self, head: requests.RequestHead
     ) -> tuple[requests.RequestHead, requests.OnceKey | None]:
-        """Apply the operators' rules, which a caller can't loosen."""
+        """Return a request with the operators' rules applied, and its key.
+
+        Rules may add ``bound`` and ``once`` but never remove them.
+
+        :raises RequestEndedError: the home region or key is invalid
+        """
         bound, is_once = head.bound, head.once
         for rule in self._replica.current.rules.values():
             if not rule.matches(head.service, head.method, head.path):
@@ -368,7 +388,7 @@
     def _nearest_region_serving(
         self, head: requests.RequestHead
     ) -> ids.RegionId | None:
-        """Return the nearest other region that could serve a request."""
+        """Return the nearest other region that can serve, None without one."""
         own = self._host.region
         regions = {
             endpoint.region
@@ -419,7 +439,7 @@
         )
 
     def directory(self, region: str | None) -> dict[str, typing.Any]:
-        """Return which entry hosts to use, nearest first."""
+        """Return the usable entry hosts as JSON data, nearest first."""
         return {
             'region': region or self._host.region,
             'ttl_ms': self._settings.directory_ttl_ms,
@@ -435,7 +455,7 @@
         }
 
     def models(self) -> list[str]:
-        """Return the model versions that can be asked for."""
+        """Return the served model versions, sorted."""
         found = set()
         for endpoint in self._replica.current.endpoints.values():
             if self._replica.takes_work(endpoint):
@@ -443,11 +463,11 @@
         return sorted(found)
 
     def explain(self, request: str) -> list[dict[str, typing.Any]]:
-        """Return the decisions on one request."""
+        """Return the recorded decisions on one request, oldest first."""
         return self._decisions.explain(request)
 
     def status(self) -> dict[str, typing.Any]:
-        """Return what this host knows of itself and its peers."""
+        """Return the status of this host and its peers as JSON data."""
         return {
             'host': self._host.host,
             'region': self._host.region,
@@ -470,7 +490,10 @@
         }
 
     def service_of_model(self, model: str | None) -> str | None:
-        """Return the engine service that answers for a model."""
+        """Return the engine service of a model, None for an unknown model.
+
+        Empty while this host has no current configuration.
+        """
         current = self._replica.current
         if not self._replica.serving:
             return ''
@@ -486,10 +509,10 @@
 def _adjust_for_resend(
     head: requests.RequestHead, ending: outcomes.Ending
 ) -> outcomes.Ending:
-    """Say of a resend only what is known of the attempts before it.
+    """Return an ending, as unknown for a resend that was not run.
 
-    This attempt was not run; an earlier one may have been. Only the
-    ledger knows better, for once-only requests.
+    An earlier attempt may have been run. Only the ledger can exclude that,
+    for once-only requests.
     """
     if ending.outcome is not outcomes.Outcome.NOT_RUN or not head.resend:
         return ending
@@ -501,9 +524,10 @@
 def _with_digest(
     head: requests.RequestHead, body: bytes
 ) -> requests.RequestHead:
-    """Return a request with what names it; a forwarded one brings that.
+    """Return a request with its digest; a forwarded one has it already.
 
-    The rest of a broken stream is asked for with another body.
+    The digest of the first host is kept, as resuming a stream changes the
+    body.
     """
     if head.digest:
         return head
