--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -1,4 +1,4 @@
-"""Serve requests at this region's endpoints, and own their retries."""
+"""Serve requests at the endpoints of this region, with retries."""
 
 import dataclasses
 
@@ -26,13 +26,13 @@
     errors.OverloadedError,
     errors.MaybeSentError,
 )
-# Part of the time that is left, so that a second try has as much.
+# Part of the remaining time for the first try, so that a retry has as much.
 FIRST_TRY_SHARE = 0.5
-# Looks at whether this host may send again after it was stopped: 2 s, in
-# which a pull from a peer or a leader comes back.
+# After a pause of this process its configuration may be stale. The total of
+# the rechecks, 2 s, allows for one pull from a peer or the leader.
 CONFIG_RECHECKS = 20
 CONFIG_RECHECK_INTERVAL_MS = 100
-# Checks of a send that fail for every endpoint alike.
+# Checks whose failure is the same for every endpoint.
 NON_RETRIABLE_CHECKS = {
     'configuration': outcomes.Reason.NO_CONFIGURATION,
     'deadline': outcomes.Reason.DEADLINE,
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass
 class BufferedResponse:
-    """Hold an endpoint's whole answer."""
+    """Response of an endpoint with its body read completely."""
 
     status: int
     headers: dict[str, str]
@@ -52,14 +52,14 @@
 
     @property
     def outcome(self) -> outcomes.Outcome:
-        """Return how the request ended, by the endpoint's status."""
+        """Return the outcome that the status stands for."""
         if self.status >= SERVER_ERROR:
             return outcomes.Outcome.FAILED
         return outcomes.Outcome.WHOLE
 
 
 class RetryState:
-    """Count the sends of one request and judge each failure."""
+    """Tracks the tries of one request and decides on retries."""
 
     def __init__(
         self,
@@ -83,21 +83,23 @@
 
     @property
     def purpose(self) -> dispatch.Purpose:
-        """Return what the next send is."""
+        """Return the purpose of the next send."""
         if self.count == 0:
             return dispatch.Purpose.FIRST
         return dispatch.Purpose.RETRY
 
     def check_deadline(self) -> None:
-        """Give up, at once, when the deadline has passed.
+        """Raise if the deadline has passed.
 
-        :raises EndedError: it has
+        :raises RequestEndedError: it has passed
         """
         if self._clock.mono_ms() >= self._head.deadline_ms:
-            raise self.ended_error(outcomes.Reason.DEADLINE, 'deadline passed')
+            raise self.ended_error(
+                outcomes.Reason.DEADLINE, 'deadline exceeded'
+            )
 
     def try_timeout_ms(self, has_more_tries: bool) -> float:
-        """Return the time for one try; the first leaves some for more."""
+        """Return the timeout of one try; the first leaves time for a retry."""
         left_ms = self._head.deadline_ms - self._clock.mono_ms()
         if has_more_tries and self.count == 0:
             return left_ms * FIRST_TRY_SHARE
@@ -106,14 +108,14 @@
     async def handle_failure(
         self, endpoint: ids.EndpointId, error: errors.CoordinationError
     ) -> None:
-        """Do what a failure asks for before the next try.
+        """Prepare the next try after a failure.
 
-        A host that was stopped gets a moment to look for changes.
+        Waits for a newer configuration if that of this host may be stale.
 
-        :raises EndedError: there is no next try
+        :raises RequestEndedError: there is no next try
         """
         if isinstance(error, errors.EndpointBusyError):
-            # Others take it; the placer leaves this one alone meanwhile.
+            # Not a failure: the scheduler skips this endpoint meanwhile.
             self._decisions.record(
                 'over_endpoint_limit',
                 self._head.request,
@@ -135,9 +137,9 @@
     def record_failure(
         self, endpoint: ids.EndpointId, error: errors.CoordinationError
     ) -> None:
-        """Note a failure; return if another try is allowed.
+        """Record a failure; return if another try is allowed.
 
-        :raises EndedError: it is not
+        :raises RequestEndedError: it is not
         """
         self.count += 1
         self.last_error = str(error)
@@ -161,7 +163,10 @@
             raise self.ended_error(outcomes.Reason.ENDPOINT_FAILED, str(error))
 
     def _raise_if_non_retriable(self, error: errors.SendRefusedError) -> None:
-        """Give up on what no other endpoint would be sent either."""
+        """Raise if a check would fail for every other endpoint as well.
+
+        :raises RequestEndedError: no endpoint can be tried
+        """
         reason = NON_RETRIABLE_CHECKS.get(error.check)
         if reason is not None:
             raise self.ended_error(reason, str(error))
@@ -169,7 +174,7 @@
     def ended_error(
         self, reason: outcomes.Reason, detail: str, retry_after_ms: int = 1000
     ) -> errors.RequestEndedError:
-        """Return the end of a request that is given up on."""
+        """Return the error that ends a request without a response."""
         outcome = outcomes.Outcome.NOT_RUN
         if self.may_have_run:
             outcome = outcomes.Outcome.UNKNOWN
@@ -181,10 +186,10 @@
 
 
 def _is_budget_exempt(error: errors.CoordinationError) -> bool:
-    """Return whether a retry adds no load to endpoints.
+    """Return whether a retry adds no load and is exempt from the budget.
 
-    A refused request was not run, and where its endpoint is sent nothing
-    more for a while its retry makes no further refusals.
+    A try that was not run is exempt; one with an overload response only if
+    this host backs off from the endpoint.
     """
     if isinstance(error, errors.OverloadedError):
         return error.backs_off
@@ -192,7 +197,7 @@
 
 
 class LocalServer:
-    """Get whole answers from this region's endpoints."""
+    """Serves requests with buffered responses from this region."""
 
     def __init__(
         self,
@@ -214,7 +219,7 @@
         )
 
     def new_retry_state(self, head: requests.RequestHead) -> RetryState:
-        """Return a new count of one request's sends."""
+        """Return the retry state of a new request."""
         return RetryState(
             head,
             self.settings.attempts_limit,
@@ -226,7 +231,11 @@
     async def acquire_slot(
         self, head: requests.RequestHead, retry_state: RetryState
     ) -> placement.Slot:
-        """Return a place; after failures the reason given is theirs."""
+        """Acquire a slot at an endpoint that has not failed this request.
+
+        :raises RequestEndedError: none is free in time; after failed tries
+            the reason is that of the last failure
+        """
         try:
             return await self.scheduler.acquire_slot(
                 head, retry_state.excluded_endpoints
@@ -243,9 +252,9 @@
     async def serve(
         self, head: requests.RequestHead, body: bytes
     ) -> BufferedResponse:
-        """Return a whole answer to a request that may be repeated.
+        """Return the response to a request that may be retried.
 
-        :raises EndedError: there is none, and how that ended
+        :raises RequestEndedError: there is no response
         """
         retry_state = self.new_retry_state(head)
         while True:
@@ -280,7 +289,9 @@
             ):
                 return await self.exchange(send)
         except TimeoutError as error:
-            raise errors.MaybeSentError('no answer in time') from error
+            raise errors.MaybeSentError(
+                f'no response from {send.endpoint} within the try timeout'
+            ) from error
 
     def _may_retry_response(
         self,
@@ -299,7 +310,7 @@
         )
 
     async def exchange(self, send: dispatch.Send) -> BufferedResponse:
-        """Send once and read the whole answer, minding the place.
+        """Send once, read the whole response and release the slot.
 
         :raises CoordinationError: as ``Dispatcher.send`` does
         """
--- a/wrenspoke/coordination/serving/retry_budget.py
+++ b/wrenspoke/coordination/serving/retry_budget.py
@@ -1,13 +1,13 @@
-"""One owner of retries, with a budget.
+"""Budget for the retries of one entry host.
 
-The entry host next to the endpoint owns the retries of a request; a host
-that forwarded it passes a failure up as it is. See "Your Retry Policy May
-Be Feeding the Outage": a retry spent at every layer multiplies.
+The entry host that sends to the endpoint owns the retries of a request; a
+forwarding host returns failures unchanged. Retries at every layer would
+multiply, see "Your Retry Policy May Be Feeding the Outage".
 """
 
 
 class RetryBudget:
-    """Allow retries as a share of first attempts, and a small burst."""
+    """Token bucket of retries, filled in proportion to first attempts."""
 
     def __init__(self, ratio: float, burst: int):
         self._ratio = ratio
@@ -17,11 +17,11 @@
         self.denied = 0
 
     def record_first_attempt(self) -> None:
-        """Earn a share of a retry."""
+        """Add the retry ratio to the budget for a first attempt."""
         self._tokens = min(self._burst, self._tokens + self._ratio)
 
     def try_spend(self) -> bool:
-        """Take a retry from the budget; False when there is none."""
+        """Consume one retry; return False if the budget is exhausted."""
         if self._tokens < 1:
             self.denied += 1
             return False
