--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -1,9 +1,9 @@
-"""Serve streamed chats, whole, across the failure of engines.
+"""Serve streamed chats across failures of engines.
 
-What the caller has been sent is kept until the stream ends. When an
-engine fails on the way, the same engine is asked to resume; failing that
-another one continues from the text so far, and the caller sees one stream
-with events numbered on.
+The text sent to the caller is buffered until the stream ends. If an engine
+fails, the stream is resumed at the same engine or else continued at another
+one from the text so far. The caller receives one stream with consecutive
+event numbers.
 """
 
 import asyncio
@@ -36,7 +36,7 @@
 
 
 class Transcript:
-    """Hold what a caller has been sent of one stream."""
+    """Text and last event number of a stream as sent to the caller."""
 
     def __init__(self, body: bytes, last_event: int):
         self._body = body
@@ -45,7 +45,7 @@
         self.finished = False
 
     def add_event(self, event: sse.SseEvent) -> sse.SseEvent:
-        """Take an event in and return it as the caller is to see it."""
+        """Record an event and return it renumbered for the caller."""
         if event.data == sse.DONE:
             self.finished = True
             return sse.SseEvent(data=event.data)
@@ -54,7 +54,7 @@
         return sse.SseEvent(data=event.data, number=self.last_event)
 
     def continuation_body(self) -> bytes:
-        """Return the request to be sent for the rest of the stream."""
+        """Return the JSON request for the rest of the stream."""
         text = ''.join(self._parts)
         if not text:
             return self._body
@@ -81,7 +81,7 @@
 
 
 class OutcomeEventError(errors.CoordinationError):
-    """Carry the outcome event that another host ended its stream by."""
+    """Raised when another host ends its stream with an outcome event."""
 
     def __init__(self, data: str):
         super().__init__(data)
@@ -96,13 +96,13 @@
     first_ms: float,
     on_event: collections.abc.Callable[[], None],
 ) -> None:
-    """Pass events on until the stream is finished.
+    """Forward events to the caller until the stream is finished.
 
-    ``first_ms`` bounds the silence before the first event, ``stall_ms``
-    that before each later one.
+    ``first_ms`` is the timeout of the first event, ``stall_ms`` that of each
+    later one. ``on_event`` is called before each event is forwarded.
 
-    :raises MaybeSentError: it stopped before its end, or fell silent
-    :raises EndingEventError: its sender said how it ended
+    :raises MaybeSentError: the stream ended early or timed out
+    :raises OutcomeEventError: the other host sent an outcome event
     """
     events = sse.decode(chunks)
     event_timeout_ms = first_ms
@@ -112,11 +112,15 @@
                 async with clocks.timeout_ms(event_timeout_ms):
                     event = await anext(events, None)
             except TimeoutError as error:
-                raise errors.MaybeSentError('stream is silent') from error
+                raise errors.MaybeSentError(
+                    f'no stream event within {event_timeout_ms} ms'
+                ) from error
             except protocol_errors.MalformedMessageError as error:
                 raise errors.MaybeSentError(str(error)) from error
             if event is None:
-                raise errors.MaybeSentError('stream ended early')
+                raise errors.MaybeSentError(
+                    f'stream ended early after event {transcript.last_event}'
+                )
             if event.event == replies.OUTCOME_EVENT:
                 raise OutcomeEventError(event.data)
             on_event()
@@ -125,14 +129,14 @@
 
 
 class StreamServer:
-    """Stream chats from this region's engines."""
+    """Serves streamed chats from the engines of this region."""
 
     def __init__(self, server: local_server.LocalServer):
         self._server = server
         self._cancel_tasks = runtime.Tasks()
 
     async def close(self) -> None:
-        """Wait for nothing; drop what is still being cancelled."""
+        """Abort pending cancellation requests."""
         await self._cancel_tasks.close()
 
     async def serve(
@@ -141,9 +145,9 @@
         body: bytes,
         reply: replies.Reply,
     ) -> ids.EndpointId:
-        """Stream an answer and return the endpoint that finished it.
+        """Stream a response and return the endpoint that finished it.
 
-        :raises EndedError: it could not be finished
+        :raises RequestEndedError: the stream could not be finished
         """
         retry_state = self._server.new_retry_state(head)
         transcript = Transcript(body, head.last_event or 0)
@@ -272,7 +276,7 @@
             retry_state.may_have_run = True
             self._start_cancel(send)
             raise retry_state.ended_error(
-                outcomes.Reason.DEADLINE, 'deadline passed'
+                outcomes.Reason.DEADLINE, 'deadline exceeded'
             ) from error
         except errors.OverloadedError:
             send.slot.release(overloaded=True)
@@ -302,7 +306,9 @@
                         self._server.dispatcher.send(send)
                     )
             except TimeoutError as error:
-                raise errors.MaybeSentError('engine is silent') from error
+                raise errors.MaybeSentError(
+                    f'no response from {send.endpoint} within {stall_ms} ms'
+                ) from error
             if answer.status != OK:
                 raise errors.MaybeSentError(
                     f'endpoint answered {answer.status}'
@@ -322,7 +328,10 @@
         reply: replies.Reply,
         retry_state: local_server.RetryState,
     ) -> ids.EndpointId:
-        """Resume a stream that broke before the caller asked again."""
+        """Resume a stream from the event that the caller received last.
+
+        :raises RequestEndedError: no engine has the stream any more
+        """
         for endpoint in sorted(
             self._server.scheduler.eligible_endpoints(head)
         ):
@@ -344,7 +353,7 @@
         retry_state.may_have_run = True
         raise retry_state.ended_error(
             outcomes.Reason.STREAM_BROKEN,
-            'no engine holds this stream any more; ask anew',
+            'no engine has this stream any more; send a new request',
         )
 
     async def _resume_when_admitted(
@@ -355,9 +364,9 @@
         reply: replies.Reply,
         retry_state: local_server.RetryState,
     ) -> None:
-        """Resume at an endpoint as soon as its limit lets it.
+        """Resume at an endpoint, waiting while its limit allows no send.
 
-        No other one has the stream, and it goes before all that begin.
+        Only this endpoint may have the stream, so trying others is no option.
         """
         while True:
             retry_state.check_deadline()
@@ -371,7 +380,7 @@
                 await self._server.clock.sleep_ms(error.wait_ms)
 
     def _start_cancel(self, send: dispatch.Send) -> None:
-        """Tell the engine that nobody waits for this stream."""
+        """Cancel the stream at its engine in the background."""
         self._cancel_tasks.start(self._send_cancel(send), fatal=False)
 
     async def _send_cancel(self, send: dispatch.Send) -> None:
@@ -392,7 +401,7 @@
 
 
 def parse_outcome_error(data: str) -> dict[str, typing.Any]:
-    """Return the error within an outcome event's JSON."""
+    """Return the error object of an outcome event, empty if malformed."""
     try:
         return msgspec.json.decode(data)['error']
     except (msgspec.DecodeError, KeyError, TypeError):
