--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -1,4 +1,4 @@
-"""Pass a request on to another region, once."""
+"""Forward requests to entry hosts of other regions, over one hop."""
 
 import asyncio
 import collections.abc
@@ -28,16 +28,16 @@
 
 logger = structlog.get_logger(__name__)
 
-# Of a region; beyond these it counts as cut off.
+# After this many failed hosts a region counts as unreachable.
 MAX_HOSTS_TRIED = 3
-# Part of the time that is left, so that a second try has as much.
+# Part of the remaining time for a try, so that a later one has as much.
 FIRST_TRY_SHARE = 0.5
 EVENT_STREAM = 'text/event-stream'
 
 
 @dataclasses.dataclass
 class _ForwardState:
-    """Hold how far passing a request on has come."""
+    """State of forwarding one request."""
 
     head: requests.RequestHead
     body: bytes
@@ -48,21 +48,20 @@
     timeout: asyncio.Timeout | None = None
 
     def abort(self) -> None:
-        """Give up at once on a host that can't be reached any more."""
+        """Time the try out immediately, as its host became unreachable."""
         self.timeout.reschedule(asyncio.get_running_loop().time())
 
     def extend_timeout(self, left_ms: float) -> None:
-        """Let a stream that has begun take all the time there is."""
+        """Extend the timeout of a stream that has begun to the deadline."""
         loop = asyncio.get_running_loop()
         self.timeout.reschedule(loop.time() + left_ms / 1000)
 
 
 class Forwarder:
-    """Send requests to entry hosts of other regions.
+    """Forwards requests to entry hosts of other regions.
 
-    The host there owns the retries. A failure that it reports is passed
-    up as it is. A host that fails without a word, so that nobody owned
-    the failure, is left for the next one of its region.
+    The remote host owns the retries, so a failure that it reports is final.
+    If it fails without a response, the next host of its region is tried.
     """
 
     def __init__(
@@ -95,9 +94,9 @@
         region: ids.RegionId,
         reply: replies.Reply,
     ) -> None:
-        """Answer a request through a host of ``region``.
+        """Serve a request through an entry host of ``region``.
 
-        :raises EndedError: no host there gave an answer
+        :raises RequestEndedError: no host of the region responded
         """
         transcript = streams.Transcript(body, head.last_event or 0)
         forward_state = _ForwardState(head, body, region, reply, transcript)
@@ -118,7 +117,10 @@
     async def _try_host(
         self, forward_state: _ForwardState, host: ids.HostId, last: bool
     ) -> bool:
-        """Return whether the request has been answered through a host."""
+        """Return whether a host served the request.
+
+        :raises RequestEndedError: the host reported how it ended
+        """
         self._decisions.record(
             'forwarded',
             forward_state.head.request,
@@ -204,15 +206,23 @@
         response: aiohttp.ClientResponse,
         body: bytes,
     ) -> None:
-        """Pass on an answer, or the end that the other host reports."""
+        """Relay a buffered response.
+
+        :raises RequestEndedError: the rest of a begun stream failed
+        :raises MaybeSentError: it has no outcome, or is retried here
+        """
         if forward_state.reply.started:
             raise errors.RequestEndedError(_parse_ending(body.decode()))
         text = response.headers.get(headers.OUTCOME)
         if text is None:
-            raise errors.MaybeSentError('answer has no outcome')
+            raise errors.MaybeSentError(
+                f'response with status {response.status} has no outcome'
+            )
         outcome = outcomes.Outcome(text)
         if self._may_retry_outcome(forward_state, outcome):
-            raise errors.MaybeSentError(f'the other host told {text}')
+            raise errors.MaybeSentError(
+                f'remote host reported outcome {text!r}'
+            )
         await forward_state.reply.whole(
             response.status, response.headers, body, outcome
         )
@@ -220,7 +230,7 @@
     def _may_retry_outcome(
         self, forward_state: _ForwardState, outcome: outcomes.Outcome
     ) -> bool:
-        """Tell whether a failure that has an owner is retried here too."""
+        """Return whether a failure reported by the remote host is retried."""
         if self._settings.retry_owner == 'nearest' or forward_state.head.once:
             return False
         return outcome in (outcomes.Outcome.FAILED, outcomes.Outcome.UNKNOWN)
@@ -228,9 +238,9 @@
     def _headers(self, forward_state: _ForwardState) -> dict[str, str]:
         head = forward_state.head
         if forward_state.maybe_sent:
-            # The host that failed may have run it. As a resend, a
-            # once-only request is not run again and gets the kept
-            # answer, and none is told as not run.
+            # The failed host may have run it. Marked as a resend, a
+            # once-only request is not run again but gets the stored
+            # response, and no request is reported as not run.
             head = msgspec.structs.replace(head, resend=True)
         sent = {
             headers.HOP: self._signer.sign(
