--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -1,4 +1,8 @@
-"""Change the once-only ledger of this region, by majority."""
+"""Replicated ledger of once-only claims, one per region.
+
+Each key is a register that the ledger hosts of the region agree on with a
+two-phase (prepare, accept) majority protocol.
+"""
 
 import asyncio
 import collections.abc
@@ -30,7 +34,7 @@
 
 
 class Ledger:
-    """Read and change registers; hold this host's copies, if any."""
+    """Reads and changes claims; stores a replica on ledger hosts."""
 
     def __init__(
         self,
@@ -56,12 +60,12 @@
 
     @property
     def quorum(self) -> int:
-        """Return how many ledger hosts are a majority."""
+        """Return the number of ledger hosts that form a majority."""
         return len(self._members) // 2 + 1
 
     @property
     def key_count(self) -> int:
-        """Return how many keys this host holds a copy of."""
+        """Return the number of keys stored on this host."""
         return 0 if self._registers is None else len(self._registers)
 
     def _register_handlers(self) -> None:
@@ -70,18 +74,18 @@
         self._peers.answers(messages.Recall)(self._handle_recall)
 
     def start(self) -> None:
-        """Read back what this host forgot, and forget what is old."""
+        """Start recovery from the other replicas and expiry of old claims."""
         if self._registers is None:
             return
         self._tasks.start(self._recover())
         self._tasks.start(self._expire_claims())
 
     async def close(self) -> None:
-        """End the tasks."""
+        """Cancel the background tasks."""
         await self._tasks.close()
 
     def check_age(self, key: requests.OnceKey) -> str | None:
-        """Say why a key's issue time is not acceptable, if it is not."""
+        """Return 'expired' or 'future' for a bad issue time, else None."""
         age_ms = self._clock.wall_ms() - key.issued_ms
         if age_ms > self._settings.claim_retention_ms:
             return 'expired'
@@ -92,9 +96,9 @@
     async def change(
         self, key: requests.OnceKey, transition: Change
     ) -> registers.Claim:
-        """Apply ``function`` to a key's claim and return the result.
+        """Apply ``transition`` to the claim of a key and commit the result.
 
-        :raises LedgerUnreachableError: no majority could be won in time
+        :raises LedgerUnreachableError: no majority accepted it
         """
         backoff_ms = BACKOFF_MS
         for _round in range(ROUNDS_LIMIT):
@@ -105,10 +109,15 @@
                 return claim
             await self._clock.sleep_ms(random.uniform(0, backoff_ms))
             backoff_ms *= 2
-        raise errors.LedgerUnreachableError(f'{key}: too many rounds lost')
+        raise errors.LedgerUnreachableError(
+            f'{key}: no ballot won in {ROUNDS_LIMIT} rounds'
+        )
 
     async def read(self, key: requests.OnceKey) -> registers.Claim:
-        """Return a key's claim as the majority has it."""
+        """Return the claim of a key as committed by a majority.
+
+        :raises LedgerUnreachableError: no majority answered
+        """
         return await self.change(key, lambda claim: claim)
 
     async def _run_round(
@@ -143,7 +152,10 @@
         key: requests.OnceKey,
         message: messages.Prepare | messages.Accept,
     ) -> dict[str, registers.Vote] | None:
-        """Return a majority's grants, or None if a higher ballot stands."""
+        """Return the votes of a majority, None if a higher ballot exists.
+
+        :raises LedgerUnreachableError: no majority answered
+        """
         tasks = [
             asyncio.get_running_loop().create_task(
                 self._gather_vote(host, message)
@@ -169,7 +181,9 @@
             await runtime.cancel(tasks)
         if denied:
             return None
-        raise errors.LedgerUnreachableError(f'{key}: no majority')
+        raise errors.LedgerUnreachableError(
+            f'{key}: no majority of ledger hosts answered'
+        )
 
     async def _gather_vote(
         self, host: ids.HostId, message: messages.Prepare | messages.Accept
@@ -254,7 +268,7 @@
     async def _fetch_snapshot(
         self, host: ids.HostId, epoch: int
     ) -> registers.Memory | None:
-        """Return all that a host remembers, asked for part by part."""
+        """Fetch the registers of a host page by page; None if a call fails."""
         snapshot: registers.Memory | None = None
         after = registers.FIRST
         while True:
--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -1,4 +1,8 @@
-"""Serve once-only requests: claim in the ledger, then send at most once."""
+"""Serve once-only requests.
+
+A request is claimed in the ledger of its region before it is sent, and sent
+at most once. Resends get the stored response.
+"""
 
 import asyncio
 
@@ -28,7 +32,7 @@
 
 
 class OnceServer:
-    """Run a request at most once, whoever asks and however often."""
+    """Runs each once-only request at most once across hosts and resends."""
 
     def __init__(
         self,
@@ -50,7 +54,7 @@
         self._attempt_tasks: set[asyncio.Task] = set()
 
     async def close(self) -> None:
-        """Wait until every answer that is due has been recorded."""
+        """Wait until the responses of all running attempts are recorded."""
         if self._attempt_tasks:
             await asyncio.wait(self._attempt_tasks)
 
@@ -61,9 +65,10 @@
         body: bytes,
         reply: replies.Reply,
     ) -> None:
-        """Answer a once-only request of this region's ledger.
+        """Serve a once-only request whose key belongs to this region.
 
-        :raises EndedError: there is no answer, and what is known
+        :raises RequestEndedError: there is no response; the ending says
+            whether the request may have been run
         """
         self._check_age(head, key)
         if head.resend:
@@ -85,7 +90,11 @@
         )
 
     def _discard_task(self, task: asyncio.Task) -> None:
-        """Let go of an attempt; a caller that left hears no error."""
+        """Remove a finished attempt and retrieve its exception.
+
+        After its caller disconnected nothing else awaits the task, and an
+        exception that is never retrieved is logged as unhandled.
+        """
         self._attempt_tasks.discard(task)
         if not task.cancelled():
             task.exception()
@@ -93,7 +102,7 @@
     async def _wait_for_attempt(
         self, head: requests.RequestHead, task: asyncio.Task
     ) -> local_server.BufferedResponse | registers.Claim:
-        """Wait for an attempt, which outlives a caller that leaves."""
+        """Wait for an attempt, which continues if the caller disconnects."""
         left_ms = head.deadline_ms - self._clock.mono_ms()
         try:
             async with clocks.timeout_ms(left_ms):
@@ -102,8 +111,8 @@
             raise _ending_error(
                 outcomes.Outcome.UNKNOWN,
                 outcomes.Reason.DEADLINE,
-                'deadline passed while it may have been sent; ask again '
-                'for the answer',
+                'deadline exceeded after it may have been sent; resend it '
+                'to get the response',
             ) from error
 
     async def _run_attempt(
@@ -112,7 +121,7 @@
         key: requests.OnceKey,
         body: bytes,
     ) -> local_server.BufferedResponse | registers.Claim:
-        """Claim and send; return the claim where it is another's."""
+        """Claim and send; return the claim if another attempt holds it."""
         slot = await self._server.scheduler.acquire_slot(head)
         try:
             ticket, claim = await self._claim(head, key)
@@ -133,8 +142,8 @@
                 outcomes.Outcome.UNKNOWN,
                 outcomes.Reason.KEY_EXPIRED,
                 'the key is older than '
-                f'{self._settings.claim_retention_ms} ms; whether it ran '
-                'is not known any more',
+                f'{self._settings.claim_retention_ms} ms and its claim '
+                'has expired; whether it ran is unknown',
             )
         if problem == 'future':
             raise _ending_error(
@@ -182,10 +191,10 @@
         head: requests.RequestHead,
         error: errors.LedgerUnreachableError,
     ) -> errors.RequestEndedError:
-        """Tell the truth without the ledger.
+        """Return the error of an attempt without a ledger majority.
 
-        The attempt itself has not left this host. Only of a first one
-        does that mean that the request was not run.
+        The attempt was not sent. A resend is reported as unknown, since an
+        earlier attempt may have been run.
         """
         self._decisions.record('ledger_unreachable', head.request, error=error)
         outcome = outcomes.Outcome.NOT_RUN
@@ -227,7 +236,7 @@
                 raise _ending_error(
                     outcomes.Outcome.UNKNOWN,
                     outcomes.Reason.ENDPOINT_FAILED,
-                    f'it may have run: {error}',
+                    f'the request may have run: {error}',
                 ) from error
             except (errors.NotSentError, errors.SendRefusedError) as error:
                 slot = await self._next_slot(
@@ -244,7 +253,10 @@
         send: dispatch.Send,
         error: errors.CoordinationError,
     ) -> placement.Slot:
-        """Return another place, as nothing has been sent yet."""
+        """Return another slot after a try that sent nothing.
+
+        :raises RequestEndedError: there is none; the claim was released
+        """
         try:
             await retry_state.handle_failure(send.endpoint, error)
             return await self._server.acquire_slot(head, retry_state)
@@ -261,7 +273,7 @@
                 lambda old: registers.released(old, ticket.attempt_id),
             )
         except errors.LedgerUnreachableError:
-            logger.warning('claim_kept', request=key)
+            logger.warning('claim_release_failed', request=key)
 
     async def _record_response(
         self,
@@ -283,7 +295,7 @@
                 ),
             )
         except errors.LedgerUnreachableError:
-            logger.warning('answer_not_recorded', request=key)
+            logger.warning('response_not_recorded', request=key)
 
     async def _reply_from_claim(
         self,
@@ -292,12 +304,15 @@
         claim: registers.Claim,
         reply: replies.Reply,
     ) -> None:
-        """Answer a resend by what the ledger knows."""
+        """Reply to a resend from its claim, waiting for a running attempt.
+
+        :raises RequestEndedError: no response is stored
+        """
         until_ms = min(
             head.deadline_ms, self._clock.mono_ms() + RESEND_WAIT_MS
         )
         while claim.state is registers.ClaimState.DISPATCHED:
-            # Only a host that lives can still bring the answer.
+            # A host that is down records no response.
             if not self._members.usable(claim.host):
                 break
             if self._clock.mono_ms() + RESEND_POLL_MS >= until_ms:
@@ -311,14 +326,14 @@
             raise _ending_error(
                 outcomes.Outcome.NOT_RUN,
                 outcomes.Reason.CLAIM_REFUSED,
-                f'attempts up to {claim.attempt} were refused unrun; '
-                'send a higher one',
+                f'attempts up to {claim.attempt} were refused and not run; '
+                'resend with a higher attempt number',
             )
         if claim.answer is None:
             raise _ending_error(
                 outcomes.Outcome.UNKNOWN,
                 outcomes.Reason.CLAIM_EXISTS,
-                'it was sent before and its answer is not known here',
+                'it was sent before and no response is stored',
                 self._server.settings.retry_after_ms,
             )
         kept_answer = claim.answer
