--- a/wrenspoke/coordination/serving/concurrency_limits.py
+++ b/wrenspoke/coordination/serving/concurrency_limits.py
@@ -1,4 +1,4 @@
-"""Adaptive limits: how much work an endpoint is given at once."""
+"""Adaptive limits of the requests in flight to each endpoint."""
 
 import collections.abc
 
@@ -13,12 +13,11 @@
 
 
 class AdaptiveLimit:
-    """Bound the requests in flight to one endpoint.
+    """AIMD limit of the requests in flight to one endpoint.
 
-    Additive increase while the limit is in use, multiplicative decrease
-    when the endpoint turns work away. Where the endpoint reports that
-    work waits there, more would only wait longer: the limit then goes
-    back towards the endpoint's slots.
+    The limit increases additively while it is in use, and decreases
+    multiplicatively when the endpoint rejects work. While the endpoint
+    reports queued work it decreases too, but not below the endpoint's slots.
     """
 
     def __init__(self, slots: int, clock: clocks.Clock):
@@ -31,19 +30,19 @@
 
     @property
     def has_capacity(self) -> bool:
-        """Tell whether one more request may be sent."""
+        """Return whether one more request may be sent."""
         return self.in_flight + 1 <= self.limit
 
     def acquire(self) -> None:
-        """Count a request in."""
+        """Count a request as in flight."""
         self.in_flight += 1
 
     def release(
         self, succeeded: bool, overloaded: bool, has_queue: bool
     ) -> None:
-        """Count a request out and learn from its end.
+        """Count a request as done and adapt the limit to its result.
 
-        ``crowded`` says that the endpoint has work waiting.
+        ``has_queue`` says that the endpoint reports queued work.
         """
         busy = self.in_flight >= self.limit * BUSY_SHARE
         self.in_flight -= 1
@@ -64,14 +63,14 @@
 
 
 class ConcurrencyLimits:
-    """Hold the limit of every endpoint that this host sends to."""
+    """Limits of the endpoints that this host sends to."""
 
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
         self._limits: dict[ids.EndpointId, AdaptiveLimit] = {}
 
     def limit_for(self, endpoint: ids.EndpointId, slots: int) -> AdaptiveLimit:
-        """Return an endpoint's limit, made on first use."""
+        """Return the limit of an endpoint, created with ``slots`` if new."""
         limit = self._limits.get(endpoint)
         if limit is None:
             limit = AdaptiveLimit(slots, self._clock)
@@ -79,14 +78,14 @@
         return limit
 
     def in_flight(self, endpoint: ids.EndpointId) -> int:
-        """Return how many requests this host has at an endpoint."""
+        """Return the requests of this host in flight to an endpoint."""
         limit = self._limits.get(endpoint)
         return 0 if limit is None else limit.in_flight
 
     def retain_endpoints(
         self, endpoints: collections.abc.Container[ids.EndpointId]
     ) -> None:
-        """Forget endpoints that are gone and idle."""
+        """Remove the limits of other endpoints without requests in flight."""
         for endpoint, limit in list(self._limits.items()):
             if endpoint not in endpoints and limit.in_flight == 0:
                 del self._limits[endpoint]
--- a/wrenspoke/coordination/serving/routing.py
+++ b/wrenspoke/coordination/serving/routing.py
@@ -1,4 +1,4 @@
-"""Policies that rank endpoints for a request, kept in a registry."""
+"""Load-balancing policies that rank endpoints, registered by name."""
 
 import collections
 import collections.abc
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class RankingContext:
-    """Hold what a policy may look at."""
+    """State that a policy ranks endpoints by."""
 
     loads: loads.LoadTable
     limits: concurrency_limits.ConcurrencyLimits
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Ranked:
-    """Hold an endpoint with its score; the lowest goes first."""
+    """An endpoint with its score; the lowest score ranks first."""
 
     endpoint: configuration.Endpoint
     score: float
@@ -63,7 +63,10 @@
 
 
 class SessionAffinity:
-    """Remember at which endpoint a session's prefix was last used."""
+    """LRU map of sessions to the endpoint that served them last.
+
+    That endpoint probably has the prompt prefix of the session cached.
+    """
 
     def __init__(self):
         self._endpoints: collections.OrderedDict[
@@ -73,7 +76,7 @@
     def record_use(
         self, session: ids.SessionId | None, endpoint: ids.EndpointId
     ) -> None:
-        """Note that a session was served."""
+        """Record which endpoint served a session; None is ignored."""
         if session is None:
             return
         self._endpoints[session] = endpoint
@@ -84,11 +87,11 @@
     def last_endpoint(
         self, session: ids.SessionId | None
     ) -> ids.EndpointId | None:
-        """Return where a session was served last, as far as known."""
+        """Return the endpoint that served a session last, None if unknown."""
         return self._endpoints.get(session)
 
     def evict_endpoint(self, endpoint: ids.EndpointId) -> None:
-        """Forget the sessions of an endpoint whose cache is gone."""
+        """Remove the sessions of an endpoint that lost its cache."""
         evicted = [
             session
             for session, used in self._endpoints.items()
@@ -99,7 +102,7 @@
 
 
 def rendezvous(key: str, names: collections.abc.Iterable[str]) -> list[str]:
-    """Order names by highest random weight for a key."""
+    """Return names in rendezvous order (highest random weight) of a key."""
     return sorted(
         names,
         key=lambda name: xxhash.xxh64_intdigest(f'{key}/{name}'.encode()),
@@ -109,7 +112,7 @@
 
 @policy('random')
 def rank_random(_head, endpoints, view):
-    """Rank by chance: a baseline."""
+    """Rank endpoints at random; a baseline."""
     return [Ranked(endpoint, view.random.random()) for endpoint in endpoints]
 
 
@@ -118,7 +121,7 @@
 
 @policy('round_robin')
 def rank_round_robin(_head, endpoints, _view):
-    """Rank in turn: a baseline."""
+    """Rank endpoints round robin; a baseline."""
     turn = next(_ROUND_ROBIN_COUNTER)
     count = len(endpoints)
     return [
@@ -129,7 +132,7 @@
 
 @policy('least_reported')
 def rank_least_reported(_head, endpoints, view):
-    """Rank by the engines' own lagging reports: a baseline."""
+    """Rank by the load that engines reported, which lags; a baseline."""
     return [
         Ranked(
             endpoint,
@@ -145,7 +148,10 @@
 
 @policy('estimate')
 def rank_estimate(head, endpoints, view):
-    """Rank by estimated first-token time and price, weighed by service."""
+    """Rank by estimated time to first token and price.
+
+    The weights of both are those of the service.
+    """
     warm = _warm_share(head, endpoints, view.sessions)
     service = view.service
     ranked = []
@@ -162,7 +168,7 @@
 def estimate_first_ms(
     endpoint: configuration.Endpoint, view: RankingContext, warm_share: float
 ) -> float:
-    """Estimate when the first token would come from an endpoint."""
+    """Estimate the time to first token at an endpoint, in ms."""
     speed = view.loads.latency(endpoint.endpoint)
     total = _expected_load(endpoint, view)
     ahead = max(0, total + 1 - endpoint.slots)
