--- a/wrenspoke/coordination/serving/retry_schedule.py
+++ b/wrenspoke/coordination/serving/retry_schedule.py
@@ -1,42 +1,42 @@
-"""Tell callers that are turned away when to come back, one by one."""
+"""Spread the retries of rejected callers over time."""
 
 import random
 
 from wrenspoke import clock as clocks
 
 MS_PER_S = 1_000
-# Longer than callers wait, as a rule; what is reckoned for later is a guess.
+# Callers rarely wait longer, and estimates beyond it are unreliable.
 MAX_RETRY_AFTER_MS = 10_000
-# Callers that are turned away come back spread over this much longer.
+# Share of a wait that is added as random jitter, at most.
 RETRY_JITTER = 0.5
-# Beyond it the times would be longer than callers wait.
+# Steps of urgency that lengthen a wait; more would exceed what callers wait.
 MAX_URGENCY_STEPS = 3
 
 
 def jittered_ms(wait_ms: float, urgency: int = 0) -> int:
-    """Return a wait that spreads callers; 0 is the most urgent.
+    """Return a wait in ms with jitter; urgency 0 is the most urgent.
 
-    The waits of each urgency begin where those of the one before end.
+    The range of each urgency begins where that of the preceding one ends.
     """
     step = (1.0 + RETRY_JITTER) ** min(urgency, MAX_URGENCY_STEPS)
     return int(wait_ms * step * random.uniform(1.0, 1.0 + RETRY_JITTER))
 
 
 class RetrySchedule:
-    """Hold when callers that were turned away are to come back.
+    """Retry times of rejected callers, in order of urgency.
 
-    The more urgent come before those that are less, whoever came first.
+    More urgent callers retry earlier, regardless of their arrival order.
     """
 
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
-        # When each comes back, and how urgent its call is.
+        # Retry time and urgency of each rejected caller.
         self._scheduled: list[tuple[float, int]] = []
 
     def schedule(self, urgency: int, rate_per_s: float) -> float:
-        """Return how long a caller is to stay away.
+        """Schedule a retry and return the wait in ms.
 
-        ``rate_per_s`` is what can be served of those that come back.
+        ``rate_per_s`` is the rate at which retries can be served.
         """
         now_ms = self._clock.mono_ms()
         self._scheduled = [
--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -1,9 +1,9 @@
-"""Teams' limits, kept by leased shares in place of shared counters.
+"""Rate limits of teams, enforced by leased shares.
 
-A limit is split over regions by its weights and over data centres by
-their entry hosts. Within a data centre one host, the team's lender,
-leases the rate to those that ask, by what they need. No message leaves
-the data centre, and what is granted never adds up to more than its part.
+A limit is split over regions by weight and over data centres by their
+number of entry hosts. Within a data centre one host, the lender of the
+team, leases parts of the rate to hosts by demand. No message leaves the
+data centre, and its leases never exceed its share in total.
 """
 
 import dataclasses
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass
 class TeamTokenBucket:
-    """Hold one team's tokens on this host."""
+    """Token bucket of one team on this host."""
 
     rate_per_s: float
     burst: float
@@ -43,7 +43,7 @@
     leased_until_ms: int = 0
 
     def take_token(self, now_ms: int) -> int:
-        """Take a token; return 0, or the time until there is one."""
+        """Consume a token; return 0, or the wait for the next one in ms."""
         refill = (now_ms - self.last_refill_ms) * self.rate_per_s / MS_PER_S
         self.tokens = min(self.burst, self.tokens + refill)
         self.last_refill_ms = now_ms
@@ -56,7 +56,7 @@
 
 @dataclasses.dataclass
 class RateLease:
-    """Hold what a lender has granted one host of one team."""
+    """Part of a team's rate that is leased to one host."""
 
     demand_per_s: float
     rate_per_s: float
@@ -64,7 +64,7 @@
 
 
 class RateLeaseManager:
-    """Split teams' rates among the hosts that ask for them."""
+    """Leases parts of teams' rates to hosts, in proportion to demand."""
 
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
@@ -77,10 +77,10 @@
         demand_per_s: float,
         total_per_s: float,
     ) -> float:
-        """Lease a host its part of ``whole_per_s``, by what is wanted.
+        """Lease a host its share of ``total_per_s`` and return its rate.
 
-        Leases of others stand until they end, so a part that grows does
-        so as the others' shrink.
+        Unexpired leases of other hosts are never revoked, so a share grows
+        only as the other leases are renewed for less or expire.
         """
         now_ms = self._clock.mono_ms()
         leases = {
@@ -100,7 +100,7 @@
 
 
 class TeamRateLimiter:
-    """Admit requests of teams within this host's share of their limits."""
+    """Admits requests within the share of this host in team limits."""
 
     def __init__(
         self,
@@ -130,15 +130,15 @@
         peers.answers(messages.AskLeases)(self._handle_ask_leases)
 
     def start(self) -> None:
-        """Begin to renew leases."""
+        """Start renewing leases."""
         self._tasks.start(self._renew_leases())
 
     async def close(self) -> None:
-        """End the task."""
+        """Cancel the renewal task."""
         await self._tasks.close()
 
     def admit(self, team: str) -> int:
-        """Return 0 to admit a request, or when to come back, in ms."""
+        """Return 0 to admit a request, or after how many ms to retry."""
         limit = self._replica.current.limits.get(team)
         if limit is None:
             return 0
@@ -152,7 +152,7 @@
         return bucket.take_token(now_ms)
 
     def _data_centre_rate_per_s(self, limit: configuration.TeamLimit) -> float:
-        """Return the part of a limit that this data centre has."""
+        """Return the share of this data centre in a limit, per second."""
         weights = limit.regions or dict.fromkeys(self._regions, 1.0)
         total_weight = sum(weights.values())
         if not total_weight:
