--- a/wrenspoke/coordination/serving/access.py
+++ b/wrenspoke/coordination/serving/access.py
@@ -1,9 +1,9 @@
-"""Who may be served, and where, by what is in force at that moment.
+"""Authorize calls against the current route table and teams.
 
-A table of routes may change while a call is under way: between its
-arrival and the choice of a place, while a connection is made, between two
-tries. Whose call it is and where it may go is what holds as its body
-leaves; what was found at its arrival only finds a place to try.
+The table may change while a call is in progress: before a destination is
+selected, while a connection is opened, or between attempts. The permit of a
+call on arrival only selects destinations; team and regions are authorized
+again immediately before its body is sent.
 """
 
 import dataclasses
@@ -20,17 +20,17 @@
 from wrenspoke.state import routes
 from wrenspoke.state import teams
 
-# Places on the scale of urgencies, 0 for the most urgent.
+# Urgency ranges from 0, the most urgent, to URGENCY_LEVELS - 1.
 URGENCY_LEVELS = 10
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoutePermit:
-    """Say by which route a call may be served, and for which team.
+    """Permission to serve a call by a route, for a team.
 
-    The route's homes are those that the team allows as well. ``anyone``
-    says that there are no teams at all. ``urgency`` is 0 for what is most
-    urgent and 9 for what is least.
+    The homes of the route are restricted to those that the team allows.
+    ``teams_disabled`` is set if no teams are configured. ``urgency`` ranges
+    from 0, the most urgent, to 9.
     """
 
     route: routes.Route
@@ -40,7 +40,7 @@
 
 
 class AccessControl:
-    """Look calls up in the table that is in force now."""
+    """Authorizes calls against the current route table."""
 
     def __init__(
         self,
@@ -56,11 +56,12 @@
         self._urgencies: dict[tuple[int, int], int] = {}
 
     def authorize(self, call: dialects.Call) -> RoutePermit:
-        """Return what a call may do.
+        """Return the permit of a call.
 
-        :raises NoRouteError: there is no route for it
-        :raises UnknownKeyError: it needs a key that a team holds
-        :raises NoLeaseError: whether its key still holds is not known here
+        :raises NoRouteError: no route matches
+        :raises UnknownKeyError: the route requires the key of a team
+        :raises NoLeaseError: without a configuration lease this host can't
+            verify that the key is still valid
         """
         self._refresh_indexes()
         route = self._routes.find(call.host, call.path)
@@ -81,7 +82,7 @@
                 return RoutePermit(route, urgency=self._urgency(route, None))
             return self._permit_for_team(team, route)
         if not self._lease.held:
-            raise errors.NoLeaseError('no lease on the configuration')
+            raise errors.NoLeaseError('this host holds no configuration lease')
         if team is None:
             raise errors.UnknownKeyError('no team holds this key')
         return self._permit_for_team(team, route)
@@ -93,9 +94,10 @@
         return RoutePermit(route.bound_to(team.homes), team, urgency=urgency)
 
     def _urgency(self, route: routes.Route, team: teams.Team | None) -> int:
-        """Return a call's urgency: its team's goes before its route's.
+        """Return the urgency of a call, by team priority, then by route.
 
-        A route that was dropped while its call was tried is ranked alone.
+        If the route has been removed while the call is in progress, the
+        urgency is the clamped priority.
         """
         pair = _priority_pair(route, team)
         return self._urgencies.get(pair, _clamp_urgency(pair[0]))
@@ -119,7 +121,7 @@
         )
 
     def limit_of(self, team: ids.TeamId) -> teams.TeamLimit | None:
-        """Return a team's limit, None without one or without that team."""
+        """Return the limit of a team, None without a limit or such a team."""
         self._refresh_indexes()
         if self._teams is None:
             return None
@@ -129,13 +131,14 @@
     def reauthorize(
         self, call: dialects.Call, permit: RoutePermit
     ) -> RoutePermit:
-        """Return a call's permit with the team and homes that hold now.
+        """Return the permit of a call with its current team and homes.
 
-        All else stays as it was when the call came, also where the route
-        was dropped since.
+        Everything else of the route stays as it was on arrival, even if the
+        route has been removed since.
 
         :raises UnknownKeyError: its key was withdrawn
-        :raises NoLeaseError: whether its key still holds is not known here
+        :raises NoLeaseError: without a configuration lease this host can't
+            verify that the key is still valid
         """
         self._refresh_indexes()
         route = self._routes.find(call.host, call.path) or permit.route
@@ -157,10 +160,10 @@
         host: ids.HostId | None,
         regions: tuple[ids.RegionId, ...],
     ) -> bool:
-        """Tell whether a call may leave for some regions now.
+        """Return whether a call may currently be sent into regions.
 
-        ``regions`` are those that it is to go through and to. A host that
-        takes it must stand in one that is allowed by its own word, too.
+        ``regions`` are those that it would pass through and be served in.
+        The region that a receiving ``host`` reported has to be allowed too.
         """
         try:
             current = self.reauthorize(call, permit)
@@ -179,7 +182,7 @@
 def _priority_pair(
     route: routes.Route, team: teams.Team | None
 ) -> tuple[int, int]:
-    """Return what a call is ranked by; a team may have no priority."""
+    """Return the priorities of team and route; the route's by default."""
     if team is None or team.priority is None:
         return route.priority, route.priority
     return team.priority, route.priority
@@ -192,10 +195,10 @@
 def _assign_urgencies(
     pairs: set[tuple[int, int]],
 ) -> dict[tuple[int, int], int]:
-    """Give each pair of priorities a place on the scale of urgencies.
+    """Map each pair of priorities to an urgency, in ascending order.
 
-    Where there are more pairs than places, neighbours share one. Without
-    teams' priorities an urgency is the route's priority, as far as it goes.
+    With more pairs than levels, adjacent pairs share a level. Without
+    priorities of teams the urgency is the route's priority, clamped.
     """
     if all(team == route for team, route in pairs):
         return {pair: _clamp_urgency(pair[0]) for pair in pairs}
--- a/wrenspoke/coordination/serving/decisions.py
+++ b/wrenspoke/coordination/serving/decisions.py
@@ -1,4 +1,4 @@
-"""Log every decision, and keep the newest for ``explain``."""
+"""Log the decisions on requests; keep recent ones for ``explain``."""
 
 import collections
 import typing
@@ -14,7 +14,7 @@
 
 
 class DecisionLog:
-    """Write a line a decision and remember the latest requests'."""
+    """Logs decisions and keeps those of the most recent requests."""
 
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
