--- a/tests/endpoints.py
+++ b/tests/endpoints.py
@@ -1,4 +1,4 @@
-"""An endpoint that answers by script, and shows the bytes it was sent."""
+"""Scripted HTTP endpoints that record the raw requests they receive."""
 
 import asyncio
 import re
@@ -9,15 +9,16 @@
 
 LENGTH = re.compile(rb'\r\ncontent-length: (\d+)', re.IGNORECASE)
 
-# With it a socket is reset when it is closed.
+# SO_LINGER value with which close() sends a reset.
 LINGER_0 = struct.pack('ii', 1, 0)
 
 
 class ScriptedEndpoint:
-    """Listen on an address; note requests and answer by a function.
+    """Server that records requests and responds by a function.
 
-    ``answer`` takes a request's bytes and its number and returns the
-    pieces to be written; ``RESET`` and ``CLOSE`` end the connection.
+    ``answer`` takes the bytes and number of a request and returns the pieces
+    to write. ``RESET`` and ``CLOSE`` end the connection; ``STALL`` writes
+    nothing more until the peer closes it.
     """
 
     RESET = object()
@@ -39,13 +40,13 @@
         return self
 
     def abort_all(self):
-        """End as a process does: break all off, refuse new ones."""
+        """Abort every connection and refuse new ones, as a killed process."""
         self._server.close()
         for writer in list(self._writers):
             writer.transport.abort()
 
     async def listen_at_same_address(self):
-        """Be back at the same address."""
+        """Listen again at the same address."""
         ip, _, port = self.address.rpartition(':')
         self._server = await asyncio.start_server(self._serve, ip, int(port))
 
@@ -77,19 +78,19 @@
         if piece is self.CLOSE:
             return False
         if piece is self.STALL:
-            # Until the other side closes.
+            # Returns when the peer closes the connection.
             await reader.read()
             self.peer_closed.set()
             return False
         writer.write(piece)
         await writer.drain()
-        # Let each piece be a packet of its own.
+        # Sends each piece as a separate packet.
         await asyncio.sleep(0.01)
         return True
 
 
 class ScriptedEngine:
-    """An engine whose ``_answer`` yields the pieces of each answer."""
+    """Engine whose ``_answer`` yields the pieces of each response."""
 
     def __init__(self):
         self._endpoint = ScriptedEndpoint(self._answer)
@@ -110,9 +111,9 @@
 
 
 class ResettingEndpoint:
-    """Write an answer and reset the connection in one go, in a thread.
+    """Writes a response and resets the connection at once, in a thread.
 
-    The loop of the one who reads is held up meanwhile, so that it finds
+    The event loop of the reader is blocked meanwhile, so that it receives
     the bytes and the reset together.
     """
 
@@ -147,7 +148,7 @@
 
 
 async def read_request(reader):
-    """Return a request's bytes, head and body."""
+    """Return the bytes of a request, head and body."""
     head = await reader.readuntil(b'\r\n\r\n')
     found = LENGTH.search(head)
     if found is not None:
@@ -161,21 +162,21 @@
 
 
 def header(request, name):
-    """Return a header's value of a request's bytes, None without it."""
+    """Return the value of a header of a request, None if missing."""
     pattern = rb'(?im)^' + name.encode() + rb': ?(.*?)\r$'
     found = re.search(pattern, request)
     return None if found is None else found.group(1).decode()
 
 
 def echo_header(request, name):
-    """Return the header by which an answer names its request."""
+    """Return the header line that echoes a request id in a response."""
     return f'{name}: {header(request, name)}\r\n'.encode()
 
 
 async def send_raw(address, request, timeout_s=20):
-    """Send bytes and return what comes until the other side closes.
+    """Send bytes and return everything received until the peer closes.
 
-    An answer that is broken off by a reset ends with ``RESET``.
+    If the connection is reset, ``RESET`` is appended.
     """
     ip, _, port = address.rpartition(':')
     reader, writer = await asyncio.open_connection(ip, int(port))
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Every check that stands before a send to an endpoint."""
+"""The checks that run before a request is sent to an endpoint."""
 
 import msgspec
 import pytest
@@ -30,14 +30,14 @@
 
 
 class FakeClock:
-    """Be a clock that stands still."""
+    """Clock that does not advance."""
 
     def mono_ms(self):
         return NOW_MS
 
 
 def slot(endpoint=ENDPOINT, is_open=True):
-    """Return a place at an endpoint."""
+    """Return a slot at an endpoint, released unless ``is_open``."""
     made = placement.Slot(
         endpoint,
         concurrency_limits.AdaptiveLimit(4, FakeClock()),
@@ -50,14 +50,13 @@
 
 
 def ticket(request='r1', used=False):
-    """Return a claim's ticket."""
     made = dispatch.ClaimTicket(request, 'a1')
     made.used = used
     return made
 
 
 def first_failing_check(head=None, send=None, context=None):
-    """Return the first check that refuses, or None."""
+    """Return the name of the first failing check, None if all pass."""
     changed = msgspec.structs.replace(HEAD, **(head or {}))
     fields = {'head': changed, 'slot': slot(), **(send or {})}
     purpose = fields.pop('purpose', dispatch.Purpose.FIRST)
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -1,4 +1,4 @@
-"""What callers are told when an endpoint fails, and what was run."""
+"""Outcomes reported to callers, and runs, when endpoints fail."""
 
 import asyncio
 
@@ -17,19 +17,18 @@
 
 
 def chat_body(stream=True, **fields):
-    """Return the body of a chat request."""
     return {'messages': MESSAGES, 'stream': stream, **fields}
 
 
 @pytest.fixture
 async def running(tmp_path):
-    """Run one entry host before two endpoints of each service."""
+    """Run one entry host with two endpoints of each service."""
     made = fleet.deployment(**TWO_ENGINES)
     async with fleet.running(tmp_path, made) as started:
         yield started
 
 
-# fault on every endpoint, method, once -> outcome, runs
+# Name, fault of both endpoints, method, once-only, outcome, runs.
 ONE_FAULT = [
     ('closes after reading', {'close_after_read': True}, 'GET', True,
      'unknown', 1),
@@ -58,7 +57,7 @@
 ):
     caller = running.caller('north-1')
     path = '/release/7' if once else '/map'
-    # A reused connection is what lets a client repeat a GET by itself.
+    # aiohttp retries a GET by itself only on a reused connection.
     warm = [
         caller.call('GET', 'records', path, {headers.REQUEST: once_id()})
         for _number in range(4)
@@ -75,12 +74,12 @@
 
 
 def once_id():
-    """Return a new once-only id of the region that tests use."""
+    """Return a new once-only id of region north."""
     return callers.once_id('north', clocks.Clock())
 
 
 async def test_reused_connection_is_not_sent_on_twice(running):
-    """aiohttp repeats a GET when a reused connection drops."""
+    """aiohttp retries a GET by itself if a reused connection drops."""
     caller = running.caller('north-1')
     for _number in range(6):
         await caller.call('GET', 'records', '/map')
@@ -226,7 +225,7 @@
 async def test_late_failure_of_a_once_only_attempt_logs_no_unhandled_error(
     running,
 ):
-    """The caller was told unknown at its deadline; nobody waits any more."""
+    """After the deadline nothing awaits the task of the attempt."""
     for number in (1, 2):
         await running.faults(
             f'north-records-{number}', delay_ms=900, truncate=True
