--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -1,4 +1,4 @@
-"""Once-only requests run at most once, whatever fails."""
+"""Once-only requests run at most once despite failures of hosts."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 
 
 def once_id(region='north', age_ms=0):
-    """Return a new once-only id, as if issued some time ago."""
+    """Return a new once-only id that was issued ``age_ms`` ago."""
     key = callers.once_id(region, clocks.Clock())
     name, issued_ms, unique = key.split(':')
     return f'{name}:{int(issued_ms) - age_ms}:{unique}'
@@ -22,14 +22,14 @@
 
 @pytest.fixture
 async def running(tmp_path):
-    """Run three entry hosts of one region, with a relay between each."""
+    """Run three entry hosts of one region, with relays between them."""
     made = fleet.deployment(regions=('north',), entries=3, plains=2)
     async with fleet.running(tmp_path, made, relays=True) as started:
         yield started
 
 
 async def send_release(running, host, request, attempt=1):
-    """Send one attempt to one host; a lost one tells nothing."""
+    """Send one attempt to one host."""
     caller = running.caller(host)
     try:
         async with asyncio.timeout(20):
@@ -47,12 +47,12 @@
 
 
 async def resend(running, host, request, attempt=2):
-    """Send a later attempt."""
+    """Send a later attempt to one host."""
     return await send_release(running, host, request, attempt)
 
 
 async def run_count(running, request):
-    """Return how often a request was run."""
+    """Return how many times a request was run."""
     runs = await running.all_runs('records')
     return len(runs.get(request, []))
 
@@ -82,7 +82,7 @@
 
 
 async def send_then_lose_host(running, host, request, lose):
-    """Send to a slow service and lose the host before it answers."""
+    """Send to a slow service and fail the host before the response."""
     for number in (1, 2):
         await running.faults(f'north-records-{number}', **SLOW)
     task = asyncio.create_task(send_release(running, host, request))
@@ -114,7 +114,7 @@
 
 
 async def restart(running, host):
-    """Kill a host, start it without its memory, let it read that back."""
+    """Restart a host and wait until it has recovered its registers."""
     event = 'event=ledger_recalled'
     before = running.log(host).count(event)
     running.kill(host)
@@ -131,7 +131,7 @@
     ids=['one', 'two in a row', 'each in turn'],
 )
 async def test_restarted_hosts_forget_no_claim(running, hosts):
-    """Each restart empties a memory; a majority must be read back."""
+    """A restart without reading a majority back would lose claims."""
     request = once_id()
     first = await send_release(running, 'north-1', request)
     assert first.outcome == 'whole'
@@ -151,7 +151,7 @@
     for host in HOSTS[1:]:
         running.start_entry(host)
     await running.wait_serving(*HOSTS)
-    # The one that remembers is silent: the others must not vote on it.
+    # Only the frozen host stores the claim; the others must not vote on it.
     running.freeze('north-1')
     for host in HOSTS[1:]:
         again = await resend(running, host, request)
--- a/tests/test_team_rate_limits.py
+++ b/tests/test_team_rate_limits.py
@@ -1,4 +1,4 @@
-"""Teams' limits are kept by leases that never add up to too much."""
+"""Leases of team rate limits never exceed the limit in total."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 
 
 class FakeClock:
-    """Be a clock that a test moves."""
+    """Clock that a test advances."""
 
     def __init__(self):
         self.now_ms = 1
