--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -1,4 +1,4 @@
-"""Whole sessions, byte for byte, but for times, ids and ports."""
+"""HTTP exchanges compared with golden files, except times, ids, ports."""
 
 import re
 
@@ -30,14 +30,14 @@
 
 
 def normalise(text):
-    """Replace what differs from run to run."""
+    """Replace the values that differ between runs by placeholders."""
     for pattern, name in PATTERNS:
         text = re.sub(pattern, name, text)
     return text
 
 
 def format_response(found, body):
-    """Return an answer's status, headers and body as text."""
+    """Return the status, shown headers and body of a response as text."""
     lines = [f'< {found.status}']
     for name in sorted(found.headers):
         if name in SHOWN or name.startswith(headers.PREFIX):
@@ -46,7 +46,7 @@
 
 
 async def record_exchange(running, host, method, path, body=None, sent=None):
-    """Send one request and return the whole exchange as text."""
+    """Send one request and return the exchange as text."""
     client = web.HttpClient(1000)
     data = None if body is None else msgspec.json.encode(body)
     lines = [f'> {method} {path}']
@@ -177,7 +177,7 @@
 
 
 class _Namer(namer.NamerBase):
-    """Name files by session, in one folder."""
+    """Names golden files by scenario, in one folder."""
 
     def __init__(self, name):
         super().__init__()
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path: caller, entry hosts, stand-ins, as real processes."""
+"""End to end: caller, entry hosts and stand-ins as real processes."""
 
 import asyncio
 import os
@@ -16,7 +16,7 @@
 
 
 def expected_text(count=engine.DEFAULT_TOKENS, messages=None):
-    """Return the text that a whole answer has."""
+    """Return the text of a complete response."""
     return ''.join(engine.answer_words(messages or MESSAGES, count))
 
 
@@ -62,7 +62,7 @@
 
 
 async def test_no_daemon_uses_io_uring(tmp_path):
-    """libuv opens an io_uring unless told not to before its first loop."""
+    """libuv opens an io_uring unless disabled before its first loop."""
     async with fleet.running(tmp_path, fleet.deployment()) as running:
         for name, process in running.processes.items():
             folder = f'/proc/{process.pid}/fd'
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -1,4 +1,4 @@
-"""Regions: home, loops, cuts, and hosts that die on the way."""
+"""Forwarding between regions: homes, loops, partitions, failed hosts."""
 
 import asyncio
 
@@ -21,7 +21,7 @@
 
 
 def signed_hop(running, host, path_of_hosts, **fields):
-    """Return a hop header as a host of the cluster would write it."""
+    """Return a hop header signed with the key of the cluster."""
     key = keys.read_cluster_key(running.folder / 'keys')
     signer = hops.HopSigner('test', key)
     head = requests.RequestHead(
@@ -38,7 +38,7 @@
 
 
 async def test_forwarded_request_is_never_forwarded_again(tmp_path):
-    """A region without endpoints must not pass it on, nor back."""
+    """A region without endpoints rejects a forwarded request."""
     made = fleet.deployment()
     made['endpoints'] = [
         item for item in made['endpoints'] if item['region'] == 'north'
@@ -49,7 +49,7 @@
         result = await caller.call('GET', 'records', '/map', sent)
         assert (result.outcome, result.reason) == ('not_run', 'no_endpoint')
         assert not await running.all_runs('records')
-        # Unforwarded, the same request is served in the other region.
+        # Sent by a caller, the same request is served in the other region.
         result = await caller.call('GET', 'records', '/map')
         assert result.outcome == 'whole'
 
@@ -90,10 +90,10 @@
         sent = {headers.HOME: 'north', headers.BOUND: 'true'}
         result = await caller.call('GET', 'records', '/member/1', sent)
         assert result.reason == 'home_unreachable'
-        # Nothing was sent, and it did not wait for its deadline.
+        # Rejected without a send and long before its deadline.
         assert result.outcome == 'not_run'
         assert result.first_ms < 4000
-        # A host that restarts in the cut region takes its peer's word.
+        # A host restarted in the partition is configured by its peer.
         running.kill('south-2')
         running.start_entry('south-2')
         await running.wait_serving('south-2')
@@ -162,7 +162,7 @@
 
 
 async def test_unbound_work_leaves_a_region_without_engines(tmp_path):
-    """Only what may leave, and only while home can't serve it."""
+    """Guards against bound work leaving home, and work staying away."""
     async with fleet.running(tmp_path, fleet.deployment()) as running:
         running.kill('standin-south')
         caller = running.caller('south-1')
@@ -186,7 +186,7 @@
 
 @pytest.mark.parametrize('known', [True, False])
 async def test_caller_resumes_a_stream_by_its_last_event(tmp_path, known):
-    """An engine that still has the stream goes on; else that is said."""
+    """A stream resumes at the engine that has it, else it is reported."""
     made = fleet.deployment(regions=('north',), entries=2, engines=2)
     async with fleet.running(tmp_path, made, SLOW) as running:
         request = ids.new_unique()
