--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input gets a clear error and harms nobody else."""
+"""Malformed requests get a specific error and don't affect others."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 async def running(tmp_path):
-    """Run one region with small limits."""
+    """Run one region with small body limits."""
     made = fleet.deployment(
         regions=('north',),
         entry={'body_limit_bytes': 10_000, 'body_timeout_ms': 500},
@@ -25,7 +25,7 @@
 
 
 async def post_raw(running, body, sent=None, path='/v1/chat/completions'):
-    """Send raw bytes as a body; return the status and the error."""
+    """Post raw bytes; return the status and the decoded error."""
     client = web.HttpClient(1000)
     try:
         async with client.send(
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Calls under teams' keys: whose they are, where they go, when they end."""
+"""Authorization of passed-through calls by the keys of teams."""
 
 import asyncio
 import os
@@ -32,35 +32,34 @@
 
 @pytest.fixture(scope='module')
 def event_loop_policy():
-    """Run on the loop that daemons run on."""
+    """Use the event loop of the daemons."""
     os.environ[runtime.URING_VARIABLE] = '0'
     return uvloop.EventLoopPolicy()
 
 
 def team(name, *keys, **changes):
-    """Return a team that holds some keys."""
+    """Return a team with the digests of keys."""
     digests = tuple(teams.digest_of(key, SECRET) for key in keys)
     return teams.Team(name, digests, **changes)
 
 
 def team_table(*found):
-    """Return a table of teams."""
     return teams.TeamTable(SECRET, found)
 
 
 async def put_with_teams(running, found, teams_found, version=None):
-    """Put a route in force together with teams."""
+    """Apply a route table with teams on every host."""
     await running.put(found, version=version, teams=team_table(*teams_found))
 
 
 def call_bytes(key=KEY, line='GET /a/x HTTP/1.1', headers=(), **changes):
-    """Return a request's bytes that shows a key."""
+    """Return the bytes of a request with a key, without one if empty."""
     shown = [f'Authorization: Bearer {key}'] if key else []
     return test_passing.request(line, [*shown, *headers], **changes)
 
 
 def call_with_body():
-    """Return a request that has a body and shows a key."""
+    """Return the bytes of a request with a body and a key."""
     length = f'Content-Length: {len(test_homes.BODY)}'
     return call_bytes(
         line=test_homes.POST, headers=[length], body=test_homes.BODY
@@ -68,7 +67,7 @@
 
 
 def values_of_header(sent, name):
-    """Return the values of a header in what an endpoint was sent."""
+    """Return the values of a header of a request, in order."""
     head = sent.partition(b'\r\n\r\n')[0]
     lines = [line.partition(b': ') for line in head.split(b'\r\n')[1:]]
     return [value for field, _, value in lines if field.lower() == name]
@@ -179,7 +178,7 @@
 
 @pytest.mark.parametrize('name', KEY_CHANGES)
 async def test_key_counts_as_its_body_leaves(system, name, monkeypatch):
-    """Teams change while the connection to the endpoint is made."""
+    """Teams change while the connection to the endpoint is opened."""
     after, status, seen = KEY_CHANGES[name]
     found = test_passing.route()
     await put_with_teams(system, found, [team('a', KEY), team('b', OTHER_KEY)])
@@ -206,7 +205,7 @@
 async def test_other_region_host_applies_its_own_newer_keys(
     system, monkeypatch
 ):
-    """The first host has not heard that a key was withdrawn."""
+    """The first host has an older table without the key's withdrawal."""
     await put_with_teams(system, test_far.route(), [team('a', KEY)])
     there = await system.add('e2', 'south-hall')
     await test_far.wait_for_pongs(system)
@@ -280,7 +279,7 @@
 async def test_call_that_waited_uses_the_table_of_its_permit(
     system, monkeypatch
 ):
-    """The table changes to other services while a lease is waited for."""
+    """The table changes while the call waits for a lease."""
     await put_with_teams(system, test_passing.route(), [team('a', KEY)])
     endpoint = await system.add('e', 'north-hall', service='later')
     north = system.entries[0]
@@ -313,7 +312,7 @@
 
 
 async def test_lease_is_renewed_without_calls_of_its_own(tmp_path):
-    """A host far from the leader holds one without any call of its own."""
+    """Regular traffic renews the lease; without control hosts it ends."""
     async with nodes.running(tmp_path, controls=3, entries=0) as running:
         running.changes = {'withdrawn_keys_ms': 2_000}
         for _number in range(2):
--- a/tests/test_team_keys.py
+++ b/tests/test_team_keys.py
@@ -1,4 +1,4 @@
-"""Teams that prove themselves by keys on wrenspoke's own way in."""
+"""Authentication of teams by keys on the native HTTP interface."""
 
 import json
 import subprocess
@@ -21,7 +21,7 @@
 
 
 def configuration_with_keys(**keys):
-    """Return a configuration in which teams hold keys."""
+    """Return a configuration with the given key digest of each team."""
     made = configuration.Configuration(index=1)
     for team, digest in keys.items():
         change = configuration.IssueKey(team, digest)
@@ -74,7 +74,7 @@
 
 
 def run_team_key_cli(tmp_path, made, *more, given=None):
-    """Run ``wrenspoke team-key``; return what it says, by name."""
+    """Run ``wrenspoke team-key`` and return its output by field name."""
     path = tmp_path / 'deployment.json'
     path.write_text(json.dumps(made))
     done = subprocess.run(
@@ -96,7 +96,7 @@
 
 
 async def test_callers_need_a_key_once_one_was_issued(tmp_path):
-    """Issued and withdrawn by plan and confirm, in force everywhere."""
+    """Issued and withdrawn keys apply on every host once confirmed."""
     made = fleet.deployment(controls=1)
     async with fleet.running(tmp_path, made) as running:
         secret = teams.secret_of(made['cluster'])
@@ -129,7 +129,7 @@
         withdraw = {'type': 'withdraw_key', 'digest': digest}
         done = await test_control.apply_intent(operator, 3, withdraw)
         await test_control.wait_in_force(running, done.body['answer']['index'])
-        # The last key is gone, and nobody may call.
+        # Without any key left every request is rejected.
         for wrong in ('', key):
             assert (await ask(wrong)).reason == 'unknown_key'
         logs = ''.join(path.read_text() for path in tmp_path.rglob('*.log'))
