--- a/wrenspoke/coordination/__init__.py
+++ b/wrenspoke/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions: routing, limits, retries, membership, agreement, plans."""
+"""Routing, limits, retries, membership, consensus and operator plans."""
--- a/wrenspoke/coordination/limiting/__init__.py
+++ b/wrenspoke/coordination/limiting/__init__.py
@@ -1,1 +1,1 @@
-"""Teams' limits, kept over all hosts by parts that follow the demand."""
+"""Rate limits and backoffs of teams and endpoints, shared by all hosts."""
--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -1,16 +1,17 @@
-"""The control host that leads parts teams' limits among their lenders.
-
-Shares of one team never add up to more than the whole, whatever is lost
-on the way: a share counts at what its lender may still go by until the
-lender says otherwise or its lease has ended. What no lender holds fills a
-level of its own, from which a share that grows is given its part, so that
-a lender that begins does not begin with nothing.
-
-A leader that has just begun does not know what the one before had granted.
-It goes by what lenders say that they hold, and parts no more than that
-until every lender has said so, or every older lease has ended. Who may be a
-lender stands in the replicated log. So a restart of all hosts, which then
-hold nothing, is over for limits as soon as they have said so.
+"""Allocates shares of teams' limits on the control host that leads.
+
+The owner of a team's bucket in each region holds a leased share of the
+team's limit. The shares of one team never add up to more than the whole,
+even if messages are lost: a share counts until its holder reports a lower
+one or its lease has expired. The unallocated part accumulates tokens of its
+own, and a share that grows receives its part of them, so that a new holder
+does not start with an empty bucket.
+
+A new leader does not know which shares earlier leaders granted. It allocates
+no more than the holders report, until every holder has reported or every
+older lease has expired. The holders are recorded in the replicated log (as
+lenders). So after a restart of all hosts the whole limit is available as
+soon as each of them has reported that it holds nothing.
 """
 
 import asyncio
@@ -33,23 +34,22 @@
 
 logger = structlog.get_logger(__name__)
 
-# Longer than a leader is missing after it is lost, and than two questions that
-# were lost before.
+# Longer than an election and two lost requests before it.
 SHARE_LEASE_MS = 4_000
-# Clocks run apart, a hundredth at most; a lender counts from its question.
+# Clocks drift by up to 1 %; a holder's lease starts when it sends its request.
 LEASE_EXPIRY_MS = int(SHARE_LEASE_MS * 1.02)
-# A host that has asked for nothing for so long is a lender no more: after a
-# change of leaders it would be waited for. Longer than a restart takes.
+# A host that has sent no request for this long is removed from the holders,
+# as the next leader would wait for it. Longer than a restart takes.
 HOLDER_EXPIRY_MS = 15_000
-# Lenders that come at once, as at a start, are noted by one entry.
+# Holders that register at the same time, as at startup, share one log entry.
 BATCH_DELAY_MS = 20
-# Two far ways and a commit among far regions.
+# A round trip to a distant region and a commit across distant regions.
 FORWARD_TIMEOUT_MS = 600
 
 
 @dataclasses.dataclass(slots=True)
 class ShareLease:
-    """Hold what one lender may go by, and what it could use."""
+    """A holder's share of one team's limit, and the share that it wants."""
 
     share: float
     wanted: float
@@ -57,18 +57,18 @@
 
 
 class TeamAllocation:
-    """Part one team's limit."""
+    """Tracks the leased shares of one team's limit."""
 
     def __init__(self, now_ms: int):
         self._leases: dict[ids.HostId, ShareLease] = {}
-        # What lenders held when this host began to lead.
+        # Sum of the shares that earlier leaders granted, as reported so far.
         self._reported = 0.0
         self._unallocated_ms = 0.0
         self._refilled_ms = now_ms
 
     @property
     def allocated(self) -> float:
-        """Return what all lenders together may go by."""
+        """Return the sum of all leased shares."""
         return sum(lease.share for lease in self._leases.values())
 
     def grant(
@@ -78,7 +78,10 @@
         settled: bool,
         now_ms: int,
     ) -> limiting.ShareGranted:
-        """Return what a lender may go by from now on."""
+        """Return the holder's new share, and its part of the free tokens.
+
+        ``settled`` says that all shares of earlier leaders are known.
+        """
         self._expire(now_ms)
         held = self._reconcile(holder, request, settled)
         allocatable = 1.0 if settled else min(self._reported, 1.0)
@@ -91,7 +94,7 @@
         if share > held:
             level_ms = self._unallocated_ms * (share - held) / free
             self._unallocated_ms -= level_ms
-        # A lower share counts once its lender has heard of it.
+        # The answer may be lost: a lower share counts once it is reported.
         self._leases[holder] = ShareLease(
             max(share, held), request.wanted, now_ms + LEASE_EXPIRY_MS
         )
@@ -108,7 +111,7 @@
         request: limiting.ShareAsked,
         settled: bool,
     ) -> float:
-        """Return what a lender holds, by its own word and this host's."""
+        """Return the holder's current share, from its report and its lease."""
         lease = self._leases.get(holder)
         if lease is not None:
             held = min(request.held, lease.share)
@@ -123,7 +126,7 @@
     def _refill(
         self, free: float, request: limiting.ShareAsked, now_ms: int
     ) -> None:
-        """Let what nobody holds grow, and take back what is returned."""
+        """Add the tokens of the unallocated part, and those returned."""
         grown_ms = free * (now_ms - self._refilled_ms)
         self._refilled_ms = now_ms
         self._unallocated_ms = min(
@@ -134,7 +137,7 @@
     def _fair_share(
         self, holder: ids.HostId, wanted: float, allocatable: float
     ) -> float:
-        """Return what is wanted, or its part where all want too much."""
+        """Return the wanted share, scaled down if the sum is too large."""
         total_wanted = wanted + sum(
             lease.wanted
             for other, lease in self._leases.items()
@@ -146,30 +149,30 @@
 
 
 class LocalVoter(typing.Protocol):
-    """A voter that knows whether it leads."""
+    """The part of this host's voter that the allocator uses."""
 
     @property
     def has_lease(self) -> bool:
-        """Tell whether no other host can be leader now."""
+        """Return whether no other host can be the leader now."""
 
     @property
     def leader(self) -> ids.HostId | None:
-        """Return who leads, as far as is known."""
+        """Return the leader, None if unknown."""
 
     @property
     def leader_since_ms(self) -> int:
-        """Return when the votes for this lead were asked for."""
+        """Return when this host began the election that it won."""
 
     @property
     def state(self) -> replicated.ReplicatedState:
-        """Return what is committed."""
+        """Return the committed state."""
 
     async def propose(self, entry: entries.Entry) -> replicated.Applied:
-        """Write an entry and wait until it is applied."""
+        """Append an entry to the log and wait until it is applied."""
 
 
 class Allocator:
-    """Part the limits of all teams, for as long as this host leads."""
+    """Allocates shares of all teams' limits while this host leads."""
 
     def __init__(
         self,
@@ -183,9 +186,9 @@
         self._teams: dict[ids.TeamId, TeamAllocation] = {}
         self._leader_since_ms: int | None = None
         self._settled_early_ms: int | None = None
-        # When each host was last heard in this lead.
+        # When each holder last sent a request in this term.
         self._last_seen_ms: dict[ids.HostId, int] = {}
-        # The life and number of each host's last question in this lead.
+        # Instance and number of each holder's last request in this term.
         self._last_request: dict[ids.HostId, tuple[str, int]] = {}
         self._registration: asyncio.Task | None = None
         self._tasks = runtime.Tasks()
@@ -209,7 +212,7 @@
     def _is_stale(
         self, holder: ids.HostId, message: limiting.AskShares
     ) -> bool:
-        """Tell whether a lender has asked again since it asked this."""
+        """Return whether a later request of the holder was received."""
         life, number = self._last_request.get(holder, ('', 0))
         if life == message.life and message.number <= number:
             return True
@@ -219,7 +222,7 @@
     async def _forward(
         self, sender: ids.HostId, message: limiting.AskShares
     ) -> limiting.SharesGranted | messages.Refusal:
-        """Ask the control host that leads, once."""
+        """Forward a request to the leader; no request is forwarded twice."""
         leader = self._local_voter.leader
         if leader is None or message.lender is not None:
             return messages.Refusal('no leader is known')
@@ -229,16 +232,21 @@
                 leader, forwarded, FORWARD_TIMEOUT_MS
             )
         except protocol_errors.ProtocolError as error:
-            logger.info('not_passed_on', peer=leader, reason=str(error))
+            logger.info(
+                'share_request_not_forwarded', peer=leader, reason=str(error)
+            )
             return messages.Refusal('the leader gave no answer')
         return answer
 
     async def close(self) -> None:
-        """End what is under way."""
+        """Cancel all running tasks."""
         await self._tasks.close()
 
     async def _ensure_registered(self, holder: ids.HostId) -> bool:
-        """Have a lender noted in the log before it is granted anything."""
+        """Commit a holder to the log before its first grant.
+
+        Return False if this host no longer leads.
+        """
         if holder in self._local_voter.state.lenders:
             return True
         if self._registration is None or self._registration.done():
@@ -252,7 +260,7 @@
         )
 
     async def _register_holders(self) -> None:
-        """Write who has asked of late; who has not is left out."""
+        """Commit the recently active holders, without expired ones."""
         await self._clock.sleep_ms(BATCH_DELAY_MS)
         now_ms = self._clock.mono_ms()
         active = {
@@ -262,18 +270,18 @@
         }
         kept = set(self._local_voter.state.lenders)
         if now_ms - self._leader_since_ms > HOLDER_EXPIRY_MS:
-            # Those have had the time to be heard in this lead.
+            # Every active holder has sent a request in this term by now.
             kept &= active
         hosts = tuple(sorted(kept | active))
         try:
             await self._local_voter.propose(entries.SetLenders(hosts))
         except errors.NotLeaderError:
-            logger.info('lenders_not_noted', hosts=len(hosts))
+            logger.info('share_holders_not_committed', hosts=len(hosts))
             return
-        logger.info('lenders_noted', hosts=len(hosts))
+        logger.info('share_holders_committed', hosts=len(hosts))
 
     def begin_leadership(self, since_ms: int) -> None:
-        """Begin anew, if this lead is another than the one before."""
+        """Reset all state if this is a new term of this host as leader."""
         if since_ms == self._leader_since_ms:
             return
         self._leader_since_ms = since_ms
@@ -281,17 +289,18 @@
         self._last_seen_ms.clear()
         self._last_request.clear()
         self._teams.clear()
-        logger.info('limits_parted', since_ms=since_ms)
+        logger.info('share_allocation_started', since_ms=since_ms)
 
     @property
     def unsettled_ms(self) -> int:
-        """Return for how long shares may be held that are not known of."""
+        """Return for how long unknown shares may be held, in milliseconds."""
         return max(self._settled_ms() - self._clock.mono_ms(), 0)
 
     def _settled_ms(self) -> int:
-        """Return when all that lenders hold is known.
+        """Return when all held shares are known.
 
-        That is once every lender was heard, or older leases have ended.
+        That is once every holder has reported, or all older leases have
+        expired.
         """
         leases_ended_ms = self._leader_since_ms + LEASE_EXPIRY_MS
         if self._settled_early_ms is not None:
@@ -309,14 +318,14 @@
         holder: ids.HostId,
         requests: list[limiting.ShareAsked],
     ) -> list[limiting.ShareGranted]:
-        """Return what a lender may go by from now on, of each team."""
+        """Return the holder's new share for each request."""
         now_ms = self._clock.mono_ms()
         settled = not self.unsettled_ms
         granted = []
         for request in requests:
             allocation = self._teams.get(request.team)
             if allocation is None:
-                # What nobody held has grown since that was known.
+                # Unallocated tokens accumulate since all shares are known.
                 allocation = TeamAllocation(min(now_ms, self._settled_ms()))
                 self._teams[request.team] = allocation
             granted.append(allocation.grant(holder, request, settled, now_ms))
