--- a/wrenspoke/coordination/limiting/limiter.py
+++ b/wrenspoke/coordination/limiting/limiter.py
@@ -1,7 +1,8 @@
-"""Admit calls within their teams' limits, on the host that callers ask.
+"""Admit calls within their teams' limits, on the host that receives them.
 
-What a call needs is taken at its team's lender in this region before any
-work is done for it. What was taken and ran nothing is given back, once.
+The tokens of a call are taken at the owner of its team's bucket in this
+region before any work is done for it. They are refunded once if the call ran
+nothing.
 """
 
 import dataclasses
@@ -17,17 +18,17 @@
 from wrenspoke.protocol import peers as peer_calls
 from wrenspoke.state import teams
 
-# Beyond what a lender waits itself: a way within the region and a busy host.
+# Added to the owner's own wait: a round trip within the region, a busy host.
 ANSWER_MARGIN_MS = 150
-# A lender that gave no answer is left alone until its shares have ended:
-# another one has them then.
+# An unresponsive owner is skipped until its share leases have expired, after
+# which the next host in order can hold the shares.
 OWNER_RETRY_MS = allocator.SHARE_LEASE_MS
-# Lenders that are asked for one call; the last is this host itself.
+# Owners that are tried for one call before this host's own bucket.
 MAX_OWNERS_TRIED = 2
 
 
 class OverLimitError(errors.CoordinationError):
-    """Say that a team's limit leaves no room for a call now."""
+    """A team's limit has too few tokens; retry after ``wait_ms``."""
 
     def __init__(self, team: ids.TeamId, wait_ms: int):
         super().__init__(f'team {team} is over its limit')
@@ -37,7 +38,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Reservation:
-    """Hold what a call took of its team's limit, until it has run."""
+    """Tokens of a team's limit that were taken for a call."""
 
     team: ids.TeamId
     amount: float
@@ -46,7 +47,7 @@
 
 
 class Limiter:
-    """Take what calls need of their teams' limits."""
+    """Takes the tokens of calls from their teams' limits, and refunds them."""
 
     def __init__(
         self,
@@ -67,9 +68,9 @@
         self._refunds: dict[ids.TeamId, list[Reservation]] = {}
 
     async def take(self, team: teams.Team, tokens: int) -> Reservation | None:
-        """Take what a call needs; None where its team has no limit.
+        """Take the tokens of a call; return None if its team has no limit.
 
-        :raises OverLimitError: there is not enough now
+        :raises OverLimitError: too few tokens are available now
         """
         if team.limit is None:
             return None
@@ -100,7 +101,7 @@
     def _take_refund(
         self, team: teams.Team, amount: float, now_ms: int
     ) -> bool:
-        """Take what another call gave back, if it is enough and lately."""
+        """Use up a recent refund that covers an amount; return if one did."""
         usable_ms = self._overshoot.refund_ttl_ms(team.limit)
         kept = [
             reservation
@@ -115,7 +116,7 @@
         return False
 
     def refund(self, reservation: Reservation | None) -> None:
-        """Give back what a call took that ran nothing; once."""
+        """Refund the tokens of a call that ran nothing; at most once."""
         if reservation is None or reservation.refunded:
             return
         reservation.refunded = True
--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -1,9 +1,10 @@
-"""An entry host lends out its region's part of some teams' limits.
+"""Token buckets from which an entry host admits calls of its region's teams.
 
-Each team has one lender in a region, drawn by rendezvous hashing. It asks
-for a share by what the region's hosts ask of it, at a control host near by,
-which asks the one that leads. It lowers its share by itself as that falls,
-and admits calls from a level that the share fills.
+Rendezvous hashing selects one owner in a region for each team's bucket. The
+owner requests a share of the team's limit that follows the demand in its
+region, from a nearby control host, which forwards the request to the leader.
+It lowers its share on its own when the demand falls, and admits calls from a
+token bucket that refills at the rate of the share.
 """
 
 import asyncio
@@ -29,44 +30,42 @@
 logger = structlog.get_logger(__name__)
 
 MS_PER_S = 1_000
-# Ten times within a lease, and a share that grows by a peak that moves
-# within 2 s keeps up with it.
+# Several requests may be lost before a lease expires.
 RENEW_INTERVAL_MS = 400
-# A leader that does not know what is held here waits for that.
+# Used until a new leader has received a report from this host.
 NEW_LEADER_INTERVAL_MS = 100
-# A leader that has begun has mostly heard every lender after so long.
+# A new leader usually has the reports of all holders by then.
 MAX_SETTLING_WAIT_MS = 1_000
-# While nothing changes, a share is renewed three times within its lease.
+# Used while no share changes; three renewals fit into a lease.
 STABLE_INTERVAL_MS = 1_200
-# Some far round trips of 160 ms.
+# Several round trips to a distant region.
 CALL_TIMEOUT_MS = 800
-# A call waits for so long at the most, for its amount or for a larger share:
-# two far round trips. More is told to its caller.
+# The longest that a call waits for tokens or for a larger share: two round
+# trips to a distant region. A call that needs longer is refused.
 MAX_WAIT_MS = 350
-# What is asked for over what is used, so that most of a growth finds its
-# share there already.
+# Requested share over demand, so that rising demand is mostly covered.
 HEADROOM = 1.4
-# Demand is the higher of a quick and a slow mean, so that a share grows at
-# once and shrinks slowly.
+# Demand is the higher of a fast and a slow moving average, so that a share
+# grows quickly and shrinks slowly.
 FAST_DECAY_MS = 1_500
 SLOW_DECAY_MS = 4_000
-# A share is changed once a tenth of it is not wanted, or lacks.
+# A share is changed once the desired share is lower or higher by a tenth.
 DECREASE_THRESHOLD = 0.9
 INCREASE_THRESHOLD = 1.1
-# A level that is so full is not used up.
+# A bucket with a higher level than this counts as unused.
 NEARLY_FULL_SHARE = 0.9
-# A region keeps enough for the largest call of late, for so long: that of a
-# team that calls seldom would else wait for the leader, 160 ms away.
+# The share covers the largest recent call too, as the next call of a team with
+# few calls would otherwise wait for a grant from the leader.
 LARGEST_CALL_DECAY_MS = 10_000
 LARGEST_CALL_MARGIN = 1.2
-# One large call does not take most of a limit from other regions.
+# A large call must not take most of the limit from other regions.
 MAX_LARGEST_CALL_SHARE = 0.4
-# Demand below this part of a limit is none.
+# Demand below this part of the limit counts as none.
 MIN_DEMAND = 1e-4
 
 
 class Demand:
-    """Know how fast a team's limit is asked for, as a part of it."""
+    """Tracks the demand for a team's limit, as a part of the limit."""
 
     def __init__(self, now_ms: int):
         self._fast_mean = 0.0
@@ -75,24 +74,24 @@
         self._last_decay_ms = now_ms
 
     def record(self, amount_ms: float, now_ms: int) -> None:
-        """Note an amount, in milliseconds of the limit's rate."""
+        """Record a requested amount, in milliseconds of the limit's rate."""
         self._decay(now_ms)
         self._fast_mean += amount_ms / FAST_DECAY_MS
         self._slow_mean += amount_ms / SLOW_DECAY_MS
         self._largest_ms = max(self._largest_ms, amount_ms)
 
     def current(self, now_ms: int) -> float:
-        """Return the present demand; 1 is the whole limit."""
+        """Return the current demand; 1 is the whole limit."""
         self._decay(now_ms)
         return max(self._fast_mean, self._slow_mean)
 
     def desired_share(
         self, depth_ms: float, now_ms: int, unused: bool
     ) -> float:
-        """Return the share that answers the demand.
+        """Return the share that covers the demand.
 
-        ``unused`` says that a level is full: what a peak that has moved on
-        left behind is wanted elsewhere.
+        ``unused`` says that the bucket is nearly full. Only the fast average
+        counts then, so that the share is released soon after a peak.
         """
         highest = self.current(now_ms)
         flow = HEADROOM * (self._fast_mean if unused else highest)
@@ -110,9 +109,10 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class TeamBucket(token_bucket.TokenBucket):
-    """Hold this lender's share of one team's limit, and its level.
+    """Token bucket of this host's share of one team's limit.
 
-    ``short`` says that the last answer granted less than was wanted.
+    ``returned_ms`` are tokens to be returned to the leader, and
+    ``under_granted`` says that the last grant was less than requested.
     """
 
     demand: Demand
@@ -121,20 +121,20 @@
 
     @property
     def is_nearly_full(self) -> bool:
-        """Tell whether more is held than is used."""
+        """Return whether the share is larger than needed."""
         return (
             self.share > 0
             and self.level_ms >= NEARLY_FULL_SHARE * self.capacity_ms
         )
 
     def desired_share(self, now_ms: int) -> float:
-        """Return the share that answers the demand."""
+        """Return the share that covers the demand."""
         return self.demand.desired_share(
             self.depth_ms, now_ms, self.is_nearly_full
         )
 
     def lower_share(self, share: float) -> None:
-        """Hold less, and keep the level that goes with the rest apart."""
+        """Lower the share; the released part of the tokens is returned."""
         if share >= self.share:
             return
         if self.level_ms > 0:
@@ -145,7 +145,7 @@
 
 
 class TeamBuckets:
-    """Admit calls of teams by shares of their limits."""
+    """Admits calls of teams within this host's shares of their limits."""
 
     def __init__(
         self,
@@ -166,22 +166,22 @@
         self._numbers = itertools.count(1)
         self._buckets: dict[ids.TeamId, TeamBucket] = {}
         self._renew_now = asyncio.Event()
-        # Ends with the next round of questions that begins.
+        # Resolved when the next renewal that starts has completed.
         self._renewal: asyncio.Future | None = None
         self._last_renewal_ms = 0
-        # The lead that knows what is held here.
+        # The leader that has received a report of the shares held here.
         self._reported_lead: discovery_client.LeaderInfo | None = None
-        # Until when older leaders' shares may still be held by others.
+        # Until when other hosts may hold shares unknown to the leader.
         self._settled_ms = 0
         self._tasks = runtime.Tasks()
         peers.answers(limiting.AskAmount)(self._handle_ask_amount)
 
     def start(self) -> None:
-        """Begin to ask for shares."""
+        """Start to request shares."""
         self._tasks.start(self._run())
 
     async def close(self) -> None:
-        """End every task."""
+        """Cancel all running tasks."""
         await self._tasks.close()
 
     async def _handle_ask_amount(
@@ -192,7 +192,10 @@
     async def take(
         self, team: ids.TeamId, amount: float
     ) -> limiting.AmountGranted:
-        """Admit a call that needs an amount of its team's limit."""
+        """Admit a call that needs an amount of its team's limit.
+
+        The answer says whether it is admitted, and how long it has to wait.
+        """
         limit = self._limit_of(team)
         if limit is None:
             return limiting.AmountGranted(True, 0)
@@ -229,11 +232,11 @@
     def _try_take(
         self, bucket: TeamBucket, amount_ms: float
     ) -> limiting.AmountGranted:
-        """Take an amount from the level if it is there, or soon will be.
+        """Take an amount if it is available now, or will be soon.
 
-        Who comes later waits behind it. Of a team that asks for more than
-        its limit nobody waits: it would take as long for the next, and the
-        calls that find their amount at once are the most that can be served.
+        The level may become negative, so that later calls wait longer. While
+        a team exceeds its limit no call waits, as waiting would delay all
+        later calls without admitting more of them.
         """
         bucket.refill(self._clock.mono_ms())
         wait_ms = bucket.wait_ms(amount_ms)
@@ -251,7 +254,7 @@
         return limiting.AmountGranted(False, math.ceil(wait_ms))
 
     async def _await_renewal(self) -> None:
-        """Ask for shares at once, and wait for the answer."""
+        """Renew the shares immediately, and wait up to MAX_WAIT_MS for it."""
         if self._renewal is None:
             self._renewal = asyncio.get_running_loop().create_future()
         self._renew_now.set()
@@ -279,10 +282,10 @@
                 renewal.set_result(None)
 
     async def _renew_shares(self, urgent: bool) -> None:
-        """Ask the leader for shares of all teams that call here.
+        """Request shares from the leader for all teams with a bucket here.
 
-        While nothing changes that is done less often. A new leader is told
-        what is held, also if that is nothing: it waits for every lender.
+        Requests are less frequent while no share changes. A new leader gets a
+        report even if no share is held, as it waits for every holder.
         """
         asked_ms = self._clock.mono_ms()
         lead = self._lead()
@@ -306,11 +309,11 @@
             )
         except protocol_errors.ProtocolError as error:
             logger.info(
-                'shares_unanswered', peer=lead.via_host, reason=str(error)
+                'share_request_failed', peer=lead.via_host, reason=str(error)
             )
             return
         if not isinstance(answer, limiting.SharesGranted):
-            logger.info('shares_refused', peer=lead.via_host)
+            logger.info('share_request_refused', peer=lead.via_host)
             return
         self._reported_lead = lead
         self._last_renewal_ms = asked_ms
@@ -320,7 +323,7 @@
             self._apply_grant(granted, wanted[granted.team], asked_ms)
 
     def _needs_renewal(self, now_ms: int) -> bool:
-        """Tell whether any share should be another."""
+        """Return whether any share differs enough from the desired one."""
         for bucket in self._buckets.values():
             wanted = bucket.desired_share(now_ms)
             if wanted < DECREASE_THRESHOLD * bucket.share:
@@ -330,7 +333,7 @@
         return False
 
     def _share_requests(self, now_ms: int) -> list[limiting.ShareAsked]:
-        """Return what to ask for; what is not wanted is held no longer."""
+        """Return the shares to request; lower those that are too large."""
         requests = []
         for team, bucket in list(self._buckets.items()):
             limit = self._limit_of(team)
