--- a/wrenspoke/coordination/limiting/bucket_owners.py
+++ b/wrenspoke/coordination/limiting/bucket_owners.py
@@ -1,4 +1,4 @@
-"""Ask the host of this region that owns a limit, or the next one."""
+"""Call the host of this region that owns a bucket, or the next in order."""
 
 import collections.abc
 
@@ -11,12 +11,12 @@
 
 logger = structlog.get_logger(__name__)
 
-# The region's hosts, this one too, in the order of a key.
+# Returns the region's hosts, this one included, in rendezvous order of a key.
 HostOrder = collections.abc.Callable[[str], list[str]]
 
 
 class BucketOwners:
-    """Track which hosts own each key, and which of them respond."""
+    """Tracks the hosts that own the bucket of a key, and which respond."""
 
     def __init__(
         self,
@@ -29,15 +29,15 @@
         self._retry_interval_ms = retry_interval_ms
         self._peers = peers
         self._clock = clock
-        # When each silent host gave no response.
+        # When each unresponsive host last failed to answer.
         self._unresponsive_since_ms: dict[ids.HostId, int] = {}
 
     def in_order(self, key: str) -> list[ids.HostId]:
-        """Return the region's hosts in a key's order."""
+        """Return the region's hosts in a key's order, the owner first."""
         return [ids.HostId(name) for name in self._order(key)]
 
     def first_responsive(self, key: str, count: int) -> list[ids.HostId]:
-        """Return the first of them that were not silent recently."""
+        """Return up to ``count`` hosts in order, without unresponsive ones."""
         found: list[ids.HostId] = []
         for host in self.in_order(key):
             if self._is_unresponsive(host):
@@ -59,10 +59,12 @@
     async def call(
         self, host: ids.HostId, message: peer_calls.Message, timeout_ms: float
     ) -> peer_calls.Message | None:
-        """Return a host's answer, None where it gives none."""
+        """Return a host's answer, None if the call failed."""
         try:
             return await self._peers.call(host, message, timeout_ms)
         except protocol_errors.ProtocolError as error:
             self._unresponsive_since_ms[host] = self._clock.mono_ms()
-            logger.info('lender_silent', peer=host, reason=str(error))
+            logger.info(
+                'bucket_owner_unresponsive', peer=host, reason=str(error)
+            )
             return None
--- a/wrenspoke/coordination/limiting/token_bucket.py
+++ b/wrenspoke/coordination/limiting/token_bucket.py
@@ -1,4 +1,4 @@
-"""An amount that fills up at the rate of a limit, or of a share of it."""
+"""Token bucket that refills at the rate of a limit, or of a share of it."""
 
 import dataclasses
 import math
@@ -6,9 +6,9 @@
 
 @dataclasses.dataclass(slots=True)
 class TokenBucket:
-    """Hold a share of a limit, and the amount that it has filled up.
+    """Tokens of a share of a limit, which expires at ``until_ms``.
 
-    Amounts are milliseconds of the limit's rate.
+    Levels and amounts are in milliseconds of the limit's whole rate.
     """
 
     refilled_ms: int
@@ -18,7 +18,7 @@
     level_ms: float = 0.0
 
     def refill(self, now_ms: int) -> None:
-        """Let the level grow, or end with the lease."""
+        """Add the tokens since the last refill, and drop an expired share."""
         if now_ms >= self.until_ms:
             self.share = 0.0
             self.level_ms = min(self.level_ms, 0.0)
@@ -28,11 +28,11 @@
 
     @property
     def capacity_ms(self) -> float:
-        """Return the most that it holds."""
+        """Return the highest level that the bucket can reach."""
         return self.share * self.depth_ms
 
     def wait_ms(self, amount_ms: float) -> float | None:
-        """Return when the level holds an amount, None if it never does."""
+        """Return the time until an amount is available, None if never."""
         deficit_ms = amount_ms - self.level_ms
         if deficit_ms <= 0:
             return 0.0
@@ -42,5 +42,5 @@
 
 
 def unexpiring(now_ms: int) -> TokenBucket:
-    """Return an empty level that holds all of a limit, for good."""
+    """Return an empty bucket of a whole limit that does not expire."""
     return TokenBucket(now_ms, share=1.0, until_ms=math.inf)
