--- a/wrenspoke/coordination/errors.py
+++ b/wrenspoke/coordination/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the coordination layer."""
+"""Errors of the coordination layer."""
 
 from wrenspoke import errors
 from wrenspoke import ids
@@ -6,11 +6,11 @@
 
 
 class CoordinationError(errors.WrenspokeError):
-    """Base of the errors of the coordination layer."""
+    """Base class of the errors of the coordination layer."""
 
 
 class RequestEndedError(CoordinationError):
-    """Carry how a request ends, from where that is known."""
+    """A request has ended; ``ending`` has its outcome and reason."""
 
     def __init__(self, ending: outcomes.Ending):
         super().__init__(f'{ending.outcome.value}: {ending.reason.value}')
@@ -18,7 +18,7 @@
 
 
 class SendRefusedError(CoordinationError):
-    """Say which check kept a request from being sent; none was."""
+    """A check failed before a request was sent; nothing was sent."""
 
     def __init__(self, check: str, detail: str):
         super().__init__(f'{check}: {detail}')
@@ -27,7 +27,7 @@
 
 
 class EndpointBusyError(SendRefusedError):
-    """Base of the errors of endpoints that may not be sent to yet."""
+    """Base class for endpoints that get no request for ``wait_ms``."""
 
     def __init__(
         self, check: str, endpoint: ids.EndpointId, problem: str, wait_ms: int
@@ -38,14 +38,14 @@
 
 
 class EndpointLimitError(EndpointBusyError):
-    """Say that an endpoint's advertised limit is used up."""
+    """The rate limit that an endpoint advertises is used up."""
 
     def __init__(self, endpoint: ids.EndpointId, wait_ms: int):
         super().__init__('endpoint_limit', endpoint, 'takes no more', wait_ms)
 
 
 class EndpointBackoffError(EndpointBusyError):
-    """Say that this host backs off from an endpoint."""
+    """This host backs off from an endpoint."""
 
     def __init__(self, endpoint: ids.EndpointId, wait_ms: int):
         super().__init__(
@@ -54,7 +54,10 @@
 
 
 class QuarantinedError(CoordinationError):
-    """Say that no endpoint is sent a request, as some ended under it."""
+    """A request is not sent, as endpoints crashed while running it.
+
+    ``held_ms`` is the remaining time of its quarantine.
+    """
 
     def __init__(self, held_ms: int):
         super().__init__('endpoints ended under it')
@@ -62,21 +65,21 @@
 
 
 class NotSentError(CoordinationError):
-    """Say that nothing of the request left this host."""
+    """No part of the request was sent."""
 
 
 class SendAbortedError(CoordinationError):
-    """Say that the request may not go there any more, and did not."""
+    """A send was no longer permitted when it was due; nothing was sent."""
 
 
 class MaybeSentError(CoordinationError):
-    """Say that the endpoint may have run the request."""
+    """The request was sent, and the endpoint may have run it."""
 
 
 class OverloadedError(CoordinationError):
-    """Say that an endpoint turned the request away unrun.
+    """An endpoint rejected the request without running it.
 
-    ``backs_off`` says that this host sends it nothing for a while.
+    ``backs_off`` says that this host backs off from the endpoint.
     """
 
     def __init__(self, status: int, backs_off: bool):
@@ -86,29 +89,29 @@
 
 
 class LedgerUnreachableError(CoordinationError):
-    """Say that too few ledger hosts answered."""
+    """Too few ledger hosts answered."""
 
 
 class DeniedError(CoordinationError):
-    """Base of the errors of calls that the configuration forbids."""
+    """Base class of the errors of calls that the configuration forbids."""
 
 
 class NoRouteError(DeniedError):
-    """Say that no route leads where a call wants to go."""
+    """No route matches a call."""
 
 
 class UnknownKeyError(DeniedError):
-    """Say that a call needs a key, and that no team holds the one shown."""
+    """A call needs a key, and no team has the one that it presented."""
 
 
 class NoLeaseError(DeniedError):
-    """Say that this host can't know whether a key still holds."""
+    """This host has no lease on the configuration, so keys may be stale."""
 
 
 class NotLeaderError(CoordinationError):
-    """Say that this control host does not lead, and who may.
+    """This control host is not the leader; ``leader`` is, if known.
 
-    ``may_be_accepted`` says that what was asked may come into force.
+    ``may_be_accepted`` says that the proposal may still be committed.
     """
 
     def __init__(self, leader: str | None, may_be_accepted: bool):
