--- a/wrenspoke/coordination/limiting/advertised_limits.py
+++ b/wrenspoke/coordination/limiting/advertised_limits.py
@@ -1,8 +1,8 @@
 """Track the request rates that endpoints advertise in responses.
 
-Hosts gossip each change. A new or lower limit is applied at once; a higher
-one, or its end, is decided by the host that owns the limit's bucket, as only
-that one can tell which response is the newest.
+Hosts gossip each change. A new or lower limit is applied at once. A limit is
+raised or removed by the host that owns its bucket alone, as only that one can
+tell which response is the newest.
 """
 
 import collections.abc
@@ -22,7 +22,7 @@
 
 
 class AdvertisedLimits:
-    """Hold the newest limit of each endpoint, and log each change."""
+    """Tracks the newest limit of each endpoint and logs each change."""
 
     def __init__(self):
         self._limits: dict[ids.EndpointId, limiting.EndpointLimit] = {}
@@ -30,14 +30,17 @@
         self._malformed: set[ids.EndpointId] = set()
 
     def limit_of(self, life: limiting.EndpointLife) -> limiting.EndpointLimit:
-        """Return the known limit of one life of an endpoint."""
+        """Return the known limit of one life of an endpoint.
+
+        Its rate is None if the endpoint is not known to advertise one.
+        """
         found = self._limits.get(life.endpoint)
         if found is None or found.life != life:
             return limiting.EndpointLimit(life)
         return found
 
     def rate_per_s(self, life: limiting.EndpointLife) -> float | None:
-        """Return the limit in requests a second, None without."""
+        """Return the limit in requests per second, None if unlimited."""
         return self.limit_of(life).rate_per_s
 
     def active(self) -> list[limiting.EndpointLimit]:
@@ -55,7 +58,9 @@
     ) -> float | None:
         """Return the rate that response headers advertise, None without.
 
-        :raises MalformedRateError: a value is malformed, and is ignored
+        The first malformed value in a row is logged.
+
+        :raises MalformedRateError: a value is malformed
         """
         try:
             rate_per_s = rates.read(values)
@@ -75,7 +80,7 @@
     def apply_if_lower(
         self, life: limiting.EndpointLife, rate_per_s: float
     ) -> bool:
-        """Apply an advertised rate, unless a lower one is known."""
+        """Apply a rate unless a lower one is known; return if it changed."""
         known = self.limit_of(life)
         if known.rate_per_s is not None and known.rate_per_s <= rate_per_s:
             return False
@@ -84,7 +89,7 @@
     def apply_rate(
         self, life: limiting.EndpointLife, rate_per_s: float | None
     ) -> bool:
-        """Apply a rate as the newest; return False if it is unchanged."""
+        """Apply a rate as the newest; return if it changed."""
         known = self.limit_of(life)
         if rate_per_s == known.rate_per_s:
             return False
@@ -93,7 +98,7 @@
         )
 
     def merge(self, limit: limiting.EndpointLimit) -> bool:
-        """Merge a limit received from another host; return if it was newer.
+        """Merge a limit from another host; return if it was newer.
 
         Of two limits of one version the lower rate wins.
         """
@@ -122,7 +127,7 @@
             )
 
     def retain_endpoints(self, exists: Exists) -> None:
-        """Drop state of endpoints that no longer exist."""
+        """Evict state of endpoints that no longer exist."""
         for endpoint, limit in list(self._limits.items()):
             if not exists(limit.life):
                 del self._limits[endpoint]
--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -1,12 +1,12 @@
 """Grant permits from an endpoint's token bucket, on one host of its region.
 
 Endpoints accept requests from hosts of their own region only. One host, the
-owner, holds the bucket for each endpoint, so that a single level bounds what
-all hosts send. Nothing is shared out beforehand: an overloaded endpoint takes
-less than one request a second for each host.
+owner, holds the bucket of each endpoint, so that a single level bounds what
+all hosts send. Tokens are not leased in advance, as an overloaded endpoint
+accepts less than one request per second from each host.
 
-Responses overtake each other. A response is known to be newer than another
-if its request got its permit after the other response was seen here.
+Responses may arrive out of order. A response is known to be newer than
+another if its request got its permit after the other response arrived here.
 """
 
 import asyncio
@@ -24,27 +24,29 @@
 from wrenspoke import runtime
 
 MS_PER_S = 1_000
-# An endpoint with a limit of 0 is probed at this rate, as only a response
-# tells that the limit has changed.
+# An endpoint with a lower limit is probed at this rate, as only a response
+# shows that the limit has changed.
 MIN_RATE_PER_S = 0.25
-# Unused tokens are kept for so long beyond one request, as requests do not
-# arrive as evenly as the bucket fills.
+# Capacity beyond the tokens of one request, as requests do not arrive as
+# evenly as the bucket refills.
 BURST_MS = 250
-# Where the owner does not respond to some hosts, the next in order grants
-# them a part: others may still reach the owner. It grants all once the owner
-# has left the roster.
+# Part of the limit that the next host in order grants while the owner does not
+# respond to some hosts: others may still reach it. The next host grants the
+# whole limit once the owner has left the roster.
 FALLBACK_SHARE = 0.4
-# For so long after hosts have left the roster an owner grants no more than the
-# part of the region that it still sees: a partition may have an owner too.
+# For this long after hosts have left the roster, an owner grants the part of
+# the limit that matches the hosts that remain: the other side of a partition
+# may have an owner too.
 PARTITION_GUARD_MS = 60_000
-# A host asks again after so long, however low the limit is.
+# A refused host retries after this time at the latest, however low the limit.
 MAX_WAIT_MS = 1_000
-# Tokens are reserved for a more urgent call that was refused, until it has not
-# come back for so long.
+# Tokens are reserved for a refused call of a more urgent rank, unless it has
+# not been retried for this long.
 RESERVED_MS = 1_000
-# Gossiped again to hosts that started, resumed or missed an update.
+# Owned limits are gossiped again for hosts that started, resumed or missed an
+# update.
 GOSSIP_INTERVAL_MS = 1_000
-# The end of a limit is gossiped again for so long, as messages may be lost.
+# Changed limits are gossiped for this long, as messages may be lost.
 CHANGE_GOSSIP_MS = 10_000
 BATCH_DELAY_MS = 4
 
@@ -57,8 +59,9 @@
 class _EndpointBucket:
     """The token bucket of one endpoint.
 
-    ``granted`` is the number of the last permit, ``named`` that of the last
-    permit when the endpoint last advertised a limit.
+    ``last_granted`` is the number of the last permit, ``last_advertised`` that
+    of the last permit when the endpoint last advertised a limit, and
+    ``last_refused_ms`` when a call of each rank was last refused.
     """
 
     life: limiting.EndpointLife
@@ -68,7 +71,7 @@
     last_refused_ms: dict[int, int] = dataclasses.field(default_factory=dict)
 
     def is_reserved(self, rank: int, now_ms: int) -> bool:
-        """Return whether a higher-priority call was refused recently."""
+        """Return whether a call of a more urgent rank was refused recently."""
         return any(
             other < rank and now_ms - refusal_ms < RESERVED_MS
             for other, refusal_ms in self.last_refused_ms.items()
@@ -76,7 +79,7 @@
 
 
 class EndpointBuckets:
-    """Grant permits, and decide which advertised limit is the newest."""
+    """Grants permits, and decides which advertised limit is the newest."""
 
     def __init__(
         self,
@@ -95,7 +98,7 @@
         self._clock = clock
         self._life = ids.new_unique()
         self._buckets: dict[ids.EndpointId, _EndpointBucket] = {}
-        # The largest recent number of hosts, and when it was seen.
+        # The largest recent number of hosts on the roster, and when it was.
         self._max_hosts = 0
         self._max_hosts_ms = clock.mono_ms()
         # Limits that changed, and until when they are gossiped.
@@ -106,11 +109,11 @@
         peers.answers(limiting.LimitHeard)(self._handle_limit_heard)
 
     def start(self) -> None:
-        """Begin to gossip limits within the region."""
+        """Start to gossip limits within the region."""
         self._tasks.start(self._run())
 
     async def close(self) -> None:
-        """End every task."""
+        """Cancel all running tasks."""
         await self._tasks.close()
 
     # Permits.
@@ -158,7 +161,7 @@
         now_ms = self._clock.mono_ms()
         bucket = self._buckets.get(limit.life.endpoint)
         if bucket is None or bucket.life != limit.life:
-            # Empty: another host may have granted permits before.
+            # Starts empty, as another host may have granted permits before.
             bucket = _EndpointBucket(
                 limit.life, token_bucket.unexpiring(now_ms)
             )
@@ -167,12 +170,12 @@
         bucket.tokens.refill(now_ms)
         bucket.tokens.share = share
         amount_ms = _request_cost_ms(limit.rate_per_s)
-        # A part of the limit still holds one whole request.
+        # Even a bucket for a part of the limit holds one whole request.
         bucket.tokens.depth_ms = (amount_ms + BURST_MS * share) / share
         return bucket
 
     def _grantable_share(self, endpoint: ids.EndpointId) -> float:
-        """Return the part of a limit that this host may grant."""
+        """Return the part of an endpoint's limit that this host may grant."""
         order = self._owners.in_order(endpoint)
         share = self._visible_share(len(order))
         if order[0] != self._host:
@@ -180,7 +183,7 @@
         return share
 
     def _visible_share(self, hosts: int) -> float:
-        """Return the part of the region's hosts that is on the roster."""
+        """Return the part of the recent hosts that is still on the roster."""
         now_ms = self._clock.mono_ms()
         if hosts >= self._max_hosts or (
             now_ms - self._max_hosts_ms > PARTITION_GUARD_MS
@@ -201,7 +204,10 @@
         rate_per_s: float | None,
         grant: limiting.GrantName | None,
     ) -> None:
-        """Apply an advertised limit, unless a newer one is known."""
+        """Apply the rate that a response advertised, None without one.
+
+        A higher rate or none is applied only if the response is the newest.
+        """
         self._merge(known)
         life = known.life
         if rate_per_s is not None and self._advertised.apply_if_lower(
@@ -224,7 +230,7 @@
     def _is_newest(
         self, grant: limiting.GrantName | None, bucket: _EndpointBucket
     ) -> bool:
-        """Return whether a response is newer than all that named a limit."""
+        """Return whether no newer response has advertised a limit."""
         if grant is None or grant.life != self._life:
             return False
         return grant.number > bucket.last_advertised
@@ -253,7 +259,7 @@
                 await self._gossip(limits)
 
     def _limits_to_gossip(self) -> list[limiting.EndpointLimit]:
-        """Return limits that changed, and those that this host owns."""
+        """Return recently changed limits, and those that this host owns."""
         now_ms = self._clock.mono_ms()
         for life, until_ms in list(self._changed.items()):
             if now_ms > until_ms:
@@ -265,12 +271,12 @@
         return [self._advertised.limit_of(life) for life in lives]
 
     def retain_endpoints(self, exists: advertised_limits.Exists) -> None:
-        """Drop state of endpoints that no longer exist."""
+        """Evict state of endpoints that no longer exist."""
         for endpoint, bucket in list(self._buckets.items()):
             if not exists(bucket.life):
                 del self._buckets[endpoint]
 
 
 def _request_cost_ms(rate_per_s: float) -> float:
-    """Return the tokens of one request, in milliseconds of the limit."""
+    """Return the cost of one request, in milliseconds of the limit."""
     return MS_PER_S / max(rate_per_s, MIN_RATE_PER_S)
--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -1,9 +1,9 @@
 """Keep requests within the rates that endpoints advertise.
 
-An endpoint without an advertised limit takes any request. For one with a
+An endpoint without an advertised limit accepts any request. For one with a
 limit, each request needs a permit from the host that owns the endpoint's
 token bucket, and must be sent shortly after the permit was granted. A host
-that gets no permit backs off from the endpoint until there may be one.
+that gets no permit backs off from the endpoint until one may be available.
 """
 
 import collections
@@ -20,17 +20,17 @@
 from wrenspoke.protocol import peers as peer_calls
 from wrenspoke import runtime
 
-# A way within the region and a busy host.
+# A round trip within the region, and a busy host.
 PERMIT_TIMEOUT_MS = 150
-# A silent owner is not asked again for so long; others grant a part.
+# An unresponsive owner is skipped for this long; the next host in order grants
+# a part of the limit.
 OWNER_RETRY_MS = 1_000
-# Calls go elsewhere while the next owner is found.
+# The backoff if no owner responds.
 NO_OWNER_BACKOFF_MS = 50
-# A permit lasts for the time of a new connection: a request that arrives
-# later would add to the permits granted by then.
+# Long enough for a new connection. A request that arrives later would add to
+# the permits granted by then.
 PERMIT_TTL_MS = 500
-# Calls of one urgency come one behind the other: first those whose prompt
-# the endpoint keeps.
+# Within an urgency, calls whose prompt the endpoint has cached go first.
 RANKS_PER_URGENCY = 2
 EVICT_INTERVAL_MS = 1_000
 FIRST_RANK = 0
@@ -38,12 +38,12 @@
 
 
 def rank_of(urgency: int, prompt_cached: bool) -> int:
-    """Return a call's rank among those that want a permit; 0 goes first."""
+    """Return a call's rank among those that need a permit; 0 goes first."""
     return urgency * RANKS_PER_URGENCY + (not prompt_cached)
 
 
 class EndpointLimits:
-    """Grant permits to send, and track the limits in responses."""
+    """Grants permits to send, and tracks the limits in responses."""
 
     def __init__(
         self,
@@ -66,30 +66,30 @@
             host, self._owners, self._advertised, gossip, peers, clock
         )
         self._backoff_until_ms: dict[limiting.EndpointLife, int] = {}
-        # How often each endpoint took no more.
+        # How often each endpoint's limit refused a request.
         self.refused: collections.Counter[ids.EndpointId] = (
             collections.Counter()
         )
         self._tasks = runtime.Tasks()
 
     def start(self) -> None:
-        """Begin to gossip limits to other hosts."""
+        """Start to gossip limits to other hosts."""
         self._buckets.start()
         self._tasks.start(self._evict_stale())
 
     async def close(self) -> None:
-        """End every task."""
+        """Cancel all running tasks."""
         await self._tasks.close()
         await self._buckets.close()
 
-    # What is known.
+    # Current limits.
 
     def rate_per_s(self, life: limiting.EndpointLife) -> float | None:
-        """Return an endpoint's limit in requests a second, None without."""
+        """Return the limit in requests per second, None if unlimited."""
         return self._advertised.rate_per_s(life)
 
     def share_per_s(self, life: limiting.EndpointLife) -> float | None:
-        """Return an equal host's share of the limit, None without."""
+        """Return an equal share of the limit for each host, None without."""
         rate_per_s = self.rate_per_s(life)
         if rate_per_s is None:
             return None
@@ -102,7 +102,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Return whether there are no backoffs."""
+        """Return whether no backoff was started."""
         return not self._backoff_until_ms
 
     def backoff_remaining_ms(self, life: limiting.EndpointLife) -> int:
@@ -147,7 +147,7 @@
     async def _request_permit(
         self, life: limiting.EndpointLife, rank: int
     ) -> limiting.SendAnswered | None:
-        """Ask the first responsive host that owns this limit's bucket."""
+        """Request a permit from the first responsive owner, None without."""
         known = self._advertised.limit_of(life)
         for host in self._owners.first_responsive(life.endpoint, 1):
             if host == self._host:
@@ -172,13 +172,13 @@
     ) -> bool:
         """Return whether a permit is still valid at send time.
 
-        One that was issued before the limit became known is not.
+        A permit that was issued before the limit became known is not.
         """
         if self.rate_per_s(life) is None:
             return True
         return until_ms is not None and self._clock.mono_ms() <= until_ms
 
-    # Answers.
+    # Responses.
 
     def on_response(
         self,
@@ -189,8 +189,8 @@
     ) -> None:
         """Update the endpoint's limit from a response header.
 
-        ``proved`` says that the response is the endpoint's own, to this
-        request; otherwise a missing header means nothing.
+        ``echoed`` says that the response echoes the ID of its request. The
+        lack of a header is ignored otherwise, as the response may be foreign.
         """
         try:
             rate_per_s = self._advertised.parse_header(life, values)
@@ -215,7 +215,7 @@
         self._tasks.start(self._peers.tell(owner, message), fatal=False)
 
     async def _evict_stale(self) -> None:
-        """Drop state of endpoints that no longer exist."""
+        """Evict state of endpoints that no longer exist."""
         while True:
             await self._clock.sleep_ms(EVICT_INTERVAL_MS)
             self._advertised.retain_endpoints(self._exists)
