--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -1,11 +1,11 @@
-"""Back off from endpoints that refuse requests and name a time.
-
-A host sends nothing to an endpoint before the time is over that the endpoint
-named to it. The refusal is gossiped within the region. One host's refusal
-does not bind the others, as the endpoint may have room for them; once two
-hosts were refused and none was served in between, the others back off too,
-and one of them probes at intervals. Hosts return one after another, each
-with one request first and more as these are served.
+"""Back off from endpoints that refuse requests for an advertised time.
+
+A host sends nothing to an endpoint that refused it until the advertised time
+has passed. The refusal is gossiped within the region. A single refusal does
+not apply to the other hosts, as the endpoint may have capacity for them. Once
+two hosts were refused and none was served in between, the others back off
+too, and one of them probes at intervals. Hosts resume one after another, each
+with one request at first and more as these are served.
 """
 
 import collections
@@ -23,24 +23,23 @@
 
 logger = structlog.get_logger(__name__)
 
-# Bounds what a single response can do to an endpoint's use; an endpoint that
-# needs longer says so again.
+# A single response must not exclude an endpoint for long; one that needs a
+# longer backoff refuses requests again.
 MAX_BACKOFF_MS = 60_000
-# So many hosts have to be refused before the others back off.
+# The other hosts back off once this many hosts were refused.
 REFUSAL_QUORUM = 2
-# The pause before a probe doubles with each that is refused, up to this share
-# of the advertised backoff.
+# The probe interval doubles with each refused probe, up to this part of the
+# advertised backoff.
 MAX_PROBE_SHARE = 0.25
 INITIAL_PROBE_MS = 100
-# Hosts whose backoffs end together return over this time.
+# Hosts whose backoffs end together resume within this time.
 RETURN_SPREAD_MS = 1_000
-# A host that returns is back to normal after so many responses.
+# The ramp-up of a host that resumes ends after this many responses.
 RAMP_RESPONSES = 8
-# A request without a response by then no longer holds up the ramp.
+# Requests without a response are ignored by the ramp-up after this time.
 RESPONSE_TIMEOUT_MS = 1_000
 RAMP_WAIT_MS = 50
-# Responses to requests in flight extend a backoff by less than this, which
-# is not worth gossiping.
+# Shorter extensions, as by responses to requests in flight, are not gossiped.
 MIN_EXTENSION_MS = 500
 EVICT_INTERVAL_MS = 1_000
 IDLE_TTL_MS = 10_000
@@ -54,42 +53,42 @@
 
 @dataclasses.dataclass(slots=True)
 class Ramp:
-    """Requests in flight and responses of a host that returns."""
+    """Ramp-up of a host that resumes: requests in flight and responses."""
 
     in_flight: int = 0
     responses: int = 0
     sent_ms: int = 0
 
     def is_full(self, now_ms: int) -> bool:
-        """Return whether a response has to come before the next request."""
+        """Return whether the next request has to wait for a response."""
         if now_ms - self.sent_ms >= RESPONSE_TIMEOUT_MS:
             self.in_flight = 0
         return self.in_flight > self.responses
 
     @property
     def is_complete(self) -> bool:
-        """Return whether the host is back to normal."""
+        """Return whether requests are no longer restricted."""
         return self.responses >= RAMP_RESPONSES
 
     def record_request(self, now_ms: int) -> None:
-        """Count a request."""
+        """Count a request that was sent."""
         self.in_flight += 1
         self.sent_ms = now_ms
 
     def record_response(self) -> None:
-        """Count a response."""
+        """Count a response that was received."""
         self.in_flight = max(self.in_flight - 1, 0)
         self.responses += 1
 
 
 @dataclasses.dataclass(slots=True)
 class Backoff:
-    """What is known of one endpoint that refused requests.
+    """Backoff state of one endpoint that refused requests.
 
-    Nothing is sent before ``until_ms``, which the endpoint named to this
-    host, and only probes before ``resume_ms``. ``refused_ms`` is when the
-    last refusal became known, ``others`` until when other hosts back off, and
-    ``ramp`` is None while this host has not backed off.
+    Nothing is sent before ``until_ms``, the end of the backoff advertised to
+    this host, and only probes before ``resume_ms``. ``last_refusal_ms`` is
+    when the last refusal became known, ``peers_until_ms`` until when other
+    hosts back off, and ``ramp`` is None while this host has not backed off.
     ``unserved`` says that this host was refused and not served since.
     """
 
@@ -106,14 +105,14 @@
     ramp: Ramp | None = None
 
     def backing_off_peers(self, now_ms: int) -> set[ids.HostId]:
-        """Return the other hosts that back off."""
+        """Return the other hosts that back off; evict expired ones."""
         for host, until_ms in list(self.peers_until_ms.items()):
             if until_ms <= now_ms:
                 del self.peers_until_ms[host]
         return set(self.peers_until_ms)
 
     def is_expired(self, now_ms: int) -> bool:
-        """Return whether nothing of it matters any more."""
+        """Return whether the backoff and its ramp-up are over."""
         if now_ms < max(self.until_ms, self.resume_ms):
             return False
         if self.backing_off_peers(now_ms):
@@ -124,7 +123,7 @@
 
 
 class EndpointBackoffs:
-    """Hold the backoffs that endpoints asked for, and gossip them."""
+    """Tracks the backoffs that endpoints advertise, and gossips them."""
 
     def __init__(
         self,
@@ -143,21 +142,21 @@
         self._clock = clock
         self._backoffs: dict[ids.EndpointId, Backoff] = {}
         self._tasks = runtime.Tasks()
-        # Requests that each endpoint refused with a time.
+        # How many requests each endpoint refused with an advertised backoff.
         self.refused: collections.Counter[limiting.EndpointLife] = (
             collections.Counter()
         )
 
     def start(self) -> None:
-        """Begin to gossip backoffs to other hosts."""
+        """Start to gossip backoffs to other hosts."""
         self._tasks.start(self._outbox.run())
         self._tasks.start(self._run_eviction())
 
     async def close(self) -> None:
-        """End every task."""
+        """Cancel all running tasks."""
         await self._tasks.close()
 
-    # What is known.
+    # Current backoffs.
 
     @property
     def is_idle(self) -> bool:
@@ -165,14 +164,17 @@
         return not self._backoffs
 
     def own_remaining_ms(self, life: limiting.EndpointLife) -> int:
-        """Return the rest of the time that was named to this host, in ms."""
+        """Return the rest of this host's own backoff, in milliseconds."""
         found = self._find(life)
         if found is None:
             return 0
         return max(found.until_ms - self._clock.mono_ms(), 0)
 
     def remaining_ms(self, life: limiting.EndpointLife) -> int:
-        """Return the remaining backoff, in milliseconds."""
+        """Return the time until the next request, in milliseconds.
+
+        Other hosts' refusals and the ramp-up are included.
+        """
         found = self._find(life)
         if found is None:
             return 0
@@ -188,7 +190,7 @@
         return max(min(found.resume_ms, probe_ms) - now_ms, 0)
 
     def active(self) -> list[tuple[ids.EndpointId, int]]:
-        """Return the endpoints this host backs off from, and for how long."""
+        """Return endpoints with a backoff of this host, and the rest in ms."""
         remaining = [
             (endpoint, self.own_remaining_ms(found.life))
             for endpoint, found in self._backoffs.items()
@@ -202,8 +204,8 @@
     def _next_probe_ms(self, found: Backoff, now_ms: int) -> int:
         """Return when this host may probe an endpoint.
 
-        The hosts that were not refused take turns, in an order on which all
-        agree; who gets no requests leaves the turn to the next.
+        The hosts that were not refused take turns in rendezvous order; a host
+        without requests leaves its turn to the next.
         """
         backing_off_peers = found.backing_off_peers(now_ms)
         hosts = [
@@ -231,22 +233,23 @@
     def on_response(
         self, life: limiting.EndpointLife, backoff_ms: int, sent_ms: int
     ) -> None:
-        """Take a response to a request that was sent at some time.
+        """Update the backoff from the response to a request.
 
-        ``backoff_ms`` is 0 where the endpoint asks for none.
+        ``backoff_ms`` is what the endpoint advertises, 0 without a backoff,
+        and ``sent_ms`` is when the request was sent.
         """
         if backoff_ms:
             self._on_refusal(life, backoff_ms)
             return
         found = self._find(life)
-        # A response to an older request says nothing of now.
+        # A request that was sent before the refusal does not revoke it.
         if found is None or sent_ms < found.last_refusal_ms:
             return
         now_ms = self._clock.mono_ms()
         probed = found.unserved or now_ms < found.resume_ms
         self._clear_peer_refusals(found)
         if probed:
-            logger.info('endpoint_serves_again', endpoint=life.endpoint)
+            logger.info('endpoint_backoff_cleared', endpoint=life.endpoint)
             self._gossip(found.life, 0)
         if found.ramp is not None:
             found.ramp.record_response()
@@ -256,14 +259,14 @@
     def _on_refusal(
         self, life: limiting.EndpointLife, backoff_ms: int
     ) -> None:
-        """Begin or extend this host's own backoff.
+        """Start or extend this host's own backoff.
 
-        A shorter time in a later response does not shorten what the
-        endpoint named before, and neither does one that it served.
+        It is shortened neither by a shorter time in a later response nor by
+        a request that was served.
         """
         self.refused[life] += 1
         if not self._exists(life):
-            # A late response of a life that has ended since.
+            # A late response of an earlier life of the endpoint.
             return
         now_ms = self._clock.mono_ms()
         found = self._find_or_create(life)
@@ -283,7 +286,7 @@
             self._gossip(life, found.until_ms - now_ms)
 
     def _should_gossip(self, found: Backoff, now_ms: int) -> bool:
-        """Return whether other hosts don't know as much of a refusal."""
+        """Return whether a refusal extends what other hosts have received."""
         if len(found.backing_off_peers(now_ms)) < self._refusal_quorum:
             known_ms = found.gossiped_until_ms
         else:
@@ -295,7 +298,7 @@
     def _schedule_resume(
         self, found: Backoff, until_ms: int, backoff_ms: int
     ) -> None:
-        """Set when this host returns; hosts follow one another."""
+        """Set when this host probes and resumes; hosts do so in turn."""
         now_ms = self._clock.mono_ms()
         if not found.probe_interval_ms:
             found.probe_interval_ms = INITIAL_PROBE_MS
@@ -314,7 +317,7 @@
         found.resume_ms = max(found.resume_ms, resume_ms)
 
     def _clear_peer_refusals(self, found: Backoff) -> None:
-        """End what other hosts' refusals said; this host's own time stays."""
+        """Drop other hosts' refusals; this host's own backoff stays."""
         found.unserved = False
         found.probe_interval_ms = 0
         found.peers_until_ms.clear()
@@ -358,7 +361,7 @@
             self.evict()
 
     def evict(self) -> None:
-        """Drop state of endpoints that no longer exist or are used again."""
+        """Evict state of endpoints that no longer exist or are used again."""
         now_ms = self._clock.mono_ms()
         for endpoint, found in list(self._backoffs.items()):
             if not self._exists(found.life) or found.is_expired(now_ms):
--- a/wrenspoke/coordination/limiting/leaving_endpoints.py
+++ b/wrenspoke/coordination/limiting/leaving_endpoints.py
@@ -1,9 +1,9 @@
-"""Endpoints that say in their responses that they are about to end.
+"""Track endpoints that announce in responses that they are leaving.
 
-A mark holds for the whole life of an endpoint, whatever an older report says
-of it. Endpoints with configured names start again under them, and nothing
-tells their lives apart: for those the mark ends some time after the last
-response that said so.
+A mark lasts for the whole life of an endpoint, even if an older report
+contradicts it. Endpoints with configured names restart under the same name,
+and their lives can't be told apart: for those the mark expires some time
+after the last response that announced it.
 """
 
 import collections.abc
@@ -19,7 +19,7 @@
 logger = structlog.get_logger(__name__)
 
 EVICT_INTERVAL_MS = 1_000
-# A mark that ends is gossiped again when this part of its time is over.
+# A mark that expires is gossiped again after this part of its TTL.
 REGOSSIP_SHARE = 0.25
 
 Exists = collections.abc.Callable[[limiting.EndpointLife], bool]
@@ -30,7 +30,7 @@
 
 
 class LeavingEndpoints:
-    """Hold which endpoints leave, and gossip it."""
+    """Tracks which endpoints are leaving, and gossips it."""
 
     def __init__(
         self,
@@ -43,32 +43,32 @@
         self._outbox = outbox.Outbox(gossip, clock)
         self._ttl_ms = ttl_ms
         self._clock = clock
-        # When each endpoint last said so, and when that was gossiped.
+        # When each endpoint was last marked, and when that was last gossiped.
         self._last_marked_ms: dict[limiting.EndpointLife, int] = {}
         self._last_gossiped_ms: dict[limiting.EndpointLife, int] = {}
         self._listeners: list[Listener] = []
         self._tasks = runtime.Tasks()
 
     def start(self) -> None:
-        """Begin to gossip leaves to other hosts."""
+        """Start to gossip leaving endpoints to other hosts."""
         self._tasks.start(self._outbox.run())
         self._tasks.start(self._evict_missing())
 
     async def close(self) -> None:
-        """End every task."""
+        """Cancel all running tasks."""
         await self._tasks.close()
 
     def listen(self, listener: Listener) -> None:
-        """Call a listener with each endpoint that says it leaves."""
+        """Register a listener, called with each endpoint marked here."""
         self._listeners.append(listener)
 
     @property
     def is_idle(self) -> bool:
-        """Return whether no endpoint said that it leaves."""
+        """Return whether no endpoint was marked."""
         return not self._last_marked_ms
 
     def is_leaving(self, life: limiting.EndpointLife) -> bool:
-        """Return whether an endpoint said that it leaves."""
+        """Return whether an endpoint is leaving."""
         marked_ms = self._last_marked_ms.get(life)
         if marked_ms is None:
             return False
@@ -77,7 +77,7 @@
         )
 
     def active(self) -> list[ids.EndpointId]:
-        """Return the endpoints that leave."""
+        """Return the endpoints that are leaving."""
         return [
             life.endpoint
             for life in self._last_marked_ms
@@ -85,7 +85,7 @@
         ]
 
     def mark(self, life: limiting.EndpointLife) -> None:
-        """Take an endpoint's word that it leaves."""
+        """Mark an endpoint whose response announced that it is leaving."""
         now_ms = self._clock.mono_ms()
         if not self._mark(life, now_ms) and not self._needs_regossip(
             life, now_ms
@@ -97,7 +97,7 @@
             listener(life)
 
     def merge(self, received: list[limiting.EndpointLife]) -> None:
-        """Merge leaves received from other hosts of the region."""
+        """Merge leaving endpoints received from other hosts of the region."""
         now_ms = self._clock.mono_ms()
         for life in received:
             if self._exists(life):
@@ -122,7 +122,7 @@
         return now_ms - told_ms >= REGOSSIP_SHARE * self._ttl_ms
 
     async def _evict_missing(self) -> None:
-        """Drop state of endpoints that no longer exist."""
+        """Evict state of endpoints that no longer exist."""
         while True:
             await self._clock.sleep_ms(EVICT_INTERVAL_MS)
             for life in list(self._last_marked_ms):
