--- a/wrenspoke/coordination/limiting/endpoint_gate.py
+++ b/wrenspoke/coordination/limiting/endpoint_gate.py
@@ -1,9 +1,9 @@
 """The one check before any request to an endpoint.
 
 It combines what endpoints advertise in their responses: a rate limit, a
-backoff, and that they leave. Both interfaces for callers, polls and warm-up
-checks acquire a permit here, check it again at send time and hand the head
-of the response back.
+backoff, and that they are leaving. Both caller interfaces, polls and warm-up
+checks acquire a permit here, check it again at send time and report the head
+of the response.
 """
 
 import collections.abc
@@ -32,7 +32,7 @@
 
 
 class EndpointGate:
-    """Grant permits to send, and track what responses advertise."""
+    """Grants permits to send, and tracks what responses advertise."""
 
     def __init__(
         self,
@@ -70,30 +70,30 @@
         self._exists = exists
 
     def start(self) -> None:
-        """Begin to gossip what endpoints advertise."""
+        """Start to gossip what endpoints advertise."""
         self.limits.start()
         self.backoffs.start()
         self.leaving.start()
 
     async def close(self) -> None:
-        """End every task."""
+        """Cancel all running tasks."""
         await self.limits.close()
         await self.backoffs.close()
         await self.leaving.close()
 
     def merge(self, message: attending.TellRegion) -> None:
-        """Merge what another host of the region learned."""
+        """Merge the state that another host of the region gossiped."""
         self.limits.merge(message.limits)
         self.backoffs.merge(message.backoffs)
         self.leaving.merge(message.leaving)
 
     @property
     def is_idle(self) -> bool:
-        """Return whether every endpoint may be sent requests."""
+        """Return whether no endpoint has a backoff."""
         return self.limits.is_idle and self.backoffs.is_idle
 
     def remaining_ms(self, life: limiting.EndpointLife) -> int:
-        """Return for how long an endpoint is sent nothing more, in ms."""
+        """Return the remaining backoff of an endpoint, in milliseconds."""
         return max(
             self.limits.backoff_remaining_ms(life),
             self.backoffs.remaining_ms(life),
@@ -107,15 +107,16 @@
     ) -> 'GatePermit':
         """Return a permit to send one request to an endpoint.
 
-        What ``continues`` a stream may go to an endpoint that leaves.
+        A request with ``is_continuation`` continues a stream, and may go to
+        an endpoint that is leaving.
 
-        :raises EndpointBusyError: it is sent nothing more for now
+        :raises EndpointBusyError: the limit is used up, or a backoff applies
         """
         remaining_ms = self.backoffs.remaining_ms(life)
         if remaining_ms:
             raise errors.EndpointBackoffError(life.endpoint, remaining_ms)
         limit_permit = await self.limits.acquire(life, rank)
-        # Others may have been sent, or refused, while the limit was asked.
+        # The backoff may have changed while the permit was requested.
         self.backoffs.acquire(life)
         return GatePermit(
             self, life, self._clock.mono_ms(), limit_permit, is_continuation
@@ -124,7 +125,7 @@
     def acquire_poll(self, life: limiting.EndpointLife) -> 'GatePermit':
         """Return a permit for a request that takes no slot.
 
-        :raises EndpointBackoffError: the endpoint wants nothing for now
+        :raises EndpointBackoffError: this host's own backoff applies
         """
         remaining_ms = self.backoffs.own_remaining_ms(life)
         if remaining_ms:
@@ -132,7 +133,7 @@
         return self.acquire_unchecked(life)
 
     def acquire_unchecked(self, life: limiting.EndpointLife) -> 'GatePermit':
-        """Return a permit to end or direct what an endpoint already does."""
+        """Return a permit to cancel or control work that already runs."""
         return GatePermit(self, life, self._clock.mono_ms())
 
     def on_response(
@@ -144,7 +145,7 @@
     ) -> None:
         """Update an endpoint's state from the head of a response.
 
-        Only a response to ``work`` shows that the endpoint serves again.
+        Only the response to a request with ``is_work`` ends a backoff.
         """
         if not head.own:
             return
@@ -199,7 +200,7 @@
 class GatePermit:
     """A permit to send one request to an endpoint.
 
-    ``limit`` is None where the request takes no slot.
+    ``limit_permit`` is None if the request takes no slot.
     """
 
     def __init__(
@@ -219,7 +220,7 @@
     def is_valid(self) -> bool:
         """Return whether the permit is still valid at send time.
 
-        The endpoint may have asked for backoff, or said that it leaves,
+        The endpoint may have advertised a backoff, or that it is leaving,
         while the request waited for a connection.
         """
         if self._limit_permit is None:
--- a/wrenspoke/coordination/limiting/outbox.py
+++ b/wrenspoke/coordination/limiting/outbox.py
@@ -1,4 +1,4 @@
-"""Gossip items in batches: those of a moment go in one message."""
+"""Gossip items in batches, one message for those of a short interval."""
 
 import asyncio
 import collections.abc
@@ -12,7 +12,7 @@
 
 
 class Outbox(typing.Generic[Item]):
-    """Hold items until they are sent; ``run`` sends them."""
+    """Queues items until ``run`` sends them in a batch."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         self._has_items = asyncio.Event()
 
     def add(self, item: Item) -> None:
-        """Send an item with the next batch."""
+        """Queue an item for the next batch."""
         self._items.append(item)
         self._has_items.set()
 
