--- a/tests/backoff_fleet.py
+++ b/tests/backoff_fleet.py
@@ -1,7 +1,7 @@
-"""Entry hosts of a region before engines that refuse requests with a time.
+"""Simulated hosts of a region and engines that refuse requests for a time.
 
-Simulated time. Calls come to hosts at random and choose at random among the
-engines that their host does not back off from; a refused call is sent to
+Simulated time. Calls arrive at random hosts and choose at random among the
+engines that their host does not back off from. A refused call is retried at
 another engine.
 """
 
@@ -17,7 +17,7 @@
 from wrenspoke.protocol import limiting
 
 MS_PER_S = 1_000
-# What hosts of the users' platform are held to.
+# The requirements of the users' platform.
 GRACE_MS = 500
 MAX_SENDS = 2
 MAX_TRIES = 4
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass
 class Arrival:
-    """A request at an engine, and the backoff that it got, if any."""
+    """A request at an engine, and the backoff of its response, or 0."""
 
     at_ms: int
     host: str
@@ -33,7 +33,7 @@
 
 
 class Engine:
-    """An engine that refuses requests as its ``refuses`` says."""
+    """Engine that refuses requests for which ``refuses`` returns true."""
 
     def __init__(self, name):
         self.life = limiting.EndpointLife(name)
@@ -42,7 +42,7 @@
         self.refuses = lambda host: False
 
     def receive_request(self, host):
-        """Take a request; return the backoff it is refused with, or 0."""
+        """Handle a request; return the backoff of its refusal, or 0."""
         backoff_ms = self.backoff_ms if self.refuses(host) else 0
         now_ms = group.LoopClock().mono_ms()
         self.arrivals.append(Arrival(now_ms, host, backoff_ms))
@@ -53,7 +53,7 @@
         return sum(one.backoff_ms > 0 for one in self.arrivals)
 
     def count(self, since_ms, until_ms):
-        """Return how many requests came in some time."""
+        """Return how many requests arrived in an interval."""
         return sum(since_ms <= one.at_ms < until_ms for one in self.arrivals)
 
     def max_requests_in_backoff(
@@ -81,7 +81,7 @@
 
 
 class BackoffHost(endpoint_limit_fleet.SimulatedHost):
-    """An entry host that backs off as the product does."""
+    """Entry host with the real backoffs and a simulated network."""
 
     refusal_quorum = endpoint_backoffs.REFUSAL_QUORUM
 
@@ -112,20 +112,20 @@
 
 
 class NoGossipHost(BackoffHost):
-    """A host that learns of backoffs by itself alone."""
+    """Host that does not gossip backoffs."""
 
     async def _gossip_backoffs(self, backoffs):
         pass
 
 
 class SingleRefusalHost(BackoffHost):
-    """A host that backs off as soon as another one was refused."""
+    """Host that backs off as soon as one other host was refused."""
 
     refusal_quorum = 1
 
 
 class Fleet(endpoint_limit_fleet.Fleet):
-    """The hosts and engines of a region, and the calls there."""
+    """Simulated hosts and engines of a region, and the results of calls."""
 
     def __init__(self, hosts, engines=4, seed=1, make=BackoffHost):
         super().__init__(hosts, 0, seed, make)
@@ -134,7 +134,7 @@
         self.restarted_ms = {}
 
     async def _send(self, host, rank):
-        """Send a call until an engine serves it; None where none does."""
+        """Send a call until an engine serves it; return None without."""
         tried = set()
         for _number in range(MAX_TRIES):
             open_to = [
@@ -153,7 +153,7 @@
             acquired_ms = host.clock.mono_ms()
             await self._connect()
             if self.hosts[host.name] is not host:
-                # Its process ended, and its calls with it.
+                # The host was restarted, which ended its calls.
                 return None
             if host.frozen or host.backoffs.own_remaining_ms(engine.life):
                 continue
@@ -172,7 +172,7 @@
 
 
 def simulate(happen, hosts, calls_per_s, for_ms, seed=1, make=BackoffHost):
-    """Return a fleet after calls came while something happened."""
+    """Return a fleet after running calls and a scenario concurrently."""
     held = {}
 
     async def run():
--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -1,8 +1,9 @@
-"""Entry hosts of a region before engines that name limits, in own time.
+"""Simulated hosts of a region and engines that advertise rate limits.
 
-Calls come to hosts at random and choose among engines at random; engines
-name their limits as they answer. When requests reach an engine is noted with
-who sent them, so that any window over all hosts can be looked at.
+Simulated time. Calls arrive at random hosts, which choose engines at random;
+engines advertise their limits in responses. Each request that reaches an
+engine is recorded with its sender, so that any window over all hosts can be
+checked.
 """
 
 import asyncio
@@ -21,15 +22,15 @@
 
 MS_PER_S = 1_000
 REGION = 'north'
-# What hosts of the users' platform are held to.
+# The requirements of the users' platform.
 WINDOW_MS = 4_000
 OVERSHOOT = 1.5
 SLACK = 5
 FIRST_CONTACT_MS = 6_000
 NOTICE_MS = 500
-# A host that is lost leaves the roster after its lease.
+# A lost host leaves the roster after its lease.
 ROSTER_LEASE_MS = 3_000
-# Engines that one call asks for, as a call that is passed through.
+# Engines that one call tries, as passthrough calls do.
 MAX_TRIES = 8
 CANCELLED_SHARE = 0.05
 SLOW_CONNECTION_SHARE = 0.02
@@ -37,7 +38,10 @@
 
 @dataclasses.dataclass
 class Arrival:
-    """Hold when a request reached an engine, and whether it counts."""
+    """A request that reached an engine.
+
+    ``notified`` says that its host had received the limit some time before.
+    """
 
     at_ms: int
     host: str
@@ -45,11 +49,11 @@
 
 
 class Engine:
-    """Be an engine that names the rate it takes, once it has one."""
+    """Engine that advertises its rate limit, once it has one."""
 
     def __init__(self, name):
         self.life = limiting.EndpointLife(name)
-        # The rates that were named, with since when.
+        # The advertised rates, each with the time of its start.
         self.rates = [(0, None)]
         self.arrivals = []
 
@@ -58,12 +62,12 @@
 
     @property
     def header_values(self):
-        """Return what the head of an answer names now."""
+        """Return the limit header of a response that is sent now."""
         _since_ms, rate_per_s = self.rates[-1]
         return [] if rate_per_s is None else [str(rate_per_s)]
 
     def allowed(self, begun_ms):
-        """Return what a window may hold; None where that is any."""
+        """Return the requests allowed in a window, None if unlimited."""
         end_ms = begun_ms + WINDOW_MS
         total = SLACK
         ends = [since_ms for since_ms, _rate in self.rates[1:]] + [10**9]
@@ -77,10 +81,10 @@
         return total
 
     def limit_ratio(self, notified_only=False):
-        """Return the worst of what windows held against what they may.
+        """Return the highest ratio of requests to allowed ones in a window.
 
-        The platform counts hosts that were told; here all count, but where
-        a mishap kept news from some.
+        ``notified_only`` leaves out requests of hosts that had not received
+        the limit, as the platform does.
         """
         named_ms = [at_ms for at_ms, rate in self.rates if rate is not None]
         counted = [
@@ -102,14 +106,14 @@
         return worst
 
     def used_share(self, since_ms, until_ms):
-        """Return which part of its limit an engine was sent."""
+        """Return the part of the limit that was used."""
         _since_ms, rate_per_s = self.rates[-1]
         got = sum(since_ms <= one.at_ms < until_ms for one in self.arrivals)
         return got / (rate_per_s * (until_ms - since_ms) / MS_PER_S)
 
 
 class Peers(membership_fleet.CountingPeers):
-    """Tell other hosts, too, and lose messages as a test says."""
+    """Peers that can also send messages without an answer."""
 
     async def tell(self, host, message):
         body = self._encoder.encode(message)
@@ -127,13 +131,13 @@
             await there.handle_message(self.host, body)
 
     async def handle_message(self, sender, body):
-        """Take a message that has no answer."""
+        """Handle a message that has no answer."""
         message = self._decoder.decode(body)
         await self._answerers[type(message)](sender, message)
 
 
 class LossyNetwork(group.Network):
-    """Lose a part of all messages."""
+    """Network that loses a part of all messages."""
 
     lost_share = 0.0
 
@@ -143,7 +147,7 @@
 
 
 class FakeRoster:
-    """Know the hosts of the region, as one host sees them."""
+    """Roster of the region's hosts, as one host sees them."""
 
     def __init__(self, fleet, name):
         self._fleet = fleet
@@ -158,7 +162,7 @@
 
 
 class SimulatedHost:
-    """Be an entry host that asks for leave as the product does."""
+    """Entry host with the real limits of endpoints and a simulated network."""
 
     def __init__(self, fleet, name):
         self.fleet = fleet
@@ -167,7 +171,7 @@
         self.peers = Peers(name, fleet.network)
         fleet.network.hosts[name] = self.peers
         self.frozen = False
-        # When this host first passed on an answer that names a limit.
+        # When this host first forwarded a response with a limit, by engine.
         self.first_limit_ms = {}
         self.askers = region_pollers.RegionPollers(
             REGION, name, FakeRoster(fleet, name), self.peers
@@ -189,7 +193,7 @@
         await self.askers.broadcast(attending.TellRegion(limits=limits))
 
     def may_choose(self, engine):
-        """Tell whether a call may choose an engine now."""
+        """Return whether a call may choose an engine now."""
         return not self.limits.backoff_remaining_ms(engine.life)
 
     async def admit(self, engine, rank=10):
@@ -205,7 +209,7 @@
 
 @dataclasses.dataclass
 class CallResult:
-    """Hold what became of one call."""
+    """Outcome of one call."""
 
     at_ms: int
     served: bool
@@ -215,7 +219,7 @@
 
 
 class Fleet:
-    """Hold the hosts and engines of a region, and the calls there."""
+    """Simulated hosts and engines of a region, and the results of calls."""
 
     def __init__(self, hosts, engines=3, seed=1, make=SimulatedHost):
         self.random = random.Random(seed)
@@ -225,7 +229,7 @@
         self.names = [f'10.0.{n // 200}.{n % 200}:1' for n in range(hosts)]
         self.hosts = {}
         self.revision = 0
-        # Hosts that others have not seen for long, by who sees them not.
+        # Pairs of hosts that are not on each other's rosters.
         self._unseen_pairs = set()
         self.results = []
         self._tasks = set()
@@ -233,7 +237,7 @@
             self.hosts[name] = make(self, name)
 
     def seen_by(self, name):
-        """Return the records of the other hosts that a host knows of."""
+        """Return the records of the other hosts on a host's roster."""
         return [
             attending.HostRecord(
                 other, REGION, f'{REGION}-hall', '', '', '', 0, False
@@ -243,12 +247,12 @@
         ]
 
     def hide_from_rosters(self, one, other):
-        """Let two hosts miss each other on their rosters."""
+        """Remove two hosts from each other's rosters."""
         self._unseen_pairs |= {(one, other), (other, one)}
         self.revision += 1
 
     def restore_rosters(self):
-        """Let every host be on every roster again."""
+        """Put every host back on every roster."""
         self._unseen_pairs.clear()
         self.revision += 1
 
@@ -260,7 +264,7 @@
         self.hosts[name] = self.make(self, name)
 
     async def run_calls(self, calls_per_s, for_ms, rank_of=lambda: 10):
-        """Let calls come to hosts that run."""
+        """Send calls to hosts that are not frozen, at a mean rate."""
         end_ms = group.LoopClock().mono_ms() + for_ms
         while group.LoopClock().mono_ms() < end_ms:
             await asyncio.sleep(self.random.expovariate(calls_per_s))
@@ -289,7 +293,7 @@
         )
 
     async def _send(self, host, rank):
-        """Send a call to an engine that takes it; None where none does."""
+        """Send a call to an engine that may get it; return None without."""
         for _number in range(MAX_TRIES):
             open_to = [one for one in self.engines if host.may_choose(one)]
             if not open_to:
@@ -314,7 +318,7 @@
         await self.wait_ms(300 if slow else self.random.uniform(0, 3))
 
     async def _answer(self, host, engine, send_permit):
-        """Bring an answer's head, unless its caller leaves before."""
+        """Process the head of a response, unless its caller disconnects."""
         await self.wait_ms(min(self.random.lognormvariate(5, 1), 4_000))
         texts = engine.header_values
         await self.wait_ms(self.random.uniform(1, 4))
@@ -326,7 +330,7 @@
         send_permit.on_response(texts, True)
 
     def refused_share(self, since_ms=0):
-        """Return the part of the calls that no engine took."""
+        """Return the part of the calls that no engine served."""
         found = [one for one in self.results if one.at_ms >= since_ms]
         return sum(not one.served for one in found) / max(len(found), 1)
 
--- a/tests/team_limit_fleet.py
+++ b/tests/team_limit_fleet.py
@@ -1,7 +1,7 @@
-"""Entry hosts that keep teams to limits, in time of their own.
+"""Simulated entry hosts that enforce teams' limits, in simulated time.
 
-Calls come to hosts of three regions by a pattern; what every host admits
-is noted with its time, so that any window over all hosts can be looked at.
+Calls arrive at hosts of three regions in a given pattern. Each admission is
+recorded with its time, so that any window over all hosts can be checked.
 """
 
 import asyncio
@@ -25,14 +25,14 @@
 CONTROLS = 3
 MS_PER_S = 1_000
 WINDOW_MS = 8_000
-# As the users' platform allows.
+# The overshoot that the users' platform allows.
 BOUNDS = bounds.OvershootBounds(WINDOW_MS, 0.1, 110_000.0)
-# A long prompt, a chat and a plain request, and how often each comes.
+# Tokens and relative frequency of a long prompt, a chat and a plain request.
 CALL_MIX = [(9_240, 36.7), (1_116, 173.0), (200, 57.8)]
 
 
 class FakeVoter:
-    """Lead, or not, as a test says; what is committed all know."""
+    """Voter whose leadership is set by a test; all share the same state."""
 
     def __init__(self, state):
         self.has_lease = False
@@ -48,7 +48,7 @@
 
 
 class RegionalNetwork(group.Network):
-    """Carry messages within a region at once, and slowly between them."""
+    """Network with a short delay within a region, and a long one between."""
 
     async def transmit(self, one, other):
         if not self.is_connected(one, other):
@@ -59,13 +59,13 @@
 
 
 def region_of(name):
-    """Return the region that a name says."""
+    """Return the region that a host's name contains."""
     return int(name.split('.')[1])
 
 
 @dataclasses.dataclass
 class CallResult:
-    """Hold what became of one call."""
+    """Outcome of one call."""
 
     at_ms: int
     host: str
@@ -75,7 +75,7 @@
 
 
 class Host:
-    """Be an entry host that admits calls."""
+    """Simulated entry host that admits calls."""
 
     def __init__(self, fleet, name):
         self.fleet = fleet
@@ -114,7 +114,7 @@
 
 
 class Fleet:
-    """Hold entry and control hosts, and what was asked of them."""
+    """Simulated entry and control hosts, and the results of calls."""
 
     def __init__(self, hosts, rate_per_s, seed=1, make=Host):
         self.random = random.Random(seed)
@@ -150,7 +150,7 @@
         return self
 
     def lead(self, name):
-        """Let one control host lead, and no other."""
+        """Make one control host the leader, or none."""
         for voter in self.voters.values():
             voter.has_lease = False
             voter.leader = name
@@ -161,7 +161,7 @@
             self.voters[name].leader_since_ms = group.LoopClock().mono_ms()
 
     def lead_of(self, host):
-        """Return who leads, as hosts are told by the control host near by."""
+        """Return the leader, as reported by a host's regional control host."""
         if self.leader is None:
             return None
         near = f'10.{region_of(host.name)}.250.1:1'
@@ -175,7 +175,7 @@
         self.start_host(name)
 
     def order(self, key, name):
-        """Return the hosts of a host's region in a key's order."""
+        """Return the hosts of a host's region in rendezvous order of a key."""
         region = region_of(name)
         near = {one for one in self.hosts if region_of(one) == region}
         return routing.rendezvous(key, {*near, name})
@@ -184,10 +184,10 @@
         await asyncio.sleep(delay_ms / MS_PER_S)
 
     async def run_calls(self, tokens_per_s, for_ms, share_of=None):
-        """Let calls come that need so many tokens a second.
+        """Run calls that need a number of tokens per second on average.
 
-        ``share_of`` tells the part of them that comes to a region, by the
-        time since this began; without it they are equal.
+        ``share_of`` returns the weight of a region at a time since the
+        start; without it the regions are equal.
         """
         began_ms = now_ms = group.LoopClock().mono_ms()
         mean = sum(size * rate for size, rate in CALL_MIX)
@@ -222,7 +222,7 @@
         )
 
     def max_window_tokens(self):
-        """Return the most tokens that were admitted in any window."""
+        """Return the highest number of tokens admitted in any window."""
         window = collections.deque()
         total = most = 0
         for one in sorted(self.results, key=lambda one: one.at_ms):
@@ -237,20 +237,20 @@
 
     @property
     def bound(self):
-        """Return what a window may hold."""
+        """Return how many tokens may be admitted in a window."""
         limit = self.limit
         allowed = limit.rate_per_s * WINDOW_MS / MS_PER_S + limit.burst
         return allowed + BOUNDS.max_overshoot(limit)
 
     def refused_share(self, since_ms=0, until_ms=10**9):
-        """Return the part of the tokens asked for that was refused."""
+        """Return the part of the requested tokens that was refused."""
         found = [o for o in self.results if since_ms <= o.at_ms < until_ms]
         asked = sum(one.amount for one in found)
         refused = sum(one.amount for one in found if not one.admitted)
         return refused / max(asked, 1)
 
     def messages_per_host(self):
-        """Return how many messages a host has sent, in the mean."""
+        """Return the mean number of messages that a host has sent."""
         sent = sum(
             counted.messages
             for host in self.hosts.values()
