--- a/tests/test_advertised_limits.py
+++ b/tests/test_advertised_limits.py
@@ -1,4 +1,4 @@
-"""What endpoints say of how much they take: read, told apart, logged."""
+"""Advertised rate limits are parsed, ordered, enforced and logged."""
 
 import hypothesis
 from hypothesis import strategies
@@ -60,7 +60,7 @@
 
 
 def limit(rate_per_s, version=1, life=LIFE):
-    """Return a limit that another host tells of."""
+    """Return a limit that another host gossips."""
     return limiting.EndpointLimit(life, version, rate_per_s)
 
 
@@ -126,7 +126,7 @@
 
 
 class Peers:
-    """Take who answers what, and keep what is told."""
+    """Peers that ignore the handlers registered with them."""
 
     def __init__(self):
         self.told = []
@@ -136,7 +136,7 @@
 
 
 def buckets_of(clock, known):
-    """Return what lends limits on the only host of a region."""
+    """Return the buckets of the only host of a region."""
 
     async def tell(_limits):
         return
@@ -148,7 +148,7 @@
 
 
 def test_stale_response_does_not_raise_limit():
-    """It ends by an answer whose request left after it was last named."""
+    """Only a request sent after the limit was last advertised can raise it."""
     clock = test_registry.FakeClock()
     known = advertised_limits.AdvertisedLimits()
     lends = buckets_of(clock, known)
@@ -157,7 +157,7 @@
     for _number in range(3):
         clock.now_ms += 1_000
         grants.append(lends.take(known.limit_of(LIFE), 0).grant)
-    # The second's answer came first and names it still.
+    # The second response arrives first and still advertises the limit.
     lends.on_advertised(known.limit_of(LIFE), 1.2, grants[1])
     for older in (None, grants[0], grants[2]):
         lends.on_advertised(known.limit_of(LIFE), None, older)
@@ -200,10 +200,10 @@
     clock.now_ms += 500
     assert lends.take(now, 5).grant is None
     assert lends.take(now, 2).grant is not None
-    # Nobody more urgent wants it any more.
+    # The tokens are no longer reserved for a more urgent call.
     clock.now_ms += 500
     assert lends.take(now, 5).grant is not None
-    # One that does not come back keeps it until the level is full.
+    # Tokens stay reserved for a call without a retry until the bucket is full.
     assert lends.take(now, 2).grant is None
     clock.now_ms += 500 + endpoint_buckets.BURST_MS
     assert lends.take(now, 5).grant is not None
@@ -217,7 +217,7 @@
         1_000,
         1_500,
     ]
-    # The more urgent goes before them, the less urgent behind.
+    # A more urgent call goes first, a less urgent one last.
     assert line.schedule(1, 2.0) == 500
     assert line.schedule(9, 2.0) == 2_500
     clock.now_ms += 2_500
--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -1,10 +1,8 @@
-"""Teams' limits over all hosts: never exceeded, and little lost below.
+"""Teams' limits are not exceeded over all hosts, and few calls lost below.
 
-The load is the one that binds where regions peak in turn: a team's calls
-come to one region, then to the next, while its use of all regions together
-stays at 0.55 of its limit; a long prompt is a third of a second of a small
-team's limit. Bounds are those of the users' platform: a tenth and 110,000
-tokens over the limit in any 8 s.
+Regions peak in turn, while a team uses about half of its limit in total. The
+bound is that of the users' platform: a tenth and 110,000 tokens over the
+limit in any 8 s.
 """
 
 import itertools
@@ -19,14 +17,14 @@
 from wrenspoke.state import replicated
 
 SIZES = [20, 60, 200]
-# A small team's limit, and that of a third of all calls, tokens a second.
+# Limits of a small and a large team, in tokens per second.
 SMALL, LARGE = 29_000, 300_000
 TYPICAL_LOAD = 0.55
 PEAK_MS = 10_000
 
 
 def rotating_peaks(region, since_ms):
-    """Return a region's part where each peaks for a while, 16 to 1."""
+    """Return a region's load where each region peaks in turn, 16 to 1."""
     peaking = int(since_ms // PEAK_MS) % team_limit_fleet.REGIONS
     into_ms = since_ms % PEAK_MS
     # The peak moves within 2 s.
@@ -41,7 +39,7 @@
 def simulate(
     hosts, rate_per_s, fault=None, share_of=None, used=TYPICAL_LOAD, seed=1
 ):
-    """Return a fleet after 34 s of calls, 8 s after its leader began."""
+    """Return a fleet after 34 s of calls, from 8 s after the election."""
     held = {}
 
     async def run():
@@ -74,7 +72,7 @@
     fleet = simulate(hosts, rate_per_s, share_of=share_of)
     assert fleet.refused_share() < most_refused
     assert fleet.max_window_tokens() <= fleet.bound
-    # One question a call, and what lenders ask the leader.
+    # One message per call, and the renewals of shares.
     calls = len(fleet.results) / hosts
     assert (
         fleet.messages_per_host()
@@ -85,7 +83,7 @@
 @pytest.mark.parametrize('hosts', [20, 60])
 @pytest.mark.parametrize('rate_per_s', [SMALL, LARGE], ids=['small', 'large'])
 def test_hot_team_is_held_to_its_limit(hosts, rate_per_s):
-    """It asks for four times its limit, in regions that peak in turn."""
+    """A team requests four times its limit, in regions that peak in turn."""
     fleet = simulate(hosts, rate_per_s, share_of=rotating_peaks, used=4.0)
     assert fleet.max_window_tokens() <= fleet.bound
     admitted = 1 - fleet.refused_share()
@@ -108,7 +106,7 @@
 
 
 def restart(fleet):
-    """All entry hosts are killed, and begin with nothing."""
+    """Restart all entry hosts, which lose their shares."""
 
     async def happen():
         await fleet.wait_ms(10_000)
@@ -119,7 +117,7 @@
 
 
 def restart_with_leader(fleet):
-    """Every host is killed at once, and a leader is found later."""
+    """Restart all entry hosts while there is no leader for a while."""
 
     async def happen():
         await fleet.wait_ms(10_000)
@@ -144,7 +142,7 @@
 
 
 def freeze(fleet):
-    """Some hosts answer nothing for a while, and go on by what they had."""
+    """Cut off some hosts for a while, which continue with their shares."""
 
     async def happen():
         for _number in range(3):
@@ -181,14 +179,14 @@
 
 
 def asked(held, wanted, returned_ms=0.0, depth_ms=3_000.0):
-    """Return what a lender asks for."""
+    """Return a holder's request for a share."""
     return limiting.ShareAsked('t', held, wanted, returned_ms, depth_ms)
 
 
 def test_lowered_share_stays_allocated_until_acknowledged():
     parts = allocator.TeamAllocation(0)
     assert parts.grant('a', asked(0.0, 1.0), True, 0).share == 1.0
-    # The answer that lowers may be lost.
+    # The answer with the lower share may be lost.
     lowered = parts.grant('a', asked(1.0, 0.5), True, 100)
     assert lowered.share == 0.5
     assert parts.grant('b', asked(0.0, 0.5), True, 200).share == 0.0
@@ -210,7 +208,7 @@
     parts = allocator.TeamAllocation(0)
     assert parts.grant('a', asked(0.0, 0.9), False, 0).share == 0.0
     assert parts.grant('b', asked(0.4, 0.9), False, 0).share < 0.4
-    # What one holds no longer may go to another at once.
+    # A released share can be allocated to another holder immediately.
     parts.grant('b', asked(0.1, 0.1), False, 10)
     assert parts.grant('a', asked(0.0, 0.3), False, 20).share == (
         pytest.approx(0.3)
@@ -228,7 +226,7 @@
 
 
 def test_reservation_is_refunded_once(monkeypatch):
-    """A call that ran nothing leaves its amount to the next."""
+    """The next call uses the refunded tokens of a call that ran nothing."""
 
     async def run():
         fleet = await team_limit_fleet.Fleet(3, SMALL).start()
@@ -258,13 +256,13 @@
 
 
 def ask_shares(allocated, host, *shares):
-    """Let a lender ask, and return what comes of it."""
+    """Return the allocator's answer to a holder's request, to be awaited."""
     message = limiting.AskShares(list(shares), 'life', next(NUMBERS))
     return allocated._handle_ask_shares(host, message)
 
 
 async def start_leader(lenders=()):
-    """Return what parts limits on a host that has just begun to lead."""
+    """Return the allocator of a new leader, and its voter."""
     state = replicated.ReplicatedState(lenders=tuple(lenders))
     voter = team_limit_fleet.FakeVoter(state)
     voter.has_lease = True
@@ -281,7 +279,7 @@
         granted = await ask_shares(allocated, 'a', asked(0.2, 0.9))
         assert granted.granted[0].share == pytest.approx(0.2)
         assert granted.unsettled_ms > 0
-        # Restarted hosts say that they hold nothing.
+        # Restarted hosts report that they hold no share.
         assert (await ask_shares(allocated, 'b')).unsettled_ms == 0
         granted = await ask_shares(allocated, 'a', asked(0.2, 0.9))
         assert granted.granted[0].share == pytest.approx(0.9)
@@ -306,7 +304,7 @@
 
 
 def test_holder_is_replicated_before_its_first_grant():
-    """A leader that is lost meanwhile leaves no share that nobody knows."""
+    """No share is granted that the next leader would not wait for."""
 
     async def run():
         allocated, voter = await start_leader()
@@ -347,7 +345,7 @@
 
 
 def test_stale_share_request_is_refused():
-    """It says what its lender held before it was granted more."""
+    """A delayed request reports a share from before a later grant."""
 
     async def run():
         allocated, _voter = await start_leader(['a', 'b'])
@@ -358,7 +356,7 @@
         assert not isinstance(await held_up, limiting.SharesGranted)
         granted = await ask_shares(allocated, 'b', asked(0.0, 0.9))
         assert granted.granted[0].share == pytest.approx(0.1)
-        # Another life of the lender counts from the start.
+        # The numbers of a restarted holder start again.
         again = limiting.AskShares([asked(0.0, 0.5)], 'later life', 1)
         assert isinstance(
             await allocated._handle_ask_shares('a', again),
