--- a/tests/test_endpoint_limit_fleet.py
+++ b/tests/test_endpoint_limit_fleet.py
@@ -1,7 +1,6 @@
-"""Limits that engines name, over all hosts: kept, used, and found out anew.
+"""Advertised limits of engines are respected over all hosts, and used up.
 
-In any 4 s an engine gets no more than one and a half times what it names and
-5 requests. Below that bound its limit is to be used for what it is.
+In any 4 s an engine gets at most 1.5 times its limit plus 5 requests.
 """
 
 import collections
@@ -30,7 +29,7 @@
     make=endpoint_limit_fleet.SimulatedHost,
     rank_of=lambda: 10,
 ):
-    """Return a fleet whose first engines named a limit for a while."""
+    """Return a fleet after calls to engines, the first ones with a limit."""
     held = {}
 
     async def run():
@@ -62,18 +61,18 @@
     fleet = simulate(hosts, rate_per_s)
     engine = fleet.engines[0]
     assert engine.limit_ratio() <= 1.0
-    # The others have room.
+    # The other engines are unlimited.
     assert fleet.refused_share() == 0.0
     if rate_per_s >= endpoint_buckets.MIN_RATE_PER_S:
         assert engine.used_share(SETTLED_MS, PLAY_MS) >= 0.8
-    # Two for a leave, one for its answer's head, and each second a word to
-    # every host.
+    # Two messages per permit, one per response, and gossip to every host each
+    # second.
     sent = fleet.messages_sent() / PLAY_MS * endpoint_limit_fleet.MS_PER_S
     assert sent <= 6 * (rate_per_s + hosts + 1)
 
 
 def lose_owner(fleet):
-    """The host that lends is killed, and stays away."""
+    """Stop the bucket owner for good."""
 
     async def happen():
         name = owner_of(fleet)
@@ -87,7 +86,7 @@
 
 
 def freeze_owner(fleet):
-    """The host that lends stops for a while and goes on, three times."""
+    """Suspend the bucket owner for a while, three times."""
 
     async def happen():
         for _number in range(3):
@@ -120,7 +119,7 @@
 
 
 def change_owners(fleet):
-    """Who lends changes every second, and hosts learn of it one by one."""
+    """Change the owner every second, on one roster after another."""
 
     async def happen():
         for _number in range(8):
@@ -144,7 +143,7 @@
 
 
 def partition_in_halves(fleet):
-    """Both halves reach the engine, and know nothing of each other."""
+    """Split the hosts into two halves that both reach the engine."""
 
     async def happen():
         half = fleet.names[::2]
@@ -162,7 +161,7 @@
 
 
 def hide_owner_from_half(fleet):
-    """Half of the hosts can't ask the one that lends, which lives on."""
+    """Cut half of the hosts off from the owner, which keeps running."""
 
     async def happen():
         name = owner_of(fleet)
@@ -176,7 +175,7 @@
 
 
 def owner_of(fleet):
-    """Return the host that most take for the lender of the first engine."""
+    """Return the owner of the first engine's bucket, on the first roster."""
     life = fleet.engines[0].life
     name = fleet.names[0]
     return fleet.hosts[name].askers.rendezvous_order(life.endpoint)[0]
@@ -197,7 +196,7 @@
 def test_faults_do_not_exceed_engine_limit(fault, rate_per_s, seed):
     fleet = simulate(9, rate_per_s, fault, seed=seed)
     engine = fleet.engines[0]
-    # Hosts that begin with nothing count once they have heard for themselves.
+    # Restarted hosts count once they have received the limit themselves.
     assert engine.limit_ratio(notified_only=fault is restart_all) <= 1.0
     assert fleet.refused_share() == 0.0
     if rate_per_s:
@@ -205,7 +204,7 @@
 
 
 def change_to(*rates_per_s):
-    """Return a fault: the engine names other rates, one after the other."""
+    """Return a fault: the engine advertises other rates, one by one."""
 
     def begin(fleet):
         async def happen():
@@ -240,10 +239,10 @@
 
 @pytest.mark.parametrize('rate_per_s, most_ms', [(0, 9_000), (1.2, 7_000)])
 def test_all_hosts_detect_limit_removal(rate_per_s, most_ms):
-    """The first answer after it tells; a trial each four seconds brings one.
+    """An engine with a limit of 0 is probed every four seconds.
 
-    Heads of answers from before may still name the limit; they come within
-    four seconds.
+    Responses to earlier requests may still advertise the limit for four
+    seconds.
     """
     fleet = simulate(20, rate_per_s, change_to(None))
     engine = fleet.engines[0]
@@ -255,7 +254,7 @@
 
 
 def test_urgent_calls_go_first_where_all_engines_are_limited():
-    """Of calls that want six times what there is the urgent are served."""
+    """Urgent calls are served first at six times the total limit."""
     ranks = itertools.cycle([0, 10, 10, 10])
     fleet = simulate(
         9, 3.3, limited=3, calls_per_s=60, rank_of=lambda: next(ranks)
@@ -271,12 +270,12 @@
     for engine in fleet.engines:
         assert engine.limit_ratio() <= 1.0
         assert engine.used_share(SETTLED_MS, PLAY_MS) >= 0.8
-    # Nobody waits.
+    # Refused calls do not wait.
     assert max(one.took_ms for one in fleet.results if not one.served) < 1_000
 
 
 def test_limit_removal_reaches_host_that_missed_gossip():
-    """Also a host that no call comes to."""
+    """A host without calls of its own is included."""
 
     async def end_unheard(fleet):
         host = fleet.hosts[fleet.names[-1]]
@@ -292,14 +291,14 @@
 
 
 def test_restarted_host_receives_limits():
-    """A newcomer and one that thaws are told again, each second."""
+    """Owned limits are gossiped every second, also without a change."""
 
     async def restart(fleet):
-        # Nothing has changed for long.
+        # The change is not gossiped any more.
         await fleet.wait_ms(endpoint_buckets.CHANGE_GOSSIP_MS)
         await fleet.restart_host(fleet.names[-1])
         host = fleet.hosts[fleet.names[-1]]
-        # No call comes to it: it hears nothing for itself.
+        # No call arrives there, so the host gets no responses.
         host.frozen = True
         await fleet.wait_ms(1_200)
         assert host.limits.rate_per_s(fleet.engines[0].life) == 1.2
@@ -312,7 +311,7 @@
 
 
 def random_faults(fleet):
-    """Let mishaps and other rates come at any moment, over each other."""
+    """Run random faults and rate changes at random times, overlapping."""
     drawn = fleet.random
 
     async def begin(happens):
--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -1,19 +1,7 @@
-"""An incident: an engine that named its limit was sent as much as before.
+"""Hosts of a region together respect the rate limit an engine advertises.
 
-Seen: an engine said in its answers that it takes 1.2 requests a second from
-all hosts together. Six seconds later it still got 25 in 4 s from hosts that
-had passed such answers on; 12 are allowed.
-
-How: the hosts of its region went on choosing it, as it turned nothing away
-and was no slower than the others. None of the sends was a repeat.
-
-Cause: what an endpoint says of itself in an answer was passed on to the
-caller and read by nobody; and what hosts send to an endpoint was bound at
-each host by itself, by nothing in sum.
-
-Proof: engines that name their limit beside others that have room, asked by
-turns at all hosts of a region. Before the repair they get as much as the
-others, by both ways in; every call is served all the same with it.
+Guards against limits in response headers being ignored by either interface,
+and against limits that are only enforced by each host on its own.
 """
 
 import asyncio
@@ -34,7 +22,7 @@
 WINDOW_S = 4.0
 OVERSHOOT = 1.5
 SLACK = 5
-# A host counts so long after it first passed a limit on.
+# A host has to respect a limit this long after it first forwarded one.
 NOTICE_S = 0.5
 CALLS_PER_S = 40
 LIMIT = '1.2'
@@ -46,12 +34,12 @@
 
 
 def allowed(rate_per_s):
-    """Return how many requests a window may hold."""
+    """Return how many requests are allowed in a window."""
     return OVERSHOOT * rate_per_s * WINDOW_S + SLACK
 
 
 def max_in_window(arrivals_s, since_s=0.0):
-    """Return the most arrivals in any window that begins after a time."""
+    """Return the most arrivals in any window that starts after a time."""
     counted = sorted(at_s for at_s in arrivals_s if at_s >= since_s)
     return max(
         (
@@ -63,7 +51,7 @@
 
 
 async def send_steadily(ask, hosts, for_s):
-    """Ask by turns at some hosts, at a steady pace; return all answers."""
+    """Send requests to hosts in turn at a fixed rate; return all answers."""
     asked = []
     end_s = time.monotonic() + for_s
     for number in itertools.count():
@@ -75,7 +63,7 @@
 
 
 class LimitedEngine(endpoints.ScriptedEngine):
-    """Name a limit in each answer, and note when requests arrive."""
+    """Engine that advertises a limit and records when requests arrive."""
 
     def __init__(self, text=None):
         super().__init__()
@@ -120,7 +108,7 @@
         limited = system.engines[0]
 
         async def is_told():
-            """Every host has passed an answer on that names the limit."""
+            """Return whether every host has forwarded the limit."""
             for host in range(3):
                 answer = await system.ask(host, f'told{host}')
                 if headers.LIMIT.encode() in answer:
@@ -135,7 +123,7 @@
         assert all(answer.endswith(b'whole') for answer in answers)
         most = max_in_window(limited.arrivals_s, since_s)
         assert most <= allowed(float(LIMIT))
-        # It is used for what it takes.
+        # The limit is used up.
         assert most >= 0.5 * float(LIMIT) * WINDOW_S
 
 
@@ -151,7 +139,7 @@
             return await callers[host].chat(CHAT)
 
         async def is_told():
-            """Every host has heard what the engine says."""
+            """Return whether every host has logged the limit."""
             for host in range(3):
                 await ask(host, 0)
             return all(
@@ -172,7 +160,7 @@
 
 
 async def wait_for_limits(system, host=0):
-    """Ask until every engine of a system has named its limit to a host."""
+    """Send requests until a host has the limits of all limited engines."""
     entry = system.entries[host]
     named = [one for one in system.engines if one.text is not None]
 
@@ -184,7 +172,7 @@
 
 
 async def wait_for_rate(system, rate_per_s):
-    """Ask a host until it knows the rate that an engine names."""
+    """Send requests to a host until it has a limit with the given rate."""
     limits = system.entries[0]._gate.limits
 
     async def is_known():
@@ -195,12 +183,12 @@
 
 
 def retry_after_s(answer):
-    """Return when a caller is told to come back."""
+    """Return the Retry-After time of an answer, in seconds."""
     return float(endpoints.header(answer, 'Retry-After'))
 
 
 async def test_call_is_refused_when_all_limits_are_used_up(tmp_path):
-    """It was not run, and its caller is told when to come back."""
+    """Refused calls are not run, and get staggered Retry-After times."""
     async with passing_system(tmp_path) as system:
         for engine in system.engines:
             engine.text = '0.5'
@@ -213,7 +201,7 @@
         ran = sum(len(engine.arrivals_s) for engine in system.engines) - ran
         assert len(refused) + ran == 30
         assert len(refused) >= 24
-        # Half a request a second of three engines, by a host of three.
+        # This host's third of three limits of half a request per second.
         waits_s = sorted(map(retry_after_s, refused))
         assert waits_s[0] > 0
         assert waits_s[-1] > waits_s[0] + 5
@@ -221,7 +209,7 @@
 
 
 async def test_expired_permit_sends_nothing(tmp_path, monkeypatch):
-    """As while a connection took long; another engine serves the call."""
+    """A permit may expire while connecting; another engine serves then."""
     async with passing_system(tmp_path) as system:
         limited = system.engines[0]
         limited.text = '1000'
@@ -235,7 +223,7 @@
 
 
 async def test_offers_exclude_limited_endpoints(tmp_path):
-    """Other regions' calls go to engines that take what comes."""
+    """Calls of other regions are routed to unlimited engines."""
     async with passing_system(tmp_path) as system:
         await wait_for_limits(system)
         [offer] = system.entries[0]._choice.build_offers()
@@ -277,7 +265,7 @@
 async def test_urgent_chat_is_refused_past_its_deadline(
     tmp_path,
 ):
-    """Not by what is reckoned, but by what the engine says."""
+    """The advertised limit decides, not the estimated wait."""
     made = fleet.deployment(regions=('north',), entries=1, engines=1)
     async with fleet.running(tmp_path, made) as running:
         caller = running.caller('north-1')
@@ -294,7 +282,7 @@
 
 
 async def test_broken_chat_is_resumed_at_an_engine_with_a_limit(tmp_path):
-    """The rest of a stream counts as a request, and goes first."""
+    """The rest of a stream counts as a request, and is sent first."""
     made = fleet.deployment(regions=('north',), entries=1, engines=1)
     async with fleet.running(tmp_path, made) as running:
         caller = running.caller('north-1')
