--- a/tests/test_backoff_fleet.py
+++ b/tests/test_backoff_fleet.py
@@ -1,8 +1,8 @@
-"""Engines that refuse with a time, before hosts of a region; simulated time.
+"""Hosts of a simulated region respect the backoffs that engines advertise.
 
-No host may send more than two requests within the time that it was told, but
-for the first half second of it. Engines are used again soon after, and those
-that refuse one host alone go on serving the others.
+No host may send more than two requests during a backoff, except for its first
+half second. Engines are used again soon after, and an engine that refuses one
+host keeps serving the others.
 """
 
 import itertools
@@ -19,7 +19,7 @@
 
 
 def refusing(refuses, engines=1, fault=None):
-    """Return what lets some engines refuse requests for 10 s."""
+    """Return a scenario in which some engines refuse requests for 10 s."""
 
     async def happen(fleet):
         await fleet.wait_ms(BEGUN_MS)
@@ -58,11 +58,11 @@
         refusing(refuses), hosts, calls_per_s, PLAY_MS
     )
     assert max_over_engines(fleet) <= backoff_fleet.MAX_SENDS
-    # Three other engines have room.
+    # The three other engines have capacity.
     assert fleet.refused_share() == 0
     engine = fleet.engines[0]
     fair = calls_per_s / len(fleet.engines)
-    # In use again once the last time that it named is over.
+    # The engine is used again after the last backoff.
     assert engine.count(ENDED_MS + 4_000, PLAY_MS) >= 0.6 * fair * 4
 
 
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize('hosts, calls_per_s', SIZES[2:])
 def test_hosts_of_a_large_region_learn_from_each_other(hosts, calls_per_s):
-    """Each alone is refused once a rest: three times in 10 s and more."""
+    """Without gossip each host is refused at least three times in 10 s."""
     fleet = backoff_fleet.simulate(
         refusing(all_hosts), hosts, calls_per_s, PLAY_MS
     )
@@ -131,7 +131,7 @@
 
 
 async def change_times(fleet):
-    """Engines name other times, and refuse by turns."""
+    """Vary the advertised backoffs, and let engines refuse in turn."""
     for number, backoff_ms in enumerate((5_000, 700, 100, 60_000, 1_500)):
         engine = fleet.engines[number % len(fleet.engines)]
         engine.backoff_ms = backoff_ms
@@ -149,7 +149,7 @@
 
 
 def check_backoffs(fleet):
-    """A restart excuses a host: it has forgotten what it was told."""
+    """Check all backoffs, except those of hosts restarted during one."""
 
     def restarted(host, since_ms, at_ms):
         found = fleet.restarted_ms.get(host, [])
@@ -171,7 +171,7 @@
 SEEDS = int(os.environ.get('WRENSPOKE_SOAK_SEEDS', 4))
 
 
-# Shown once that a call outlived the process that sent it, in the model.
+# Covers calls of a host that is restarted while it sends them.
 KEPT_SEEDS = [145]
 
 
--- a/tests/test_backoffs.py
+++ b/tests/test_backoffs.py
@@ -1,4 +1,4 @@
-"""When a host backs off from an endpoint, and how it returns."""
+"""A host backs off from endpoints that refuse it, and resumes gradually."""
 
 import pytest
 
@@ -11,12 +11,12 @@
 LIFE = limiting.EndpointLife('e', 1)
 NEXT_LIFE = limiting.EndpointLife('e', 2)
 HOSTS = ['h0', 'h1', 'h2', 'h3']
-# Longer than hosts return one after another.
+# All hosts have resumed by then.
 SETTLED_MS = endpoint_backoffs.RETURN_SPREAD_MS
 
 
 def backoffs_of(host, clock, known=(LIFE,)):
-    """Return what one of four hosts knows of backoffs."""
+    """Return the backoffs of one of four hosts."""
     return endpoint_backoffs.EndpointBackoffs(
         host, lambda _key: HOSTS, lambda life: life in known, None, clock
     )
@@ -39,16 +39,16 @@
 @pytest.mark.parametrize(
     'refusals, until_ms',
     [
-        # When each was answered, and the time that it named.
+        # The time of each refusal, and its advertised backoff.
         ([(0, 3_000)], 3_000),
         ([(0, 3_000), (100, 5_000)], 5_100),
         ([(0, 3_000), (100, 1_000)], 3_000),
-        # No time at all, or none left.
+        # No backoff, or one that has almost ended.
         ([(0, 3_000), (100, 0)], 3_000),
         ([(0, 3_000), (2_999, 3_000)], 5_999),
         ([(0, 3_000), (3_500, 1_000)], 4_500),
         ([(0, 1)], 1),
-        # One response must not shut an endpoint out for an hour.
+        # One response must not exclude an endpoint for an hour.
         ([(0, 3_600_000)], 60_000),
     ],
 )
@@ -69,7 +69,7 @@
 
 
 def test_request_that_is_served_does_not_end_a_backoff(held, clock):
-    """It was sent before, or within the moment of grace."""
+    """The request was sent before the refusal, or shortly after it."""
     held.on_response(LIFE, 3_000, 0)
     for sent_ms in (-100, 100):
         clock.now_ms = 200
@@ -86,7 +86,7 @@
     assert held.remaining_ms(LIFE) > 0
     known[:] = [NEXT_LIFE]
     held.on_response(NEXT_LIFE, 3_000, 0)
-    # A response of the life before comes late.
+    # A response of the earlier life arrives late.
     held.on_response(LIFE, 9_000, 0)
     assert held.remaining_ms(NEXT_LIFE) == 3_000
 
@@ -95,13 +95,13 @@
     'notices, backs_off',
     [
         ([], False),
-        # It may have room for all others.
+        # The endpoint may have capacity for all others.
         ([('h1', 3_000)], False),
         ([('h1', 3_000), ('h1', 4_000)], False),
         ([('h1', 3_000), ('h2', 3_000)], True),
         ([('h1', 3_000), ('h2', 3_000), ('h3', 0)], False),
         ([('h1', 3_000), ('h3', 0), ('h2', 3_000)], False),
-        # Its own word, come back.
+        # Gossip from this host itself.
         ([('h0', 3_000), ('h1', 3_000)], False),
     ],
 )
@@ -126,7 +126,7 @@
 
 
 def test_one_host_probes_at_a_time(clock):
-    """The first that was not refused; the next after a while."""
+    """Hosts that were not refused probe in turn, one per interval."""
     probing = [backoffs_of(host, clock) for host in HOSTS]
     for one in probing:
         one.merge([notice('h0', 3_000), notice('h3', 3_000)])
@@ -151,7 +151,7 @@
             clock.now_ms += held.remaining_ms(LIFE)
         held.acquire(LIFE)
         pauses_ms.append(clock.now_ms - begun_ms)
-        # It was another host's turn.
+        # Another host's probe was refused.
         held.merge([notice('h3', 8_000)])
     assert pauses_ms == [100, 200, 400, 800, 1_600, 2_000]
 
@@ -205,7 +205,7 @@
 
 @pytest.mark.parametrize('kept_ms, leaving', [(None, True), (1_000, False)])
 def test_leave_holds_for_a_life(clock, kept_ms, leaving):
-    """Endpoints with configured names may come back under them."""
+    """Endpoints with configured names may restart under the same name."""
     marks = leaving_endpoints.LeavingEndpoints(
         lambda life: life == LIFE, None, kept_ms, clock
     )
--- a/tests/test_endpoint_backoffs.py
+++ b/tests/test_endpoint_backoffs.py
@@ -1,19 +1,7 @@
-"""An incident: an engine that asked for rest was sent more than before.
+"""Hosts respect the Retry-After and the leaving header of engines.
 
-Seen: engines answered 503 with ``Retry-After: 3`` and ran nothing. The hosts
-that were told sent them up to 15 requests in those 3 s; two are allowed. A
-tenth of all callers was turned away beside engines that had room.
-
-How: an engine that turns requests away is quick and has nothing in flight,
-so that it was ranked first; each refused request was repeated elsewhere until
-the retry budget was spent, and then refused to its caller.
-
-Cause: the time in an engine's answer was read by one interface for an error
-message and by the other not at all; nothing about the engine was remembered.
-
-Proof: engines that refuse, or say that they leave, beside others that have
-room, asked by turns at all hosts of a region. Before the repair they get more
-requests than the others, through both interfaces.
+Guards against sending more requests to an engine that refuses them, as it is
+fast and idle, and against retries being spent on such refusals.
 """
 
 import asyncio
@@ -32,19 +20,19 @@
 from wrenspoke.state import routes
 
 BACKOFF_S = 3.0
-# A host may send for so long after it was refused, and two requests later.
+# A host may send requests for this long after a refusal, and two after that.
 GRACE_S = 0.5
 MAX_SENDS = 2
-# A host may send for so long after an engine said that it leaves.
+# A host may send requests for this long after an engine announced its leave.
 DRAIN_S = 4.0
 HOST = 'X-Host'
 CHAT = test_endpoint_limits.CHAT
 
 
 def max_sends_in_backoff(arrivals, rest_s=BACKOFF_S):
-    """Return the most requests one host sent in the rest of any refusal.
+    """Return the most requests one host sent within any of its backoffs.
 
-    ``arrivals`` are the host and the time of each refused request.
+    ``arrivals`` are the host and the time of each refused request, in s.
     """
     times_s = collections.defaultdict(list)
     for host, at_s in arrivals:
@@ -60,7 +48,7 @@
 
 
 class AdvertisingEngine(endpoints.ScriptedEngine):
-    """An engine that refuses or leaves when told to."""
+    """Engine that refuses requests or announces its leave as configured."""
 
     def __init__(self):
         super().__init__()
@@ -130,7 +118,7 @@
         assert engine.refused()
         assert max_sends_in_backoff(engine.refused()) <= MAX_SENDS
         assert all(answer.endswith(b'whole') for answer in answers)
-        # Its service is in full use of it soon after.
+        # The engine is fully used again soon after.
         engine.retry_after = None
         await asyncio.sleep(BACKOFF_S)
         begun_s = time.monotonic()
@@ -148,7 +136,7 @@
         async def ask(_host, _number):
             return await caller.chat(CHAT)
 
-        # What each engine can do is known, and none is preferred for it.
+        # Every engine has been measured, so none is preferred as unknown.
         await test_endpoint_limits.send_steadily(ask, 1, 1.0)
         await running.faults(engine, retry_after_text='3')
         since_s = time.monotonic()
@@ -165,7 +153,7 @@
 
 
 async def test_passthrough_avoids_leaving_engine(tmp_path):
-    """It says so in its answers alone, and goes on to serve."""
+    """An engine announces it in responses only, and keeps serving."""
     async with passing_system(tmp_path) as system:
         engine = system.engines[0]
         engine.leaving = '1'
@@ -222,7 +210,7 @@
 
 
 async def test_call_is_refused_when_all_engines_back_off(tmp_path):
-    """It was not run, and may come back as the first rest ends."""
+    """The call is not run, and may retry when the first backoff ends."""
     async with passing_system(tmp_path) as system:
         for engine, text in zip(system.engines, ('9', '5', '7')):
             engine.retry_after = text
@@ -252,7 +240,7 @@
             found = await caller.chat(CHAT, {headers.PRIORITY: priority})
             waits_s[priority] = int(found.headers[headers.RETRY_AFTER])
             assert (found.outcome, found.reason) == ('not_run', 'overload')
-            # Far from the deadline of 8 s that the caller has.
+            # Well before the caller's deadline of 8 s.
             assert time.monotonic() - begun_s < 4
         assert waits_s['high'] <= waits_s['normal'] <= waits_s['low']
 
@@ -268,7 +256,7 @@
         assert {(await one).outcome for one in streams} == {'whole'}
 
         async def is_known():
-            """A poll of its load brings the word."""
+            """Return whether a load poll has received the announcement."""
             return 'endpoint_leaving ' in running.log('north-1')
 
         await fleet.until(is_known, 'the leave')
@@ -278,13 +266,13 @@
             assert (await caller.chat(CHAT)).outcome == 'whole'
         after = await running.runs('north-chat-1')
         assert after['runs'] == before['runs']
-        # Nor is it chosen and refused by a later check.
+        # The engine is not chosen and then rejected by a later check either.
         for line in running.log('north-1')[logged:].splitlines():
             assert 'event=placed' not in line or 'north-chat-1' not in line
 
 
 async def test_chats_wait_for_an_engine_that_returns(tmp_path):
-    """One is sent first, and the others a moment later."""
+    """One call is sent first, and the others during the ramp-up."""
     made = fleet.deployment(regions=('north',), entries=1, engines=1)
     async with fleet.running(tmp_path, made) as running:
         caller = running.caller('north-1')
@@ -306,7 +294,7 @@
         waiting = [asyncio.ensure_future(caller.chat(long)) for _ in range(24)]
 
         async def is_full():
-            """The others stand in the queue."""
+            """Return whether all slots are taken, so that calls queue."""
             found = await running.runs('north-chat-1')
             return len(found['arrivals_s']) >= 8
 
--- a/tests/test_endpoint_gate.py
+++ b/tests/test_endpoint_gate.py
@@ -1,4 +1,4 @@
-"""A permit to send: when it is granted, and whether it is still valid."""
+"""Permits to send are granted and validated by what endpoints advertise."""
 
 import pytest
 
@@ -18,7 +18,7 @@
 
 
 class FakeClock(test_health.FakeClock):
-    """Stand still until told, also by the time of day."""
+    """Clock that a test advances, for wall time too."""
 
     def wall_ms(self):
         return self.now_ms
@@ -58,16 +58,16 @@
         (refusal(status=429), False, False),
         (refusal(status=500), False, True),
         (LEAVES, False, False),
-        # It goes on with what the endpoint has begun.
+        # A continuation may go to an endpoint that is leaving.
         (LEAVES, True, True),
         (served(FOREIGN, leaving=('1',)), False, True),
         (served(), False, True),
-        # Neither refused with a time, nor served.
+        # Neither a refusal with a time, nor a success.
         (advertised.Advertised(ECHOED, 503), False, True),
     ],
 )
 async def test_permit_is_validated_at_send_time(gate, head, continues, valid):
-    """As while its request waits for a connection."""
+    """A response may arrive while a request waits for a connection."""
     answered = await gate.acquire(LIFE, RANK)
     waiting = await gate.acquire(LIFE, RANK, continues)
     assert waiting.is_valid()
@@ -82,7 +82,7 @@
         await gate.acquire(LIFE, RANK)
     with pytest.raises(errors.EndpointBackoffError):
         gate.acquire_poll(LIFE)
-    # What ends work there is welcome.
+    # Running work may still be cancelled.
     assert gate.acquire_unchecked(LIFE).is_valid()
     clock.now_ms = 3_000
     assert gate.acquire_poll(LIFE).is_valid()
@@ -132,7 +132,7 @@
 
 @pytest.mark.parametrize('urgency', range(3))
 def test_callers_return_by_urgency(urgency):
-    """Those of one urgency are all back before the next begin."""
+    """All calls of one urgency retry before those of the next."""
     waits_ms = [retry_schedule.jittered_ms(1_000, urgency) for _ in range(200)]
     later_ms = [
         retry_schedule.jittered_ms(1_000, urgency + 1) for _ in range(200)
@@ -142,7 +142,7 @@
 
 
 async def test_state_of_missing_endpoints_is_evicted(clock):
-    """Each release brings new ones, for as long as a host lives."""
+    """Endpoints are replaced often during the life of a host."""
     known = [LIFE]
     peers = group.Peers('h', group.Network(1))
     gate = endpoint_gate.EndpointGate(
