--- a/wrenspoke/coordination/membership/__init__.py
+++ b/wrenspoke/coordination/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which hosts and endpoints there are, and what they hold."""
+"""Membership: host discovery, endpoint registry and load reports."""
--- a/wrenspoke/coordination/membership/discovery_client.py
+++ b/wrenspoke/coordination/membership/discovery_client.py
@@ -1,9 +1,10 @@
-"""How an entry host finds the others and learns what is in force.
+"""Discovery client of an entry host: configuration, registry and roster.
 
-It attends at two control hosts at a time, its own data centre's and
-region's first. Each call tells that it lives and brings what is new.
-When one gives no answer, or the second knows of no leader, the next is
-tried; the last known ones are kept while none does.
+The host keeps long-poll sessions with two control hosts, preferring those
+of its own data centre and region. Each call renews the host's lease and
+returns the changes. If a control host does not answer, or that of the
+second session has no leader, the session moves to another; while none
+answers, the last known state stays in use.
 """
 
 import asyncio
@@ -28,51 +29,49 @@
 
 logger = structlog.get_logger(__name__)
 
-# Two, so that one that is lost or cut off delays nothing.
+# The loss of one control host must not delay updates.
 SESSION_COUNT = 2
-# Renews the lease of 2.5 s three times, so that two may be lost.
+# Renews the roster lease of 2.5 s three times, so that two may be lost.
 ATTEND_WAIT_MS = 700
-# A host without a lease on its configuration serves nothing under keys; it
-# asks so often whether a leader was found.
+# Without a configuration lease all calls under keys are rejected, so the
+# host polls faster.
 UNLEASED_WAIT_MS = 100
-# The wait, a far region's round trip and a busy host's delay.
+# The wait, an inter-region round trip and a busy host's delay.
 CALL_TIMEOUT_MS = 1_500
-# Between two tries at control hosts that do not answer.
 RETRY_DELAY_MS = 100
-# A control host that was given up is tried after all others for so long:
-# about as long as a stop and a start take.
+# A failed control host is tried last for this long, about the duration of
+# a restart.
 FAILED_HOST_TTL_MS = 10_000
-# A host that had no processor time for so long looks before it sends.
+# After a pause this long the state is revalidated before anything is sent.
 PAUSE_THRESHOLD_MS = 1_500
-# Often enough to notice a stop within a fraction of it.
+# Has to be a fraction of PAUSE_THRESHOLD_MS.
 TICK_MS = 250
-# How long a fresh start waits for a leader's word that nothing is newer, or
-# for the other session's answer: a round trip to a far region of 160 ms.
-# Where there is no leader, the best of both is served.
+# How long a starting host waits for a leader's confirmation or the other
+# session's answer, an inter-region round trip. Without a leader the newest
+# configuration of both sessions is served.
 CONFIRMATION_WAIT_MS = 200
-# What control hosts tell of others is not expired here.
+# Leases are expired by the control hosts alone.
 NO_EXPIRY_MS = 10**9
-# A control host without a leader for so long may be cut off from the others
-# that decide. Longer than an election (2.0 s in the median, 2.5 s in 99 of
-# 100): every host that moves is told all hosts and endpoints anew. One
-# session looks elsewhere then; the other stays where it is.
+# A control host without a leader for this long may be partitioned from the
+# majority; the second session then moves, the first one stays. Has to
+# exceed an election, since a move transfers the whole state again.
 LEADERLESS_MS = 4_000
 
 
 @dataclasses.dataclass
 class _Session:
-    """Hold how far this host has come at one control host."""
+    """Tracks the progress of the session with one control host."""
 
     host: ids.HostId | None = None
     instance_id: str = ''
     endpoints_revision: int = 0
     hosts_revision: int = 0
-    # The entry hosts that this control host knows.
+    # Entry hosts in the roster of this control host.
     hosts: set[ids.HostId] = dataclasses.field(default_factory=set)
     leader_seen_ms: int = 0
 
     def reset(self, host: ids.HostId | None, now_ms: int) -> None:
-        """Begin anew at a control host, or at none."""
+        """Start over with a control host, or with none."""
         self.host = host
         self.instance_id = ''
         self.hosts = set()
@@ -81,9 +80,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaderInfo:
-    """Name a lead by its host and term, and who is asked for it here.
+    """Identifies a leader by its host and term.
 
-    Leads are the same whoever is asked.
+    ``via_host`` is the control host that reported it; it is left out of
+    comparisons.
     """
 
     host: ids.HostId
@@ -92,7 +92,7 @@
 
 
 class DiscoveryClient:
-    """Attend at control hosts, and hold what they told."""
+    """Keeps sessions with control hosts, and the state they report."""
 
     def __init__(
         self,
@@ -113,32 +113,32 @@
         self._tasks = runtime.Tasks()
         self._sessions = [_Session() for _number in range(SESSION_COUNT)]
         self._ticked_ms = clock.mono_ms()
-        # When control hosts were given up.
+        # Time of the last failure of each control host.
         self._failed_ms: dict[ids.HostId, int] = {}
-        # Control hosts that are known to stand in this region.
+        # Control hosts known to be in this region.
         self._local_controls: set[ids.HostId] = set()
         self._unconfirmed_start: asyncio.Task | None = None
         self.draining = False
-        # The control host that leads, as told last.
+        # The last reported leader.
         self.leader: LeaderInfo | None = None
         self.registry = registry.Registry(clock)
         self.roster = roster.Roster(NO_EXPIRY_MS, clock)
         config_replica.refreshable = True
 
     def start(self) -> None:
-        """Begin to attend."""
+        """Start the sessions and the pause detection."""
         for session in self._sessions:
             self._tasks.start(self._run_session(session))
         self._tasks.start(self._tick())
 
     async def close(self) -> None:
-        """End every task."""
+        """Cancel all tasks."""
         await self._tasks.close()
 
     def host_location(self, host: ids.HostId) -> locations.Location | None:
-        """Return where a host stands, None if unknown.
+        """Return the location of a host, None if unknown.
 
-        Of control hosts it is known which stand in this region.
+        Control hosts of other regions are unknown.
         """
         if host in self._local_controls:
             return locations.Location(
@@ -148,10 +148,10 @@
 
     @property
     def recently_ran(self) -> bool:
-        """Tell whether this process has been running of late.
+        """Return whether this process has had CPU time recently.
 
-        One that was stopped for long may hold what has been left behind
-        since, and must look before it sends anything.
+        After a long pause its state may be outdated and has to be
+        revalidated before anything is sent.
         """
         age_ms = self._clock.mono_ms() - self._ticked_ms
         return age_ms <= PAUSE_THRESHOLD_MS
@@ -159,20 +159,20 @@
     async def _tick(self) -> None:
         while True:
             if not self.recently_ran:
-                logger.warning('was_stopped', cause='no_processor_time')
+                logger.warning('process_paused', cause='no_processor_time')
                 self._suspend_serving()
             self._ticked_ms = self._clock.mono_ms()
             await self._clock.sleep_ms(TICK_MS)
 
     def _suspend_serving(self) -> None:
-        """Serve nothing before a control host was heard again."""
+        """Stop serving until a control host has answered again."""
         self._replica.suspend_serving()
         if self._unconfirmed_start is not None:
             self._unconfirmed_start.cancel()
             self._unconfirmed_start = None
 
     async def push_status(self) -> None:
-        """Tell every session's control host of a change here at once."""
+        """Send this host's record to the sessions' control hosts at once."""
         calls = [
             self._send_attend(session, session.host, 0)
             for session in self._sessions
@@ -181,9 +181,9 @@
         await asyncio.gather(*calls)
 
     def withdraw(self, endpoint: ids.EndpointId, born_ms: int) -> None:
-        """Take an endpoint for gone, and tell the control hosts so.
+        """Mark an endpoint as gone, and report it to the control hosts.
 
-        ``born_ms`` names the life that was found to have ended.
+        ``born_ms`` identifies the instance of the endpoint that has ended.
         """
         gone = self.registry.withdraw(endpoint, born_ms)
         if not self.registry.take(gone):
@@ -192,7 +192,7 @@
         self._notify_control_hosts(attending.Withdraw(endpoint, born_ms))
 
     def mark_leaving(self, endpoint: ids.EndpointId, born_ms: int) -> None:
-        """Take an endpoint for leaving, and tell the control hosts so."""
+        """Mark an endpoint as leaving, and report it to the control hosts."""
         if self.registry.mark_leaving(endpoint, born_ms):
             self._notify_control_hosts(
                 attending.EndpointLeaves(endpoint, born_ms)
@@ -201,7 +201,7 @@
     def _notify_control_hosts(
         self, message: attending.Withdraw | attending.EndpointLeaves
     ) -> None:
-        """Tell the control hosts that this host attends at."""
+        """Send a message to the control hosts of all sessions."""
         for session in self._sessions:
             if session.host is None:
                 continue
@@ -220,9 +220,9 @@
             if not await self._send_attend(session, session.host, wait_ms):
                 logger.warning('control_host_lost', peer=session.host)
             elif self._is_leaderless(session):
-                logger.info('control_host_left', peer=session.host)
+                logger.info('control_host_leaderless', peer=session.host)
             elif self._has_nearer_host(session.host):
-                # Where control hosts stand is known after the first answer.
+                # The first answer names the control hosts of this region.
                 session.reset(self._choose_host(), self._clock.mono_ms())
                 continue
             else:
@@ -232,13 +232,13 @@
             await self._clock.sleep_ms(RETRY_DELAY_MS)
 
     def _is_leaderless(self, session: _Session) -> bool:
-        """Tell whether a session should look for a leader elsewhere."""
+        """Return whether a session should move to find a leader."""
         if session is self._sessions[0]:
             return False
         return self._clock.mono_ms() - session.leader_seen_ms > LEADERLESS_MS
 
     def _choose_host(self) -> ids.HostId | None:
-        """Return a control host that no other session attends at."""
+        """Return a control host without a session, None if there is none."""
         taken = {session.host for session in self._sessions}
         free = [
             host for host in self._group.other_hosts() if host not in taken
@@ -247,7 +247,7 @@
         return min(free, key=self._rank_host, default=None)
 
     def _has_nearer_host(self, host: ids.HostId) -> bool:
-        """Tell whether a control host of this region is free, unlike one."""
+        """Return whether a free control host is nearer than ``host``."""
         if host in self._local_controls:
             return False
         free = self._local_controls - {
@@ -256,7 +256,7 @@
         return any(not self._recent_failure_ms(one) for one in free)
 
     def _recent_failure_ms(self, host: ids.HostId) -> int:
-        """Return when a control host was given up, 0 if not of late."""
+        """Return when a control host last failed, 0 if not recently."""
         failed_ms = self._failed_ms.get(host)
         if failed_ms is None:
             return 0
@@ -264,9 +264,9 @@
         return failed_ms if age_ms < FAILED_HOST_TTL_MS else 0
 
     def _rank_host(self, host: ids.HostId) -> tuple[int, bool, bool]:
-        """Rank control hosts: own data centre, own region, any other.
+        """Return a sort key: own data centre, own region, any other.
 
-        Those that were given up of late go last.
+        Recently failed control hosts sort last.
         """
         own_ip = self._record.host.rpartition(':')[0]
         return (
@@ -308,7 +308,7 @@
                 self._apply_answer(session, answer)
                 self._renew_lease(answer, asked_ms)
             except protocol_errors.ProtocolError as error:
-                logger.warning('answer_refused', peer=host, reason=str(error))
+                logger.warning('answer_rejected', peer=host, reason=str(error))
                 return False
         return True
 
@@ -333,9 +333,10 @@
         session.hosts_revision = answer.hosts_revision
 
     def _renew_lease(self, answer: attending.Attended, asked_ms: int) -> None:
-        """Renew the lease by what an answer proves, and no more.
+        """Renew the lease by as much as an answer proves.
 
-        It was given no sooner than it was asked for and held back.
+        The answer was sent no earlier than the request plus the time for
+        which the control host held it.
         """
         age_ms = answer.confirmed_age_ms
         if age_ms is None or self._replica.current.index < answer.index:
@@ -345,7 +346,7 @@
     def _update_leader(
         self, via_host: ids.HostId, answer: attending.Attended
     ) -> None:
-        """Note who leads; a control host that lags may name the one before."""
+        """Store the leader, unless a lagging host reports an older term."""
         if answer.leader is None:
             return
         if self.leader is None or answer.term >= self.leader.term:
@@ -354,7 +355,7 @@
     def _apply_host_changes(
         self, session: _Session, changes: attending.HostChanges
     ) -> None:
-        """Take what changed; a host is lost once no session knows it."""
+        """Apply roster changes; remove a host once no session lists it."""
         lost = {*changes.lost}
         for record in changes.found:
             self.roster.merge_record(record)
@@ -369,9 +370,9 @@
                 self.roster.remove_host(host)
 
     def _serve_if_ready(self, answer: attending.Attended) -> None:
-        """Serve by what a leader confirmed, or, after a wait, by the best.
+        """Start serving once a leader has confirmed, or after a wait.
 
-        A region that is cut off has no leader and serves all the same.
+        A partitioned region has no leader and still has to serve.
         """
         if self._replica.serving or not self._replica.current.index:
             return
@@ -379,7 +380,7 @@
             self._start_serving(confirmed=True)
             return
         if all(session.instance_id for session in self._sessions):
-            # Whom to wait for has answered.
+            # Both sessions have answered, nothing newer will arrive.
             self._start_serving(confirmed=False)
             return
         if self._unconfirmed_start is None:
@@ -401,5 +402,5 @@
 
 
 def _same_subnet(host: ids.HostId, own_ip: str) -> bool:
-    """Guess by the number whether a host stands in the same place."""
+    """Return whether two addresses share a /24, taken for a data centre."""
     return host.rpartition('.')[0] == own_ip.rpartition('.')[0]
