--- a/wrenspoke/coordination/membership/lease.py
+++ b/wrenspoke/coordination/membership/lease.py
@@ -1,34 +1,34 @@
-"""For how long a host may go by the configuration that it holds.
+"""Lease on the configuration that an entry host holds.
 
-A key that was withdrawn must run nothing a bounded time after that was
-acknowledged, on any host: one that was frozen or is cut off can't be told
-of it in time. So calls under keys are served under a lease alone. It
-begins at the last moment for which a leader's word is known that nothing
-newer had been accepted, and ends before the bound does.
+A withdrawn key must be rejected everywhere within a bounded time after the
+withdrawal was acknowledged, also on hosts that are frozen or partitioned
+and can't be notified. Calls under keys are therefore served under a lease
+only. It starts at the last moment at which a leader is known to have
+confirmed that nothing newer was accepted, and expires before the bound.
 
-That moment is never later than it was: control hosts tell how old the
-leader's word is and how long they held the question back, and this host
-counts from when it asked. Only durations travel, so neither delays nor
-clocks that step make a lease longer.
+The start is never later than that moment: control hosts report the age of
+the leader's confirmation and how long they held the request, and this host
+counts from when it sent the request. Only durations are transferred, so
+neither delays nor clock steps extend a lease.
 """
 
 import asyncio
 
 from wrenspoke import clock as clocks
 
-# Of the bound. The rest is for clocks that run apart, a hundredth at most,
-# and for what passes between the last look and the engine's first byte.
+# Fraction of the bound. The rest covers clock drift of up to 1% and the time
+# from the last check of the lease to the engine's first byte.
 LEASE_SHARE = 0.9
-# An answer that is asked for again at once: some ways within a region.
+# A few trips within a region.
 MIN_RETRY_MS = 100
-# Callers look for another host meanwhile; longer they need not stay away.
+# Callers use other hosts in the meantime.
 MAX_RETRY_MS = 2_000
 
 
 class ConfigurationLease:
-    """Hold until when calls under keys may be served.
+    """Tracks until when calls under keys may be served.
 
-    Without a bound it never ends.
+    Without a bound the lease never expires.
     """
 
     def __init__(self, bound_ms: int | None, clock: clocks.Clock):
@@ -40,7 +40,7 @@
         self.granted = asyncio.Event()
 
     def confirm(self, as_of_ms: int) -> None:
-        """Note that what is held was the newest at a moment."""
+        """Record that the configuration was the newest one at ``as_of_ms``."""
         if self._as_of_ms is None or as_of_ms > self._as_of_ms:
             self._as_of_ms = as_of_ms
         if self.held:
@@ -48,7 +48,7 @@
 
     @property
     def held(self) -> bool:
-        """Tell whether calls under keys may be served now."""
+        """Return whether calls under keys may be served now."""
         if self._length_ms is None:
             return True
         if self._as_of_ms is None:
@@ -57,14 +57,14 @@
 
     @property
     def ever_held(self) -> bool:
-        """Tell whether there was a lease in this life of the host."""
+        """Return whether the lease was held since this process started."""
         return self._length_ms is None or self.granted.is_set()
 
     def retry_delay_ms(self) -> int:
-        """Return when a caller without a lease here should come back.
+        """Return after how many ms a caller should retry without a lease.
 
-        How long a cut or an election lasts is not known. It is taken to
-        last as long again as it has, within bounds.
+        The end of a partition or an election is unknown: the delay equals
+        the time since the lease expired, within bounds.
         """
         if self._as_of_ms is None or self._length_ms is None:
             return MIN_RETRY_MS
--- a/wrenspoke/coordination/membership/replica.py
+++ b/wrenspoke/coordination/membership/replica.py
@@ -1,4 +1,4 @@
-"""An entry host's replica of the configuration, in memory."""
+"""In-memory replica of the configuration."""
 
 import asyncio
 import collections
@@ -16,7 +16,7 @@
 
 
 class Replica:
-    """Hold the newest configuration that is known, and never go back."""
+    """Holds the newest known configuration; its index never decreases."""
 
     def __init__(self):
         self.current = configuration.Configuration()
@@ -31,7 +31,7 @@
         self._log_start_index = 0
 
     def apply_delta(self, delta: messages.ConfigurationDelta) -> bool:
-        """Take over what is newer; return whether anything was."""
+        """Apply what is newer; return whether anything was."""
         if delta.index <= self.current.index:
             return False
         if delta.whole is not None:
@@ -43,7 +43,7 @@
             try:
                 changed = configuration.apply(self.current, change, index)
             except state_errors.StateError as error:
-                logger.error('change_refused', index=index, reason=error)
+                logger.error('change_rejected', index=index, reason=error)
                 return False
             self.current = changed
             self._append_change(index, change)
@@ -51,11 +51,10 @@
         return True
 
     def _append_change(self, index: int, change: configuration.Change) -> None:
-        """Keep a change for who has not got it.
+        """Append a change to the log for replicas that lag behind.
 
-        A table of routes replaces the one before it. Of those one is kept:
-        they are by far the largest, and a host that is some changes behind
-        is brought level by the last.
+        Only the last routing table is kept: it replaces all earlier ones,
+        and tables are by far the largest changes.
         """
         if isinstance(change, configuration.SetRoutes):
             self._changes = collections.deque(
@@ -75,27 +74,27 @@
         self._publish_change()
 
     def _publish_change(self) -> None:
-        logger.info('configuration_in_force', index=self.current.index)
+        logger.info('configuration_applied', index=self.current.index)
         self._notify_waiters()
 
     def _notify_waiters(self) -> None:
-        """Wake who waits for a change, or for serving to begin."""
+        """Wake tasks that wait for a change, or for serving to start."""
         self.changed.set()
         self.changed = asyncio.Event()
 
     def start_serving(self) -> None:
-        """Serve by what is held from now on."""
+        """Start serving from the current configuration."""
         self.serving = True
         self._notify_waiters()
 
     def suspend_serving(self) -> None:
-        """Stop serving until it is known again that nothing is newer."""
+        """Stop serving until the configuration is confirmed as the newest."""
         if self.refreshable:
             self.served_before = self.served_before or self.serving
             self.serving = False
 
     def delta_since(self, index: int) -> messages.ConfigurationDelta:
-        """Return what follows ``index``, by changes where they are kept."""
+        """Return the changes after ``index``, everything if it is too old."""
         current = self.current
         if index >= current.index:
             return messages.ConfigurationDelta(index=current.index)
@@ -122,7 +121,7 @@
         ]
 
     def takes_work(self, endpoint: configuration.Endpoint) -> bool:
-        """Tell whether an endpoint may be given new work."""
+        """Return whether an endpoint may be given new work."""
         return (
             endpoint.state is configuration.EndpointState.ACTIVE
             and endpoint.endpoint not in self.leaving
