--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -1,9 +1,9 @@
-"""What a control host hears of endpoints and entry hosts, and passes on.
+"""Endpoint registry and entry host roster of a control host.
 
-Any control host takes registrations and attending hosts, one without a
-majority too, and exchanges what it hears with the others (see
-``exchanges``). Entry hosts attend at two control hosts and are answered as
-soon as there is something new.
+Every control host accepts registrations and entry host sessions, also
+without a majority, and replicates them to the others (see
+``control_sync``). Entry hosts long-poll two control hosts, and are answered
+as soon as there is a change.
 """
 
 import asyncio
@@ -25,28 +25,26 @@
 
 logger = structlog.get_logger(__name__)
 
-# A host is left out of the directory after two or three missed tellings.
+# A host is removed after two or three missed renewals.
 HOST_LEASE_MS = 2_500
-# Who hears a host tells its loss. Without a word for longer, since that
-# control host is lost or cut off, the host would have come to another or
-# another would pass its renewals on.
+# The control host that a host renews at reports its loss. Without a renewal
+# for this long the host is lost too: had only that control host failed, the
+# host would have moved, or its renewals would be relayed.
 RELAYED_LEASE_MS = 5_000
-# Leases and silences are looked at so often, a part of the shortest.
+# Has to be a fraction of the shortest lease.
 EXPIRY_INTERVAL_MS = 1_000
-# Half of the time after which callers of links give up by default.
+# Half of the default call timeout of links.
 MAX_WAIT_MS = 2_000
-# Many hosts and endpoints that come at once, as after all were killed, are
-# told together: short beside the seconds in which a change is in force.
+# Batches changes that arrive together, as after a mass restart.
 BATCH_DELAY_MS = 40
-# One host is told of changes no more often: while all start or leave, there
-# is something new every few ms. Short beside the time a change may take.
+# Limits the answers to one host while many hosts start or leave.
 MIN_UPDATE_INTERVAL_MS = 200
-# Longer than between two exchanges and a far region's round trip.
+# Has to exceed the exchange interval plus an inter-region round trip.
 CONTACT_WINDOW_MS = 3_000
 
 
 class Registrar:
-    """Keep the registry and the roster of a control host."""
+    """Maintains the registry and the roster of a control host."""
 
     def __init__(
         self,
@@ -65,9 +63,9 @@
         self._instance_id = ids.new_unique()
         self._created_ms = clock.mono_ms()
         self._update_event = asyncio.Event()
-        # When each attending host was answered last.
+        # When each entry host was last answered.
         self._answered_ms: dict[ids.HostId, int] = {}
-        # What follows each index that was asked for, up to an index.
+        # Packed deltas by start index, valid up to ``_packed_index``.
         self._packed_deltas: dict[int, bytes] = {}
         self._packed_index = 0
         self._tasks = runtime.Tasks()
@@ -89,22 +87,22 @@
 
     @property
     def synced(self) -> bool:
-        """Tell whether every entry host that lives has had time to attend."""
+        """Return whether every live entry host has had time to renew."""
         return self._clock.mono_ms() - self._created_ms >= HOST_LEASE_MS
 
     def start(self) -> None:
-        """Begin to exchange with the other control hosts."""
+        """Start the exchanges with other control hosts and the expiry."""
         self._tasks.start(self._expiry_loop())
         self._tasks.start(self._watch_configuration())
         self._control_sync.start()
 
     async def close(self) -> None:
-        """End every task."""
+        """Cancel all tasks."""
         await self._control_sync.close()
         await self._tasks.close()
 
     def host_location(self, host: ids.HostId) -> locations.Location | None:
-        """Return where an entry or control host stands, None if unknown."""
+        """Return the location of a host, None if unknown."""
         return self.roster.location_of(
             host
         ) or self._control_sync.host_location(host)
@@ -112,11 +110,11 @@
     # Endpoints.
 
     def register(self, registration: registry.Registration) -> None:
-        """Take an endpoint's registration; pass a change on at once."""
+        """Merge an endpoint's registration; replicate changes at once."""
         occupant = self.registry.occupant(registration)
         if occupant is not None:
             logger.warning(
-                'registration_contested',
+                'registration_conflict',
                 endpoint=registration.endpoint,
                 address=registration.address,
                 occupant=occupant.said.endpoint,
@@ -140,7 +138,7 @@
     def withdraw(
         self, endpoint: ids.EndpointId, born_ms: int | None = None
     ) -> None:
-        """Take note that an endpoint leaves, in one of its lives."""
+        """Mark an endpoint as gone; ``born_ms`` selects one instance."""
         self.register(self.registry.withdraw(endpoint, born_ms))
 
     async def _handle_withdraw(
@@ -177,16 +175,16 @@
         return self._build_answer(message, now_ms - asked_ms)
 
     def _batch_delay_ms(self, host: ids.HostId) -> int:
-        """Return for how long what is new for a host is gathered."""
+        """Return how long changes for a host are batched."""
         now_ms = self._clock.mono_ms()
         next_ms = self._answered_ms.get(host, 0) + MIN_UPDATE_INTERVAL_MS
         return max(next_ms - now_ms, BATCH_DELAY_MS)
 
     def _has_update_for(self, message: attending.Attend) -> bool:
-        """Tell whether there is something that a host should not wait for.
+        """Return whether a host should be answered at once.
 
-        Other entry hosts are not: they are known to a host that has begun,
-        and who passes calls to one that leaves is told so by that host.
+        Roster changes don't count: a running host has the roster already,
+        and a draining host rejects calls that are forwarded to it.
         """
         if message.life != self._instance_id:
             return True
@@ -238,7 +236,7 @@
         return packed
 
     def _notify_all(self) -> None:
-        """Tell attending and other control hosts of a change at once."""
+        """Notify entry hosts and other control hosts of a change."""
         self._notify_waiters()
         self._control_sync.request_sync()
 
@@ -246,10 +244,10 @@
         self._update_event.set()
         self._update_event = asyncio.Event()
 
-    # What time takes away.
+    # Expiry.
 
     async def _expiry_loop(self) -> None:
-        """Drop who lost its lease, and mark who fell silent."""
+        """Remove hosts whose lease expired, and mark silent endpoints."""
         while True:
             if self.roster.expire():
                 self._control_sync.request_sync()
@@ -264,7 +262,7 @@
             await self._clock.sleep_ms(EXPIRY_INTERVAL_MS)
 
     async def _watch_configuration(self) -> None:
-        """Tell attending hosts when a configuration is decided."""
+        """Notify entry hosts when a configuration is committed."""
         while True:
             await self._replica.changed.wait()
             self._notify_waiters()
--- a/wrenspoke/coordination/membership/roster.py
+++ b/wrenspoke/coordination/membership/roster.py
@@ -1,8 +1,8 @@
-"""Entry hosts that told of themselves, with leases and numbered changes.
+"""Roster of entry hosts, with leases and numbered changes.
 
-A control host hears the hosts themselves and what other control hosts
-heard. An entry host is told of changes alone, so that a host that comes
-or goes costs each other host one record, however many there are.
+A control host receives records from the hosts themselves and from other
+control hosts. An entry host receives only the changes, so that a host that
+joins or leaves costs each other host one record.
 """
 
 import collections.abc
@@ -19,16 +19,17 @@
 
 logger = structlog.get_logger(__name__)
 
-# A host that attends asks for what is new several times a second. One that
-# was away for longer than this is told everything.
+# Hosts request changes several times a second. One that lags by more than
+# this is sent the whole roster.
 TOMBSTONE_TTL_MS = 60_000
 
 
 @dataclasses.dataclass(slots=True)
 class HostEntry:
-    """Hold what a host last told, and when this host learned of it.
+    """The last record of a host, and when it was received.
 
-    ``told_by`` is the control host that heard it, None for this one.
+    ``told_by`` is the control host that sent it, None if it was received
+    from the host itself.
     """
 
     record: attending.HostRecord
@@ -38,7 +39,7 @@
 
 
 class Roster:
-    """Merge what is heard of entry hosts, and number the changes."""
+    """Merges the records of entry hosts, and numbers the changes."""
 
     def __init__(
         self,
@@ -50,7 +51,7 @@
         self._relayed_lease_ms = relayed_lease_ms or lease_ms
         self._clock = clock
         self._entries: dict[ids.HostId, HostEntry] = {}
-        # The revision and time at which each host was lost.
+        # Revision and time of the removal of each host.
         self._tombstones: dict[ids.HostId, tuple[int, int]] = {}
         self._compacted_revision = 0
         self._usable: dict[
@@ -63,7 +64,7 @@
         record: attending.HostRecord,
         told_by: ids.HostId | None = None,
     ) -> bool:
-        """Take what is newer; return whether others should be told."""
+        """Merge a newer record; return whether it should be replicated."""
         heard_ms = self._clock.mono_ms() - record.age_ms
         old = self._entries.get(record.host)
         if old is None:
@@ -84,7 +85,7 @@
         return False
 
     def renew(self, renewal: attending.Renewal, told_by: ids.HostId) -> bool:
-        """Take a renewal; return False if its host is not known so."""
+        """Apply a renewal; return False if its host instance is unknown."""
         old = self._entries.get(ids.HostId(renewal.name))
         if old is None or instance_checksum(old.record) != renewal.life:
             return False
@@ -113,14 +114,14 @@
         self._usable.clear()
 
     def remove_host(self, host: ids.HostId) -> None:
-        """Take a host for lost."""
+        """Remove a host, leaving a tombstone."""
         if self._entries.pop(host, None) is None:
             return
         self._next_revision()
         self._tombstones[host] = (self.revision, self._clock.mono_ms())
 
     def expire(self) -> bool:
-        """Drop hosts whose lease has ended; return whether any was."""
+        """Remove hosts whose lease has expired; return whether any was."""
         now_ms = self._clock.mono_ms()
         ended = [
             host
@@ -140,7 +141,7 @@
         logger.warning('host_lost', peer=host)
 
     def expire_reported(self, host: ids.HostId) -> None:
-        """Drop a host that who heard it lost, unless it was heard since."""
+        """Remove a host that was reported lost, unless renewed since."""
         known = self._entries.get(host)
         if known is None:
             return
@@ -155,7 +156,7 @@
             self._compacted_revision = max(self._compacted_revision, revision)
 
     def changes_since(self, revision: int) -> attending.HostChanges:
-        """Return what changed after a revision, everything after 0."""
+        """Return the changes after a revision, everything after 0."""
         whole = revision == 0 or revision < self._compacted_revision
         if whole:
             return attending.HostChanges(self.records(), [], whole=True)
@@ -176,29 +177,29 @@
         return msgspec.structs.replace(known.record, age_ms=age_ms)
 
     def records(self) -> list[attending.HostRecord]:
-        """Return every host with the age of what it told."""
+        """Return the record of every host, with its age."""
         return [self._with_age(known) for known in self._entries.values()]
 
     def hosts(self) -> collections.abc.Set[ids.HostId]:
-        """Return the names of every host, those that leave too."""
+        """Return the names of all hosts, draining ones included."""
         return self._entries.keys()
 
     def entries(self) -> collections.abc.Collection[HostEntry]:
-        """Return every host as it is held, with who told of it."""
+        """Return every entry, with its receive time and source."""
         return self._entries.values()
 
     def record(self, host: ids.HostId) -> attending.HostRecord | None:
-        """Return what a host last told, None if it is not known."""
+        """Return the last record of a host, None if unknown."""
         known = self._entries.get(host)
         return None if known is None else known.record
 
     def region_of(self, host: ids.HostId) -> ids.RegionId | None:
-        """Return the region that a host said it is in, None if unknown."""
+        """Return the region of a host, None if unknown."""
         record = self.record(host)
         return None if record is None else record.region
 
     def location_of(self, host: ids.HostId) -> locations.Location | None:
-        """Return where a host said that it stands, None if unknown."""
+        """Return the location of a host, None if unknown."""
         record = self.record(host)
         if record is None:
             return None
@@ -207,10 +208,10 @@
     def usable(
         self, region: ids.RegionId | None = None
     ) -> list[attending.HostRecord]:
-        """Return the hosts that take requests, of one region or all.
+        """Return the hosts that accept requests, of one region or all.
 
-        The list is shared until something changes: it is asked for with
-        every call.
+        The list is cached until the roster changes, as it is needed for
+        every call; callers must not modify it.
         """
         found = self._usable.get(region)
         if found is None:
@@ -224,7 +225,7 @@
 
 
 def instance_checksum(record: attending.HostRecord) -> int:
-    """Return a short number for the life of a host that told a record."""
+    """Return a short checksum that identifies a host instance."""
     return zlib.crc32(record.start.encode())
 
 
