--- a/wrenspoke/coordination/membership/control_group.py
+++ b/wrenspoke/coordination/membership/control_group.py
@@ -1,4 +1,4 @@
-"""Which control hosts there are: seeds first, then all that speak."""
+"""Known control hosts: the seeds, and all that were in contact."""
 
 import collections.abc
 
@@ -9,15 +9,15 @@
 
 logger = structlog.get_logger(__name__)
 
-# Far longer than any stop or cut that a host comes back from.
+# Has to exceed any restart or partition that a host recovers from.
 CONTACT_TTL_MS = 60_000
 
 
 class ControlGroup:
-    """Know the other control hosts, on any daemon.
+    """Tracks the other control hosts, on any daemon.
 
-    Seeds only start it: they may change, be gone or be cut off. Hosts
-    that were heard of are remembered for a while after they fall silent.
+    Seeds are a starting point only: they may change, be down or be
+    unreachable. Other hosts are kept for a while after the last contact.
     """
 
     def __init__(
@@ -34,11 +34,11 @@
         self.reseed(seeds)
 
     def reseed(self, seeds: collections.abc.Iterable[ids.HostId]) -> None:
-        """Take over what the settings name now."""
+        """Replace the seeds."""
         self._seeds = [seed for seed in seeds if seed != self.host]
 
     def record_contact(self, host: ids.HostId) -> None:
-        """Note that a control host spoke."""
+        """Record contact with a control host."""
         if host == self.host:
             return
         if host not in self._last_contact_ms:
@@ -48,13 +48,13 @@
     def add_contacts(
         self, hosts: collections.abc.Iterable[ids.HostId]
     ) -> None:
-        """Note control hosts that another has heard lately."""
+        """Add control hosts that another one was recently in contact with."""
         for host in hosts:
             if host not in self._last_contact_ms:
                 self.record_contact(host)
 
     def other_hosts(self) -> list[ids.HostId]:
-        """Return every other control host that may be there."""
+        """Return every other known control host."""
         self._expire_contacts()
         unheard = [
             host for host in self._seeds if host not in self._last_contact_ms
@@ -62,12 +62,12 @@
         return [*self._last_contact_ms, *unheard]
 
     def silence_ms(self, host: ids.HostId) -> int:
-        """Return for how long a host was not heard, in this life at most."""
+        """Return the time since the last contact, or since startup."""
         heard_ms = self._last_contact_ms.get(host, self._created_ms)
         return self._clock.mono_ms() - heard_ms
 
     def seen_within(self, within_ms: int) -> list[ids.HostId]:
-        """Return the control hosts that spoke within some time."""
+        """Return the control hosts seen in the last ``within_ms``."""
         now_ms = self._clock.mono_ms()
         return [
             host
@@ -80,4 +80,4 @@
         for host, heard_ms in list(self._last_contact_ms.items()):
             if now_ms - heard_ms > CONTACT_TTL_MS:
                 del self._last_contact_ms[host]
-                logger.info('control_host_forgotten', peer=host)
+                logger.info('control_host_expired', peer=host)
--- a/wrenspoke/coordination/membership/control_sync.py
+++ b/wrenspoke/coordination/membership/control_sync.py
@@ -1,10 +1,10 @@
-"""What control hosts tell each other of endpoints and entry hosts.
+"""Replication of registry and roster between control hosts.
 
-Each is told whole, once, what changed, by a revision that counts within
-one life of who tells. Of all else only the number of the last renewal is
-told, by the control host that heard it, or by another where that one is
-cut off from who is told. A control host that was restarted, or that hears
-of a renewal of something that it does not know, is told all again.
+Changes are sent in full, once, identified by a revision that counts within
+one instance of the sender. Of all other entries only the number of the last
+renewal is sent, by the control host that received it, or by a third one if
+the receiver can't be reached from there. A control host that restarted, or
+that received the renewal of an unknown entry, is sent everything again.
 """
 
 import asyncio
@@ -27,25 +27,25 @@
 
 logger = structlog.get_logger(__name__)
 
-# Renewals ride on this; changes do not wait for it.
+# Renewals are sent at this interval; changes do not wait for it.
 SYNC_INTERVAL_MS = 1_000
-# Some far round trips of 160 ms; one that is lost is made up by the next.
+# A few inter-region round trips; the next exchange makes up for a lost one.
 EXCHANGE_TIMEOUT_MS = 800
-# Many hosts and endpoints that come at once are told together.
+# Batches changes that arrive together, as after a mass restart.
 BATCH_DELAY_MS = 40
-# The interval, and a far region's way. Who was not heard for longer is cut
-# off from this host, and others are asked to pass on what it hears.
+# The interval plus an inter-region trip. A peer without contact for longer
+# is taken for unreachable, and its renewals are relayed by others.
 CONTACT_WINDOW_MS = 1_500
-# Some intervals: who stood in this region that long ago still does.
+# Peers in contact within this time still count as part of their region.
 REGION_CONTACT_WINDOW_MS = 3_000
 
-# What is held of an endpoint or a host: when it was heard, and by whom.
+# A registry or roster entry, with its receive time and source.
 Entry = typing.TypeVar('Entry', registry.Registered, roster.HostEntry)
 
 
 @dataclasses.dataclass
 class SyncProgress:
-    """Hold how far another control host was told, and whom it hears."""
+    """Tracks what a control host was sent, and its recent contacts."""
 
     instance_id: str = ''
     last_sent_ms: int = 0
@@ -55,7 +55,7 @@
 
 
 class ControlSync:
-    """Tell every other control host what this one hears."""
+    """Replicates what this control host receives to all others."""
 
     def __init__(
         self,
@@ -82,20 +82,20 @@
         peers.answers(attending.Exchange)(self._handle_exchange)
 
     def start(self) -> None:
-        """Begin to exchange."""
+        """Start the exchanges."""
         self._tasks.start(self._discovery_loop())
 
     async def close(self) -> None:
-        """End every task."""
+        """Cancel all tasks."""
         await self._tasks.close()
 
     def request_sync(self) -> None:
-        """Tell all of a change without waiting for the interval."""
+        """Send changes to all others without waiting for the interval."""
         for event in self._sync_requests.values():
             event.set()
 
     def control_hosts_in(self, region: ids.RegionId) -> list[ids.HostId]:
-        """Return the control hosts of a region that spoke lately."""
+        """Return the control hosts of a region that were recently seen."""
         found = [
             host
             for host in self._group.seen_within(REGION_CONTACT_WINDOW_MS)
@@ -106,9 +106,10 @@
         return found
 
     def host_location(self, host: ids.HostId) -> locations.Location | None:
-        """Return where another control host stands, None if unknown.
+        """Return the location of another control host, None if unknown.
 
-        Each stands alone in its data centre, whose name is not told.
+        Names of data centres are not exchanged: each control host counts
+        as a data centre of its own.
         """
         region = self._regions.get(host)
         if region is None:
@@ -116,7 +117,7 @@
         return locations.Location(region, ids.DataCentreId(host))
 
     async def _discovery_loop(self) -> None:
-        """Exchange with each control host that is found."""
+        """Start an exchange task for each control host that is found."""
         while True:
             for host in self._group.other_hosts():
                 if host in self._sync_requests:
@@ -138,7 +139,7 @@
     async def _send_exchange(
         self, host: ids.HostId, progress: SyncProgress
     ) -> SyncProgress:
-        """Tell what is new; return how far the other has come then."""
+        """Send what is new; return the progress of the other host."""
         next_progress = SyncProgress(
             progress.instance_id,
             self._clock.mono_ms(),
@@ -154,7 +155,9 @@
             return progress
         self._group.record_contact(host)
         if answer.unknown or progress.instance_id not in ('', answer.life):
-            logger.info('told_again', peer=host, unknown=answer.unknown)
+            logger.info(
+                'full_sync_required', peer=host, unknown=answer.unknown
+            )
             self._sync_requests[host].set()
             return SyncProgress(answer.life)
         next_progress.instance_id = answer.life
@@ -164,7 +167,7 @@
     def _build_exchange(
         self, host: ids.HostId, progress: SyncProgress
     ) -> attending.Exchange:
-        # What came by way of a third was learned up to an interval later.
+        # Relayed renewals arrive up to an interval later.
         since_ms = progress.last_sent_ms - SYNC_INTERVAL_MS
         recent_contacts = {*progress.recent_contacts, host}
         endpoints = _renewed_entries(
@@ -257,9 +260,10 @@
     sent_revision: int,
     recent_contacts: set[ids.HostId],
 ) -> list[Entry]:
-    """Return who renewed since a time and has not changed since.
+    """Return the entries that were renewed since a time, but not changed.
 
-    Left out is what came from the control hosts ``heard`` by who is told.
+    Entries from ``recent_contacts`` of the receiver are left out: it gets
+    those directly.
     """
     return [
         found
