--- a/wrenspoke/coordination/membership/engine_loads.py
+++ b/wrenspoke/coordination/membership/engine_loads.py
@@ -1,10 +1,10 @@
-"""Ask the engines of this region for their load, and share the answers.
+"""Poll the engines of this region for their load, and share the reports.
 
-A few of the region's entry hosts (see ``askers``) split the engines
-between them; each asks its own and tells the others what it heard, and
-what other regions said. A host so gets a few messages an interval, however
-many hosts and engines there are. Where an asking host falls silent, the
-next in order asks its engines.
+The polling hosts of the region (see ``region_pollers``) split the engines
+between them. Each polls its own, and broadcasts the reports and the status
+of other regions, so that the messages a host receives in an interval don't
+grow with the number of hosts and engines. If a polling host stops
+reporting, the next in order polls its engines.
 """
 
 import asyncio
@@ -37,40 +37,38 @@
 
 logger = structlog.get_logger(__name__)
 
-# Reports are a few hundred bytes; more is no report.
+# Reports are a few hundred bytes.
 REPORT_LIMIT_BYTES = 64 * 1024
-# Longer than a report takes at a busy engine, shorter than the interval
-# after which it is stale.
+# Has to allow for a busy engine, and end before a report is stale.
 REPORT_TIMEOUT_MS = 400
-# So many intervals without a report of an engine, and the host that is next
-# in order asks it too. Two, as one may just have been missed.
+# Intervals without a report of an engine until the next host in order polls
+# it too. More than one, as a single report may be lost.
 TAKEOVER_INTERVALS = 2
-# So many intervals without a report, while most engines of the region report,
-# and an engine is taken for lost: two until the next host in order asks it,
-# one for the answer, and one that may be missed by chance. A call sent there
-# would wait 3 s until its connection is given up, at each host anew.
+# Intervals without a report, while most engines of the region report, until
+# an engine is taken for lost: the takeover by the next host in order, its
+# poll, and one lost report. Calls to such an engine would wait for the
+# connect timeout, on each host separately.
 SILENT_INTERVALS = 4
 MIN_FRESH_SHARE = 0.5
-# A report older than this says nothing about now.
 STALE_AFTER_MS = 2_500
 
 
 class ReportReader(typing.Protocol):
-    """Know how an engine is asked for its load."""
+    """Reads the load reports of engines."""
 
     @property
     def path(self) -> str:
-        """Return the path to be asked."""
+        """Return the path of the load report."""
 
     def read(self, endpoint: ids.EndpointId, body: bytes) -> loads.EngineLoad:
-        """Return what a report says.
+        """Parse a load report.
 
-        :raises InvalidChangeError: it can't be read
+        :raises InvalidChangeError: the report can't be parsed
         """
 
 
 class EngineLoads:
-    """Hold the newest load of each engine of the region."""
+    """Holds the latest load of each engine of the region."""
 
     def __init__(
         self,
@@ -106,21 +104,21 @@
         self._dialect = dialect
         self._clock = clock
         self._loads: dict[ids.EndpointId, tuple[loads.EngineLoad, int]] = {}
-        # When an engine of which no load is known was first looked at.
+        # When an engine without a load was first considered.
         self._first_seen_ms: dict[ids.EndpointId, int] = {}
         self._tasks = runtime.Tasks()
         pollers.add_listener(self._merge_broadcast)
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Start polling."""
         self._tasks.start(self._run())
 
     async def close(self) -> None:
-        """End every task."""
+        """Cancel all tasks."""
         await self._tasks.close()
 
     def load(self, endpoint: ids.EndpointId) -> loads.EngineLoad | None:
-        """Return an engine's load with its age, None if none is fresh."""
+        """Return an engine's load with its age, None if none is recent."""
         found, heard_ms = self._loads.get(endpoint, (None, 0))
         if found is None:
             return None
@@ -130,7 +128,7 @@
         return msgspec.structs.replace(found, age_ms=age_ms)
 
     def silent(self, endpoint: ids.EndpointId) -> bool:
-        """Tell whether an engine stopped reporting while others go on."""
+        """Return whether an engine stopped reporting while most report."""
         if not self._is_report_stale(endpoint):
             return False
         engines = [other.said.endpoint for other in self._engines()]
@@ -178,10 +176,10 @@
     def _assigned_engines(
         self, engines: list[registry.Registered]
     ) -> list[registry.Registered]:
-        """Return the engines that this host asks for all others.
+        """Return the engines that this host polls for the region.
 
-        Those are the ones that fall to it, and those of the hosts before
-        it in order from which no report came of late.
+        These are its own, and those of hosts before it in order whose
+        reports are overdue.
         """
         asking = self._pollers.polling_hosts()
         own = []
@@ -193,7 +191,7 @@
         return own
 
     def _is_overdue(self, found: registry.Registered, place: int) -> bool:
-        """Tell whether those before this host in order tell no load."""
+        """Return whether hosts before this one in order report no load."""
         missed_ms = TAKEOVER_INTERVALS * place * self._interval_ms
         _load, heard_ms = self._loads.get(found.said.endpoint, (None, None))
         if heard_ms is None:
@@ -203,7 +201,7 @@
         return self._clock.mono_ms() - heard_ms > missed_ms
 
     def _engines(self) -> list[registry.Registered]:
-        """Return the engines of this region that take work."""
+        """Return the engines of this region that accept work."""
         services = self._replica.current.routes.services
         engines = []
         for found in self._discovery.registry.held.values():
@@ -247,7 +245,7 @@
             errors.EndpointBackoffError,
         ) as error:
             logger.debug(
-                'no_report', endpoint=said.endpoint, cause=repr(error)
+                'load_poll_failed', endpoint=said.endpoint, cause=repr(error)
             )
             return None
         self._on_answer(said.address, asked_ms)
@@ -266,7 +264,7 @@
         self._evict_unregistered()
 
     def evict(self, endpoint: ids.EndpointId) -> None:
-        """Forget an engine's load, as it began anew."""
+        """Discard the load of an engine that was restarted."""
         self._loads.pop(endpoint, None)
         self._first_seen_ms.pop(endpoint, None)
 
--- a/wrenspoke/coordination/membership/region_pollers.py
+++ b/wrenspoke/coordination/membership/region_pollers.py
@@ -1,8 +1,9 @@
-"""Which few hosts of a region ask engines and other regions for all.
+"""Select the hosts of a region that poll engines and probe other regions.
 
-Every host draws the same ones from the roster, without a word. What they
-hear is told in two steps, so that none tells all others itself: to about
-as many hosts as the root of their number, each of which tells its share.
+Every host computes the same selection by rendezvous hashing over the
+roster, so no coordination is needed. Results are broadcast in two hops: to
+the first host of about sqrt(n) relay groups, which relays them to the rest
+of its group.
 """
 
 import collections.abc
@@ -16,32 +17,34 @@
 from wrenspoke.protocol import attending
 from wrenspoke.protocol import peers as peer_calls
 
-# An asking host spends about 2% of a core on so many, at the default
-# interval and 0.5 ms a call.
+# Bounds the polling load of one host.
 ENGINES_PER_POLLER = 16
-# Two, so that one that is lost leaves another that is asking already.
+# Polling must go on when one poller fails.
 MIN_POLLERS = 2
 Listener = collections.abc.Callable[[attending.TellRegion], None]
 
 
 class RosterHost(typing.Protocol):
-    """A host that can be sent messages."""
+    """A roster entry, as far as polling needs it."""
 
     host: ids.HostId
     data_centre: ids.DataCentreId
 
 
 class RosterView(typing.Protocol):
-    """Know the entry hosts of regions; ``revision`` differs with them."""
+    """A view of the entry hosts of regions.
+
+    ``revision`` changes with the set of hosts.
+    """
 
     revision: collections.abc.Hashable
 
     def usable(self, region: ids.RegionId) -> list[RosterHost]:
-        """Return the hosts of a region that should be used."""
+        """Return the hosts of a region that accept requests."""
 
 
 class RegionPollers:
-    """Draw the asking hosts of a region, and tell what they heard."""
+    """Selects the polling hosts of a region, and broadcasts their results."""
 
     def __init__(
         self,
@@ -54,17 +57,17 @@
         self._host = host
         self._roster = host_roster
         self._peers = peers
-        # The order of the region's hosts for each key, as of a revision of
-        # the roster.
+        # Rendezvous order of the region's hosts by key, valid for
+        # ``_revision`` of the roster.
         self._order_cache: dict[str, list[str]] = {}
         self._revision: collections.abc.Hashable = None
         self._listeners: list[Listener] = []
-        # Of the region, as its hosts last counted them.
+        # Engines of the region, as last counted by this host.
         self.engine_count = 0
         peers.answers(attending.TellRegion)(self._handle_broadcast)
 
     def add_listener(self, listener: Listener) -> None:
-        """Have everything told to ``listener`` that other hosts heard."""
+        """Call ``listener`` with every broadcast from other hosts."""
         self._listeners.append(listener)
 
     async def _handle_broadcast(
@@ -76,17 +79,17 @@
             await self.relay(message)
 
     def polling_hosts(self) -> list[str]:
-        """Return the hosts that ask, in an order that all agree on."""
+        """Return the polling hosts, in an order common to all hosts."""
         count = math.ceil(self.engine_count / ENGINES_PER_POLLER)
         return self.rendezvous_order(self._region)[: max(count, MIN_POLLERS)]
 
     @property
     def collectors_count(self) -> int:
-        """Return how many hosts collect what all send to engines."""
+        """Return how many hosts collect reports of calls to engines."""
         return max(math.ceil(self.engine_count / ENGINES_PER_POLLER), 1)
 
     def collector(self, endpoint: ids.EndpointId) -> str:
-        """Return the host that collects what is sent to an endpoint."""
+        """Return the host that collects reports of calls to an endpoint."""
         collecting = self.rendezvous_order(self._region)[
             : self.collectors_count
         ]
@@ -95,25 +98,25 @@
         return routing.rendezvous(endpoint, collecting)[0]
 
     def is_poller(self) -> bool:
-        """Tell whether this host is one of them."""
+        """Return whether this host is one of the polling hosts."""
         return self._host in self.polling_hosts()
 
     def is_poller_of(self, endpoint: ids.EndpointId) -> bool:
-        """Tell whether this host is one of those that ask an endpoint.
+        """Return whether this host does a one-off poll of an endpoint.
 
-        Those of an endpoint that is asked once are drawn from all hosts.
+        One-off polls are spread over all hosts of the region.
         """
         return self._host in self.rendezvous_order(endpoint)[:MIN_POLLERS]
 
     def is_owner_of(self, endpoint: ids.EndpointId) -> bool:
-        """Tell whether this host alone does what is done for an endpoint."""
+        """Return whether this host alone runs an endpoint's tasks."""
         return self.rendezvous_order(endpoint)[0] == self._host
 
     def rendezvous_order(self, key: str) -> list[str]:
-        """Return the region's hosts, this one too, in a key's order.
+        """Return the region's hosts, this one included, in a key's order.
 
-        Every host of the region draws the same, if it knows the same
-        others. Kept until one comes or goes.
+        Hosts with the same roster compute the same order. The result is
+        cached until the roster changes.
         """
         if self._revision != self._roster.revision:
             self._revision = self._roster.revision
@@ -129,9 +132,10 @@
         return self._roster.usable(self._region)
 
     async def broadcast(self, message: attending.TellRegion) -> None:
-        """Tell the other hosts of the region, some of them by way of others.
+        """Send a message to the other hosts of the region, through relays.
 
-        A host that can't be told leaves its share to the next of them.
+        If the first host of a relay group can't be reached, the next one
+        relays instead.
         """
         others = sorted(
             (record.data_centre, record.host)
@@ -154,17 +158,17 @@
                 return
 
     async def relay(self, message: attending.TellRegion) -> None:
-        """Tell the hosts that a message names."""
+        """Send a message to the hosts in its ``pass_on``."""
         sent = msgspec.structs.replace(message, pass_on=[])
         for host in message.pass_on:
             await self._peers.tell(host, sent)
 
 
 def relay_groups(hosts: list[ids.HostId]) -> list[list[ids.HostId]]:
-    """Split hosts into shares, as many as each share has hosts.
+    """Split hosts into about sqrt(n) groups of about sqrt(n) hosts.
 
-    Neighbours stay together: of hosts in the order of their data centres,
-    few shares reach into two.
+    Neighbours stay together: with hosts sorted by data centre, few groups
+    span two data centres.
     """
     length = math.isqrt(len(hosts))
     if length * length < len(hosts):
