--- a/wrenspoke/coordination/membership/host_pinger.py
+++ b/wrenspoke/coordination/membership/host_pinger.py
@@ -1,8 +1,8 @@
-"""Whether entry hosts of other regions can be reached.
+"""Reachability of entry hosts in other regions.
 
-Hosts of other data centres send no beats here. Those that requests are
-passed to are pinged while they are used, so that a cut is noticed within
-the stated bound and work that cannot be passed on is told so at once.
+Hosts of other data centres send no heartbeats here. Those that requests
+are forwarded to are pinged while in use, so that a partition is detected
+within the configured bound and calls that can't be forwarded fail at once.
 """
 
 import asyncio
@@ -22,16 +22,16 @@
 
 logger = structlog.get_logger(__name__)
 
-# A host that was passed a call is likely to be passed another this soon;
-# what is known of it later comes from those that ask for all.
+# Pings go on for a while after a call, as the next one is likely to follow;
+# later the status of the host comes from the region's polling hosts.
 PING_IDLE_MS = 3_000
 PINGS_TO_SUSPICION = 3
-# A route that has become longer is believed after some ten pings.
+# A longer route takes effect after about ten pings.
 RTT_WEIGHT = 0.1
 
 
 class PingSettings(typing.Protocol):
-    """Be what of an entry host's settings is needed here."""
+    """The settings of an entry host that pings depend on."""
 
     @property
     def suspect_after_ms(self) -> int:
@@ -40,9 +40,9 @@
 
 @dataclasses.dataclass
 class RemoteState:
-    """Hold what is known of a host elsewhere, on this host's clock.
+    """Ping state of a host in another region, on this host's clock.
 
-    ``said`` is its last answer, ``travel_ms`` what a round trip takes.
+    ``pong`` is its last answer, ``rtt_ms`` the smoothed round-trip time.
     """
 
     last_used_ms: int
@@ -57,7 +57,7 @@
 
 
 class HostPinger:
-    """Ping the hosts that requests are passed to."""
+    """Pings the hosts that requests are forwarded to."""
 
     def __init__(
         self,
@@ -78,20 +78,20 @@
         peers.answers(messages.Ping)(self._handle_ping)
 
     async def close(self) -> None:
-        """End every task."""
+        """Cancel all tasks."""
         await self._tasks.close()
 
     def set_unreachable_regions(
         self,
         unreachable_regions: collections.abc.Callable[[], list[ids.RegionId]],
     ) -> None:
-        """Say with each ping which regions can't be reached from here."""
+        """Set the source of unreachable regions, sent with each ping."""
         self._unreachable_regions = unreachable_regions
 
     def set_answer_callback(
         self, on_answer: collections.abc.Callable[[ids.HostId, int], None]
     ) -> None:
-        """Tell of each host that answers a ping, and when it was asked."""
+        """Set the callback for answered pings: host and send time."""
         self._on_answer = on_answer
 
     async def _handle_ping(
@@ -102,12 +102,12 @@
     async def reachable(
         self, hosts: collections.abc.Sequence[ids.HostId]
     ) -> list[ids.HostId]:
-        """Return the hosts that answer, in their order."""
+        """Return the hosts that answer, in the given order."""
         answers = await asyncio.gather(*(self._probe_host(h) for h in hosts))
         return [host for host, found in zip(hosts, answers) if found]
 
     def is_answering(self, host: ids.HostId) -> bool | None:
-        """Tell whether a host answered lately, None if it is not known."""
+        """Return whether a host answered recently, None if unknown."""
         remote = self._remotes.get(host)
         if remote is None:
             return None
@@ -116,7 +116,7 @@
         return False if self._failed_lately(remote) else None
 
     def state_of(self, host: ids.HostId) -> RemoteState | None:
-        """Return what is known of a host, None if it was never asked."""
+        """Return the ping state of a host, None if it was never pinged."""
         return self._remotes.get(host)
 
     async def _probe_host(self, host: ids.HostId) -> bool:
@@ -170,7 +170,7 @@
         return False
 
     def _update_rtt(self, remote: RemoteState, took_ms: int) -> None:
-        """Learn the round trip; a longer one than usual was a wait."""
+        """Update the round-trip time; increases are smoothed."""
         known_ms = remote.rtt_ms
         if known_ms is None or took_ms < known_ms:
             remote.rtt_ms = took_ms
@@ -180,10 +180,10 @@
     async def _ping_while_used(
         self, host: ids.HostId, remote: RemoteState
     ) -> None:
-        """Ping a host for as long as it is used.
+        """Ping a host for as long as it is in use.
 
-        The first ping may wait for a link to be made, and a silence from
-        before is none: nobody asked then.
+        The first ping may wait for a connection. The time before it does
+        not count as silence, as nothing was sent.
         """
         last_answer_ms = self._clock.mono_ms()
         timeout_ms = self._suspect_ms
@@ -203,7 +203,7 @@
             for lost in list(remote.watchers):
                 lost()
         remote.ping_task = None
-        # An open link costs heartbeats between regions all the time.
+        # Idle links would keep sending heartbeats between regions.
         self._peers.links.forget(host)
 
     def _is_used(self, remote: RemoteState) -> bool:
@@ -214,7 +214,7 @@
     def watch_host(
         self, host: ids.HostId, lost: collections.abc.Callable[[], None]
     ) -> collections.abc.Iterator[None]:
-        """Call ``lost`` if a host falls silent within the block."""
+        """Call ``lost`` if a host stops answering within the block."""
         remote = self._remotes.setdefault(
             host, RemoteState(self._clock.mono_ms())
         )
--- a/wrenspoke/coordination/membership/region_views.py
+++ b/wrenspoke/coordination/membership/region_views.py
@@ -1,8 +1,8 @@
-"""What hosts of this region last heard of each other region.
+"""Latest status of each other region.
 
-The few that ask (see ``askers``) ping hosts elsewhere and tell the others
-what they heard. Any host so knows what a region offers, and whether it is
-cut off, without a message of its own to it.
+The polling hosts of this region (see ``region_pollers``) ping hosts of
+other regions and broadcast the answers. Every host thus knows what a region
+offers, and whether it is reachable, without pinging it.
 """
 
 import dataclasses
@@ -12,15 +12,15 @@
 from wrenspoke.protocol import attending
 from wrenspoke.protocol import messages
 
-# Three tellings; then a host asks for itself.
+# Three broadcasts; after that a host pings the region itself.
 VIEW_TTL_MS = 1_200
 
 
 @dataclasses.dataclass(slots=True)
 class RegionView:
-    """Hold what a host of a region said, by this host's clock.
+    """The last answer of a region's host, on this host's clock.
 
-    ``travel_ms`` is the round trip to it.
+    ``rtt_ms`` is the round-trip time to the host.
     """
 
     pong: messages.Pong
@@ -29,16 +29,16 @@
 
 
 class RegionViews:
-    """Hold what the asking hosts of this region tell of others."""
+    """Holds the status of other regions, as broadcast by polling hosts."""
 
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
         self._views: dict[ids.RegionId, RegionView] = {}
-        # When an asking host last found that a region does not answer.
+        # When a polling host last found a region unreachable.
         self._unanswered_ms: dict[ids.RegionId, int] = {}
 
     def record_status(self, status: attending.RegionStatus) -> None:
-        """Take what an asking host tells of a region."""
+        """Store the status of a region from a polling host."""
         now_ms = self._clock.mono_ms()
         if status.said is None:
             self._unanswered_ms[status.region] = now_ms
@@ -51,7 +51,7 @@
             )
 
     def latest_view(self, region: ids.RegionId) -> RegionView | None:
-        """Return what a region last said, None if it was not of late."""
+        """Return the last answer of a region, None if it is too old."""
         found = self._views.get(region)
         if found is None:
             return None
@@ -59,14 +59,14 @@
         return found if age_ms <= VIEW_TTL_MS else None
 
     def is_unreachable(self, region: ids.RegionId) -> bool:
-        """Tell whether a region was found silent, and answered nobody."""
+        """Return whether no polling host gets an answer from a region."""
         silent_ms = self._unanswered_ms.get(region)
         if silent_ms is None or self.latest_view(region) is not None:
             return False
         return self._clock.mono_ms() - silent_ms <= VIEW_TTL_MS
 
     def has_view(self, region: ids.RegionId) -> bool:
-        """Tell whether others say how a region stands now."""
+        """Return whether the current status of a region is known."""
         return self.latest_view(region) is not None or self.is_unreachable(
             region
         )
--- a/wrenspoke/coordination/membership/remote_hosts.py
+++ b/wrenspoke/coordination/membership/remote_hosts.py
@@ -1,10 +1,10 @@
-"""The few hosts of other regions that this host passes calls to.
+"""Hosts of other regions that this host forwards calls to.
 
-Each host has its own two in every other region, drawn by rendezvous
-hashing, so that connections to them are used again. A region's asking
-hosts ping theirs all the time and tell the others, which ping only where
-nothing is told of a region. So it is known before a call is passed on
-which regions can be reached, at a cost that does not grow with the hosts.
+Each host has two targets of its own in every other region, selected by
+rendezvous hashing, so that connections are reused. The polling hosts of a
+region ping theirs continuously and broadcast the results; other hosts ping
+only if there is no result for a region. Reachability is thus known before
+a call is forwarded, at a cost independent of the number of hosts.
 """
 
 import structlog
@@ -21,14 +21,14 @@
 
 logger = structlog.get_logger(__name__)
 
-# Two, so that one that stops leaves one that is known.
+# The loss of one target must leave another that is pinged.
 TARGETS_PER_REGION = 2
-# As often as the roster can change.
+# The roster expires hosts at this interval.
 REFRESH_INTERVAL_MS = 1_000
 
 
 class RemoteHosts:
-    """Keep the partners of this host, and rank hosts of a region."""
+    """Ranks the hosts of other regions, and pings the targets in each."""
 
     def __init__(
         self,
@@ -48,17 +48,17 @@
         self._views = region_statuses
         self._clock = clock
         self._tasks = runtime.Tasks()
-        # The order of each region's hosts, as of a revision of the roster.
+        # Ranked hosts by region, valid for ``_revision`` of the roster.
         self._rank_cache: dict[ids.RegionId, list[attending.HostRecord]] = {}
         self._revision = -1
         pinger.set_unreachable_regions(self.unreachable_regions)
 
     def start(self) -> None:
-        """Begin to ping the partners."""
+        """Start pinging the targets."""
         self._tasks.start(self._run())
 
     async def close(self) -> None:
-        """End every task."""
+        """Cancel all tasks."""
         await self._tasks.close()
 
     async def _run(self) -> None:
@@ -67,7 +67,7 @@
             await self._clock.sleep_ms(REFRESH_INTERVAL_MS)
 
     def ping_targets(self) -> list[ids.HostId]:
-        """Return the hosts elsewhere that this one pings, used or not."""
+        """Return the hosts of other regions that this host pings."""
         is_poller = self._pollers.is_poller()
         return [
             record.host
@@ -77,13 +77,13 @@
         ]
 
     def _regions(self) -> list[ids.RegionId]:
-        """Return the other regions that have hosts."""
+        """Return the other regions that have usable hosts."""
         regions = {record.region for record in self._roster.usable()}
         regions.discard(self._region)
         return sorted(regions)
 
     def statuses(self) -> list[attending.RegionStatus]:
-        """Return what this host's own partners said of late."""
+        """Return the recent status of other regions, from own pings."""
         statuses = [self._region_status(region) for region in self._regions()]
         return [status for status in statuses if status is not None]
 
@@ -104,7 +104,7 @@
         return None
 
     def unreachable_regions(self) -> list[ids.RegionId]:
-        """Return the regions none of whose hosts here known answer."""
+        """Return the regions in which no known host answers."""
         return [
             region
             for region in self._regions()
@@ -117,17 +117,17 @@
         )
 
     def _targets_unanswering(self, region: ids.RegionId) -> bool:
-        """Tell whether this host had no answer from any partner there."""
+        """Return whether all targets in a region failed to answer."""
         return all(
             self._pinger.is_answering(record.host) is False
             for record in self.ranked_hosts(region)[:TARGETS_PER_REGION]
         )
 
     def ranked_hosts(self, region: ids.RegionId) -> list[attending.HostRecord]:
-        """Return a region's hosts in the order of this host's choice.
+        """Return a region's hosts in this host's order of preference.
 
-        The order is kept until a host comes or goes: every call that may
-        go elsewhere asks for it, and drawing it takes all of them.
+        Cached until the roster changes: every call that may be forwarded
+        needs the order, and ranking takes all hosts.
         """
         if self._revision != self._roster.revision:
             self._revision = self._roster.revision
@@ -147,10 +147,10 @@
         return [records[ids.HostId(name)] for name in order]
 
     def reachable(self, region: ids.RegionId) -> list[attending.HostRecord]:
-        """Return hosts to pass calls to: those that answer go first.
+        """Return the hosts to forward calls to, answering ones first.
 
-        Hosts that gave no answer are left out; those that were not asked
-        go last, unless the region is known to be cut off.
+        Hosts that did not answer are left out; those that were not pinged
+        go last, unless the region is known to be unreachable.
         """
         answering, unasked = [], []
         cut_off = self._views.is_unreachable(region)
