--- a/wrenspoke/coordination/membership/registry_snapshot.py
+++ b/wrenspoke/coordination/membership/registry_snapshot.py
@@ -1,9 +1,9 @@
-"""Keep what a control host heard of endpoints over its own restart.
+"""Snapshot of the endpoint registry, restored when a control host restarts.
 
-Endpoints renew every second or so. A control host that starts with an
-empty registry leaves its region without most of its endpoints until then,
-in the very second in which every caller comes back. What was known before
-is believed until each has had the time to renew.
+Endpoints renew about once a second. With an empty registry, a control host
+that starts would leave its region without most endpoints until then, just
+when all callers reconnect. Restored entries are valid until each endpoint
+has had time to renew.
 """
 
 import asyncio
@@ -22,15 +22,15 @@
 logger = structlog.get_logger(__name__)
 
 SNAPSHOT_FILE = 'endpoints'
-# At most so often is a changed registry written.
+# Minimum time between two writes.
 SNAPSHOT_INTERVAL_MS = 1_000
-# How long an endpoint that does not renew is believed after a start: two
-# renewals of 1.2 s, the second of them late.
+# How long a restored endpoint stays valid without a renewal: two renewals
+# of 1.2 s, the second of them delayed.
 RESTORED_LEASE_MS = 3_000
 
 
 class RegistrySnapshot:
-    """Write a registry to a file of its own, and read it back."""
+    """Writes a registry to a file of its own, and restores it."""
 
     def __init__(
         self,
@@ -45,12 +45,12 @@
         self._tasks = runtime.Tasks()
 
     def start(self) -> None:
-        """Take over what was kept, and begin to write."""
+        """Restore the snapshot, and start writing new ones."""
         self._load()
         self._tasks.start(self._run())
 
     async def close(self) -> None:
-        """End the task."""
+        """Cancel the writing task."""
         await self._tasks.close()
 
     def _load(self) -> None:
@@ -64,18 +64,18 @@
                 found[0].body, type=list[registry.Registration]
             )
         except (errors.StateError, msgspec.DecodeError) as error:
-            # It only helps: endpoints renew.
-            logger.warning('registry_not_read', reason=str(error))
+            # The snapshot is optional: endpoints renew.
+            logger.warning('registry_snapshot_unreadable', reason=str(error))
             return
         age_ms = registry.SILENT_AFTER_MS - RESTORED_LEASE_MS
         for registration in registrations:
             if registration.warmup_left_ms > 0:
-                # For how long it is still cold is known once it renews.
+                # The remaining warm-up is unknown until the endpoint renews.
                 continue
             self._registry.take(
                 msgspec.structs.replace(registration, age_ms=age_ms)
             )
-        logger.info('registry_read', endpoints=len(registrations))
+        logger.info('registry_snapshot_restored', endpoints=len(registrations))
 
     async def _run(self) -> None:
         while True:
@@ -85,14 +85,14 @@
                 continue
             body = msgspec.msgpack.encode(self._registry.after(0))
             try:
-                # The disk may stall; answers go on meanwhile.
+                # A stalled disk must not block the event loop.
                 await asyncio.to_thread(
                     self._disk.replace, SNAPSHOT_FILE, records.encode(body)
                 )
                 self._written_revision = revision
             except errors.DiskFullError:
-                # The disk told so itself; the next look tries again.
+                # Logged by the disk; the next interval retries.
                 continue
             except errors.DiskError as error:
-                logger.error('registry_not_kept', reason=str(error))
+                logger.error('registry_snapshot_failed', reason=str(error))
                 return
