--- a/wrenspoke/coordination/membership/directory.py
+++ b/wrenspoke/coordination/membership/directory.py
@@ -1,4 +1,4 @@
-"""Tell callers which entry hosts to use, from a control host's roster."""
+"""Select the entry hosts that control hosts advertise to callers."""
 
 import structlog
 
@@ -9,7 +9,7 @@
 
 logger = structlog.get_logger(__name__)
 
-# Callers take no more.
+# Callers accept at most this many addresses.
 ADDRESSES_LIMIT = 64
 
 
@@ -21,15 +21,14 @@
     data_centre: ids.DataCentreId,
     synced: bool = True,
 ) -> list[str]:
-    """Return callers' addresses of live hosts, of the nearest place.
+    """Return the caller-facing addresses of the nearest live hosts.
 
-    The caller's data centre goes before its region. Where the region has
-    no usable host, those of regions that may serve every route of the
-    host ``name`` are told, so that no body is led to a region where it
-    must not go; failing that, the region's own hosts that are stopping,
-    which answer to the end. There may be none. A roster that is not
-    ``settled``, since it was begun within a lease, leads nobody away:
-    callers go on with what they know.
+    The caller's data centre goes before its region. If the region has no
+    usable host, hosts of regions that may serve every route of
+    ``host_name`` are returned, so that no request body enters a region
+    where it is not allowed; failing that, the region's own draining hosts,
+    which still answer. The result may be empty. A roster that is not yet
+    ``synced`` names no other regions: callers keep the addresses they have.
     """
     usable = host_roster.usable(region)
     if not usable and not synced:
@@ -39,7 +38,7 @@
             host_roster, table, host_name
         ) or _draining_hosts(host_roster, region)
         logger.warning(
-            'directory_elsewhere',
+            'directory_fallback',
             region=region,
             regions=sorted({record.region for record in usable}),
             host_roster=len(host_roster.hosts()),
@@ -56,7 +55,7 @@
 def _hosts_allowed_by_routes(
     host_roster: roster.Roster, table: routes.RouteTable, host_name: str
 ) -> list[attending.HostRecord]:
-    """Return the hosts where every route of a host name may be served."""
+    """Return hosts of regions that may serve every route of a host name."""
     found = [route for route in table.routes if route.host == host_name]
     return [
         record
@@ -68,7 +67,6 @@
 def _draining_hosts(
     host_roster: roster.Roster, region: ids.RegionId
 ) -> list[attending.HostRecord]:
-    """Return the hosts of a region that are stopping."""
     return [
         record
         for record in host_roster.records()
