--- a/wrenspoke/coordination/membership/member_roster.py
+++ b/wrenspoke/coordination/membership/member_roster.py
@@ -1,4 +1,4 @@
-"""Show the entry hosts of a deployment's file as a roster of those in use."""
+"""Present the entry hosts of a deployment file as a roster."""
 
 from wrenspoke.coordination.membership import members
 from wrenspoke import ids
@@ -6,7 +6,7 @@
 
 
 class MemberRoster:
-    """Tell which hosts of a region this host would use."""
+    """Lists the hosts of a region that are usable from this host."""
 
     def __init__(
         self, deployment: settings.Deployment, host_members: members.Members
@@ -16,7 +16,7 @@
 
     @property
     def revision(self) -> frozenset[str]:
-        """Return what differs once a host comes or goes."""
+        """Return a value that changes with the set of usable hosts."""
         return frozenset(
             entry.host
             for entry in self._entries
@@ -24,7 +24,7 @@
         )
 
     def usable(self, region: ids.RegionId) -> list[settings.HostSettings]:
-        """Return the hosts of a region that others should use."""
+        """Return the usable hosts of a region."""
         return [
             entry
             for entry in self._entries
--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -1,4 +1,4 @@
-"""Which entry hosts live, drain or are suspected, as seen from here."""
+"""Liveness of entry hosts, as seen from this host."""
 
 import asyncio
 import dataclasses
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass
 class PeerState:
-    """Hold what was last heard of a host."""
+    """The last heartbeat of a peer."""
 
     last_beat_ms: int
     draining: bool = False
@@ -36,11 +36,11 @@
 
 
 class Members:
-    """Beat to the peers of this data centre, and watch all hosts.
+    """Sends heartbeats to the peers of this data centre; tracks all hosts.
 
-    Peers of the data centre are suspected when their beats stay away.
-    Hosts elsewhere send no beats here; they are suspected for a while
-    when a request sent to them fails.
+    Peers of the data centre are suspected when their heartbeats stop.
+    Other hosts send no heartbeats here; they are suspected for a while
+    after a request to them failed.
     """
 
     def __init__(
@@ -81,12 +81,12 @@
         peers.answers(messages.Beat)(self._handle_beat)
 
     def start(self) -> None:
-        """Begin to beat and to watch."""
+        """Start sending heartbeats and checking those of peers."""
         self._tasks.start(self._beat_loop())
         self._tasks.start(self._suspicion_loop())
 
     async def close(self) -> None:
-        """End the tasks."""
+        """Cancel all tasks."""
         await self._tasks.close()
 
     @property
@@ -95,19 +95,19 @@
         return list(self._local_peers)
 
     def is_alive(self, host: ids.HostId) -> bool:
-        """Tell whether a peer of this data centre has been heard of."""
+        """Return whether a peer of this data centre is not suspected."""
         if host == self._host.host:
             return True
         seen = self._peer_states.get(host)
         return seen is not None and not seen.suspected
 
     def config_index_of(self, host: ids.HostId) -> int:
-        """Return the configuration index that a peer last told."""
+        """Return the configuration index that a peer last reported, or 0."""
         seen = self._peer_states.get(host)
         return 0 if seen is None else seen.index
 
     def usable(self, host: ids.HostId) -> bool:
-        """Tell whether callers and other hosts should use a host."""
+        """Return whether callers and other hosts should use a host."""
         if host == self._host.host:
             return not self.draining
         if host in self._local_peers:
@@ -122,19 +122,19 @@
         return age_ms > self._settings.suspect_after_ms
 
     def record_request_failure(self, host: ids.HostId) -> None:
-        """Note that a request sent to a host elsewhere failed."""
+        """Record a failed request to a host of another data centre."""
         self._failed_ms[host] = self._clock.mono_ms()
         logger.info('host_suspected', peer=host, cause='request_failed')
 
     def relay_hosts(self) -> list[ids.HostId]:
-        """Return who fetches the configuration for this data centre."""
+        """Return the hosts that pull the configuration from control hosts."""
         live = [host for host in self._local_peers if self.is_alive(host)]
         live.append(ids.HostId(self._host.host))
         ranked = routing.rendezvous(self._host.data_centre, live)
         return [ids.HostId(name) for name in ranked[:RELAY_COUNT]]
 
     def polls_endpoint(self, endpoint: ids.EndpointId) -> bool:
-        """Tell whether this host is the one that polls an endpoint."""
+        """Return whether this host is the one that polls an endpoint."""
         live = [host for host in self._local_peers if self.is_alive(host)]
         live.append(ids.HostId(self._host.host))
         return routing.rendezvous(endpoint, live)[0] == self._host.host
@@ -168,7 +168,7 @@
         )
 
     async def broadcast_beat(self) -> None:
-        """Beat at once, so that the peers learn of a change."""
+        """Send a heartbeat to all peers at once."""
         index = self._replica.current.index
         own = [
             endpoint
@@ -186,7 +186,7 @@
         sent_bytes = 0
         for host in self._local_peers:
             sent_bytes += await self._peers.tell(host, beat)
-        # What is sent is about what is received.
+        # As many bytes are received as sent, hence the factor of 2.
         budget = self._settings.beat_budget_bytes_per_s
         self._interval_ms = max(
             self._settings.beat_interval_ms,
@@ -201,17 +201,17 @@
 
     @property
     def recently_ran(self) -> bool:
-        """Tell whether this process has been running of late.
+        """Return whether this process has had CPU time recently.
 
-        One that was stopped for long may hold what the others have left
-        behind since, and must look before it sends anything.
+        After a long pause its state may be outdated and has to be
+        revalidated before anything is sent.
         """
         age_ms = self._clock.mono_ms() - self._ticked_ms
         return age_ms <= self._suspicion_timeout_ms(self._interval_ms)
 
     def _detect_pause(self) -> None:
         if not self.recently_ran:
-            logger.warning('was_stopped', cause='no_processor_time')
+            logger.warning('process_paused', cause='no_processor_time')
             self._replica.suspend_serving()
             self._peer_states.clear()
             self._started_ms = self._clock.mono_ms()
@@ -257,12 +257,12 @@
                 logger.warning(
                     'host_suspected',
                     peer=host,
-                    cause='no_beats',
+                    cause='no_heartbeats',
                     silence_ms=silence_ms,
                 )
 
     def _draining_in_flight(self) -> list[messages.Busy]:
-        """Return what is in flight to endpoints that are to finish."""
+        """Return the requests in flight to endpoints that take no new work."""
         return [
             messages.Busy(endpoint.endpoint, in_flight)
             for endpoint in self._replica.current.endpoints.values()
@@ -271,7 +271,7 @@
         ]
 
     def data_centre_status(self) -> messages.Standing:
-        """Return how far this data centre's hosts have come."""
+        """Return the lowest index and the requests in flight at live hosts."""
         low_index = self._replica.current.index
         counts: dict[ids.EndpointId, int] = {}
         seen = [
@@ -296,7 +296,7 @@
         )
 
     def peers_settled(self) -> bool:
-        """Tell whether every near peer was heard of or given up on."""
+        """Return whether every peer has sent a heartbeat or timed out."""
         waited_ms = self._clock.mono_ms() - self._started_ms
         if waited_ms > self._settings.suspect_after_ms:
             return True
