--- a/wrenspoke/coordination/membership/configuration_puller.py
+++ b/wrenspoke/coordination/membership/configuration_puller.py
@@ -1,13 +1,14 @@
-"""Bring an entry host's replica up to date, and keep it so.
-
-At most two hosts of a data centre, its relays, ask the control hosts,
-which tell them of changes at once; the others ask the relays, when a beat
-told of something newer. A
-host that starts knows nothing. It serves once a leader has confirmed that
-nothing newer was accepted, or, cut off from the control hosts, once every
-peer of its data centre has answered or is given up on; it then holds the
-highest index among them. A host that was stopped for long looks in the
-same way before it goes on, but has what it held before to fall back on.
+"""Keep an entry host's replica of the configuration up to date.
+
+At most two hosts of a data centre, its relays, pull from the control
+hosts, which notify them of changes; other hosts pull from the relays when
+a heartbeat reports a newer index.
+
+A host that starts serves once a leader has confirmed that nothing newer was
+accepted, or, if control hosts are unreachable, once every peer of its data
+centre has answered or timed out; it then holds the highest index among
+them. After a long pause a host repeats this check, but may fall back to
+the configuration that it served before.
 """
 
 import structlog
@@ -32,7 +33,7 @@
 
 
 class ConfigurationPuller:
-    """Pull the configuration from control hosts or relays."""
+    """Pulls the configuration from control hosts or relays."""
 
     def __init__(
         self,
@@ -59,7 +60,7 @@
         peers.answers(messages.News)(self._handle_news)
 
     def start(self) -> None:
-        """Begin; without control hosts the settings are all there is."""
+        """Start pulling; without control hosts serve the settings alone."""
         if not self._control_hosts:
             self._replica.apply_delta(
                 messages.ConfigurationDelta(
@@ -72,7 +73,7 @@
         self._tasks.start(self._run())
 
     async def close(self) -> None:
-        """End the task."""
+        """Cancel the pulling task."""
         await self._tasks.close()
 
     def _initial_configuration(self):
@@ -99,7 +100,7 @@
                 await self._clock.sleep_ms(START_INTERVAL_MS)
 
     async def _wait_for_update(self) -> None:
-        """Wait for the next look, or for a beat that tells of a change."""
+        """Wait for the next pull, or for a heartbeat with a newer index."""
         try:
             async with clocks.timeout_ms(self._next_pull_ms()):
                 await self._members.update_available.wait()
@@ -108,7 +109,7 @@
         self._members.update_available.clear()
 
     def _next_pull_ms(self) -> int:
-        """Return the time to the next look, short while a drain waits."""
+        """Return the time to the next pull, short while an endpoint drains."""
         draining = any(
             endpoint.state is configuration.EndpointState.DRAINING
             for endpoint in self._replica.current.endpoints.values()
@@ -118,7 +119,7 @@
         return self._interval_ms
 
     async def _catch_up(self) -> None:
-        # The bulk comes from a peer; the leader only adds what is newer.
+        # Peers supply most changes; the leader adds only what is newer.
         answers = [
             await self._pull(host) for host in self._members.local_peers
         ]
@@ -149,7 +150,7 @@
                 await self._members.broadcast_beat()
 
     async def _pull_any_control(self) -> None:
-        """Pull from one control host; the data centres spread over them."""
+        """Pull from one control host; hosts spread over them."""
         for host in routing.rendezvous(self._host, self._control_hosts):
             if await self._pull(ids.HostId(host)) is not None:
                 return
@@ -161,7 +162,7 @@
             self._members.update_available.set()
 
     async def _pull_from_peer(self) -> bool:
-        """Pull from a peer that told of something newer, if one did."""
+        """Pull from a peer with a newer index; return whether one answered."""
         index = self._replica.current.index
         for host in self._members.local_peers:
             if self._members.config_index_of(host) > index:
@@ -169,7 +170,7 @@
         return False
 
     async def _pull_control(self) -> bool:
-        """Pull from the leader, or any control host; tell if confirmed."""
+        """Pull from the leader or a control host; return if confirmed."""
         asked = [self._leader] if self._leader else []
         asked += [host for host in self._control_hosts if host != self._leader]
         self._leader = None
