--- a/wrenspoke/coordination/membership/load_poller.py
+++ b/wrenspoke/coordination/membership/load_poller.py
@@ -1,4 +1,4 @@
-"""Poll engines for their load; a data centre's hosts split the work."""
+"""Poll engines for their load, split between a data centre's hosts."""
 
 import asyncio
 
@@ -25,7 +25,7 @@
 
 
 class LoadPoller:
-    """Ask the engines that fall to this host how busy they are."""
+    """Polls the engines that are assigned to this host."""
 
     def __init__(
         self,
@@ -51,11 +51,11 @@
         self._tasks = runtime.Tasks()
 
     def start(self) -> None:
-        """Begin to poll."""
+        """Start polling."""
         self._tasks.start(self._run())
 
     async def close(self) -> None:
-        """End the task."""
+        """Cancel the polling task."""
         await self._tasks.close()
 
     async def _run(self) -> None:
@@ -95,7 +95,9 @@
             TimeoutError,
             msgspec.DecodeError,
         ) as error:
-            logger.info('load_unknown', endpoint=endpoint, error=repr(error))
+            logger.info(
+                'load_poll_failed', endpoint=endpoint, error=repr(error)
+            )
             return
         self._loads.add_report(
             messages.LoadReport(
--- a/wrenspoke/coordination/membership/loads.py
+++ b/wrenspoke/coordination/membership/loads.py
@@ -1,4 +1,4 @@
-"""What is known of each endpoint's load and speed on this host."""
+"""Load reports and measured latencies of endpoints on this host."""
 
 import collections.abc
 import dataclasses
@@ -18,7 +18,7 @@
 
 
 class EngineLoad(msgspec.Struct):
-    """Be what an engine says at ``GET /load``; it lags."""
+    """An engine's answer to ``GET /load``; it lags."""
 
     running: int
     waiting: int
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass
 class LatencyEstimate:
-    """Hold smoothed times of one endpoint as seen from this host."""
+    """Smoothed latencies of one endpoint as measured on this host."""
 
     first_token_ms: float = DEFAULT_FIRST_TOKEN_MS
     occupancy_ms: float = DEFAULT_OCCUPANCY_MS
@@ -36,7 +36,7 @@
 
 @dataclasses.dataclass
 class TimedReport:
-    """Hold a load report and when it was true, on this host's clock."""
+    """A load report with its sample time on this host's clock."""
 
     running: int
     waiting: int
@@ -44,11 +44,11 @@
 
 
 def _discard_sample(_endpoint: str, _first_ms: float) -> None:
-    """Be where times go until somebody collects them."""
+    """Ignore samples until a collector is set."""
 
 
 class LoadTable:
-    """Collect load reports and measured times by endpoint."""
+    """Collects load reports and measured latencies by endpoint."""
 
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
@@ -62,7 +62,7 @@
     def observe_first_token(
         self, endpoint: ids.EndpointId, first_ms: float
     ) -> None:
-        """Note the time to a first token or whole answer."""
+        """Record the time to the first token, or to the whole answer."""
         speed = self._latencies.setdefault(endpoint, LatencyEstimate())
         if speed.seen_ms is None:
             speed.first_token_ms = first_ms
@@ -73,24 +73,24 @@
     def observe_occupancy(
         self, endpoint: ids.EndpointId, hold_ms: float
     ) -> None:
-        """Note how long a request held its place at an endpoint."""
+        """Record how long a request occupied a slot of an endpoint."""
         speed = self._latencies.setdefault(
             endpoint, LatencyEstimate(occupancy_ms=hold_ms)
         )
         speed.occupancy_ms += EWMA_WEIGHT * (hold_ms - speed.occupancy_ms)
 
     def record_connect_failure(self, endpoint: ids.EndpointId) -> None:
-        """Note that no connection to an endpoint could be made."""
+        """Record that a connection to an endpoint failed."""
         self._down_ms[endpoint] = self._clock.mono_ms()
 
     def record_answer(self, endpoint: ids.EndpointId) -> None:
-        """Note that an endpoint gave an answer."""
+        """Record that an endpoint answered."""
         self._down_ms.pop(endpoint, None)
 
     def is_down(self, endpoint: ids.EndpointId) -> bool:
-        """Tell whether an endpoint was away a moment ago.
+        """Return whether a connection to an endpoint failed recently.
 
-        After that moment the next request tries it again.
+        After ``DOWN_TTL_MS`` the next request tries it again.
         """
         down_ms = self._down_ms.get(endpoint)
         if down_ms is None:
@@ -98,10 +98,10 @@
         return self._clock.mono_ms() - down_ms < DOWN_TTL_MS
 
     def latency(self, endpoint: ids.EndpointId) -> LatencyEstimate:
-        """Return an endpoint's times; an old one is believed less.
+        """Return an endpoint's latencies, discounted by their age.
 
-        What was measured long ago fades towards the first guess, so that
-        an endpoint that was slow is tried again.
+        Old estimates decay towards the defaults, so that an endpoint that
+        was slow is tried again.
         """
         speed = self._latencies.get(endpoint)
         if speed is None or speed.seen_ms is None:
@@ -117,7 +117,7 @@
         return LatencyEstimate(first_ms, speed.occupancy_ms, speed.seen_ms)
 
     def add_report(self, report: messages.LoadReport) -> None:
-        """Keep a report unless a newer one is here."""
+        """Store a report unless a newer one is held."""
         true_at_ms = self._clock.mono_ms() - report.age_ms
         self.record_answer(report.endpoint)
         known = self._reports.get(report.endpoint)
@@ -128,7 +128,7 @@
         )
 
     def latest_report(self, endpoint: ids.EndpointId) -> TimedReport | None:
-        """Return the newest report that is not stale."""
+        """Return the latest report, None if there is none or it is stale."""
         report = self._reports.get(endpoint)
         if report is None:
             return None
@@ -137,16 +137,17 @@
         return report
 
     def has_queue(self, endpoint: ids.EndpointId) -> bool:
-        """Tell whether an endpoint last reported work that waits."""
+        """Return whether an endpoint last reported waiting requests."""
         report = self.latest_report(endpoint)
         return report is not None and report.waiting > 0
 
     def first_event_timeout_ms(
         self, endpoint: ids.EndpointId, stall_ms: float
     ) -> float:
-        """Return how long a first event may take before it is late.
+        """Return how long the first event may take.
 
-        An engine that has work waiting is slow to begin, not broken.
+        The timeout grows with the queue: an engine with waiting requests
+        starts late, but is not broken.
         """
         report = self.latest_report(endpoint)
         waiting = 0 if report is None else report.waiting
@@ -155,7 +156,7 @@
     def fresh_reports(
         self, endpoints: list[ids.EndpointId]
     ) -> list[messages.LoadReport]:
-        """Return the reports on some endpoints for the peers."""
+        """Return the reports on some endpoints that are not stale."""
         now_ms = self._clock.mono_ms()
         reports = []
         for endpoint in endpoints:
