--- a/wrenspoke/coordination/membership/host_list_poller.py
+++ b/wrenspoke/coordination/membership/host_list_poller.py
@@ -1,8 +1,8 @@
-"""Read the platform's list of hosts, which lags.
+"""Poll the platform's host list for endpoints that are leaving.
 
-It may only add that an endpoint is leaving. What it says later never
-gives an endpoint work again: that takes an operator's plan, which puts
-the endpoint back under a configuration that is newer.
+The list lags, so it can only mark an endpoint as leaving, never return it
+to service: that takes an operator's plan, which adds the endpoint again
+under a newer configuration.
 """
 
 import msgspec
@@ -23,20 +23,20 @@
 
 
 class ListedHost(msgspec.Struct):
-    """Be one host of the platform's list."""
+    """One host of the platform's list."""
 
     address: str
     state: str
 
 
 class HostList(msgspec.Struct):
-    """Be what the platform answers."""
+    """The platform's host list."""
 
     hosts: list[ListedHost]
 
 
 class HostListPoller:
-    """Take endpoints that the platform lists as leaving out of use."""
+    """Takes endpoints that the platform lists as leaving out of use."""
 
     def __init__(
         self,
@@ -56,12 +56,12 @@
         self._tasks = runtime.Tasks()
 
     def start(self) -> None:
-        """Begin to look, if the settings name a list."""
+        """Start polling, if the settings name a list."""
         if self._url is not None:
             self._tasks.start(self._run())
 
     async def close(self) -> None:
-        """End the task."""
+        """Cancel the polling task."""
         await self._tasks.close()
 
     async def _run(self) -> None:
@@ -84,7 +84,7 @@
             TimeoutError,
             msgspec.DecodeError,
         ) as error:
-            logger.info('platform_unknown', error=repr(error))
+            logger.info('host_list_failed', error=repr(error))
             return []
 
     def _mark_leaving(self, listed: list[ListedHost]) -> bool:
