--- a/tests/membership_fleet.py
+++ b/tests/membership_fleet.py
@@ -1,8 +1,7 @@
-"""Entry and control hosts that find each other, in time of their own.
+"""Simulated fleet of entry and control hosts that runs membership only.
 
-Nothing but membership runs: hosts attend, endpoints renew, control hosts
-exchange. Every message is counted by who sent it, so that a test can say
-how the cost of a host grows with the number of the others.
+Messages are counted by sender, receiver and kind, so that tests can bound
+how the cost of a host grows with the size of the fleet.
 """
 
 import asyncio
@@ -19,23 +18,23 @@
 
 CONTROLS = 6
 REGIONS = ('north', 'south', 'west')
-# As endpoints do on the platform, and daemons of one start.
+# Renewal interval of endpoints on the platform.
 RENEWAL_MS = 1_200
 START_SPREAD_MS = 300
-# One way within a region, where most attend: news comes at its quickest.
+# One-way delay within a region, the shortest that occurs.
 TRAVEL_MS = 2
 
 
 @dataclasses.dataclass
 class SentCount:
-    """Count what hosts sent: messages and their bytes."""
+    """Number and total size of sent messages."""
 
     messages: int = 0
     bytes: int = 0
 
 
 class CountingPeers(group.Peers):
-    """Count what a host sends, by who gets it and by kind."""
+    """Counts sent messages by receiver and kind."""
 
     def __init__(self, host, network):
         super().__init__(host, network)
@@ -58,7 +57,7 @@
 
 
 class LeadingVoter:
-    """Stand in for a voter that leads."""
+    """Stands in for the voter of a leader."""
 
     has_lease = has_leader = True
     confirmed_age_ms = 0
@@ -67,7 +66,7 @@
 
 
 class ControlHost:
-    """Hold what a control host knows of others."""
+    """A control host that runs membership only."""
 
     def __init__(self, name, region, seeds, network):
         clock = group.LoopClock()
@@ -91,7 +90,7 @@
 
 
 class EntryHost:
-    """Hold an entry host that attends."""
+    """An entry host that runs its discovery client only."""
 
     def __init__(self, name, number, seeds, network):
         clock = group.LoopClock()
@@ -120,7 +119,7 @@
 
     @property
     def known_hosts(self):
-        """Return the hosts that this one knows of."""
+        """Return the usable hosts in this host's roster."""
         return {record.host for record in self.attendance.roster.usable()}
 
     async def close(self):
@@ -129,7 +128,7 @@
 
 
 class AttendingFleet:
-    """Hold entry hosts, control hosts and endpoints of one system."""
+    """Simulates the entry hosts, control hosts and endpoints of a system."""
 
     def __init__(self, entries, endpoints):
         self.network = group.Network(seed=1, latency_ms=TRAVEL_MS, jitter_ms=1)
@@ -143,7 +142,7 @@
         self._renewing = []
 
     async def start(self):
-        """Start every host within a moment, and let endpoints renew."""
+        """Start all hosts in quick succession, and let endpoints renew."""
         for name in self.control_names:
             self.start_control(name)
         for number in range(len(self.entry_names)):
@@ -175,11 +174,11 @@
             await self.wait_ms(RENEWAL_MS)
 
     async def wait_ms(self, delay_ms):
-        """Let time go on."""
+        """Let simulated time pass."""
         await asyncio.sleep(delay_ms / group.MS_PER_S)
 
     def sent(self, hosts, kind, to=None):
-        """Return what some hosts sent of a kind, to one host or to all."""
+        """Count the messages of a kind from some hosts, to one host or all."""
         key = kind if to is None else (kind, to)
         total = SentCount()
         for host in hosts.values():
@@ -188,7 +187,7 @@
         return total
 
     async def close(self):
-        """End every host."""
+        """Close all hosts."""
         for task in self._renewing:
             task.cancel()
         for host in [*self.entries.values(), *self.controls.values()]:
@@ -196,7 +195,7 @@
 
 
 def registration(number, renewal):
-    """Return what an endpoint says of itself."""
+    """Return a registration of an endpoint."""
     return registry.Registration(
         f'i-{number:010}',
         'service',
--- a/tests/test_membership_fleet.py
+++ b/tests/test_membership_fleet.py
@@ -1,8 +1,4 @@
-"""What membership costs each host as a fleet grows, counted in bytes.
-
-Fleets of 20, 60 and 200 entry hosts, with half as many endpoints and six
-control hosts, as on deployments of hundreds of machines.
-"""
+"""Bounds on the membership traffic of each host as a fleet grows."""
 
 import pytest
 
@@ -16,13 +12,13 @@
 SIZES = [20, 60, 200]
 SETTLED_MS = 4_000
 CALM_MS = 5_000
-# A renewal as it is told: a name, its number, an age, a life.
+# Encoded size of a renewal.
 RENEWAL_BYTES = 40
-# One record of a host or endpoint, told by both sessions of a host.
+# Encoded size of a host or endpoint record, received in both sessions.
 RECORD_BYTES = 260
-# What every message carries that tells nothing of others.
+# Fixed size of a message.
 EMPTY_BYTES = 800
-# Four times as long as any change in a calm fleet takes.
+# Well above the time any change takes to reach all hosts.
 LOST_MS = 8_000
 
 
@@ -84,7 +80,7 @@
 def test_host_that_comes_later_costs_each_other_host_one_record(entries):
     async def play():
         fleet = await settled_fleet(entries)
-        # Calm answers that the join would hide among are counted alike.
+        # The traffic of a fleet without changes is subtracted.
         await fleet.wait_ms(CALM_MS)
         before = fleet.sent(fleet.controls, 'Attended').bytes
         await fleet.wait_ms(CALM_MS)
@@ -122,7 +118,7 @@
 
 
 def test_what_a_control_host_hears_reaches_those_that_it_is_cut_off_from():
-    """Another one that hears both passes it on."""
+    """A third control host relays it."""
 
     async def play():
         fleet = await settled_fleet(20)
@@ -161,7 +157,7 @@
 
 
 def test_cut_that_heals_leaves_every_host_known():
-    """What was dropped meanwhile is told again once it renews."""
+    """Entries that expired in the meantime return with a renewal."""
 
     async def play():
         fleet = await settled_fleet(20)
@@ -180,7 +176,7 @@
 
 
 def sessions_of(fleet):
-    """Return the control hosts that each entry host attends at."""
+    """Return the control hosts of each entry host's sessions."""
     return {
         name: {session.host for session in host.attendance._sessions}
         for name, host in fleet.entries.items()
@@ -199,7 +195,7 @@
 
 
 def test_hosts_whose_region_lost_its_control_hosts_stay_elsewhere():
-    """They don't try again and again what was lost."""
+    """Guards against repeated calls to failed control hosts."""
 
     async def play():
         fleet = await settled_fleet(20)
@@ -227,7 +223,7 @@
 
 
 def test_one_session_leaves_control_hosts_that_hear_no_leader():
-    """Both of a region's may be cut off from those that decide."""
+    """Both control hosts of a region may be cut off from the majority."""
 
     async def play():
         fleet = await settled_fleet(20)
@@ -243,7 +239,7 @@
 
 
 class PartitionedVoter:
-    """Stand in for a voter that is cut off from the leader."""
+    """Stands in for a voter that is partitioned from the leader."""
 
     has_lease = has_leader = False
     confirmed_age_ms = leader = None
@@ -252,7 +248,7 @@
 
 @pytest.mark.parametrize('entries', SIZES)
 def test_table_of_routes_is_packed_once_for_all_hosts(entries, monkeypatch):
-    """A table of 1,500 routes takes 10 ms to pack."""
+    """Guards against packing a large table for each host."""
     packed = []
     pack = attending.pack
     monkeypatch.setattr(
