--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""When an entry host that starts, or was stopped, begins to serve."""
+"""An entry host serves only a confirmed or newest known configuration."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 class ScriptedPeers:
-    """Answer every call of an attending host by what a test states."""
+    """Answers every call of a discovery client with a scripted result."""
 
     def __init__(self):
         self.confirmed = False
@@ -50,7 +50,7 @@
 
 @pytest.fixture
 async def discovery():
-    """Return an attending host that calls only when a test says so."""
+    """Return a discovery client that sends no calls of its own."""
     clock = clocks.Clock()
     made = discovery_client.DiscoveryClient(
         RECORD,
@@ -64,7 +64,7 @@
 
 
 async def deliver_answer(discovery):
-    """Let a control host answer once."""
+    """Let a control host answer one call."""
     [session, _other] = discovery._sessions
     session.host = CONTROL
     await discovery._send_attend(session, CONTROL, 0)
@@ -78,7 +78,7 @@
 async def test_first_answer_decides_when_to_serve(
     discovery, confirmed, index, at_once, later
 ):
-    """Without a leader's word no further answer is waited for."""
+    """Without a leader the wait ends after one answer."""
     discovery._peers.confirmed = confirmed
     discovery._peers.index = index
     await deliver_answer(discovery)
@@ -106,7 +106,7 @@
 async def test_lease_counts_from_what_an_answer_proves(
     discovery, monkeypatch, age_ms, held_ms, index, confirmed
 ):
-    """It was given no sooner than it was asked for and held back."""
+    """The lease starts when the request was sent, plus the time held."""
     seen = []
     monkeypatch.setattr(discovery.lease, 'confirm', seen.append)
     clock = FrozenClock()
@@ -130,7 +130,7 @@
 async def test_answer_that_was_not_taken_whole_renews_no_lease(
     discovery, monkeypatch
 ):
-    """What it confirms goes beyond what is held here."""
+    """Guards against a lease on a configuration that is not held."""
     seen = []
     monkeypatch.setattr(discovery.lease, 'confirm', seen.append)
     call = discovery._peers.call
@@ -147,7 +147,7 @@
 
 
 class FrozenClock(clocks.Clock):
-    """Stand still until told."""
+    """Advances only when a test sets it."""
 
     now_ms = 50_000
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,9 +1,7 @@
-"""No key runs anything after its withdrawal's bound, whatever happens.
+"""No host serves a withdrawn key after the bound.
 
-Hosts, control hosts and the way between them are played in steps of time:
-a key is withdrawn while hosts are frozen, cut off or restarted and while
-leaders are lost. What each host would serve is compared with what had been
-acknowledged.
+A simulation of hosts, control hosts and links withdraws a key while hosts
+are frozen, partitioned or restarted and leaders change.
 """
 
 import random
@@ -16,12 +14,12 @@
 BOUND_MS = 5_000
 STEP_MS = 10
 END_MS = 40_000
-# A clock may run so much slower than another.
+# Maximum relative clock drift.
 DRIFT = 0.01
 
 
 class HostClock:
-    """Run apart from true time, from a start of its own."""
+    """Drifts from the simulated time, with an offset of its own."""
 
     def __init__(self, world, rate, offset_ms):
         self._world = world
@@ -33,7 +31,7 @@
 
 
 class DelayedLink:
-    """Carry messages late, and none while either end is cut off."""
+    """Delivers messages late, and none while either end is cut off."""
 
     def __init__(self, world):
         self._world = world
@@ -49,7 +47,7 @@
         for one in due:
             _at_ms, sender, receiver, message = one
             if receiver.stopped:
-                # It stays in the socket until its host goes on.
+                # The message stays in the socket until the host resumes.
                 continue
             self._under_way.remove(one)
             if not (sender.cut_off or receiver.cut_off):
@@ -57,7 +55,7 @@
 
 
 class Actor:
-    """Be frozen, cut off and restarted."""
+    """A process that can be frozen or cut off."""
 
     def __init__(self, world):
         self.world = world
@@ -78,7 +76,7 @@
 
 
 class Leader(Actor):
-    """Accept the withdrawal; give moments back while it leads."""
+    """Accepts the withdrawal, and echoes moments while it leads."""
 
     index = 1
     leads = True
@@ -89,7 +87,7 @@
 
 
 class Control(Actor):
-    """Follow the leader, and answer hosts after a while."""
+    """Follows the leader, and answers long polls of hosts."""
 
     def __init__(self, world):
         super().__init__(world)
@@ -129,7 +127,7 @@
 
 
 class Host(Actor):
-    """Attend, and serve under a lease."""
+    """Polls a control host, and serves under a lease."""
 
     def __init__(self, world, control):
         super().__init__(world)
@@ -161,7 +159,7 @@
 
 
 class World:
-    """Play one series of mishaps around a withdrawal."""
+    """Runs one random series of faults around a withdrawal."""
 
     def __init__(self, seed):
         self.random = random.Random(seed)
@@ -187,7 +185,7 @@
         elif kind == 'restart' and actor is not self.leader:
             actor.restart()
         elif kind == 'lead':
-            # Another one leads: what this one sends from now on is nothing.
+            # Another host leads: this one sends no more answers.
             self.leader.leads = not self.leader.leads
 
     def run(self):
@@ -215,9 +213,9 @@
 def test_nothing_runs_under_a_withdrawn_key_after_the_bound():
     played = [World(seed).run() for seed in SEEDS]
     assert max(one.latest_ms for one in played) < BOUND_MS
-    # The mishaps are hard enough: some host goes on for most of the bound.
+    # The faults are severe: some host serves for most of the bound.
     assert max(one.latest_ms for one in played) > BOUND_MS / 2
-    # And not so hard that nothing is served.
+    # They are not so severe that nothing is served.
     assert all(one.served for one in played)
 
 
@@ -226,7 +224,7 @@
     ['from when the answer came', 'the whole bound twice', 'age not counted'],
 )
 def test_model_fails_without_each_margin(margin_taken, monkeypatch):
-    """The model is hard enough to tell a lease that is too long."""
+    """Guards against a simulation that detects no overlong lease."""
     confirm = leases.ConfigurationLease.confirm
     if margin_taken == 'from when the answer came':
         monkeypatch.setattr(
