--- a/tests/test_engine_loads.py
+++ b/tests/test_engine_loads.py
@@ -1,4 +1,4 @@
-"""Which hosts of a region ask its engines for their load."""
+"""Each engine is polled by one of few hosts, and lost ones are detected."""
 
 import collections
 import types
@@ -24,7 +24,7 @@
 
 
 class NoPeers:
-    """Take who answers what, and nothing else."""
+    """Accepts handlers, and sends nothing."""
 
     def answers(self, _kind):
         return lambda answerer: answerer
@@ -50,7 +50,7 @@
 
 
 def engine_loads_of(host, hosts, engines):
-    """Return what a host of a region knows of engines' loads."""
+    """Return the engine loads of a host of a region."""
     held = {found.said.endpoint: found for found in engines}
     known = roster.Roster(1_000, clocks.Clock())
     for found in hosts:
@@ -89,7 +89,7 @@
 
 
 def assigned_engines(gauged):
-    """Return the engines that a host asks for all others."""
+    """Return the engines that a host polls for the region."""
     engines = gauged._engines()
     gauged._pollers.engine_count = len(engines)
     if not gauged._pollers.is_poller():
@@ -169,7 +169,7 @@
     ],
 )
 def test_engine_is_silent_once_it_alone_stops_reporting(ages_ms, silent):
-    """Where most stop, it is the asking hosts that fail."""
+    """If most engines stop reporting, the polling hosts have failed."""
     engines = [registered(number) for number in range(len(ages_ms))]
     gauged = engine_loads_of('h0', [record(0)], engines)
     gauged._clock = test_registry.FakeClock()
@@ -190,7 +190,7 @@
         gauged._loads[found.said.endpoint] = (None, now_ms)
     if silent:
         gauged._loads['e0'] = (None, now_ms - 1_601)
-    # One that left reports no more, and counts for nothing.
+    # A deregistered engine does not count.
     gauged._loads['gone'] = (None, 0)
     clock = clocks.Clock()
     available = availability.Availability(
--- a/tests/test_region_pollers.py
+++ b/tests/test_region_pollers.py
@@ -1,7 +1,4 @@
-"""How few hosts of a region ask, and how what they hear gets to the rest.
-
-A region of 7, 20 or 67 entry hosts, as in fleets of 20, 60 and 200.
-"""
+"""Few hosts of a region poll, and their broadcasts reach all others."""
 
 import collections
 import itertools
@@ -21,7 +18,7 @@
 
 
 class SimulatedRegion:
-    """Carry what hosts of one region tell, and count it."""
+    """Delivers and counts the messages between hosts of one region."""
 
     def __init__(self, count):
         self.lost = set()
@@ -39,7 +36,7 @@
 
 
 class FakeLink:
-    """Be the link of one host."""
+    """The links of one host."""
 
     def __init__(self, host, region):
         self._host = host
@@ -59,7 +56,7 @@
 
 
 def asking_hosts(region):
-    """Return the hosts that would ask."""
+    """Return the polling hosts."""
     return [host for host, made in region.made.items() if made.is_poller()]
 
 
@@ -76,7 +73,7 @@
 
 @pytest.mark.parametrize('count', [20, 67])
 async def test_host_that_is_lost_keeps_nothing_from_others(count):
-    """Those that would tell a share, and the next of it, are lost."""
+    """The first two hosts of some relay groups are lost."""
     region = SimulatedRegion(count)
     teller, *_others = asking_hosts(region)
     others = sorted({*region.made} - {teller})
@@ -87,7 +84,7 @@
 
 
 class SilentPinger:
-    """Know nothing of any host elsewhere."""
+    """Stands in for a pinger that has pinged no host."""
 
     def set_unreachable_regions(self, _cut_off):
         return
@@ -97,7 +94,7 @@
 
 
 def remote_hosts_of(host, region, count, clock):
-    """Return the partners of a host whose fleet has three regions."""
+    """Return the remote hosts of a host, and its region views."""
     known = roster.Roster(1_000, clock)
     for number, name in itertools.product(range(count), ('north', 'south')):
         known.merge_record(
