--- a/tests/test_host_pinger.py
+++ b/tests/test_host_pinger.py
@@ -1,7 +1,7 @@
-"""Whether a host elsewhere that a call is passed to is taken for lost.
+"""A remote host is reported lost only after silence since a call began.
 
-A link that is made anew takes three round trips before the first answer
-comes: 640 ms between far regions, after the first ping at 400 ms.
+A new link takes three round trips before the first answer: 640 ms between
+distant regions, after the first ping at 400 ms.
 """
 
 import asyncio
@@ -16,12 +16,12 @@
 
 SUSPECT_MS = 1_200
 CALL_MS = 5_000
-# The host has run for long when the call is passed on.
+# The host has been running for long when the call is forwarded.
 BEGUN_MS = 100_000
 
 
 class Peers:
-    """Be a link to one host, which answers late, or from some time on."""
+    """Links to one host that answers late or refuses some calls."""
 
     def __init__(self, answers_after_ms, refused):
         self._answers_after_ms = answers_after_ms
@@ -61,7 +61,7 @@
 def test_host_is_lost_by_its_silence_since_a_call_was_passed_on(
     answers_after_ms, refused, lost, known
 ):
-    """Not by the time since it was used before."""
+    """Guards against counting the time since its last use."""
     reached, _peers = build_pinger(answers_after_ms, refused)
     told = []
 
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""Endpoints and entry hosts that tell of themselves, late or lost."""
+"""Late, lost and conflicting records of endpoints and entry hosts."""
 
 import pytest
 
@@ -14,7 +14,7 @@
 
 
 class FakeClock:
-    """Stand still until told."""
+    """Advances only when a test sets it."""
 
     def __init__(self):
         self.now_ms = 100_000
@@ -62,7 +62,7 @@
 
 
 def registration_at(name, number, state=READY):
-    """Return a registration of an endpoint at the one address."""
+    """Return a registration of an endpoint at a shared address."""
     return registry.Registration(
         name, 's', '10.0.0.1:80', 'hall', 4, state, number
     )
@@ -107,7 +107,7 @@
 
 
 def test_leave_of_an_unknown_endpoint_is_remembered():
-    """The heartbeat before it may come later, from another host."""
+    """An earlier heartbeat may arrive later, from another host."""
     held = registry.Registry(FakeClock())
     held.take(held.withdraw('e'))
     held.take(registration(1))
@@ -139,7 +139,7 @@
     [('ready', True), ('silent', False), ('gone', False)],
 )
 def test_only_what_is_gone_or_silent_is_forgotten(case, kept):
-    """A host that hears changes only must not forget the others."""
+    """A host that receives only changes must keep all other endpoints."""
     clock = FakeClock()
     held = registry.Registry(clock)
     held.take(registration(1))
@@ -153,7 +153,7 @@
 
 
 def record(host, start='a', number=1, draining=False, age_ms=0, **place):
-    """Return what an entry host tells of itself."""
+    """Return the record of an entry host."""
     return attending.HostRecord(
         host,
         place.get('region', 'north'),
@@ -260,7 +260,7 @@
 
 
 def test_endpoint_that_is_forgotten_is_no_news():
-    """It left long ago; who attends has nothing to learn of it."""
+    """Guards against an update to all hosts for an endpoint long gone."""
     clock = FakeClock()
     held = registry.Registry(clock)
     held.take(registration(1))
@@ -360,7 +360,7 @@
     assert held.held['e'].said.number == 6
     assert held.renew('e', 99, 0, 'other', BORN_MS - 1)
     assert held.held['e'].said.number == 6
-    # Of a life that is not known here all is to be told.
+    # An unknown instance needs the full registration.
     assert not held.renew('e', 1, 0, 'other', BORN_MS + 1)
 
 
@@ -385,7 +385,7 @@
 
 
 def test_leave_outlives_reports_that_call_an_endpoint_ready():
-    """For good in that life, also by what other hosts hold of it."""
+    """The mark lasts as long as the instance, on other hosts too."""
     known = registry.Registry(FakeClock())
     known.take(registration(number=1))
     assert known.mark_leaving('e', 0)
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -1,4 +1,4 @@
-"""An entry host's replica of the configuration goes forward only."""
+"""The index of a configuration replica never decreases."""
 
 import pytest
 
@@ -9,12 +9,11 @@
 
 
 def limit(team, rate):
-    """Return a change of a team's limit."""
     return configuration.SetLimit(configuration.TeamLimit(team, rate, 1))
 
 
 def delta(*changes, whole=None):
-    """Return what a pull brings, with (index, change) pairs."""
+    """Return the answer to a pull, from (index, change) pairs."""
     index = whole.index if whole else changes[-1][0]
     return messages.ConfigurationDelta(
         index=index, changes=list(changes), whole=whole
@@ -72,7 +71,7 @@
 
 
 def table(version, count=1):
-    """Return a change to a table of so many routes."""
+    """Return a change to a table of ``count`` routes."""
     found = tuple(
         routes.Route(
             f'r{number}',
