--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""Leaving: planned stops cut nothing off, leavers get no new work."""
+"""Planned stops end no requests, and leaving endpoints get no new ones."""
 
 import asyncio
 
@@ -21,7 +21,7 @@
 
 
 async def begun(running, count, **chat):
-    """Start chats at the first host and wait until they all flow."""
+    """Start chats at the first host, and wait for all first events."""
     seen = [[] for _number in range(count)]
     caller = running.caller('north-1')
     tasks = [
@@ -83,7 +83,7 @@
 async def test_host_that_was_frozen_sends_nothing_to_a_drained_endpoint(
     tmp_path,
 ):
-    """It wakes with the old configuration and requests on its socket."""
+    """Guards against serving queued requests by an old configuration."""
     made = fleet.deployment(
         regions=('north',), entries=2, engines=2, controls=1
     )
@@ -150,16 +150,16 @@
 
 
 async def _avoids(running, host):
-    """Tell whether a crowd of chats all misses the leaving engine.
+    """Return whether no chat of a burst goes to the leaving engine.
 
-    They come at once, so that one engine is not enough for them if the
-    other may be used; one after the other, the quicker gets them all.
+    The chats are sent at once, so that one engine can't take them all;
+    sequential ones would all go to the faster engine.
     """
     before = (await running.runs('north-chat-1'))['tokens']
     caller = running.caller(host)
     chats = []
     for _number in range(CROWD):
-        # A new session each time: a known one stays where it is warm.
+        # A new session each time, as known ones stay on their engine.
         sent = {headers.SESSION: ids.new_unique()}
         body = {'messages': MESSAGES, 'stream': True}
         chats.append(caller.chat(body, sent))
@@ -170,7 +170,7 @@
 async def test_stream_of_a_host_that_was_frozen_is_not_told_as_not_run(
     tmp_path,
 ):
-    """It had begun; after the freeze the host has to look for changes."""
+    """The stream had started before the host was frozen."""
     made = fleet.deployment(
         regions=('north',), entries=2, engines=2, controls=1
     )
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -1,9 +1,6 @@
-"""A machine that was suspended takes nothing old for new.
+"""Leases and ages include the time for which a machine was suspended.
 
-Seen: a machine stands still for seconds, as its steady clock does; the
-clock that counts since the boot goes on. All leases and ages of this
-project go by one clock. By the steady one each of them took what it had
-heard before for news of the last moment, as every row shows.
+Guards against CLOCK_MONOTONIC, which stops during a suspension.
 """
 
 import types
@@ -35,7 +32,7 @@
 
 
 class Machine:
-    """Be a machine's clocks: suspended, only some of them go on."""
+    """The clocks of a machine, some of which stop during a suspension."""
 
     CLOCK_BOOTTIME = 7
 
@@ -63,14 +60,14 @@
 
 @pytest.fixture
 def machine(monkeypatch):
-    """Let the one clock read the clocks of a machine that can stand still."""
+    """Make ``clocks.Clock`` read the clocks of a simulated machine."""
     made = Machine()
     monkeypatch.setattr(clocks, 'time', made)
     return made
 
 
 class NoPeers:
-    """Take note of no answers."""
+    """Accepts handlers, and sends nothing."""
 
     def answers(self, _kind):
         return lambda answerer: answerer
@@ -95,7 +92,7 @@
 
 
 def late_answer_to_the_lease(clock):
-    """Take the answer to a question that was asked before."""
+    """Receive an answer to a request from before the suspension."""
     made = lease.ConfigurationLease(BOUND_MS, clock)
     asked_ms = clock.mono_ms()
     made.confirm(asked_ms)
@@ -182,7 +179,7 @@
 
 
 def young_registration(clock):
-    """Tell another host how old it is."""
+    """Report the age of a registration to another host."""
     made = registry.Registry(clock)
     made.take(registration())
     return lambda: made.aged(made.held['e']).age_ms < SUSPENDED_MS
@@ -211,7 +208,7 @@
 
 
 def message_that_waited(clock):
-    """Read what was sent before the machine stood still."""
+    """Receive a message that was sent before the suspension."""
     made = links.Links.__new__(links.Links)
     made._clock = clock
     made._offsets_ms = {}
@@ -280,7 +277,7 @@
 
 
 def test_message_of_a_machine_that_stood_still_is_no_older(machine):
-    """Its own clock went on, so that what it sends now is as young as ever."""
+    """The sender's clock included the suspension as well."""
     sender = clocks.Clock()
     made = links.Links.__new__(links.Links)
     made._clock = types.SimpleNamespace(
