--- a/wrenspoke/coordination/quarantine/__init__.py
+++ b/wrenspoke/coordination/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that end the endpoints that run them."""
+"""Quarantine of requests that crash the endpoints that run them."""
--- a/wrenspoke/coordination/quarantine/crash_history.py
+++ b/wrenspoke/coordination/quarantine/crash_history.py
@@ -1,8 +1,8 @@
-"""Remember under which requests endpoints ended, within bounds.
+"""Bounded record of endpoint crashes per request digest.
 
-An end counts against every request that the endpoint ran, as nothing tells
-which one it was. A request that one endpoint ran to a good end is cleared:
-what ends each endpoint that runs it never comes that far.
+A crash counts against every request in flight on the endpoint, because the
+request that caused it is unknown. A request that completes on any endpoint
+is cleared: a request that always crashes its endpoint never completes.
 """
 
 import collections
@@ -10,30 +10,30 @@
 from wrenspoke import clock as clocks
 from wrenspoke import ids
 
-# A request is quarantined after this many crashes. Fewer would also hold back
-# harmless requests that were running when an endpoint crashed by itself.
+# Crashes after which a request is quarantined. Low thresholds also quarantine
+# harmless requests that were in flight during unrelated crashes.
 CRASH_THRESHOLD = 3
-# All calls of an endpoint break within some milliseconds, and are told from
-# one region; the endpoint is not back sooner.
+# Reports of one endpoint within this window are the same crash: all its calls
+# break within milliseconds, and it cannot restart sooner.
 DEDUP_WINDOW_MS = 400
-# Callers that ask again do so within seconds or minutes.
+# Clients resend a failed request within seconds or minutes.
 RETENTION_MS = 600_000
-# What ends under once is many, as all that an endpoint ran has it, and says
-# little; what it pushes out is older and says no more. 0.4 KB each.
+# Every request in flight during a crash gets a single-crash entry, so these
+# are numerous and weak evidence; the oldest are evicted first. 0.4 KB each.
 MAX_SINGLE_CRASH_ENTRIES = 3_000
-# More than once is rare, and only ends of endpoints make such an entry;
-# 0.7 KB each.
+# Requests with repeated crashes are rare; 0.7 KB each.
 MAX_REPEATED_CRASH_ENTRIES = 1_000
 
 CrashRecord = tuple[ids.EndpointId, int]
 
 
 class CrashHistory:
-    """Count the endpoints that ended under each request."""
+    """Tracks the endpoint crashes recorded against each request."""
 
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
-        # Oldest first. What ended under once can't push out the others.
+        # Oldest first. Kept apart so that single-crash entries cannot evict
+        # repeated ones.
         self._single_crashes: collections.OrderedDict[
             ids.RequestDigest, list[CrashRecord]
         ] = collections.OrderedDict()
@@ -47,7 +47,10 @@
         endpoint: ids.EndpointId,
         crashed_ms: int,
     ) -> int:
-        """Note that an endpoint ended; return how many did under it."""
+        """Record a crash during a request; return the request's crashes.
+
+        A duplicate report of a known crash does not count again.
+        """
         self._evict_expired()
         crashes = self._crashes_of(digest)
         if any(_is_duplicate(end, endpoint, crashed_ms) for end in crashes):
@@ -64,12 +67,12 @@
         return len(crashes)
 
     def clear(self, digest: ids.RequestDigest) -> bool:
-        """Forget what is held against a request; False if nothing is."""
+        """Remove a request's crashes; return whether it had any."""
         single = self._single_crashes.pop(digest, None)
         return bool(single or self._repeated_crashes.pop(digest, None))
 
     def crash_count(self, digest: ids.RequestDigest) -> int:
-        """Return how many endpoints ended under a request."""
+        """Return how many crashes are recorded against a request."""
         return len(self._crashes_of(digest))
 
     def _crashes_of(self, digest: ids.RequestDigest) -> list[CrashRecord]:
--- a/wrenspoke/coordination/quarantine/hold_durations.py
+++ b/wrenspoke/coordination/quarantine/hold_durations.py
@@ -1,19 +1,19 @@
-"""For how long a request is not sent that endpoints ended under."""
+"""Durations for which quarantined requests are held."""
 
 from wrenspoke.coordination.quarantine import crash_history
 
-# An engine that ended loads its weights for minutes, so that a trial costs
-# about as much as it is put off; what did nothing is held up no longer.
+# A crashed engine reloads its weights for minutes, so a trial that fails
+# costs about one hold; a harmless request is delayed no longer than this.
 BASE_HOLD_MS = 300_000
-# Doubled with each trial that ends another endpoint, up to here: twelve
-# endpoints a day at the most, for a request that always comes again.
+# Limit of the exponential backoff: at most twelve crashes a day for a request
+# that is resent continuously.
 MAX_HOLD_MS = 7_200_000
-# By the word of one control host, before the group has decided; or for as
-# long as it can't, being cut off.
+# Hold requested by one control host before a decision is committed, or
+# renewed while none can be committed during a partition.
 PROVISIONAL_HOLD_MS = 60_000
 
 
 def hold_duration_ms(crashes: int) -> int:
-    """Return for how long a request is held after so many ends."""
+    """Return how long a request is held after ``crashes`` crashes."""
     failed_trials = max(crashes - crash_history.CRASH_THRESHOLD, 0)
     return min(BASE_HOLD_MS * 2**failed_trials, MAX_HOLD_MS)
