--- a/wrenspoke/coordination/quarantine/crash_reporter.py
+++ b/wrenspoke/coordination/quarantine/crash_reporter.py
@@ -1,8 +1,7 @@
-"""Tell who gathers them of endpoints that ended under requests.
+"""Reporting of endpoint crashes to the hosts that aggregate them.
 
-Every control host is told, so that whichever leads knows what all hosts of
-all regions have seen, also right after another led. Those are few, however
-many entry hosts there are.
+Reports go to every control host, so that a new leader has the reports of
+all regions. The number of recipients does not grow with the entry hosts.
 """
 
 import asyncio
@@ -21,14 +20,14 @@
 
 logger = structlog.get_logger(__name__)
 
-# All calls of an endpoint that ended are told in one message.
+# Collects the reports of all calls that one crash breaks into one message.
 BATCH_DELAY_MS = 4
-# Some far round trips of 160 ms.
+# Several inter-region round trips.
 CALL_TIMEOUT_MS = 1_000
-# To who could not be told: soon after a cut has healed, and next to nothing
-# while it lasts.
+# Delay before a failed report is sent again: short after a partition heals,
+# and cheap while it lasts.
 RETRY_INTERVAL_MS = 500
-# Told again to a control host that has started anew.
+# Crashes kept for a control host that is unreachable or has restarted.
 MAX_QUEUED_CRASHES = 1_000
 
 ListAggregators = collections.abc.Callable[[], list[ids.HostId]]
@@ -37,7 +36,7 @@
 
 
 class _ReportQueue:
-    """Hold what one gathering host has not been told."""
+    """Reports that one aggregating host has not acknowledged."""
 
     def __init__(self):
         self.crashes: collections.deque[LocalCrash] = collections.deque(
@@ -53,7 +52,7 @@
 
 
 class CrashReporter:
-    """Tell each gathering host once, for as long as it takes."""
+    """Reports crashes and successes to each host, with retries."""
 
     def __init__(
         self,
@@ -72,29 +71,29 @@
         self._tasks = runtime.Tasks()
 
     def set_hold_callback(self, callback: HoldCallback) -> None:
-        """Have what gathering hosts hold off told to ``heard``."""
+        """Set the function called with each hold in a host's answer."""
         self._hold_callback = callback
 
     async def close(self) -> None:
-        """Tell nobody any more."""
+        """Stop reporting."""
         await self._tasks.close()
 
     def report_crash(
         self, digest: ids.RequestDigest, endpoint: ids.EndpointId
     ) -> None:
-        """Tell that an endpoint has just ended under a request."""
+        """Queue a report that an endpoint crashed during a request."""
         crash = (digest, endpoint, self._clock.mono_ms())
         self._local_crashes.append(crash)
         for queue in self._active_queues():
             queue.crashes.append(crash)
 
     def report_success(self, digest: ids.RequestDigest) -> None:
-        """Tell that an endpoint ran a request to a good end."""
+        """Queue a report that an endpoint completed a request."""
         for queue in self._active_queues():
             queue.cleared[digest] = None
 
     def _active_queues(self) -> list[_ReportQueue]:
-        """Return the queues of all who gather, about to be emptied."""
+        """Return the queues of all aggregating hosts and start sending."""
         aggregators = self._list_aggregators()
         for host in set(self._queues).difference(aggregators):
             del self._queues[host]
@@ -125,7 +124,7 @@
             if self._hold_callback is not None:
                 self._hold_callback(hold)
         if answer.life != queue.instance_id:
-            # It knows nothing of what it was told before.
+            # The host restarted and lost the earlier reports.
             queue.instance_id = answer.life
             older = set(self._unexpired(self._local_crashes)).difference(
                 crashes
@@ -148,10 +147,10 @@
         try:
             answer = await self._peers.call(host, message, CALL_TIMEOUT_MS)
         except protocol_errors.ProtocolError as error:
-            logger.info('ends_not_told', peer=host, reason=str(error))
+            logger.info('crash_report_failed', peer=host, reason=str(error))
             return None
         if not isinstance(answer, quarantining.RunsNoted):
-            logger.info('ends_not_told', peer=host, reason=repr(answer))
+            logger.info('crash_report_failed', peer=host, reason=repr(answer))
             return None
         return answer
 
--- a/wrenspoke/coordination/quarantine/run_tracker.py
+++ b/wrenspoke/coordination/quarantine/run_tracker.py
@@ -1,10 +1,10 @@
-"""Watch runs at endpoints, and find those under which an endpoint ended.
+"""Detection of endpoint crashes from broken runs.
 
-A connection that breaks says little: an answer may have been lost, or the
-way to the endpoint cut. An endpoint has ended if connections to it are
-refused right after. All calls that it ran break at that moment, so one look
-serves for all of them; that an endpoint lived says nothing of what breaks
-after the look.
+A broken connection alone does not prove a crash: the response may have been
+lost, or the endpoint may be unreachable. An endpoint has crashed if it
+refuses connections right after. All its calls break at that moment, so one
+probe result is reused for them; a result that shows a live endpoint is not
+reused, as the endpoint may crash after the probe.
 """
 
 import asyncio
@@ -19,21 +19,22 @@
 
 logger = structlog.get_logger(__name__)
 
-# Endpoints are near: a connection takes a millisecond or two, but behind a
-# full link or after a packet was lost, which is sent again after a second.
+# Connecting takes a few milliseconds, or over a second if a packet is lost
+# and retransmitted.
 LIVENESS_PROBE_TIMEOUT_MS = 1_500
-# All calls of an endpoint that ends break within some milliseconds; one
-# that is back takes seconds to start.
+# All calls of a crashed endpoint break within milliseconds, and a restart
+# takes seconds, so a probe result stays valid for this long.
 PROBE_REUSE_MS = 500
 
 
-# Tells whether connections to an address are refused.
+# Returns whether an address refuses connections; arguments are the address
+# and the timeout in milliseconds.
 Probe = collections.abc.Callable[[str, int], collections.abc.Awaitable[bool]]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
-    """Name a request that an endpoint was sent, and when."""
+    """One attempt of a request at an endpoint."""
 
     digest: ids.RequestDigest
     endpoint: ids.EndpointId
@@ -43,20 +44,20 @@
 
 @dataclasses.dataclass(slots=True)
 class _ProbeResult:
-    """Hold what a look at an endpoint showed, or will show."""
+    """Pending or finished result of a liveness probe."""
 
     probed_ms: int
     refused: asyncio.Future
 
     def is_reusable(self, now_ms: int) -> bool:
-        """Tell whether it shows what a run broke by that breaks now."""
+        """Return whether the result applies to a run that broke now."""
         if now_ms - self.probed_ms > PROBE_REUSE_MS:
             return False
         return not self.refused.done() or self.refused.result()
 
 
 class RunTracker:
-    """Tell runs that ended their endpoint from runs that broke."""
+    """Distinguishes runs that crashed their endpoint from other failures."""
 
     def __init__(
         self, clock: clocks.Clock, probe: Probe = reachable.is_refused
@@ -71,11 +72,11 @@
         endpoint: ids.EndpointId,
         address: str,
     ) -> Run:
-        """Note that an endpoint is sent a request."""
+        """Return the run of a request that is being sent."""
         return Run(digest, endpoint, address, self._clock.mono_ms())
 
     async def check_crashed(self, run: Run) -> bool:
-        """Take a run that broke off; return whether its endpoint ended."""
+        """Return whether the endpoint of a broken run has crashed."""
         crashed = await self._probe_liveness(run)
         logger.info(
             'run_broke',
@@ -97,7 +98,7 @@
                     self._probe(run.address, LIVENESS_PROBE_TIMEOUT_MS)
                 ),
             )
-        # Who leaves must not take the look from the others that wait.
+        # A cancelled waiter must not cancel the probe that others await.
         return await asyncio.shield(result.refused)
 
     def _evict_stale_results(self, now_ms: int) -> None:
