--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -1,9 +1,10 @@
-"""Check before each send that a request is not in quarantine.
+"""Check before each send that a request is not quarantined.
 
-A request that repeatedly crashes endpoints is not sent to any for a while.
-It is identified by a digest of its content, as it may come with another id
-to another host each time. Decisions of the control hosts apply on all hosts;
-until one is made, what this host or a control host found applies.
+A request that repeatedly crashes endpoints is held for some time. Requests
+are identified by a digest of their content, because each resend may have
+another request id and reach another host. Committed decisions of the control
+hosts apply on all hosts; until one is committed, provisional holds set by
+this host or by a control host apply.
 """
 
 import asyncio
@@ -31,19 +32,19 @@
 
 logger = structlog.get_logger(__name__)
 
-# A call that broke off waits for so long to learn why before it is retried.
+# How long a broken call waits for the liveness probe before it is retried.
 PROBE_WAIT_MS = 50
-# A caller is told to come back no sooner.
+# Lower bound of the retry delay sent to callers.
 MIN_HOLD_RETRY_MS = 1_000
 MS_PER_S = 1_000
-# As many as are kept of what is decided.
+# The same limit as for committed decisions.
 MAX_HOLDS = quarantine.KEPT_LIMIT
 
 IsDraining = collections.abc.Callable[[ids.EndpointId], bool]
 
 
 class Guard:
-    """Track how runs end on this host, and hold requests back."""
+    """Tracks crashes during runs on this host and holds their requests."""
 
     def __init__(
         self,
@@ -61,11 +62,11 @@
         self._run_tracker = run_tracker.RunTracker(clock, probe)
         self._crash_history = crash_history.CrashHistory(clock)
         self._recent_successes = recent_successes.RecentSuccesses(clock)
-        # Until when requests are held that no decision exists on.
+        # End of each provisional hold.
         self._provisional_until_ms: collections.OrderedDict[
             ids.RequestDigest, int
         ] = collections.OrderedDict()
-        # When this host learned of each decision.
+        # When this host first saw each committed decision.
         self._decision_seen_ms: dict[quarantine.Quarantined, int] = {}
         self._instance_id = ids.new_unique()
         self._tasks = runtime.Tasks()
@@ -75,25 +76,28 @@
         peers.answers(quarantining.RunsEnded)(self._collect_crash_reports)
 
     async def close(self) -> None:
-        """End every task."""
+        """Cancel all tasks, including those of the reporter."""
         await self._tasks.close()
         await self._reporter.close()
 
-    # What may be sent.
+    # Holds.
 
     def remaining_hold_ms(self, digest: ids.RequestDigest) -> int | None:
-        """Return for how long a request is held, None if it may be sent."""
+        """Return how long a request stays held, None if it may be sent."""
         now_ms = self._clock.mono_ms()
         decided = quarantine.held(self._replica.current.quarantine, digest)
         if decided is not None:
-            # Only another decision releases it.
+            # Only another committed decision releases it, not the time.
             left_ms = self._decided_hold_end_ms(decided) - now_ms
             return max(left_ms, MIN_HOLD_RETRY_MS)
         left_ms = self._provisional_until_ms.get(digest, 0) - now_ms
         return max(left_ms, MIN_HOLD_RETRY_MS) if left_ms > 0 else None
 
     def refuse_if_held(self, digest: ids.RequestDigest) -> int | None:
-        """Return for how long a request is refused, and count it."""
+        """Return how long a request stays held, and count the refusal.
+
+        Returns None, and counts nothing, if it may be sent.
+        """
         held_ms = self.remaining_hold_ms(digest)
         if held_ms is not None:
             self.refused_count += 1
@@ -107,7 +111,7 @@
         )
         return decision_seen_ms + hold_durations.hold_duration_ms(decided.ends)
 
-    # How runs end.
+    # Runs.
 
     @contextlib.asynccontextmanager
     async def track_run(
@@ -116,9 +120,9 @@
         endpoint: ids.EndpointId,
         address: str,
     ) -> collections.abc.AsyncIterator[run_tracker.Run]:
-        """Watch a run for as long as the block lasts.
+        """Track a run for the duration of the block.
 
-        Where it broke off, the reason is looked for before a retry.
+        If the run breaks, its endpoint is probed before the error propagates.
         """
         run = self.start_run(digest, endpoint, address)
         try:
@@ -133,11 +137,11 @@
         endpoint: ids.EndpointId,
         address: str,
     ) -> run_tracker.Run:
-        """Record that a request is sent to an endpoint."""
+        """Return the run of a request that is being sent."""
         return self._run_tracker.start_run(digest, endpoint, address)
 
     def mark_succeeded(self, run: run_tracker.Run) -> None:
-        """Record a run that ended well, and clear its request."""
+        """Record a completed run, and clear the crashes of its request."""
         digest = run.digest
         self._recent_successes.add_success(digest)
         was_suspect = self._crash_history.clear(digest)
@@ -146,19 +150,19 @@
             self._reporter.report_success(digest)
 
     async def handle_broken_run(self, run: run_tracker.Run) -> None:
-        """Check whether a run that broke off crashed its endpoint.
+        """Check whether a broken run crashed its endpoint.
 
-        The check goes on if it takes longer than the call waits for it, or
-        if the caller leaves.
+        Waits up to ``PROBE_WAIT_MS``; the check continues in the background
+        after that, or if the caller disconnects.
         """
         checking = self._tasks.start(self._record_if_crashed(run), fatal=False)
         await asyncio.wait([checking], timeout=PROBE_WAIT_MS / MS_PER_S)
 
     async def _record_if_crashed(self, run: run_tracker.Run) -> None:
-        """Count a run against its request, if its endpoint crashed.
+        """Record a crash against the request if its endpoint crashed.
 
-        Not if the request ended well elsewhere recently, or if the endpoint
-        was leaving.
+        Nothing is recorded if the request completed recently on this host,
+        or if the endpoint was draining.
         """
         if not await self._run_tracker.check_crashed(run) or not run.digest:
             return
@@ -187,10 +191,13 @@
             )
             self._hold_provisionally(hold)
 
-    # What others say.
+    # Messages from other hosts.
 
     def _hold_provisionally(self, hold: quarantining.Hold) -> None:
-        """Hold a request until there is a decision on it."""
+        """Hold a request until a decision on it is committed.
+
+        The hold expires after ``PROVISIONAL_HOLD_MS`` at the latest.
+        """
         if self._recent_successes.has_recent(hold.digest):
             return
         if hold.digest not in self._provisional_until_ms:
@@ -221,7 +228,7 @@
     async def _collect_crash_reports(
         self, _sender: ids.HostId, message: quarantining.RunsEnded
     ) -> quarantining.RunsNoted:
-        """Gather ends here, where there are no control hosts."""
+        """Aggregate crash reports in deployments without control hosts."""
         now_ms = self._clock.mono_ms()
         for digest in message.cleared:
             self._crash_history.clear(digest)
