--- a/wrenspoke/coordination/quarantine/crash_aggregator.py
+++ b/wrenspoke/coordination/quarantine/crash_aggregator.py
@@ -1,10 +1,10 @@
-"""A control host gathers under which requests endpoints ended.
+"""Aggregation of crash reports and quarantine decisions on control hosts.
 
-Every control host hears what all entry hosts see. Each tells the entry
-hosts of its region at once what they should not send, and the one that leads
-those of all regions. That one has it decided, so that it lasts over the loss
-of power and is known to every host that starts, thaws or comes back from a
-cut.
+Every control host receives the crash reports of all entry hosts. Each one
+immediately sends holds to the entry hosts of its region, and the leader to
+those of all regions. The leader then commits the decision, so that it
+survives power loss and reaches every host that restarts, resumes or rejoins
+after a partition.
 """
 
 import asyncio
@@ -31,33 +31,36 @@
 
 logger = structlog.get_logger(__name__)
 
-# Trials are due after minutes.
+# Holds last minutes, so expired ones need not be found faster.
 CHECK_INTERVAL_MS = 1_000
-# Two far round trips: a host that ran the request well of late says so
-# before it is decided. It is held meanwhile.
+# Two inter-region round trips: time for hosts that completed the request
+# recently to object before it is quarantined. It is held meanwhile.
 OBJECTION_WINDOW_MS = 350
 CALL_TIMEOUT_MS = 1_000
-# Without a leader holds end by themselves: who ends one more endpoint then
-# has all others told again, or each of them would end one.
+# Without a leader provisional holds expire. The next crash then renews the
+# hold on all hosts; otherwise each host would crash an endpoint.
 RENOTIFY_INTERVAL_MS = hold_durations.PROVISIONAL_HOLD_MS // 2
 
-# Returns the entry hosts of this region, or of all.
+# Returns the entry hosts of all regions (True) or of the local one (False).
 ListEntryHosts = collections.abc.Callable[[bool], list[ids.HostId]]
 
 
 class LocalVoter(typing.Protocol):
-    """A voter that can have an entry decided."""
+    """The local member of the control group, which commits entries."""
 
     @property
     def has_lease(self) -> bool:
-        """Tell whether no other host can be leader now."""
+        """Return whether this host is leader and holds the lease."""
 
     async def propose(self, entry: entries.Entry) -> replicated.Applied:
-        """Write an entry and wait until it is applied."""
+        """Append an entry and return the result once it is applied.
+
+        :raises NotLeaderError: this host is not leader, or lost leadership
+        """
 
 
 class CrashAggregator:
-    """Gather ends of endpoints, and have requests put into quarantine."""
+    """Counts reported crashes and quarantines the requests behind them."""
 
     def __init__(
         self,
@@ -74,23 +77,23 @@
         self._clock = clock
         self._instance_id = ids.new_unique()
         self._crash_history = crash_history.CrashHistory(clock)
-        # Requests found to end endpoints and not decided on, with when entry
-        # hosts were told.
+        # Requests over the threshold without a committed decision, with the
+        # time at which entry hosts were last notified.
         self._notified_ms: dict[ids.RequestDigest, int] = {}
-        # Those in quarantine that came to a good end.
+        # Quarantined requests that completed and are to be released.
         self._pending_releases: set[ids.RequestDigest] = set()
-        # What is decided, and since when that is known here.
+        # Committed decisions, with the time at which they were applied here.
         self._decided_ms: dict[quarantine.Quarantined, int] = {}
         self._proposing = False
         self._tasks = runtime.Tasks()
         peers.answers(quarantining.RunsEnded)(self._handle_runs_ended)
 
     def start(self) -> None:
-        """Begin to have requests decided on."""
+        """Start the task that proposes quarantine decisions."""
         self._tasks.start(self._watch_decisions())
 
     async def close(self) -> None:
-        """End every task."""
+        """Cancel all tasks."""
         await self._tasks.close()
 
     async def _handle_runs_ended(
@@ -113,9 +116,9 @@
         )
 
     def _record_crash(self, end: quarantining.RunEnd, now_ms: int) -> bool:
-        """Note an end; return whether it makes its request a fatal one."""
+        """Record a crash; return whether entry hosts must be notified."""
         if quarantine.held(self._quarantine, end.digest) is not None:
-            # Sent before that was known.
+            # The request was sent before the hold reached that host.
             return False
         self._crash_history.record_crash(
             end.digest, end.endpoint, now_ms - end.age_ms
@@ -130,7 +133,7 @@
         ):
             return False
         logger.warning(
-            'request_ends_endpoints',
+            'request_crashes_endpoints',
             digest=end.digest,
             ends=crashes,
             endpoint=end.endpoint,
@@ -140,11 +143,11 @@
 
     @property
     def _quarantine(self) -> quarantine.Quarantine:
-        """Return what is decided, as far as it is known here."""
+        """Return the committed decisions applied on this host."""
         return self._replica.current.quarantine
 
     def _crash_count(self, digest: ids.RequestDigest) -> int:
-        """Return how many endpoints ended, those before a trial too."""
+        """Return the crashes of a request, including those before a trial."""
         decided = self._quarantine.get(digest)
         earlier_crashes = 0 if decided is None else decided.ends
         return earlier_crashes + self._crash_history.crash_count(digest)
@@ -161,7 +164,7 @@
         )
 
     def _handle_success(self, digest: ids.RequestDigest) -> None:
-        """Take note that a request came to a good end somewhere."""
+        """Clear a request that an endpoint has completed."""
         self._crash_history.clear(digest)
         if self._notified_ms.pop(digest, None) is not None:
             logger.info('request_cleared', digest=digest)
@@ -171,7 +174,7 @@
         if digest in self._quarantine:
             self._pending_releases.add(digest)
 
-    # Telling entry hosts.
+    # Notification of entry hosts.
 
     async def _notify_entry_hosts(
         self,
@@ -190,20 +193,22 @@
         try:
             answer = await self._peers.call(host, message, CALL_TIMEOUT_MS)
         except protocol_errors.ProtocolError as error:
-            logger.info('hold_not_told', peer=host, reason=str(error))
+            logger.info(
+                'hold_notification_failed', peer=host, reason=str(error)
+            )
             return
         if isinstance(answer, quarantining.HoldTaken):
             for digest in answer.cleared:
                 self._handle_success(digest)
 
-    # Having it decided.
+    # Decisions.
 
     async def _propose_after_objections(self) -> None:
         await self._clock.sleep_ms(OBJECTION_WINDOW_MS)
         await self._propose_if_leader()
 
     async def _watch_decisions(self) -> None:
-        """Look at what time brings, and at each decision as it is made."""
+        """Propose due decisions periodically and after each new one."""
         while True:
             changed = self._replica.changed
             self._sync_decisions()
@@ -215,13 +220,13 @@
                 continue
 
     def _sync_decisions(self) -> None:
-        """Note what was decided since, and tell what was let go."""
+        """Follow new committed decisions, and notify hosts of releases."""
         current = self._quarantine
         for decision in current.values():
             if decision not in self._decided_ms:
                 self._decided_ms[decision] = self._clock.mono_ms()
             if not decision.on_probation:
-                # Ends from here on are of a trial.
+                # The decision includes these; later crashes are of a trial.
                 self._crash_history.clear(decision.digest)
                 self._notified_ms.pop(decision.digest, None)
         released = []
@@ -235,7 +240,7 @@
         self._pending_releases &= current.keys()
         for digest in list(self._notified_ms):
             if self._crash_count(digest) < crash_history.CRASH_THRESHOLD:
-                # Forgotten before anybody could decide on it.
+                # Its crashes expired before a decision was committed.
                 del self._notified_ms[digest]
         if released:
             self._tasks.start(
@@ -243,7 +248,7 @@
             )
 
     async def _propose_if_leader(self) -> None:
-        """Have what is due decided, in one change, if this host leads."""
+        """Commit all due decisions in one entry if this host is leader."""
         if not self._local_voter.has_lease or self._proposing:
             return
         self._proposing = True
@@ -268,11 +273,11 @@
         try:
             await self._local_voter.propose(entries.SetQuarantine(change))
         except errors.NotLeaderError as error:
-            logger.info('quarantine_not_decided', reason=str(error))
+            logger.info('quarantine_proposal_failed', reason=str(error))
             return
         self._sync_decisions()
         for digest in change.cleared:
-            logger.info('quarantine_left', digest=digest)
+            logger.info('quarantine_released', digest=digest)
         for decision in decisions:
             logger.warning(
                 'quarantine_changed',
@@ -282,7 +287,7 @@
             )
 
     def _due_for_probation(self, now_ms: int) -> list[quarantine.Quarantined]:
-        """Return, on probation, what has been held for long enough."""
+        """Return expired quarantines as new decisions on probation."""
         due = []
         for decision, since_ms in self._decided_ms.items():
             if (
