--- a/wrenspoke/coordination/agreement/__init__.py
+++ b/wrenspoke/coordination/agreement/__init__.py
@@ -1,1 +1,1 @@
-"""How control hosts agree, and what they order."""
+"""Consensus among control hosts, and execution of committed plans."""
--- a/wrenspoke/coordination/agreement/vote_tally.py
+++ b/wrenspoke/coordination/agreement/vote_tally.py
@@ -1,4 +1,4 @@
-"""Count the votes that one canvass brings, and tell why it was lost."""
+"""Vote counting for one round of vote requests."""
 
 import structlog
 
@@ -10,9 +10,9 @@
 
 
 class VoteTally:
-    """Hold what the voters answered to one call for votes.
+    """Counts the replies to one round of vote requests.
 
-    A vote counts where it comes from the disk that was admitted.
+    A vote counts only from the disk incarnation that was admitted.
     """
 
     def __init__(
@@ -29,7 +29,7 @@
     def record_reply(
         self, host: ids.HostId, answer: messages.VoteReply
     ) -> None:
-        """Count an answer."""
+        """Record a voter's reply."""
         if not self._electorate.has(host, answer.incarnation):
             self._refused[host] = f'other disk {answer.incarnation}'
         elif answer.granted:
@@ -40,7 +40,7 @@
 
     @property
     def won(self) -> bool:
-        """Tell whether a majority gave its vote."""
+        """Return whether a majority granted its vote."""
         return bool(
             self._electorate.reached(
                 lambda host, disk: int(self._granted.get(host) == disk)
@@ -48,10 +48,9 @@
         )
 
     def log_lost(self, request: messages.AskVote, silence_ms: int) -> None:
-        """Log who kept this host from leading, and why.
+        """Log which hosts granted, refused or did not answer the request.
 
-        ``silence_ms`` is how long no leader was heard. Who is in none of
-        the lists gave no answer.
+        :param silence_ms: the time since the last contact with a leader
         """
         unanswered = (
             set(self.other_voters)
@@ -59,7 +58,7 @@
             - self._refused.keys()
         )
         logger.warning(
-            'canvass_lost',
+            'votes_lost',
             term=request.term,
             pre=request.pre,
             last_index=request.last_index,
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -1,16 +1,17 @@
-"""A control host's part in agreement: elections and the replicated log.
-
-The rules are Raft's (Ongaro and Ousterhout, 2014), with pre-votes, a
-leader's lease in time since the boot and changes of one voter at a time.
-What differs is how a lost disk comes back. Every disk has an incarnation; a
-vote counts under the incarnation that was admitted. A new disk learns
-without a vote, and the leader admits it by two committed changes (the old
-incarnation out, the new one in) once it has caught up and synced. A disk
-put back from an old copy is told so by the others, who remember how often
-it was started, and becomes a new incarnation.
-
-A disk without room takes this host's vote and lead away, as nothing can be
-promised; all else goes on, and it catches up once there is room.
+"""A member of the control group: elections and the replicated log.
+
+Implements Raft (Ongaro and Ousterhout, 2014) with pre-votes, a leader lease
+on the clock since boot, and changes of one voter at a time. It differs in
+the recovery of lost disks: every disk has an incarnation, and a vote counts
+only under the incarnation that was admitted. A new disk starts as a learner;
+the leader admits it by two committed changes (the old incarnation out, the
+new one in) once it has caught up and synced. A disk restored from an old
+copy is detected by its peers, which store its start count, and becomes a new
+incarnation.
+
+Without free disk space this host neither votes nor leads, because it cannot
+persist votes or entries. It keeps serving everything else, and catches up
+once there is space.
 """
 
 from __future__ import annotations
@@ -47,18 +48,19 @@
 from wrenspoke.state import storage
 
 if typing.TYPE_CHECKING:
-    # Their checks need a library that control hosts can do without.
+    # The validation of settings needs a library that control hosts lack.
     from wrenspoke import settings
 
 logger = structlog.get_logger(__name__)
 
 
-# A snapshot then takes its place; whole tables of routes are large.
+# Log size that triggers a snapshot, whatever the number of entries: an entry
+# may hold a complete route table.
 LOG_LIMIT_BYTES = 4 * 1024 * 1024
 
 
 class Role(enum.Enum):
-    """Say what a control host does in its term."""
+    """Raft role of a control host in its current term."""
 
     FOLLOWER = 'follower'
     CANDIDATE = 'candidate'
@@ -68,10 +70,10 @@
 def _refuse_if_disk_full(
     answer: collections.abc.Callable,
 ) -> collections.abc.Callable:
-    """Decorate what answers a message and has to write something first.
+    """Decorate a message handler that writes to the disk.
 
-    Without room on the disk the sender is refused, which it takes for no
-    answer; the disk itself has told of it in the log.
+    If the disk is full the sender gets a refusal, which it handles like a
+    missing answer. The disk logs the error itself.
     """
 
     @functools.wraps(answer)
@@ -87,7 +89,7 @@
 
 
 class Voter:
-    """Agree with the other control hosts on a log, and apply it."""
+    """Replicates the log with the other control hosts and applies it."""
 
     def __init__(
         self,
@@ -117,8 +119,8 @@
         self._pre_vote_running = False
         self._pre_vote_yielded = False
         self._instance_id = ids.new_unique()
-        # For which moment a leader's word says that nothing newer was
-        # accepted than what is committed here.
+        # Time on this host's clock up to which a leader has confirmed that
+        # every accepted entry is committed here.
         self._confirmed_ms: int | None = None
         self._rollback_check = rollback_check.RollbackCheck(
             store, group, peers, control_settings, clock
@@ -134,40 +136,40 @@
         peers.answers(messages.Install)(self._handle_install)
         peers.answers(attending.ConfirmIndex)(self._handle_confirm_index)
 
-    # State that is on the disk.
+    # Persistent state.
 
     @property
     def term(self) -> int:
-        """Return the highest term that this host knows."""
+        """Return the highest term this host has seen."""
         return self.storage.meta.term
 
     @property
     def incarnation(self) -> ids.Incarnation:
-        """Return the name of this host's disk."""
+        """Return the incarnation of this host's disk."""
         return self.storage.meta.incarnation
 
     @property
     def electorate(self) -> electorates.Electorate:
-        """Return who decides, by the newest entry."""
+        """Return the electorate of the newest entry, committed or not."""
         return self.storage.electorate()
 
     @property
     def committed_electorate(self) -> electorates.Electorate:
-        """Return who decides by what is committed, as far as known."""
+        """Return the electorate as of this host's commit index."""
         return self.storage.electorate_at(self.commit_index)
 
     @property
     def is_voter(self) -> bool:
-        """Tell whether this host, on this disk, has a vote."""
+        """Return whether this host has a vote with its current disk."""
         return self.electorate.has(self.host, self.incarnation)
 
     @property
     def _may_lead(self) -> bool:
-        """Tell whether this host has a vote, or may have it still.
+        """Return whether this host may campaign.
 
-        One that lost it by a change that is not committed may hold the
-        longest log, so that nobody wins against it. Then it has the change
-        committed, by the votes of others, and steps down.
+        A voter removed by an uncommitted change may campaign too: if it has
+        the longest log, no other host can win. Once elected it commits the
+        change with the votes of the others, and steps down.
         """
         before = self.committed_electorate
         return self.is_voter or before.has(self.host, self.incarnation)
@@ -186,7 +188,10 @@
             )
 
     def adopt_term(self, term: int) -> None:
-        """Take note of a higher term, which ends a lead of this host."""
+        """Adopt a higher term, stepping down if this host is leader.
+
+        :raises DiskFullError: the term was not persisted
+        """
         if term <= self.term:
             return
         self._step_down()
@@ -194,10 +199,10 @@
         self.storage.meta.voted_for = None
         self.storage.save_meta()
 
-    # Start.
+    # Lifecycle.
 
     def start(self) -> None:
-        """Take part, once the others know of this start."""
+        """Start the rollback check and the election timer."""
         self._leader_contact_ms = self.clock.mono_ms()
         self._tasks.start(
             self._rollback_check.wait_until_passed(self._reset_state)
@@ -205,13 +210,13 @@
         self._tasks.start(self._run_election_timer())
 
     async def close(self) -> None:
-        """End every task."""
+        """Step down and cancel all tasks."""
         self._step_down()
         await self._leadership_tasks.close()
         await self._tasks.close()
 
     def _reset_state(self) -> None:
-        """Hold nothing any more, as the disk was an old copy."""
+        """Discard the applied state after a disk rollback."""
         self.state = replicated.ReplicatedState()
         self.commit_index = 0
 
@@ -227,13 +232,13 @@
 
     @property
     def has_leader(self) -> bool:
-        """Tell whether this host leads, or heard from who does of late."""
+        """Return whether this host leads or has contact with the leader."""
         if self.role is Role.LEADER:
             return self.has_lease
         return self.leader is not None and self._has_leader_contact()
 
     async def _run_election_timer(self) -> None:
-        """Stand for election when the leader falls silent."""
+        """Run an election whenever the election timeout elapses."""
         patience_ms = self._random_election_timeout_ms()
         while True:
             await self.clock.sleep_ms(self.settings.beat_interval_ms / 2)
@@ -247,38 +252,38 @@
             if waited_ms < patience_ms:
                 continue
             patience_ms = self._random_election_timeout_ms()
-            # Not as if a leader was heard: two hosts that canvass in turn
-            # would refuse each other their votes.
+            # Kept apart from leader contact, which makes this host refuse
+            # votes: two candidates would keep refusing each other.
             self._election_attempt_ms = self.clock.mono_ms()
             if not self._rollback_check.passed or not self._may_lead:
                 continue
             before = (self.term, self._leader_contact_ms)
-            # Without room on the disk there is nothing to stand with.
+            # With a full disk this host cannot persist its own vote.
             with contextlib.suppress(state_errors.DiskFullError):
                 if not await self._run_pre_vote():
                     continue
                 if (self.term, self._leader_contact_ms) != before:
-                    # Another stood meanwhile and has this host's vote, or
-                    # leads already; a higher term would only end its lead.
+                    # Another candidate got this host's vote or was elected
+                    # meanwhile; a higher term would only depose it.
                     continue
                 await self._run_election()
 
     async def _run_pre_vote(self) -> bool:
-        """Return whether this host would win and should stand."""
+        """Return whether this host would win an election and may run it."""
         self._pre_vote_running, self._pre_vote_yielded = True, False
         try:
             won = await self._request_votes(pre=True)
         finally:
             self._pre_vote_running = False
         if won and self._pre_vote_yielded:
-            logger.info('canvass_yielded', term=self.term + 1)
+            logger.info('pre_vote_yielded', term=self.term + 1)
         return won and not self._pre_vote_yielded
 
     def _yield_pre_vote_to(self, sender: ids.HostId) -> None:
-        """Let one of two go on that ask beforehand at the same time.
+        """Yield to a concurrent pre-vote of a host with a lower name.
 
-        Both would stand, vote for themselves and wait another time-out.
-        The names decide, as both know them.
+        If both ran an election, each would vote for itself, and both would
+        wait for another election timeout.
         """
         if self._pre_vote_running and sender < self.host:
             self._pre_vote_yielded = True
@@ -298,7 +303,10 @@
             self._become_leader(asked_ms)
 
     async def _request_votes(self, pre: bool) -> bool:
-        """Ask for votes and return whether a majority gave them."""
+        """Request votes and return whether a majority granted them.
+
+        :param pre: whether to run a pre-vote, which leaves the term as it is
+        """
         term = self.term + 1 if pre else self.term
         message = messages.AskVote(
             term,
@@ -349,7 +357,7 @@
     async def call(
         self, host: ids.HostId, message: messages.Message
     ) -> messages.Message | None:
-        """Send a message and return the answer, None without one."""
+        """Send a message and return the answer, None if there is none."""
         try:
             answer = await self._peers.call(
                 host, message, self.settings.election_timeout_ms / 2
@@ -375,7 +383,10 @@
     def _grant_vote(
         self, sender: ids.HostId, term: int
     ) -> messages.VoteRefusal | None:
-        """Note a vote on the disk; return why none can be given."""
+        """Persist a vote for ``sender``; return the reason if refused.
+
+        :raises DiskFullError: the vote was not persisted
+        """
         self.adopt_term(term)
         meta = self.storage.meta
         if meta.voted_for not in (None, sender):
@@ -388,15 +399,13 @@
     def _vote_refusal(
         self, message: messages.AskVote
     ) -> messages.VoteRefusal | None:
-        """Return what speaks against a vote, None where nothing does.
-
-        Whether this host has a vote is for the candidate to know, whose
-        log may be newer: one that was just admitted may not have heard of
-        it, and its vote may be the one that is needed to tell it. Where it
-        was not asked for by its own log, a group of three that had lost
-        one and was cut in that moment could never lead again. A disk that
-        holds no voters at all was never admitted as it is, and may have
-        forgotten that it was.
+        """Return why this host must refuse its vote, None if it may grant it.
+
+        Whether this host is a voter is up to the candidate, whose log may be
+        newer: a voter that was just admitted may not have received that
+        entry yet, and its vote may be needed to elect the leader that
+        replicates it. A disk without any voters in its log is refused, as
+        it may have lost its state since it was admitted.
         """
         if not self._rollback_check.passed:
             return messages.VoteRefusal.NOT_CLEARED
@@ -417,10 +426,10 @@
         return None
 
     async def confirmed_index(self) -> int | None:
-        """Return up to which index everything accepted so far is.
+        """Return an index that covers every entry accepted so far.
 
-        A leader knows by its lease, others ask it; None where neither
-        can be sure.
+        The leader relies on its lease, other hosts ask the leader. Returns
+        None if there is no leader, no answer or no lease.
         """
         if self.has_lease:
             return self.commit_index
@@ -429,14 +438,14 @@
             return None
         answer = await self.call(self.leader, attending.ConfirmIndex())
         if not isinstance(answer, attending.IndexConfirmed):
-            self._log_unconfirmed_index('leader gave no answer')
+            self._log_unconfirmed_index('no answer from the leader')
             return None
         if answer.index is None:
             self._log_unconfirmed_index('leader has no lease')
         return answer.index
 
     def _log_unconfirmed_index(self, reason: str) -> None:
-        """Log why it is not known whether something newer was accepted."""
+        """Log why the newest accepted index could not be confirmed."""
         logger.warning(
             'index_unconfirmed',
             reason=reason,
@@ -456,7 +465,7 @@
             self.commit_index if self.has_lease else None
         )
 
-    # Leading.
+    # Leader role.
 
     def _become_leader(self, asked_ms: int) -> None:
         self.role = Role.LEADER
@@ -489,26 +498,26 @@
 
     @property
     def has_lease(self) -> bool:
-        """Tell whether no other host can be leader now."""
+        """Return whether this host leads and no other host can lead now."""
         return self._leadership is not None and self._leadership.has_lease
 
     @property
     def leader_since_ms(self) -> int:
-        """Return when the votes for this lead were asked for."""
+        """Return when this leader requested its votes, 0 if not leader."""
         return 0 if self._leadership is None else self._leadership.since_ms
 
     def _check_quorum(self) -> None:
-        """Step down without a majority for long, or without a vote."""
+        """Step down without contact to a majority, or once removed."""
         silence_ms = self.clock.mono_ms() - self._leadership.quorum_acked_ms()
         silent = silence_ms > 2 * self.settings.election_timeout_ms
         if silent or not self._may_lead:
             self._step_down()
 
     async def propose(self, entry: entries.Entry) -> replicated.Applied:
-        """Write an entry and return what applying it did.
+        """Append an entry and return the result of applying it.
 
-        :raises NotLeaderError: this host does not lead, or lost the lead
-            before the entry was accepted
+        :raises NotLeaderError: this host is not leader, or lost leadership
+            before the entry was committed
         """
         if self.role is not Role.LEADER:
             raise errors.NotLeaderError(self.leader, may_be_accepted=False)
@@ -531,10 +540,13 @@
         self._leadership.wake_replication()
         self._leadership.advance_commit()
 
-    # Following.
+    # Follower role.
 
     def _accept_leader(self, leader: ids.HostId, term: int) -> bool:
-        """Take a leader's word; False if its term is over."""
+        """Accept a leader and its term; return False if the term is old.
+
+        :raises DiskFullError: the term was not persisted
+        """
         self.group.record_contact(leader)
         if term < self.term:
             return False
@@ -579,7 +591,11 @@
         return self._append_reply(True, matched)
 
     def _update_confirmed_ms(self, message: messages.Append) -> None:
-        """Note for which moment all is known here that was accepted."""
+        """Record the time that a leader's message confirms.
+
+        Times of another process instance are ignored, because the clock may
+        have restarted.
+        """
         moment = message.confirmed
         if moment is None or moment.life != self._instance_id:
             return
@@ -588,10 +604,11 @@
 
     @property
     def confirmed_age_ms(self) -> int | None:
-        """Return how old the newest word is that nothing newer was accepted.
+        """Return the age of the newest confirmation by a leader.
 
-        None without one. It rides on the leader's heartbeats, which give
-        back the moment of the last answer.
+        Everything accepted before it is committed here; None without one.
+        The leader's messages echo the time sent with this host's last
+        answer.
         """
         if self.has_lease:
             return 0
@@ -600,7 +617,10 @@
         return self.clock.mono_ms() - self._confirmed_ms
 
     def _store_entries(self, added: list[entries.LogEntry]) -> int:
-        """Write what is new; drop what contradicts it."""
+        """Append new entries, truncating the log where the terms differ.
+
+        Returns the last index of ``new_entries``, 0 if there are none.
+        """
         kept = self.storage
         for place, entry in enumerate(added):
             if entry.index <= kept.snapshot.index:
@@ -627,10 +647,10 @@
             logger.info('snapshot_installed', index=self.commit_index)
         return self._append_reply(True, message.snapshot.index)
 
-    # Applying.
+    # Applying committed entries.
 
     def commit(self, index: int) -> None:
-        """Apply what is committed, up to ``index``."""
+        """Apply the entries up to ``index`` and compact the log."""
         advanced = False
         while self.commit_index < index:
             entry = self.storage.entry(self.commit_index + 1)
@@ -667,7 +687,7 @@
         large = covered and kept.log_bytes > LOG_LIMIT_BYTES
         if covered < self.settings.snapshot_entries and not large:
             return
-        # Where there is no room the log stays, and the next commit tries.
+        # With a full disk the log stays, and the next commit retries.
         with contextlib.suppress(state_errors.DiskFullError):
             self._write_snapshot()
 
