--- a/wrenspoke/coordination/agreement/bootstrap.py
+++ b/wrenspoke/coordination/agreement/bootstrap.py
@@ -1,4 +1,4 @@
-"""Begin a group: on one disk by command, or on all seeds together."""
+"""Bootstrap of a control group, on one disk or on all seeds together."""
 
 import typing
 
@@ -16,16 +16,16 @@
 def bootstrap_single(
     kept: storage.Storage, host: ids.HostId, first: entries.Found
 ) -> None:
-    """Begin a new group on an empty disk, with one voter.
+    """Bootstrap a new group on an empty disk, with one voter.
 
-    This is never part of a daemon's start: a host whose disk was lost
-    would begin a second group beside its own.
+    A daemon must never call this at its start: a host that lost its disk
+    would bootstrap a second group beside the existing one.
 
-    :raises InvalidChangeError: the disk holds a log already
+    :raises InvalidChangeError: the disk already holds a log
     """
     if kept.last_index:
         raise state_errors.InvalidChangeError(
-            f'{host} holds a log up to {kept.last_index} already'
+            f'disk of {host} is not empty: last index {kept.last_index}'
         )
     kept.meta.term = 1
     kept.save_meta()
@@ -43,12 +43,13 @@
     host: ids.HostId,
     seeds: typing.Iterable[ids.HostId],
 ) -> None:
-    """Begin a new group on the empty disks of all seeds.
+    """Bootstrap a new group on the empty disks of all seeds.
 
-    Each seed writes the same entries under names that all can tell
-    beforehand, so that nobody has to be first. What says that this is
-    the first start of all has to come from the platform: a host whose
-    disk was lost must not do this again.
+    Each seed writes the same entries, with incarnations derived from the
+    host names, so that no seed has to start first. Does nothing on other
+    hosts or on a disk that was used before. The caller must know that this
+    is the first start of the group: a host that lost its disk must not
+    bootstrap again.
     """
     if host not in seeds or kept.last_index or kept.meta.boot:
         return
--- a/wrenspoke/coordination/agreement/rollback_check.py
+++ b/wrenspoke/coordination/agreement/rollback_check.py
@@ -1,9 +1,10 @@
-"""Make sure that a control host's disk is not an old copy of itself.
+"""Detection of control host disks that were restored from an old copy.
 
-A disk counts its starts. Each start is told to the other control hosts,
-who remember it on their own disks; a disk that comes with a number that
-they have seen under another start has forgotten what it promised, and
-becomes a new one. Until a majority has taken note, it gives no vote.
+Every disk counts its starts, and each start is reported to the other control
+hosts, which persist it. If they have already stored the same count for a
+different start, the disk was rolled back and may have lost votes: it is
+wiped and gets a new incarnation. The host grants no vote until a majority has
+acknowledged its start.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 
 
 class RollbackCheck:
-    """Tell the others of this start, and remember theirs."""
+    """Reports this start to the other control hosts and stores theirs."""
 
     def __init__(
         self,
@@ -68,12 +69,13 @@
     async def wait_until_passed(
         self, on_rollback: collections.abc.Callable[[], None]
     ) -> None:
-        """Make sure that this disk is no old copy of itself.
+        """Report this start until a majority has acknowledged it.
 
-        ``become_new`` is called if it was one, and now holds nothing.
+        :param on_rollback: called after the disk was found to be rolled back
+            and was wiped
         """
         while not self.passed:
-            # Without room on the disk it tries again until there is some.
+            # A full disk is retried until there is space.
             with contextlib.suppress(state_errors.DiskFullError):
                 if not self._start_counted:
                     self._count_start()
@@ -82,9 +84,9 @@
                 await self._clock.sleep_ms(HELLO_INTERVAL_MS)
 
     def _count_start(self) -> None:
-        """Count this start on the disk.
+        """Increment the start count on the disk.
 
-        :raises DiskFullError: it is not counted
+        :raises DiskFullError: the count was not persisted
         """
         self._storage.meta.boot += 1
         self._storage.save_meta()
@@ -106,7 +108,7 @@
             if not isinstance(answer, messages.HelloReply):
                 continue
             if answer.known_boot >= meta.boot:
-                # Some other start of this disk had this number already.
+                # The peer has stored this count for another start.
                 logger.error(
                     'old_disk',
                     boot=meta.boot,
