--- a/wrenspoke/coordination/agreement/followers.py
+++ b/wrenspoke/coordination/agreement/followers.py
@@ -1,4 +1,4 @@
-"""What a leader knows of another control host."""
+"""Replication progress of another control host, as seen by the leader."""
 
 import asyncio
 
@@ -8,11 +8,11 @@
 
 
 class Follower:
-    """Hold how far a control host is, and when it last said so.
+    """Tracks the replication progress of one control host.
 
-    ``location`` is where it said that it stands.
-    ``acked_ms`` is when the message was sent that it answered last, None
-    before the first one; ``moment`` the one that it told with its answer.
+    ``location`` is the location in its last answer. ``acked_ms`` is the time
+    at which the last answered message was sent, None before the first answer.
+    ``moment`` is the follower's clock reading in that answer.
     """
 
     def __init__(self, next_index: int):
--- a/wrenspoke/coordination/agreement/leadership.py
+++ b/wrenspoke/coordination/agreement/leadership.py
@@ -1,4 +1,4 @@
-"""One term's lead: replication, commits, the lease."""
+"""Leader duties during one term: replication, commits and the lease."""
 
 import contextlib
 import typing
@@ -29,7 +29,7 @@
 
 
 class LeaderNode(typing.Protocol):
-    """Be what a lead needs of the voter that holds it."""
+    """The parts of the voter that the leadership uses."""
 
     host: ids.HostId
     group: control_group.ControlGroup
@@ -40,29 +40,32 @@
 
     @property
     def incarnation(self) -> ids.Incarnation:
-        """Return the name of this host's disk."""
+        """Return the incarnation of this host's disk."""
 
     @property
     def electorate(self) -> electorates.Electorate:
-        """Return who decides, by the newest entry."""
+        """Return the electorate of the newest entry, committed or not."""
 
     async def call(
         self, host: ids.HostId, message: messages.Message
     ) -> messages.Message | None:
-        """Send a message and return the answer, None without one."""
+        """Send a message and return the answer, None if there is none."""
 
     def commit(self, index: int) -> None:
-        """Apply what is committed."""
+        """Apply the entries up to ``index``."""
 
     def adopt_term(self, term: int) -> None:
-        """Take note of a higher term, which ends the lead."""
+        """Adopt a higher term, which ends this leadership."""
 
     async def propose(self, entry: entries.Entry) -> replicated.Applied:
-        """Write an entry and wait until it is applied."""
+        """Append an entry and return the result once it is applied."""
 
 
 class Leadership:
-    """Hold what a leader does from its election to its end."""
+    """Runs the leader's tasks from its election until it steps down.
+
+    ``since_ms`` is when the leader requested its votes.
+    """
 
     def __init__(
         self,
@@ -82,12 +85,12 @@
         self.ended = False
 
     def start(self) -> None:
-        """Begin to replicate and to admit."""
+        """Start replication and the maintenance of voters."""
         self._sync_followers()
         self._tasks.start(self._maintain_voters())
 
     def _sync_followers(self) -> None:
-        """Replicate to control hosts that are new, not to those gone."""
+        """Start replication to new control hosts, stop it to removed ones."""
         wanted = {
             *self._node.group.other_hosts(),
             *self._node.electorate.hosts,
@@ -101,17 +104,17 @@
             del self._followers[host]
 
     def end(self) -> None:
-        """Let every task of this lead end."""
+        """Make all tasks of this leadership finish."""
         self.ended = True
         self.wake_replication()
 
     def wake_replication(self) -> None:
-        """Let the followers be sent what is new."""
+        """Make the replication tasks send new entries now."""
         for follower in self._followers.values():
             follower.has_new_entries.set()
 
     def quorum_acked_ms(self) -> int:
-        """Return since when a majority is known to follow this leader."""
+        """Return the newest send time that a majority has acknowledged."""
         now_ms = self._node.clock.mono_ms()
 
         def acked_ms(host: ids.HostId, disk: ids.Incarnation) -> int:
@@ -133,7 +136,7 @@
     def _follower_on_disk(
         self, host: ids.HostId, disk: ids.Incarnation
     ) -> followers.Follower | None:
-        """Return what is known of a host, None if its disk is another."""
+        """Return a host's progress, None if it has another disk."""
         follower = self._followers.get(host)
         if follower is None or follower.incarnation != disk:
             return None
@@ -141,10 +144,10 @@
 
     @property
     def has_lease(self) -> bool:
-        """Tell whether no other host can be leader now.
+        """Return whether no other host can be leader now.
 
-        A majority that answered a message sent at some time gives no
-        vote to others for an election timeout from then.
+        A majority that answered a message grants no vote to other hosts for
+        an election timeout after the message was sent.
         """
         if self.ended:
             return False
@@ -158,7 +161,7 @@
     async def _replicate_to(
         self, host: ids.HostId, follower: followers.Follower
     ) -> None:
-        """Keep one other control host's log equal to ours."""
+        """Replicate the log to one control host until leadership ends."""
         while not self.ended and self._followers.get(host) is follower:
             follower.has_new_entries.clear()
             sent_ms = self._node.clock.mono_ms()
@@ -208,7 +211,8 @@
         sent_ms: int,
     ) -> None:
         if answer.term > self.term:
-            # Without room for the term on the disk the lead is over too.
+            # If the disk is too full to persist the term, this host has
+            # stepped down all the same.
             with contextlib.suppress(state_errors.DiskFullError):
                 self._node.adopt_term(answer.term)
             return
@@ -227,7 +231,11 @@
         self.advance_commit()
 
     def advance_commit(self) -> None:
-        """Commit what a majority holds, if an entry of this term is."""
+        """Commit the entries that a majority has stored.
+
+        As in Raft, an entry of an older term is committed only together with
+        a later one of this term.
+        """
 
         def held_index(host: ids.HostId, disk: ids.Incarnation) -> int:
             if self._is_local_disk(host, disk):
@@ -240,11 +248,11 @@
             return
         if index > self._node.commit_index:
             self._node.commit(index)
-            # The followers apply it when they are told.
+            # Followers apply entries once they receive the commit index.
             self.wake_replication()
 
     async def _maintain_voters(self) -> None:
-        """Keep the voters complete, by one change at a time."""
+        """Propose voter changes, one at a time."""
         while not self.ended:
             await self._node.clock.sleep_ms(
                 self._node.settings.beat_interval_ms
--- a/wrenspoke/coordination/agreement/voter_planner.py
+++ b/wrenspoke/coordination/agreement/voter_planner.py
@@ -1,7 +1,7 @@
-"""Which disks a leader gives a vote, and which lose theirs.
+"""Planning of voter changes by the leader.
 
-There are as many voters as the settings allow, on disks that are there,
-and spread over as many regions and data centres as can be.
+Keeps as many voters as the settings allow, on responsive hosts that have
+caught up, spread over as many regions and data centres as possible.
 """
 
 import collections.abc
@@ -22,7 +22,7 @@
 
 
 class LeaderState(typing.Protocol):
-    """Be what admissions need to know of the leader's own host."""
+    """State of the leader's own host that the planner reads."""
 
     host: ids.HostId
     location: locations.Location
@@ -33,11 +33,14 @@
 
     @property
     def electorate(self) -> electorates.Electorate:
-        """Return who decides, by the newest entry."""
+        """Return the electorate of the newest entry, committed or not."""
 
 
 class VoterPlanner:
-    """Find the next change of voters, as the leader sees the others."""
+    """Plans the next voter change from the followers' progress.
+
+    ``since_ms`` is when the leader requested its votes.
+    """
 
     def __init__(self, leader_state: LeaderState, since_ms: int):
         self._leader_state = leader_state
@@ -46,9 +49,9 @@
     def next_change(
         self, follower_states: Followers
     ) -> entries.SetVoters | None:
-        """Return the next change of voters, None where all is well.
+        """Return the next voter change, None if none is needed.
 
-        The last one must be committed.
+        The previous change must be committed.
         """
         electorate = self._leader_state.electorate
         if electorate.before:
@@ -67,7 +70,7 @@
         return self._leader_state.settings.voters_limit
 
     def _is_eligible(self, follower: followers.Follower) -> bool:
-        """Tell whether a host holds all that is committed, and is there."""
+        """Return whether a host has caught up and is responsive."""
         if follower.incarnation is None or follower.acked_ms is None:
             return False
         if follower.match_index < self._leader_state.commit_index:
@@ -78,7 +81,7 @@
     def _replace_disk(
         self, voters: electorates.Voters, follower_states: Followers
     ) -> entries.SetVoters | None:
-        """Let a host's new disk take the vote of the one that it lost."""
+        """Move a voter's vote from its lost disk to its new one."""
         for host, follower in follower_states.items():
             previous_disk = voters.get(host)
             if previous_disk is None or previous_disk == follower.incarnation:
@@ -96,7 +99,7 @@
     def _eligible_learners(
         self, voters: electorates.Voters, follower_states: Followers
     ) -> dict[ids.HostId, ids.Incarnation]:
-        """Return the hosts without a vote that could have one at once."""
+        """Return the hosts without a vote that are ready to be admitted."""
         return {
             host: follower.incarnation
             for host, follower in follower_states.items()
@@ -129,10 +132,10 @@
     def _replace_silent_voter(
         self, voters: electorates.Voters, follower_states: Followers
     ) -> entries.SetVoters | None:
-        """Let a host that stands by take the place of a silent one.
+        """Replace a voter that has not answered for ``replace_after_ms``.
 
-        Until it has, one more lost disk may end the group. That costs two
-        entries, and a host that comes back after all stands by itself.
+        Until then the loss of one more disk may cost the group its majority.
+        If the replaced host returns, it becomes a learner.
         """
         silent = self._longest_silent_voter(voters, follower_states)
         if silent is None or self._limit is None:
@@ -154,14 +157,14 @@
     def _improve_spread(
         self, voters: electorates.Voters, follower_states: Followers
     ) -> entries.SetVoters | None:
-        """Spread the voters over more places, so that one may be lost.
+        """Replace a voter so that the voters span more locations.
 
-        Two voters stand in one region after another one was lost, and its
-        host takes a place again once it is back.
+        After the loss of a region, two voters share another region; this
+        moves a vote back once a host of the lost region has returned.
         """
         if not all(self._location(host, follower_states) for host in voters):
-            # A voter that has not answered in this lead yet may be one of
-            # those that spread them.
+            # The location of a voter is unknown until it has answered this
+            # leader.
             return None
         spread = self._spread(voters, follower_states)
         learners = self._eligible_learners(voters, follower_states)
@@ -186,7 +189,7 @@
         voters: collections.abc.Iterable[ids.HostId],
         follower_states: Followers,
     ) -> ids.HostId | None:
-        """Return who spreads some voters most, None where nobody is."""
+        """Return the learner that spreads voters best, None without any."""
         return max(
             sorted(learners),
             key=lambda host: self._spread([*voters, host], follower_states),
@@ -198,9 +201,9 @@
         hosts: collections.abc.Iterable[ids.HostId],
         follower_states: Followers,
     ) -> tuple[int, int]:
-        """Return in how many regions and data centres hosts stand.
+        """Return the number of distinct regions and locations of hosts.
 
-        Those that did not say where count for none.
+        Hosts with an unknown location are not counted.
         """
         host_locations = {
             self._location(host, follower_states) for host in hosts
@@ -227,11 +230,11 @@
         )
 
     def _silence_ms(self, host: ids.HostId, follower_states: Followers) -> int:
-        """Return for how long a voter has not followed, as far as known.
+        """Return how long a voter has not answered, at least.
 
-        One that has not in this lead may have been silent before: had each
-        new leader to find that out anew, a lost one would keep its place a
-        second longer.
+        If it has not answered this leader, the control group's record is used
+        as well, so that each new leader does not wait anew before it replaces
+        a lost voter.
         """
         now_ms = self._leader_state.clock.mono_ms()
         follower = follower_states.get(host)
