--- a/wrenspoke/coordination/agreement/control_service.py
+++ b/wrenspoke/coordination/agreement/control_service.py
@@ -1,4 +1,4 @@
-"""What a control host does for operators and for entry hosts."""
+"""Control host services for operators and entry hosts."""
 
 import hashlib
 
@@ -39,7 +39,7 @@
 
 
 class ControlService:
-    """Plan, confirm and explain; hand the configuration to entry hosts."""
+    """Handles operator requests and configuration pulls by entry hosts."""
 
     def __init__(
         self,
@@ -65,15 +65,15 @@
         peers.answers(messages.PassStanding)(self._handle_status)
 
     def start(self) -> None:
-        """Begin to tell relays of changes."""
+        """Start notifying relays of configuration changes."""
         self._tasks.start(self._notify_relays())
 
     async def close(self) -> None:
-        """End the task."""
+        """Cancel all tasks."""
         await self._tasks.close()
 
     async def _notify_relays(self) -> None:
-        """Tell the relays that pull here of each change, at once."""
+        """Notify the relays that pull from this host of each change."""
         told = 0
         while True:
             changed = self._replica.changed
@@ -101,7 +101,7 @@
         return delta
 
     async def _forward_status(self, standing: messages.Standing) -> None:
-        """Bring a standing to the leader, if a plan waits for it."""
+        """Forward a data centre's status to the leader if plans run."""
         elected = self._voter
         if elected.role is voter.Role.LEADER:
             self._executor.update_status(standing)
@@ -118,7 +118,7 @@
     async def plan(
         self, operator: ids.OperatorId, request: operators.PlanRequest
     ) -> operators.OperatorAnswer:
-        """Make a plan; the same request again gets the same answer."""
+        """Create a plan; a repeated request gets the same answer."""
         digest = _request_digest('plan', request)
         known = self._known_answer(operator, request.number, digest)
         if known is not None:
@@ -143,7 +143,7 @@
         plan: ids.PlanId,
         request: operators.ConfirmRequest,
     ) -> operators.OperatorAnswer:
-        """Put a plan in force; the same again gets the same answer."""
+        """Confirm a plan; a repeated request gets the same answer."""
         digest = _request_digest(f'confirm {plan}', request)
         known = self._known_answer(operator, request.number, digest)
         if known is not None:
@@ -208,7 +208,7 @@
         return operators.OperatorAnswer(status, body)
 
     def show_plan(self, plan: ids.PlanId) -> operators.OperatorAnswer:
-        """Tell what a plan is, how far it has come and why."""
+        """Return a plan, its progress and what it waits for."""
         found = self._voter.state.plans.get(plan)
         if found is None:
             return _error_answer(NOT_FOUND, f'no plan {plan}')
@@ -219,7 +219,7 @@
         return operators.OperatorAnswer(OK, body)
 
     def list_plans(self) -> operators.OperatorAnswer:
-        """List the plans that are kept, oldest first."""
+        """Return summaries of the retained plans, oldest first."""
         listed = [
             {
                 'plan': plan.plan,
@@ -232,11 +232,11 @@
         return operators.OperatorAnswer(OK, {'plans': listed})
 
     def show_configuration(self) -> operators.OperatorAnswer:
-        """Return the configuration as this host has it."""
+        """Return the configuration applied on this host."""
         return operators.OperatorAnswer(OK, self._voter.state.configuration)
 
     def show_status(self) -> operators.OperatorAnswer:
-        """Tell what this control host knows of the group."""
+        """Return this host's role and view of the control group."""
         elected = self._voter
         deciding = elected.committed_electorate
         body = {
--- a/wrenspoke/coordination/agreement/direct_decisions.py
+++ b/wrenspoke/coordination/agreement/direct_decisions.py
@@ -1,7 +1,7 @@
-"""Operators' decisions that need no plan: routes and evacuations.
+"""Operator decisions that need no plan: route tables and evacuations.
 
-Each is one entry of the log. What was taken before is acknowledged
-again; what lost against something newer is not in force.
+Each decision is one log entry. A decision that was already accepted is
+acknowledged again; one that is older than the decision in force is rejected.
 """
 
 import structlog
@@ -16,14 +16,14 @@
 
 logger = structlog.get_logger(__name__)
 
-# An operator waits a second for an answer; a host that does not lead
-# waits a part of it for a leader to be found.
+# Part of the operator's one-second timeout that a host waits until a leader
+# is known.
 LEADER_WAIT_MS = 600
 LEADER_POLL_INTERVAL_MS = 50
 
 
 class DirectDecisions:
-    """Take operators' decisions on a control host."""
+    """Commits operator decisions on a control host."""
 
     def __init__(self, local_voter: voter.Voter, clock: clocks.Clock):
         self._voter = local_voter
@@ -32,10 +32,10 @@
     async def replace_routes(
         self, table: routes.RouteTable
     ) -> replicated.Answer:
-        """Put a table in force on all hosts, unless a newer one is.
+        """Commit a route table unless a newer one is in force.
 
-        :raises InvalidChangeError: the table can't be served
-        :raises NotLeaderError: this host does not lead
+        :raises InvalidChangeError: the table is invalid
+        :raises NotLeaderError: this host is not leader, or lost leadership
         """
         routes.check(table)
         await self._wait_for_leadership()
@@ -54,9 +54,9 @@
     async def set_evacuation(
         self, data_centre: ids.DataCentreId, evacuated: bool
     ) -> replicated.Answer:
-        """Keep requests away from a data centre's endpoints, or let them.
+        """Set whether requests avoid the endpoints of a data centre.
 
-        :raises NotLeaderError: this host does not lead
+        :raises NotLeaderError: this host is not leader, or lost leadership
         """
         await self._wait_for_leadership()
         return await self._propose_entry(
@@ -75,9 +75,10 @@
         return applied.answer
 
     async def _wait_for_leadership(self) -> None:
-        """Return once this host leads with a lease.
+        """Wait until this host is leader and holds the lease.
 
-        :raises NotLeaderError: another host leads, or none is found
+        :raises NotLeaderError: another host leads, or there is no leader
+            after ``LEADER_WAIT_MS``
         """
         end_ms = self._clock.mono_ms() + LEADER_WAIT_MS
         while not self._voter.has_lease:
@@ -95,9 +96,10 @@
             await self._clock.sleep_ms(LEADER_POLL_INTERVAL_MS)
 
     async def read_routes(self) -> routes.RouteTable:
-        """Return the newest table that was accepted anywhere.
+        """Return the newest accepted route table (a linearizable read).
 
-        :raises NotLeaderError: this host can't be sure that it has it
+        :raises NotLeaderError: the commit index could not be confirmed, or
+            was not applied here within ``LEADER_WAIT_MS``
         """
         index = await self._voter.confirmed_index()
         end_ms = self._clock.mono_ms() + LEADER_WAIT_MS
--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -1,10 +1,10 @@
-"""Carry out confirmed plans: orders to engines, and waits.
+"""Execution of confirmed plans: orders to engines, and waits.
 
-Only the leader acts, and only under its lease. Each order is allowed by
-a committed entry whose index is the order's fencing number, so an engine
-that checks it refuses a leader that was replaced. For engines that do not
-check, a new leader first waits until the old one's lease and longest
-order must be over.
+Only the leader executes plans, and only while it holds its lease. Each order
+is authorized by a committed entry whose index is the order's fencing number,
+so engines that check it reject orders of a deposed leader. For engines that
+do not check it, a new leader first waits until the lease and any order of
+its predecessor must have ended.
 """
 
 import asyncio
@@ -40,7 +40,7 @@
 
 
 class EngineState(msgspec.Struct):
-    """Be what an engine says at ``GET /state``."""
+    """Response of an engine to ``GET /state``."""
 
     models: list[str] = []
     adapters: list[str] = []
@@ -52,18 +52,18 @@
 
 @dataclasses.dataclass
 class ReceivedStatus:
-    """Hold what a data centre last told, and when."""
+    """The last status received from a data centre, and when."""
 
     status: messages.Standing
     received_ms: int
 
 
 class OrderFailedError(errors.CoordinationError):
-    """Say why an order did not take effect."""
+    """An order failed or did not take effect."""
 
 
 class Executor:
-    """Carry out the steps of confirmed plans while this host leads."""
+    """Executes the steps of confirmed plans while this host is leader."""
 
     def __init__(
         self,
@@ -88,21 +88,24 @@
         self.wait_reasons: dict[ids.PlanId, str] = {}
 
     def start(self) -> None:
-        """Begin to look for steps to carry out."""
+        """Start the task that executes plans."""
         self._tasks.start(self._run_plans())
 
     async def close(self) -> None:
-        """End every task."""
+        """Cancel all tasks."""
         await self._tasks.close()
 
     def update_status(self, standing: messages.Standing) -> None:
-        """Note how far a data centre has come."""
+        """Record the status that a data centre has reported."""
         self._standings[standing.data_centre] = ReceivedStatus(
             standing, self._clock.mono_ms()
         )
 
     def load_wait_ms(self) -> int:
-        """Return how long a load planned now waits for the weight store."""
+        """Return how long a load planned now would wait for its turn.
+
+        The weight store limits the number of loads per minute.
+        """
         ahead = sum(
             1
             for plan in self._voter.state.running()
@@ -172,15 +175,15 @@
         await self._clock.sleep_ms(self._settings.drain_poll_interval_ms)
         self._check_leadership()
 
-    # Waiting for an endpoint to finish.
+    # Waiting for an idle endpoint.
 
     async def _wait_until_idle(
         self, plan: plans.Plan, step: plans.WaitIdle
     ) -> str:
-        """Return once no host can send to the endpoint and none waits.
+        """Wait until an endpoint has no requests, and return the detail.
 
-        Only entry hosts of the endpoint's region send to it, so only
-        their data centres have to be heard.
+        Only entry hosts of the endpoint's region send to it, so only the
+        data centres of that region must have applied the change.
         """
         while True:
             self._check_leadership()
@@ -222,7 +225,7 @@
         try:
             state = await self._read_engine_state(endpoint.endpoint)
         except OrderFailedError:
-            # An engine that does not answer has no work to finish.
+            # An engine that does not answer has no requests to finish.
             return ''
         if state.running or state.waiting:
             return f'engine has {state.running + state.waiting} requests'
@@ -255,7 +258,10 @@
     async def _wait_out_old_leader(
         self, plan: plans.Plan, step: plans.Order
     ) -> None:
-        """Wait out the old leader where the engine would obey it."""
+        """Wait until no order of the old leader can arrive any more.
+
+        Engines that check fencing numbers need no wait.
+        """
         found = self._voter.state.configuration.endpoint(step.endpoint)
         if found.fenced:
             return
@@ -276,7 +282,10 @@
             await self._poll_pause()
 
     async def _commit_order(self, plan: plans.Plan) -> int:
-        """Commit the right to send, and return the fencing number."""
+        """Commit the authorization of an order; return its fencing number.
+
+        :raises NotLeaderError: the plan has moved on under another leader
+        """
         await self._voter.propose(
             entries.IssueOrder(
                 plan.plan, plan.reached, self._host, self._clock.wall_ms()
@@ -301,15 +310,15 @@
             msgspec.json.encode(body),
             extra_headers={headers.FENCE: str(number)},
         )
-        # The last look before the order goes out. What is left of the
-        # lease bounds how late it can arrive from here.
+        # Checked last, right before sending: the rest of the lease bounds how
+        # late the order can arrive.
         self._check_leadership()
         logger.info(
             'order_sent', endpoint=step.endpoint, number=number, **body
         )
         status = await self._send_request(send, None)
         if status == STALE_FENCE_STATUS:
-            raise OrderFailedError(f'number {number} was refused as old')
+            raise OrderFailedError(f'engine rejected stale fence {number}')
         if status != OK:
             raise OrderFailedError(f'engine answered {status}')
 
@@ -342,7 +351,10 @@
             raise OrderFailedError(str(error)) from error
 
     async def _verify_order(self, step: plans.Order) -> None:
-        """Look whether the engine is now as the order says."""
+        """Check that the engine's state shows the order's effect.
+
+        :raises OrderFailedError: it does not
+        """
         state = await self._read_engine_state(step.endpoint)
         if step.kind == 'role':
             held = state.role == step.role
