--- a/tests/group.py
+++ b/tests/group.py
@@ -1,7 +1,7 @@
-"""Control hosts that agree, in this process and in time of their own.
+"""In-process control group in virtual time.
 
-Nothing waits: time goes on to the next thing that is due. Hosts talk over
-a network that may be cut, and write to disks that may be lost.
+Sleeping advances the clock to the next scheduled event. Hosts use a simulated
+network that can be partitioned, and simulated disks that can be lost.
 """
 
 import asyncio
@@ -29,19 +29,19 @@
 from wrenspoke.state import storage
 
 MS_PER_S = 1000
-# One way between regions, and how much longer a message may take.
+# One-way latency between regions, and its maximum jitter.
 LATENCY_MS = 80
 JITTER_MS = 20
 POLL_INTERVAL_MS = 20
 REGIONS = 3
-# As often as the control hosts of the product do.
+# The interval of the real control hosts.
 EXCHANGE_INTERVAL_MS = 1_000
-# What cuts, restarts and elections can hold up a change for, by far.
+# Far longer than partitions, restarts and elections delay a change.
 WAIT_TIMEOUT_MS = 60_000
 
 
 class _VirtualTimeSelector(selectors.DefaultSelector):
-    """Let the time that would be waited pass at once."""
+    """Selector that advances virtual time instead of waiting."""
 
     def __init__(self):
         super().__init__()
@@ -49,13 +49,13 @@
 
     def select(self, timeout=None):
         if timeout is None:
-            raise AssertionError('nothing is due any more')
+            raise AssertionError('no event is scheduled; the test hangs')
         self.now_s += max(timeout, 0)
         return super().select(0)
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """Run tasks in time that goes on by itself."""
+    """Event loop in virtual time, which records unhandled errors."""
 
     def __init__(self):
         self._virtual_selector = _VirtualTimeSelector()
@@ -70,21 +70,21 @@
 
 
 def run(coroutine: collections.abc.Coroutine) -> None:
-    """Run a coroutine to its end; a failed task of a host fails it."""
+    """Run a coroutine in virtual time; fail if any task has failed."""
     with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         runner.run(coroutine)
         assert runner.get_loop().errors == []
 
 
 class LoopClock(clocks.Clock):
-    """Tell the time of the running loop."""
+    """Clock of the running event loop."""
 
     def mono_ms(self):
         return int(asyncio.get_running_loop().time() * MS_PER_S)
 
 
 class MemoryDisk:
-    """Keep files in memory, apart by whether they were synced."""
+    """In-memory disk that tracks which data is synced."""
 
     def __init__(self):
         self.synced = {}
@@ -112,17 +112,17 @@
         self.synced.pop(name, None)
 
     def lose_power(self):
-        """Lose what was not synced."""
+        """Discard data that was not synced."""
         self.noted.clear()
 
     def wipe(self):
-        """Lose everything."""
+        """Discard all data."""
         self.synced.clear()
         self.noted.clear()
 
 
 class Network:
-    """Carry messages between hosts, unless they are cut off."""
+    """Simulated network with latency and partitions."""
 
     def __init__(self, seed, latency_ms=LATENCY_MS, jitter_ms=JITTER_MS):
         self._random = random.Random(seed)
@@ -133,41 +133,41 @@
         self.on_message = _ignore_message
 
     def cut(self, one, other):
-        """Cut two hosts from each other."""
+        """Partition two hosts from each other."""
         self._cut.add(frozenset((one, other)))
 
     def cut_off(self, name):
-        """Cut one host from every other."""
+        """Partition one host from all others."""
         for other in self.hosts:
             if other != name:
                 self.cut(name, other)
 
     def cut_all(self):
-        """Cut every host from every other."""
+        """Partition all hosts from each other."""
         for one in self.hosts:
             for other in self.hosts:
                 if one != other:
                     self.cut(one, other)
 
     def reconnect(self, one, other):
-        """Heal the cut between two hosts."""
+        """Heal the partition between two hosts."""
         self._cut.discard(frozenset((one, other)))
 
     @property
     def is_cut(self):
-        """Tell whether any two hosts are cut from each other."""
+        """Whether any two hosts are partitioned from each other."""
         return bool(self._cut)
 
     def heal(self):
-        """Heal every cut."""
+        """Heal all partitions."""
         self._cut.clear()
 
     def is_connected(self, one, other):
-        """Tell whether messages get from one host to another."""
+        """Return whether two hosts can exchange messages."""
         return frozenset((one, other)) not in self._cut
 
     async def transmit(self, one, other):
-        """Wait until a message is there; False if it never is."""
+        """Wait for a message's latency; return False if it is lost."""
         if not self.is_connected(one, other):
             return False
         took_ms = self._latency_ms + self._random.uniform(0, self._jitter_ms)
@@ -180,7 +180,7 @@
 
 
 class Peers:
-    """Be the calls between hosts of one life of a host."""
+    """Peer calls of one process instance of a host."""
 
     def __init__(self, host, network):
         self.host = host
@@ -224,7 +224,7 @@
             answered.set_result(answer)
 
     async def handle(self, sender, body):
-        """Answer a message as another host does."""
+        """Decode a message and return the encoded answer."""
         message = self._decoder.decode(body)
         answer = await self._answerers[type(message)](sender, message)
         return self._encoder.encode(answer)
@@ -236,9 +236,9 @@
 
 
 class Host:
-    """Hold one life of a control host.
+    """One process instance of a control host.
 
-    Hosts hear of each other as they exchange what they know of others.
+    Hosts discover each other by periodic exchanges.
     """
 
     def __init__(
@@ -291,7 +291,7 @@
 
 
 class Group:
-    """Hold the control hosts of one system, their disks and network."""
+    """The control hosts of one group, their disks and their network."""
 
     def __init__(self, seed=0, names=('a', 'b', 'c'), **limits):
         random.seed(seed)
@@ -304,13 +304,13 @@
         self.acknowledged = 0
 
     async def bootstrap(self):
-        """Start the first hosts of all, and wait until one leads."""
+        """Bootstrap the group on all seeds; return the first leader."""
         for name in list(self.seeds):
             self.start(name, first_start=True)
         return await self.wait_for_leader()
 
     def start(self, name, first_start=False):
-        """Start a host on its disk, an empty one if it is new."""
+        """Start a host on its disk, or on an empty one if it is new."""
         disk = self.disks.setdefault(name, MemoryDisk())
         host = Host(
             name,
@@ -327,14 +327,14 @@
         return host
 
     def location(self, name):
-        """Return where a host stands: in turn, where it is not said."""
+        """Return a host's location; new hosts get regions in turn."""
         if name not in self.locations:
             region = f'region{len(self.locations) % REGIONS}'
             self.locations[name] = locations.Location(region, f'{region}-hall')
         return self.locations[name]
 
     async def stop_host(self, name, power=False):
-        """End a host's process at once; its disk stays."""
+        """Kill a host's process; its disk stays."""
         host = self.running.pop(name)
         del self.network.hosts[name]
         await host.close()
@@ -342,20 +342,20 @@
             self.disks[name].lose_power()
 
     async def wipe_host(self, name):
-        """Lose a host's disk, and start it with an empty one."""
+        """Wipe a host's disk, and start the host with an empty one."""
         if name in self.running:
             await self.stop_host(name)
         self.disks[name].wipe()
         return self.start(name)
 
     async def delete_host(self, name):
-        """Lose a host for good."""
+        """Remove a host and its disk permanently."""
         if name in self.running:
             await self.stop_host(name)
         del self.disks[name]
 
     async def restart_all(self):
-        """Lose the power of all hosts, and start them again."""
+        """Cut the power of all hosts, and start them again."""
         names = list(self.running)
         for name in names:
             await self.stop_host(name, power=True)
@@ -363,30 +363,30 @@
             self.start(name)
 
     async def wait_until(self, condition, wait_ms=WAIT_TIMEOUT_MS):
-        """Wait until a condition holds; return what it gives."""
+        """Wait until a condition is true; return its value."""
         loop = asyncio.get_running_loop()
         end_s = loop.time() + wait_ms / MS_PER_S
         while not (found := condition()):
-            assert loop.time() < end_s, 'waited in vain'
+            assert loop.time() < end_s, 'condition not met in time'
             await asyncio.sleep(POLL_INTERVAL_MS / MS_PER_S)
         return found
 
     async def sleep_ms(self, delay_ms):
-        """Let time go on."""
+        """Sleep in virtual time."""
         await asyncio.sleep(delay_ms / MS_PER_S)
 
     def lease_holders(self):
-        """Return the hosts that hold a lease."""
+        """Return the hosts that hold a leader lease."""
         return [host for host in self.running.values() if host.voter.has_lease]
 
     async def wait_for_leader(self, wait_ms=WAIT_TIMEOUT_MS):
-        """Return the host that leads, once one does."""
+        """Wait for a leader and return its host."""
         return await self.wait_until(
             lambda: next(iter(self.lease_holders()), None), wait_ms
         )
 
     async def commit_change(self, wait_ms=WAIT_TIMEOUT_MS):
-        """Have a change acknowledged; return its version."""
+        """Commit a route table, with retries; return its version."""
         version = self.acknowledged + 1
         loop = asyncio.get_running_loop()
         end_s = loop.time() + wait_ms / MS_PER_S
@@ -403,11 +403,11 @@
             return version
 
     async def leader_version(self, wait_ms=WAIT_TIMEOUT_MS):
-        """Return the version that a leader holds."""
+        """Return the route table version of the leader."""
         leader = await self.wait_for_leader(wait_ms)
         return leader.voter.state.configuration.routes.version
 
     async def close(self):
-        """End every host."""
+        """Stop all hosts."""
         for name in list(self.running):
             await self.stop_host(name)
--- a/tests/quarantined_fleet.py
+++ b/tests/quarantined_fleet.py
@@ -1,9 +1,8 @@
-"""Hosts that learn which requests end endpoints, in time of their own.
+"""Simulated fleet that quarantines fatal requests, in virtual time.
 
-Requests that end each endpoint that runs them come to entry hosts of three
-regions. Control hosts gather what the entry hosts see and have it decided
-by a leader, who is there or not as a test says. Entry hosts hear of a
-decision at the control host of their region, a few times a second.
+Entry hosts in three regions run requests that crash their endpoints. Control
+hosts aggregate the crash reports, and a leader chosen by the test commits the
+decisions. Entry hosts receive them from the control hosts of their region.
 """
 
 import asyncio
@@ -25,15 +24,15 @@
 REGIONS = team_limit_fleet.REGIONS
 CONTROLS = 6
 MS_PER_S = 1_000
-# A majority of the control hosts of far regions.
+# Time to reach a majority of control hosts in other regions.
 COMMIT_S = 0.16
-# Control hosts and entry hosts hear of a decision so much later.
+# Interval at which committed decisions reach control and entry hosts.
 REPLICATION_INTERVAL_S = 0.2
 CRASH_DELAY_S = 0.1
 
 
 class FakeVoter:
-    """Lead, or not, as a test says."""
+    """Voter whose leadership the test sets."""
 
     def __init__(self, fleet):
         self._fleet = fleet
@@ -47,7 +46,7 @@
 
 
 class ControlHost:
-    """Gather what entry hosts see."""
+    """Control host that aggregates crash reports."""
 
     def __init__(self, fleet, name):
         self.name = name
@@ -79,7 +78,7 @@
 
 
 class EntryHost:
-    """Send requests to endpoints, as far as its guard lets it."""
+    """Entry host that sends requests unless its guard holds them."""
 
     def __init__(self, fleet, name):
         self.name = name
@@ -102,7 +101,7 @@
         )
 
     async def send(self, digest, endpoint, fatal=True):
-        """Run a request at an endpoint; False if it is held."""
+        """Run a request at an endpoint; return False if it is held."""
         if self.guard.remaining_hold_ms(digest) is not None:
             return False
         run = self.guard.start_run(digest, endpoint, endpoint)
@@ -120,7 +119,7 @@
 
 
 class LossyNetwork(team_limit_fleet.RegionalNetwork):
-    """Lose a share of the messages, for as long as a test says."""
+    """Network that drops ``lost_share`` of the messages."""
 
     lost_share = 0.0
 
@@ -130,7 +129,7 @@
 
 
 class Fleet:
-    """Hold entry and control hosts, and the log that these agree on."""
+    """Entry hosts, control hosts and their shared log."""
 
     def __init__(self, hosts, seed=1):
         self.random = random.Random(seed)
@@ -160,20 +159,20 @@
         return self
 
     def set_leader(self, name):
-        """Let one control host lead, or none."""
+        """Make one control host leader, or none."""
         for control in self.controls.values():
             control.voter.has_lease = control.name == name
 
     @property
     def leader(self):
-        """Return the control host that leads, None without one."""
+        """Return the name of the leader, None without one."""
         for control in self.controls.values():
             if control.voter.has_lease:
                 return control.name
         return None
 
     def commit(self, entry):
-        """Apply an entry, and return what it did."""
+        """Apply an entry and return the result."""
         index = self.state.index + 1
         applied = self.state.apply(index, entry)
         self.log.apply_delta(
@@ -184,7 +183,7 @@
         return applied
 
     async def is_refused(self, address, _timeout_ms):
-        """Tell whether an endpoint has ended."""
+        """Return whether an endpoint has crashed."""
         return address in self.crashed_endpoints
 
     async def _replicate_decisions(self):
@@ -213,12 +212,12 @@
             who.replica.apply_delta(delta)
 
     async def restart_host(self, name):
-        """Let an entry host begin anew."""
+        """Restart an entry host, which loses its state."""
         await self.hosts[name].close()
         self.hosts[name] = EntryHost(self, name)
 
     async def restart_control(self, name):
-        """Let a control host begin anew; what is decided it keeps."""
+        """Restart a control host, which keeps only committed decisions."""
         before = self.controls[name]
         await before.close()
         made = self.controls[name] = ControlHost(self, name)
@@ -226,7 +225,7 @@
         self._advance_replica(made, self.log)
 
     def isolate_region(self, region):
-        """Cut one region off from the others."""
+        """Partition one region from the others."""
         self._isolated_region = region
         for one in self.network.hosts:
             for other in self.network.hosts:
@@ -235,12 +234,12 @@
                         self.network.cut(one, other)
 
     def heal(self):
-        """Heal every cut."""
+        """Heal all partitions."""
         self._isolated_region = None
         self.network.heal()
 
     def reconnect_host(self, name):
-        """Let a host that was cut off be reached again."""
+        """Reconnect a partitioned host, except across a region partition."""
         for other in self.network.hosts:
             if team_limit_fleet.region_of(other) != team_limit_fleet.region_of(
                 name
@@ -253,7 +252,7 @@
             self.network.reconnect(name, other)
 
     def hosts_holding(self, digest):
-        """Return the hosts that hold a request."""
+        """Return the names of the entry hosts that hold a request."""
         return [
             host.name
             for host in self.hosts.values()
@@ -261,7 +260,7 @@
         ]
 
     def sent_totals(self):
-        """Return how many messages were sent of each kind, and bytes."""
+        """Return the messages and bytes sent, by message type."""
         total = collections.defaultdict(membership_fleet.SentCount)
         for one in [*self.hosts.values(), *self.controls.values()]:
             for kind, counted in one.peers.sent.items():
