--- a/tests/test_fatal_requests.py
+++ b/tests/test_fatal_requests.py
@@ -1,18 +1,7 @@
-"""An incident: one request ended engine after engine.
+"""A request that crashes engines must not be resent without limit.
 
-Seen: a request under which three engines had ended was sent to six more, at
-other hosts and in two regions; each took the 10 to 39 calls beside it along.
-
-How: each time that it came it had another request id and came to another
-host. The engine broke its connections off, and connections to it were
-refused. Hosts took that for the engine's failure and sent the next one on.
-
-Cause: nothing remembered what a request was, beyond its own end at its own
-host. What is learned of a failure was kept by place and by route only.
-
-Proof: engines that end under one prompt, sent again and again by turns at
-hosts of two regions, one after the other. Before the repair each copy ends
-an engine or two, by both ways in.
+Each copy has another request id and reaches another host, so that a single
+host cannot detect the repetition by itself.
 """
 
 import asyncio
@@ -26,10 +15,10 @@
 from tests import test_passing
 from wrenspoke.state import routes
 
-# What is allowed: three ends, and three sends more.
+# Three crashes up to the threshold, and three more before all hosts hold it.
 MAX_SENDS = 6
 COPIES = 10
-# A caller that asks again takes longer; hosts can tell each other meanwhile.
+# Time for hosts to exchange reports; real callers resend later.
 RESEND_INTERVAL_S = 0.3
 FATAL = b'fatal prompt'
 FATAL_CHAT = {
@@ -40,9 +29,9 @@
 
 
 class CrashingEngine:
-    """End under a fatal body, as a process: no connection is left.
+    """Engine that crashes on a fatal body and drops all connections.
 
-    It is back, by the same address, once it is told to.
+    ``restart`` brings it back at the same address.
     """
 
     def __init__(self, ends):
@@ -82,7 +71,7 @@
 
 @contextlib.asynccontextmanager
 async def running_system(folder, kind=routes.RouteKind.REPEATABLE):
-    """Run two regions of two hosts and four engines each."""
+    """Run a system of two regions, each with two hosts and four engines."""
     ends, engines = [], []
     async with nodes.running(folder, controls=3) as system:
         await system.start_entry()
@@ -103,7 +92,7 @@
 
 
 async def send_to_entry_host(system, host, body, name):
-    """Return what a caller is answered by an entry host."""
+    """Send a request to an entry host and return the raw response."""
     sent = test_passing.request(
         'POST /a/x HTTP/1.1',
         [f'Content-Length: {len(body)}'],
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""What is held against a request, what clears it, and who decides."""
+"""Crash counting, holds, releases and decisions of the quarantine."""
 
 import asyncio
 import contextlib
@@ -35,7 +35,7 @@
 
 
 class FakeClock:
-    """Be a clock that a test moves."""
+    """Clock that the test advances."""
 
     def __init__(self):
         self.now_ms = 1_000_000
@@ -44,7 +44,7 @@
         return self.now_ms
 
 
-# Names of requests.
+# Request digests.
 
 
 @pytest.mark.parametrize(
@@ -65,7 +65,7 @@
     assert fingerprints.digest_of(*CALL) != fingerprints.digest_of(*other)
 
 
-# What is remembered.
+# Bounded records.
 
 
 @pytest.mark.parametrize(
@@ -73,9 +73,9 @@
     [
         ([('a', 0)], 1),
         ([('a', 0), ('b', 0)], 2),
-        # Told by two hosts that ran it there.
+        # Reported by two hosts with runs on the same endpoint.
         ([('a', 0), ('a', crash_history.DEDUP_WINDOW_MS)], 1),
-        # It was back, under the same name.
+        # The endpoint restarted under the same name and crashed again.
         ([('a', 0), ('a', crash_history.DEDUP_WINDOW_MS + 1)], 2),
     ],
 )
@@ -146,7 +146,7 @@
     assert quarantine.changed(held, (), ('first',)).get('first') is None
 
 
-# What a look at an endpoint tells.
+# Liveness probes.
 
 
 async def test_only_refused_connection_counts_as_crash():
@@ -157,7 +157,7 @@
 
 
 async def test_connect_timeout_is_not_a_crash():
-    """A full queue of connections lets no further one in."""
+    """A full accept queue leaves further connections unanswered."""
     with contextlib.ExitStack() as opened:
         listening = opened.enter_context(socket.socket())
         listening.bind(('127.0.0.1', 0))
@@ -170,11 +170,11 @@
         assert not await reachable.is_refused(f'{ip}:{port}', 20)
 
 
-# What a host holds.
+# Holds on one host.
 
 
 class FakeReporter:
-    """Note what would be told to control hosts."""
+    """Reporter that records crashes and successes."""
 
     def __init__(self):
         self.crashes = []
@@ -194,7 +194,7 @@
 
 
 class FakePeers:
-    """Keep who answers what."""
+    """Peers that only record the registered handlers."""
 
     def __init__(self):
         self.answerers = {}
@@ -208,7 +208,7 @@
 
 
 class GuardedHost:
-    """Hold a guard with what it looks at."""
+    """A guard with a fake clock, reporter, peers and probe."""
 
     def __init__(self, refused=True, leaving=()):
         self.clock = FakeClock()
@@ -248,9 +248,9 @@
     [
         ({}, 'ab', False),
         ({}, 'abc', True),
-        # The endpoint lives: an answer was lost, or the way cut.
+        # The endpoint is alive: a lost response, or a network partition.
         ({'refused': False}, 'abc', False),
-        # It had said that it would end.
+        # The endpoint was draining.
         ({'leaving': 'c'}, 'abc', False),
     ],
 )
@@ -270,7 +270,7 @@
 
 
 async def test_slow_probe_counts_once_it_completes(monkeypatch):
-    """The call is sent on meanwhile, or its caller has left."""
+    """A crash counts even if the call was retried or cancelled meanwhile."""
     host = GuardedHost()
     done = asyncio.Event()
 
@@ -293,7 +293,7 @@
 
 
 async def test_live_endpoint_is_probed_again():
-    """An answer was lost there a moment before it ended."""
+    """A probe result that shows a live endpoint must not be reused."""
     host = GuardedHost(refused=False)
     await host.guard.handle_broken_run(
         host.guard.start_run('other', 'a', 'a:1')
@@ -310,7 +310,7 @@
     assert host.reporter.successes == ['d']
     await host.crash_endpoints('e', 'f', 'g')
     assert host.guard.remaining_hold_ms('d') is None
-    # Nor is it held against it elsewhere.
+    # Later crashes are not reported to other hosts either.
     assert [endpoint for _digest, endpoint in host.reporter.crashes] == [
         'a',
         'b',
@@ -359,7 +359,7 @@
     assert host.guard.remaining_hold_ms('d') is None
 
 
-# Operators.
+# Operator plans.
 
 
 def test_operator_lets_a_request_be_sent_again():
@@ -379,11 +379,11 @@
         plans.make('p', 'ada', plans.ClearQuarantine('d'), now, 0, 0)
 
 
-# Whole systems.
+# Complete systems.
 
 
 async def quarantine_fatal_request(system):
-    """Send a request that ends engines until it is held everywhere."""
+    """Send a fatal request until all entry hosts have quarantined it."""
     for number in range(test_fatal_requests.COPIES):
         await test_fatal_requests.send_to_entry_host(
             system, number % 4, FATAL, f'fatal{number}'
@@ -423,7 +423,7 @@
 
 
 async def test_other_requests_are_served_during_quarantine(tmp_path):
-    """Those that say the same each time as well."""
+    """Including requests whose content is repeated."""
     async with test_fatal_requests.running_system(tmp_path) as system:
         for number in range(test_fatal_requests.COPIES):
             asked = [FATAL, b'common', f'own {number}'.encode()]
@@ -450,7 +450,7 @@
 async def test_quarantined_request_is_refused_outside_its_home_regions(
     tmp_path,
 ):
-    """At once, and not after a way to the others and back."""
+    """It must be refused locally, without a round trip to other regions."""
     async with test_fatal_requests.running_system(tmp_path) as system:
         await quarantine_fatal_request(system)
         await system.put(test_passing.route(homes=('south',)))
@@ -493,7 +493,7 @@
 
 
 async def test_chat_that_waits_for_a_connection_is_held_back(tmp_path):
-    """By the own interface, too; what is no work still goes."""
+    """Chat requests are held right before sending; cancels still pass."""
     held = []
 
     class Guard(guards.Guard):
--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -1,9 +1,7 @@
-"""All hosts learn of a request that ends endpoints, whatever else happens.
+"""Propagation of quarantine decisions in simulated fleets, with faults.
 
-Fleets of 20, 60 and 200 hosts in time of their own; then series drawn by
-seed of cuts, freezes, restarts of one and of many, lost messages and lost
-leaders while such a request comes again. More seeds by hand:
-``WRENSPOKE_SOAK_SEEDS=300``.
+Random faults are generated from a seed; ``WRENSPOKE_SOAK_SEEDS`` sets the
+number of seeds.
 """
 
 import functools
@@ -20,14 +18,14 @@
 
 FATAL = 'f' * 32
 SEEDS = int(os.environ.get('WRENSPOKE_SOAK_SEEDS', '10'))
-# What hosts that are in touch may take to learn of each other's news.
+# Time that connected hosts may take to receive each other's reports.
 CONVERGENCE_MS = 6_000
-# Sends that are allowed later than that after the third end.
+# Sends allowed more than ``CONVERGENCE_MS`` after the third crash.
 MAX_LATE_SENDS = 3
 
 
 def in_virtual_time(test):
-    """Run a test in time of its own."""
+    """Decorate a test to run in virtual time."""
 
     @functools.wraps(test)
     def run(*arguments, **named):
@@ -37,7 +35,7 @@
 
 
 async def crash_three_endpoints(fleet, hosts=None):
-    """Let three endpoints end under a request at hosts of the regions."""
+    """Crash one endpoint at each host, by default at one per region."""
     for host in hosts or list(fleet.hosts.values())[:3]:
         assert await host.send(FATAL, next(fleet.endpoints))
 
@@ -50,7 +48,7 @@
     await fleet.wait_ms(500)
     assert len(fleet.hosts_holding(FATAL)) == count
     await fleet.wait_ms(1_500)
-    # Decided, so that it holds on hosts that start now, too.
+    # The decision is committed, so it also applies on restarted hosts.
     assert FATAL in fleet.state.configuration.quarantine
     await fleet.restart_host(fleet.names[0])
     await fleet.wait_ms(500)
@@ -59,7 +57,7 @@
 
 
 def test_crash_report_count_is_independent_of_host_count():
-    """Six control hosts hear of it, however many entry hosts there are."""
+    """Only control hosts receive crash reports."""
     counts = []
 
     @in_virtual_time
@@ -85,7 +83,7 @@
     held = fleet.hosts_holding(FATAL)
     assert sorted(held) == sorted(host.name for host in cut_off)
     assert FATAL not in fleet.state.configuration.quarantine
-    # Both sides learn of each other's once they can.
+    # Both sides receive each other's reports after the partition heals.
     fleet.heal()
     await fleet.wait_ms(CONVERGENCE_MS)
     assert FATAL in fleet.state.configuration.quarantine
@@ -95,7 +93,7 @@
 
 @in_virtual_time
 async def test_long_isolated_region_retries_request_once_a_minute():
-    """And not once at each of its hosts."""
+    """The region must not retry it once per host."""
     fleet = await quarantined_fleet.Fleet(30).start()
     fleet.isolate_region(2)
     cut_off = [h for h in fleet.hosts.values() if h.region == 2]
@@ -140,7 +138,7 @@
 
 @in_virtual_time
 async def test_request_that_succeeds_elsewhere_is_released():
-    """It is common; three of the many that ran it ended by themselves."""
+    """Guards against holding common content after unrelated crashes."""
     fleet = await quarantined_fleet.Fleet(9).start()
     hosts = list(fleet.hosts.values())
     await hosts[8].send(FATAL, 'good', fatal=False)
@@ -186,17 +184,17 @@
 
 
 class FaultSeries:
-    """Draw what happens while a request that ends endpoints comes again."""
+    """Injects random faults while a fatal request is sent repeatedly."""
 
     def __init__(self, fleet):
         self._fleet = fleet
         self._random = fleet.random
         self._clock = group.LoopClock()
-        # When each host was last in trouble, and when all were.
+        # Time of the last fault of each host, and of all hosts.
         self._disturbed_ms = dict.fromkeys(fleet.hosts, -CONVERGENCE_MS)
         self._all_disturbed_ms = -CONVERGENCE_MS
         self._cut_off_region = None
-        # Until when hosts stand still.
+        # End of each host's freeze.
         self._frozen_until_ms = {}
         self.crashes_ms = []
         self.late_sends = 0
@@ -218,7 +216,7 @@
                 self._record_sent(host)
 
     async def _restart_hosts(self):
-        """Restart one, or many at once."""
+        """Restart one entry host, or half of them."""
         count = self._random.choice([1, 1, len(self._fleet.names) // 2])
         for name in self._random.sample(self._fleet.names, count):
             if name not in self._frozen_until_ms:
@@ -226,7 +224,7 @@
                 self._disturbed_ms[name] = self._clock.mono_ms()
 
     async def _restart_controls(self):
-        """Restart one, or all at once."""
+        """Restart one control host, or all of them."""
         names = list(self._fleet.controls)
         count = self._random.choice([1, 1, len(names)])
         for name in self._random.sample(names, count):
@@ -234,7 +232,7 @@
         self._mark_all_disturbed()
 
     async def _freeze_host(self):
-        """Let a host stand still; it goes on by what it held."""
+        """Freeze a host, which keeps its state."""
         name = self._random.choice(self._fleet.names)
         for_ms = self._random.uniform(1_000, 8_000)
         self._frozen_until_ms[name] = self._clock.mono_ms() + for_ms
@@ -264,13 +262,13 @@
         self._mark_all_disturbed()
 
     async def _lose_messages(self):
-        """Lose a share of all messages from now on, or none any more."""
+        """Toggle the random loss of messages."""
         network = self._fleet.network
         network.lost_share = 0.0 if network.lost_share else 0.3
         self._mark_all_disturbed()
 
     async def _change_leader(self):
-        """Let a control host of the larger side lead."""
+        """Make another control host of the larger side leader."""
         names = [
             name
             for name in self._fleet.controls
@@ -317,7 +315,7 @@
 async def test_few_requests_are_sent_late_under_faults(seed):
     fleet = await quarantined_fleet.Fleet(18, seed).start()
     series = FaultSeries(fleet)
-    # One trial falls into it, and none after that.
+    # Includes exactly one trial.
     await series.simulate(2 * hold_durations.BASE_HOLD_MS)
     assert series.late_sends <= MAX_LATE_SENDS, series.crashes_ms
     await fleet.close()
