--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -1,4 +1,4 @@
-"""Voters that change while hosts are cut off, replaced and wiped."""
+"""Voter changes during partitions, replaced hosts and wiped disks."""
 
 import pytest
 
@@ -7,16 +7,15 @@
 from wrenspoke.protocol import messages
 from wrenspoke.state import entries
 
-# A change of voters is over within the silence that brings it about, an
-# election and some round trips.
+# Covers the replacement delay, an election and several round trips.
 SETTLE_TIMEOUT_MS = 30_000
-# A lost host counts as lost for so long after another in its place has
-# started; from then on one more may be lost.
+# Time until a started replacement host is admitted, so that the group may
+# lose another one.
 RECOVERY_MS = 4_000
 
 
 def carries_voters(message):
-    """Tell whether a message brings a new set of voters."""
+    """Return whether a message replicates a voter change."""
     if not isinstance(message, messages.Append):
         return False
     return any(
@@ -25,7 +24,7 @@
 
 
 class OnVoterChange:
-    """Do something as the n-th change of voters is sent."""
+    """Runs one action for each new voter change that is replicated."""
 
     def __init__(self, system):
         self._actions = []
@@ -34,7 +33,7 @@
         system.network.on_message = self
 
     def add_action(self, action):
-        """Do this as the next change is sent."""
+        """Add the action for the next voter change."""
         self._actions.append(action)
         return self
 
@@ -56,11 +55,11 @@
 
 
 def do_nothing():
-    """Let the change be made."""
+    """Action without effect."""
 
 
 async def lose_host(system, lost, how):
-    """Lose a host or its disk; return the name that takes its place."""
+    """Remove a host or wipe its disk; return the replacement's name."""
     if how == 'wiped':
         await system.wipe_host(lost)
         return lost
@@ -78,7 +77,7 @@
 def test_partition_during_voter_change_leaves_an_electable_group(
     how, number, power
 ):
-    """Whoever holds the change, and whoever does not, elect a leader."""
+    """The group must elect a leader wherever the change was replicated."""
 
     async def play():
         system = group.Group(seed=number)
@@ -103,7 +102,7 @@
 
 
 def test_new_voter_votes_before_it_receives_its_admission():
-    """Its vote is needed to tell it that it has one."""
+    """Its vote is needed to elect the leader that sends it the admission."""
 
     async def play():
         system = group.Group(seed=1)
@@ -128,7 +127,7 @@
 
 
 def test_voter_removed_by_an_uncommitted_change_may_campaign():
-    """Nobody else can win against its log, and only it can end the change."""
+    """No other host can win against its log, and only it has the change."""
 
     async def play():
         system = group.Group(seed=1)
@@ -164,7 +163,7 @@
 @pytest.mark.parametrize('how', ['replaced', 'wiped'])
 @pytest.mark.parametrize('after_ms', range(0, 6_000, 500))
 def test_group_survives_second_lost_disk(how, who, second, after_ms):
-    """A second disk is lost, and all hosts lose power with it."""
+    """A second disk is lost while all hosts lose power."""
 
     async def play():
         system = group.Group(seed=after_ms)
@@ -189,7 +188,7 @@
 
 @pytest.mark.parametrize('seed', [3, 34, 49])
 def test_concurrent_pre_votes_start_one_election(seed, monkeypatch):
-    """Seeds with which they split the votes three times in a row and more."""
+    """Guards against repeated split votes, which these seeds provoke."""
 
     async def play():
         system = group.Group(seed)
@@ -211,12 +210,15 @@
 
 
 def follower_of(leader, system):
-    """Return a host that follows."""
+    """Return one of the followers."""
     return next(host for host in system.running.values() if host is not leader)
 
 
 def heartbeat_message(voter, confirmed, ahead=0):
-    """Return a heartbeat that confirms a moment."""
+    """Return a heartbeat with a confirmed moment.
+
+    ``ahead`` is added to the commit index.
+    """
     kept = voter.storage
     return messages.Append(
         voter.term,
@@ -228,7 +230,7 @@
 
 
 async def confirmed_follower(system):
-    """Return a leader, a follower's voter and the moment it confirmed."""
+    """Return the leader, a follower's voter and its confirmed time."""
     leader = await system.bootstrap()
     voter = follower_of(leader, system).voter
     await system.wait_until(lambda: voter.confirmed_age_ms is not None)
@@ -236,7 +238,7 @@
 
 
 def test_follower_confirms_only_moments_of_its_own_instance():
-    """A restarted host's clock may have begun anew."""
+    """The clock may have restarted since another instance's moment."""
 
     async def play():
         system = group.Group()
@@ -270,7 +272,7 @@
 
 
 def test_leader_without_a_lease_confirms_nothing():
-    """It is cut off, and others may have accepted something newer."""
+    """During a partition the other hosts may accept newer entries."""
 
     async def play():
         system = group.Group()
@@ -288,7 +290,7 @@
 
 
 def test_followers_have_a_recently_confirmed_moment():
-    """It rides on heartbeats: two ways to a far region and an interval."""
+    """Heartbeats confirm it within a round trip and one interval."""
 
     async def play():
         system = group.Group()
--- a/tests/test_group_soak.py
+++ b/tests/test_group_soak.py
@@ -1,6 +1,6 @@
-"""Control hosts under mishaps that come in series and overlap, by seed.
+"""Control group under random, overlapping faults, generated from a seed.
 
-``WRENSPOKE_SOAK_SEEDS`` sets how many seeds are played.
+``WRENSPOKE_SOAK_SEEDS`` sets the number of seeds.
 """
 
 import asyncio
@@ -18,8 +18,8 @@
 
 SEEDS = int(os.environ.get('WRENSPOKE_SOAK_SEEDS', 20))
 STEPS = 14
-# A lost disk counts as lost for so long after another in its place has
-# been started and nothing else has happened; then one more may be lost.
+# Time without faults until a started replacement host is admitted, so that
+# the group may lose another disk.
 RECOVERY_MS = 4_000
 SETTLE_TIMEOUT_MS = 30_000
 POLL_INTERVAL_MS = 50
@@ -29,13 +29,13 @@
 
 
 def fault(function):
-    """Register what may happen to a group."""
+    """Register a fault."""
     FAULTS[function.__name__] = function
     return function
 
 
 class Soak:
-    """Play one seed: mishaps, changes meanwhile, and what must hold."""
+    """Runs faults and changes for one seed, and checks the invariants."""
 
     def __init__(self, seed, hosts):
         self.random = random.Random(f'soak {seed}')
@@ -57,7 +57,7 @@
 
     @property
     def may_lose_disk(self):
-        """Tell whether one more disk may be lost."""
+        """Whether the group can tolerate the loss of a disk now."""
         return (
             not self.stopped_hosts
             and not self.system.network.is_cut
@@ -68,7 +68,7 @@
         self.disturbed_ms = self.now_ms()
 
     def pick_host(self):
-        """Return a host that runs, the leader as often as any other."""
+        """Return a random running host, favouring the leader."""
         leading = [host.name for host in self.system.lease_holders()]
         names = sorted(self.system.running)
         if leading and self.random.random() < 0.3:
@@ -109,7 +109,7 @@
         await self.system.close()
 
     def is_spread(self):
-        """Tell whether each region has one of the voters."""
+        """Return whether each region has one of the voters."""
         for host in self.system.lease_holders():
             deciding = host.voter.committed_electorate
             if deciding.before:
@@ -151,7 +151,7 @@
 
 @fault
 async def kill(soak):
-    """End a process, and start it again."""
+    """Kill a process, and start it again."""
     name = soak.pick_host()
     if name is None:
         return
@@ -165,7 +165,7 @@
 
 @fault
 async def restart_all(soak):
-    """Lose the power of all hosts."""
+    """Cut the power of all hosts, and start them again."""
     soak.record_event('restart_all')
     soak.mark_disturbed()
     await soak.system.restart_all()
@@ -173,7 +173,7 @@
 
 @fault
 async def cut_all(soak):
-    """Cut every host from every other for a while."""
+    """Partition all hosts from each other for a while."""
     soak.record_event('cut_all')
     soak.system.network.cut_all()
     await soak.pause(500, 10_000)
@@ -183,7 +183,7 @@
 
 @fault
 async def cut_one(soak):
-    """Cut one host from all others for a while."""
+    """Partition one host from all others for a while."""
     name = soak.pick_host()
     if name is None:
         return
@@ -196,7 +196,7 @@
 
 @fault
 async def cut_pair(soak):
-    """Cut two hosts from each other for a while."""
+    """Partition two hosts from each other for a while."""
     one, other = soak.pick_host(), soak.pick_host()
     if one is None or one == other:
         return
@@ -209,7 +209,7 @@
 
 @fault
 async def wipe(soak):
-    """Lose a disk, perhaps as all other hosts lose power."""
+    """Wipe a disk, possibly while all other hosts lose power."""
     name = soak.pick_host()
     if name is None or not soak.may_lose_disk:
         return
@@ -226,7 +226,7 @@
 
 @fault
 async def replace(soak):
-    """Lose a host for good; an empty one comes at another address."""
+    """Replace a host by an empty one with another name."""
     name = soak.pick_host()
     if name is None or not soak.may_lose_disk:
         return
@@ -244,7 +244,7 @@
 @pytest.mark.parametrize('hosts', [3, 6])
 @pytest.mark.parametrize('seed', range(SEEDS))
 def test_group_recovers_from_overlapping_faults(seed, hosts):
-    """One lease at a time, nothing acknowledged lost, a leader in the end."""
+    """Checks for one lease at a time, no lost change and a final leader."""
     soak = Soak(seed, hosts)
     try:
         group.run(soak.simulate())
