--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""Operators' decisions: accepted once, remembered, in force everywhere."""
+"""Operator decisions are accepted once, durable and applied everywhere."""
 
 import asyncio
 import random
@@ -17,7 +17,7 @@
 
 
 def limit_intent(team, rate):
-    """Return the intent to set a team's limit."""
+    """Return an intent that sets a team's rate limit."""
     return {
         'type': 'change_limit',
         'limit': {'team': team, 'requests_per_s': rate, 'burst': 5},
@@ -34,10 +34,10 @@
 
 
 async def apply_intent(operator, number, intent):
-    """Plan and confirm; return the confirm's answer.
+    """Plan and confirm an intent; return the answer to the confirmation.
 
-    Another plan's step may move the configuration on in between; then it
-    is planned again, as an operator would.
+    If the configuration changes in between, the intent is planned again, as
+    an operator would do.
     """
     while True:
         planned = await operator.plan(number, intent)
@@ -50,7 +50,7 @@
 
 
 async def wait_in_force(running, index, hosts=('north-1', 'south-1')):
-    """Wait until entry hosts have reached an index."""
+    """Wait until entry hosts have applied an index."""
 
     async def reached():
         found = [await running.status(host) for host in hosts]
@@ -60,7 +60,7 @@
 
 
 async def limits_by_team(running, host):
-    """Return the limits that a control host knows."""
+    """Return the team limits in a control host's configuration."""
     client = running.operator(hosts=[host])
     found = await client.show('/configuration')
     return found.body['limits']
@@ -104,7 +104,7 @@
     confirmed = await operator.confirm(2, plan)
     again = await operator.confirm(2, plan)
     assert again.body['answer'] == confirmed.body['answer']
-    # Another operator's numbers are their own.
+    # Request numbers are scoped to the operator.
     second = running.operator(fleet.TOKEN + '2')
     assert (await second.plan(1, limit_intent('red', 1))).status == 200
 
@@ -171,7 +171,7 @@
 
 
 async def test_restarts_keep_every_accepted_change(tmp_path):
-    """Kill random voters while changes are accepted; keep them all."""
+    """Voters are killed at random while changes are accepted."""
     made = fleet.deployment(controls=3, control={'snapshot_entries': 40})
     chance = random.Random(7)
     async with fleet.running(tmp_path, made) as running:
@@ -227,7 +227,7 @@
         status = await running.control_status(await running.leader())
         found = status['voters'].get('control-2')
         if status['voters_before']:
-            # A host that was lost may still be needed.
+            # The old electorate may still be needed for a majority.
             return False
         return found and found != old['incarnation']
 
@@ -249,7 +249,7 @@
 
 
 async def test_old_copy_of_a_disk_gets_no_vote(running, tmp_path):
-    """A disk put back from a copy must not vote under its old name."""
+    """A disk restored from a copy must not vote with its old incarnation."""
     import shutil
 
     operator = running.operator()
@@ -310,7 +310,7 @@
 
 
 async def test_configuration_never_goes_back(running):
-    """Through restarts without a disk, cut off from control or not."""
+    """Entry hosts restart without a disk, with and without control hosts."""
     operator = running.operator()
     answer = await apply_intent(operator, 1, limit_intent('one', 1))
     index = answer.body['answer']['index']
@@ -319,7 +319,7 @@
     running.start_entry('north-1')
     await running.wait_serving('north-1')
     assert (await running.status('north-1'))['index'] >= index
-    # With nobody to ask, it serves nothing rather than something old.
+    # A partitioned host must not serve an older configuration.
     running.kill('north-1')
     running.isolate('north-1')
     running.start_entry('north-1')
@@ -337,7 +337,7 @@
 
 @pytest.mark.parametrize('fenced', [True, False])
 async def test_frozen_leader_that_wakes_sends_no_order(tmp_path, fenced):
-    """It was replaced meanwhile and still believes that it leads."""
+    """It resumes as leader of an old term, after another was elected."""
     made = fleet.deployment(regions=('north',), engines=4, controls=3)
     for endpoint in made['endpoints']:
         endpoint['fenced'] = fenced
@@ -387,13 +387,13 @@
 
 
 async def fencing_numbers(running, number):
-    """Return the fencing numbers that an engine has obeyed."""
+    """Return the fencing numbers of the orders an engine has accepted."""
     told = await running.runs(f'north-chat-{number}')
     return [order['number'] for order in told['orders']]
 
 
 async def test_unknown_key_is_refused(running):
-    """A host whose key is not in the settings is refused and logged."""
+    """A host whose key is not in the settings is rejected and logged."""
     identity = links.Identity('test', 'north-1', *links.new_keys())
     peers = [
         links.Peer(host.host, '127.0.0.1', host.link_port, host.public_key)
--- a/tests/test_execution.py
+++ b/tests/test_execution.py
@@ -1,4 +1,4 @@
-"""Orders leave under a lease and a committed number only."""
+"""Orders are sent only under a lease and with a committed fence."""
 
 import contextlib
 
@@ -18,7 +18,7 @@
 
 
 class FakeClock:
-    """Be a clock that sleeping moves."""
+    """Clock that advances only by sleeping."""
 
     def __init__(self):
         self.now_ms = 1_000_000
@@ -34,7 +34,7 @@
 
 
 class FakeVoter:
-    """Commit at once; lose the lease when told to."""
+    """Commits immediately; loses the lease on ``lose_lease_on`` entries."""
 
     def __init__(self, state, lose_lease_on):
         self.state = state
@@ -52,7 +52,7 @@
 
 
 class FakeDispatcher:
-    """Note what is sent and answer as an engine would."""
+    """Records orders and answers like an engine."""
 
     def __init__(self, clock):
         self._clock = clock
@@ -70,7 +70,7 @@
 
 
 class FakeAnswer:
-    """Answer with the models that were ordered."""
+    """Response that lists the ordered models as loaded."""
 
     status = 200
 
@@ -82,7 +82,7 @@
 
 
 def make_executor(lose_at=(), fenced=True, **control):
-    """Return an executor with one confirmed load to carry out."""
+    """Return an executor with two confirmed model loads, and its fakes."""
     made = fleet.deployment(regions=('north',), control=control)
     made['endpoints'][0]['fenced'] = fenced
     deployment = settings.parse(msgspec.json.encode(made))
@@ -113,7 +113,7 @@
 
 
 async def test_lease_lost_after_the_number_was_committed():
-    """The last look at the lease comes after every wait."""
+    """The lease must be checked again right before the order is sent."""
     made, voter, dispatcher, _clock = make_executor(entries.IssueOrder)
     await made._execute_step(voter.state.plans['p1'])
     assert dispatcher.sent == []
@@ -166,7 +166,7 @@
 
 
 class ReadOnlyList(list):
-    """Take nothing in."""
+    """List that ignores appended items."""
 
     def append(self, _item):
         pass
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -1,4 +1,4 @@
-"""Control hosts that found a group together, lose disks and replace them."""
+"""Bootstrap of control groups, recovery of disks and voter planning."""
 
 import errno
 
@@ -25,7 +25,7 @@
 
 
 def open_storage(folder):
-    """Return the storage in a folder."""
+    """Open the storage in a folder."""
     return storage.Storage(disk.Disk(folder))
 
 
@@ -67,7 +67,7 @@
     ],
 )
 def test_committed_entries_are_known_after_a_restart(tmp_path, case, known):
-    """The note may be lost or torn, but never claims too much."""
+    """A lost or torn commit record must not yield too high an index."""
     kept = open_storage(tmp_path)
     kept.save_meta()
     kept.append(
@@ -161,7 +161,7 @@
         again = await system.start_control(control.node.ip, first_start=False)
         held = again.registrar.registry.held
         assert ('e' in held) is known
-        # Believed for a while only, as nothing renews it here.
+        # Restored with a limited lifetime, as nothing renews it here.
         if known:
             age_ms = again.clock.mono_ms() - held['e'].heard_ms
             assert age_ms >= registry_snapshot.RESTORED_LEASE_MS
@@ -171,7 +171,7 @@
 async def test_host_without_room_on_its_disk_goes_on_answering(
     tmp_path, monkeypatch, leads
 ):
-    """It acknowledges nothing meanwhile, and catches up by itself."""
+    """It accepts no entry while its disk is full, and catches up after."""
     full = set()
     write = disk._put_synced
 
@@ -205,7 +205,7 @@
         found.registrar.register(said)
         [entry] = system.entries
         await nodes.until(lambda: 'e' in entry.attendance.registry.held)
-        # Started again without room, it answers too.
+        # It also answers after a restart with a full disk.
         await found.close()
         system.controls.remove(found)
         again = await system.start_control(found.node.ip, first_start=False)
@@ -241,7 +241,7 @@
 
 
 async def test_pre_candidate_may_still_vote_for_another(tmp_path):
-    """Its own canvass must not count as having heard a leader."""
+    """Its own pre-vote must not count as contact with a leader."""
     async with nodes.running(tmp_path, controls=2, entries=0) as system:
         await system.leader()
         left, gone = system.controls
@@ -296,7 +296,7 @@
     if verb != 'remove':
         wanted[names[-1]] = names[-1].upper()
     assert found.voters == wanted
-    # Both sets have to agree until the one has the other's place.
+    # A swap needs the majorities of both electorates until it is complete.
     assert found.before == (voters if verb == 'swap' else {})
 
 
@@ -328,7 +328,7 @@
 
 
 def assert_replacement(group, where, change):
-    """Compare who takes whose place with what is expected, if anyone."""
+    """Check which learner replaces which voter, if any."""
     known = group.followers(*((host, host.upper()) for host in where))
     for host, location in where.items():
         known[host].location = location
@@ -344,11 +344,10 @@
 @pytest.mark.parametrize(
     'where, change',
     [
-        # The lost one's region has another; any other would be the second
-        # of its own.
+        # Prefers the learner in a region without a voter.
         ({'b': SOUTH, 'c': NORTH, 'd': WEST}, 'lost d'),
         ({'b': SOUTH, 'c': WEST, 'd': NORTH}, 'lost c'),
-        # None is better than one that is gone.
+        # A lost voter is replaced even if the spread does not improve.
         ({'b': SOUTH, 'c': SOUTH}, 'lost c'),
         ({'b': NORTH, 'c': WEST}, 'lost c'),
         ({'b': SOUTH}, None),
@@ -365,7 +364,7 @@
         ({'b': NORTH, 'c': SOUTH, 'd': WEST}, 'b d'),
         ({'b': WEST, 'c': SOUTH, 'd': NORTH}, None),
         ({'b': NORTH, 'c': SOUTH, 'd': NORTH}, None),
-        # The other hall of a region is better than the same one twice.
+        # Two data centres of a region are better than one of them twice.
         (
             {
                 'b': NORTH,
@@ -392,7 +391,7 @@
 
 
 class FakeGroup:
-    """Be what a lead asks of its voter, in the north."""
+    """State of a leader in the north region, with its own clock."""
 
     def __init__(self, limit, voters, before=None):
         self.host = 'a'
@@ -410,7 +409,7 @@
         return 0
 
     def followers(self, *disks):
-        """Return hosts that hold all and answered just now."""
+        """Return followers that have caught up and answered just now."""
         known = {}
         for host, name in disks:
             known[host] = follower = followers.Follower(1)
@@ -421,7 +420,7 @@
 
 
 class FakeSettings:
-    """Be the times that a lead goes by."""
+    """Control settings that the voter planner reads."""
 
     replace_after_ms = 8_000
     election_timeout_ms = 1_000
@@ -431,7 +430,7 @@
 
 
 async def test_host_that_voted_meanwhile_does_not_campaign(tmp_path):
-    """Two that canvass at once must not end each other's lead."""
+    """Concurrent candidates must not depose each other."""
     async with nodes.running(tmp_path, controls=1, entries=0) as system:
         leader = await system.leader()
         elected = leader.voter
@@ -440,7 +439,7 @@
 
         async def canvass(pre):
             asked.append(pre)
-            # A vote for another is given while this one still asks.
+            # Simulates a vote granted to another host during the pre-vote.
             elected._leader_contact_ms = elected.clock.mono_ms()
             return True
 
