--- a/tests/group.py
+++ b/tests/group.py
@@ -367,7 +367,7 @@
         loop = asyncio.get_running_loop()
         end_s = loop.time() + wait_ms / MS_PER_S
         while not (found := condition()):
-            assert loop.time() < end_s, 'condition not met in time'
+            assert loop.time() < end_s, 'waited in vain'
             await asyncio.sleep(POLL_INTERVAL_MS / MS_PER_S)
         return found
 
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -438,7 +438,7 @@
             return None
         answer = await self.call(self.leader, attending.ConfirmIndex())
         if not isinstance(answer, attending.IndexConfirmed):
-            self._log_unconfirmed_index('no answer from the leader')
+            self._log_unconfirmed_index('leader gave no answer')
             return None
         if answer.index is None:
             self._log_unconfirmed_index('leader has no lease')
