--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -70,7 +70,7 @@
         region: ids.RegionId,
         regions: collections.abc.Mapping[ids.DataCentreId, ids.RegionId],
         discovery: discovery_client.DiscoveryClient,
-        held: replica.Replica,
+        local_replica: replica.Replica,
         outlier_detector: outlier_detection.OutlierDetector,
         estimator: estimate.Estimator,
         remotes: remote_hosts.RemoteHosts,
@@ -81,7 +81,7 @@
         self._region = region
         self._regions = regions
         self._discovery = discovery
-        self._replica = held
+        self._replica = local_replica
         self._outlier_detector = outlier_detector
         self._estimator = estimator
         self._remote_hosts = remotes
