--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -192,18 +192,23 @@
         count: int,
     ) -> list[EndpointSelection]:
         names = [found.said.endpoint for found in candidates]
-        usual = None
+        affinity_name = None
         if self._is_enabled(mechanisms.Mechanism.USUAL_ENGINES):
-            usual = prefix_index.affinity_endpoint(call.parts, names)
+            affinity_name = prefix_index.affinity_endpoint(call.parts, names)
         holder = self._find_cache_holder(service, call, candidates)
-        keeping = {usual, None if holder is None else holder.endpoint}
+        keeping = {affinity_name, None if holder is None else holder.endpoint}
         if not self._supports_transfer(service):
             holder = None
         estimated = []
         for found in sampling.sample(candidates, keeping, self._random):
             name = found.said.endpoint
             item = EndpointSelection(
-                found, estimate.Estimate(0.0), 0.0, True, name == usual, count
+                found,
+                estimate.Estimate(0.0),
+                0.0,
+                True,
+                name == affinity_name,
+                count,
             )
             self._plan_transfer(item, call, holder)
             item.estimate = self._estimator.estimate(
