--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -196,11 +196,11 @@
         if self._is_enabled(mechanisms.Mechanism.USUAL_ENGINES):
             affinity_name = prefix_index.affinity_endpoint(call.parts, names)
         holder = self._find_cache_holder(service, call, candidates)
-        keeping = {affinity_name, None if holder is None else holder.endpoint}
+        required = {affinity_name, None if holder is None else holder.endpoint}
         if not self._supports_transfer(service):
             holder = None
         estimated = []
-        for found in sampling.sample(candidates, keeping, self._random):
+        for found in sampling.sample(candidates, required, self._random):
             name = found.said.endpoint
             item = EndpointSelection(
                 found,
