--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -169,18 +169,18 @@
         self, bounds: costs.LatencyBounds, item: 'EndpointSelection'
     ) -> float:
         """Return an endpoint's cost to the call and to concurrent calls."""
-        found = item.estimate
-        end_ms = found.end_ms + item.first_ms - found.first_ms
+        expected = item.estimate
+        end_ms = expected.end_ms + item.first_ms - expected.first_ms
         waiting_ms = costs.latency_cost_ms(
-            bounds, item.first_ms, end_ms, found.spread
+            bounds, item.first_ms, end_ms, expected.spread
         )
         cost_ms = waiting_ms
         if self._is_enabled(mechanisms.Mechanism.WEIGHING_PAUSES):
             cost_ms += costs.pause_cost_ms(
-                bounds, found.pause_ms, found.delayed_streams
+                bounds, expected.pause_ms, expected.delayed_streams
             )
         if self._is_enabled(mechanisms.Mechanism.WEIGHING_READING):
-            cost_ms += found.prefill_ms
+            cost_ms += expected.prefill_ms
         return cost_ms
 
     def _estimate_candidates(
