--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -171,10 +171,10 @@
         """Return an endpoint's cost to the call and to concurrent calls."""
         expected = item.estimate
         end_ms = expected.end_ms + item.first_ms - expected.first_ms
-        waiting_ms = costs.latency_cost_ms(
+        latency_ms = costs.latency_cost_ms(
             bounds, item.first_ms, end_ms, expected.spread
         )
-        cost_ms = waiting_ms
+        cost_ms = latency_ms
         if self._is_enabled(mechanisms.Mechanism.WEIGHING_PAUSES):
             cost_ms += costs.pause_cost_ms(
                 bounds, expected.pause_ms, expected.delayed_streams
