--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -263,13 +263,13 @@
         name = item.registered.said.endpoint
         if holder is None or holder.endpoint == name:
             return
-        kept = self._estimator.prefixes.cached_tokens(
+        cached = self._estimator.prefixes.cached_tokens(
             name, call.parts, item.has_affinity
         )
-        if holder.tokens - kept < prefix_index.MIN_TRANSFER_TOKENS:
+        if holder.tokens - cached < prefix_index.MIN_TRANSFER_TOKENS:
             return
         item.source = self._discovery.registry.held.get(holder.endpoint)
-        item.moved_tokens = holder.tokens - kept
+        item.moved_tokens = holder.tokens - cached
 
     def estimate_spread(self, service: ids.ServiceId) -> float:
         """Return the mean absolute log error of a service's estimates."""
