--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -340,8 +340,8 @@
     def build_offers(self) -> list[messages.Offer]:
         """Return the offers for each service to be sent to other regions."""
         services = self._replica.current.routes.services.values()
-        made = [self._build_offer(service) for service in services]
-        return [offer for offer in made if offer is not None]
+        offers = [self._build_offer(service) for service in services]
+        return [offer for offer in offers if offer is not None]
 
     def _build_offer(
         self, service: routes.RoutedService
