--- a/benches/switches_limits.py
+++ b/benches/switches_limits.py
@@ -36,7 +36,7 @@
     Switch(
         'limited endpoints offered to other regions',
         SERVING + 'endpoint_selector.py',
-        'found = unlimited or found',
+        'endpoints = unlimited or endpoints',
         'pass',
         f'{INCIDENT}::test_offers_exclude_limited_endpoints',
     ),
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -346,19 +346,19 @@
     def _build_offer(
         self, service: routes.RoutedService
     ) -> messages.Offer | None:
-        found = self._availability.healthy_endpoints(
+        endpoints = self._availability.healthy_endpoints(
             service.service, self._region
         )
-        if not found:
+        if not endpoints:
             return None
         # Endpoints that advertise a limit are kept for local calls, if there
         # are others.
         unlimited = [
             one
-            for one in found
+            for one in endpoints
             if not self._availability.advertises_limit(one)
         ]
-        found = unlimited or found
+        endpoints = unlimited or endpoints
         name, best = min(
             (
                 (
@@ -371,7 +371,7 @@
                         False,
                     ),
                 )
-                for one in sampling.sample(found, (), self._random)
+                for one in sampling.sample(endpoints, (), self._random)
             ),
             key=lambda item: (not item[1].can_start_now, item[1].first_ms),
         )
@@ -390,7 +390,7 @@
             token_ms,
             usual_ms,
             present_ms,
-            len(found),
+            len(endpoints),
         )
 
     def _in_flight_at(self, found: registry.Registered) -> int:
