--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -61,7 +61,7 @@
         self,
         host: ids.HostId,
         region: ids.RegionId,
-        held: replica.Replica,
+        local_replica: replica.Replica,
         selector: endpoint_selector.EndpointSelector,
         region_offers: remote_regions.RemoteRegions,
         switched_off: collections.abc.Set[mechanisms.Mechanism],
@@ -69,7 +69,7 @@
     ):
         self._host = host
         self._region = region
-        self._replica = held
+        self._replica = local_replica
         self._selector = selector
         self._remote_regions = region_offers
         self._switched_off = switched_off
