--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -616,7 +616,7 @@
     Switch(
         'hopeless calls are sent',
         DECISIONS + 'serving/destinations.py',
-        ('        if context.send_count or lost <= DEADLINE_MISS_LIMIT:\n'),
+        ('        if context.send_count or probability <= DEADLINE_MISS_LIMIT:\n'),
         ('        if True:\n'),
         ('tests/test_far.py'),
     ),
--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -130,10 +130,10 @@
         A call that was sent before is not refused, as it may be resumed.
         """
         spread = self._selector.estimate_spread(context.service.service)
-        lost = costs.deadline_miss_probability(
+        probability = costs.deadline_miss_probability(
             bounds, first_ms, end_ms, spread
         )
-        if context.send_count or lost <= DEADLINE_MISS_LIMIT:
+        if context.send_count or probability <= DEADLINE_MISS_LIMIT:
             return
         if not self._is_enabled(mechanisms.Mechanism.REFUSING_HOPELESS):
             return
