--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -91,12 +91,12 @@
         if hop is not None:
             self._refuse_if_slower(context, local)
             return self._endpoint_destination(context, local)
-        far, far_ms = self._best_remote_offer(context, bounds)
-        if far is not None and (local is None or far_ms < local.cost_ms):
+        remote, far_ms = self._best_remote_offer(context, bounds)
+        if remote is not None and (local is None or far_ms < local.cost_ms):
             self._refuse_unmeetable_deadline(
-                context, bounds, far.first_ms, far.end_ms
+                context, bounds, remote.first_ms, remote.end_ms
             )
-            return self._host_destination(context, far, local)
+            return self._host_destination(context, remote, local)
         if local is not None:
             self._refuse_unmeetable_deadline(
                 context, bounds, local.first_ms, local.estimate.end_ms
