--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -91,8 +91,10 @@
         if hop is not None:
             self._refuse_if_slower(context, local)
             return self._endpoint_destination(context, local)
-        remote, far_ms = self._best_remote_offer(context, bounds)
-        if remote is not None and (local is None or far_ms < local.cost_ms):
+        remote, remote_cost_ms = self._best_remote_offer(context, bounds)
+        if remote is not None and (
+            local is None or remote_cost_ms < local.cost_ms
+        ):
             self._refuse_unmeetable_deadline(
                 context, bounds, remote.first_ms, remote.end_ms
             )
