--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -185,12 +185,12 @@
     ) -> sending.Destination | None:
         if chosen is None:
             return None
-        said = chosen.registered.said
+        registration = chosen.registered.said
         logger.info(
             'endpoint_chosen',
             request=context.call.request,
             route=context.route.name,
-            endpoint=said.endpoint,
+            endpoint=registration.endpoint,
             first_ms=round(chosen.first_ms),
             expected_ms=round(chosen.estimate.first_ms),
             end_ms=round(chosen.estimate.end_ms),
@@ -206,9 +206,9 @@
             version=self._replica.current.routes.version,
         )
         return sending.Destination(
-            said.address,
+            registration.address,
             self._region,
-            endpoint=said.endpoint,
+            endpoint=registration.endpoint,
             chosen=chosen,
         )
 
