--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -226,19 +226,19 @@
                 host = self._find_relay_host(context, region)
             if host is None:
                 continue
-            found = self._remote_regions.offer_for_call(
+            offer = self._remote_regions.offer_for_call(
                 region, context.service, context.call, host
             )
-            if found is None:
+            if offer is None:
                 continue
             cost_ms = costs.latency_cost_ms(
-                bounds, found.first_ms, found.end_ms, spread
+                bounds, offer.first_ms, offer.end_ms, spread
             )
-            cost_ms += found.remote_prefill_ms + REMOTE_CALL_COST_MS
+            cost_ms += offer.remote_prefill_ms + REMOTE_CALL_COST_MS
             kb = len(context.call.body) / costs.BYTES_PER_KB
             cost_ms += kb * REMOTE_KB_COST_MS
             if best is None or cost_ms < best_ms:
-                best, best_ms = found, cost_ms
+                best, best_ms = offer, cost_ms
         return best, best_ms
 
     def _find_relay_host(
