--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -287,7 +287,7 @@
     def _host_destination(
         self,
         context: call_context.CallContext,
-        found: remote_regions.RegionOffer,
+        offer: remote_regions.RegionOffer,
         local: endpoint_selector.EndpointSelection | None,
     ) -> sending.Destination:
         # Not reduced by the travel time, as a refused call would lose the
@@ -299,18 +299,18 @@
             'passed_on',
             request=context.call.request,
             route=context.route.name,
-            peer=found.host.host,
-            region=found.region,
-            relayed=found.host.region != found.region,
-            peer_region=found.host.region,
+            peer=offer.host.host,
+            region=offer.region,
+            relayed=offer.host.region != offer.region,
+            peer_region=offer.host.region,
             homes=list(context.route.homes),
             version=self._replica.current.routes.version,
-            first_ms=round(found.first_ms),
+            first_ms=round(offer.first_ms),
             here_ms=None if local is None else round(local.first_ms),
             limit_ms=int(limit_ms),
         )
         self._remote_regions.record_forwarded(
-            found.region, context.service, context.call
+            offer.region, context.service, context.call
         )
         hop = passing.Hop(
             self._host,
@@ -319,12 +319,12 @@
             self._replica.current.index,
             context.runs_limit - context.runs,
             int(limit_ms),
-            found.region,
+            offer.region,
         )
         return sending.Destination(
-            found.host.passing_address,
-            found.host.region,
-            host=found.host.host,
-            serving_region=found.region,
+            offer.host.passing_address,
+            offer.host.region,
+            host=offer.host.host,
+            serving_region=offer.region,
             hop=hop,
         )
