--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -67,7 +67,7 @@
 
     def __init__(
         self,
-        held: replica.Replica,
+        local_replica: replica.Replica,
         discovery: discovery_client.DiscoveryClient,
         selector: endpoint_selector.EndpointSelector,
         destination_selector: destinations.DestinationSelector,
@@ -79,7 +79,7 @@
         switched_off: collections.abc.Set[mechanisms.Mechanism],
         clock: clocks.Clock,
     ):
-        self._replica = held
+        self._replica = local_replica
         self._discovery = discovery
         self._selector = selector
         self._destinations = destination_selector
