--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -134,7 +134,7 @@
             await self._serve(context)
         finally:
             if not context.may_have_run:
-                self._limiter.refund(context.taken)
+                self._limiter.refund(context.reservation)
 
     async def _prepare_call(
         self,
@@ -169,7 +169,7 @@
         table = self._replica.current.routes
         service = table.service(self._select_service(permit.route, hop))
         try:
-            taken = await self._charge_team_limit(call, permit, hop)
+            reservation = await self._charge_team_limit(call, permit, hop)
         except limiters.OverLimitError as error:
             await self._refuse_over_limit(call, reply, error)
             return None
@@ -181,7 +181,7 @@
             call.arrived_ms + left_ms,
             reply,
             hop,
-            taken,
+            reservation,
         )
 
     async def _charge_team_limit(
