--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -435,8 +435,10 @@
             context.reply.abort()
             return
         if context.retained_response is not None:
-            kept = context.retained_response
-            await context.reply.whole(kept.status, kept.fields, kept.body)
+            response = context.retained_response
+            await context.reply.whole(
+                response.status, response.fields, response.body
+            )
             return
         retry_after_ms = None
         if status == UNAVAILABLE:
