--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -454,15 +454,15 @@
 
     def _retry_hint_ms(self, context: call_context.CallContext) -> int:
         """Return a jittered Retry-After for a call without an endpoint."""
-        known_ms = self._selector.endpoint_retry_after_ms(
+        delay_ms = self._selector.endpoint_retry_after_ms(
             context.service, context.permit.urgency
         )
-        if known_ms is None:
-            known_ms = context.remote_retry_after_ms or RETRY_AFTER_MS
+        if delay_ms is None:
+            delay_ms = context.remote_retry_after_ms or RETRY_AFTER_MS
         urgency = 0
         if self._selector.all_in_backoff(context.service):
             urgency = context.permit.urgency
-        return retry_schedule.jittered_ms(known_ms, urgency)
+        return retry_schedule.jittered_ms(delay_ms, urgency)
 
     async def drain(self, timeout_ms: int) -> bool:
         """Refuse new calls and wait; return whether all calls completed."""
