--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -386,7 +386,7 @@
         tracker: event_tracker.EventTracker,
     ) -> None:
         """Forward events, and record the engine's pace."""
-        with self._gap_recorder(context, destination) as paced:
+        with self._gap_recorder(context, destination) as recorder:
             async for chunk in answer.chunks():
                 data = tracker.feed(chunk)
                 if not data:
@@ -396,7 +396,7 @@
                     await context.reply.open(answer.status, answer.fields)
                     context.tracker = tracker
                 context.record_piece(self._clock.mono_ms())
-                paced.record_piece()
+                recorder.record_piece()
                 await context.reply.write(data)
 
     def _gap_recorder(
