--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -202,12 +202,12 @@
         try:
             async with clocks.timeout_ms(None) as bound:
 
-                def lost() -> None:
+                def on_unreachable() -> None:
                     if not context.reply.started:
                         now_s = asyncio.get_running_loop().time()
                         bound.reschedule(now_s)
 
-                with self._pinger.watch_host(destination.host, lost):
+                with self._pinger.watch_host(destination.host, on_unreachable):
                     yield
         except TimeoutError as error:
             if not bound.expired():
