--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -200,17 +200,17 @@
             yield
             return
         try:
-            async with clocks.timeout_ms(None) as bound:
+            async with clocks.timeout_ms(None) as timeout:
 
                 def on_unreachable() -> None:
                     if not context.reply.started:
                         now_s = asyncio.get_running_loop().time()
-                        bound.reschedule(now_s)
+                        timeout.reschedule(now_s)
 
                 with self._pinger.watch_host(destination.host, on_unreachable):
                     yield
         except TimeoutError as error:
-            if not bound.expired():
+            if not timeout.expired():
                 raise
             raise errors.MaybeSentError(
                 f'host {destination.host} became unreachable'
