--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -423,9 +423,9 @@
     ) -> None:
         if not context.reply.started:
             await context.reply.open(answer.status, answer.fields)
-        rest = tracker.take_remainder()
-        if rest:
-            await context.reply.write(rest)
+        remainder = tracker.take_remainder()
+        if remainder:
+            await context.reply.write(remainder)
         await context.reply.end()
         self._log_answered(
             context, destination, answer.status, tracker.event_count
