--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -507,5 +507,7 @@
     """
     if context.tracker is not None or destination.chosen is None:
         return endpoint_limits.FIRST_RANK
-    kept = destination.chosen.estimate.uncached_tokens < context.call.tokens_in
-    return endpoint_limits.rank_of(context.permit.urgency, kept)
+    is_cached = (
+        destination.chosen.estimate.uncached_tokens < context.call.tokens_in
+    )
+    return endpoint_limits.rank_of(context.permit.urgency, is_cached)
