--- a/wrenspoke/coordination/serving/event_tracker.py
+++ b/wrenspoke/coordination/serving/event_tracker.py
@@ -29,11 +29,11 @@
         for found in EVENT_END.finditer(self._buffer):
             self._record_event(self._buffer[end : found.end()])
             end = found.end()
-        whole, self._buffer = self._buffer[:end], self._buffer[end:]
+        complete, self._buffer = self._buffer[:end], self._buffer[end:]
         if self._whole_only and len(self._buffer) <= EVENT_BUFFER_LIMIT_BYTES:
-            return whole
+            return complete
         if self._whole_only:
-            return whole + self._flush_buffer()
+            return complete + self._flush_buffer()
         # Forwarded as received, but parsed in whole events.
         self._buffer = self._buffer[-EVENT_BUFFER_LIMIT_BYTES:]
         return data
