--- a/wrenspoke/coordination/serving/event_tracker.py
+++ b/wrenspoke/coordination/serving/event_tracker.py
@@ -45,8 +45,8 @@
             self.last_id = found.group(1).decode('utf-8', 'replace')
 
     def _flush_buffer(self) -> bytes:
-        rest, self._buffer = self._buffer, b''
-        return rest
+        remainder, self._buffer = self._buffer, b''
+        return remainder
 
     def take_remainder(self) -> bytes:
         """Return the buffered bytes after the last whole event."""
