--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -62,7 +62,7 @@
         pinger: host_pinger.HostPinger,
         remotes: remote_hosts.RemoteHosts,
         region_statuses: region_views.RegionViews,
-        held: replica.Replica,
+        local_replica: replica.Replica,
         clock: clocks.Clock,
         broadcaster: sent_call_broadcast.SentCallBroadcaster | None = None,
     ):
@@ -72,7 +72,7 @@
         self._pinger = pinger
         self._remote_hosts = remotes
         self._views = region_statuses
-        self._replica = held
+        self._replica = local_replica
         self._index = 0
         self._index_ms = clock.mono_ms()
         self._clock = clock
