--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -93,13 +93,13 @@
         remote = self._latest_status(host)
         if remote is None:
             return _default_offer(region, host)
-        said = remote.pong
-        if not said.serving or self._has_stale_configuration(remote):
+        status = remote.pong
+        if not status.serving or self._has_stale_configuration(remote):
             return None
         travel_ms = (remote.rtt_ms or 0.0) + FORWARDING_OVERHEAD_MS
-        offers = said.offers
+        offers = status.offers
         if host.region != region:
-            offers = said.relayed.get(region, [])
+            offers = status.relayed.get(region, [])
         if offers is None:
             return _default_offer(region, host)
         found = _offer_of(offers, service.service)
