--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -105,7 +105,7 @@
         found = _offer_of(offers, service.service)
         if found is None:
             return None
-        unread_ms = found.token_ms * self._uncached_tokens(
+        uncached_ms = found.token_ms * self._uncached_tokens(
             region, service, call
         )
         waiting_ms = found.wait_ms + self._unreported_wait_ms(
@@ -116,13 +116,13 @@
         )
         if self._clock.mono_ms() - at_ms < BUSY_WAIT_TTL_MS:
             waiting_ms = max(waiting_ms, told_ms)
-        first_ms = travel_ms + waiting_ms + unread_ms
+        first_ms = travel_ms + waiting_ms + uncached_ms
         end_ms = first_ms
         if service.batch is not None:
             events = call.tokens_expected / service.batch.event_tokens
             paced = engine_pace.PaceForecast(found.usual_ms, found.present_ms)
             end_ms += paced.stream_ms(events)
-        return RegionOffer(region, host, first_ms, end_ms, unread_ms)
+        return RegionOffer(region, host, first_ms, end_ms, uncached_ms)
 
     def relay_offers(
         self, unreachable: list[ids.RegionId]
