--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -111,11 +111,11 @@
         waiting_ms = found.wait_ms + self._unreported_wait_ms(
             region, remote, found
         )
-        told_ms, at_ms = self._busy_waits.get(
+        busy_ms, at_ms = self._busy_waits.get(
             (region, service.service), (0.0, 0)
         )
         if self._clock.mono_ms() - at_ms < BUSY_WAIT_TTL_MS:
-            waiting_ms = max(waiting_ms, told_ms)
+            waiting_ms = max(waiting_ms, busy_ms)
         first_ms = travel_ms + waiting_ms + uncached_ms
         end_ms = first_ms
         if service.batch is not None:
