--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -120,8 +120,10 @@
         end_ms = first_ms
         if service.batch is not None:
             events = call.tokens_expected / service.batch.event_tokens
-            paced = engine_pace.PaceForecast(found.usual_ms, found.present_ms)
-            end_ms += paced.stream_ms(events)
+            forecast = engine_pace.PaceForecast(
+                found.usual_ms, found.present_ms
+            )
+            end_ms += forecast.stream_ms(events)
         return RegionOffer(region, host, first_ms, end_ms, uncached_ms)
 
     def relay_offers(
