--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -203,8 +203,10 @@
         if service.batch is None:
             return 0.0
         name = _cache_key(region, service.service)
-        kept = self._prefix_index.cached_tokens(name, call.parts, usual=False)
-        return max(call.tokens_in - kept, 0.0)
+        cached = self._prefix_index.cached_tokens(
+            name, call.parts, usual=False
+        )
+        return max(call.tokens_in - cached, 0.0)
 
     def _unreported_wait_ms(
         self,
