--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -215,13 +215,13 @@
         found: messages.Offer,
     ) -> float:
         """Return the wait due to forwarded calls newer than the offer."""
-        passed = self._forwarded.get(region)
-        if not passed:
+        forwarded = self._forwarded.get(region)
+        if not forwarded:
             return 0.0
         since_ms = remote.answered_ms - (remote.rtt_ms or 0.0) / 2
-        while passed and passed[0][0] < since_ms:
-            passed.popleft()
-        tokens = sum(item[1] for item in passed)
+        while forwarded and forwarded[0][0] < since_ms:
+            forwarded.popleft()
+        tokens = sum(item[1] for item in forwarded)
         return tokens * found.token_ms / max(found.endpoints, 1)
 
     def record_forwarded(
