--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -232,8 +232,8 @@
     ) -> None:
         """Record a forwarded call, and broadcast it to this region's hosts."""
         unread = self._uncached_tokens(region, service, call)
-        passed = self._forwarded.setdefault(region, collections.deque())
-        passed.append((self._clock.mono_ms(), unread))
+        forwarded = self._forwarded.setdefault(region, collections.deque())
+        forwarded.append((self._clock.mono_ms(), unread))
         if service.batch is None:
             return
         name = _cache_key(region, service.service)
