--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -231,9 +231,9 @@
         call: dialects.Call,
     ) -> None:
         """Record a forwarded call, and broadcast it to this region's hosts."""
-        unread = self._uncached_tokens(region, service, call)
+        uncached = self._uncached_tokens(region, service, call)
         forwarded = self._forwarded.setdefault(region, collections.deque())
-        forwarded.append((self._clock.mono_ms(), unread))
+        forwarded.append((self._clock.mono_ms(), uncached))
         if service.batch is None:
             return
         name = _cache_key(region, service.service)
@@ -241,7 +241,7 @@
             name, service.batch.cache_tokens, call.parts
         )
         if self._broadcaster is not None:
-            self._broadcaster.publish(name, unread, call.parts)
+            self._broadcaster.publish(name, uncached, call.parts)
 
     def _on_peer_forwarded(self, sent: attending.SentCall) -> None:
         """Record a call that another host of this region forwarded."""
