--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -249,10 +249,10 @@
         service = self._replica.current.routes.service(ids.ServiceId(name))
         if not found or service is None or service.batch is None:
             return
-        passed = self._forwarded.setdefault(
+        forwarded = self._forwarded.setdefault(
             ids.RegionId(region), collections.deque()
         )
-        passed.append((self._clock.mono_ms() - sent.age_ms, sent.tokens))
+        forwarded.append((self._clock.mono_ms() - sent.age_ms, sent.tokens))
         parts = sent_call_broadcast.prompt_parts(sent)
         self._prefix_index.record_prompt(
             sent.endpoint, service.batch.cache_tokens, parts
