--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -36,7 +36,7 @@
         pollers: region_pollers.RegionPollers,
         regions: collections.abc.Mapping[ids.DataCentreId, ids.RegionId],
         discovery: discovery_client.DiscoveryClient,
-        held: replica.Replica,
+        local_replica: replica.Replica,
         outlier_detector: outlier_detection.OutlierDetector,
         probe: warmup_probe.WarmupProbe,
         engine_loads: engine_loads.EngineLoads,
@@ -48,7 +48,7 @@
         self._pollers = pollers
         self._regions = regions
         self._discovery = discovery
-        self._replica = held
+        self._replica = local_replica
         self._outlier_detector = outlier_detector
         self._warmup_probe = probe
         self._engine_loads = engine_loads
