--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -149,8 +149,8 @@
         """Return whether an endpoint must be limited to its warmup rate."""
         if found.warm_ms > self._clock.mono_ms():
             return True
-        taken_back_ms = self._restored_at_ms.get(found.said.data_centre)
-        if taken_back_ms is None or found.heard_ms >= taken_back_ms:
+        restored_at_ms = self._restored_at_ms.get(found.said.data_centre)
+        if restored_at_ms is None or found.heard_ms >= restored_at_ms:
             return False
         service = self._replica.current.routes.service(found.said.service)
         if service is None or service.warmup_per_s <= 0:
@@ -158,7 +158,7 @@
         warm_ms = self._warmup_probe.warm_ms(found.said.endpoint)
         if warm_ms is not None:
             return warm_ms > self._clock.mono_ms()
-        since_ms = self._clock.mono_ms() - taken_back_ms
+        since_ms = self._clock.mono_ms() - restored_at_ms
         return since_ms < RESTORED_UNCERTAIN_MS
 
     def next_warmup_endpoint(
