--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -93,11 +93,11 @@
         the endpoint's earlier status is valid.
         """
         evacuated = set(self._replica.current.evacuated)
-        taken_back = self._evacuated - evacuated
+        restored = self._evacuated - evacuated
         self._evacuated = evacuated
-        if not taken_back:
+        if not restored:
             return
-        for data_centre in taken_back:
+        for data_centre in restored:
             self._restored_at_ms[data_centre] = self._clock.mono_ms()
         if not self._is_enabled(mechanisms.Mechanism.ASKING_WARMTH):
             return
@@ -106,7 +106,7 @@
             found
             for found in self._discovery.registry.held.values()
             if found.takes_work
-            and found.said.data_centre in taken_back
+            and found.said.data_centre in restored
             and self._regions.get(found.said.data_centre) == self._region
             and found.said.service in services
             and services[found.said.service].warmup_per_s > 0
