--- a/wrenspoke/coordination/serving/backlog.py
+++ b/wrenspoke/coordination/serving/backlog.py
@@ -78,12 +78,12 @@
         engine.drained_at_ms = (
             max(engine.drained_at_ms, now_ms) + tokens * token_ms
         )
-        reading = PendingPrompt(now_ms, tokens)
+        prompt = PendingPrompt(now_ms, tokens)
         if not engine.waiting:
             engine.progress_since_ms = now_ms
         self._last_number += 1
-        engine.waiting[self._last_number] = reading
-        engine.sent.append(reading)
+        engine.waiting[self._last_number] = prompt
+        engine.sent.append(prompt)
         self._mean_prompt_tokens += PROMPT_LENGTH_SMOOTHING * (
             tokens - self._mean_prompt_tokens
         )
