--- a/wrenspoke/coordination/serving/backlog.py
+++ b/wrenspoke/coordination/serving/backlog.py
@@ -138,14 +138,14 @@
             if load is None:
                 return own
             return max(own, self._reported_tokens(engine, load, token_ms))
-        left = 0.0
+        undrained = 0.0
         if engine is not None:
             left_ms = engine.drained_at_ms - self._clock.mono_ms()
-            left = max(left_ms, 0.0) / token_ms
+            undrained = max(left_ms, 0.0) / token_ms
         if load is None:
-            return max(own, left)
+            return max(own, undrained)
         reported = self._reported_tokens(engine, load, token_ms)
-        joined = left + REPORTED_WEIGHT * (reported - left)
+        joined = undrained + REPORTED_WEIGHT * (reported - undrained)
         return max(own, joined)
 
     def _own_tokens(self, engine: _EngineBacklog, token_ms: float) -> float:
