--- a/wrenspoke/coordination/serving/backlog.py
+++ b/wrenspoke/coordination/serving/backlog.py
@@ -145,8 +145,8 @@
         if load is None:
             return max(own, undrained)
         reported = self._reported_tokens(engine, load, token_ms)
-        joined = undrained + REPORTED_WEIGHT * (reported - undrained)
-        return max(own, joined)
+        combined = undrained + REPORTED_WEIGHT * (reported - undrained)
+        return max(own, combined)
 
     def _own_tokens(self, engine: _EngineBacklog, token_ms: float) -> float:
         """Return the tokens queued by this host."""
