--- a/wrenspoke/coordination/serving/backlog.py
+++ b/wrenspoke/coordination/serving/backlog.py
@@ -153,10 +153,12 @@
         if not engine.waiting:
             return 0.0
         waiting = sum(found.tokens for found in engine.waiting.values())
-        read = (self._clock.mono_ms() - engine.progress_since_ms) / token_ms
+        completed = (
+            self._clock.mono_ms() - engine.progress_since_ms
+        ) / token_ms
         # The last prompt is incomplete, as its call has not answered.
         newest = next(reversed(engine.waiting.values()))
-        return max(waiting - read, min(newest.tokens, waiting))
+        return max(waiting - completed, min(newest.tokens, waiting))
 
     def _reported_tokens(
         self,
