--- a/wrenspoke/coordination/serving/backlog.py
+++ b/wrenspoke/coordination/serving/backlog.py
@@ -184,16 +184,17 @@
     ) -> float:
         """Return the tokens that other hosts have sent since a time."""
         unknown_ms = age_ms
-        told = 0.0
+        reported = 0.0
         if self.has_peer_reports:
             unknown_ms = min(PEER_REPORT_LAG_MS, age_ms)
-            told = sum(
+            reported = sum(
                 found.tokens
                 for found in engine.peer_prompts
                 if found.sent_ms >= since_ms
             )
         return (
-            told + self._send_rate(engine) * (self.host_count - 1) * unknown_ms
+            reported
+            + self._send_rate(engine) * (self.host_count - 1) * unknown_ms
         )
 
     def _send_rate(self, engine: _EngineBacklog) -> float:
