--- a/wrenspoke/coordination/serving/costs.py
+++ b/wrenspoke/coordination/serving/costs.py
@@ -29,8 +29,8 @@
     if left_ms <= MIN_MS:
         return 1.0
     deviation = max(DEVIATION_PER_MEAN_ERROR * spread, MIN_DEVIATION)
-    off = math.log(max(first_ms, MIN_MS) / left_ms) / deviation
-    return 0.5 * (1.0 + math.erf(off / math.sqrt(2.0)))
+    deviations = math.log(max(first_ms, MIN_MS) / left_ms) / deviation
+    return 0.5 * (1.0 + math.erf(deviations / math.sqrt(2.0)))
 
 
 @dataclasses.dataclass(slots=True)
