--- a/wrenspoke/coordination/serving/costs.py
+++ b/wrenspoke/coordination/serving/costs.py
@@ -59,8 +59,8 @@
 ) -> float:
     """Return the cost of a response's expected latency to its caller."""
     late = miss_probability(first_ms, bounds.target_left_ms, spread)
-    gone = deadline_miss_probability(bounds, first_ms, end_ms, spread)
-    return bounds.target_ms * (late + gone) + COMPLETION_WEIGHT * end_ms
+    missed = deadline_miss_probability(bounds, first_ms, end_ms, spread)
+    return bounds.target_ms * (late + missed) + COMPLETION_WEIGHT * end_ms
 
 
 def pause_cost_ms(
