--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -100,8 +100,8 @@
         load = self._engine_loads.load(said.endpoint)
         # Affinity is only assumed without broadcasts from the other hosts.
         usual = usual and not self.backlog.has_peer_reports
-        kept = self.prefixes.cached_tokens(said.endpoint, call.parts, usual)
-        unread = max(call.tokens_in - kept - moved_tokens, 0.0)
+        cached = self.prefixes.cached_tokens(said.endpoint, call.parts, usual)
+        unread = max(call.tokens_in - cached - moved_tokens, 0.0)
         token_ms = self._token_ms(said.endpoint, said.service)
         ahead = self.backlog.tokens_ahead(said.endpoint, load, token_ms)
         moving_ms = TRANSFER_WAIT_FACTOR * service.batch.move_ms(moved_tokens)
