--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -103,24 +103,24 @@
         cached = self.prefixes.cached_tokens(said.endpoint, call.parts, usual)
         uncached = max(call.tokens_in - cached - moved_tokens, 0.0)
         token_ms = self._token_ms(said.endpoint, said.service)
-        ahead = self.backlog.tokens_ahead(said.endpoint, load, token_ms)
+        queued = self.backlog.tokens_ahead(said.endpoint, load, token_ms)
         moving_ms = TRANSFER_WAIT_FACTOR * service.batch.move_ms(moved_tokens)
-        first_ms = model.first_ms(said.endpoint, uncached, ahead) + moving_ms
+        first_ms = model.first_ms(said.endpoint, uncached, queued) + moving_ms
         room = True
         if load is not None:
-            needed = uncached + call.tokens_out + ahead
+            needed = uncached + call.tokens_out + queued
             fits = load.held_tokens + needed <= load.total_tokens
             room = fits and load.running < service.batch.slots
         event_tokens = service.batch.event_tokens
         events = math.ceil(call.tokens_expected / event_tokens)
         pace_ahead = self.pace.forecast(said.endpoint, event_tokens)
         reading_ms = uncached * token_ms
-        busy_ms = ahead * token_ms + reading_ms
+        busy_ms = queued * token_ms + reading_ms
         return Estimate(
             first_ms,
             first_ms + pace_ahead.stream_ms(events),
             uncached,
-            ahead,
+            queued,
             reading_ms,
             moving_ms,
             min(busy_ms, self.pace.longest_gap_ms(said.endpoint)),
