--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -104,8 +104,12 @@
         uncached = max(call.tokens_in - cached - moved_tokens, 0.0)
         token_ms = self._token_ms(said.endpoint, said.service)
         queued = self.backlog.tokens_ahead(said.endpoint, load, token_ms)
-        moving_ms = TRANSFER_WAIT_FACTOR * service.batch.move_ms(moved_tokens)
-        first_ms = model.first_ms(said.endpoint, uncached, queued) + moving_ms
+        transfer_ms = TRANSFER_WAIT_FACTOR * service.batch.move_ms(
+            moved_tokens
+        )
+        first_ms = (
+            model.first_ms(said.endpoint, uncached, queued) + transfer_ms
+        )
         room = True
         if load is not None:
             needed = uncached + call.tokens_out + queued
@@ -122,7 +126,7 @@
             uncached,
             queued,
             reading_ms,
-            moving_ms,
+            transfer_ms,
             min(busy_ms, self.pace.longest_gap_ms(said.endpoint)),
             self.pace.on_time_streams(said.endpoint),
             model.spread,
