--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -118,14 +118,14 @@
         event_tokens = service.batch.event_tokens
         events = math.ceil(call.tokens_expected / event_tokens)
         pace_ahead = self.pace.forecast(said.endpoint, event_tokens)
-        reading_ms = uncached * token_ms
-        busy_ms = queued * token_ms + reading_ms
+        prefill_ms = uncached * token_ms
+        busy_ms = queued * token_ms + prefill_ms
         return Estimate(
             first_ms,
             first_ms + pace_ahead.stream_ms(events),
             uncached,
             queued,
-            reading_ms,
+            prefill_ms,
             transfer_ms,
             min(busy_ms, self.pace.longest_gap_ms(said.endpoint)),
             self.pace.on_time_streams(said.endpoint),
