--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -110,11 +110,11 @@
         first_ms = (
             model.first_ms(said.endpoint, uncached, queued) + transfer_ms
         )
-        room = True
+        can_start = True
         if load is not None:
             needed = uncached + call.tokens_out + queued
             fits = load.held_tokens + needed <= load.total_tokens
-            room = fits and load.running < service.batch.slots
+            can_start = fits and load.running < service.batch.slots
         event_tokens = service.batch.event_tokens
         events = math.ceil(call.tokens_expected / event_tokens)
         pace_ahead = self.pace.forecast(said.endpoint, event_tokens)
@@ -130,7 +130,7 @@
             min(busy_ms, self.pace.longest_gap_ms(said.endpoint)),
             self.pace.on_time_streams(said.endpoint),
             model.spread,
-            room,
+            can_start,
         )
 
     def free_slots(
