--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -199,7 +199,7 @@
             unread_tokens=round(chosen.estimate.uncached_tokens),
             ahead_tokens=round(chosen.estimate.queued_tokens),
             room=chosen.can_start_now,
-            usual=chosen.has_affinity,
+            has_affinity=chosen.has_affinity,
             tokens_in=context.call.tokens_in,
             moved_tokens=round(chosen.moved_tokens),
             candidates=chosen.candidates,
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -80,7 +80,7 @@
         service: routes.RoutedService,
         call: dialects.Call,
         in_flight: int,
-        usual: bool,
+        has_affinity: bool,
         moved_tokens: float = 0.0,
     ) -> Estimate:
         """Return the estimate for a call at an endpoint.
@@ -99,8 +99,10 @@
         model = self.model_for(said.service)
         load = self._engine_loads.load(said.endpoint)
         # Affinity is only assumed without broadcasts from the other hosts.
-        usual = usual and not self.backlog.has_peer_reports
-        cached = self.prefixes.cached_tokens(said.endpoint, call.parts, usual)
+        has_affinity = has_affinity and not self.backlog.has_peer_reports
+        cached = self.prefixes.cached_tokens(
+            said.endpoint, call.parts, has_affinity
+        )
         uncached = max(call.tokens_in - cached - moved_tokens, 0.0)
         token_ms = self._token_ms(said.endpoint, said.service)
         queued = self.backlog.tokens_ahead(said.endpoint, load, token_ms)
