--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -211,8 +211,8 @@
         """Update the models with the time to a first piece or a response."""
         if service.batch is None:
             old = self._hold_ms.get(service.service, INITIAL_HOLD_MS)
-            moved = HOLD_WEIGHT * (took_ms - old)
-            self._hold_ms[service.service] = old + moved
+            change = HOLD_WEIGHT * (took_ms - old)
+            self._hold_ms[service.service] = old + change
             return
         self.model_for(service.service).add_sample(
             endpoint,
