--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -34,8 +34,11 @@
 
     def stream_ms(self, events: float) -> float:
         """Return the expected duration of a stream of so many events."""
-        slowed = min(events, SLOWDOWN_MS / self.present_ms)
-        return slowed * self.present_ms + (events - slowed) * self.usual_ms
+        slow_events = min(events, SLOWDOWN_MS / self.present_ms)
+        return (
+            slow_events * self.present_ms
+            + (events - slow_events) * self.usual_ms
+        )
 
 
 class _DecayingMean:
