--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -46,8 +46,8 @@
 
     __slots__ = ('_time_constant_ms', '_total', '_weight', '_at_ms')
 
-    def __init__(self, memory_ms: float, value: float, now_ms: int):
-        self._time_constant_ms = memory_ms
+    def __init__(self, time_constant_ms: float, value: float, now_ms: int):
+        self._time_constant_ms = time_constant_ms
         self._total = value
         self._weight = 1.0
         self._at_ms = now_ms
