--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -53,9 +53,9 @@
         self._at_ms = now_ms
 
     def add_sample(self, value: float, now_ms: int) -> None:
-        kept = self._decay_factor(now_ms)
-        self._total = kept * self._total + value
-        self._weight = kept * self._weight + 1.0
+        decay = self._decay_factor(now_ms)
+        self._total = decay * self._total + value
+        self._weight = decay * self._weight + 1.0
         self._at_ms = now_ms
 
     def value(self, usual: float, now_ms: int) -> float:
