--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -60,8 +60,8 @@
 
     def value(self, usual: float, now_ms: int) -> float:
         """Return the mean of the samples and of ``usual`` as one more."""
-        kept = self._decay_factor(now_ms)
-        return (kept * self._total + usual) / (kept * self._weight + 1.0)
+        decay = self._decay_factor(now_ms)
+        return (decay * self._total + usual) / (decay * self._weight + 1.0)
 
     def _decay_factor(self, now_ms: int) -> float:
         return math.exp(-(now_ms - self._at_ms) / self._time_constant_ms)
