--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -58,10 +58,10 @@
         self._weight = decay * self._weight + 1.0
         self._at_ms = now_ms
 
-    def value(self, usual: float, now_ms: int) -> float:
+    def value(self, prior: float, now_ms: int) -> float:
         """Return the mean of the samples and of ``usual`` as one more."""
         decay = self._decay_factor(now_ms)
-        return (decay * self._total + usual) / (decay * self._weight + 1.0)
+        return (decay * self._total + prior) / (decay * self._weight + 1.0)
 
     def _decay_factor(self, now_ms: int) -> float:
         return math.exp(-(now_ms - self._at_ms) / self._time_constant_ms)
