--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -79,10 +79,10 @@
         'on_time_streams',
     )
 
-    def __init__(self, first_ms: float, now_ms: int):
-        self.initial_gap_ms = first_ms
-        self.short_term = _DecayingMean(SHORT_TERM_MS, first_ms, now_ms)
-        self.long_term = _DecayingMean(LONG_TERM_MS, first_ms, now_ms)
+    def __init__(self, gap_ms: float, now_ms: int):
+        self.initial_gap_ms = gap_ms
+        self.short_term = _DecayingMean(SHORT_TERM_MS, gap_ms, now_ms)
+        self.long_term = _DecayingMean(LONG_TERM_MS, gap_ms, now_ms)
         self.longest_gap_ms = 0.0
         self.longest_gap_at_ms = now_ms
         # This host's streams without a late pause so far.
