--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -120,10 +120,10 @@
         found.short_term.add_sample(gap_ms, now_ms)
         found.long_term.add_sample(gap_ms, now_ms)
         age_ms = now_ms - found.longest_gap_at_ms
-        faded_ms = found.longest_gap_ms * 0.5 ** (
+        decayed_ms = found.longest_gap_ms * 0.5 ** (
             age_ms / LONGEST_GAP_HALF_LIFE_MS
         )
-        found.longest_gap_ms = max(faded_ms, gap_ms)
+        found.longest_gap_ms = max(decayed_ms, gap_ms)
         found.longest_gap_at_ms = now_ms
 
     def forecast(
