--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -200,8 +200,8 @@
         else:
             gap_ms = now_ms - self._last_piece_at_ms
             self._pace.record_gap(self._endpoint, self._event_tokens, gap_ms)
-            late = self._pause_target_ms is not None
-            if late and gap_ms > self._pause_target_ms:
+            has_target = self._pause_target_ms is not None
+            if has_target and gap_ms > self._pause_target_ms:
                 self._stop_counting()
         self._last_piece_at_ms = now_ms
 
