--- a/wrenspoke/coordination/serving/prefix_index.py
+++ b/wrenspoke/coordination/serving/prefix_index.py
@@ -45,12 +45,12 @@
 
     def cached_tokens(self, parts: Parts) -> int:
         """Return how many leading tokens of a prompt are cached."""
-        kept = 0
+        cached = 0
         for part in parts:
             if part.part not in self._parts:
                 break
-            kept += part.tokens
-        return kept
+            cached += part.tokens
+        return cached
 
     def record_prompt(self, parts: Parts, own_tokens: int = 0) -> None:
         """Record a prompt as cached, and evict the oldest parts for it.
