--- a/wrenspoke/coordination/serving/prefix_index.py
+++ b/wrenspoke/coordination/serving/prefix_index.py
@@ -88,10 +88,10 @@
     ) -> float:
         """Return how many tokens of a prompt an engine should have cached."""
         memory = self._caches.get(endpoint)
-        kept = memory.cached_tokens(parts) if memory else 0
+        cached = memory.cached_tokens(parts) if memory else 0
         if usual:
-            kept = max(kept, AFFINITY_CACHED_SHARE * shared_tokens(parts))
-        return kept
+            cached = max(cached, AFFINITY_CACHED_SHARE * shared_tokens(parts))
+        return cached
 
     def best_cache_holder(
         self, parts: Parts, names: list[ids.EndpointId]
