--- a/wrenspoke/coordination/serving/prefix_index.py
+++ b/wrenspoke/coordination/serving/prefix_index.py
@@ -99,9 +99,9 @@
         """Return the engine that caches the most, None if none caches any."""
         best = None
         for name in names:
-            kept = self.cached_tokens(name, parts, usual=False)
-            if kept and (best is None or kept > best.tokens):
-                best = CacheHolder(name, kept)
+            cached = self.cached_tokens(name, parts, usual=False)
+            if cached and (best is None or cached > best.tokens):
+                best = CacheHolder(name, cached)
         return best
 
     def record_prompt(
