--- a/wrenspoke/coordination/serving/prefill_model.py
+++ b/wrenspoke/coordination/serving/prefill_model.py
@@ -99,12 +99,12 @@
         inputs = _inputs(unread, ahead)
         expected_ms = max(self._pooled_ms(inputs), MIN_MS)
         ratio = max(took_ms, MIN_MS) / expected_ms
-        off = math.log(ratio / self.speed_factor(endpoint))
-        self.spread += SPREAD_WEIGHT * (abs(off) - self.spread)
+        log_error = math.log(ratio / self.speed_factor(endpoint))
+        self.spread += SPREAD_WEIGHT * (abs(log_error) - self.spread)
         self._update_coefficients(
             inputs, expected_ms, ratio / self.speed_factor(endpoint)
         )
-        self._update_factor(endpoint, off)
+        self._update_factor(endpoint, log_error)
 
     def _update_factor(self, endpoint: ids.EndpointId, off: float) -> None:
         """Update an engine's factor; move the common part to the model."""
