--- a/wrenspoke/coordination/serving/prefill_model.py
+++ b/wrenspoke/coordination/serving/prefill_model.py
@@ -106,9 +106,11 @@
         )
         self._update_factor(endpoint, log_error)
 
-    def _update_factor(self, endpoint: ids.EndpointId, off: float) -> None:
+    def _update_factor(
+        self, endpoint: ids.EndpointId, log_error: float
+    ) -> None:
         """Update an engine's factor; move the common part to the model."""
-        bounded = min(max(off, -ERROR_BOUND), ERROR_BOUND)
+        bounded = min(max(log_error, -ERROR_BOUND), ERROR_BOUND)
         known = self._factors.get(endpoint, 0.0) + FACTOR_WEIGHT * bounded
         self._factors[endpoint] = min(max(known, -FACTOR_BOUND), FACTOR_BOUND)
         common = sum(self._factors.values()) / len(self._factors)
