--- a/wrenspoke/coordination/serving/prefill_model.py
+++ b/wrenspoke/coordination/serving/prefill_model.py
@@ -111,8 +111,8 @@
     ) -> None:
         """Update an engine's factor; move the common part to the model."""
         bounded = min(max(log_error, -ERROR_BOUND), ERROR_BOUND)
-        known = self._factors.get(endpoint, 0.0) + FACTOR_WEIGHT * bounded
-        self._factors[endpoint] = min(max(known, -FACTOR_BOUND), FACTOR_BOUND)
+        factor = self._factors.get(endpoint, 0.0) + FACTOR_WEIGHT * bounded
+        self._factors[endpoint] = min(max(factor, -FACTOR_BOUND), FACTOR_BOUND)
         common = sum(self._factors.values()) / len(self._factors)
         for name in self._factors:
             self._factors[name] -= common
