--- a/wrenspoke/coordination/serving/prefill_model.py
+++ b/wrenspoke/coordination/serving/prefill_model.py
@@ -116,8 +116,8 @@
         common = sum(self._factors.values()) / len(self._factors)
         for name in self._factors:
             self._factors[name] -= common
-        grown = math.exp(common)
-        self._coefficients = [figure * grown for figure in self._coefficients]
+        scale = math.exp(common)
+        self._coefficients = [figure * scale for figure in self._coefficients]
 
     def _pooled_ms(self, inputs: tuple[float, float, float]) -> float:
         return sum(
