--- a/wrenspoke/coordination/serving/prefill_model.py
+++ b/wrenspoke/coordination/serving/prefill_model.py
@@ -142,8 +142,8 @@
         )
         gains = [value / total for value in spread]
         for row in range(3):
-            moved = self._coefficients[row] + gains[row] * error
-            self._coefficients[row] = max(moved, self._min_coefficients[row])
+            updated = self._coefficients[row] + gains[row] * error
+            self._coefficients[row] = max(updated, self._min_coefficients[row])
             for column in range(3):
                 left = self._variance[row][column]
                 left -= gains[row] * spread[column]
