--- a/wrenspoke/coordination/serving/prefill_model.py
+++ b/wrenspoke/coordination/serving/prefill_model.py
@@ -77,14 +77,14 @@
         return math.exp(self._factors.get(endpoint, 0.0))
 
     def first_ms(
-        self, endpoint: ids.EndpointId, uncached: float, ahead: float
+        self, endpoint: ids.EndpointId, uncached: float, queued: float
     ) -> float:
         """Return the expected time from sending a call to its first piece.
 
         ``unread`` are the uncached tokens of its prompt, and ``ahead`` the
         tokens of other prompts queued before it.
         """
-        return self._pooled_ms(_inputs(uncached, ahead)) * self.speed_factor(
+        return self._pooled_ms(_inputs(uncached, queued)) * self.speed_factor(
             endpoint
         )
 
