--- a/wrenspoke/coordination/serving/prefill_model.py
+++ b/wrenspoke/coordination/serving/prefill_model.py
@@ -91,12 +91,12 @@
     def add_sample(
         self,
         endpoint: ids.EndpointId,
-        unread: float,
+        uncached: float,
         ahead: float,
         took_ms: float,
     ) -> None:
         """Update the model with the actual time to a first piece."""
-        inputs = _inputs(unread, ahead)
+        inputs = _inputs(uncached, ahead)
         expected_ms = max(self._pooled_ms(inputs), MIN_MS)
         ratio = max(took_ms, MIN_MS) / expected_ms
         log_error = math.log(ratio / self.speed_factor(endpoint))
