--- a/wrenspoke/coordination/serving/prefill_model.py
+++ b/wrenspoke/coordination/serving/prefill_model.py
@@ -92,11 +92,11 @@
         self,
         endpoint: ids.EndpointId,
         uncached: float,
-        ahead: float,
+        queued: float,
         took_ms: float,
     ) -> None:
         """Update the model with the actual time to a first piece."""
-        inputs = _inputs(uncached, ahead)
+        inputs = _inputs(uncached, queued)
         expected_ms = max(self._pooled_ms(inputs), MIN_MS)
         ratio = max(took_ms, MIN_MS) / expected_ms
         log_error = math.log(ratio / self.speed_factor(endpoint))
