--- a/wrenspoke/coordination/serving/prefill_model.py
+++ b/wrenspoke/coordination/serving/prefill_model.py
@@ -169,5 +169,5 @@
                 del self._factors[endpoint]
 
 
-def _inputs(uncached: float, ahead: float) -> tuple[float, float, float]:
-    return 1.0, uncached / SCALE_TOKENS, ahead / SCALE_TOKENS
+def _inputs(uncached: float, queued: float) -> tuple[float, float, float]:
+    return 1.0, uncached / SCALE_TOKENS, queued / SCALE_TOKENS
