--- a/wrenspoke/coordination/serving/shared_retry_budget.py
+++ b/wrenspoke/coordination/serving/shared_retry_budget.py
@@ -80,11 +80,11 @@
     def spend(self, service: ids.ServiceId) -> bool:
         """Take a retry from the budget; False if there is none left."""
         now_ms = self._clock.mono_ms()
-        repeats = self._window(self._retries, service)
-        if repeats.count(now_ms) + 1 > self._allowance(service, now_ms):
+        retries = self._window(self._retries, service)
+        if retries.count(now_ms) + 1 > self._allowance(service, now_ms):
             self.denied += 1
             return False
-        repeats.add(now_ms)
+        retries.add(now_ms)
         return True
 
     def _allowance(self, service: ids.ServiceId, now_ms: int) -> int:
