--- a/wrenspoke/coordination/serving/shared_retry_budget.py
+++ b/wrenspoke/coordination/serving/shared_retry_budget.py
@@ -88,8 +88,8 @@
         return True
 
     def _allowance(self, service: ids.ServiceId, now_ms: int) -> int:
-        firsts = self._window(self._requests, service).count(now_ms)
-        earned = USABLE_SHARE * self._bounds.ratio * firsts
+        requests = self._window(self._requests, service).count(now_ms)
+        earned = USABLE_SHARE * self._bounds.ratio * requests
         return math.floor(earned) + self._fixed_share(service)
 
     def _fixed_share(self, service: ids.ServiceId) -> int:
