--- a/wrenspoke/coordination/serving/shared_retry_budget.py
+++ b/wrenspoke/coordination/serving/shared_retry_budget.py
@@ -96,8 +96,8 @@
         """Return this host's part of the fixed number, in whole retries."""
         part = self._fixed_shares.get(service)
         if part is None:
-            whole = math.floor(USABLE_SHARE * self._bounds.fixed)
-            part, rest = divmod(whole, len(self._hosts))
+            total = math.floor(USABLE_SHARE * self._bounds.fixed)
+            part, rest = divmod(total, len(self._hosts))
             order = routing.rendezvous(service, self._hosts)
             part += order.index(self._host) < rest
             self._fixed_shares[service] = part
