--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -743,7 +743,7 @@
     Switch(
         'parts of a repeat are rounded away',
         DECISIONS + 'serving/shared_retry_budget.py',
-        ('            part += order.index(self._host) < rest\n'),
+        ('            part += order.index(self._host) < remainder\n'),
         ('            pass\n'),
         ('tests/test_spending.py'),
     ),
--- a/wrenspoke/coordination/serving/shared_retry_budget.py
+++ b/wrenspoke/coordination/serving/shared_retry_budget.py
@@ -97,9 +97,9 @@
         part = self._fixed_shares.get(service)
         if part is None:
             total = math.floor(USABLE_SHARE * self._bounds.fixed)
-            part, rest = divmod(total, len(self._hosts))
+            part, remainder = divmod(total, len(self._hosts))
             order = routing.rendezvous(service, self._hosts)
-            part += order.index(self._host) < rest
+            part += order.index(self._host) < remainder
             self._fixed_shares[service] = part
         return part
 
