--- a/wrenspoke/coordination/serving/retry_outcomes.py
+++ b/wrenspoke/coordination/serving/retry_outcomes.py
@@ -28,9 +28,9 @@
 
     def record_outcome(self, route: str, succeeded: bool) -> None:
         """Record the outcome of a retry."""
-        known = self._success_rates.get(route, INITIAL_SUCCESS_RATE)
-        self._success_rates[route] = known + SMOOTHING_WEIGHT * (
-            succeeded - known
+        rate = self._success_rates.get(route, INITIAL_SUCCESS_RATE)
+        self._success_rates[route] = rate + SMOOTHING_WEIGHT * (
+            succeeded - rate
         )
 
     def is_worthwhile(self, route: str) -> bool:
