--- a/wrenspoke/coordination/serving/sent_call_broadcast.py
+++ b/wrenspoke/coordination/serving/sent_call_broadcast.py
@@ -81,7 +81,7 @@
         endpoint: ids.EndpointId,
         tokens: float,
         parts: collections.abc.Sequence[dialects.PromptPart],
-        made_tokens: int = 0,
+        response_tokens: int = 0,
     ) -> None:
         """Queue a call that this host sends to an engine.
 
@@ -97,7 +97,7 @@
             round(tokens),
             0,
             [(part.part, part.tokens) for part in parts[:-1]],
-            made_tokens + (parts[-1].tokens if parts else 0),
+            response_tokens + (parts[-1].tokens if parts else 0),
         )
         self._own.append((self._clock.mono_ms(), sent))
         self._own_added.set()
