--- a/wrenspoke/coordination/serving/warmup_probe.py
+++ b/wrenspoke/coordination/serving/warmup_probe.py
@@ -45,14 +45,14 @@
     def __init__(
         self,
         pollers: region_pollers.RegionPollers,
-        held: replica.Replica,
+        local_replica: replica.Replica,
         dialect: dialects.Dialect,
         client: web.HttpClient,
         gate: endpoint_gate.EndpointGate,
         clock: clocks.Clock,
     ):
         self._pollers = pollers
-        self._replica = held
+        self._replica = local_replica
         self._dialect = dialect
         self._client = client
         self._gate = gate
