--- a/wrenspoke/coordination/serving/warmup_probe.py
+++ b/wrenspoke/coordination/serving/warmup_probe.py
@@ -72,12 +72,12 @@
         return warm_ms
 
     def start_probes(
-        self, taken_back: collections.abc.Iterable[registry.Registered]
+        self, restored: collections.abc.Iterable[registry.Registered]
     ) -> None:
         """Start to probe endpoints of restored data centres."""
         early_ms = self._clock.mono_ms() - EARLY_STATUS_MS
         chosen = []
-        for one in taken_back:
+        for one in restored:
             endpoint = one.said.endpoint
             _warm_ms, heard_ms = self._warm_ms.get(endpoint, (0, 0))
             if heard_ms < early_ms:
