--- a/wrenspoke/coordination/serving/warmup_probe.py
+++ b/wrenspoke/coordination/serving/warmup_probe.py
@@ -76,16 +76,16 @@
     ) -> None:
         """Start to probe endpoints of restored data centres."""
         early_ms = self._clock.mono_ms() - EARLY_STATUS_MS
-        chosen = []
+        assigned = []
         for one in restored:
             endpoint = one.said.endpoint
             _warm_ms, heard_ms = self._warm_ms.get(endpoint, (0, 0))
             if heard_ms < early_ms:
                 self._warm_ms.pop(endpoint, None)
             if self._pollers.is_poller_of(endpoint):
-                chosen.append(one)
-        if chosen:
-            self._tasks.start(self._probe_endpoints(chosen))
+                assigned.append(one)
+        if assigned:
+            self._tasks.start(self._probe_endpoints(assigned))
 
     async def _probe_endpoints(
         self, chosen: list[registry.Registered]
