--- a/wrenspoke/coordination/serving/warmup_probe.py
+++ b/wrenspoke/coordination/serving/warmup_probe.py
@@ -88,10 +88,10 @@
             self._tasks.start(self._probe_endpoints(assigned))
 
     async def _probe_endpoints(
-        self, chosen: list[registry.Registered]
+        self, assigned: list[registry.Registered]
     ) -> None:
         answers = await asyncio.gather(
-            *(self._probe_endpoint(one.said) for one in chosen)
+            *(self._probe_endpoint(one.said) for one in assigned)
         )
         warm = [answer for answer in answers if answer is not None]
         if warm:
