--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -199,7 +199,7 @@
             unread_tokens=round(chosen.estimate.uncached_tokens),
             ahead_tokens=round(chosen.estimate.queued_tokens),
             room=chosen.can_start_now,
-            has_affinity=chosen.has_affinity,
+            usual=chosen.has_affinity,
             tokens_in=context.call.tokens_in,
             moved_tokens=round(chosen.moved_tokens),
             candidates=chosen.candidates,
--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -59,7 +59,7 @@
         self._at_ms = now_ms
 
     def value(self, prior: float, now_ms: int) -> float:
-        """Return the mean of the samples and of ``usual`` as one more."""
+        """Return the mean of the samples and of ``prior`` as one more."""
         decay = self._decay_factor(now_ms)
         return (decay * self._total + prior) / (decay * self._weight + 1.0)
 
@@ -79,10 +79,10 @@
         'on_time_streams',
     )
 
-    def __init__(self, gap_ms: float, now_ms: int):
-        self.initial_gap_ms = gap_ms
-        self.short_term = _DecayingMean(SHORT_TERM_MS, gap_ms, now_ms)
-        self.long_term = _DecayingMean(LONG_TERM_MS, gap_ms, now_ms)
+    def __init__(self, initial_ms: float, now_ms: int):
+        self.initial_gap_ms = initial_ms
+        self.short_term = _DecayingMean(SHORT_TERM_MS, initial_ms, now_ms)
+        self.long_term = _DecayingMean(LONG_TERM_MS, initial_ms, now_ms)
         self.longest_gap_ms = 0.0
         self.longest_gap_at_ms = now_ms
         # This host's streams without a late pause so far.
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -80,15 +80,15 @@
         service: routes.RoutedService,
         call: dialects.Call,
         in_flight: int,
-        has_affinity: bool,
+        assume_affinity: bool,
         moved_tokens: float = 0.0,
     ) -> Estimate:
         """Return the estimate for a call at an endpoint.
 
-        ``in_flight`` is the number of this host's calls there, ``usual``
-        whether the prompt's prefix hashes to the endpoint, and
-        ``moved_tokens`` the tokens whose KV cache would be fetched from
-        another engine.
+        ``in_flight`` is the number of this host's calls there,
+        ``assume_affinity`` whether the prompt's prefix hashes to the
+        endpoint, and ``moved_tokens`` the tokens whose KV cache would be
+        fetched from another engine.
         """
         said = found.said
         if service.batch is None:
@@ -99,9 +99,9 @@
         model = self.model_for(said.service)
         load = self._engine_loads.load(said.endpoint)
         # Affinity is only assumed without broadcasts from the other hosts.
-        has_affinity = has_affinity and not self.backlog.has_peer_reports
+        assume_affinity = assume_affinity and not self.backlog.has_peer_reports
         cached = self.prefixes.cached_tokens(
-            said.endpoint, call.parts, has_affinity
+            said.endpoint, call.parts, assume_affinity
         )
         uncached = max(call.tokens_in - cached - moved_tokens, 0.0)
         token_ms = self._token_ms(said.endpoint, said.service)
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -134,7 +134,7 @@
             await self._serve(context)
         finally:
             if not context.may_have_run:
-                self._limiter.refund(context.reservation)
+                self._limiter.refund(context.taken)
 
     async def _prepare_call(
         self,
--- a/wrenspoke/coordination/serving/prefill_model.py
+++ b/wrenspoke/coordination/serving/prefill_model.py
@@ -81,8 +81,8 @@
     ) -> float:
         """Return the expected time from sending a call to its first piece.
 
-        ``unread`` are the uncached tokens of its prompt, and ``ahead`` the
-        tokens of other prompts queued before it.
+        ``uncached`` are the tokens of its prompt to be computed, and
+        ``queued`` the tokens of other prompts before it.
         """
         return self._pooled_ms(_inputs(uncached, queued)) * self.speed_factor(
             endpoint
--- a/wrenspoke/coordination/serving/prefix_index.py
+++ b/wrenspoke/coordination/serving/prefix_index.py
@@ -84,12 +84,12 @@
         self._caches: dict[ids.EndpointId, PrefixCacheModel] = {}
 
     def cached_tokens(
-        self, endpoint: ids.EndpointId, parts: Parts, has_affinity: bool
+        self, endpoint: ids.EndpointId, parts: Parts, assume_affinity: bool
     ) -> float:
         """Return how many tokens of a prompt an engine should have cached."""
         memory = self._caches.get(endpoint)
         cached = memory.cached_tokens(parts) if memory else 0
-        if has_affinity:
+        if assume_affinity:
             cached = max(cached, AFFINITY_CACHED_SHARE * shared_tokens(parts))
         return cached
 
@@ -99,7 +99,7 @@
         """Return the engine that caches the most, None if none caches any."""
         best = None
         for name in names:
-            cached = self.cached_tokens(name, parts, has_affinity=False)
+            cached = self.cached_tokens(name, parts, assume_affinity=False)
             if cached and (best is None or cached > best.tokens):
                 best = CacheHolder(name, cached)
         return best
--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -204,7 +204,7 @@
             return 0.0
         name = _cache_key(region, service.service)
         cached = self._prefix_index.cached_tokens(
-            name, call.parts, has_affinity=False
+            name, call.parts, assume_affinity=False
         )
         return max(call.tokens_in - cached, 0.0)
 
--- a/wrenspoke/coordination/serving/sent_call_broadcast.py
+++ b/wrenspoke/coordination/serving/sent_call_broadcast.py
@@ -87,7 +87,7 @@
 
         ``tokens`` are the uncached tokens of its prompt. The last of
         ``parts`` belongs to the call alone: only its size is sent, added to
-        ``made_tokens``, the expected length of the response.
+        ``response_tokens``, the expected length of the response.
         """
         if len(self._own) >= BATCH_LIMIT:
             return
