--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -616,7 +616,7 @@
     Switch(
         'hopeless calls are sent',
         DECISIONS + 'serving/destinations.py',
-        ('        if context.send_count or lost <= DEADLINE_MISS_LIMIT:\n'),
+        ('        if context.send_count or probability <= DEADLINE_MISS_LIMIT:\n'),
         ('        if True:\n'),
         ('tests/test_far.py'),
     ),
@@ -743,7 +743,7 @@
     Switch(
         'parts of a repeat are rounded away',
         DECISIONS + 'serving/shared_retry_budget.py',
-        ('            part += order.index(self._host) < rest\n'),
+        ('            part += order.index(self._host) < remainder\n'),
         ('            pass\n'),
         ('tests/test_spending.py'),
     ),
--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -200,17 +200,17 @@
             yield
             return
         try:
-            async with clocks.timeout_ms(None) as bound:
+            async with clocks.timeout_ms(None) as timeout:
 
-                def lost() -> None:
+                def on_unreachable() -> None:
                     if not context.reply.started:
                         now_s = asyncio.get_running_loop().time()
-                        bound.reschedule(now_s)
+                        timeout.reschedule(now_s)
 
-                with self._pinger.watch_host(destination.host, lost):
+                with self._pinger.watch_host(destination.host, on_unreachable):
                     yield
         except TimeoutError as error:
-            if not bound.expired():
+            if not timeout.expired():
                 raise
             raise errors.MaybeSentError(
                 f'host {destination.host} became unreachable'
@@ -386,7 +386,7 @@
         tracker: event_tracker.EventTracker,
     ) -> None:
         """Forward events, and record the engine's pace."""
-        with self._gap_recorder(context, destination) as paced:
+        with self._gap_recorder(context, destination) as recorder:
             async for chunk in answer.chunks():
                 data = tracker.feed(chunk)
                 if not data:
@@ -396,7 +396,7 @@
                     await context.reply.open(answer.status, answer.fields)
                     context.tracker = tracker
                 context.record_piece(self._clock.mono_ms())
-                paced.record_piece()
+                recorder.record_piece()
                 await context.reply.write(data)
 
     def _gap_recorder(
@@ -423,9 +423,9 @@
     ) -> None:
         if not context.reply.started:
             await context.reply.open(answer.status, answer.fields)
-        rest = tracker.take_remainder()
-        if rest:
-            await context.reply.write(rest)
+        remainder = tracker.take_remainder()
+        if remainder:
+            await context.reply.write(remainder)
         await context.reply.end()
         self._log_answered(
             context, destination, answer.status, tracker.event_count
@@ -507,5 +507,7 @@
     """
     if context.tracker is not None or destination.chosen is None:
         return endpoint_limits.FIRST_RANK
-    kept = destination.chosen.estimate.uncached_tokens < context.call.tokens_in
-    return endpoint_limits.rank_of(context.permit.urgency, kept)
+    is_cached = (
+        destination.chosen.estimate.uncached_tokens < context.call.tokens_in
+    )
+    return endpoint_limits.rank_of(context.permit.urgency, is_cached)
--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -36,7 +36,7 @@
         pollers: region_pollers.RegionPollers,
         regions: collections.abc.Mapping[ids.DataCentreId, ids.RegionId],
         discovery: discovery_client.DiscoveryClient,
-        held: replica.Replica,
+        local_replica: replica.Replica,
         outlier_detector: outlier_detection.OutlierDetector,
         probe: warmup_probe.WarmupProbe,
         engine_loads: engine_loads.EngineLoads,
@@ -48,7 +48,7 @@
         self._pollers = pollers
         self._regions = regions
         self._discovery = discovery
-        self._replica = held
+        self._replica = local_replica
         self._outlier_detector = outlier_detector
         self._warmup_probe = probe
         self._engine_loads = engine_loads
@@ -93,11 +93,11 @@
         the endpoint's earlier status is valid.
         """
         evacuated = set(self._replica.current.evacuated)
-        taken_back = self._evacuated - evacuated
+        restored = self._evacuated - evacuated
         self._evacuated = evacuated
-        if not taken_back:
+        if not restored:
             return
-        for data_centre in taken_back:
+        for data_centre in restored:
             self._restored_at_ms[data_centre] = self._clock.mono_ms()
         if not self._is_enabled(mechanisms.Mechanism.ASKING_WARMTH):
             return
@@ -106,7 +106,7 @@
             found
             for found in self._discovery.registry.held.values()
             if found.takes_work
-            and found.said.data_centre in taken_back
+            and found.said.data_centre in restored
             and self._regions.get(found.said.data_centre) == self._region
             and found.said.service in services
             and services[found.said.service].warmup_per_s > 0
@@ -149,8 +149,8 @@
         """Return whether an endpoint must be limited to its warmup rate."""
         if found.warm_ms > self._clock.mono_ms():
             return True
-        taken_back_ms = self._restored_at_ms.get(found.said.data_centre)
-        if taken_back_ms is None or found.heard_ms >= taken_back_ms:
+        restored_at_ms = self._restored_at_ms.get(found.said.data_centre)
+        if restored_at_ms is None or found.heard_ms >= restored_at_ms:
             return False
         service = self._replica.current.routes.service(found.said.service)
         if service is None or service.warmup_per_s <= 0:
@@ -158,7 +158,7 @@
         warm_ms = self._warmup_probe.warm_ms(found.said.endpoint)
         if warm_ms is not None:
             return warm_ms > self._clock.mono_ms()
-        since_ms = self._clock.mono_ms() - taken_back_ms
+        since_ms = self._clock.mono_ms() - restored_at_ms
         return since_ms < RESTORED_UNCERTAIN_MS
 
     def next_warmup_endpoint(
--- a/wrenspoke/coordination/serving/backlog.py
+++ b/wrenspoke/coordination/serving/backlog.py
@@ -78,12 +78,12 @@
         engine.drained_at_ms = (
             max(engine.drained_at_ms, now_ms) + tokens * token_ms
         )
-        reading = PendingPrompt(now_ms, tokens)
+        prompt = PendingPrompt(now_ms, tokens)
         if not engine.waiting:
             engine.progress_since_ms = now_ms
         self._last_number += 1
-        engine.waiting[self._last_number] = reading
-        engine.sent.append(reading)
+        engine.waiting[self._last_number] = prompt
+        engine.sent.append(prompt)
         self._mean_prompt_tokens += PROMPT_LENGTH_SMOOTHING * (
             tokens - self._mean_prompt_tokens
         )
@@ -138,25 +138,27 @@
             if load is None:
                 return own
             return max(own, self._reported_tokens(engine, load, token_ms))
-        left = 0.0
+        undrained = 0.0
         if engine is not None:
             left_ms = engine.drained_at_ms - self._clock.mono_ms()
-            left = max(left_ms, 0.0) / token_ms
+            undrained = max(left_ms, 0.0) / token_ms
         if load is None:
-            return max(own, left)
+            return max(own, undrained)
         reported = self._reported_tokens(engine, load, token_ms)
-        joined = left + REPORTED_WEIGHT * (reported - left)
-        return max(own, joined)
+        combined = undrained + REPORTED_WEIGHT * (reported - undrained)
+        return max(own, combined)
 
     def _own_tokens(self, engine: _EngineBacklog, token_ms: float) -> float:
         """Return the tokens queued by this host."""
         if not engine.waiting:
             return 0.0
         waiting = sum(found.tokens for found in engine.waiting.values())
-        read = (self._clock.mono_ms() - engine.progress_since_ms) / token_ms
+        completed = (
+            self._clock.mono_ms() - engine.progress_since_ms
+        ) / token_ms
         # The last prompt is incomplete, as its call has not answered.
         newest = next(reversed(engine.waiting.values()))
-        return max(waiting - read, min(newest.tokens, waiting))
+        return max(waiting - completed, min(newest.tokens, waiting))
 
     def _reported_tokens(
         self,
@@ -182,16 +184,17 @@
     ) -> float:
         """Return the tokens that other hosts have sent since a time."""
         unknown_ms = age_ms
-        told = 0.0
+        reported = 0.0
         if self.has_peer_reports:
             unknown_ms = min(PEER_REPORT_LAG_MS, age_ms)
-            told = sum(
+            reported = sum(
                 found.tokens
                 for found in engine.peer_prompts
                 if found.sent_ms >= since_ms
             )
         return (
-            told + self._send_rate(engine) * (self.host_count - 1) * unknown_ms
+            reported
+            + self._send_rate(engine) * (self.host_count - 1) * unknown_ms
         )
 
     def _send_rate(self, engine: _EngineBacklog) -> float:
--- a/wrenspoke/coordination/serving/costs.py
+++ b/wrenspoke/coordination/serving/costs.py
@@ -29,8 +29,8 @@
     if left_ms <= MIN_MS:
         return 1.0
     deviation = max(DEVIATION_PER_MEAN_ERROR * spread, MIN_DEVIATION)
-    off = math.log(max(first_ms, MIN_MS) / left_ms) / deviation
-    return 0.5 * (1.0 + math.erf(off / math.sqrt(2.0)))
+    deviations = math.log(max(first_ms, MIN_MS) / left_ms) / deviation
+    return 0.5 * (1.0 + math.erf(deviations / math.sqrt(2.0)))
 
 
 @dataclasses.dataclass(slots=True)
@@ -59,8 +59,8 @@
 ) -> float:
     """Return the cost of a response's expected latency to its caller."""
     late = miss_probability(first_ms, bounds.target_left_ms, spread)
-    gone = deadline_miss_probability(bounds, first_ms, end_ms, spread)
-    return bounds.target_ms * (late + gone) + COMPLETION_WEIGHT * end_ms
+    missed = deadline_miss_probability(bounds, first_ms, end_ms, spread)
+    return bounds.target_ms * (late + missed) + COMPLETION_WEIGHT * end_ms
 
 
 def pause_cost_ms(
--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -61,7 +61,7 @@
         self,
         host: ids.HostId,
         region: ids.RegionId,
-        held: replica.Replica,
+        local_replica: replica.Replica,
         selector: endpoint_selector.EndpointSelector,
         region_offers: remote_regions.RemoteRegions,
         switched_off: collections.abc.Set[mechanisms.Mechanism],
@@ -69,7 +69,7 @@
     ):
         self._host = host
         self._region = region
-        self._replica = held
+        self._replica = local_replica
         self._selector = selector
         self._remote_regions = region_offers
         self._switched_off = switched_off
@@ -91,12 +91,14 @@
         if hop is not None:
             self._refuse_if_slower(context, local)
             return self._endpoint_destination(context, local)
-        far, far_ms = self._best_remote_offer(context, bounds)
-        if far is not None and (local is None or far_ms < local.cost_ms):
+        remote, remote_cost_ms = self._best_remote_offer(context, bounds)
+        if remote is not None and (
+            local is None or remote_cost_ms < local.cost_ms
+        ):
             self._refuse_unmeetable_deadline(
-                context, bounds, far.first_ms, far.end_ms
+                context, bounds, remote.first_ms, remote.end_ms
             )
-            return self._host_destination(context, far, local)
+            return self._host_destination(context, remote, local)
         if local is not None:
             self._refuse_unmeetable_deadline(
                 context, bounds, local.first_ms, local.estimate.end_ms
@@ -130,10 +132,10 @@
         A call that was sent before is not refused, as it may be resumed.
         """
         spread = self._selector.estimate_spread(context.service.service)
-        lost = costs.deadline_miss_probability(
+        probability = costs.deadline_miss_probability(
             bounds, first_ms, end_ms, spread
         )
-        if context.send_count or lost <= DEADLINE_MISS_LIMIT:
+        if context.send_count or probability <= DEADLINE_MISS_LIMIT:
             return
         if not self._is_enabled(mechanisms.Mechanism.REFUSING_HOPELESS):
             return
@@ -183,12 +185,12 @@
     ) -> sending.Destination | None:
         if chosen is None:
             return None
-        said = chosen.registered.said
+        registration = chosen.registered.said
         logger.info(
             'endpoint_chosen',
             request=context.call.request,
             route=context.route.name,
-            endpoint=said.endpoint,
+            endpoint=registration.endpoint,
             first_ms=round(chosen.first_ms),
             expected_ms=round(chosen.estimate.first_ms),
             end_ms=round(chosen.estimate.end_ms),
@@ -204,9 +206,9 @@
             version=self._replica.current.routes.version,
         )
         return sending.Destination(
-            said.address,
+            registration.address,
             self._region,
-            endpoint=said.endpoint,
+            endpoint=registration.endpoint,
             chosen=chosen,
         )
 
@@ -224,19 +226,19 @@
                 host = self._find_relay_host(context, region)
             if host is None:
                 continue
-            found = self._remote_regions.offer_for_call(
+            offer = self._remote_regions.offer_for_call(
                 region, context.service, context.call, host
             )
-            if found is None:
+            if offer is None:
                 continue
             cost_ms = costs.latency_cost_ms(
-                bounds, found.first_ms, found.end_ms, spread
+                bounds, offer.first_ms, offer.end_ms, spread
             )
-            cost_ms += found.remote_prefill_ms + REMOTE_CALL_COST_MS
+            cost_ms += offer.remote_prefill_ms + REMOTE_CALL_COST_MS
             kb = len(context.call.body) / costs.BYTES_PER_KB
             cost_ms += kb * REMOTE_KB_COST_MS
             if best is None or cost_ms < best_ms:
-                best, best_ms = found, cost_ms
+                best, best_ms = offer, cost_ms
         return best, best_ms
 
     def _find_relay_host(
@@ -285,7 +287,7 @@
     def _host_destination(
         self,
         context: call_context.CallContext,
-        found: remote_regions.RegionOffer,
+        offer: remote_regions.RegionOffer,
         local: endpoint_selector.EndpointSelection | None,
     ) -> sending.Destination:
         # Not reduced by the travel time, as a refused call would lose the
@@ -297,18 +299,18 @@
             'passed_on',
             request=context.call.request,
             route=context.route.name,
-            peer=found.host.host,
-            region=found.region,
-            relayed=found.host.region != found.region,
-            peer_region=found.host.region,
+            peer=offer.host.host,
+            region=offer.region,
+            relayed=offer.host.region != offer.region,
+            peer_region=offer.host.region,
             homes=list(context.route.homes),
             version=self._replica.current.routes.version,
-            first_ms=round(found.first_ms),
+            first_ms=round(offer.first_ms),
             here_ms=None if local is None else round(local.first_ms),
             limit_ms=int(limit_ms),
         )
         self._remote_regions.record_forwarded(
-            found.region, context.service, context.call
+            offer.region, context.service, context.call
         )
         hop = passing.Hop(
             self._host,
@@ -317,12 +319,12 @@
             self._replica.current.index,
             context.runs_limit - context.runs,
             int(limit_ms),
-            found.region,
+            offer.region,
         )
         return sending.Destination(
-            found.host.passing_address,
-            found.host.region,
-            host=found.host.host,
-            serving_region=found.region,
+            offer.host.passing_address,
+            offer.host.region,
+            host=offer.host.host,
+            serving_region=offer.region,
             hop=hop,
         )
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -70,7 +70,7 @@
         region: ids.RegionId,
         regions: collections.abc.Mapping[ids.DataCentreId, ids.RegionId],
         discovery: discovery_client.DiscoveryClient,
-        held: replica.Replica,
+        local_replica: replica.Replica,
         outlier_detector: outlier_detection.OutlierDetector,
         estimator: estimate.Estimator,
         remotes: remote_hosts.RemoteHosts,
@@ -81,7 +81,7 @@
         self._region = region
         self._regions = regions
         self._discovery = discovery
-        self._replica = held
+        self._replica = local_replica
         self._outlier_detector = outlier_detector
         self._estimator = estimator
         self._remote_hosts = remotes
@@ -169,18 +169,18 @@
         self, bounds: costs.LatencyBounds, item: 'EndpointSelection'
     ) -> float:
         """Return an endpoint's cost to the call and to concurrent calls."""
-        found = item.estimate
-        end_ms = found.end_ms + item.first_ms - found.first_ms
-        waiting_ms = costs.latency_cost_ms(
-            bounds, item.first_ms, end_ms, found.spread
+        expected = item.estimate
+        end_ms = expected.end_ms + item.first_ms - expected.first_ms
+        latency_ms = costs.latency_cost_ms(
+            bounds, item.first_ms, end_ms, expected.spread
         )
-        cost_ms = waiting_ms
+        cost_ms = latency_ms
         if self._is_enabled(mechanisms.Mechanism.WEIGHING_PAUSES):
             cost_ms += costs.pause_cost_ms(
-                bounds, found.pause_ms, found.delayed_streams
+                bounds, expected.pause_ms, expected.delayed_streams
             )
         if self._is_enabled(mechanisms.Mechanism.WEIGHING_READING):
-            cost_ms += found.prefill_ms
+            cost_ms += expected.prefill_ms
         return cost_ms
 
     def _estimate_candidates(
@@ -192,18 +192,23 @@
         count: int,
     ) -> list[EndpointSelection]:
         names = [found.said.endpoint for found in candidates]
-        usual = None
+        affinity_name = None
         if self._is_enabled(mechanisms.Mechanism.USUAL_ENGINES):
-            usual = prefix_index.affinity_endpoint(call.parts, names)
+            affinity_name = prefix_index.affinity_endpoint(call.parts, names)
         holder = self._find_cache_holder(service, call, candidates)
-        keeping = {usual, None if holder is None else holder.endpoint}
+        required = {affinity_name, None if holder is None else holder.endpoint}
         if not self._supports_transfer(service):
             holder = None
         estimated = []
-        for found in sampling.sample(candidates, keeping, self._random):
+        for found in sampling.sample(candidates, required, self._random):
             name = found.said.endpoint
             item = EndpointSelection(
-                found, estimate.Estimate(0.0), 0.0, True, name == usual, count
+                found,
+                estimate.Estimate(0.0),
+                0.0,
+                True,
+                name == affinity_name,
+                count,
             )
             self._plan_transfer(item, call, holder)
             item.estimate = self._estimator.estimate(
@@ -258,13 +263,13 @@
         name = item.registered.said.endpoint
         if holder is None or holder.endpoint == name:
             return
-        kept = self._estimator.prefixes.cached_tokens(
+        cached = self._estimator.prefixes.cached_tokens(
             name, call.parts, item.has_affinity
         )
-        if holder.tokens - kept < prefix_index.MIN_TRANSFER_TOKENS:
+        if holder.tokens - cached < prefix_index.MIN_TRANSFER_TOKENS:
             return
         item.source = self._discovery.registry.held.get(holder.endpoint)
-        item.moved_tokens = holder.tokens - kept
+        item.moved_tokens = holder.tokens - cached
 
     def estimate_spread(self, service: ids.ServiceId) -> float:
         """Return the mean absolute log error of a service's estimates."""
@@ -335,25 +340,25 @@
     def build_offers(self) -> list[messages.Offer]:
         """Return the offers for each service to be sent to other regions."""
         services = self._replica.current.routes.services.values()
-        made = [self._build_offer(service) for service in services]
-        return [offer for offer in made if offer is not None]
+        offers = [self._build_offer(service) for service in services]
+        return [offer for offer in offers if offer is not None]
 
     def _build_offer(
         self, service: routes.RoutedService
     ) -> messages.Offer | None:
-        found = self._availability.healthy_endpoints(
+        endpoints = self._availability.healthy_endpoints(
             service.service, self._region
         )
-        if not found:
+        if not endpoints:
             return None
         # Endpoints that advertise a limit are kept for local calls, if there
         # are others.
         unlimited = [
             one
-            for one in found
+            for one in endpoints
             if not self._availability.advertises_limit(one)
         ]
-        found = unlimited or found
+        endpoints = unlimited or endpoints
         name, best = min(
             (
                 (
@@ -366,7 +371,7 @@
                         False,
                     ),
                 )
-                for one in sampling.sample(found, (), self._random)
+                for one in sampling.sample(endpoints, (), self._random)
             ),
             key=lambda item: (not item[1].can_start_now, item[1].first_ms),
         )
@@ -385,7 +390,7 @@
             token_ms,
             usual_ms,
             present_ms,
-            len(found),
+            len(endpoints),
         )
 
     def _in_flight_at(self, found: registry.Registered) -> int:
--- a/wrenspoke/coordination/serving/engine_pace.py
+++ b/wrenspoke/coordination/serving/engine_pace.py
@@ -34,8 +34,11 @@
 
     def stream_ms(self, events: float) -> float:
         """Return the expected duration of a stream of so many events."""
-        slowed = min(events, SLOWDOWN_MS / self.present_ms)
-        return slowed * self.present_ms + (events - slowed) * self.usual_ms
+        slow_events = min(events, SLOWDOWN_MS / self.present_ms)
+        return (
+            slow_events * self.present_ms
+            + (events - slow_events) * self.usual_ms
+        )
 
 
 class _DecayingMean:
@@ -43,22 +46,22 @@
 
     __slots__ = ('_time_constant_ms', '_total', '_weight', '_at_ms')
 
-    def __init__(self, memory_ms: float, value: float, now_ms: int):
-        self._time_constant_ms = memory_ms
+    def __init__(self, time_constant_ms: float, value: float, now_ms: int):
+        self._time_constant_ms = time_constant_ms
         self._total = value
         self._weight = 1.0
         self._at_ms = now_ms
 
     def add_sample(self, value: float, now_ms: int) -> None:
-        kept = self._decay_factor(now_ms)
-        self._total = kept * self._total + value
-        self._weight = kept * self._weight + 1.0
+        decay = self._decay_factor(now_ms)
+        self._total = decay * self._total + value
+        self._weight = decay * self._weight + 1.0
         self._at_ms = now_ms
 
-    def value(self, usual: float, now_ms: int) -> float:
-        """Return the mean of the samples and of ``usual`` as one more."""
-        kept = self._decay_factor(now_ms)
-        return (kept * self._total + usual) / (kept * self._weight + 1.0)
+    def value(self, prior: float, now_ms: int) -> float:
+        """Return the mean of the samples and of ``prior`` as one more."""
+        decay = self._decay_factor(now_ms)
+        return (decay * self._total + prior) / (decay * self._weight + 1.0)
 
     def _decay_factor(self, now_ms: int) -> float:
         return math.exp(-(now_ms - self._at_ms) / self._time_constant_ms)
@@ -76,10 +79,10 @@
         'on_time_streams',
     )
 
-    def __init__(self, first_ms: float, now_ms: int):
-        self.initial_gap_ms = first_ms
-        self.short_term = _DecayingMean(SHORT_TERM_MS, first_ms, now_ms)
-        self.long_term = _DecayingMean(LONG_TERM_MS, first_ms, now_ms)
+    def __init__(self, initial_ms: float, now_ms: int):
+        self.initial_gap_ms = initial_ms
+        self.short_term = _DecayingMean(SHORT_TERM_MS, initial_ms, now_ms)
+        self.long_term = _DecayingMean(LONG_TERM_MS, initial_ms, now_ms)
         self.longest_gap_ms = 0.0
         self.longest_gap_at_ms = now_ms
         # This host's streams without a late pause so far.
@@ -117,10 +120,10 @@
         found.short_term.add_sample(gap_ms, now_ms)
         found.long_term.add_sample(gap_ms, now_ms)
         age_ms = now_ms - found.longest_gap_at_ms
-        faded_ms = found.longest_gap_ms * 0.5 ** (
+        decayed_ms = found.longest_gap_ms * 0.5 ** (
             age_ms / LONGEST_GAP_HALF_LIFE_MS
         )
-        found.longest_gap_ms = max(faded_ms, gap_ms)
+        found.longest_gap_ms = max(decayed_ms, gap_ms)
         found.longest_gap_at_ms = now_ms
 
     def forecast(
@@ -197,8 +200,8 @@
         else:
             gap_ms = now_ms - self._last_piece_at_ms
             self._pace.record_gap(self._endpoint, self._event_tokens, gap_ms)
-            late = self._pause_target_ms is not None
-            if late and gap_ms > self._pause_target_ms:
+            has_target = self._pause_target_ms is not None
+            if has_target and gap_ms > self._pause_target_ms:
                 self._stop_counting()
         self._last_piece_at_ms = now_ms
 
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -80,15 +80,15 @@
         service: routes.RoutedService,
         call: dialects.Call,
         in_flight: int,
-        usual: bool,
+        assume_affinity: bool,
         moved_tokens: float = 0.0,
     ) -> Estimate:
         """Return the estimate for a call at an endpoint.
 
-        ``in_flight`` is the number of this host's calls there, ``usual``
-        whether the prompt's prefix hashes to the endpoint, and
-        ``moved_tokens`` the tokens whose KV cache would be fetched from
-        another engine.
+        ``in_flight`` is the number of this host's calls there,
+        ``assume_affinity`` whether the prompt's prefix hashes to the
+        endpoint, and ``moved_tokens`` the tokens whose KV cache would be
+        fetched from another engine.
         """
         said = found.said
         if service.batch is None:
@@ -99,34 +99,40 @@
         model = self.model_for(said.service)
         load = self._engine_loads.load(said.endpoint)
         # Affinity is only assumed without broadcasts from the other hosts.
-        usual = usual and not self.backlog.has_peer_reports
-        kept = self.prefixes.cached_tokens(said.endpoint, call.parts, usual)
-        unread = max(call.tokens_in - kept - moved_tokens, 0.0)
+        assume_affinity = assume_affinity and not self.backlog.has_peer_reports
+        cached = self.prefixes.cached_tokens(
+            said.endpoint, call.parts, assume_affinity
+        )
+        uncached = max(call.tokens_in - cached - moved_tokens, 0.0)
         token_ms = self._token_ms(said.endpoint, said.service)
-        ahead = self.backlog.tokens_ahead(said.endpoint, load, token_ms)
-        moving_ms = TRANSFER_WAIT_FACTOR * service.batch.move_ms(moved_tokens)
-        first_ms = model.first_ms(said.endpoint, unread, ahead) + moving_ms
-        room = True
+        queued = self.backlog.tokens_ahead(said.endpoint, load, token_ms)
+        transfer_ms = TRANSFER_WAIT_FACTOR * service.batch.move_ms(
+            moved_tokens
+        )
+        first_ms = (
+            model.first_ms(said.endpoint, uncached, queued) + transfer_ms
+        )
+        can_start = True
         if load is not None:
-            needed = unread + call.tokens_out + ahead
+            needed = uncached + call.tokens_out + queued
             fits = load.held_tokens + needed <= load.total_tokens
-            room = fits and load.running < service.batch.slots
+            can_start = fits and load.running < service.batch.slots
         event_tokens = service.batch.event_tokens
         events = math.ceil(call.tokens_expected / event_tokens)
         pace_ahead = self.pace.forecast(said.endpoint, event_tokens)
-        reading_ms = unread * token_ms
-        busy_ms = ahead * token_ms + reading_ms
+        prefill_ms = uncached * token_ms
+        busy_ms = queued * token_ms + prefill_ms
         return Estimate(
             first_ms,
             first_ms + pace_ahead.stream_ms(events),
-            unread,
-            ahead,
-            reading_ms,
-            moving_ms,
+            uncached,
+            queued,
+            prefill_ms,
+            transfer_ms,
             min(busy_ms, self.pace.longest_gap_ms(said.endpoint)),
             self.pace.on_time_streams(said.endpoint),
             model.spread,
-            room,
+            can_start,
         )
 
     def free_slots(
@@ -205,8 +211,8 @@
         """Update the models with the time to a first piece or a response."""
         if service.batch is None:
             old = self._hold_ms.get(service.service, INITIAL_HOLD_MS)
-            moved = HOLD_WEIGHT * (took_ms - old)
-            self._hold_ms[service.service] = old + moved
+            change = HOLD_WEIGHT * (took_ms - old)
+            self._hold_ms[service.service] = old + change
             return
         self.model_for(service.service).add_sample(
             endpoint,
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -67,7 +67,7 @@
 
     def __init__(
         self,
-        held: replica.Replica,
+        local_replica: replica.Replica,
         discovery: discovery_client.DiscoveryClient,
         selector: endpoint_selector.EndpointSelector,
         destination_selector: destinations.DestinationSelector,
@@ -79,7 +79,7 @@
         switched_off: collections.abc.Set[mechanisms.Mechanism],
         clock: clocks.Clock,
     ):
-        self._replica = held
+        self._replica = local_replica
         self._discovery = discovery
         self._selector = selector
         self._destinations = destination_selector
@@ -169,7 +169,7 @@
         table = self._replica.current.routes
         service = table.service(self._select_service(permit.route, hop))
         try:
-            taken = await self._charge_team_limit(call, permit, hop)
+            reservation = await self._charge_team_limit(call, permit, hop)
         except limiters.OverLimitError as error:
             await self._refuse_over_limit(call, reply, error)
             return None
@@ -181,7 +181,7 @@
             call.arrived_ms + left_ms,
             reply,
             hop,
-            taken,
+            reservation,
         )
 
     async def _charge_team_limit(
@@ -435,8 +435,10 @@
             context.reply.abort()
             return
         if context.retained_response is not None:
-            kept = context.retained_response
-            await context.reply.whole(kept.status, kept.fields, kept.body)
+            response = context.retained_response
+            await context.reply.whole(
+                response.status, response.fields, response.body
+            )
             return
         retry_after_ms = None
         if status == UNAVAILABLE:
@@ -452,15 +454,15 @@
 
     def _retry_hint_ms(self, context: call_context.CallContext) -> int:
         """Return a jittered Retry-After for a call without an endpoint."""
-        known_ms = self._selector.endpoint_retry_after_ms(
+        delay_ms = self._selector.endpoint_retry_after_ms(
             context.service, context.permit.urgency
         )
-        if known_ms is None:
-            known_ms = context.remote_retry_after_ms or RETRY_AFTER_MS
+        if delay_ms is None:
+            delay_ms = context.remote_retry_after_ms or RETRY_AFTER_MS
         urgency = 0
         if self._selector.all_in_backoff(context.service):
             urgency = context.permit.urgency
-        return retry_schedule.jittered_ms(known_ms, urgency)
+        return retry_schedule.jittered_ms(delay_ms, urgency)
 
     async def drain(self, timeout_ms: int) -> bool:
         """Refuse new calls and wait; return whether all calls completed."""
--- a/wrenspoke/coordination/serving/prefill_model.py
+++ b/wrenspoke/coordination/serving/prefill_model.py
@@ -77,45 +77,47 @@
         return math.exp(self._factors.get(endpoint, 0.0))
 
     def first_ms(
-        self, endpoint: ids.EndpointId, unread: float, ahead: float
+        self, endpoint: ids.EndpointId, uncached: float, queued: float
     ) -> float:
         """Return the expected time from sending a call to its first piece.
 
-        ``unread`` are the uncached tokens of its prompt, and ``ahead`` the
-        tokens of other prompts queued before it.
+        ``uncached`` are the tokens of its prompt to be computed, and
+        ``queued`` the tokens of other prompts before it.
         """
-        return self._pooled_ms(_inputs(unread, ahead)) * self.speed_factor(
+        return self._pooled_ms(_inputs(uncached, queued)) * self.speed_factor(
             endpoint
         )
 
     def add_sample(
         self,
         endpoint: ids.EndpointId,
-        unread: float,
-        ahead: float,
+        uncached: float,
+        queued: float,
         took_ms: float,
     ) -> None:
         """Update the model with the actual time to a first piece."""
-        inputs = _inputs(unread, ahead)
+        inputs = _inputs(uncached, queued)
         expected_ms = max(self._pooled_ms(inputs), MIN_MS)
         ratio = max(took_ms, MIN_MS) / expected_ms
-        off = math.log(ratio / self.speed_factor(endpoint))
-        self.spread += SPREAD_WEIGHT * (abs(off) - self.spread)
+        log_error = math.log(ratio / self.speed_factor(endpoint))
+        self.spread += SPREAD_WEIGHT * (abs(log_error) - self.spread)
         self._update_coefficients(
             inputs, expected_ms, ratio / self.speed_factor(endpoint)
         )
-        self._update_factor(endpoint, off)
+        self._update_factor(endpoint, log_error)
 
-    def _update_factor(self, endpoint: ids.EndpointId, off: float) -> None:
+    def _update_factor(
+        self, endpoint: ids.EndpointId, log_error: float
+    ) -> None:
         """Update an engine's factor; move the common part to the model."""
-        bounded = min(max(off, -ERROR_BOUND), ERROR_BOUND)
-        known = self._factors.get(endpoint, 0.0) + FACTOR_WEIGHT * bounded
-        self._factors[endpoint] = min(max(known, -FACTOR_BOUND), FACTOR_BOUND)
+        bounded = min(max(log_error, -ERROR_BOUND), ERROR_BOUND)
+        factor = self._factors.get(endpoint, 0.0) + FACTOR_WEIGHT * bounded
+        self._factors[endpoint] = min(max(factor, -FACTOR_BOUND), FACTOR_BOUND)
         common = sum(self._factors.values()) / len(self._factors)
         for name in self._factors:
             self._factors[name] -= common
-        grown = math.exp(common)
-        self._coefficients = [figure * grown for figure in self._coefficients]
+        scale = math.exp(common)
+        self._coefficients = [figure * scale for figure in self._coefficients]
 
     def _pooled_ms(self, inputs: tuple[float, float, float]) -> float:
         return sum(
@@ -140,8 +142,8 @@
         )
         gains = [value / total for value in spread]
         for row in range(3):
-            moved = self._coefficients[row] + gains[row] * error
-            self._coefficients[row] = max(moved, self._min_coefficients[row])
+            updated = self._coefficients[row] + gains[row] * error
+            self._coefficients[row] = max(updated, self._min_coefficients[row])
             for column in range(3):
                 left = self._variance[row][column]
                 left -= gains[row] * spread[column]
@@ -167,5 +169,5 @@
                 del self._factors[endpoint]
 
 
-def _inputs(unread: float, ahead: float) -> tuple[float, float, float]:
-    return 1.0, unread / SCALE_TOKENS, ahead / SCALE_TOKENS
+def _inputs(uncached: float, queued: float) -> tuple[float, float, float]:
+    return 1.0, uncached / SCALE_TOKENS, queued / SCALE_TOKENS
--- a/wrenspoke/coordination/serving/prefix_index.py
+++ b/wrenspoke/coordination/serving/prefix_index.py
@@ -45,12 +45,12 @@
 
     def cached_tokens(self, parts: Parts) -> int:
         """Return how many leading tokens of a prompt are cached."""
-        kept = 0
+        cached = 0
         for part in parts:
             if part.part not in self._parts:
                 break
-            kept += part.tokens
-        return kept
+            cached += part.tokens
+        return cached
 
     def record_prompt(self, parts: Parts, own_tokens: int = 0) -> None:
         """Record a prompt as cached, and evict the oldest parts for it.
@@ -84,14 +84,14 @@
         self._caches: dict[ids.EndpointId, PrefixCacheModel] = {}
 
     def cached_tokens(
-        self, endpoint: ids.EndpointId, parts: Parts, usual: bool
+        self, endpoint: ids.EndpointId, parts: Parts, assume_affinity: bool
     ) -> float:
         """Return how many tokens of a prompt an engine should have cached."""
         memory = self._caches.get(endpoint)
-        kept = memory.cached_tokens(parts) if memory else 0
-        if usual:
-            kept = max(kept, AFFINITY_CACHED_SHARE * shared_tokens(parts))
-        return kept
+        cached = memory.cached_tokens(parts) if memory else 0
+        if assume_affinity:
+            cached = max(cached, AFFINITY_CACHED_SHARE * shared_tokens(parts))
+        return cached
 
     def best_cache_holder(
         self, parts: Parts, names: list[ids.EndpointId]
@@ -99,9 +99,9 @@
         """Return the engine that caches the most, None if none caches any."""
         best = None
         for name in names:
-            kept = self.cached_tokens(name, parts, usual=False)
-            if kept and (best is None or kept > best.tokens):
-                best = CacheHolder(name, kept)
+            cached = self.cached_tokens(name, parts, assume_affinity=False)
+            if cached and (best is None or cached > best.tokens):
+                best = CacheHolder(name, cached)
         return best
 
     def record_prompt(
--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -62,7 +62,7 @@
         pinger: host_pinger.HostPinger,
         remotes: remote_hosts.RemoteHosts,
         region_statuses: region_views.RegionViews,
-        held: replica.Replica,
+        local_replica: replica.Replica,
         clock: clocks.Clock,
         broadcaster: sent_call_broadcast.SentCallBroadcaster | None = None,
     ):
@@ -72,7 +72,7 @@
         self._pinger = pinger
         self._remote_hosts = remotes
         self._views = region_statuses
-        self._replica = held
+        self._replica = local_replica
         self._index = 0
         self._index_ms = clock.mono_ms()
         self._clock = clock
@@ -93,36 +93,38 @@
         remote = self._latest_status(host)
         if remote is None:
             return _default_offer(region, host)
-        said = remote.pong
-        if not said.serving or self._has_stale_configuration(remote):
+        status = remote.pong
+        if not status.serving or self._has_stale_configuration(remote):
             return None
         travel_ms = (remote.rtt_ms or 0.0) + FORWARDING_OVERHEAD_MS
-        offers = said.offers
+        offers = status.offers
         if host.region != region:
-            offers = said.relayed.get(region, [])
+            offers = status.relayed.get(region, [])
         if offers is None:
             return _default_offer(region, host)
         found = _offer_of(offers, service.service)
         if found is None:
             return None
-        unread_ms = found.token_ms * self._uncached_tokens(
+        uncached_ms = found.token_ms * self._uncached_tokens(
             region, service, call
         )
         waiting_ms = found.wait_ms + self._unreported_wait_ms(
             region, remote, found
         )
-        told_ms, at_ms = self._busy_waits.get(
+        busy_ms, at_ms = self._busy_waits.get(
             (region, service.service), (0.0, 0)
         )
         if self._clock.mono_ms() - at_ms < BUSY_WAIT_TTL_MS:
-            waiting_ms = max(waiting_ms, told_ms)
-        first_ms = travel_ms + waiting_ms + unread_ms
+            waiting_ms = max(waiting_ms, busy_ms)
+        first_ms = travel_ms + waiting_ms + uncached_ms
         end_ms = first_ms
         if service.batch is not None:
             events = call.tokens_expected / service.batch.event_tokens
-            paced = engine_pace.PaceForecast(found.usual_ms, found.present_ms)
-            end_ms += paced.stream_ms(events)
-        return RegionOffer(region, host, first_ms, end_ms, unread_ms)
+            forecast = engine_pace.PaceForecast(
+                found.usual_ms, found.present_ms
+            )
+            end_ms += forecast.stream_ms(events)
+        return RegionOffer(region, host, first_ms, end_ms, uncached_ms)
 
     def relay_offers(
         self, unreachable: list[ids.RegionId]
@@ -201,8 +203,10 @@
         if service.batch is None:
             return 0.0
         name = _cache_key(region, service.service)
-        kept = self._prefix_index.cached_tokens(name, call.parts, usual=False)
-        return max(call.tokens_in - kept, 0.0)
+        cached = self._prefix_index.cached_tokens(
+            name, call.parts, assume_affinity=False
+        )
+        return max(call.tokens_in - cached, 0.0)
 
     def _unreported_wait_ms(
         self,
@@ -211,13 +215,13 @@
         found: messages.Offer,
     ) -> float:
         """Return the wait due to forwarded calls newer than the offer."""
-        passed = self._forwarded.get(region)
-        if not passed:
+        forwarded = self._forwarded.get(region)
+        if not forwarded:
             return 0.0
         since_ms = remote.answered_ms - (remote.rtt_ms or 0.0) / 2
-        while passed and passed[0][0] < since_ms:
-            passed.popleft()
-        tokens = sum(item[1] for item in passed)
+        while forwarded and forwarded[0][0] < since_ms:
+            forwarded.popleft()
+        tokens = sum(item[1] for item in forwarded)
         return tokens * found.token_ms / max(found.endpoints, 1)
 
     def record_forwarded(
@@ -227,9 +231,9 @@
         call: dialects.Call,
     ) -> None:
         """Record a forwarded call, and broadcast it to this region's hosts."""
-        unread = self._uncached_tokens(region, service, call)
-        passed = self._forwarded.setdefault(region, collections.deque())
-        passed.append((self._clock.mono_ms(), unread))
+        uncached = self._uncached_tokens(region, service, call)
+        forwarded = self._forwarded.setdefault(region, collections.deque())
+        forwarded.append((self._clock.mono_ms(), uncached))
         if service.batch is None:
             return
         name = _cache_key(region, service.service)
@@ -237,7 +241,7 @@
             name, service.batch.cache_tokens, call.parts
         )
         if self._broadcaster is not None:
-            self._broadcaster.publish(name, unread, call.parts)
+            self._broadcaster.publish(name, uncached, call.parts)
 
     def _on_peer_forwarded(self, sent: attending.SentCall) -> None:
         """Record a call that another host of this region forwarded."""
@@ -245,10 +249,10 @@
         service = self._replica.current.routes.service(ids.ServiceId(name))
         if not found or service is None or service.batch is None:
             return
-        passed = self._forwarded.setdefault(
+        forwarded = self._forwarded.setdefault(
             ids.RegionId(region), collections.deque()
         )
-        passed.append((self._clock.mono_ms() - sent.age_ms, sent.tokens))
+        forwarded.append((self._clock.mono_ms() - sent.age_ms, sent.tokens))
         parts = sent_call_broadcast.prompt_parts(sent)
         self._prefix_index.record_prompt(
             sent.endpoint, service.batch.cache_tokens, parts
--- a/wrenspoke/coordination/serving/sent_call_broadcast.py
+++ b/wrenspoke/coordination/serving/sent_call_broadcast.py
@@ -81,13 +81,13 @@
         endpoint: ids.EndpointId,
         tokens: float,
         parts: collections.abc.Sequence[dialects.PromptPart],
-        made_tokens: int = 0,
+        response_tokens: int = 0,
     ) -> None:
         """Queue a call that this host sends to an engine.
 
         ``tokens`` are the uncached tokens of its prompt. The last of
         ``parts`` belongs to the call alone: only its size is sent, added to
-        ``made_tokens``, the expected length of the response.
+        ``response_tokens``, the expected length of the response.
         """
         if len(self._own) >= BATCH_LIMIT:
             return
@@ -97,7 +97,7 @@
             round(tokens),
             0,
             [(part.part, part.tokens) for part in parts[:-1]],
-            made_tokens + (parts[-1].tokens if parts else 0),
+            response_tokens + (parts[-1].tokens if parts else 0),
         )
         self._own.append((self._clock.mono_ms(), sent))
         self._own_added.set()
--- a/wrenspoke/coordination/serving/shared_retry_budget.py
+++ b/wrenspoke/coordination/serving/shared_retry_budget.py
@@ -80,26 +80,26 @@
     def spend(self, service: ids.ServiceId) -> bool:
         """Take a retry from the budget; False if there is none left."""
         now_ms = self._clock.mono_ms()
-        repeats = self._window(self._retries, service)
-        if repeats.count(now_ms) + 1 > self._allowance(service, now_ms):
+        retries = self._window(self._retries, service)
+        if retries.count(now_ms) + 1 > self._allowance(service, now_ms):
             self.denied += 1
             return False
-        repeats.add(now_ms)
+        retries.add(now_ms)
         return True
 
     def _allowance(self, service: ids.ServiceId, now_ms: int) -> int:
-        firsts = self._window(self._requests, service).count(now_ms)
-        earned = USABLE_SHARE * self._bounds.ratio * firsts
+        requests = self._window(self._requests, service).count(now_ms)
+        earned = USABLE_SHARE * self._bounds.ratio * requests
         return math.floor(earned) + self._fixed_share(service)
 
     def _fixed_share(self, service: ids.ServiceId) -> int:
         """Return this host's part of the fixed number, in whole retries."""
         part = self._fixed_shares.get(service)
         if part is None:
-            whole = math.floor(USABLE_SHARE * self._bounds.fixed)
-            part, rest = divmod(whole, len(self._hosts))
+            total = math.floor(USABLE_SHARE * self._bounds.fixed)
+            part, remainder = divmod(total, len(self._hosts))
             order = routing.rendezvous(service, self._hosts)
-            part += order.index(self._host) < rest
+            part += order.index(self._host) < remainder
             self._fixed_shares[service] = part
         return part
 
--- a/wrenspoke/coordination/serving/warmup_probe.py
+++ b/wrenspoke/coordination/serving/warmup_probe.py
@@ -45,14 +45,14 @@
     def __init__(
         self,
         pollers: region_pollers.RegionPollers,
-        held: replica.Replica,
+        local_replica: replica.Replica,
         dialect: dialects.Dialect,
         client: web.HttpClient,
         gate: endpoint_gate.EndpointGate,
         clock: clocks.Clock,
     ):
         self._pollers = pollers
-        self._replica = held
+        self._replica = local_replica
         self._dialect = dialect
         self._client = client
         self._gate = gate
@@ -72,26 +72,26 @@
         return warm_ms
 
     def start_probes(
-        self, taken_back: collections.abc.Iterable[registry.Registered]
+        self, restored: collections.abc.Iterable[registry.Registered]
     ) -> None:
         """Start to probe endpoints of restored data centres."""
         early_ms = self._clock.mono_ms() - EARLY_STATUS_MS
-        chosen = []
-        for one in taken_back:
+        assigned = []
+        for one in restored:
             endpoint = one.said.endpoint
             _warm_ms, heard_ms = self._warm_ms.get(endpoint, (0, 0))
             if heard_ms < early_ms:
                 self._warm_ms.pop(endpoint, None)
             if self._pollers.is_poller_of(endpoint):
-                chosen.append(one)
-        if chosen:
-            self._tasks.start(self._probe_endpoints(chosen))
+                assigned.append(one)
+        if assigned:
+            self._tasks.start(self._probe_endpoints(assigned))
 
     async def _probe_endpoints(
-        self, chosen: list[registry.Registered]
+        self, assigned: list[registry.Registered]
     ) -> None:
         answers = await asyncio.gather(
-            *(self._probe_endpoint(one.said) for one in chosen)
+            *(self._probe_endpoint(one.said) for one in assigned)
         )
         warm = [answer for answer in answers if answer is not None]
         if warm:
