--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -118,9 +118,7 @@
             except protocol_errors.MalformedMessageError as error:
                 raise errors.MaybeSentError(str(error)) from error
             if event is None:
-                raise errors.MaybeSentError(
-                    f'stream ended early after event {transcript.last_event}'
-                )
+                raise errors.MaybeSentError('stream ended early')
             if event.event == replies.OUTCOME_EVENT:
                 raise OutcomeEventError(event.data)
             on_event()
