--- a/wrenspoke/coordination/errors.py
+++ b/wrenspoke/coordination/errors.py
@@ -41,7 +41,9 @@
     """The rate limit that an endpoint advertises is used up."""
 
     def __init__(self, endpoint: ids.EndpointId, wait_ms: int):
-        super().__init__('endpoint_limit', endpoint, 'takes no more', wait_ms)
+        super().__init__(
+            'endpoint_limit', endpoint, 'is at its advertised limit', wait_ms
+        )
 
 
 class EndpointBackoffError(EndpointBusyError):
@@ -60,7 +62,7 @@
     """
 
     def __init__(self, held_ms: int):
-        super().__init__('endpoints ended under it')
+        super().__init__(f'request is quarantined for {held_ms} ms')
         self.held_ms = held_ms
 
 
@@ -83,7 +85,7 @@
     """
 
     def __init__(self, status: int, backs_off: bool):
-        super().__init__(f'endpoint answered {status}')
+        super().__init__(f'endpoint rejected the request: status {status}')
         self.status = status
         self.backs_off = backs_off
 
