--- a/tests/test_advertised_limits.py
+++ b/tests/test_advertised_limits.py
@@ -74,10 +74,10 @@
                 continue
     told = [(line['event'], line.get('rate_per_s')) for line in lines]
     assert told == [
-        ('endpoint_limit_named', 1.2),
-        ('endpoint_limit_unreadable', None),
-        ('endpoint_limit_named', 3.0),
-        ('endpoint_limit_named', None),
+        ('endpoint_limit_changed', 1.2),
+        ('endpoint_limit_malformed', None),
+        ('endpoint_limit_changed', 3.0),
+        ('endpoint_limit_changed', None),
     ]
     assert lines[1]['field'] == 'Server-Limit'
 
--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -143,7 +143,7 @@
             for host in range(3):
                 await ask(host, 0)
             return all(
-                f'endpoint_limit_named host={host} endpoint={engine}'
+                f'endpoint_limit_changed host={host} endpoint={engine}'
                 in running.log(host)
                 for host in hosts
             )
--- a/wrenspoke/coordination/limiting/advertised_limits.py
+++ b/wrenspoke/coordination/limiting/advertised_limits.py
@@ -68,7 +68,7 @@
             if life.endpoint not in self._malformed:
                 self._malformed.add(life.endpoint)
                 logger.warning(
-                    'endpoint_limit_unreadable',
+                    'endpoint_limit_malformed',
                     endpoint=life.endpoint,
                     field=headers.LIMIT,
                     problem=str(error),
@@ -119,7 +119,7 @@
         before_per_s = None if known is None else known.rate_per_s
         if limit.rate_per_s != before_per_s:
             logger.info(
-                'endpoint_limit_named',
+                'endpoint_limit_changed',
                 endpoint=limit.life.endpoint,
                 rate_per_s=limit.rate_per_s,
                 before_per_s=before_per_s,
