--- a/wrenspoke/coordination/agreement/leadership.py
+++ b/wrenspoke/coordination/agreement/leadership.py
@@ -207,27 +207,27 @@
         self,
         host: ids.HostId,
         follower: followers.Follower,
-        answer: messages.AppendReply,
+        reply: messages.AppendReply,
         sent_ms: int,
     ) -> None:
-        if answer.term > self.term:
+        if reply.term > self.term:
             # If the disk is too full to persist the term, this host has
             # stepped down all the same.
             with contextlib.suppress(state_errors.DiskFullError):
-                self._node.adopt_term(answer.term)
+                self._node.adopt_term(reply.term)
             return
-        if answer.incarnation != follower.incarnation:
-            follower.incarnation = answer.incarnation
+        if reply.incarnation != follower.incarnation:
+            follower.incarnation = reply.incarnation
             follower.match_index = 0
-        follower.location = answer.location
+        follower.location = reply.location
         follower.acked_ms = sent_ms
-        follower.moment = answer.moment
-        if not answer.matched:
-            lower = min(follower.next_index - 1, answer.last_index)
+        follower.moment = reply.moment
+        if not reply.matched:
+            lower = min(follower.next_index - 1, reply.last_index)
             follower.next_index = max(1, lower)
             return
-        follower.match_index = answer.last_index
-        follower.next_index = answer.last_index + 1
+        follower.match_index = reply.last_index
+        follower.next_index = reply.last_index + 1
         self.advance_commit()
 
     def advance_commit(self) -> None:
