--- a/wrenspoke/coordination/agreement/leadership.py
+++ b/wrenspoke/coordination/agreement/leadership.py
@@ -117,7 +117,7 @@
         """Return the newest send time that a majority has acknowledged."""
         now_ms = self._node.clock.mono_ms()
 
-        def acked_ms(host: ids.HostId, disk: ids.Incarnation) -> int:
+        def host_acked_ms(host: ids.HostId, disk: ids.Incarnation) -> int:
             if self._is_local_disk(host, disk):
                 return now_ms
             follower = self._follower_on_disk(host, disk)
@@ -127,7 +127,7 @@
                 self.since_ms if self._electing_voters.has(host, disk) else 0
             )
 
-        return self._node.electorate.reached(acked_ms)
+        return self._node.electorate.reached(host_acked_ms)
 
     def _is_local_disk(self, host: ids.HostId, disk: ids.Incarnation) -> bool:
         group = self._node
