--- a/wrenspoke/coordination/agreement/bootstrap.py
+++ b/wrenspoke/coordination/agreement/bootstrap.py
@@ -14,7 +14,7 @@
 
 
 def bootstrap_single(
-    kept: storage.Storage, host: ids.HostId, first: entries.Found
+    store: storage.Storage, host: ids.HostId, first: entries.Found
 ) -> None:
     """Bootstrap a new group on an empty disk, with one voter.
 
@@ -23,14 +23,14 @@
 
     :raises InvalidChangeError: the disk already holds a log
     """
-    if kept.last_index:
+    if store.last_index:
         raise state_errors.InvalidChangeError(
-            f'disk of {host} is not empty: last index {kept.last_index}'
+            f'disk of {host} is not empty: last index {store.last_index}'
         )
-    kept.meta.term = 1
-    kept.save_meta()
-    voters = {host: kept.meta.incarnation}
-    kept.append(
+    store.meta.term = 1
+    store.save_meta()
+    voters = {host: store.meta.incarnation}
+    store.append(
         [
             entries.LogEntry(1, 1, entries.SetVoters(voters, 'founding')),
             entries.LogEntry(2, 1, first),
