--- a/wrenspoke/coordination/agreement/bootstrap.py
+++ b/wrenspoke/coordination/agreement/bootstrap.py
@@ -14,7 +14,7 @@
 
 
 def bootstrap_single(
-    store: storage.Storage, host: ids.HostId, first: entries.Found
+    store: storage.Storage, host: ids.HostId, first_entry: entries.Found
 ) -> None:
     """Bootstrap a new group on an empty disk, with one voter.
 
@@ -33,7 +33,7 @@
     store.append(
         [
             entries.LogEntry(1, 1, entries.SetVoters(voters, 'founding')),
-            entries.LogEntry(2, 1, first),
+            entries.LogEntry(2, 1, first_entry),
         ]
     )
 
