--- a/wrenspoke/coordination/agreement/bootstrap.py
+++ b/wrenspoke/coordination/agreement/bootstrap.py
@@ -39,7 +39,7 @@
 
 
 def bootstrap_seeds(
-    kept: storage.Storage,
+    store: storage.Storage,
     host: ids.HostId,
     seeds: typing.Iterable[ids.HostId],
 ) -> None:
@@ -51,14 +51,14 @@
     is the first start of the group: a host that lost its disk must not
     bootstrap again.
     """
-    if host not in seeds or kept.last_index or kept.meta.boot:
+    if host not in seeds or store.last_index or store.meta.boot:
         return
     voters = {seed: _bootstrap_incarnation(seed) for seed in sorted(seeds)}
-    kept.meta.incarnation = voters[host]
-    kept.meta.term = 1
-    kept.save_meta()
+    store.meta.incarnation = voters[host]
+    store.meta.term = 1
+    store.save_meta()
     first = entries.Found(configuration.Configuration())
-    kept.append(
+    store.append(
         [
             entries.LogEntry(1, 1, entries.SetVoters(voters, 'founding')),
             entries.LogEntry(2, 1, first),
