--- a/wrenspoke/coordination/agreement/bootstrap.py
+++ b/wrenspoke/coordination/agreement/bootstrap.py
@@ -57,11 +57,11 @@
     store.meta.incarnation = voters[host]
     store.meta.term = 1
     store.save_meta()
-    first = entries.Found(configuration.Configuration())
+    first_entry = entries.Found(configuration.Configuration())
     store.append(
         [
             entries.LogEntry(1, 1, entries.SetVoters(voters, 'founding')),
-            entries.LogEntry(2, 1, first),
+            entries.LogEntry(2, 1, first_entry),
         ]
     )
     logger.info('founded', voters=list(voters))
