--- a/wrenspoke/coordination/agreement/direct_decisions.py
+++ b/wrenspoke/coordination/agreement/direct_decisions.py
@@ -39,8 +39,8 @@
         """
         routes.check(table)
         await self._wait_for_leadership()
-        held = self._voter.state.configuration.routes
-        if replicated.routes_verdict(held, table) is (
+        current = self._voter.state.configuration.routes
+        if replicated.routes_verdict(current, table) is (
             replicated.Verdict.CONFLICT
         ):
             return replicated.Answer(
