--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -106,13 +106,13 @@
 
         The weight store limits the number of loads per minute.
         """
-        ahead = sum(
+        pending_loads = sum(
             1
             for plan in self._voter.state.running()
             if isinstance(plan.current, plans.Order) and plan.current.loads
         )
         free_ms = self._next_load_ms() - self._clock.wall_ms()
-        return max(0, free_ms) + ahead * self._load_interval_ms()
+        return max(0, free_ms) + pending_loads * self._load_interval_ms()
 
     def _load_interval_ms(self) -> int:
         return MS_PER_MINUTE // self._settings.weight_loads_per_minute
