--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -187,14 +187,14 @@
         """
         while True:
             self._check_leadership()
-            found = self._voter.state.configuration.endpoints.get(
+            endpoint = self._voter.state.configuration.endpoints.get(
                 step.endpoint
             )
-            if found is None:
+            if endpoint is None:
                 return 'endpoint is gone'
-            waits = self._in_flight_reason(plan, found)
+            waits = self._in_flight_reason(plan, endpoint)
             if not waits:
-                waits = await self._engine_busy_reason(found)
+                waits = await self._engine_busy_reason(endpoint)
             if not waits:
                 return 'idle'
             self.wait_reasons[plan.plan] = waits
