--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -192,12 +192,12 @@
             )
             if endpoint is None:
                 return 'endpoint is gone'
-            waits = self._in_flight_reason(plan, endpoint)
-            if not waits:
-                waits = await self._engine_busy_reason(endpoint)
-            if not waits:
+            reason = self._in_flight_reason(plan, endpoint)
+            if not reason:
+                reason = await self._engine_busy_reason(endpoint)
+            if not reason:
                 return 'idle'
-            self.wait_reasons[plan.plan] = waits
+            self.wait_reasons[plan.plan] = reason
             await self._poll_pause()
 
     def _in_flight_reason(
