--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -205,12 +205,15 @@
     ) -> str:
         now_ms = self._clock.mono_ms()
         for data_centre in self._data_centres.get(endpoint.region, ()):
-            heard = self._standings.get(data_centre)
-            if heard is None or now_ms - heard.received_ms > STATUS_MAX_AGE_MS:
+            received = self._standings.get(data_centre)
+            if (
+                received is None
+                or now_ms - received.received_ms > STATUS_MAX_AGE_MS
+            ):
                 return f'{data_centre} is not heard from'
-            if heard.status.low_index < plan.reached_index:
+            if received.status.low_index < plan.reached_index:
                 return f'{data_centre} has not got the change'
-            for busy in heard.status.busy:
+            for busy in received.status.busy:
                 if busy.endpoint == endpoint.endpoint:
                     return f'{busy.in_flight} requests in flight'
         return ''
