--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -265,8 +265,8 @@
 
         Engines that check fencing numbers need no wait.
         """
-        found = self._voter.state.configuration.endpoint(step.endpoint)
-        if found.fenced:
+        endpoint = self._voter.state.configuration.endpoint(step.endpoint)
+        if endpoint.fenced:
             return
         due_ms = (
             self._voter.leader_since_ms
