--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -294,10 +294,13 @@
                 plan.plan, plan.reached, self._host, self._clock.wall_ms()
             )
         )
-        found = self._voter.state.plans[plan.plan]
-        if found.reached != plan.reached or not found.issued_index:
+        current_plan = self._voter.state.plans[plan.plan]
+        if (
+            current_plan.reached != plan.reached
+            or not current_plan.issued_index
+        ):
             raise errors.NotLeaderError(None, may_be_accepted=False)
-        return found.issued_index
+        return current_plan.issued_index
 
     async def _send_order(self, step: plans.Order, number: int) -> None:
         body = {'kind': step.kind}
