--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -329,7 +329,7 @@
             raise OrderFailedError(f'engine answered {status}')
 
     async def _send_request(
-        self, send: dispatch.Send, into: list[bytes] | None
+        self, send: dispatch.Send, bodies: list[bytes] | None
     ) -> int:
         try:
             async with clocks.timeout_ms(self._settings.order_timeout_ms):
@@ -337,8 +337,8 @@
                     body = await answer.read_all(ANSWER_LIMIT_BYTES)
         except (errors.CoordinationError, TimeoutError) as error:
             raise OrderFailedError(repr(error)) from error
-        if into is not None:
-            into.append(body)
+        if bodies is not None:
+            bodies.append(body)
         return answer.status
 
     async def _read_engine_state(
