--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -363,10 +363,10 @@
         """
         state = await self._read_engine_state(step.endpoint)
         if step.kind == 'role':
-            held = state.role == step.role
+            matches = state.role == step.role
         elif step.adapter:
-            held = (step.adapter in state.adapters) == (step.kind == 'load')
+            matches = (step.adapter in state.adapters) == (step.kind == 'load')
         else:
-            held = (step.model in state.models) == (step.kind == 'load')
-        if not held:
+            matches = (step.model in state.models) == (step.kind == 'load')
+        if not matches:
             raise OrderFailedError('engine does not show what was ordered')
