--- a/wrenspoke/coordination/agreement/control_service.py
+++ b/wrenspoke/coordination/agreement/control_service.py
@@ -74,14 +74,14 @@
 
     async def _notify_relays(self) -> None:
         """Notify the relays that pull from this host of each change."""
-        told = 0
+        notified_index = 0
         while True:
             changed = self._replica.changed
             index = self._replica.current.index
-            if index <= told:
+            if index <= notified_index:
                 await changed.wait()
                 continue
-            told = index
+            notified_index = index
             now_ms = self._clock.mono_ms()
             for host, pulled_ms in list(self._relays.items()):
                 if now_ms - pulled_ms > RELAY_EXPIRY_MS:
