--- a/wrenspoke/coordination/agreement/control_service.py
+++ b/wrenspoke/coordination/agreement/control_service.py
@@ -102,13 +102,15 @@
 
     async def _forward_status(self, standing: messages.Standing) -> None:
         """Forward a data centre's status to the leader if plans run."""
-        elected = self._voter
-        if elected.role is voter.Role.LEADER:
+        local_voter = self._voter
+        if local_voter.role is voter.Role.LEADER:
             self._executor.update_status(standing)
             return
-        if elected.leader is None or not elected.state.running():
+        if local_voter.leader is None or not local_voter.state.running():
             return
-        await self._peers.tell(elected.leader, messages.PassStanding(standing))
+        await self._peers.tell(
+            local_voter.leader, messages.PassStanding(standing)
+        )
 
     async def _handle_status(
         self, _sender: ids.HostId, message: messages.PassStanding
