--- a/wrenspoke/coordination/agreement/control_service.py
+++ b/wrenspoke/coordination/agreement/control_service.py
@@ -211,11 +211,11 @@
 
     def show_plan(self, plan: ids.PlanId) -> operators.OperatorAnswer:
         """Return a plan, its progress and what it waits for."""
-        found = self._voter.state.plans.get(plan)
-        if found is None:
+        plan_record = self._voter.state.plans.get(plan)
+        if plan_record is None:
             return _error_answer(NOT_FOUND, f'no plan {plan}')
         body = {
-            'plan': found,
+            'plan': plan_record,
             'waits_for': self._executor.wait_reasons.get(plan, ''),
         }
         return operators.OperatorAnswer(OK, body)
