--- a/wrenspoke/coordination/agreement/control_service.py
+++ b/wrenspoke/coordination/agreement/control_service.py
@@ -239,18 +239,18 @@
 
     def show_status(self) -> operators.OperatorAnswer:
         """Return this host's role and view of the control group."""
-        elected = self._voter
-        deciding = elected.committed_electorate
+        local_voter = self._voter
+        deciding = local_voter.committed_electorate
         body = {
-            'role': elected.role,
-            'term': elected.term,
-            'leader': elected.leader,
-            'has_lease': elected.has_lease,
-            'incarnation': elected.incarnation,
+            'role': local_voter.role,
+            'term': local_voter.term,
+            'leader': local_voter.leader,
+            'has_lease': local_voter.has_lease,
+            'incarnation': local_voter.incarnation,
             'voters': deciding.voters,
             'voters_before': deciding.before,
-            'commit_index': elected.commit_index,
-            'configuration_index': elected.state.configuration.index,
+            'commit_index': local_voter.commit_index,
+            'configuration_index': local_voter.state.configuration.index,
         }
         return operators.OperatorAnswer(OK, body)
 
