--- a/wrenspoke/coordination/agreement/control_service.py
+++ b/wrenspoke/coordination/agreement/control_service.py
@@ -240,15 +240,15 @@
     def show_status(self) -> operators.OperatorAnswer:
         """Return this host's role and view of the control group."""
         local_voter = self._voter
-        deciding = local_voter.committed_electorate
+        electorate = local_voter.committed_electorate
         body = {
             'role': local_voter.role,
             'term': local_voter.term,
             'leader': local_voter.leader,
             'has_lease': local_voter.has_lease,
             'incarnation': local_voter.incarnation,
-            'voters': deciding.voters,
-            'voters_before': deciding.before,
+            'voters': electorate.voters,
+            'voters_before': electorate.before,
             'commit_index': local_voter.commit_index,
             'configuration_index': local_voter.state.configuration.index,
         }
