--- a/wrenspoke/coordination/agreement/control_service.py
+++ b/wrenspoke/coordination/agreement/control_service.py
@@ -255,8 +255,8 @@
         return operators.OperatorAnswer(OK, body)
 
 
-def _request_digest(what: str, request: msgspec.Struct) -> str:
-    body = what.encode() + msgspec.json.encode(request)
+def _request_digest(kind: str, request: msgspec.Struct) -> str:
+    body = kind.encode() + msgspec.json.encode(request)
     return hashlib.sha256(body).hexdigest()
 
 
