--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -68,7 +68,7 @@
 
 
 def _refuse_if_disk_full(
-    answer: collections.abc.Callable,
+    handler: collections.abc.Callable,
 ) -> collections.abc.Callable:
     """Decorate a message handler that writes to the disk.
 
@@ -76,12 +76,12 @@
     missing answer. The disk logs the error itself.
     """
 
-    @functools.wraps(answer)
+    @functools.wraps(handler)
     async def answer_or_refuse(
         voter: Voter, sender: ids.HostId, message: messages.Message
     ) -> messages.Message:
         try:
-            return await answer(voter, sender, message)
+            return await handler(voter, sender, message)
         except state_errors.DiskFullError as error:
             return messages.Refusal(str(error))
 
