--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -77,7 +77,7 @@
     """
 
     @functools.wraps(handler)
-    async def answer_or_refuse(
+    async def handle_or_refuse(
         voter: Voter, sender: ids.HostId, message: messages.Message
     ) -> messages.Message:
         try:
@@ -85,7 +85,7 @@
         except state_errors.DiskFullError as error:
             return messages.Refusal(str(error))
 
-    return answer_or_refuse
+    return handle_or_refuse
 
 
 class Voter:
