--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -223,8 +223,8 @@
     # Elections.
 
     def _random_election_timeout_ms(self) -> float:
-        least_ms = self.settings.election_timeout_ms
-        return random.uniform(least_ms, 2 * least_ms)
+        base_timeout_ms = self.settings.election_timeout_ms
+        return random.uniform(base_timeout_ms, 2 * base_timeout_ms)
 
     def _has_leader_contact(self) -> bool:
         silence_ms = self.clock.mono_ms() - self._leader_contact_ms
