--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -239,7 +239,7 @@
 
     async def _run_election_timer(self) -> None:
         """Run an election whenever the election timeout elapses."""
-        patience_ms = self._random_election_timeout_ms()
+        current_timeout_ms = self._random_election_timeout_ms()
         while True:
             await self.clock.sleep_ms(self.settings.beat_interval_ms / 2)
             self.storage.check()
@@ -249,9 +249,9 @@
             waited_ms = self.clock.mono_ms() - max(
                 self._leader_contact_ms, self._election_attempt_ms
             )
-            if waited_ms < patience_ms:
+            if waited_ms < current_timeout_ms:
                 continue
-            patience_ms = self._random_election_timeout_ms()
+            current_timeout_ms = self._random_election_timeout_ms()
             # Kept apart from leader contact, which makes this host refuse
             # votes: two candidates would keep refusing each other.
             self._election_attempt_ms = self.clock.mono_ms()
