--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -246,10 +246,10 @@
             if self.role is Role.LEADER:
                 self._check_quorum()
                 continue
-            waited_ms = self.clock.mono_ms() - max(
+            elapsed_ms = self.clock.mono_ms() - max(
                 self._leader_contact_ms, self._election_attempt_ms
             )
-            if waited_ms < current_timeout_ms:
+            if elapsed_ms < current_timeout_ms:
                 continue
             current_timeout_ms = self._random_election_timeout_ms()
             # Kept apart from leader contact, which makes this host refuse
