--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -297,10 +297,10 @@
         self.leader = None
         term = meta.term
         logger.info('election', term=term)
-        asked_ms = self.clock.mono_ms()
+        vote_request_ms = self.clock.mono_ms()
         won = await self._request_votes(pre=False)
         if won and self.role is Role.CANDIDATE and self.term == term:
-            self._become_leader(asked_ms)
+            self._become_leader(vote_request_ms)
 
     async def _request_votes(self, pre: bool) -> bool:
         """Request votes and return whether a majority granted them.
