--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -315,14 +315,14 @@
             self.storage.last_term,
             pre,
         )
-        votes = vote_tally.VoteTally(
+        tally = vote_tally.VoteTally(
             self.host, self.incarnation, self.electorate
         )
         tasks = [
             asyncio.get_running_loop().create_task(
                 self._request_vote(host, message)
             )
-            for host in votes.other_voters
+            for host in tally.other_voters
         ]
         try:
             for earliest in asyncio.as_completed(tasks):
@@ -335,16 +335,16 @@
                     )
                     self.adopt_term(answer.term)
                     return False
-                votes.record_reply(host, answer)
-                if votes.won:
+                tally.record_reply(host, answer)
+                if tally.won:
                     break
         finally:
             await runtime.cancel(tasks)
-        if not votes.won:
-            votes.log_lost(
+        if not tally.won:
+            tally.log_lost(
                 message, self.clock.mono_ms() - self._leader_contact_ms
             )
-        return votes.won
+        return tally.won
 
     async def _request_vote(
         self, host: ids.HostId, message: messages.AskVote
