--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -467,12 +467,12 @@
 
     # Leader role.
 
-    def _become_leader(self, asked_ms: int) -> None:
+    def _become_leader(self, vote_request_ms: int) -> None:
         self.role = Role.LEADER
         self.leader = self.host
         logger.info('leading', term=self.term)
         self._leadership = leadership.Leadership(
-            self, self.term, asked_ms, self._leadership_tasks
+            self, self.term, vote_request_ms, self._leadership_tasks
         )
         try:
             self._append_entry(entries.LeaderStart(self.host))
