--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -577,12 +577,12 @@
     ) -> messages.AppendReply:
         if not self._accept_leader(sender, message.term):
             return self._append_reply(False, self.storage.last_index)
-        kept = self.storage
+        store = self.storage
         previous = message.previous_index
-        if previous > kept.last_index:
-            return self._append_reply(False, kept.last_index + 1)
-        if previous >= kept.snapshot.index:
-            if kept.term_at(previous) != message.previous_term:
+        if previous > store.last_index:
+            return self._append_reply(False, store.last_index + 1)
+        if previous >= store.snapshot.index:
+            if store.term_at(previous) != message.previous_term:
                 return self._append_reply(False, previous)
         last = self._store_entries(message.added)
         matched = max(previous + len(message.added), last)
