--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -584,8 +584,8 @@
         if previous >= store.snapshot.index:
             if store.term_at(previous) != message.previous_term:
                 return self._append_reply(False, previous)
-        last = self._store_entries(message.added)
-        matched = max(previous + len(message.added), last)
+        last_new_index = self._store_entries(message.added)
+        matched = max(previous + len(message.added), last_new_index)
         self.commit(min(message.commit, matched))
         self._update_confirmed_ms(message)
         return self._append_reply(True, matched)
