--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -621,16 +621,16 @@
 
         Returns the last index of ``new_entries``, 0 if there are none.
         """
-        kept = self.storage
+        store = self.storage
         for place, entry in enumerate(added):
-            if entry.index <= kept.snapshot.index:
+            if entry.index <= store.snapshot.index:
                 continue
-            held = kept.term_at(entry.index)
+            held = store.term_at(entry.index)
             if held == entry.term:
                 continue
             if held is not None:
-                kept.truncate_from(entry.index)
-            kept.append(added[place:])
+                store.truncate_from(entry.index)
+            store.append(added[place:])
             break
         return added[-1].index if added else 0
 
