--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -616,13 +616,13 @@
             return None
         return self.clock.mono_ms() - self._confirmed_ms
 
-    def _store_entries(self, added: list[entries.LogEntry]) -> int:
+    def _store_entries(self, new_entries: list[entries.LogEntry]) -> int:
         """Append new entries, truncating the log where the terms differ.
 
         Returns the last index of ``new_entries``, 0 if there are none.
         """
         store = self.storage
-        for place, entry in enumerate(added):
+        for place, entry in enumerate(new_entries):
             if entry.index <= store.snapshot.index:
                 continue
             held = store.term_at(entry.index)
@@ -630,9 +630,9 @@
                 continue
             if held is not None:
                 store.truncate_from(entry.index)
-            store.append(added[place:])
+            store.append(new_entries[place:])
             break
-        return added[-1].index if added else 0
+        return new_entries[-1].index if new_entries else 0
 
     @_refuse_if_disk_full
     async def _handle_install(
