--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -625,10 +625,10 @@
         for place, entry in enumerate(new_entries):
             if entry.index <= store.snapshot.index:
                 continue
-            held = store.term_at(entry.index)
-            if held == entry.term:
+            stored_term = store.term_at(entry.index)
+            if stored_term == entry.term:
                 continue
-            if held is not None:
+            if stored_term is not None:
                 store.truncate_from(entry.index)
             store.append(new_entries[place:])
             break
