--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -622,7 +622,7 @@
         Returns the last index of ``new_entries``, 0 if there are none.
         """
         store = self.storage
-        for place, entry in enumerate(new_entries):
+        for position, entry in enumerate(new_entries):
             if entry.index <= store.snapshot.index:
                 continue
             stored_term = store.term_at(entry.index)
@@ -630,7 +630,7 @@
                 continue
             if stored_term is not None:
                 store.truncate_from(entry.index)
-            store.append(new_entries[place:])
+            store.append(new_entries[position:])
             break
         return new_entries[-1].index if new_entries else 0
 
