--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -682,9 +682,9 @@
             )
 
     def _compact_log(self) -> None:
-        kept = self.storage
-        covered = self.commit_index - kept.snapshot.index
-        large = covered and kept.log_bytes > LOG_LIMIT_BYTES
+        store = self.storage
+        covered = self.commit_index - store.snapshot.index
+        large = covered and store.log_bytes > LOG_LIMIT_BYTES
         if covered < self.settings.snapshot_entries and not large:
             return
         # With a full disk the log stays, and the next commit retries.
