--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -683,9 +683,9 @@
 
     def _compact_log(self) -> None:
         store = self.storage
-        covered = self.commit_index - store.snapshot.index
-        large = covered and store.log_bytes > LOG_LIMIT_BYTES
-        if covered < self.settings.snapshot_entries and not large:
+        uncompacted = self.commit_index - store.snapshot.index
+        large = uncompacted and store.log_bytes > LOG_LIMIT_BYTES
+        if uncompacted < self.settings.snapshot_entries and not large:
             return
         # With a full disk the log stays, and the next commit retries.
         with contextlib.suppress(state_errors.DiskFullError):
