--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -692,12 +692,12 @@
             self._write_snapshot()
 
     def _write_snapshot(self) -> None:
-        kept = self.storage
-        deciding = kept.electorate_at(self.commit_index)
-        kept.save_snapshot(
+        store = self.storage
+        deciding = store.electorate_at(self.commit_index)
+        store.save_snapshot(
             storage.Snapshot(
                 self.commit_index,
-                kept.term_at(self.commit_index),
+                store.term_at(self.commit_index),
                 deciding.voters,
                 msgspec.msgpack.encode(self.state),
                 deciding.before,
