--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -693,14 +693,14 @@
 
     def _write_snapshot(self) -> None:
         store = self.storage
-        deciding = store.electorate_at(self.commit_index)
+        electorate = store.electorate_at(self.commit_index)
         store.save_snapshot(
             storage.Snapshot(
                 self.commit_index,
                 store.term_at(self.commit_index),
-                deciding.voters,
+                electorate.voters,
                 msgspec.msgpack.encode(self.state),
-                deciding.before,
+                electorate.before,
             )
         )
         logger.info('snapshot_written', index=self.commit_index)
