--- a/wrenspoke/coordination/agreement/bootstrap.py
+++ b/wrenspoke/coordination/agreement/bootstrap.py
@@ -14,7 +14,7 @@
 
 
 def bootstrap_single(
-    kept: storage.Storage, host: ids.HostId, first: entries.Found
+    store: storage.Storage, host: ids.HostId, first_entry: entries.Found
 ) -> None:
     """Bootstrap a new group on an empty disk, with one voter.
 
@@ -23,23 +23,23 @@
 
     :raises InvalidChangeError: the disk already holds a log
     """
-    if kept.last_index:
+    if store.last_index:
         raise state_errors.InvalidChangeError(
-            f'disk of {host} is not empty: last index {kept.last_index}'
+            f'disk of {host} is not empty: last index {store.last_index}'
         )
-    kept.meta.term = 1
-    kept.save_meta()
-    voters = {host: kept.meta.incarnation}
-    kept.append(
+    store.meta.term = 1
+    store.save_meta()
+    voters = {host: store.meta.incarnation}
+    store.append(
         [
             entries.LogEntry(1, 1, entries.SetVoters(voters, 'founding')),
-            entries.LogEntry(2, 1, first),
+            entries.LogEntry(2, 1, first_entry),
         ]
     )
 
 
 def bootstrap_seeds(
-    kept: storage.Storage,
+    store: storage.Storage,
     host: ids.HostId,
     seeds: typing.Iterable[ids.HostId],
 ) -> None:
@@ -51,17 +51,17 @@
     is the first start of the group: a host that lost its disk must not
     bootstrap again.
     """
-    if host not in seeds or kept.last_index or kept.meta.boot:
+    if host not in seeds or store.last_index or store.meta.boot:
         return
     voters = {seed: _bootstrap_incarnation(seed) for seed in sorted(seeds)}
-    kept.meta.incarnation = voters[host]
-    kept.meta.term = 1
-    kept.save_meta()
-    first = entries.Found(configuration.Configuration())
-    kept.append(
+    store.meta.incarnation = voters[host]
+    store.meta.term = 1
+    store.save_meta()
+    first_entry = entries.Found(configuration.Configuration())
+    store.append(
         [
             entries.LogEntry(1, 1, entries.SetVoters(voters, 'founding')),
-            entries.LogEntry(2, 1, first),
+            entries.LogEntry(2, 1, first_entry),
         ]
     )
     logger.info('founded', voters=list(voters))
--- a/wrenspoke/coordination/agreement/control_service.py
+++ b/wrenspoke/coordination/agreement/control_service.py
@@ -74,14 +74,14 @@
 
     async def _notify_relays(self) -> None:
         """Notify the relays that pull from this host of each change."""
-        told = 0
+        notified_index = 0
         while True:
             changed = self._replica.changed
             index = self._replica.current.index
-            if index <= told:
+            if index <= notified_index:
                 await changed.wait()
                 continue
-            told = index
+            notified_index = index
             now_ms = self._clock.mono_ms()
             for host, pulled_ms in list(self._relays.items()):
                 if now_ms - pulled_ms > RELAY_EXPIRY_MS:
@@ -102,13 +102,15 @@
 
     async def _forward_status(self, standing: messages.Standing) -> None:
         """Forward a data centre's status to the leader if plans run."""
-        elected = self._voter
-        if elected.role is voter.Role.LEADER:
+        local_voter = self._voter
+        if local_voter.role is voter.Role.LEADER:
             self._executor.update_status(standing)
             return
-        if elected.leader is None or not elected.state.running():
+        if local_voter.leader is None or not local_voter.state.running():
             return
-        await self._peers.tell(elected.leader, messages.PassStanding(standing))
+        await self._peers.tell(
+            local_voter.leader, messages.PassStanding(standing)
+        )
 
     async def _handle_status(
         self, _sender: ids.HostId, message: messages.PassStanding
@@ -209,11 +211,11 @@
 
     def show_plan(self, plan: ids.PlanId) -> operators.OperatorAnswer:
         """Return a plan, its progress and what it waits for."""
-        found = self._voter.state.plans.get(plan)
-        if found is None:
+        plan_record = self._voter.state.plans.get(plan)
+        if plan_record is None:
             return _error_answer(NOT_FOUND, f'no plan {plan}')
         body = {
-            'plan': found,
+            'plan': plan_record,
             'waits_for': self._executor.wait_reasons.get(plan, ''),
         }
         return operators.OperatorAnswer(OK, body)
@@ -237,24 +239,24 @@
 
     def show_status(self) -> operators.OperatorAnswer:
         """Return this host's role and view of the control group."""
-        elected = self._voter
-        deciding = elected.committed_electorate
+        local_voter = self._voter
+        electorate = local_voter.committed_electorate
         body = {
-            'role': elected.role,
-            'term': elected.term,
-            'leader': elected.leader,
-            'has_lease': elected.has_lease,
-            'incarnation': elected.incarnation,
-            'voters': deciding.voters,
-            'voters_before': deciding.before,
-            'commit_index': elected.commit_index,
-            'configuration_index': elected.state.configuration.index,
+            'role': local_voter.role,
+            'term': local_voter.term,
+            'leader': local_voter.leader,
+            'has_lease': local_voter.has_lease,
+            'incarnation': local_voter.incarnation,
+            'voters': electorate.voters,
+            'voters_before': electorate.before,
+            'commit_index': local_voter.commit_index,
+            'configuration_index': local_voter.state.configuration.index,
         }
         return operators.OperatorAnswer(OK, body)
 
 
-def _request_digest(what: str, request: msgspec.Struct) -> str:
-    body = what.encode() + msgspec.json.encode(request)
+def _request_digest(kind: str, request: msgspec.Struct) -> str:
+    body = kind.encode() + msgspec.json.encode(request)
     return hashlib.sha256(body).hexdigest()
 
 
--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -106,13 +106,13 @@
 
         The weight store limits the number of loads per minute.
         """
-        ahead = sum(
+        pending_loads = sum(
             1
             for plan in self._voter.state.running()
             if isinstance(plan.current, plans.Order) and plan.current.loads
         )
         free_ms = self._next_load_ms() - self._clock.wall_ms()
-        return max(0, free_ms) + ahead * self._load_interval_ms()
+        return max(0, free_ms) + pending_loads * self._load_interval_ms()
 
     def _load_interval_ms(self) -> int:
         return MS_PER_MINUTE // self._settings.weight_loads_per_minute
@@ -187,17 +187,17 @@
         """
         while True:
             self._check_leadership()
-            found = self._voter.state.configuration.endpoints.get(
+            endpoint = self._voter.state.configuration.endpoints.get(
                 step.endpoint
             )
-            if found is None:
+            if endpoint is None:
                 return 'endpoint is gone'
-            waits = self._in_flight_reason(plan, found)
-            if not waits:
-                waits = await self._engine_busy_reason(found)
-            if not waits:
+            reason = self._in_flight_reason(plan, endpoint)
+            if not reason:
+                reason = await self._engine_busy_reason(endpoint)
+            if not reason:
                 return 'idle'
-            self.wait_reasons[plan.plan] = waits
+            self.wait_reasons[plan.plan] = reason
             await self._poll_pause()
 
     def _in_flight_reason(
@@ -205,12 +205,15 @@
     ) -> str:
         now_ms = self._clock.mono_ms()
         for data_centre in self._data_centres.get(endpoint.region, ()):
-            heard = self._standings.get(data_centre)
-            if heard is None or now_ms - heard.received_ms > STATUS_MAX_AGE_MS:
+            received = self._standings.get(data_centre)
+            if (
+                received is None
+                or now_ms - received.received_ms > STATUS_MAX_AGE_MS
+            ):
                 return f'{data_centre} is not heard from'
-            if heard.status.low_index < plan.reached_index:
+            if received.status.low_index < plan.reached_index:
                 return f'{data_centre} has not got the change'
-            for busy in heard.status.busy:
+            for busy in received.status.busy:
                 if busy.endpoint == endpoint.endpoint:
                     return f'{busy.in_flight} requests in flight'
         return ''
@@ -262,8 +265,8 @@
 
         Engines that check fencing numbers need no wait.
         """
-        found = self._voter.state.configuration.endpoint(step.endpoint)
-        if found.fenced:
+        endpoint = self._voter.state.configuration.endpoint(step.endpoint)
+        if endpoint.fenced:
             return
         due_ms = (
             self._voter.leader_since_ms
@@ -291,10 +294,13 @@
                 plan.plan, plan.reached, self._host, self._clock.wall_ms()
             )
         )
-        found = self._voter.state.plans[plan.plan]
-        if found.reached != plan.reached or not found.issued_index:
+        current_plan = self._voter.state.plans[plan.plan]
+        if (
+            current_plan.reached != plan.reached
+            or not current_plan.issued_index
+        ):
             raise errors.NotLeaderError(None, may_be_accepted=False)
-        return found.issued_index
+        return current_plan.issued_index
 
     async def _send_order(self, step: plans.Order, number: int) -> None:
         body = {'kind': step.kind}
@@ -323,7 +329,7 @@
             raise OrderFailedError(f'engine answered {status}')
 
     async def _send_request(
-        self, send: dispatch.Send, into: list[bytes] | None
+        self, send: dispatch.Send, bodies: list[bytes] | None
     ) -> int:
         try:
             async with clocks.timeout_ms(self._settings.order_timeout_ms):
@@ -331,8 +337,8 @@
                     body = await answer.read_all(ANSWER_LIMIT_BYTES)
         except (errors.CoordinationError, TimeoutError) as error:
             raise OrderFailedError(repr(error)) from error
-        if into is not None:
-            into.append(body)
+        if bodies is not None:
+            bodies.append(body)
         return answer.status
 
     async def _read_engine_state(
@@ -357,10 +363,10 @@
         """
         state = await self._read_engine_state(step.endpoint)
         if step.kind == 'role':
-            held = state.role == step.role
+            matches = state.role == step.role
         elif step.adapter:
-            held = (step.adapter in state.adapters) == (step.kind == 'load')
+            matches = (step.adapter in state.adapters) == (step.kind == 'load')
         else:
-            held = (step.model in state.models) == (step.kind == 'load')
-        if not held:
+            matches = (step.model in state.models) == (step.kind == 'load')
+        if not matches:
             raise OrderFailedError('engine does not show what was ordered')
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -68,7 +68,7 @@
 
 
 def _refuse_if_disk_full(
-    answer: collections.abc.Callable,
+    handler: collections.abc.Callable,
 ) -> collections.abc.Callable:
     """Decorate a message handler that writes to the disk.
 
@@ -76,16 +76,16 @@
     missing answer. The disk logs the error itself.
     """
 
-    @functools.wraps(answer)
-    async def answer_or_refuse(
+    @functools.wraps(handler)
+    async def handle_or_refuse(
         voter: Voter, sender: ids.HostId, message: messages.Message
     ) -> messages.Message:
         try:
-            return await answer(voter, sender, message)
+            return await handler(voter, sender, message)
         except state_errors.DiskFullError as error:
             return messages.Refusal(str(error))
 
-    return answer_or_refuse
+    return handle_or_refuse
 
 
 class Voter:
@@ -223,8 +223,8 @@
     # Elections.
 
     def _random_election_timeout_ms(self) -> float:
-        least_ms = self.settings.election_timeout_ms
-        return random.uniform(least_ms, 2 * least_ms)
+        base_timeout_ms = self.settings.election_timeout_ms
+        return random.uniform(base_timeout_ms, 2 * base_timeout_ms)
 
     def _has_leader_contact(self) -> bool:
         silence_ms = self.clock.mono_ms() - self._leader_contact_ms
@@ -239,19 +239,19 @@
 
     async def _run_election_timer(self) -> None:
         """Run an election whenever the election timeout elapses."""
-        patience_ms = self._random_election_timeout_ms()
+        current_timeout_ms = self._random_election_timeout_ms()
         while True:
             await self.clock.sleep_ms(self.settings.beat_interval_ms / 2)
             self.storage.check()
             if self.role is Role.LEADER:
                 self._check_quorum()
                 continue
-            waited_ms = self.clock.mono_ms() - max(
+            elapsed_ms = self.clock.mono_ms() - max(
                 self._leader_contact_ms, self._election_attempt_ms
             )
-            if waited_ms < patience_ms:
+            if elapsed_ms < current_timeout_ms:
                 continue
-            patience_ms = self._random_election_timeout_ms()
+            current_timeout_ms = self._random_election_timeout_ms()
             # Kept apart from leader contact, which makes this host refuse
             # votes: two candidates would keep refusing each other.
             self._election_attempt_ms = self.clock.mono_ms()
@@ -297,10 +297,10 @@
         self.leader = None
         term = meta.term
         logger.info('election', term=term)
-        asked_ms = self.clock.mono_ms()
+        vote_request_ms = self.clock.mono_ms()
         won = await self._request_votes(pre=False)
         if won and self.role is Role.CANDIDATE and self.term == term:
-            self._become_leader(asked_ms)
+            self._become_leader(vote_request_ms)
 
     async def _request_votes(self, pre: bool) -> bool:
         """Request votes and return whether a majority granted them.
@@ -315,14 +315,14 @@
             self.storage.last_term,
             pre,
         )
-        votes = vote_tally.VoteTally(
+        tally = vote_tally.VoteTally(
             self.host, self.incarnation, self.electorate
         )
         tasks = [
             asyncio.get_running_loop().create_task(
                 self._request_vote(host, message)
             )
-            for host in votes.other_voters
+            for host in tally.other_voters
         ]
         try:
             for earliest in asyncio.as_completed(tasks):
@@ -335,16 +335,16 @@
                     )
                     self.adopt_term(answer.term)
                     return False
-                votes.record_reply(host, answer)
-                if votes.won:
+                tally.record_reply(host, answer)
+                if tally.won:
                     break
         finally:
             await runtime.cancel(tasks)
-        if not votes.won:
-            votes.log_lost(
+        if not tally.won:
+            tally.log_lost(
                 message, self.clock.mono_ms() - self._leader_contact_ms
             )
-        return votes.won
+        return tally.won
 
     async def _request_vote(
         self, host: ids.HostId, message: messages.AskVote
@@ -467,12 +467,12 @@
 
     # Leader role.
 
-    def _become_leader(self, asked_ms: int) -> None:
+    def _become_leader(self, vote_request_ms: int) -> None:
         self.role = Role.LEADER
         self.leader = self.host
         logger.info('leading', term=self.term)
         self._leadership = leadership.Leadership(
-            self, self.term, asked_ms, self._leadership_tasks
+            self, self.term, vote_request_ms, self._leadership_tasks
         )
         try:
             self._append_entry(entries.LeaderStart(self.host))
@@ -577,15 +577,15 @@
     ) -> messages.AppendReply:
         if not self._accept_leader(sender, message.term):
             return self._append_reply(False, self.storage.last_index)
-        kept = self.storage
+        store = self.storage
         previous = message.previous_index
-        if previous > kept.last_index:
-            return self._append_reply(False, kept.last_index + 1)
-        if previous >= kept.snapshot.index:
-            if kept.term_at(previous) != message.previous_term:
+        if previous > store.last_index:
+            return self._append_reply(False, store.last_index + 1)
+        if previous >= store.snapshot.index:
+            if store.term_at(previous) != message.previous_term:
                 return self._append_reply(False, previous)
-        last = self._store_entries(message.added)
-        matched = max(previous + len(message.added), last)
+        last_new_index = self._store_entries(message.added)
+        matched = max(previous + len(message.added), last_new_index)
         self.commit(min(message.commit, matched))
         self._update_confirmed_ms(message)
         return self._append_reply(True, matched)
@@ -616,23 +616,23 @@
             return None
         return self.clock.mono_ms() - self._confirmed_ms
 
-    def _store_entries(self, added: list[entries.LogEntry]) -> int:
+    def _store_entries(self, new_entries: list[entries.LogEntry]) -> int:
         """Append new entries, truncating the log where the terms differ.
 
         Returns the last index of ``new_entries``, 0 if there are none.
         """
-        kept = self.storage
-        for place, entry in enumerate(added):
-            if entry.index <= kept.snapshot.index:
+        store = self.storage
+        for position, entry in enumerate(new_entries):
+            if entry.index <= store.snapshot.index:
                 continue
-            held = kept.term_at(entry.index)
-            if held == entry.term:
+            stored_term = store.term_at(entry.index)
+            if stored_term == entry.term:
                 continue
-            if held is not None:
-                kept.truncate_from(entry.index)
-            kept.append(added[place:])
+            if stored_term is not None:
+                store.truncate_from(entry.index)
+            store.append(new_entries[position:])
             break
-        return added[-1].index if added else 0
+        return new_entries[-1].index if new_entries else 0
 
     @_refuse_if_disk_full
     async def _handle_install(
@@ -682,25 +682,25 @@
             )
 
     def _compact_log(self) -> None:
-        kept = self.storage
-        covered = self.commit_index - kept.snapshot.index
-        large = covered and kept.log_bytes > LOG_LIMIT_BYTES
-        if covered < self.settings.snapshot_entries and not large:
+        store = self.storage
+        uncompacted = self.commit_index - store.snapshot.index
+        large = uncompacted and store.log_bytes > LOG_LIMIT_BYTES
+        if uncompacted < self.settings.snapshot_entries and not large:
             return
         # With a full disk the log stays, and the next commit retries.
         with contextlib.suppress(state_errors.DiskFullError):
             self._write_snapshot()
 
     def _write_snapshot(self) -> None:
-        kept = self.storage
-        deciding = kept.electorate_at(self.commit_index)
-        kept.save_snapshot(
+        store = self.storage
+        electorate = store.electorate_at(self.commit_index)
+        store.save_snapshot(
             storage.Snapshot(
                 self.commit_index,
-                kept.term_at(self.commit_index),
-                deciding.voters,
+                store.term_at(self.commit_index),
+                electorate.voters,
                 msgspec.msgpack.encode(self.state),
-                deciding.before,
+                electorate.before,
             )
         )
         logger.info('snapshot_written', index=self.commit_index)
