--- a/tests/backoff_fleet.py
+++ b/tests/backoff_fleet.py
@@ -13,7 +13,7 @@
 from tests import group
 from wrenspoke.coordination import errors
 from wrenspoke.coordination.limiting import endpoint_backoffs
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import limiting
 
 MS_PER_S = 1_000
@@ -101,7 +101,9 @@
         self.backoffs.start()
 
     async def _gossip_backoffs(self, backoffs):
-        await self.askers.broadcast(attending.TellRegion(backoffs=backoffs))
+        await self.askers.broadcast(
+            discovery_messages.TellRegion(backoffs=backoffs)
+        )
 
     def may_choose(self, engine):
         return not self.backoffs.remaining_ms(engine.life)
--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -17,7 +17,7 @@
 from wrenspoke.coordination.limiting import endpoint_gate
 from wrenspoke.coordination.limiting import endpoint_limits
 from wrenspoke.coordination.membership import region_pollers
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import limiting
 
 MS_PER_S = 1_000
@@ -190,7 +190,9 @@
         self.limits.start()
 
     async def _gossip(self, limits):
-        await self.askers.broadcast(attending.TellRegion(limits=limits))
+        await self.askers.broadcast(
+            discovery_messages.TellRegion(limits=limits)
+        )
 
     def may_choose(self, engine):
         """Return whether a call may choose an engine now."""
@@ -239,7 +241,7 @@
     def seen_by(self, name):
         """Return the records of the other hosts on a host's roster."""
         return [
-            attending.HostRecord(
+            discovery_messages.HostRecord(
                 other, REGION, f'{REGION}-hall', '', '', '', 0, False
             )
             for other in self.names
--- a/tests/group.py
+++ b/tests/group.py
@@ -19,7 +19,7 @@
 from wrenspoke.coordination.membership import control_group
 from wrenspoke.coordination.membership import replica
 from wrenspoke import node as settings
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import errors as protocol_errors
 from wrenspoke.protocol import peers as peer_calls
 from wrenspoke import runtime
@@ -247,7 +247,7 @@
         clock = LoopClock()
         self.name = name
         self.peers = Peers(name, network)
-        self.peers.answers(attending.Exchange)(self._answer_exchange)
+        self.peers.answers(discovery_messages.Exchange)(self._answer_exchange)
         self._group = control_group.ControlGroup(name, seeds, clock)
         self._tasks = runtime.Tasks()
         store = storage.Storage(disk)
@@ -276,13 +276,15 @@
 
     async def _exchange_with(self, host):
         with contextlib.suppress(protocol_errors.NoAnswerError):
-            message = attending.Exchange([], attending.HostChanges([], []))
+            message = discovery_messages.Exchange(
+                [], discovery_messages.HostChanges([], [])
+            )
             await self.peers.call(host, message, EXCHANGE_INTERVAL_MS)
             self._group.record_contact(host)
 
     async def _answer_exchange(self, sender, _message):
         self._group.record_contact(sender)
-        return attending.Exchanged()
+        return discovery_messages.Exchanged()
 
     async def close(self):
         await self.peers.close()
--- a/tests/membership_fleet.py
+++ b/tests/membership_fleet.py
@@ -13,7 +13,7 @@
 from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.coordination.membership import registrar
 from wrenspoke.coordination.membership import replica
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.state import registry
 
 CONTROLS = 6
@@ -98,7 +98,7 @@
         self.peers = CountingPeers(name, network)
         network.hosts[name] = self.peers
         region = REGIONS[number % len(REGIONS)]
-        record = attending.HostRecord(
+        record = discovery_messages.HostRecord(
             name,
             region,
             f'{region}-hall',
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -9,12 +9,12 @@
 from wrenspoke.coordination.membership import control_group
 from wrenspoke.coordination.membership import discovery_client
 from wrenspoke.coordination.membership import replica
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import messages
 from wrenspoke.state import configuration
 
 CONTROL = '127.0.0.2:1'
-RECORD = attending.HostRecord(
+RECORD = discovery_messages.HostRecord(
     '127.0.0.1:1', 'north', 'north-hall', '', '', 'start', 0, False
 )
 
@@ -34,7 +34,7 @@
             confirmed=self.confirmed,
             whole=configuration.Configuration(index=self.index),
         )
-        return attending.Attended(
+        return discovery_messages.Attended(
             self.confirmed,
             True,
             'life',
@@ -44,7 +44,7 @@
             None,
             [],
             [],
-            attending.pack(delta),
+            discovery_messages.pack(delta),
         )
 
 
--- a/tests/test_engine_loads.py
+++ b/tests/test_engine_loads.py
@@ -14,7 +14,7 @@
 from wrenspoke.coordination.membership import roster
 from wrenspoke.coordination.serving import availability
 from wrenspoke.coordination.serving import outlier_detection
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import dialect as dialects
 from wrenspoke.state import configuration
 from wrenspoke.state import registry
@@ -31,7 +31,7 @@
 
 
 def record(number):
-    return attending.HostRecord(
+    return discovery_messages.HostRecord(
         f'h{number}', 'north', 'north-hall', '', '', 'start', 0, False
     )
 
--- a/tests/test_membership_fleet.py
+++ b/tests/test_membership_fleet.py
@@ -6,7 +6,7 @@
 from tests import membership_fleet
 from tests import test_replica
 from wrenspoke.coordination.membership import discovery_client
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import messages
 
 SIZES = [20, 60, 200]
@@ -250,9 +250,11 @@
 def test_table_of_routes_is_packed_once_for_all_hosts(entries, monkeypatch):
     """Guards against packing a large table for each host."""
     packed = []
-    pack = attending.pack
+    pack = discovery_messages.pack
     monkeypatch.setattr(
-        attending, 'pack', lambda delta: packed.append(1) or pack(delta)
+        discovery_messages,
+        'pack',
+        lambda delta: packed.append(1) or pack(delta),
     )
 
     async def play():
--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -7,7 +7,7 @@
 from wrenspoke.coordination.membership import region_views
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.serving import remote_regions
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import dialect as dialects
 from wrenspoke.protocol import messages
 from wrenspoke.state import configuration
@@ -132,12 +132,12 @@
     other.record_forwarded('south', SERVICE, CALL)
     [(name, tokens, parts)] = other._broadcaster.published
     shared = [(part.part, part.tokens) for part in parts[:-1]]
-    told.listener(attending.SentCall(1, name, tokens, 0, shared))
+    told.listener(discovery_messages.SentCall(1, name, tokens, 0, shared))
     again = made.offer_for_call('south', SERVICE, CALL, HOST)
     # Its shared part is cached there now, and queued at one of two engines.
     assert again.first_ms == pytest.approx(first_ms - 80 + 50)
     # Calls to this region's own engines are ignored.
-    told.listener(attending.SentCall(1, 'i-engine', 10**6, 0))
+    told.listener(discovery_messages.SentCall(1, 'i-engine', 10**6, 0))
     assert made.offer_for_call('south', SERVICE, CALL, HOST).first_ms == (
         again.first_ms
     )
@@ -175,7 +175,7 @@
 )
 def test_region_offer_uses_status_received_by_a_peer_host(later_ms, first_ms):
     made, _found, clock = remote_regions_with(None)
-    status = attending.RegionStatus('south', pong(), 40.0, 200)
+    status = discovery_messages.RegionStatus('south', pong(), 40.0, 200)
     made._views.record_status(status)
     clock.now_ms += later_ms and later_ms - 200
     offered = made.offer_for_call('south', SERVICE, CALL, HOST)
--- a/tests/test_region_pollers.py
+++ b/tests/test_region_pollers.py
@@ -11,7 +11,7 @@
 from wrenspoke.coordination.membership import region_views
 from wrenspoke.coordination.membership import remote_hosts
 from wrenspoke.coordination.membership import roster
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import messages
 
 SIZES = [7, 20, 67]
@@ -66,7 +66,7 @@
     asking = asking_hosts(region)
     assert len(asking) == region_pollers.MIN_POLLERS
     [first, *_others] = asking
-    await region.made[first].broadcast(attending.TellRegion([]))
+    await region.made[first].broadcast(discovery_messages.TellRegion([]))
     assert region.told == {host: 1 for host in region.made if host != first}
     assert max(region.sent.values()) <= count**0.5 + 1
 
@@ -79,7 +79,7 @@
     others = sorted({*region.made} - {teller})
     for share in region_pollers.relay_groups(others)[:2]:
         region.lost |= {*share[:2]}
-    await region.made[teller].broadcast(attending.TellRegion([]))
+    await region.made[teller].broadcast(discovery_messages.TellRegion([]))
     assert region.told == {host: 1 for host in {*others} - region.lost}
 
 
@@ -118,7 +118,9 @@
     for number in range(count):
         made, viewed = remote_hosts_of(f'north{number}', 'north', count, clock)
         if told:
-            status = attending.RegionStatus('south', messages.Pong(False))
+            status = discovery_messages.RegionStatus(
+                'south', messages.Pong(False)
+            )
             viewed.record_status(status)
         pinging += bool(made.ping_targets())
     assert pinging == (region_pollers.MIN_POLLERS if told else count)
@@ -136,7 +138,7 @@
     made, viewed = remote_hosts_of('north1', 'north', 7, clock)
     for said in statuses:
         said = said and messages.Pong(False)
-        viewed.record_status(attending.RegionStatus('south', said))
+        viewed.record_status(discovery_messages.RegionStatus('south', said))
     assert made.unreachable_regions() == (['south'] if cut_off else [])
     assert bool(made.reachable('south')) is not cut_off
     clock.now_ms += region_views.VIEW_TTL_MS + 1
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -4,7 +4,7 @@
 
 from wrenspoke.coordination.membership import directory
 from wrenspoke.coordination.membership import roster
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.state import registry
 from wrenspoke.state import routes
 
@@ -154,7 +154,7 @@
 
 def record(host, start='a', number=1, draining=False, age_ms=0, **place):
     """Return the record of an entry host."""
-    return attending.HostRecord(
+    return discovery_messages.HostRecord(
         host,
         place.get('region', 'north'),
         place.get('data_centre', 'hall'),
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -21,7 +21,7 @@
 from wrenspoke.coordination.quarantine import recent_successes
 from wrenspoke.coordination.serving import shared_retry_budget
 from wrenspoke.coordination.serving import team_rate_limits
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import limiting
 from wrenspoke.state import registry
 from wrenspoke.transport import links
@@ -80,7 +80,7 @@
 
 
 def record():
-    return attending.HostRecord(
+    return discovery_messages.HostRecord(
         'h', 'north', 'hall', '127.0.0.1:2', '127.0.0.1:3', 'life', 1, False
     )
 
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -6,7 +6,7 @@
 from tests import nodes
 from tests import test_explain
 from tests import test_registry
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import messages
 from wrenspoke.protocol import traffic
 from wrenspoke import report
@@ -14,7 +14,7 @@
 
 OWN = locations.Location('north', 'hall')
 PING = msgspec.msgpack.encode(messages.Ping())
-TOLD = msgspec.msgpack.encode(attending.TellRegion([]))
+TOLD = msgspec.msgpack.encode(discovery_messages.TellRegion([]))
 DISTANCE = traffic.Distance
 
 
--- a/tests/test_warmth.py
+++ b/tests/test_warmth.py
@@ -8,7 +8,7 @@
 from wrenspoke.coordination.membership import region_pollers
 from wrenspoke.coordination.membership import roster
 from wrenspoke.coordination.serving import warmup_probe
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 
 
 @pytest.mark.parametrize(
@@ -33,9 +33,9 @@
     made = warmup_probe.WarmupProbe(
         asking, None, None, None, endpoint_limit_fleet.open_gate(clock), clock
     )
-    status = attending.WarmupStatus(endpoint.said.endpoint, 500)
+    status = discovery_messages.WarmupStatus(endpoint.said.endpoint, 500)
     [listener] = asking._listeners
-    listener(attending.TellRegion(warm=[status]))
+    listener(discovery_messages.TellRegion(warm=[status]))
     warm_ms = clock.now_ms + 500
     clock.now_ms += before_ms
     made.start_probes([endpoint])
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -35,7 +35,7 @@
 from wrenspoke.coordination.membership import control_group
 from wrenspoke.coordination.membership import replica
 from wrenspoke import ids
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import errors as protocol_errors
 from wrenspoke.protocol import messages
 from wrenspoke.protocol import peers as peer_calls
@@ -134,7 +134,9 @@
         peers.answers(messages.AskVote)(self._handle_vote_request)
         peers.answers(messages.Append)(self._handle_append)
         peers.answers(messages.Install)(self._handle_install)
-        peers.answers(attending.ConfirmIndex)(self._handle_confirm_index)
+        peers.answers(discovery_messages.ConfirmIndex)(
+            self._handle_confirm_index
+        )
 
     # Persistent state.
 
@@ -436,8 +438,10 @@
         if self.leader is None or self.leader == self.host:
             self._log_unconfirmed_index('no leader')
             return None
-        answer = await self.call(self.leader, attending.ConfirmIndex())
-        if not isinstance(answer, attending.IndexConfirmed):
+        answer = await self.call(
+            self.leader, discovery_messages.ConfirmIndex()
+        )
+        if not isinstance(answer, discovery_messages.IndexConfirmed):
             self._log_unconfirmed_index('leader gave no answer')
             return None
         if answer.index is None:
@@ -459,9 +463,9 @@
         )
 
     async def _handle_confirm_index(
-        self, _sender: ids.HostId, _message: attending.ConfirmIndex
-    ) -> attending.IndexConfirmed:
-        return attending.IndexConfirmed(
+        self, _sender: ids.HostId, _message: discovery_messages.ConfirmIndex
+    ) -> discovery_messages.IndexConfirmed:
+        return discovery_messages.IndexConfirmed(
             self.commit_index if self.has_lease else None
         )
 
--- a/wrenspoke/coordination/membership/control_sync.py
+++ b/wrenspoke/coordination/membership/control_sync.py
@@ -18,7 +18,7 @@
 from wrenspoke.coordination.membership import control_group
 from wrenspoke.coordination.membership import roster
 from wrenspoke import ids
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import errors as protocol_errors
 from wrenspoke.protocol import peers as peer_calls
 from wrenspoke import runtime
@@ -79,7 +79,7 @@
         self._sync_requests: dict[ids.HostId, asyncio.Event] = {}
         self._regions: dict[ids.HostId, ids.RegionId] = {}
         self._tasks = runtime.Tasks()
-        peers.answers(attending.Exchange)(self._handle_exchange)
+        peers.answers(discovery_messages.Exchange)(self._handle_exchange)
 
     def start(self) -> None:
         """Start the exchanges."""
@@ -151,7 +151,7 @@
             answer = await self._peers.call(host, message, EXCHANGE_TIMEOUT_MS)
         except protocol_errors.ProtocolError:
             return progress
-        if not isinstance(answer, attending.Exchanged):
+        if not isinstance(answer, discovery_messages.Exchanged):
             return progress
         self._group.record_contact(host)
         if answer.unknown or progress.instance_id not in ('', answer.life):
@@ -166,7 +166,7 @@
 
     def _build_exchange(
         self, host: ids.HostId, progress: SyncProgress
-    ) -> attending.Exchange:
+    ) -> discovery_messages.Exchange:
         # Relayed renewals arrive up to an interval later.
         since_ms = progress.last_sent_ms - SYNC_INTERVAL_MS
         recent_contacts = {*progress.recent_contacts, host}
@@ -182,11 +182,11 @@
             progress.hosts_revision,
             recent_contacts,
         )
-        return attending.Exchange(
+        return discovery_messages.Exchange(
             self._endpoints.after(progress.endpoints_revision),
             self._hosts.changes_since(progress.hosts_revision),
             [
-                attending.Renewal(
+                discovery_messages.Renewal(
                     found.said.endpoint,
                     found.said.number,
                     self._age_ms(found.heard_ms),
@@ -195,7 +195,7 @@
                 for found in endpoints
             ],
             [
-                attending.Renewal(
+                discovery_messages.Renewal(
                     found.record.host,
                     found.record.number,
                     self._age_ms(found.heard_ms),
@@ -221,8 +221,8 @@
             return
 
     async def _handle_exchange(
-        self, sender: ids.HostId, message: attending.Exchange
-    ) -> attending.Exchanged:
+        self, sender: ids.HostId, message: discovery_messages.Exchange
+    ) -> discovery_messages.Exchanged:
         self._group.record_contact(sender)
         self._regions[sender] = message.region
         before = (self._endpoints.revision, self._hosts.revision)
@@ -247,7 +247,7 @@
             self._on_endpoints_changed()
         if (self._endpoints.revision, self._hosts.revision) != before:
             self.request_sync()
-        return attending.Exchanged(
+        return discovery_messages.Exchanged(
             self._instance_id,
             self._group.seen_within(CONTACT_WINDOW_MS),
             unknown,
--- a/wrenspoke/coordination/membership/directory.py
+++ b/wrenspoke/coordination/membership/directory.py
@@ -4,7 +4,7 @@
 
 from wrenspoke.coordination.membership import roster
 from wrenspoke import ids
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.state import routes
 
 logger = structlog.get_logger(__name__)
@@ -54,7 +54,7 @@
 
 def _hosts_allowed_by_routes(
     host_roster: roster.Roster, table: routes.RouteTable, host_name: str
-) -> list[attending.HostRecord]:
+) -> list[discovery_messages.HostRecord]:
     """Return hosts of regions that may serve every route of a host name."""
     found = [route for route in table.routes if route.host == host_name]
     return [
@@ -66,7 +66,7 @@
 
 def _draining_hosts(
     host_roster: roster.Roster, region: ids.RegionId
-) -> list[attending.HostRecord]:
+) -> list[discovery_messages.HostRecord]:
     return [
         record
         for record in host_roster.records()
--- a/wrenspoke/coordination/membership/discovery_client.py
+++ b/wrenspoke/coordination/membership/discovery_client.py
@@ -20,7 +20,7 @@
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.membership import roster
 from wrenspoke import ids
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import errors as protocol_errors
 from wrenspoke.protocol import peers as peer_calls
 from wrenspoke import runtime
@@ -96,7 +96,7 @@
 
     def __init__(
         self,
-        record: attending.HostRecord,
+        record: discovery_messages.HostRecord,
         group: control_group.ControlGroup,
         config_replica: replica.Replica,
         peers: peer_calls.Peers,
@@ -189,17 +189,21 @@
         if not self.registry.take(gone):
             return
         logger.info('endpoint_gone', endpoint=endpoint)
-        self._notify_control_hosts(attending.Withdraw(endpoint, born_ms))
+        self._notify_control_hosts(
+            discovery_messages.Withdraw(endpoint, born_ms)
+        )
 
     def mark_leaving(self, endpoint: ids.EndpointId, born_ms: int) -> None:
         """Mark an endpoint as leaving, and report it to the control hosts."""
         if self.registry.mark_leaving(endpoint, born_ms):
             self._notify_control_hosts(
-                attending.EndpointLeaves(endpoint, born_ms)
+                discovery_messages.EndpointLeaves(endpoint, born_ms)
             )
 
     def _notify_control_hosts(
-        self, message: attending.Withdraw | attending.EndpointLeaves
+        self,
+        message: discovery_messages.Withdraw
+        | discovery_messages.EndpointLeaves,
     ) -> None:
         """Send a message to the control hosts of all sessions."""
         for session in self._sessions:
@@ -278,7 +282,7 @@
     async def _send_attend(
         self, session: _Session, host: ids.HostId, wait_ms: int
     ) -> bool:
-        record = attending.HostRecord(
+        record = discovery_messages.HostRecord(
             self._record.host,
             self._record.region,
             self._record.data_centre,
@@ -288,7 +292,7 @@
             next(self._record_numbers),
             self.draining,
         )
-        message = attending.Attend(
+        message = discovery_messages.Attend(
             record,
             self._replica.current.index,
             session.instance_id,
@@ -301,7 +305,7 @@
             answer = await self._peers.call(host, message, CALL_TIMEOUT_MS)
         except protocol_errors.ProtocolError:
             return False
-        if not isinstance(answer, attending.Attended):
+        if not isinstance(answer, discovery_messages.Attended):
             return False
         if session.host == host:
             try:
@@ -313,12 +317,12 @@
         return True
 
     def _apply_answer(
-        self, session: _Session, answer: attending.Attended
+        self, session: _Session, answer: discovery_messages.Attended
     ) -> None:
         self._group.record_contact(session.host)
         self._group.add_contacts(answer.controls)
         if answer.news:
-            self._replica.apply_delta(attending.unpack(answer.news))
+            self._replica.apply_delta(discovery_messages.unpack(answer.news))
         for said in answer.endpoints:
             self.registry.take(said)
         if answer.hosts is not None:
@@ -332,7 +336,9 @@
         session.endpoints_revision = answer.endpoints_revision
         session.hosts_revision = answer.hosts_revision
 
-    def _renew_lease(self, answer: attending.Attended, asked_ms: int) -> None:
+    def _renew_lease(
+        self, answer: discovery_messages.Attended, asked_ms: int
+    ) -> None:
         """Renew the lease by as much as an answer proves.
 
         The answer was sent no earlier than the request plus the time for
@@ -344,7 +350,7 @@
         self.lease.confirm(asked_ms + answer.held_ms - age_ms)
 
     def _update_leader(
-        self, via_host: ids.HostId, answer: attending.Attended
+        self, via_host: ids.HostId, answer: discovery_messages.Attended
     ) -> None:
         """Store the leader, unless a lagging host reports an older term."""
         if answer.leader is None:
@@ -353,7 +359,7 @@
             self.leader = LeaderInfo(answer.leader, answer.term, via_host)
 
     def _apply_host_changes(
-        self, session: _Session, changes: attending.HostChanges
+        self, session: _Session, changes: discovery_messages.HostChanges
     ) -> None:
         """Apply roster changes; remove a host once no session lists it."""
         lost = {*changes.lost}
@@ -369,7 +375,7 @@
             if not any(host in one.hosts for one in self._sessions):
                 self.roster.remove_host(host)
 
-    def _serve_if_ready(self, answer: attending.Attended) -> None:
+    def _serve_if_ready(self, answer: discovery_messages.Attended) -> None:
         """Start serving once a leader has confirmed, or after a wait.
 
         A partitioned region has no leader and still has to serve.
--- a/wrenspoke/coordination/membership/engine_loads.py
+++ b/wrenspoke/coordination/membership/engine_loads.py
@@ -25,7 +25,7 @@
 from wrenspoke.coordination.serving import routing
 from wrenspoke import ids
 from wrenspoke.protocol import advertised
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import dialect as dialects
 from wrenspoke.protocol import limiting
 from wrenspoke import runtime
@@ -170,7 +170,7 @@
             self._views.record_status(status)
         if heard or statuses:
             await self._pollers.broadcast(
-                attending.TellRegion(heard, statuses)
+                discovery_messages.TellRegion(heard, statuses)
             )
 
     def _assigned_engines(
@@ -251,7 +251,7 @@
         self._on_answer(said.address, asked_ms)
         return load
 
-    def _merge_broadcast(self, message: attending.TellRegion) -> None:
+    def _merge_broadcast(self, message: discovery_messages.TellRegion) -> None:
         now_ms = self._clock.mono_ms()
         for status in message.regions:
             self._views.record_status(status)
--- a/wrenspoke/coordination/membership/region_views.py
+++ b/wrenspoke/coordination/membership/region_views.py
@@ -9,7 +9,7 @@
 
 from wrenspoke import clock as clocks
 from wrenspoke import ids
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import messages
 
 # Three broadcasts; after that a host pings the region itself.
@@ -37,7 +37,7 @@
         # When a polling host last found a region unreachable.
         self._unanswered_ms: dict[ids.RegionId, int] = {}
 
-    def record_status(self, status: attending.RegionStatus) -> None:
+    def record_status(self, status: discovery_messages.RegionStatus) -> None:
         """Store the status of a region from a polling host."""
         now_ms = self._clock.mono_ms()
         if status.said is None:
--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -17,7 +17,7 @@
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.membership import roster
 from wrenspoke import ids
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import peers as peer_calls
 from wrenspoke import runtime
 from wrenspoke.state import locations
@@ -81,9 +81,9 @@
             self._notify_waiters,
             clock,
         )
-        peers.answers(attending.Attend)(self._handle_attend)
-        peers.answers(attending.Withdraw)(self._handle_withdraw)
-        peers.answers(attending.EndpointLeaves)(self._handle_leaving)
+        peers.answers(discovery_messages.Attend)(self._handle_attend)
+        peers.answers(discovery_messages.Withdraw)(self._handle_withdraw)
+        peers.answers(discovery_messages.EndpointLeaves)(self._handle_leaving)
 
     @property
     def synced(self) -> bool:
@@ -142,12 +142,12 @@
         self.register(self.registry.withdraw(endpoint, born_ms))
 
     async def _handle_withdraw(
-        self, _sender: ids.HostId, message: attending.Withdraw
+        self, _sender: ids.HostId, message: discovery_messages.Withdraw
     ) -> None:
         self.withdraw(message.endpoint, message.born_ms)
 
     async def _handle_leaving(
-        self, _sender: ids.HostId, message: attending.EndpointLeaves
+        self, _sender: ids.HostId, message: discovery_messages.EndpointLeaves
     ) -> None:
         if self.registry.mark_leaving(message.endpoint, message.born_ms):
             logger.info('endpoint_leaving', endpoint=message.endpoint)
@@ -156,8 +156,8 @@
     # Entry hosts.
 
     async def _handle_attend(
-        self, sender: ids.HostId, message: attending.Attend
-    ) -> attending.Attended:
+        self, sender: ids.HostId, message: discovery_messages.Attend
+    ) -> discovery_messages.Attended:
         if self.roster.merge_record(message.record):
             self._control_sync.request_sync()
         wait_ms = min(message.wait_ms, MAX_WAIT_MS)
@@ -180,7 +180,7 @@
         next_ms = self._answered_ms.get(host, 0) + MIN_UPDATE_INTERVAL_MS
         return max(next_ms - now_ms, BATCH_DELAY_MS)
 
-    def _has_update_for(self, message: attending.Attend) -> bool:
+    def _has_update_for(self, message: discovery_messages.Attend) -> bool:
         """Return whether a host should be answered at once.
 
         Roster changes don't count: a running host has the roster already,
@@ -194,8 +194,8 @@
         )
 
     def _build_answer(
-        self, message: attending.Attend, held_ms: int
-    ) -> attending.Attended:
+        self, message: discovery_messages.Attend, held_ms: int
+    ) -> discovery_messages.Attended:
         endpoints_revision = hosts_revision = 0
         if message.life == self._instance_id:
             endpoints_revision = message.endpoints_revision
@@ -203,7 +203,7 @@
         hosts = None
         if self.roster.revision > hosts_revision:
             hosts = self.roster.changes_since(hosts_revision)
-        return attending.Attended(
+        return discovery_messages.Attended(
             self._voter.has_lease,
             self._voter.has_leader,
             self._instance_id,
@@ -231,7 +231,7 @@
             self._packed_deltas.clear()
         packed = self._packed_deltas.get(index)
         if packed is None:
-            packed = attending.pack(self._replica.delta_since(index))
+            packed = discovery_messages.pack(self._replica.delta_since(index))
             self._packed_deltas[index] = packed
         return packed
 
--- a/wrenspoke/coordination/membership/remote_hosts.py
+++ b/wrenspoke/coordination/membership/remote_hosts.py
@@ -16,7 +16,7 @@
 from wrenspoke.coordination.membership import roster
 from wrenspoke.coordination.serving import routing
 from wrenspoke import ids
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke import runtime
 
 logger = structlog.get_logger(__name__)
@@ -49,7 +49,9 @@
         self._clock = clock
         self._tasks = runtime.Tasks()
         # Ranked hosts by region, valid for ``_revision`` of the roster.
-        self._rank_cache: dict[ids.RegionId, list[attending.HostRecord]] = {}
+        self._rank_cache: dict[
+            ids.RegionId, list[discovery_messages.HostRecord]
+        ] = {}
         self._revision = -1
         pinger.set_unreachable_regions(self.unreachable_regions)
 
@@ -82,25 +84,25 @@
         regions.discard(self._region)
         return sorted(regions)
 
-    def statuses(self) -> list[attending.RegionStatus]:
+    def statuses(self) -> list[discovery_messages.RegionStatus]:
         """Return the recent status of other regions, from own pings."""
         statuses = [self._region_status(region) for region in self._regions()]
         return [status for status in statuses if status is not None]
 
     def _region_status(
         self, region: ids.RegionId
-    ) -> attending.RegionStatus | None:
+    ) -> discovery_messages.RegionStatus | None:
         targets = self.ranked_hosts(region)[:TARGETS_PER_REGION]
         for record in targets:
             remote = self._pinger.state_of(record.host)
             if remote is None or not self._pinger.is_answering(record.host):
                 continue
             age_ms = self._clock.mono_ms() - remote.answered_ms
-            return attending.RegionStatus(
+            return discovery_messages.RegionStatus(
                 region, remote.pong, remote.rtt_ms or 0.0, age_ms
             )
         if targets and self._targets_unanswering(region):
-            return attending.RegionStatus(region, None)
+            return discovery_messages.RegionStatus(region, None)
         return None
 
     def unreachable_regions(self) -> list[ids.RegionId]:
@@ -123,7 +125,9 @@
             for record in self.ranked_hosts(region)[:TARGETS_PER_REGION]
         )
 
-    def ranked_hosts(self, region: ids.RegionId) -> list[attending.HostRecord]:
+    def ranked_hosts(
+        self, region: ids.RegionId
+    ) -> list[discovery_messages.HostRecord]:
         """Return a region's hosts in this host's order of preference.
 
         Cached until the roster changes: every call that may be forwarded
@@ -137,7 +141,9 @@
             found = self._rank_cache[region] = self._rank_hosts(region)
         return found
 
-    def _rank_hosts(self, region: ids.RegionId) -> list[attending.HostRecord]:
+    def _rank_hosts(
+        self, region: ids.RegionId
+    ) -> list[discovery_messages.HostRecord]:
         records = {
             record.host: record
             for record in self._roster.usable(region)
@@ -146,7 +152,9 @@
         order = routing.rendezvous(self._host, records)
         return [records[ids.HostId(name)] for name in order]
 
-    def reachable(self, region: ids.RegionId) -> list[attending.HostRecord]:
+    def reachable(
+        self, region: ids.RegionId
+    ) -> list[discovery_messages.HostRecord]:
         """Return the hosts to forward calls to, answering ones first.
 
         Hosts that did not answer are left out; those that were not pinged
--- a/wrenspoke/coordination/membership/roster.py
+++ b/wrenspoke/coordination/membership/roster.py
@@ -14,7 +14,7 @@
 
 from wrenspoke import clock as clocks
 from wrenspoke import ids
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.state import locations
 
 logger = structlog.get_logger(__name__)
@@ -32,7 +32,7 @@
     from the host itself.
     """
 
-    record: attending.HostRecord
+    record: discovery_messages.HostRecord
     heard_ms: int
     revision: int
     told_by: ids.HostId | None = None
@@ -55,13 +55,13 @@
         self._tombstones: dict[ids.HostId, tuple[int, int]] = {}
         self._compacted_revision = 0
         self._usable: dict[
-            ids.RegionId | None, list[attending.HostRecord]
+            ids.RegionId | None, list[discovery_messages.HostRecord]
         ] = {}
         self.revision = 0
 
     def merge_record(
         self,
-        record: attending.HostRecord,
+        record: discovery_messages.HostRecord,
         told_by: ids.HostId | None = None,
     ) -> bool:
         """Merge a newer record; return whether it should be replicated."""
@@ -84,7 +84,9 @@
         old.told_by = told_by
         return False
 
-    def renew(self, renewal: attending.Renewal, told_by: ids.HostId) -> bool:
+    def renew(
+        self, renewal: discovery_messages.Renewal, told_by: ids.HostId
+    ) -> bool:
         """Apply a renewal; return False if its host instance is unknown."""
         old = self._entries.get(ids.HostId(renewal.name))
         if old is None or instance_checksum(old.record) != renewal.life:
@@ -99,7 +101,7 @@
 
     def _store_record(
         self,
-        record: attending.HostRecord,
+        record: discovery_messages.HostRecord,
         heard_ms: int,
         told_by: ids.HostId | None,
     ) -> None:
@@ -155,11 +157,13 @@
             del self._tombstones[host]
             self._compacted_revision = max(self._compacted_revision, revision)
 
-    def changes_since(self, revision: int) -> attending.HostChanges:
+    def changes_since(self, revision: int) -> discovery_messages.HostChanges:
         """Return the changes after a revision, everything after 0."""
         whole = revision == 0 or revision < self._compacted_revision
         if whole:
-            return attending.HostChanges(self.records(), [], whole=True)
+            return discovery_messages.HostChanges(
+                self.records(), [], whole=True
+            )
         found = [
             self._with_age(known)
             for known in self._entries.values()
@@ -170,13 +174,13 @@
             for host, (at_revision, _lost_ms) in self._tombstones.items()
             if at_revision > revision
         ]
-        return attending.HostChanges(found, lost)
+        return discovery_messages.HostChanges(found, lost)
 
-    def _with_age(self, known: HostEntry) -> attending.HostRecord:
+    def _with_age(self, known: HostEntry) -> discovery_messages.HostRecord:
         age_ms = max(self._clock.mono_ms() - known.heard_ms, 0)
         return msgspec.structs.replace(known.record, age_ms=age_ms)
 
-    def records(self) -> list[attending.HostRecord]:
+    def records(self) -> list[discovery_messages.HostRecord]:
         """Return the record of every host, with its age."""
         return [self._with_age(known) for known in self._entries.values()]
 
@@ -188,7 +192,7 @@
         """Return every entry, with its receive time and source."""
         return self._entries.values()
 
-    def record(self, host: ids.HostId) -> attending.HostRecord | None:
+    def record(self, host: ids.HostId) -> discovery_messages.HostRecord | None:
         """Return the last record of a host, None if unknown."""
         known = self._entries.get(host)
         return None if known is None else known.record
@@ -207,7 +211,7 @@
 
     def usable(
         self, region: ids.RegionId | None = None
-    ) -> list[attending.HostRecord]:
+    ) -> list[discovery_messages.HostRecord]:
         """Return the hosts that accept requests, of one region or all.
 
         The list is cached until the roster changes, as it is needed for
@@ -224,12 +228,14 @@
         return found
 
 
-def instance_checksum(record: attending.HostRecord) -> int:
+def instance_checksum(record: discovery_messages.HostRecord) -> int:
     """Return a short checksum that identifies a host instance."""
     return zlib.crc32(record.start.encode())
 
 
-def _differs(old: attending.HostRecord, new: attending.HostRecord) -> bool:
+def _differs(
+    old: discovery_messages.HostRecord, new: discovery_messages.HostRecord
+) -> bool:
     return (old.start, old.draining, old.callers_address) != (
         new.start,
         new.draining,
--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -21,7 +21,7 @@
 from wrenspoke.coordination.serving import sending
 from wrenspoke import ids
 from wrenspoke import mechanisms
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import passing
 
 logger = structlog.get_logger(__name__)
@@ -241,7 +241,7 @@
 
     def _find_relay_host(
         self, context: call_context.CallContext, region: ids.RegionId
-    ) -> attending.HostRecord | None:
+    ) -> discovery_messages.HostRecord | None:
         """Return a host of a third region that can reach a region."""
         allowed = self._selector.allowed_remote_regions(context.route)
         for host in self._remote_regions.relay_hosts(region, allowed):
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -22,7 +22,7 @@
 from wrenspoke.coordination.serving import sampling
 from wrenspoke import ids
 from wrenspoke import mechanisms
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import dialect as dialects
 from wrenspoke.protocol import messages
 from wrenspoke.state import registry
@@ -395,7 +395,7 @@
         self,
         region: ids.RegionId,
         excluded: collections.abc.Container[ids.HostId],
-    ) -> attending.HostRecord | None:
+    ) -> discovery_messages.HostRecord | None:
         """Return an entry host of another region to forward a call to.
 
         Calls are spread over the first ``TARGETS_PER_REGION`` reachable hosts.
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -16,7 +16,7 @@
 from wrenspoke.coordination.serving import prefix_index
 from wrenspoke.coordination.serving import sent_call_broadcast
 from wrenspoke import ids
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import dialect as dialects
 from wrenspoke.state import registry
 from wrenspoke.state import routes
@@ -172,7 +172,7 @@
         return model.token_ms * model.speed_factor(endpoint)
 
     def record_peer_sent(
-        self, sent: attending.SentCall, service: routes.RoutedService
+        self, sent: discovery_messages.SentCall, service: routes.RoutedService
     ) -> None:
         """Record a call that another host of the region sent to an engine."""
         if service.batch is None:
--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -19,7 +19,7 @@
 from wrenspoke.coordination.serving import prefix_index
 from wrenspoke.coordination.serving import sent_call_broadcast
 from wrenspoke import ids
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import dialect as dialects
 from wrenspoke.protocol import messages
 from wrenspoke.state import routes
@@ -48,7 +48,7 @@
     """
 
     region: ids.RegionId
-    host: attending.HostRecord
+    host: discovery_messages.HostRecord
     first_ms: float
     end_ms: float
     remote_prefill_ms: float
@@ -87,7 +87,7 @@
         region: ids.RegionId,
         service: routes.RoutedService,
         call: dialects.Call,
-        host: attending.HostRecord,
+        host: discovery_messages.HostRecord,
     ) -> RegionOffer | None:
         """Return a region's offer through a host, or None without one."""
         remote = self._latest_status(host)
@@ -152,7 +152,7 @@
 
     def relay_hosts(
         self, region: ids.RegionId, allowed: list[ids.RegionId]
-    ) -> list[attending.HostRecord]:
+    ) -> list[discovery_messages.HostRecord]:
         """Return hosts of other regions that can relay calls to a region.
 
         Only hosts of ``allowed`` regions are considered.
@@ -170,7 +170,7 @@
         return hosts
 
     def _latest_status(
-        self, host: attending.HostRecord
+        self, host: discovery_messages.HostRecord
     ) -> host_pinger.RemoteState | region_views.RegionView | None:
         """Return a host's last status, or one received by a peer host."""
         if self._pinger.is_answering(host.host):
@@ -239,7 +239,7 @@
         if self._broadcaster is not None:
             self._broadcaster.publish(name, unread, call.parts)
 
-    def _on_peer_forwarded(self, sent: attending.SentCall) -> None:
+    def _on_peer_forwarded(self, sent: discovery_messages.SentCall) -> None:
         """Record a call that another host of this region forwarded."""
         region, found, name = sent.endpoint.partition(CACHE_KEY_SEPARATOR)
         service = self._replica.current.routes.service(ids.ServiceId(name))
@@ -262,7 +262,7 @@
 
 
 def _default_offer(
-    region: ids.RegionId, host: attending.HostRecord
+    region: ids.RegionId, host: discovery_messages.HostRecord
 ) -> RegionOffer:
     return RegionOffer(region, host, DEFAULT_FIRST_MS, DEFAULT_FIRST_MS, 0.0)
 
--- a/wrenspoke/coordination/serving/sent_call_broadcast.py
+++ b/wrenspoke/coordination/serving/sent_call_broadcast.py
@@ -18,7 +18,7 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.membership import region_pollers
 from wrenspoke import ids
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import dialect as dialects
 from wrenspoke.protocol import peers as peer_calls
 from wrenspoke import runtime
@@ -35,7 +35,7 @@
 # Calls queued beyond this number are dropped.
 BATCH_LIMIT = 2_000
 
-Listener = collections.abc.Callable[[attending.SentCall], None]
+Listener = collections.abc.Callable[[discovery_messages.SentCall], None]
 
 
 class SentCallBroadcaster:
@@ -55,13 +55,13 @@
         self._clock = clock
         self._listeners: list[Listener] = []
         # Own calls to be sent to collecting hosts, with their send times.
-        self._own: list[tuple[int, attending.SentCall]] = []
+        self._own: list[tuple[int, discovery_messages.SentCall]] = []
         # Collected calls to be broadcast, with their send times.
-        self._collected: list[tuple[int, attending.SentCall]] = []
+        self._collected: list[tuple[int, discovery_messages.SentCall]] = []
         self._own_added = asyncio.Event()
         self._tasks = runtime.Tasks()
         pollers.add_listener(self._on_region_message)
-        peers.answers(attending.TellSent)(self._on_sent_calls)
+        peers.answers(discovery_messages.TellSent)(self._on_sent_calls)
 
     def subscribe(self, listener: Listener) -> None:
         """Call ``listener`` with every call that another host sent."""
@@ -91,7 +91,7 @@
         """
         if len(self._own) >= BATCH_LIMIT:
             return
-        sent = attending.SentCall(
+        sent = discovery_messages.SentCall(
             self._checksum,
             endpoint,
             round(tokens),
@@ -116,11 +116,11 @@
                 if collector == self._host:
                     self._enqueue_collected(items)
                     continue
-                message = attending.TellSent(self._with_ages(items))
+                message = discovery_messages.TellSent(self._with_ages(items))
                 await self._peers.tell(ids.HostId(collector), message)
 
     async def _on_sent_calls(
-        self, _sender: ids.HostId, message: attending.TellSent
+        self, _sender: ids.HostId, message: discovery_messages.TellSent
     ) -> None:
         now_ms = self._clock.mono_ms()
         self._notify_listeners(message.calls)
@@ -129,7 +129,7 @@
         )
 
     def _enqueue_collected(
-        self, items: list[tuple[int, attending.SentCall]]
+        self, items: list[tuple[int, discovery_messages.SentCall]]
     ) -> None:
         room = BATCH_LIMIT - len(self._collected)
         self._collected.extend(items[:room])
@@ -145,22 +145,26 @@
                 continue
             items, self._collected = self._collected, []
             await self._pollers.broadcast(
-                attending.TellRegion(sent=self._with_ages(items))
+                discovery_messages.TellRegion(sent=self._with_ages(items))
             )
 
     def _with_ages(
-        self, items: list[tuple[int, attending.SentCall]]
-    ) -> list[attending.SentCall]:
+        self, items: list[tuple[int, discovery_messages.SentCall]]
+    ) -> list[discovery_messages.SentCall]:
         now_ms = self._clock.mono_ms()
         return [
             msgspec.structs.replace(sent, age_ms=max(now_ms - sent_ms, 0))
             for sent_ms, sent in items
         ]
 
-    def _on_region_message(self, message: attending.TellRegion) -> None:
+    def _on_region_message(
+        self, message: discovery_messages.TellRegion
+    ) -> None:
         self._notify_listeners(message.sent)
 
-    def _notify_listeners(self, calls: list[attending.SentCall]) -> None:
+    def _notify_listeners(
+        self, calls: list[discovery_messages.SentCall]
+    ) -> None:
         for sent in calls:
             if sent.host == self._checksum:
                 continue
@@ -169,7 +173,7 @@
 
 
 def prompt_parts(
-    sent: attending.SentCall,
+    sent: discovery_messages.SentCall,
 ) -> tuple[dialects.PromptPart, ...]:
     """Return the parts of a call's prompt that other prompts may share."""
     return tuple(
--- a/wrenspoke/coordination/serving/warmup_probe.py
+++ b/wrenspoke/coordination/serving/warmup_probe.py
@@ -19,7 +19,7 @@
 from wrenspoke.coordination.membership import replica
 from wrenspoke import ids
 from wrenspoke.protocol import advertised
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import dialect as dialects
 from wrenspoke.protocol import limiting
 from wrenspoke.protocol import numerals
@@ -95,19 +95,23 @@
         )
         warm = [answer for answer in answers if answer is not None]
         if warm:
-            await self._pollers.broadcast(attending.TellRegion(warm=warm))
+            await self._pollers.broadcast(
+                discovery_messages.TellRegion(warm=warm)
+            )
 
-    def _on_region_message(self, message: attending.TellRegion) -> None:
+    def _on_region_message(
+        self, message: discovery_messages.TellRegion
+    ) -> None:
         for status in message.warm:
             self._record_status(status)
 
-    def _record_status(self, status: attending.WarmupStatus) -> None:
+    def _record_status(self, status: discovery_messages.WarmupStatus) -> None:
         now_ms = self._clock.mono_ms()
         self._warm_ms[status.endpoint] = (now_ms + status.left_ms, now_ms)
 
     async def _probe_endpoint(
         self, said: registry.Registration
-    ) -> attending.WarmupStatus | None:
+    ) -> discovery_messages.WarmupStatus | None:
         service = self._replica.current.routes.service(said.service)
         if service is None:
             return None
@@ -150,7 +154,7 @@
             return None
         text = response.headers.get(self._dialect.warmup_ms, '0')
         left_ms = numerals.decimal(text) or 0.0
-        status = attending.WarmupStatus(said.endpoint, int(left_ms))
+        status = discovery_messages.WarmupStatus(said.endpoint, int(left_ms))
         self._record_status(status)
         logger.info(
             'warmup_status', endpoint=said.endpoint, warmup_left_ms=left_ms
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -41,7 +41,7 @@
 from wrenspoke import mechanisms
 from wrenspoke import node as nodes
 from wrenspoke import node_peers
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import dialect as dialects
 from wrenspoke.protocol import limiting
 from wrenspoke.protocol import messages
@@ -126,9 +126,9 @@
         self._build_gauges(reports, dialect)
         self._build_serving(dialect)
 
-    def _record(self) -> attending.HostRecord:
+    def _record(self) -> discovery_messages.HostRecord:
         node = self.node
-        return attending.HostRecord(
+        return discovery_messages.HostRecord(
             node.host,
             node.region,
             node.data_centre,
@@ -188,7 +188,7 @@
             )
             self._sent_calls.subscribe(self._note_sent_by_another)
 
-    def _note_sent_by_another(self, sent: attending.SentCall) -> None:
+    def _note_sent_by_another(self, sent: discovery_messages.SentCall) -> None:
         """Note what another host of this region sends to an engine."""
         found = self.attendance.registry.held.get(sent.endpoint)
         if found is None:
--- a/wrenspoke/protocol/peers.py
+++ b/wrenspoke/protocol/peers.py
@@ -8,7 +8,7 @@
 
 from wrenspoke import clock as clocks
 from wrenspoke import ids
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import errors
 from wrenspoke.protocol import limiting
 from wrenspoke.protocol import messages
@@ -20,16 +20,16 @@
 
 Message = typing.Union[
     messages.Message,
-    attending.Attend,
-    attending.Attended,
-    attending.Exchange,
-    attending.Exchanged,
-    attending.ConfirmIndex,
-    attending.IndexConfirmed,
-    attending.TellRegion,
-    attending.TellSent,
-    attending.Withdraw,
-    attending.EndpointLeaves,
+    discovery_messages.Attend,
+    discovery_messages.Attended,
+    discovery_messages.Exchange,
+    discovery_messages.Exchanged,
+    discovery_messages.ConfirmIndex,
+    discovery_messages.IndexConfirmed,
+    discovery_messages.TellRegion,
+    discovery_messages.TellSent,
+    discovery_messages.Withdraw,
+    discovery_messages.EndpointLeaves,
     limiting.AskShares,
     limiting.SharesGranted,
     limiting.AskAmount,
