--- a/tests/test_far.py
+++ b/tests/test_far.py
@@ -9,7 +9,7 @@
 from tests import endpoints
 from tests import nodes
 from tests import test_passing
-from wrenspoke.protocol import passing
+from wrenspoke.protocol import passthrough_api
 from wrenspoke.state import routes
 
 ID = test_passing.ID
@@ -104,7 +104,7 @@
     await wait_for_pongs(system)
     got = await endpoints.send_raw(system.north, request())
     assert got.startswith(b'HTTP/1.1 500 ')
-    assert passing.RUNS.encode() not in got
+    assert passthrough_api.RUNS.encode() not in got
     assert sum(len(endpoint.requests) for endpoint in failing) == 2
 
 
@@ -223,7 +223,7 @@
 async def forward_call(system, **changes):
     """Forward a call to a host in the south as another host would."""
     held = system.entries[1].replica.current
-    hop = passing.Hop(
+    hop = passthrough_api.Hop(
         'elsewhere', 'r/a/', 's', held.index, 1, changes.pop('limit_ms', None)
     )
     hop = msgspec.structs.replace(hop, **changes)
@@ -234,11 +234,13 @@
             headers={
                 'Host': 'h.example',
                 ID: 'q1',
-                passing.HOP: msgspec.json.encode(hop).decode(),
+                passthrough_api.HOP: msgspec.json.encode(hop).decode(),
             },
         ) as response:
             await response.read()
-            return response.status, response.headers.get(passing.REFUSED)
+            return response.status, response.headers.get(
+                passthrough_api.REFUSED
+            )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -17,7 +17,7 @@
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.serving import access
 from wrenspoke.protocol import dialect as dialects
-from wrenspoke.protocol import passing
+from wrenspoke.protocol import passthrough_api
 from wrenspoke import runtime
 from wrenspoke.state import configuration
 from wrenspoke.state import errors
@@ -250,7 +250,7 @@
     if status == 503:
         head = got.partition(b'\r\n\r\n')[0].lower()
         assert b'retry-after: ' in head
-        assert f'{passing.REFUSED}: no_lease'.lower().encode() in head
+        assert f'{passthrough_api.REFUSED}: no_lease'.lower().encode() in head
 
 
 @pytest.mark.parametrize('with_body', [False, True], ids=['head', 'body'])
--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -26,7 +26,7 @@
 from wrenspoke.coordination.serving import retry_outcomes
 from wrenspoke.coordination.serving import sending
 from wrenspoke.coordination.serving import sent_call_broadcast
-from wrenspoke.protocol import passing
+from wrenspoke.protocol import passthrough_api
 from wrenspoke.state import routes
 
 logger = structlog.get_logger(__name__)
@@ -339,17 +339,20 @@
         context.cause = f'{destination.name}: {answer.refused}'
         if answer.status == UNAVAILABLE:
             context.unexecuted_sends += 1
-        if answer.refused in passing.NOTHING_SENT:
+        if answer.refused in passthrough_api.NOTHING_SENT:
             context.send_count -= 1
-        if answer.refused is passing.Refusal.UNSENT:
+        if answer.refused is passthrough_api.Refusal.UNSENT:
             context.remote_retry_after_ms = int(answer.retry_after_ms) or None
-        if answer.refused in (passing.Refusal.UNSENT, passing.Refusal.BUSY):
+        if answer.refused in (
+            passthrough_api.Refusal.UNSENT,
+            passthrough_api.Refusal.BUSY,
+        ):
             context.refusing_regions.add(destination.serving_region)
-        if answer.refused == passing.Refusal.UNKNOWN_KEY:
+        if answer.refused == passthrough_api.Refusal.UNKNOWN_KEY:
             raise errors.UnknownKeyError(context.cause)
-        if answer.refused == passing.Refusal.QUARANTINED:
+        if answer.refused == passthrough_api.Refusal.QUARANTINED:
             raise errors.QuarantinedError(int(answer.retry_after_ms))
-        if answer.refused == passing.Refusal.BUSY:
+        if answer.refused == passthrough_api.Refusal.BUSY:
             self._remote_regions.record_busy(
                 destination.serving_region,
                 context.service.service,
--- a/wrenspoke/coordination/serving/call_context.py
+++ b/wrenspoke/coordination/serving/call_context.py
@@ -7,7 +7,7 @@
 from wrenspoke.coordination.serving import event_tracker
 from wrenspoke import ids
 from wrenspoke.protocol import dialect as dialects
-from wrenspoke.protocol import passing
+from wrenspoke.protocol import passthrough_api
 from wrenspoke.state import routes
 
 
@@ -32,8 +32,8 @@
     permit: access.RoutePermit
     service: routes.RoutedService
     deadline_ms: int
-    reply: passing.Reply
-    hop: passing.Hop | None = None
+    reply: passthrough_api.Reply
+    hop: passthrough_api.Hop | None = None
     taken: limiter.Reservation | None = None
     runs: int = 0
     unexecuted_sends: int = 0
--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -22,7 +22,7 @@
 from wrenspoke import ids
 from wrenspoke import mechanisms
 from wrenspoke.protocol import discovery_messages
-from wrenspoke.protocol import passing
+from wrenspoke.protocol import passthrough_api
 
 logger = structlog.get_logger(__name__)
 
@@ -310,7 +310,7 @@
         self._remote_regions.record_forwarded(
             found.region, context.service, context.call
         )
-        hop = passing.Hop(
+        hop = passthrough_api.Hop(
             self._host,
             context.route.name,
             context.service.service,
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -29,7 +29,7 @@
 from wrenspoke.protocol import dialect as dialects
 from wrenspoke.protocol import errors as protocol_errors
 from wrenspoke.protocol import fingerprints
-from wrenspoke.protocol import passing
+from wrenspoke.protocol import passthrough_api
 from wrenspoke.state import routes
 
 logger = structlog.get_logger(__name__)
@@ -56,9 +56,12 @@
 
 # Status and reason for callers that may not be served.
 _DENIALS = {
-    errors.NoRouteError: (NOT_FOUND, passing.Refusal.NO_ROUTE),
-    errors.UnknownKeyError: (UNAUTHORIZED, passing.Refusal.UNKNOWN_KEY),
-    errors.NoLeaseError: (UNAVAILABLE, passing.Refusal.NO_LEASE),
+    errors.NoRouteError: (NOT_FOUND, passthrough_api.Refusal.NO_ROUTE),
+    errors.UnknownKeyError: (
+        UNAUTHORIZED,
+        passthrough_api.Refusal.UNKNOWN_KEY,
+    ),
+    errors.NoLeaseError: (UNAVAILABLE, passthrough_api.Refusal.NO_LEASE),
 }
 
 
@@ -112,8 +115,8 @@
     async def serve(
         self,
         call: dialects.Call,
-        reply: passing.Reply,
-        hop: passing.Hop | None,
+        reply: passthrough_api.Reply,
+        hop: passthrough_api.Hop | None,
     ) -> None:
         """Serve one call; ``hop`` is set if another host forwarded it."""
         self.in_flight += 1
@@ -139,25 +142,29 @@
     async def _prepare_call(
         self,
         call: dialects.Call,
-        reply: passing.Reply,
-        hop: passing.Hop | None,
+        reply: passthrough_api.Reply,
+        hop: passthrough_api.Hop | None,
     ) -> call_context.CallContext | None:
         """Return the context to serve a call in, or None if it was refused."""
         if self.closed:
-            await self._refuse(call, reply, passing.Refusal.LEAVING)
+            await self._refuse(call, reply, passthrough_api.Refusal.LEAVING)
             return None
         if hop is not None:
             await self._wait_for_index(hop.index)
         elif self._waits and not self._has_current_configuration:
             await self._wait_for_current_configuration(call)
         if not self._has_current_configuration:
-            await self._refuse(call, reply, passing.Refusal.NO_CONFIGURATION)
+            await self._refuse(
+                call, reply, passthrough_api.Refusal.NO_CONFIGURATION
+            )
             return None
         table = self._replica.current.routes
         if table.version == 0 or (
             hop is not None and self._replica.current.index < hop.index
         ):
-            await self._refuse(call, reply, passing.Refusal.NO_CONFIGURATION)
+            await self._refuse(
+                call, reply, passthrough_api.Refusal.NO_CONFIGURATION
+            )
             return None
         try:
             permit = await self._permit(call)
@@ -188,7 +195,7 @@
         self,
         call: dialects.Call,
         permit: access.RoutePermit,
-        hop: passing.Hop | None,
+        hop: passthrough_api.Hop | None,
     ) -> limiters.Reservation | None:
         """Take a call's tokens from its team's limit.
 
@@ -204,7 +211,7 @@
     async def _refuse_over_limit(
         self,
         call: dialects.Call,
-        reply: passing.Reply,
+        reply: passthrough_api.Reply,
         error: limiters.OverLimitError,
     ) -> None:
         """Refuse a call with the time until its team's limit admits it."""
@@ -218,7 +225,7 @@
         )
         await reply.refuse(
             TOO_MANY_REQUESTS,
-            passing.Refusal.OVER_LIMIT,
+            passthrough_api.Refusal.OVER_LIMIT,
             retry_schedule.jittered_ms(error.wait_ms),
         )
 
@@ -246,7 +253,7 @@
     async def _deny(
         self,
         call: dialects.Call,
-        reply: passing.Reply,
+        reply: passthrough_api.Reply,
         error: errors.DeniedError,
     ) -> None:
         """Refuse a call that the configuration denies."""
@@ -267,8 +274,8 @@
     async def _refuse(
         self,
         call: dialects.Call,
-        reply: passing.Reply,
-        reason: passing.Refusal,
+        reply: passthrough_api.Reply,
+        reason: passthrough_api.Refusal,
     ) -> None:
         logger.info('request_refused', request=call.request, reason=reason)
         await reply.refuse(UNAVAILABLE, reason, START_RETRY_AFTER_MS)
@@ -298,7 +305,7 @@
             return
 
     def _select_service(
-        self, route: routes.Route, hop: passing.Hop | None
+        self, route: routes.Route, hop: passthrough_api.Hop | None
     ) -> ids.ServiceId:
         names = [target.service for target in route.targets]
         if hop is not None and hop.service in names:
@@ -328,7 +335,7 @@
                 limit_ms=context.hop.limit_ms,
             )
             await context.reply.refuse(
-                UNAVAILABLE, passing.Refusal.BUSY, int(error.first_ms)
+                UNAVAILABLE, passthrough_api.Refusal.BUSY, int(error.first_ms)
             )
             return
         except errors.QuarantinedError as error:
@@ -364,7 +371,7 @@
             held_ms=error.held_ms,
         )
         await context.reply.refuse(
-            UNAVAILABLE, passing.Refusal.QUARANTINED, error.held_ms
+            UNAVAILABLE, passthrough_api.Refusal.QUARANTINED, error.held_ms
         )
 
     async def _run_attempts(self, context: call_context.CallContext) -> bool:
@@ -444,9 +451,9 @@
                 context
             )
         reason = (
-            passing.Refusal.GAVE_UP
+            passthrough_api.Refusal.GAVE_UP
             if context.send_count
-            else passing.Refusal.UNSENT
+            else passthrough_api.Refusal.UNSENT
         )
         await context.reply.refuse(status, reason, retry_after_ms)
 
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -28,7 +28,7 @@
 from wrenspoke.protocol import dialect as dialects
 from wrenspoke.protocol import limiting
 from wrenspoke.protocol import numerals
-from wrenspoke.protocol import passing
+from wrenspoke.protocol import passthrough_api
 from wrenspoke.protocol import traffic
 from wrenspoke.state import locations
 from wrenspoke.transport import errors as transport_errors
@@ -61,7 +61,7 @@
     endpoint: ids.EndpointId | None = None
     host: ids.HostId | None = None
     serving_region: ids.RegionId | None = None
-    hop: passing.Hop | None = None
+    hop: passthrough_api.Hop | None = None
     chosen: endpoint_selector.EndpointSelection | None = None
     sent_ms: int = 0
     answered: bool = False
@@ -111,20 +111,22 @@
         self.verdict = verdict
         self.status = response.status
         self.fields = dialects.answer_fields(response.raw_headers)
-        self.refused = _parse_refusal(response.headers.get(passing.REFUSED))
+        self.refused = _parse_refusal(
+            response.headers.get(passthrough_api.REFUSED)
+        )
         self.retry_after_ms = _parse_retry_after_ms(response.headers)
         self.runs = 1
         if from_host:
-            self.runs = _parse_runs(response.headers.get(passing.RUNS))
+            self.runs = _parse_runs(response.headers.get(passthrough_api.RUNS))
             self.fields = [
-                item for item in self.fields if item[0] != passing.RUNS
+                item for item in self.fields if item[0] != passthrough_api.RUNS
             ]
 
 
 def _parse_retry_after_ms(fields: collections.abc.Mapping[str, str]) -> float:
     """Return the Retry-After of a host in ms, 0 if missing or malformed."""
     found_s = numerals.decimal(fields.get('Retry-After', ''))
-    return 0.0 if found_s is None else found_s * passing.MS_PER_S
+    return 0.0 if found_s is None else found_s * passthrough_api.MS_PER_S
 
 
 def _parse_runs(text: str | None) -> int:
@@ -136,14 +138,14 @@
     return 1 if found is None else found
 
 
-def _parse_refusal(text: str | None) -> passing.Refusal | None:
+def _parse_refusal(text: str | None) -> passthrough_api.Refusal | None:
     """Return why a host refused a call; unknown reasons are GAVE_UP."""
     if text is None:
         return None
     try:
-        return passing.Refusal(text)
+        return passthrough_api.Refusal(text)
     except ValueError:
-        return passing.Refusal.GAVE_UP
+        return passthrough_api.Refusal.GAVE_UP
 
 
 class Sender:
@@ -311,7 +313,7 @@
         fields.append((dialect.deadline_ms, str(max(left_ms, 0))))
         if destination.hop is not None:
             hop = msgspec.json.encode(destination.hop).decode()
-            fields.append((passing.HOP, hop))
+            fields.append((passthrough_api.HOP, hop))
             # The receiving host looks the key up in its own table.
             return fields + call.credentials
         fields += self._identity_fields(call, permit)
@@ -357,7 +359,7 @@
         if self._dialect.not_run in response.headers:
             return Verdict.NOT_RUN
         if (
-            passing.REFUSED in response.headers
+            passthrough_api.REFUSED in response.headers
             and destination.host is not None
         ):
             return Verdict.ANSWERED
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -45,7 +45,7 @@
 from wrenspoke.protocol import dialect as dialects
 from wrenspoke.protocol import limiting
 from wrenspoke.protocol import messages
-from wrenspoke.protocol import passing
+from wrenspoke.protocol import passthrough_api
 from wrenspoke import runtime
 from wrenspoke.state import registry
 from wrenspoke.transport import web
@@ -348,10 +348,10 @@
             node.switched_off,
             self.clock,
         )
-        surface = passing.PassingSurface(
+        surface = passthrough_api.PassingSurface(
             self.passthrough,
             dialect,
-            passing.PassingLimits(
+            passthrough_api.PassingLimits(
                 node.entry.body_limit_bytes,
                 node.entry.body_timeout_ms,
                 node.entry.default_deadline_ms,
