--- a/wrenspoke/caller.py
+++ b/wrenspoke/caller.py
@@ -14,7 +14,7 @@
 from wrenspoke.protocol import replies
 from wrenspoke.protocol import requests
 from wrenspoke.protocol import sse
-from wrenspoke.protocol import surface
+from wrenspoke.protocol import entry_api
 from wrenspoke.transport import errors as transport_errors
 from wrenspoke.transport import web
 
@@ -97,7 +97,7 @@
     ) -> Result:
         """Ask for a chat; go on at other hosts when one fails."""
         return await self._ask(
-            'POST', surface.CHAT_PATH, dict(sent or {}), body, on_text
+            'POST', entry_api.CHAT_PATH, dict(sent or {}), body, on_text
         )
 
     async def call(
--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -21,7 +21,7 @@
 from wrenspoke.protocol import outcomes
 from wrenspoke.protocol import replies
 from wrenspoke.protocol import requests
-from wrenspoke.protocol import surface
+from wrenspoke.protocol import entry_api
 from wrenspoke import settings
 from wrenspoke.transport import errors as transport_errors
 from wrenspoke.transport import web
@@ -280,7 +280,7 @@
 
 def _path(head: requests.RequestHead) -> str:
     if head.kind is requests.RequestKind.CHAT:
-        return surface.CHAT_PATH
+        return entry_api.CHAT_PATH
     return f'/services/{head.service}{head.path}'
 
 
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -36,7 +36,7 @@
 from wrenspoke.protocol import hops
 from wrenspoke.protocol import messages
 from wrenspoke.protocol import peers as peer_calls
-from wrenspoke.protocol import surface
+from wrenspoke.protocol import entry_api
 from wrenspoke import runtime
 from wrenspoke import settings
 from wrenspoke.transport import web
@@ -271,7 +271,7 @@
 
     def _build_surface(self) -> None:
         """Build what callers and scrapers talk to."""
-        entry_surface = surface.EntrySurface(
+        entry_surface = entry_api.EntrySurface(
             self.gateway,
             self._host,
             self._settings,
