--- a/wrenspoke/controld.py
+++ b/wrenspoke/controld.py
@@ -18,7 +18,7 @@
 from wrenspoke import ids
 from wrenspoke import keys
 from wrenspoke import metrics
-from wrenspoke.protocol import operators
+from wrenspoke.protocol import operator_api
 from wrenspoke.protocol import peers as peer_calls
 from wrenspoke import runtime
 from wrenspoke import settings
@@ -88,7 +88,9 @@
         self._gatherer = crash_aggregator.CrashAggregator(
             self.voter, self.replica, self._entry_hosts, self.peers, clock
         )
-        surface = operators.OperatorSurface(self.control, deployment.operators)
+        surface = operator_api.OperatorSurface(
+            self.control, deployment.operator_api
+        )
         self._metrics = metrics.Metrics(name)
         application = surface.application()
         application.router.add_get('/metrics', self._show_metrics)
--- a/wrenspoke/coordination/agreement/control_service.py
+++ b/wrenspoke/coordination/agreement/control_service.py
@@ -12,7 +12,7 @@
 from wrenspoke.coordination.membership import replica
 from wrenspoke import ids
 from wrenspoke.protocol import messages
-from wrenspoke.protocol import operators
+from wrenspoke.protocol import operator_api
 from wrenspoke.protocol import peers as peer_calls
 from wrenspoke import runtime
 from wrenspoke import settings
@@ -116,8 +116,8 @@
         self._executor.update_status(message.standing)
 
     async def plan(
-        self, operator: ids.OperatorId, request: operators.PlanRequest
-    ) -> operators.OperatorAnswer:
+        self, operator: ids.OperatorId, request: operator_api.PlanRequest
+    ) -> operator_api.OperatorAnswer:
         """Create a plan; a repeated request gets the same answer."""
         digest = _request_digest('plan', request)
         known = self._known_answer(operator, request.number, digest)
@@ -141,8 +141,8 @@
         self,
         operator: ids.OperatorId,
         plan: ids.PlanId,
-        request: operators.ConfirmRequest,
-    ) -> operators.OperatorAnswer:
+        request: operator_api.ConfirmRequest,
+    ) -> operator_api.OperatorAnswer:
         """Confirm a plan; a repeated request gets the same answer."""
         digest = _request_digest(f'confirm {plan}', request)
         known = self._known_answer(operator, request.number, digest)
@@ -160,7 +160,7 @@
 
     def _known_answer(
         self, operator: ids.OperatorId, number: int, digest: str
-    ) -> operators.OperatorAnswer | None:
+    ) -> operator_api.OperatorAnswer | None:
         if not self._voter.has_lease:
             return self._not_leader_answer(may_be_accepted=False)
         answer = self._voter.state.known_answer(operator, number, digest)
@@ -168,7 +168,7 @@
 
     async def _propose(
         self, entry: entries.MakePlan | entries.ConfirmPlan
-    ) -> operators.OperatorAnswer:
+    ) -> operator_api.OperatorAnswer:
         try:
             applied = await self._voter.propose(entry)
         except errors.NotLeaderError as error:
@@ -185,16 +185,18 @@
 
     def _answer_for(
         self, answer: replicated.Answer
-    ) -> operators.OperatorAnswer:
+    ) -> operator_api.OperatorAnswer:
         body = {'answer': answer}
         plan = self._voter.state.plans.get(answer.plan)
         if plan is not None:
             body['plan'] = plan
-        return operators.OperatorAnswer(VERDICT_STATUSES[answer.verdict], body)
+        return operator_api.OperatorAnswer(
+            VERDICT_STATUSES[answer.verdict], body
+        )
 
     def _not_leader_answer(
         self, may_be_accepted: bool
-    ) -> operators.OperatorAnswer:
+    ) -> operator_api.OperatorAnswer:
         leader = self._voter.leader
         body = {
             'error': {
@@ -204,10 +206,10 @@
             }
         }
         known = leader is not None and leader in self._operator_urls
-        status = operators.MISDIRECTED if known else UNAVAILABLE
-        return operators.OperatorAnswer(status, body)
+        status = operator_api.MISDIRECTED if known else UNAVAILABLE
+        return operator_api.OperatorAnswer(status, body)
 
-    def show_plan(self, plan: ids.PlanId) -> operators.OperatorAnswer:
+    def show_plan(self, plan: ids.PlanId) -> operator_api.OperatorAnswer:
         """Return a plan, its progress and what it waits for."""
         found = self._voter.state.plans.get(plan)
         if found is None:
@@ -216,9 +218,9 @@
             'plan': found,
             'waits_for': self._executor.wait_reasons.get(plan, ''),
         }
-        return operators.OperatorAnswer(OK, body)
+        return operator_api.OperatorAnswer(OK, body)
 
-    def list_plans(self) -> operators.OperatorAnswer:
+    def list_plans(self) -> operator_api.OperatorAnswer:
         """Return summaries of the retained plans, oldest first."""
         listed = [
             {
@@ -229,13 +231,13 @@
             }
             for plan in self._voter.state.plans.values()
         ]
-        return operators.OperatorAnswer(OK, {'plans': listed})
+        return operator_api.OperatorAnswer(OK, {'plans': listed})
 
-    def show_configuration(self) -> operators.OperatorAnswer:
+    def show_configuration(self) -> operator_api.OperatorAnswer:
         """Return the configuration applied on this host."""
-        return operators.OperatorAnswer(OK, self._voter.state.configuration)
+        return operator_api.OperatorAnswer(OK, self._voter.state.configuration)
 
-    def show_status(self) -> operators.OperatorAnswer:
+    def show_status(self) -> operator_api.OperatorAnswer:
         """Return this host's role and view of the control group."""
         elected = self._voter
         deciding = elected.committed_electorate
@@ -250,7 +252,7 @@
             'commit_index': elected.commit_index,
             'configuration_index': elected.state.configuration.index,
         }
-        return operators.OperatorAnswer(OK, body)
+        return operator_api.OperatorAnswer(OK, body)
 
 
 def _request_digest(what: str, request: msgspec.Struct) -> str:
@@ -258,5 +260,5 @@
     return hashlib.sha256(body).hexdigest()
 
 
-def _error_answer(status: int, message: str) -> operators.OperatorAnswer:
-    return operators.OperatorAnswer(status, {'error': {'message': message}})
+def _error_answer(status: int, message: str) -> operator_api.OperatorAnswer:
+    return operator_api.OperatorAnswer(status, {'error': {'message': message}})
--- a/wrenspoke/operator.py
+++ b/wrenspoke/operator.py
@@ -7,7 +7,7 @@
 
 from wrenspoke import clock as clocks
 from wrenspoke import errors
-from wrenspoke.protocol import operators
+from wrenspoke.protocol import operator_api
 from wrenspoke.transport import errors as transport_errors
 from wrenspoke.transport import web
 
@@ -47,25 +47,25 @@
 
     async def plan(
         self, number: int, intent: dict[str, typing.Any]
-    ) -> operators.OperatorAnswer:
+    ) -> operator_api.OperatorAnswer:
         """Ask for a plan."""
         body = {'number': number, 'intent': intent}
         return await self._ask('POST', '/plans', body)
 
     async def confirm(
         self, number: int, plan: str
-    ) -> operators.OperatorAnswer:
+    ) -> operator_api.OperatorAnswer:
         """Confirm a plan."""
         path = f'/plans/{plan}/confirm'
         return await self._ask('POST', path, {'number': number})
 
-    async def show(self, path: str) -> operators.OperatorAnswer:
+    async def show(self, path: str) -> operator_api.OperatorAnswer:
         """Look at something: a plan, the configuration, the status."""
         return await self._ask('GET', path, None)
 
     async def _ask(
         self, method: str, path: str, body: dict | None
-    ) -> operators.OperatorAnswer:
+    ) -> operator_api.OperatorAnswer:
         data = None if body is None else msgspec.json.encode(body)
         until_ms = self._clock.mono_ms() + self._timeout_ms
         problem = ''
@@ -79,7 +79,7 @@
                 ) as error:
                     problem = f'{url}: {error!r}'
                     continue
-                if answer.status in (operators.MISDIRECTED, UNAVAILABLE):
+                if answer.status in (operator_api.MISDIRECTED, UNAVAILABLE):
                     problem = f'{url}: {answer.body}'
                     continue
                 return answer
@@ -88,14 +88,14 @@
 
     async def _ask_one(
         self, method: str, url: str, data: bytes | None
-    ) -> operators.OperatorAnswer:
+    ) -> operator_api.OperatorAnswer:
         async with clocks.timeout_ms(self._timeout_ms / 4):
             async with self._client.send(
                 method, url, self._headers, data, fresh=True
             ) as found:
                 raw = await web.read_whole(found, ANSWER_LIMIT_BYTES)
         body = msgspec.json.decode(raw) if raw else {}
-        return operators.OperatorAnswer(found.status, body)
+        return operator_api.OperatorAnswer(found.status, body)
 
 
 def read_token(path: pathlib.Path) -> str:
