--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -271,7 +271,7 @@
 
     def _build_surface(self) -> None:
         """Build what callers and scrapers talk to."""
-        entry_surface = entry_api.EntrySurface(
+        entry_surface = entry_api.EntryApi(
             self.gateway,
             self._host,
             self._settings,
--- a/wrenspoke/protocol/entry_api.py
+++ b/wrenspoke/protocol/entry_api.py
@@ -58,7 +58,7 @@
         """Return the engine service that answers for a model."""
 
 
-class EntrySurface:
+class EntryApi:
     """Turn HTTP requests into typed ones and hand them over."""
 
     def __init__(
