--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -348,7 +348,7 @@
             node.switched_off,
             self.clock,
         )
-        surface = passthrough_api.PassingSurface(
+        surface = passthrough_api.PassthroughApi(
             self.passthrough,
             dialect,
             passthrough_api.PassingLimits(
--- a/wrenspoke/protocol/passthrough_api.py
+++ b/wrenspoke/protocol/passthrough_api.py
@@ -206,7 +206,7 @@
         """Return how large a body may be."""
 
 
-class PassingSurface:
+class PassthroughApi:
     """Turn HTTP requests into calls and hand them over."""
 
     def __init__(
