--- a/wrenspoke/controld.py
+++ b/wrenspoke/controld.py
@@ -88,7 +88,7 @@
         self._gatherer = crash_aggregator.CrashAggregator(
             self.voter, self.replica, self._entry_hosts, self.peers, clock
         )
-        surface = operator_api.OperatorSurface(
+        surface = operator_api.OperatorApi(
             self.control, deployment.operator_api
         )
         self._metrics = metrics.Metrics(name)
--- a/wrenspoke/protocol/operator_api.py
+++ b/wrenspoke/protocol/operator_api.py
@@ -69,7 +69,7 @@
         """Tell what this control host knows."""
 
 
-class OperatorSurface:
+class OperatorApi:
     """Turn operators' HTTP requests into typed ones."""
 
     def __init__(
