--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -351,7 +351,7 @@
         surface = passthrough_api.PassthroughApi(
             self.passthrough,
             dialect,
-            passthrough_api.PassingLimits(
+            passthrough_api.PassthroughLimits(
                 node.entry.body_limit_bytes,
                 node.entry.body_timeout_ms,
                 node.entry.default_deadline_ms,
--- a/wrenspoke/protocol/passthrough_api.py
+++ b/wrenspoke/protocol/passthrough_api.py
@@ -83,7 +83,7 @@
     region: ids.RegionId | None = None
 
 
-class PassingLimits(msgspec.Struct, frozen=True):
+class PassthroughLimits(msgspec.Struct, frozen=True):
     """Bound what the surface reads of a request."""
 
     body_bytes: int
@@ -213,7 +213,7 @@
         self,
         server: Server,
         dialect: dialects.Dialect,
-        limits: PassingLimits,
+        limits: PassthroughLimits,
         clock: clocks.Clock,
     ):
         self._server = server
