--- a/wrenspoke/protocol/passthrough_api.py
+++ b/wrenspoke/protocol/passthrough_api.py
@@ -189,7 +189,7 @@
         await self.whole(status, fields, body)
 
 
-class Server(typing.Protocol):
+class PassthroughServer(typing.Protocol):
     """Serve what the surface has read and checked."""
 
     async def serve(
@@ -211,7 +211,7 @@
 
     def __init__(
         self,
-        server: Server,
+        server: PassthroughServer,
         dialect: dialects.Dialect,
         limits: PassthroughLimits,
         clock: clocks.Clock,
