--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -339,7 +339,7 @@
         context.cause = f'{destination.name}: {answer.refused}'
         if answer.status == UNAVAILABLE:
             context.unexecuted_sends += 1
-        if answer.refused in passthrough_api.NOTHING_SENT:
+        if answer.refused in passthrough_api.UNSENT_REFUSALS:
             context.send_count -= 1
         if answer.refused is passthrough_api.Refusal.UNSENT:
             context.remote_retry_after_ms = int(answer.retry_after_ms) or None
--- a/wrenspoke/protocol/passthrough_api.py
+++ b/wrenspoke/protocol/passthrough_api.py
@@ -50,7 +50,7 @@
 
 # What a host says that sent nothing to an endpoint: its word costs the
 # budget of repeats nothing.
-NOTHING_SENT = frozenset(
+UNSENT_REFUSALS = frozenset(
     [
         Refusal.BUSY,
         Refusal.UNSENT,
