--- a/wrenspoke/protocol/passthrough_api.py
+++ b/wrenspoke/protocol/passthrough_api.py
@@ -30,7 +30,7 @@
 CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
 MS_PER_S = 1000
 # Nobody reads it; the name that proxies use for a caller who left.
-GONE_STATUS = 499
+CLIENT_CLOSED_STATUS = 499
 
 
 class Refusal(enum.Enum):
@@ -254,7 +254,7 @@
             return bad.response
         except errors.CallerGoneError:
             logger.info('caller_gone', path=request.raw_path)
-        return reply.response or web.Response(status=GONE_STATUS)
+        return reply.response or web.Response(status=CLIENT_CLOSED_STATUS)
 
     def _hop(self, request: web.BaseRequest) -> Hop:
         text = request.headers.get(HOP)
