--- a/tests/test_far.py
+++ b/tests/test_far.py
@@ -234,7 +234,7 @@
             headers={
                 'Host': 'h.example',
                 ID: 'q1',
-                passthrough_api.HOP: msgspec.json.encode(hop).decode(),
+                passthrough_api.HOP_HEADER: msgspec.json.encode(hop).decode(),
             },
         ) as response:
             await response.read()
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -313,7 +313,7 @@
         fields.append((dialect.deadline_ms, str(max(left_ms, 0))))
         if destination.hop is not None:
             hop = msgspec.json.encode(destination.hop).decode()
-            fields.append((passthrough_api.HOP, hop))
+            fields.append((passthrough_api.HOP_HEADER, hop))
             # The receiving host looks the key up in its own table.
             return fields + call.credentials
         fields += self._identity_fields(call, permit)
--- a/wrenspoke/protocol/passthrough_api.py
+++ b/wrenspoke/protocol/passthrough_api.py
@@ -21,7 +21,7 @@
 
 logger = structlog.get_logger(__name__)
 
-HOP = 'Wrenspoke-Hop'
+HOP_HEADER = 'Wrenspoke-Hop'
 REFUSED = 'Wrenspoke-Refused'
 # How many endpoints may have run it, in an answer to the host that passed
 # it on.
@@ -257,13 +257,13 @@
         return reply.response or web.Response(status=CLIENT_CLOSED_STATUS)
 
     def _hop(self, request: web.BaseRequest) -> Hop:
-        text = request.headers.get(HOP)
+        text = request.headers.get(HOP_HEADER)
         if text is None:
-            raise errors.BadRequestError(HOP, 'required between hosts')
+            raise errors.BadRequestError(HOP_HEADER, 'required between hosts')
         try:
             return msgspec.json.decode(text, type=Hop)
         except msgspec.DecodeError as error:
-            raise errors.BadRequestError(HOP, str(error)) from error
+            raise errors.BadRequestError(HOP_HEADER, str(error)) from error
 
     async def _read_body(self, request: web.BaseRequest) -> bytes:
         if not request.body_exists:
@@ -304,5 +304,5 @@
     raw: typing.Iterable[tuple[bytes, bytes]],
 ) -> list[tuple[bytes, bytes]]:
     """Leave out what only hosts may say."""
-    hop = HOP.lower().encode()
+    hop = HOP_HEADER.lower().encode()
     return [item for item in raw if item[0].lower() != hop]
