--- a/tests/test_far.py
+++ b/tests/test_far.py
@@ -239,7 +239,7 @@
         ) as response:
             await response.read()
             return response.status, response.headers.get(
-                passthrough_api.REFUSED
+                passthrough_api.REFUSED_HEADER
             )
 
 
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -250,7 +250,10 @@
     if status == 503:
         head = got.partition(b'\r\n\r\n')[0].lower()
         assert b'retry-after: ' in head
-        assert f'{passthrough_api.REFUSED}: no_lease'.lower().encode() in head
+        assert (
+            f'{passthrough_api.REFUSED_HEADER}: no_lease'.lower().encode()
+            in head
+        )
 
 
 @pytest.mark.parametrize('with_body', [False, True], ids=['head', 'body'])
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -112,7 +112,7 @@
         self.status = response.status
         self.fields = dialects.answer_fields(response.raw_headers)
         self.refused = _parse_refusal(
-            response.headers.get(passthrough_api.REFUSED)
+            response.headers.get(passthrough_api.REFUSED_HEADER)
         )
         self.retry_after_ms = _parse_retry_after_ms(response.headers)
         self.runs = 1
@@ -359,7 +359,7 @@
         if self._dialect.not_run in response.headers:
             return Verdict.NOT_RUN
         if (
-            passthrough_api.REFUSED in response.headers
+            passthrough_api.REFUSED_HEADER in response.headers
             and destination.host is not None
         ):
             return Verdict.ANSWERED
--- a/wrenspoke/protocol/passthrough_api.py
+++ b/wrenspoke/protocol/passthrough_api.py
@@ -22,7 +22,7 @@
 logger = structlog.get_logger(__name__)
 
 HOP_HEADER = 'Wrenspoke-Hop'
-REFUSED = 'Wrenspoke-Refused'
+REFUSED_HEADER = 'Wrenspoke-Refused'
 # How many endpoints may have run it, in an answer to the host that passed
 # it on.
 RUNS = 'Wrenspoke-Runs'
@@ -180,7 +180,7 @@
             reason = reason.value
         fields = [
             ('Content-Type', 'application/json'),
-            (REFUSED, reason),
+            (REFUSED_HEADER, reason),
         ]
         if retry_after_ms is not None:
             wait_s = f'{retry_after_ms / MS_PER_S:.3f}'
