--- a/tests/test_far.py
+++ b/tests/test_far.py
@@ -104,7 +104,7 @@
     await wait_for_pongs(system)
     got = await endpoints.send_raw(system.north, request())
     assert got.startswith(b'HTTP/1.1 500 ')
-    assert passthrough_api.RUNS.encode() not in got
+    assert passthrough_api.RUNS_HEADER.encode() not in got
     assert sum(len(endpoint.requests) for endpoint in failing) == 2
 
 
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -117,9 +117,13 @@
         self.retry_after_ms = _parse_retry_after_ms(response.headers)
         self.runs = 1
         if from_host:
-            self.runs = _parse_runs(response.headers.get(passthrough_api.RUNS))
+            self.runs = _parse_runs(
+                response.headers.get(passthrough_api.RUNS_HEADER)
+            )
             self.fields = [
-                item for item in self.fields if item[0] != passthrough_api.RUNS
+                item
+                for item in self.fields
+                if item[0] != passthrough_api.RUNS_HEADER
             ]
 
 
--- a/wrenspoke/protocol/passthrough_api.py
+++ b/wrenspoke/protocol/passthrough_api.py
@@ -25,7 +25,7 @@
 REFUSED_HEADER = 'Wrenspoke-Refused'
 # How many endpoints may have run it, in an answer to the host that passed
 # it on.
-RUNS = 'Wrenspoke-Runs'
+RUNS_HEADER = 'Wrenspoke-Runs'
 EXPECT = 'Expect'
 CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
 MS_PER_S = 1000
@@ -134,7 +134,7 @@
         if self._close:
             response.force_close()
         if self.runs is not None:
-            response.headers[RUNS] = str(self.runs)
+            response.headers[RUNS_HEADER] = str(self.runs)
         self.response = response
         self.status = status
         try:
