--- a/wrenspoke/protocol/passthrough_api.py
+++ b/wrenspoke/protocol/passthrough_api.py
@@ -225,20 +225,20 @@
         self, request: web.BaseRequest
     ) -> web.StreamResponse:
         """Serve a caller's request."""
-        return await self._handle(request, passed=False)
+        return await self._handle(request, forwarded=False)
 
     async def handle_host(
         self, request: web.BaseRequest
     ) -> web.StreamResponse:
         """Serve a request that another entry host passes on."""
-        return await self._handle(request, passed=True)
+        return await self._handle(request, forwarded=True)
 
     async def _handle(
-        self, request: web.BaseRequest, passed: bool
+        self, request: web.BaseRequest, forwarded: bool
     ) -> web.StreamResponse:
         reply = Reply(request, self._server.leaving)
         try:
-            hop = self._hop(request) if passed else None
+            hop = self._hop(request) if forwarded else None
             call = self._reader.read(
                 request.method,
                 request.raw_path,
