--- a/wrenspoke/protocol/passthrough_api.py
+++ b/wrenspoke/protocol/passthrough_api.py
@@ -238,7 +238,7 @@
     ) -> web.StreamResponse:
         reply = Reply(request, self._server.leaving)
         try:
-            hop = self._hop(request) if forwarded else None
+            hop = self._parse_hop(request) if forwarded else None
             call = self._reader.read(
                 request.method,
                 request.raw_path,
@@ -256,7 +256,7 @@
             logger.info('caller_gone', path=request.raw_path)
         return reply.response or web.Response(status=CLIENT_CLOSED_STATUS)
 
-    def _hop(self, request: web.BaseRequest) -> Hop:
+    def _parse_hop(self, request: web.BaseRequest) -> Hop:
         text = request.headers.get(HOP_HEADER)
         if text is None:
             raise errors.BadRequestError(HOP_HEADER, 'required between hosts')
