--- a/wrenspoke/protocol/passthrough_api.py
+++ b/wrenspoke/protocol/passthrough_api.py
@@ -118,7 +118,7 @@
             headers=multidict.CIMultiDict(fields),
             body=body,
         )
-        await self._send(response, status)
+        await self._prepare(response, status)
         await self._write_eof(response)
 
     async def open(self, status: int, fields: dialects.Fields) -> None:
@@ -128,9 +128,11 @@
         )
         if self._request.version == aiohttp.HttpVersion11:
             response.enable_chunked_encoding()
-        await self._send(response, status)
+        await self._prepare(response, status)
 
-    async def _send(self, response: web.StreamResponse, status: int) -> None:
+    async def _prepare(
+        self, response: web.StreamResponse, status: int
+    ) -> None:
         if self._close:
             response.force_close()
         if self.runs is not None:
