--- a/wrenspoke/protocol/replies.py
+++ b/wrenspoke/protocol/replies.py
@@ -68,7 +68,7 @@
     async def end(self, ending: outcomes.Ending) -> None:
         """Tell how the request ended, in place of an answer."""
         if self.started:
-            await self._end_stream(ending)
+            await self._abort_stream(ending)
             return
         extra = {headers.REASON: ending.reason.value}
         if ending.retry_after_ms:
@@ -105,7 +105,7 @@
         await self._guard(self._stream.write_eof())
         self.response = self._stream
 
-    async def _end_stream(self, ending: outcomes.Ending) -> None:
+    async def _abort_stream(self, ending: outcomes.Ending) -> None:
         last = sse.SseEvent(
             event=OUTCOME_EVENT, data=ending_body(ending).decode()
         )
