--- a/wrenspoke/protocol/replies.py
+++ b/wrenspoke/protocol/replies.py
@@ -63,7 +63,7 @@
             headers=self._headers(found, outcome),
             body=body,
         )
-        await self._finish()
+        await self._send_response()
 
     async def end(self, ending: outcomes.Ending) -> None:
         """Tell how the request ended, in place of an answer."""
@@ -81,7 +81,7 @@
             body=ending_body(ending),
             content_type='application/json',
         )
-        await self._finish()
+        await self._send_response()
 
     async def open(self, found: collections.abc.Mapping[str, str]) -> None:
         """Begin a stream of events."""
@@ -113,7 +113,7 @@
         self.response = self._stream
         transport_web.abort(self._request)
 
-    async def _finish(self) -> None:
+    async def _send_response(self) -> None:
         await self._guard(self.response.prepare(self._request))
         await self._guard(self.response.write_eof())
 
