--- a/wrenspoke/protocol/replies.py
+++ b/wrenspoke/protocol/replies.py
@@ -89,35 +89,35 @@
         kept['Content-Type'] = 'text/event-stream'
         kept['Cache-Control'] = 'no-store'
         self._stream = web.StreamResponse(status=200, headers=kept)
-        await self._guard(self._stream.prepare(self._request))
+        await self._await_write(self._stream.prepare(self._request))
 
     async def event(self, event: sse.SseEvent) -> None:
         """Send one event of the stream."""
         self.sent_events += 1
-        await self._guard(self._stream.write(sse.encode(event)))
+        await self._await_write(self._stream.write(sse.encode(event)))
 
     async def raw(self, chunk: bytes) -> None:
         """Send bytes of a stream that another host has written."""
-        await self._guard(self._stream.write(chunk))
+        await self._await_write(self._stream.write(chunk))
 
     async def close(self) -> None:
         """End a stream of which every event was sent."""
-        await self._guard(self._stream.write_eof())
+        await self._await_write(self._stream.write_eof())
         self.response = self._stream
 
     async def _abort_stream(self, ending: outcomes.Ending) -> None:
         last = sse.SseEvent(
             event=OUTCOME_EVENT, data=ending_body(ending).decode()
         )
-        await self._guard(self._stream.write(sse.encode(last)))
+        await self._await_write(self._stream.write(sse.encode(last)))
         self.response = self._stream
         transport_web.abort(self._request)
 
     async def _send_response(self) -> None:
-        await self._guard(self.response.prepare(self._request))
-        await self._guard(self.response.write_eof())
+        await self._await_write(self.response.prepare(self._request))
+        await self._await_write(self.response.write_eof())
 
-    async def _guard(self, awaitable: collections.abc.Awaitable) -> None:
+    async def _await_write(self, awaitable: collections.abc.Awaitable) -> None:
         try:
             await awaitable
         except (ConnectionError, RuntimeError) as error:
