--- a/wrenspoke/protocol/replies.py
+++ b/wrenspoke/protocol/replies.py
@@ -72,7 +72,9 @@
             return
         extra = {headers.REASON: ending.reason.value}
         if ending.retry_after_ms:
-            extra[headers.RETRY_AFTER] = retry_after(ending.retry_after_ms)
+            extra[headers.RETRY_AFTER] = format_retry_after(
+                ending.retry_after_ms
+            )
         if ending.retry_owned:
             extra[headers.RETRY_OWNED] = 'true'
         self.response = web.Response(
@@ -140,7 +142,7 @@
         return kept
 
 
-def retry_after(delay_ms: int) -> str:
+def format_retry_after(delay_ms: int) -> str:
     """Return whole seconds, rounded up, for Retry-After."""
     return str(max(1, -(-delay_ms // MS_PER_S)))
 
