--- a/wrenspoke/protocol/entry_api.py
+++ b/wrenspoke/protocol/entry_api.py
@@ -283,7 +283,7 @@
         outcomes.Outcome.NOT_RUN, outcomes.Reason.BAD_REQUEST, str(error)
     )
     return web.Response(
-        body=replies.ending_body(ending),
+        body=replies.encode_ending(ending),
         status=error.status,
         headers={
             headers.OUTCOME: ending.outcome.value,
--- a/wrenspoke/protocol/replies.py
+++ b/wrenspoke/protocol/replies.py
@@ -80,7 +80,7 @@
         self.response = web.Response(
             status=outcomes.status(ending),
             headers=self._headers(extra, ending.outcome),
-            body=ending_body(ending),
+            body=encode_ending(ending),
             content_type='application/json',
         )
         await self._send_response()
@@ -109,7 +109,7 @@
 
     async def _abort_stream(self, ending: outcomes.Ending) -> None:
         last = sse.SseEvent(
-            event=OUTCOME_EVENT, data=ending_body(ending).decode()
+            event=OUTCOME_EVENT, data=encode_ending(ending).decode()
         )
         await self._await_write(self._stream.write(sse.encode(last)))
         self.response = self._stream
@@ -147,7 +147,7 @@
     return str(max(1, -(-delay_ms // MS_PER_S)))
 
 
-def ending_body(ending: outcomes.Ending) -> bytes:
+def encode_ending(ending: outcomes.Ending) -> bytes:
     """Return the JSON that tells an ending."""
     return msgspec.json.encode(
         {
