--- a/wrenspoke/protocol/operator_api.py
+++ b/wrenspoke/protocol/operator_api.py
@@ -40,7 +40,7 @@
     body: typing.Any
 
 
-class Control(typing.Protocol):
+class OperatorBackend(typing.Protocol):
     """Do what operators ask, once the surface has read it."""
 
     async def plan(
@@ -74,7 +74,7 @@
 
     def __init__(
         self,
-        control: Control,
+        control: OperatorBackend,
         operators: typing.Iterable[settings.OperatorSettings],
     ):
         self._control = control
