--- a/wrenspoke/coordination/agreement/control_service.py
+++ b/wrenspoke/coordination/agreement/control_service.py
@@ -117,7 +117,7 @@
 
     async def plan(
         self, operator: ids.OperatorId, request: operator_api.PlanRequest
-    ) -> operator_api.OperatorAnswer:
+    ) -> operator_api.OperatorResponse:
         """Create a plan; a repeated request gets the same answer."""
         digest = _request_digest('plan', request)
         known = self._known_answer(operator, request.number, digest)
@@ -142,7 +142,7 @@
         operator: ids.OperatorId,
         plan: ids.PlanId,
         request: operator_api.ConfirmRequest,
-    ) -> operator_api.OperatorAnswer:
+    ) -> operator_api.OperatorResponse:
         """Confirm a plan; a repeated request gets the same answer."""
         digest = _request_digest(f'confirm {plan}', request)
         known = self._known_answer(operator, request.number, digest)
@@ -160,7 +160,7 @@
 
     def _known_answer(
         self, operator: ids.OperatorId, number: int, digest: str
-    ) -> operator_api.OperatorAnswer | None:
+    ) -> operator_api.OperatorResponse | None:
         if not self._voter.has_lease:
             return self._not_leader_answer(may_be_accepted=False)
         answer = self._voter.state.known_answer(operator, number, digest)
@@ -168,7 +168,7 @@
 
     async def _propose(
         self, entry: entries.MakePlan | entries.ConfirmPlan
-    ) -> operator_api.OperatorAnswer:
+    ) -> operator_api.OperatorResponse:
         try:
             applied = await self._voter.propose(entry)
         except errors.NotLeaderError as error:
@@ -185,18 +185,18 @@
 
     def _answer_for(
         self, answer: replicated.Answer
-    ) -> operator_api.OperatorAnswer:
+    ) -> operator_api.OperatorResponse:
         body = {'answer': answer}
         plan = self._voter.state.plans.get(answer.plan)
         if plan is not None:
             body['plan'] = plan
-        return operator_api.OperatorAnswer(
+        return operator_api.OperatorResponse(
             VERDICT_STATUSES[answer.verdict], body
         )
 
     def _not_leader_answer(
         self, may_be_accepted: bool
-    ) -> operator_api.OperatorAnswer:
+    ) -> operator_api.OperatorResponse:
         leader = self._voter.leader
         body = {
             'error': {
@@ -207,9 +207,9 @@
         }
         known = leader is not None and leader in self._operator_urls
         status = operator_api.MISDIRECTED if known else UNAVAILABLE
-        return operator_api.OperatorAnswer(status, body)
+        return operator_api.OperatorResponse(status, body)
 
-    def show_plan(self, plan: ids.PlanId) -> operator_api.OperatorAnswer:
+    def show_plan(self, plan: ids.PlanId) -> operator_api.OperatorResponse:
         """Return a plan, its progress and what it waits for."""
         found = self._voter.state.plans.get(plan)
         if found is None:
@@ -218,9 +218,9 @@
             'plan': found,
             'waits_for': self._executor.wait_reasons.get(plan, ''),
         }
-        return operator_api.OperatorAnswer(OK, body)
+        return operator_api.OperatorResponse(OK, body)
 
-    def list_plans(self) -> operator_api.OperatorAnswer:
+    def list_plans(self) -> operator_api.OperatorResponse:
         """Return summaries of the retained plans, oldest first."""
         listed = [
             {
@@ -231,13 +231,15 @@
             }
             for plan in self._voter.state.plans.values()
         ]
-        return operator_api.OperatorAnswer(OK, {'plans': listed})
+        return operator_api.OperatorResponse(OK, {'plans': listed})
 
-    def show_configuration(self) -> operator_api.OperatorAnswer:
+    def show_configuration(self) -> operator_api.OperatorResponse:
         """Return the configuration applied on this host."""
-        return operator_api.OperatorAnswer(OK, self._voter.state.configuration)
+        return operator_api.OperatorResponse(
+            OK, self._voter.state.configuration
+        )
 
-    def show_status(self) -> operator_api.OperatorAnswer:
+    def show_status(self) -> operator_api.OperatorResponse:
         """Return this host's role and view of the control group."""
         elected = self._voter
         deciding = elected.committed_electorate
@@ -252,7 +254,7 @@
             'commit_index': elected.commit_index,
             'configuration_index': elected.state.configuration.index,
         }
-        return operator_api.OperatorAnswer(OK, body)
+        return operator_api.OperatorResponse(OK, body)
 
 
 def _request_digest(what: str, request: msgspec.Struct) -> str:
@@ -260,5 +262,7 @@
     return hashlib.sha256(body).hexdigest()
 
 
-def _error_answer(status: int, message: str) -> operator_api.OperatorAnswer:
-    return operator_api.OperatorAnswer(status, {'error': {'message': message}})
+def _error_answer(status: int, message: str) -> operator_api.OperatorResponse:
+    return operator_api.OperatorResponse(
+        status, {'error': {'message': message}}
+    )
--- a/wrenspoke/operator.py
+++ b/wrenspoke/operator.py
@@ -47,25 +47,25 @@
 
     async def plan(
         self, number: int, intent: dict[str, typing.Any]
-    ) -> operator_api.OperatorAnswer:
+    ) -> operator_api.OperatorResponse:
         """Ask for a plan."""
         body = {'number': number, 'intent': intent}
         return await self._ask('POST', '/plans', body)
 
     async def confirm(
         self, number: int, plan: str
-    ) -> operator_api.OperatorAnswer:
+    ) -> operator_api.OperatorResponse:
         """Confirm a plan."""
         path = f'/plans/{plan}/confirm'
         return await self._ask('POST', path, {'number': number})
 
-    async def show(self, path: str) -> operator_api.OperatorAnswer:
+    async def show(self, path: str) -> operator_api.OperatorResponse:
         """Look at something: a plan, the configuration, the status."""
         return await self._ask('GET', path, None)
 
     async def _ask(
         self, method: str, path: str, body: dict | None
-    ) -> operator_api.OperatorAnswer:
+    ) -> operator_api.OperatorResponse:
         data = None if body is None else msgspec.json.encode(body)
         until_ms = self._clock.mono_ms() + self._timeout_ms
         problem = ''
@@ -88,14 +88,14 @@
 
     async def _ask_one(
         self, method: str, url: str, data: bytes | None
-    ) -> operator_api.OperatorAnswer:
+    ) -> operator_api.OperatorResponse:
         async with clocks.timeout_ms(self._timeout_ms / 4):
             async with self._client.send(
                 method, url, self._headers, data, fresh=True
             ) as found:
                 raw = await web.read_whole(found, ANSWER_LIMIT_BYTES)
         body = msgspec.json.decode(raw) if raw else {}
-        return operator_api.OperatorAnswer(found.status, body)
+        return operator_api.OperatorResponse(found.status, body)
 
 
 def read_token(path: pathlib.Path) -> str:
--- a/wrenspoke/protocol/operator_api.py
+++ b/wrenspoke/protocol/operator_api.py
@@ -33,7 +33,7 @@
     number: int
 
 
-class OperatorAnswer(msgspec.Struct, frozen=True):
+class OperatorResponse(msgspec.Struct, frozen=True):
     """Hold the status and body of an answer to an operator."""
 
     status: int
@@ -45,7 +45,7 @@
 
     async def plan(
         self, operator: ids.OperatorId, request: PlanRequest
-    ) -> OperatorAnswer:
+    ) -> OperatorResponse:
         """Make a plan."""
 
     async def confirm(
@@ -53,19 +53,19 @@
         operator: ids.OperatorId,
         plan: ids.PlanId,
         request: ConfirmRequest,
-    ) -> OperatorAnswer:
+    ) -> OperatorResponse:
         """Put a plan in force."""
 
-    def show_plan(self, plan: ids.PlanId) -> OperatorAnswer:
+    def show_plan(self, plan: ids.PlanId) -> OperatorResponse:
         """Tell what a plan is and how far it has come."""
 
-    def list_plans(self) -> OperatorAnswer:
+    def list_plans(self) -> OperatorResponse:
         """List the plans that are kept."""
 
-    def show_configuration(self) -> OperatorAnswer:
+    def show_configuration(self) -> OperatorResponse:
         """Return the configuration."""
 
-    def show_status(self) -> OperatorAnswer:
+    def show_status(self) -> OperatorResponse:
         """Tell what this control host knows."""
 
 
@@ -137,7 +137,7 @@
     def _told(
         self,
         request: web.Request,
-        tell: typing.Callable[[], OperatorAnswer],
+        tell: typing.Callable[[], OperatorResponse],
     ) -> web.Response:
         try:
             self._operator(request)
@@ -155,11 +155,11 @@
 
 def _refused(error: errors.BadRequestError) -> web.Response:
     return _response(
-        OperatorAnswer(error.status, {'error': {'message': str(error)}})
+        OperatorResponse(error.status, {'error': {'message': str(error)}})
     )
 
 
-def _response(answer: OperatorAnswer) -> web.Response:
+def _response(answer: OperatorResponse) -> web.Response:
     return web.Response(
         body=msgspec.json.encode(answer.body),
         status=answer.status,
