--- a/wrenspoke/protocol/operator_api.py
+++ b/wrenspoke/protocol/operator_api.py
@@ -92,7 +92,7 @@
         router.add_get('/status', self._status)
         return application
 
-    def _operator(self, request: web.Request) -> ids.OperatorId:
+    def _authenticate_operator(self, request: web.Request) -> ids.OperatorId:
         text = request.headers.get('Authorization', '')
         token = text.removeprefix(BEARER) if text.startswith(BEARER) else ''
         digest = hashlib.sha256(token.encode()).hexdigest()
@@ -106,7 +106,7 @@
 
     async def _plan(self, request: web.Request) -> web.Response:
         try:
-            operator = self._operator(request)
+            operator = self._authenticate_operator(request)
             read = await _read(request, PlanRequest)
         except errors.BadRequestError as error:
             return _refused(error)
@@ -114,7 +114,7 @@
 
     async def _confirm(self, request: web.Request) -> web.Response:
         try:
-            operator = self._operator(request)
+            operator = self._authenticate_operator(request)
             read = await _read(request, ConfirmRequest)
         except errors.BadRequestError as error:
             return _refused(error)
@@ -140,7 +140,7 @@
         tell: typing.Callable[[], OperatorResponse],
     ) -> web.Response:
         try:
-            self._operator(request)
+            self._authenticate_operator(request)
         except errors.BadRequestError as error:
             return _refused(error)
         return _response(tell())
