--- a/wrenspoke/protocol/operator_api.py
+++ b/wrenspoke/protocol/operator_api.py
@@ -123,18 +123,18 @@
 
     async def _show(self, request: web.Request) -> web.Response:
         plan = ids.PlanId(request.match_info['plan'])
-        return self._told(request, lambda: self._control.show_plan(plan))
+        return self._respond(request, lambda: self._control.show_plan(plan))
 
     async def _list(self, request: web.Request) -> web.Response:
-        return self._told(request, self._control.list_plans)
+        return self._respond(request, self._control.list_plans)
 
     async def _configuration(self, request: web.Request) -> web.Response:
-        return self._told(request, self._control.show_configuration)
+        return self._respond(request, self._control.show_configuration)
 
     async def _status(self, request: web.Request) -> web.Response:
-        return self._told(request, self._control.show_status)
+        return self._respond(request, self._control.show_status)
 
-    def _told(
+    def _respond(
         self,
         request: web.Request,
         tell: typing.Callable[[], OperatorResponse],
