--- a/wrenspoke/protocol/operator_api.py
+++ b/wrenspoke/protocol/operator_api.py
@@ -137,13 +137,13 @@
     def _respond(
         self,
         request: web.Request,
-        tell: typing.Callable[[], OperatorResponse],
+        query: typing.Callable[[], OperatorResponse],
     ) -> web.Response:
         try:
             self._authenticate_operator(request)
         except errors.BadRequestError as error:
             return _refused(error)
-        return _response(tell())
+        return _response(query())
 
 
 async def _read(request: web.Request, kind: type) -> typing.Any:
