--- a/wrenspoke/protocol/operator_api.py
+++ b/wrenspoke/protocol/operator_api.py
@@ -107,7 +107,7 @@
     async def _plan(self, request: web.Request) -> web.Response:
         try:
             operator = self._authenticate_operator(request)
-            read = await _read(request, PlanRequest)
+            read = await _decode_body(request, PlanRequest)
         except errors.BadRequestError as error:
             return _refused(error)
         return _response(await self._control.plan(operator, read))
@@ -115,7 +115,7 @@
     async def _confirm(self, request: web.Request) -> web.Response:
         try:
             operator = self._authenticate_operator(request)
-            read = await _read(request, ConfirmRequest)
+            read = await _decode_body(request, ConfirmRequest)
         except errors.BadRequestError as error:
             return _refused(error)
         plan = ids.PlanId(request.match_info['plan'])
@@ -146,7 +146,7 @@
         return _response(query())
 
 
-async def _read(request: web.Request, kind: type) -> typing.Any:
+async def _decode_body(request: web.Request, kind: type) -> typing.Any:
     try:
         return msgspec.json.decode(await request.read(), type=kind)
     except (msgspec.DecodeError, web.HTTPRequestEntityTooLarge) as error:
