--- a/wrenspoke/protocol/operator_api.py
+++ b/wrenspoke/protocol/operator_api.py
@@ -109,7 +109,7 @@
             operator = self._authenticate_operator(request)
             read = await _decode_body(request, PlanRequest)
         except errors.BadRequestError as error:
-            return _refused(error)
+            return _error_response(error)
         return _response(await self._control.plan(operator, read))
 
     async def _confirm(self, request: web.Request) -> web.Response:
@@ -117,7 +117,7 @@
             operator = self._authenticate_operator(request)
             read = await _decode_body(request, ConfirmRequest)
         except errors.BadRequestError as error:
-            return _refused(error)
+            return _error_response(error)
         plan = ids.PlanId(request.match_info['plan'])
         return _response(await self._control.confirm(operator, plan, read))
 
@@ -142,7 +142,7 @@
         try:
             self._authenticate_operator(request)
         except errors.BadRequestError as error:
-            return _refused(error)
+            return _error_response(error)
         return _response(query())
 
 
@@ -153,7 +153,7 @@
         raise errors.BadRequestError('body', str(error)) from error
 
 
-def _refused(error: errors.BadRequestError) -> web.Response:
+def _error_response(error: errors.BadRequestError) -> web.Response:
     return _response(
         OperatorResponse(error.status, {'error': {'message': str(error)}})
     )
