--- a/wrenspoke/protocol/entry_api.py
+++ b/wrenspoke/protocol/entry_api.py
@@ -203,7 +203,7 @@
         service: str,
         path: str,
     ) -> requests.RequestHead:
-        _refuse_repeated(request)
+        _reject_repeated_headers(request)
         reader = requests.HeaderReader(request.headers)
         now_ms = self._clock.mono_ms()
         given = reader.token(headers.REQUEST)
@@ -263,7 +263,7 @@
         )
 
 
-def _refuse_repeated(request: web.Request) -> None:
+def _reject_repeated_headers(request: web.Request) -> None:
     for name in set(request.headers.keys()):
         ours = name.lower().startswith(headers.PREFIX.lower())
         if ours and len(request.headers.getall(name)) > 1:
