--- a/wrenspoke/protocol/entry_api.py
+++ b/wrenspoke/protocol/entry_api.py
@@ -238,9 +238,9 @@
                 'Content-Type', 'application/json'
             ),
         )
-        return self._with_hop(head, request, now_ms)
+        return self._apply_hop(head, request, now_ms)
 
-    def _with_hop(
+    def _apply_hop(
         self, head: requests.RequestHead, request: web.Request, now_ms: int
     ) -> requests.RequestHead:
         text = request.headers.get(headers.HOP)
