--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -170,7 +170,7 @@
             messages.LoadReport(f'region-1-hall-engine-{n}', 3, 1, 200)
             for n in range(engines)
         ]
-        beat = messages.Beat(False, 2_800, reports, [], [])
+        beat = messages.Heartbeat(False, 2_800, reports, [], [])
         size = len(msgspec.msgpack.encode(beat)) + ENVELOPE_BYTES
         found.append(
             {
--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -78,7 +78,7 @@
         self._interval_ms = self._settings.beat_interval_ms
         self.draining = False
         self.update_available = asyncio.Event()
-        peers.answers(messages.Beat)(self._handle_beat)
+        peers.answers(messages.Heartbeat)(self._handle_beat)
 
     def start(self) -> None:
         """Start sending heartbeats and checking those of peers."""
@@ -175,7 +175,7 @@
             for endpoint in self._replica.current.endpoints
             if self.polls_endpoint(endpoint)
         ]
-        beat = messages.Beat(
+        beat = messages.Heartbeat(
             draining=self.draining,
             index=index,
             interval_ms=self._interval_ms,
@@ -218,7 +218,7 @@
         self._ticked_ms = self._clock.mono_ms()
 
     async def _handle_beat(
-        self, sender: ids.HostId, beat: messages.Beat
+        self, sender: ids.HostId, beat: messages.Heartbeat
     ) -> None:
         known = self._peer_states.get(sender)
         if known is None or known.suspected:
--- a/wrenspoke/protocol/messages.py
+++ b/wrenspoke/protocol/messages.py
@@ -29,7 +29,7 @@
     in_flight: int
 
 
-class Beat(msgspec.Struct, tag='beat'):
+class Heartbeat(msgspec.Struct, tag='beat'):
     """Tell the peers of a data centre that this host lives.
 
     ``interval_ms`` is when the next one is due at the latest.
@@ -295,7 +295,7 @@
 
 
 Message = typing.Union[
-    Beat,
+    Heartbeat,
     News,
     PassStanding,
     Ping,
