--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -30,7 +30,9 @@
     last_beat_ms: int
     draining: bool = False
     index: int = 0
-    busy: list[messages.Busy] = dataclasses.field(default_factory=list)
+    busy: list[messages.EndpointInFlight] = dataclasses.field(
+        default_factory=list
+    )
     suspicion_timeout_ms: int = 0
     suspected: bool = False
 
@@ -261,10 +263,10 @@
                     silence_ms=silence_ms,
                 )
 
-    def _draining_in_flight(self) -> list[messages.Busy]:
+    def _draining_in_flight(self) -> list[messages.EndpointInFlight]:
         """Return the requests in flight to endpoints that take no new work."""
         return [
-            messages.Busy(endpoint.endpoint, in_flight)
+            messages.EndpointInFlight(endpoint.endpoint, in_flight)
             for endpoint in self._replica.current.endpoints.values()
             if not self._replica.takes_work(endpoint)
             and (in_flight := self._limits.in_flight(endpoint.endpoint))
@@ -292,7 +294,10 @@
             ids.DataCentreId(self._host.data_centre),
             ids.RegionId(self._host.region),
             low_index,
-            [messages.Busy(name, count) for name, count in counts.items()],
+            [
+                messages.EndpointInFlight(name, count)
+                for name, count in counts.items()
+            ],
         )
 
     def peers_settled(self) -> bool:
--- a/wrenspoke/protocol/messages.py
+++ b/wrenspoke/protocol/messages.py
@@ -22,7 +22,7 @@
     age_ms: int
 
 
-class Busy(msgspec.Struct, array_like=True, frozen=True):
+class EndpointInFlight(msgspec.Struct, array_like=True, frozen=True):
     """State how many requests are at an endpoint that is to finish."""
 
     endpoint: ids.EndpointId
@@ -40,7 +40,7 @@
     interval_ms: int
     loads: list[LoadReport] = []
     leaving: list[ids.EndpointId] = []
-    busy: list[Busy] = []
+    busy: list[EndpointInFlight] = []
 
 
 class Standing(msgspec.Struct, array_like=True, frozen=True):
@@ -52,7 +52,7 @@
     data_centre: ids.DataCentreId
     region: ids.RegionId
     low_index: int
-    busy: list[Busy]
+    busy: list[EndpointInFlight]
 
 
 class PassStanding(msgspec.Struct, tag='standing'):
