--- a/wrenspoke/coordination/agreement/control_service.py
+++ b/wrenspoke/coordination/agreement/control_service.py
@@ -100,7 +100,9 @@
         delta.leader = self._voter.leader
         return delta
 
-    async def _forward_status(self, standing: messages.Standing) -> None:
+    async def _forward_status(
+        self, standing: messages.DataCentreStatus
+    ) -> None:
         """Forward a data centre's status to the leader if plans run."""
         elected = self._voter
         if elected.role is voter.Role.LEADER:
--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -54,7 +54,7 @@
 class ReceivedStatus:
     """The last status received from a data centre, and when."""
 
-    status: messages.Standing
+    status: messages.DataCentreStatus
     received_ms: int
 
 
@@ -95,7 +95,7 @@
         """Cancel all tasks."""
         await self._tasks.close()
 
-    def update_status(self, standing: messages.Standing) -> None:
+    def update_status(self, standing: messages.DataCentreStatus) -> None:
         """Record the status that a data centre has reported."""
         self._standings[standing.data_centre] = ReceivedStatus(
             standing, self._clock.mono_ms()
--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -272,7 +272,7 @@
             and (in_flight := self._limits.in_flight(endpoint.endpoint))
         ]
 
-    def data_centre_status(self) -> messages.Standing:
+    def data_centre_status(self) -> messages.DataCentreStatus:
         """Return the lowest index and the requests in flight at live hosts."""
         low_index = self._replica.current.index
         counts: dict[ids.EndpointId, int] = {}
@@ -290,7 +290,7 @@
         for busy in itertools.chain.from_iterable(busy_lists):
             count = counts.get(busy.endpoint, 0) + busy.in_flight
             counts[busy.endpoint] = count
-        return messages.Standing(
+        return messages.DataCentreStatus(
             ids.DataCentreId(self._host.data_centre),
             ids.RegionId(self._host.region),
             low_index,
--- a/wrenspoke/protocol/messages.py
+++ b/wrenspoke/protocol/messages.py
@@ -43,7 +43,7 @@
     busy: list[EndpointInFlight] = []
 
 
-class Standing(msgspec.Struct, array_like=True, frozen=True):
+class DataCentreStatus(msgspec.Struct, array_like=True, frozen=True):
     """State how far a data centre's entry hosts have come.
 
     ``low_index`` is the lowest configuration in force at any of them.
@@ -58,7 +58,7 @@
 class PassStanding(msgspec.Struct, tag='standing'):
     """Pass what a relay told on to the leader, while a plan needs it."""
 
-    standing: Standing
+    standing: DataCentreStatus
 
 
 class News(msgspec.Struct, tag='news'):
@@ -131,7 +131,7 @@
     """Ask for the changes after an index; relays tell their standing."""
 
     after: int
-    standing: Standing | None = None
+    standing: DataCentreStatus | None = None
 
 
 class ConfigurationDelta(msgspec.Struct, tag='delta'):
