--- a/wrenspoke/coordination/agreement/control_service.py
+++ b/wrenspoke/coordination/agreement/control_service.py
@@ -62,7 +62,7 @@
         self._relays: dict[ids.HostId, int] = {}
         self._tasks = runtime.Tasks()
         peers.answers(messages.PullConfiguration)(self._serve_pull)
-        peers.answers(messages.PassStanding)(self._handle_status)
+        peers.answers(messages.ForwardStatus)(self._handle_status)
 
     def start(self) -> None:
         """Start notifying relays of configuration changes."""
@@ -110,10 +110,12 @@
             return
         if elected.leader is None or not elected.state.running():
             return
-        await self._peers.tell(elected.leader, messages.PassStanding(standing))
+        await self._peers.tell(
+            elected.leader, messages.ForwardStatus(standing)
+        )
 
     async def _handle_status(
-        self, _sender: ids.HostId, message: messages.PassStanding
+        self, _sender: ids.HostId, message: messages.ForwardStatus
     ) -> None:
         self._executor.update_status(message.standing)
 
--- a/wrenspoke/protocol/messages.py
+++ b/wrenspoke/protocol/messages.py
@@ -55,7 +55,7 @@
     busy: list[EndpointInFlight]
 
 
-class PassStanding(msgspec.Struct, tag='standing'):
+class ForwardStatus(msgspec.Struct, tag='standing'):
     """Pass what a relay told on to the leader, while a plan needs it."""
 
     standing: DataCentreStatus
@@ -297,7 +297,7 @@
 Message = typing.Union[
     Heartbeat,
     News,
-    PassStanding,
+    ForwardStatus,
     Ping,
     Pong,
     AskLeases,
