--- a/wrenspoke/coordination/agreement/control_service.py
+++ b/wrenspoke/coordination/agreement/control_service.py
@@ -87,7 +87,7 @@
                 if now_ms - pulled_ms > RELAY_EXPIRY_MS:
                     del self._relays[host]
                     continue
-                await self._peers.tell(host, messages.News(index))
+                await self._peers.tell(host, messages.UpdateAvailable(index))
 
     async def _serve_pull(
         self, sender: ids.HostId, message: messages.PullConfiguration
--- a/wrenspoke/coordination/membership/configuration_puller.py
+++ b/wrenspoke/coordination/membership/configuration_puller.py
@@ -57,7 +57,7 @@
         self._leader: ids.HostId | None = None
         self._tasks = runtime.Tasks()
         peers.answers(messages.PullConfiguration)(self._handle_pull)
-        peers.answers(messages.News)(self._handle_news)
+        peers.answers(messages.UpdateAvailable)(self._handle_news)
 
     def start(self) -> None:
         """Start pulling; without control hosts serve the settings alone."""
@@ -156,7 +156,7 @@
                 return
 
     async def _handle_news(
-        self, _sender: ids.HostId, news: messages.News
+        self, _sender: ids.HostId, news: messages.UpdateAvailable
     ) -> None:
         if news.index > self._replica.current.index:
             self._members.update_available.set()
--- a/wrenspoke/protocol/messages.py
+++ b/wrenspoke/protocol/messages.py
@@ -61,7 +61,7 @@
     standing: DataCentreStatus
 
 
-class News(msgspec.Struct, tag='news'):
+class UpdateAvailable(msgspec.Struct, tag='news'):
     """Tell a relay that there is something newer to pull."""
 
     index: int
@@ -296,7 +296,7 @@
 
 Message = typing.Union[
     Heartbeat,
-    News,
+    UpdateAvailable,
     ForwardStatus,
     Ping,
     Pong,
