--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -15,7 +15,7 @@
 
 HOST = test_registry.record('h', region='south')
 SERVICE = routes.RoutedService('s', '/', 10, batch=routes.Batch(8, 90_000))
-OFFER = messages.Offer('s', 100.0, 0.02, 40.0, 40.0, 2)
+OFFER = messages.ServiceOffer('s', 100.0, 0.02, 40.0, 40.0, 2)
 CALL = dialects.Call(
     'q',
     'GET',
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -332,7 +332,7 @@
             )
         )
 
-    def build_offers(self) -> list[messages.Offer]:
+    def build_offers(self) -> list[messages.ServiceOffer]:
         """Return the offers for each service to be sent to other regions."""
         services = self._replica.current.routes.services.values()
         made = [self._build_offer(service) for service in services]
@@ -340,7 +340,7 @@
 
     def _build_offer(
         self, service: routes.RoutedService
-    ) -> messages.Offer | None:
+    ) -> messages.ServiceOffer | None:
         found = self._availability.healthy_endpoints(
             service.service, self._region
         )
@@ -379,7 +379,7 @@
             usual_ms, present_ms = self._estimator.pace.forecast(
                 name, service.batch.event_tokens
             )
-        return messages.Offer(
+        return messages.ServiceOffer(
             service.service,
             wait_ms,
             token_ms,
--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -126,13 +126,13 @@
 
     def relay_offers(
         self, unreachable: list[ids.RegionId]
-    ) -> dict[ids.RegionId, list[messages.Offer]]:
+    ) -> dict[ids.RegionId, list[messages.ServiceOffer]]:
         """Return the offers of regions that a remote host can't reach.
 
         The remote host may relay calls through this one, so that the round
         trip from here is added to the waits.
         """
-        found: dict[ids.RegionId, list[messages.Offer]] = {}
+        found: dict[ids.RegionId, list[messages.ServiceOffer]] = {}
         for region in unreachable:
             for host in self._remote_hosts.reachable(region):
                 remote = self._latest_status(host)
@@ -208,7 +208,7 @@
         self,
         region: ids.RegionId,
         remote: host_pinger.RemoteState | region_views.RegionView,
-        found: messages.Offer,
+        found: messages.ServiceOffer,
     ) -> float:
         """Return the wait due to forwarded calls newer than the offer."""
         passed = self._forwarded.get(region)
@@ -268,8 +268,8 @@
 
 
 def _offer_of(
-    offers: list[messages.Offer] | None, service: ids.ServiceId
-) -> messages.Offer | None:
+    offers: list[messages.ServiceOffer] | None, service: ids.ServiceId
+) -> messages.ServiceOffer | None:
     for found in offers or ():
         if found.service == service:
             return found
--- a/wrenspoke/protocol/messages.py
+++ b/wrenspoke/protocol/messages.py
@@ -95,7 +95,7 @@
     cut_off: list[ids.RegionId] = []
 
 
-class Offer(msgspec.Struct, array_like=True, frozen=True):
+class ServiceOffer(msgspec.Struct, array_like=True, frozen=True):
     """State what a call to a service would find in a region.
 
     ``wait_ms`` is when a call without a prompt is expected to give its
@@ -123,8 +123,8 @@
     draining: bool
     serving: bool = True
     index: int = 0
-    offers: list[Offer] | None = None
-    relayed: dict[ids.RegionId, list[Offer]] = {}
+    offers: list[ServiceOffer] | None = None
+    relayed: dict[ids.RegionId, list[ServiceOffer]] = {}
 
 
 class PullConfiguration(msgspec.Struct, tag='pull'):
