--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -71,7 +71,7 @@
     def _register_handlers(self) -> None:
         self._peers.answers(messages.Prepare)(self._handle_prepare)
         self._peers.answers(messages.Accept)(self._handle_accept)
-        self._peers.answers(messages.Recall)(self._handle_recall)
+        self._peers.answers(messages.RecoverLedger)(self._handle_recall)
 
     def start(self) -> None:
         """Start recovery from the other replicas and expiry of old claims."""
@@ -228,7 +228,7 @@
         return messages.LedgerVote(self._vote_locally(message))
 
     async def _handle_recall(
-        self, sender: ids.HostId, message: messages.Recall
+        self, sender: ids.HostId, message: messages.RecoverLedger
     ) -> messages.Message:
         if self._registers is None:
             return messages.Refusal('no ledger on this host')
@@ -289,7 +289,7 @@
         try:
             answer = await self._peers.call(
                 host,
-                messages.Recall(epoch, after),
+                messages.RecoverLedger(epoch, after),
                 RECALL_TIMEOUT_MS,
             )
         except protocol_errors.ProtocolError:
--- a/wrenspoke/protocol/messages.py
+++ b/wrenspoke/protocol/messages.py
@@ -174,7 +174,7 @@
     vote: registers.Vote
 
 
-class Recall(msgspec.Struct, tag='recall'):
+class RecoverLedger(msgspec.Struct, tag='recall'):
     """Ask for a part of the ledger's memory after a restart.
 
     The part follows the key ``after``, given by issue time and name.
@@ -307,7 +307,7 @@
     Prepare,
     Accept,
     LedgerVote,
-    Recall,
+    RecoverLedger,
     Recollection,
     Hello,
     HelloReply,
