--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -233,7 +233,7 @@
         if self._registers is None:
             return messages.Refusal('no ledger on this host')
         memory = self._registers.remember(sender, message.epoch, message.after)
-        return messages.Recollection(memory)
+        return messages.RecoverLedgerReply(memory)
 
     async def _recover(self) -> None:
         others = [host for host in self._members if host != self._host]
@@ -294,7 +294,7 @@
             )
         except protocol_errors.ProtocolError:
             return None
-        if not isinstance(answer, messages.Recollection):
+        if not isinstance(answer, messages.RecoverLedgerReply):
             return None
         return answer.memory
 
--- a/wrenspoke/protocol/messages.py
+++ b/wrenspoke/protocol/messages.py
@@ -184,7 +184,7 @@
     after: tuple[int, str] = registers.FIRST
 
 
-class Recollection(msgspec.Struct, tag='recollection'):
+class RecoverLedgerReply(msgspec.Struct, tag='recollection'):
     """Answer a recall."""
 
     memory: registers.Memory
@@ -308,7 +308,7 @@
     Accept,
     LedgerVote,
     RecoverLedger,
-    Recollection,
+    RecoverLedgerReply,
     Hello,
     HelloReply,
     AskVote,
