--- a/wrenspoke/coordination/agreement/vote_tally.py
+++ b/wrenspoke/coordination/agreement/vote_tally.py
@@ -47,7 +47,7 @@
             )
         )
 
-    def log_lost(self, request: messages.AskVote, silence_ms: int) -> None:
+    def log_lost(self, request: messages.RequestVote, silence_ms: int) -> None:
         """Log which hosts granted, refused or did not answer the request.
 
         :param silence_ms: the time since the last contact with a leader
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -131,7 +131,7 @@
         self.state = replicated.ReplicatedState()
         self._load_snapshot()
         self.commit(store.known_committed())
-        peers.answers(messages.AskVote)(self._handle_vote_request)
+        peers.answers(messages.RequestVote)(self._handle_vote_request)
         peers.answers(messages.Append)(self._handle_append)
         peers.answers(messages.Install)(self._handle_install)
         peers.answers(discovery_messages.ConfirmIndex)(
@@ -310,7 +310,7 @@
         :param pre: whether to run a pre-vote, which leaves the term as it is
         """
         term = self.term + 1 if pre else self.term
-        message = messages.AskVote(
+        message = messages.RequestVote(
             term,
             self.incarnation,
             self.storage.last_index,
@@ -349,7 +349,7 @@
         return votes.won
 
     async def _request_vote(
-        self, host: ids.HostId, message: messages.AskVote
+        self, host: ids.HostId, message: messages.RequestVote
     ) -> tuple[ids.HostId, messages.VoteReply | None]:
         answer = await self.call(host, message)
         if isinstance(answer, messages.VoteReply):
@@ -371,7 +371,7 @@
 
     @_refuse_if_disk_full
     async def _handle_vote_request(
-        self, sender: ids.HostId, message: messages.AskVote
+        self, sender: ids.HostId, message: messages.RequestVote
     ) -> messages.VoteReply:
         refused = self._vote_refusal(message)
         if refused is None and message.pre:
@@ -399,7 +399,7 @@
         return None
 
     def _vote_refusal(
-        self, message: messages.AskVote
+        self, message: messages.RequestVote
     ) -> messages.VoteRefusal | None:
         """Return why this host must refuse its vote, None if it may grant it.
 
--- a/wrenspoke/protocol/messages.py
+++ b/wrenspoke/protocol/messages.py
@@ -208,7 +208,7 @@
     known_boot: int
 
 
-class AskVote(msgspec.Struct, tag='ask_vote'):
+class RequestVote(msgspec.Struct, tag='ask_vote'):
     """Ask for a vote; ``pre`` only asks whether it would be given."""
 
     term: int
@@ -311,7 +311,7 @@
     RecoverLedgerReply,
     Hello,
     HelloReply,
-    AskVote,
+    RequestVote,
     VoteReply,
     Append,
     AppendReply,
