--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -244,12 +244,12 @@
         system = group.Group()
         leader, voter, known_ms = await confirmed_follower(system)
         later_ms = known_ms + 5_000
-        other = messages.Moment('another life', later_ms)
+        other = messages.LocalTimestamp('another life', later_ms)
         await voter._handle_append(
             leader.name, heartbeat_message(voter, other)
         )
         assert voter._confirmed_ms == known_ms
-        own = messages.Moment(voter._instance_id, later_ms)
+        own = messages.LocalTimestamp(voter._instance_id, later_ms)
         await voter._handle_append(leader.name, heartbeat_message(voter, own))
         assert voter._confirmed_ms == later_ms
         await system.close()
@@ -261,7 +261,7 @@
     async def play():
         system = group.Group()
         leader, voter, known_ms = await confirmed_follower(system)
-        moment = messages.Moment(voter._instance_id, known_ms + 5_000)
+        moment = messages.LocalTimestamp(voter._instance_id, known_ms + 5_000)
         await voter._handle_append(
             leader.name, heartbeat_message(voter, moment, ahead=1)
         )
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -109,7 +109,7 @@
 
     def step(self):
         if self.world.now_ms % 200 == 0:
-            moment = messages.Moment(self.life, self.clock.mono_ms())
+            moment = messages.LocalTimestamp(self.life, self.clock.mono_ms())
             self.world.wire.send(self, self.world.leader, ('reply', moment))
         now_ms = self.clock.mono_ms()
         for one in list(self.waiting):
--- a/wrenspoke/coordination/agreement/followers.py
+++ b/wrenspoke/coordination/agreement/followers.py
@@ -21,5 +21,5 @@
         self.incarnation: ids.Incarnation | None = None
         self.location: locations.Location | None = None
         self.acked_ms: int | None = None
-        self.moment: messages.Moment | None = None
+        self.moment: messages.LocalTimestamp | None = None
         self.has_new_entries = asyncio.Event()
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -572,7 +572,7 @@
             last_index,
             self.incarnation,
             self.location,
-            messages.Moment(self._instance_id, self.clock.mono_ms()),
+            messages.LocalTimestamp(self._instance_id, self.clock.mono_ms()),
         )
 
     @_refuse_if_disk_full
--- a/wrenspoke/protocol/messages.py
+++ b/wrenspoke/protocol/messages.py
@@ -239,7 +239,7 @@
     refused: VoteRefusal | None = None
 
 
-class Moment(msgspec.Struct, array_like=True, frozen=True):
+class LocalTimestamp(msgspec.Struct, array_like=True, frozen=True):
     """Name a moment by a host's own clock, in one of its lives.
 
     It means nothing to others, who give it back as it was.
@@ -262,7 +262,7 @@
     previous_term: int
     commit: int
     added: list[entries.LogEntry] = []
-    confirmed: Moment | None = None
+    confirmed: LocalTimestamp | None = None
 
 
 class AppendReply(msgspec.Struct, tag='append_reply'):
@@ -278,7 +278,7 @@
     last_index: int
     incarnation: ids.Incarnation
     location: locations.Location | None = None
-    moment: Moment | None = None
+    moment: LocalTimestamp | None = None
 
 
 class Install(msgspec.Struct, tag='install'):
