--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -275,7 +275,7 @@
             msgspec.msgpack.encode(entries.LogEntry(1, 1, entry))
         ),
         'idle_append_bytes': len(
-            msgspec.msgpack.encode(messages.Append(7, 2800, 7, 2800))
+            msgspec.msgpack.encode(messages.AppendEntries(7, 2800, 7, 2800))
         )
         + ENVELOPE_BYTES,
         'snapshots': [],
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -16,7 +16,7 @@
 
 def carries_voters(message):
     """Return whether a message replicates a voter change."""
-    if not isinstance(message, messages.Append):
+    if not isinstance(message, messages.AppendEntries):
         return False
     return any(
         isinstance(item.entry, entries.SetVoters) for item in message.added
@@ -220,7 +220,7 @@
     ``ahead`` is added to the commit index.
     """
     kept = voter.storage
-    return messages.Append(
+    return messages.AppendEntries(
         voter.term,
         kept.last_index,
         kept.last_term,
--- a/wrenspoke/coordination/agreement/leadership.py
+++ b/wrenspoke/coordination/agreement/leadership.py
@@ -187,12 +187,12 @@
 
     def _next_message(
         self, follower: followers.Follower
-    ) -> messages.Append | messages.Install:
+    ) -> messages.AppendEntries | messages.Install:
         previous = follower.next_index - 1
         previous_term = self._node.storage.term_at(previous)
         if previous_term is None:
             return messages.Install(self.term, self._node.storage.snapshot)
-        return messages.Append(
+        return messages.AppendEntries(
             self.term,
             previous,
             previous_term,
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -132,7 +132,7 @@
         self._load_snapshot()
         self.commit(store.known_committed())
         peers.answers(messages.RequestVote)(self._handle_vote_request)
-        peers.answers(messages.Append)(self._handle_append)
+        peers.answers(messages.AppendEntries)(self._handle_append)
         peers.answers(messages.Install)(self._handle_install)
         peers.answers(discovery_messages.ConfirmIndex)(
             self._handle_confirm_index
@@ -577,7 +577,7 @@
 
     @_refuse_if_disk_full
     async def _handle_append(
-        self, sender: ids.HostId, message: messages.Append
+        self, sender: ids.HostId, message: messages.AppendEntries
     ) -> messages.AppendReply:
         if not self._accept_leader(sender, message.term):
             return self._append_reply(False, self.storage.last_index)
@@ -594,7 +594,7 @@
         self._update_confirmed_ms(message)
         return self._append_reply(True, matched)
 
-    def _update_confirmed_ms(self, message: messages.Append) -> None:
+    def _update_confirmed_ms(self, message: messages.AppendEntries) -> None:
         """Record the time that a leader's message confirms.
 
         Times of another process instance are ignored, because the clock may
--- a/wrenspoke/protocol/messages.py
+++ b/wrenspoke/protocol/messages.py
@@ -249,7 +249,7 @@
     at_ms: int
 
 
-class Append(msgspec.Struct, tag='append'):
+class AppendEntries(msgspec.Struct, tag='append'):
     """Send log entries, or just a heartbeat, from the leader.
 
     ``confirmed`` is a moment that the follower told before: nothing was
@@ -313,7 +313,7 @@
     HelloReply,
     RequestVote,
     VoteReply,
-    Append,
+    AppendEntries,
     AppendReply,
     Install,
     Refusal,
