--- a/wrenspoke/coordination/agreement/leadership.py
+++ b/wrenspoke/coordination/agreement/leadership.py
@@ -187,11 +187,13 @@
 
     def _next_message(
         self, follower: followers.Follower
-    ) -> messages.AppendEntries | messages.Install:
+    ) -> messages.AppendEntries | messages.InstallSnapshot:
         previous = follower.next_index - 1
         previous_term = self._node.storage.term_at(previous)
         if previous_term is None:
-            return messages.Install(self.term, self._node.storage.snapshot)
+            return messages.InstallSnapshot(
+                self.term, self._node.storage.snapshot
+            )
         return messages.AppendEntries(
             self.term,
             previous,
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -133,7 +133,7 @@
         self.commit(store.known_committed())
         peers.answers(messages.RequestVote)(self._handle_vote_request)
         peers.answers(messages.AppendEntries)(self._handle_append)
-        peers.answers(messages.Install)(self._handle_install)
+        peers.answers(messages.InstallSnapshot)(self._handle_install)
         peers.answers(discovery_messages.ConfirmIndex)(
             self._handle_confirm_index
         )
@@ -640,7 +640,7 @@
 
     @_refuse_if_disk_full
     async def _handle_install(
-        self, sender: ids.HostId, message: messages.Install
+        self, sender: ids.HostId, message: messages.InstallSnapshot
     ) -> messages.AppendReply:
         if not self._accept_leader(sender, message.term):
             return self._append_reply(False, self.storage.last_index)
--- a/wrenspoke/protocol/messages.py
+++ b/wrenspoke/protocol/messages.py
@@ -281,7 +281,7 @@
     moment: LocalTimestamp | None = None
 
 
-class Install(msgspec.Struct, tag='install'):
+class InstallSnapshot(msgspec.Struct, tag='install'):
     """Send a whole snapshot in place of entries that are gone."""
 
     term: int
@@ -315,6 +315,6 @@
     VoteReply,
     AppendEntries,
     AppendReply,
-    Install,
+    InstallSnapshot,
     Refusal,
 ]
