--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -416,7 +416,7 @@
         if message.term < self.term:
             return messages.VoteRefusal.OLD_TERM
         if self._has_leader_contact():
-            return messages.VoteRefusal.LEADER_HEARD
+            return messages.VoteRefusal.LEADER_ACTIVE
         if self.has_lease:
             return messages.VoteRefusal.LEADS
         if message.pre and message.term <= self.term:
--- a/wrenspoke/protocol/messages.py
+++ b/wrenspoke/protocol/messages.py
@@ -224,7 +224,7 @@
     NOT_CLEARED = 'not_cleared'
     NO_VOTE = 'no_vote'
     OLD_TERM = 'old_term'
-    LEADER_HEARD = 'leader_heard'
+    LEADER_ACTIVE = 'leader_heard'
     LEADS = 'leads'
     LOG_BEHIND = 'log_behind'
     VOTED = 'voted'
