--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -418,7 +418,7 @@
         if self._has_leader_contact():
             return messages.VoteRefusal.LEADER_ACTIVE
         if self.has_lease:
-            return messages.VoteRefusal.LEADS
+            return messages.VoteRefusal.IS_LEADER
         if message.pre and message.term <= self.term:
             return messages.VoteRefusal.OLD_TERM
         theirs = (message.last_term, message.last_index)
--- a/wrenspoke/protocol/messages.py
+++ b/wrenspoke/protocol/messages.py
@@ -225,7 +225,7 @@
     NO_VOTE = 'no_vote'
     OLD_TERM = 'old_term'
     LEADER_ACTIVE = 'leader_heard'
-    LEADS = 'leads'
+    IS_LEADER = 'leads'
     LOG_BEHIND = 'log_behind'
     VOTED = 'voted'
 
