--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -34,7 +34,7 @@
             confirmed=self.confirmed,
             whole=configuration.Configuration(index=self.index),
         )
-        return discovery_messages.Attended(
+        return discovery_messages.AttendReply(
             self.confirmed,
             True,
             'life',
--- a/wrenspoke/coordination/membership/discovery_client.py
+++ b/wrenspoke/coordination/membership/discovery_client.py
@@ -305,7 +305,7 @@
             answer = await self._peers.call(host, message, CALL_TIMEOUT_MS)
         except protocol_errors.ProtocolError:
             return False
-        if not isinstance(answer, discovery_messages.Attended):
+        if not isinstance(answer, discovery_messages.AttendReply):
             return False
         if session.host == host:
             try:
@@ -317,7 +317,7 @@
         return True
 
     def _apply_answer(
-        self, session: _Session, answer: discovery_messages.Attended
+        self, session: _Session, answer: discovery_messages.AttendReply
     ) -> None:
         self._group.record_contact(session.host)
         self._group.add_contacts(answer.controls)
@@ -337,7 +337,7 @@
         session.hosts_revision = answer.hosts_revision
 
     def _renew_lease(
-        self, answer: discovery_messages.Attended, asked_ms: int
+        self, answer: discovery_messages.AttendReply, asked_ms: int
     ) -> None:
         """Renew the lease by as much as an answer proves.
 
@@ -350,7 +350,7 @@
         self.lease.confirm(asked_ms + answer.held_ms - age_ms)
 
     def _update_leader(
-        self, via_host: ids.HostId, answer: discovery_messages.Attended
+        self, via_host: ids.HostId, answer: discovery_messages.AttendReply
     ) -> None:
         """Store the leader, unless a lagging host reports an older term."""
         if answer.leader is None:
@@ -375,7 +375,7 @@
             if not any(host in one.hosts for one in self._sessions):
                 self.roster.remove_host(host)
 
-    def _serve_if_ready(self, answer: discovery_messages.Attended) -> None:
+    def _serve_if_ready(self, answer: discovery_messages.AttendReply) -> None:
         """Start serving once a leader has confirmed, or after a wait.
 
         A partitioned region has no leader and still has to serve.
--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -157,7 +157,7 @@
 
     async def _handle_attend(
         self, sender: ids.HostId, message: discovery_messages.Attend
-    ) -> discovery_messages.Attended:
+    ) -> discovery_messages.AttendReply:
         if self.roster.merge_record(message.record):
             self._control_sync.request_sync()
         wait_ms = min(message.wait_ms, MAX_WAIT_MS)
@@ -195,7 +195,7 @@
 
     def _build_answer(
         self, message: discovery_messages.Attend, held_ms: int
-    ) -> discovery_messages.Attended:
+    ) -> discovery_messages.AttendReply:
         endpoints_revision = hosts_revision = 0
         if message.life == self._instance_id:
             endpoints_revision = message.endpoints_revision
@@ -203,7 +203,7 @@
         hosts = None
         if self.roster.revision > hosts_revision:
             hosts = self.roster.changes_since(hosts_revision)
-        return discovery_messages.Attended(
+        return discovery_messages.AttendReply(
             self._voter.has_lease,
             self._voter.has_leader,
             self._instance_id,
--- a/wrenspoke/protocol/discovery_messages.py
+++ b/wrenspoke/protocol/discovery_messages.py
@@ -81,7 +81,7 @@
     wait_ms: int
 
 
-class Attended(msgspec.Struct, tag='attended'):
+class AttendReply(msgspec.Struct, tag='attended'):
     """Answer an attending host with what it does not hold yet.
 
     ``confirmed`` says that nothing accepted was newer when this was sent,
--- a/wrenspoke/protocol/peers.py
+++ b/wrenspoke/protocol/peers.py
@@ -21,7 +21,7 @@
 Message = typing.Union[
     messages.Message,
     discovery_messages.Attend,
-    discovery_messages.Attended,
+    discovery_messages.AttendReply,
     discovery_messages.Exchange,
     discovery_messages.Exchanged,
     discovery_messages.ConfirmIndex,
