--- a/tests/group.py
+++ b/tests/group.py
@@ -284,7 +284,7 @@
 
     async def _answer_exchange(self, sender, _message):
         self._group.record_contact(sender)
-        return discovery_messages.Exchanged()
+        return discovery_messages.ExchangeReply()
 
     async def close(self):
         await self.peers.close()
--- a/wrenspoke/coordination/membership/control_sync.py
+++ b/wrenspoke/coordination/membership/control_sync.py
@@ -151,7 +151,7 @@
             answer = await self._peers.call(host, message, EXCHANGE_TIMEOUT_MS)
         except protocol_errors.ProtocolError:
             return progress
-        if not isinstance(answer, discovery_messages.Exchanged):
+        if not isinstance(answer, discovery_messages.ExchangeReply):
             return progress
         self._group.record_contact(host)
         if answer.unknown or progress.instance_id not in ('', answer.life):
@@ -222,7 +222,7 @@
 
     async def _handle_exchange(
         self, sender: ids.HostId, message: discovery_messages.Exchange
-    ) -> discovery_messages.Exchanged:
+    ) -> discovery_messages.ExchangeReply:
         self._group.record_contact(sender)
         self._regions[sender] = message.region
         before = (self._endpoints.revision, self._hosts.revision)
@@ -247,7 +247,7 @@
             self._on_endpoints_changed()
         if (self._endpoints.revision, self._hosts.revision) != before:
             self.request_sync()
-        return discovery_messages.Exchanged(
+        return discovery_messages.ExchangeReply(
             self._instance_id,
             self._group.seen_within(CONTACT_WINDOW_MS),
             unknown,
--- a/wrenspoke/protocol/discovery_messages.py
+++ b/wrenspoke/protocol/discovery_messages.py
@@ -160,7 +160,7 @@
     region: ids.RegionId = ids.RegionId('')
 
 
-class Exchanged(msgspec.Struct, tag='exchanged'):
+class ExchangeReply(msgspec.Struct, tag='exchanged'):
     """Answer an exchange: everything in it has been taken.
 
     ``life`` tells one life of the control host from another, ``heard``
--- a/wrenspoke/protocol/peers.py
+++ b/wrenspoke/protocol/peers.py
@@ -23,7 +23,7 @@
     discovery_messages.Attend,
     discovery_messages.AttendReply,
     discovery_messages.Exchange,
-    discovery_messages.Exchanged,
+    discovery_messages.ExchangeReply,
     discovery_messages.ConfirmIndex,
     discovery_messages.IndexConfirmed,
     discovery_messages.TellRegion,
