--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -441,7 +441,7 @@
         answer = await self.call(
             self.leader, discovery_messages.ConfirmIndex()
         )
-        if not isinstance(answer, discovery_messages.IndexConfirmed):
+        if not isinstance(answer, discovery_messages.ConfirmIndexReply):
             self._log_unconfirmed_index('leader gave no answer')
             return None
         if answer.index is None:
@@ -464,8 +464,8 @@
 
     async def _handle_confirm_index(
         self, _sender: ids.HostId, _message: discovery_messages.ConfirmIndex
-    ) -> discovery_messages.IndexConfirmed:
-        return discovery_messages.IndexConfirmed(
+    ) -> discovery_messages.ConfirmIndexReply:
+        return discovery_messages.ConfirmIndexReply(
             self.commit_index if self.has_lease else None
         )
 
--- a/wrenspoke/protocol/discovery_messages.py
+++ b/wrenspoke/protocol/discovery_messages.py
@@ -177,7 +177,7 @@
     """Ask a leader up to which index everything was accepted."""
 
 
-class IndexConfirmed(msgspec.Struct, tag='index_confirmed'):
+class ConfirmIndexReply(msgspec.Struct, tag='index_confirmed'):
     """Answer with the index, None from a host that does not lead."""
 
     index: int | None
--- a/wrenspoke/protocol/peers.py
+++ b/wrenspoke/protocol/peers.py
@@ -25,7 +25,7 @@
     discovery_messages.Exchange,
     discovery_messages.ExchangeReply,
     discovery_messages.ConfirmIndex,
-    discovery_messages.IndexConfirmed,
+    discovery_messages.ConfirmIndexReply,
     discovery_messages.TellRegion,
     discovery_messages.TellSent,
     discovery_messages.Withdraw,
