--- a/wrenspoke/coordination/serving/sent_call_broadcast.py
+++ b/wrenspoke/coordination/serving/sent_call_broadcast.py
@@ -61,7 +61,7 @@
         self._own_added = asyncio.Event()
         self._tasks = runtime.Tasks()
         pollers.add_listener(self._on_region_message)
-        peers.answers(discovery_messages.TellSent)(self._on_sent_calls)
+        peers.answers(discovery_messages.ReportSentCalls)(self._on_sent_calls)
 
     def subscribe(self, listener: Listener) -> None:
         """Call ``listener`` with every call that another host sent."""
@@ -116,11 +116,13 @@
                 if collector == self._host:
                     self._enqueue_collected(items)
                     continue
-                message = discovery_messages.TellSent(self._with_ages(items))
+                message = discovery_messages.ReportSentCalls(
+                    self._with_ages(items)
+                )
                 await self._peers.tell(ids.HostId(collector), message)
 
     async def _on_sent_calls(
-        self, _sender: ids.HostId, message: discovery_messages.TellSent
+        self, _sender: ids.HostId, message: discovery_messages.ReportSentCalls
     ) -> None:
         now_ms = self._clock.mono_ms()
         self._notify_listeners(message.calls)
--- a/wrenspoke/protocol/discovery_messages.py
+++ b/wrenspoke/protocol/discovery_messages.py
@@ -219,7 +219,7 @@
     own_tokens: int = 0
 
 
-class TellSent(msgspec.Struct, tag='tell_sent'):
+class ReportSentCalls(msgspec.Struct, tag='tell_sent'):
     """Tell the host that collects them which calls were sent."""
 
     calls: list[SentCall]
--- a/wrenspoke/protocol/peers.py
+++ b/wrenspoke/protocol/peers.py
@@ -27,7 +27,7 @@
     discovery_messages.ConfirmIndex,
     discovery_messages.ConfirmIndexReply,
     discovery_messages.TellRegion,
-    discovery_messages.TellSent,
+    discovery_messages.ReportSentCalls,
     discovery_messages.Withdraw,
     discovery_messages.EndpointLeaves,
     limiting.AskShares,
