--- a/tests/backoff_fleet.py
+++ b/tests/backoff_fleet.py
@@ -102,7 +102,7 @@
 
     async def _gossip_backoffs(self, backoffs):
         await self.askers.broadcast(
-            discovery_messages.TellRegion(backoffs=backoffs)
+            discovery_messages.RegionGossip(backoffs=backoffs)
         )
 
     def may_choose(self, engine):
--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -191,7 +191,7 @@
 
     async def _gossip(self, limits):
         await self.askers.broadcast(
-            discovery_messages.TellRegion(limits=limits)
+            discovery_messages.RegionGossip(limits=limits)
         )
 
     def may_choose(self, engine):
--- a/tests/test_region_pollers.py
+++ b/tests/test_region_pollers.py
@@ -66,7 +66,7 @@
     asking = asking_hosts(region)
     assert len(asking) == region_pollers.MIN_POLLERS
     [first, *_others] = asking
-    await region.made[first].broadcast(discovery_messages.TellRegion([]))
+    await region.made[first].broadcast(discovery_messages.RegionGossip([]))
     assert region.told == {host: 1 for host in region.made if host != first}
     assert max(region.sent.values()) <= count**0.5 + 1
 
@@ -79,7 +79,7 @@
     others = sorted({*region.made} - {teller})
     for share in region_pollers.relay_groups(others)[:2]:
         region.lost |= {*share[:2]}
-    await region.made[teller].broadcast(discovery_messages.TellRegion([]))
+    await region.made[teller].broadcast(discovery_messages.RegionGossip([]))
     assert region.told == {host: 1 for host in {*others} - region.lost}
 
 
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -14,7 +14,7 @@
 
 OWN = locations.Location('north', 'hall')
 PING = msgspec.msgpack.encode(messages.Ping())
-TOLD = msgspec.msgpack.encode(discovery_messages.TellRegion([]))
+TOLD = msgspec.msgpack.encode(discovery_messages.RegionGossip([]))
 DISTANCE = traffic.Distance
 
 
--- a/tests/test_warmth.py
+++ b/tests/test_warmth.py
@@ -35,7 +35,7 @@
     )
     status = discovery_messages.WarmupStatus(endpoint.said.endpoint, 500)
     [listener] = asking._listeners
-    listener(discovery_messages.TellRegion(warm=[status]))
+    listener(discovery_messages.RegionGossip(warm=[status]))
     warm_ms = clock.now_ms + 500
     clock.now_ms += before_ms
     made.start_probes([endpoint])
--- a/wrenspoke/coordination/limiting/endpoint_gate.py
+++ b/wrenspoke/coordination/limiting/endpoint_gate.py
@@ -27,7 +27,7 @@
 
 Exists = collections.abc.Callable[[limiting.EndpointLife], bool]
 GossipToRegion = collections.abc.Callable[
-    [discovery_messages.TellRegion], collections.abc.Awaitable[None]
+    [discovery_messages.RegionGossip], collections.abc.Awaitable[None]
 ]
 
 
@@ -45,15 +45,15 @@
         leaving_ttl_ms: int | None = None,
     ):
         async def gossip_limits(limits: list[limiting.EndpointLimit]) -> None:
-            await gossip(discovery_messages.TellRegion(limits=limits))
+            await gossip(discovery_messages.RegionGossip(limits=limits))
 
         async def gossip_backoffs(
             backoffs: list[limiting.EndpointBackoff],
         ) -> None:
-            await gossip(discovery_messages.TellRegion(backoffs=backoffs))
+            await gossip(discovery_messages.RegionGossip(backoffs=backoffs))
 
         async def gossip_leaving(lives: list[limiting.EndpointLife]) -> None:
-            await gossip(discovery_messages.TellRegion(leaving=lives))
+            await gossip(discovery_messages.RegionGossip(leaving=lives))
 
         self._clock = clock
         self.limits = endpoint_limits.EndpointLimits(
@@ -81,7 +81,7 @@
         await self.backoffs.close()
         await self.leaving.close()
 
-    def merge(self, message: discovery_messages.TellRegion) -> None:
+    def merge(self, message: discovery_messages.RegionGossip) -> None:
         """Merge the state that another host of the region gossiped."""
         self.limits.merge(message.limits)
         self.backoffs.merge(message.backoffs)
--- a/wrenspoke/coordination/membership/engine_loads.py
+++ b/wrenspoke/coordination/membership/engine_loads.py
@@ -170,7 +170,7 @@
             self._views.record_status(status)
         if heard or statuses:
             await self._pollers.broadcast(
-                discovery_messages.TellRegion(heard, statuses)
+                discovery_messages.RegionGossip(heard, statuses)
             )
 
     def _assigned_engines(
@@ -251,7 +251,9 @@
         self._on_answer(said.address, asked_ms)
         return load
 
-    def _merge_broadcast(self, message: discovery_messages.TellRegion) -> None:
+    def _merge_broadcast(
+        self, message: discovery_messages.RegionGossip
+    ) -> None:
         now_ms = self._clock.mono_ms()
         for status in message.regions:
             self._views.record_status(status)
--- a/wrenspoke/coordination/membership/region_pollers.py
+++ b/wrenspoke/coordination/membership/region_pollers.py
@@ -21,7 +21,7 @@
 ENGINES_PER_POLLER = 16
 # Polling must go on when one poller fails.
 MIN_POLLERS = 2
-Listener = collections.abc.Callable[[discovery_messages.TellRegion], None]
+Listener = collections.abc.Callable[[discovery_messages.RegionGossip], None]
 
 
 class RosterHost(typing.Protocol):
@@ -64,14 +64,14 @@
         self._listeners: list[Listener] = []
         # Engines of the region, as last counted by this host.
         self.engine_count = 0
-        peers.answers(discovery_messages.TellRegion)(self._handle_broadcast)
+        peers.answers(discovery_messages.RegionGossip)(self._handle_broadcast)
 
     def add_listener(self, listener: Listener) -> None:
         """Call ``listener`` with every broadcast from other hosts."""
         self._listeners.append(listener)
 
     async def _handle_broadcast(
-        self, _sender: ids.HostId, message: discovery_messages.TellRegion
+        self, _sender: ids.HostId, message: discovery_messages.RegionGossip
     ) -> None:
         for listener in self._listeners:
             listener(message)
@@ -131,7 +131,9 @@
     def _usable_hosts(self) -> list[RosterHost]:
         return self._roster.usable(self._region)
 
-    async def broadcast(self, message: discovery_messages.TellRegion) -> None:
+    async def broadcast(
+        self, message: discovery_messages.RegionGossip
+    ) -> None:
         """Send a message to the other hosts of the region, through relays.
 
         If the first host of a relay group can't be reached, the next one
@@ -149,7 +151,7 @@
 
     async def _send_to_group(
         self,
-        message: discovery_messages.TellRegion,
+        message: discovery_messages.RegionGossip,
         relay_group: list[ids.HostId],
     ) -> None:
         for number, host in enumerate(relay_group):
@@ -159,7 +161,7 @@
             if await self._peers.tell(host, sent):
                 return
 
-    async def relay(self, message: discovery_messages.TellRegion) -> None:
+    async def relay(self, message: discovery_messages.RegionGossip) -> None:
         """Send a message to the hosts in its ``pass_on``."""
         sent = msgspec.structs.replace(message, pass_on=[])
         for host in message.pass_on:
--- a/wrenspoke/coordination/serving/sent_call_broadcast.py
+++ b/wrenspoke/coordination/serving/sent_call_broadcast.py
@@ -147,7 +147,7 @@
                 continue
             items, self._collected = self._collected, []
             await self._pollers.broadcast(
-                discovery_messages.TellRegion(sent=self._with_ages(items))
+                discovery_messages.RegionGossip(sent=self._with_ages(items))
             )
 
     def _with_ages(
@@ -160,7 +160,7 @@
         ]
 
     def _on_region_message(
-        self, message: discovery_messages.TellRegion
+        self, message: discovery_messages.RegionGossip
     ) -> None:
         self._notify_listeners(message.sent)
 
--- a/wrenspoke/coordination/serving/warmup_probe.py
+++ b/wrenspoke/coordination/serving/warmup_probe.py
@@ -96,11 +96,11 @@
         warm = [answer for answer in answers if answer is not None]
         if warm:
             await self._pollers.broadcast(
-                discovery_messages.TellRegion(warm=warm)
+                discovery_messages.RegionGossip(warm=warm)
             )
 
     def _on_region_message(
-        self, message: discovery_messages.TellRegion
+        self, message: discovery_messages.RegionGossip
     ) -> None:
         for status in message.warm:
             self._record_status(status)
--- a/wrenspoke/protocol/discovery_messages.py
+++ b/wrenspoke/protocol/discovery_messages.py
@@ -225,7 +225,7 @@
     calls: list[SentCall]
 
 
-class TellRegion(msgspec.Struct, tag='tell_region'):
+class RegionGossip(msgspec.Struct, tag='tell_region'):
     """Tell the entry hosts of the region what one of them found out.
 
     That is what engines reported, what other regions offer, which
--- a/wrenspoke/protocol/peers.py
+++ b/wrenspoke/protocol/peers.py
@@ -26,7 +26,7 @@
     discovery_messages.ExchangeReply,
     discovery_messages.ConfirmIndex,
     discovery_messages.ConfirmIndexReply,
-    discovery_messages.TellRegion,
+    discovery_messages.RegionGossip,
     discovery_messages.ReportSentCalls,
     discovery_messages.Withdraw,
     discovery_messages.EndpointLeaves,
