--- a/wrenspoke/coordination/membership/discovery_client.py
+++ b/wrenspoke/coordination/membership/discovery_client.py
@@ -197,13 +197,13 @@
         """Mark an endpoint as leaving, and report it to the control hosts."""
         if self.registry.mark_leaving(endpoint, born_ms):
             self._notify_control_hosts(
-                discovery_messages.EndpointLeaves(endpoint, born_ms)
+                discovery_messages.ReportLeaving(endpoint, born_ms)
             )
 
     def _notify_control_hosts(
         self,
         message: discovery_messages.Withdraw
-        | discovery_messages.EndpointLeaves,
+        | discovery_messages.ReportLeaving,
     ) -> None:
         """Send a message to the control hosts of all sessions."""
         for session in self._sessions:
--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -83,7 +83,7 @@
         )
         peers.answers(discovery_messages.Attend)(self._handle_attend)
         peers.answers(discovery_messages.Withdraw)(self._handle_withdraw)
-        peers.answers(discovery_messages.EndpointLeaves)(self._handle_leaving)
+        peers.answers(discovery_messages.ReportLeaving)(self._handle_leaving)
 
     @property
     def synced(self) -> bool:
@@ -147,7 +147,7 @@
         self.withdraw(message.endpoint, message.born_ms)
 
     async def _handle_leaving(
-        self, _sender: ids.HostId, message: discovery_messages.EndpointLeaves
+        self, _sender: ids.HostId, message: discovery_messages.ReportLeaving
     ) -> None:
         if self.registry.mark_leaving(message.endpoint, message.born_ms):
             logger.info('endpoint_leaving', endpoint=message.endpoint)
--- a/wrenspoke/protocol/discovery_messages.py
+++ b/wrenspoke/protocol/discovery_messages.py
@@ -244,7 +244,7 @@
     leaving: list[limiting.EndpointLife] = []
 
 
-class EndpointLeaves(msgspec.Struct, tag='endpoint_leaves'):
+class ReportLeaving(msgspec.Struct, tag='endpoint_leaves'):
     """Tell a control host that an endpoint says in answers that it leaves.
 
     ``born_ms`` names the life that is about to end.
--- a/wrenspoke/protocol/peers.py
+++ b/wrenspoke/protocol/peers.py
@@ -29,7 +29,7 @@
     discovery_messages.RegionGossip,
     discovery_messages.ReportSentCalls,
     discovery_messages.Withdraw,
-    discovery_messages.EndpointLeaves,
+    discovery_messages.ReportLeaving,
     limiting.AskShares,
     limiting.SharesGranted,
     limiting.AskAmount,
