--- a/wrenspoke/coordination/membership/discovery_client.py
+++ b/wrenspoke/coordination/membership/discovery_client.py
@@ -190,7 +190,7 @@
             return
         logger.info('endpoint_gone', endpoint=endpoint)
         self._notify_control_hosts(
-            discovery_messages.Withdraw(endpoint, born_ms)
+            discovery_messages.WithdrawEndpoint(endpoint, born_ms)
         )
 
     def mark_leaving(self, endpoint: ids.EndpointId, born_ms: int) -> None:
@@ -202,7 +202,7 @@
 
     def _notify_control_hosts(
         self,
-        message: discovery_messages.Withdraw
+        message: discovery_messages.WithdrawEndpoint
         | discovery_messages.ReportLeaving,
     ) -> None:
         """Send a message to the control hosts of all sessions."""
--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -82,7 +82,9 @@
             clock,
         )
         peers.answers(discovery_messages.Attend)(self._handle_attend)
-        peers.answers(discovery_messages.Withdraw)(self._handle_withdraw)
+        peers.answers(discovery_messages.WithdrawEndpoint)(
+            self._handle_withdraw
+        )
         peers.answers(discovery_messages.ReportLeaving)(self._handle_leaving)
 
     @property
@@ -142,7 +144,7 @@
         self.register(self.registry.withdraw(endpoint, born_ms))
 
     async def _handle_withdraw(
-        self, _sender: ids.HostId, message: discovery_messages.Withdraw
+        self, _sender: ids.HostId, message: discovery_messages.WithdrawEndpoint
     ) -> None:
         self.withdraw(message.endpoint, message.born_ms)
 
--- a/wrenspoke/protocol/discovery_messages.py
+++ b/wrenspoke/protocol/discovery_messages.py
@@ -254,7 +254,7 @@
     born_ms: int = 0
 
 
-class Withdraw(msgspec.Struct, tag='withdraw'):
+class WithdrawEndpoint(msgspec.Struct, tag='withdraw'):
     """Tell a control host that an endpoint is not there any more.
 
     Another one answered at its address. ``born_ms`` names the life that
--- a/wrenspoke/protocol/peers.py
+++ b/wrenspoke/protocol/peers.py
@@ -28,7 +28,7 @@
     discovery_messages.ConfirmIndexReply,
     discovery_messages.RegionGossip,
     discovery_messages.ReportSentCalls,
-    discovery_messages.Withdraw,
+    discovery_messages.WithdrawEndpoint,
     discovery_messages.ReportLeaving,
     limiting.AskShares,
     limiting.SharesGranted,
