--- a/wrenspoke/protocol/discovery_messages.py
+++ b/wrenspoke/protocol/discovery_messages.py
@@ -15,7 +15,7 @@
 
 # Tables of routes shrink to a tenth at the lowest level.
 COMPRESSION_LEVEL = 1
-_DELTAS = msgspec.msgpack.Decoder(messages.ConfigurationDelta)
+_DELTA_DECODER = msgspec.msgpack.Decoder(messages.ConfigurationDelta)
 
 # The field of that name hides the module in the message below.
 EngineLoad = loads.EngineLoad
@@ -141,7 +141,7 @@
     :raises MalformedMessageError: they can't be read
     """
     try:
-        return _DELTAS.decode(zlib.decompress(news))
+        return _DELTA_DECODER.decode(zlib.decompress(news))
     except (zlib.error, msgspec.DecodeError) as error:
         raise errors.MalformedMessageError(str(error)) from error
 
