--- a/wrenspoke/protocol/discovery_messages.py
+++ b/wrenspoke/protocol/discovery_messages.py
@@ -114,11 +114,11 @@
 
 def pack(delta: messages.ConfigurationDelta) -> bytes:
     """Return the changes of a delta as bytes for ``Attended.news``."""
-    body = msgspec.msgpack.encode(_without_documents(delta))
+    body = msgspec.msgpack.encode(_without_route_documents(delta))
     return zlib.compress(body, COMPRESSION_LEVEL)
 
 
-def _without_documents(
+def _without_route_documents(
     delta: messages.ConfigurationDelta,
 ) -> messages.ConfigurationDelta:
     """Leave out what only control hosts need of tables of routes."""
