--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -142,7 +142,7 @@
 
 def share_that_the_leader_counts(clock):
     parts = allocator.TeamAllocation(clock.mono_ms())
-    asked = limiting.ShareAsked('t', 0.0, 1.0, 0.0, 1_000.0)
+    asked = limiting.ShareRequest('t', 0.0, 1.0, 0.0, 1_000.0)
     parts.grant('lender', asked, True, clock.mono_ms())
 
     def counted():
--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -180,7 +180,7 @@
 
 def asked(held, wanted, returned_ms=0.0, depth_ms=3_000.0):
     """Return a holder's request for a share."""
-    return limiting.ShareAsked('t', held, wanted, returned_ms, depth_ms)
+    return limiting.ShareRequest('t', held, wanted, returned_ms, depth_ms)
 
 
 def test_lowered_share_stays_allocated_until_acknowledged():
--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -74,7 +74,7 @@
     def grant(
         self,
         holder: ids.HostId,
-        request: limiting.ShareAsked,
+        request: limiting.ShareRequest,
         settled: bool,
         now_ms: int,
     ) -> limiting.ShareGranted:
@@ -108,7 +108,7 @@
     def _reconcile(
         self,
         holder: ids.HostId,
-        request: limiting.ShareAsked,
+        request: limiting.ShareRequest,
         settled: bool,
     ) -> float:
         """Return the holder's current share, from its report and its lease."""
@@ -124,7 +124,7 @@
         return request.held
 
     def _refill(
-        self, free: float, request: limiting.ShareAsked, now_ms: int
+        self, free: float, request: limiting.ShareRequest, now_ms: int
     ) -> None:
         """Add the tokens of the unallocated part, and those returned."""
         grown_ms = free * (now_ms - self._refilled_ms)
@@ -316,7 +316,7 @@
     def grant(
         self,
         holder: ids.HostId,
-        requests: list[limiting.ShareAsked],
+        requests: list[limiting.ShareRequest],
     ) -> list[limiting.ShareGranted]:
         """Return the holder's new share for each request."""
         now_ms = self._clock.mono_ms()
--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -332,7 +332,7 @@
                 return True
         return False
 
-    def _share_requests(self, now_ms: int) -> list[limiting.ShareAsked]:
+    def _share_requests(self, now_ms: int) -> list[limiting.ShareRequest]:
         """Return the shares to request; lower those that are too large."""
         requests = []
         for team, bucket in list(self._buckets.items()):
@@ -349,7 +349,7 @@
             if wanted < DECREASE_THRESHOLD * bucket.share:
                 bucket.lower_share(wanted)
             requests.append(
-                limiting.ShareAsked(
+                limiting.ShareRequest(
                     team,
                     bucket.share,
                     wanted,
--- a/wrenspoke/protocol/limiting.py
+++ b/wrenspoke/protocol/limiting.py
@@ -5,7 +5,7 @@
 from wrenspoke import ids
 
 
-class ShareAsked(msgspec.Struct, array_like=True, frozen=True):
+class ShareRequest(msgspec.Struct, array_like=True, frozen=True):
     """Ask for a share of one team's limit.
 
     The lender goes on with ``held`` of it and could use ``wanted``.
@@ -38,7 +38,7 @@
     held then.
     """
 
-    shares: list[ShareAsked]
+    shares: list[ShareRequest]
     life: str = ''
     number: int = 0
     lender: ids.HostId | None = None
