--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -77,7 +77,7 @@
         request: limiting.ShareRequest,
         settled: bool,
         now_ms: int,
-    ) -> limiting.ShareGranted:
+    ) -> limiting.ShareGrant:
         """Return the holder's new share, and its part of the free tokens.
 
         ``settled`` says that all shares of earlier leaders are known.
@@ -98,7 +98,7 @@
         self._leases[holder] = ShareLease(
             max(share, held), request.wanted, now_ms + LEASE_EXPIRY_MS
         )
-        return limiting.ShareGranted(request.team, share, level_ms)
+        return limiting.ShareGrant(request.team, share, level_ms)
 
     def _expire(self, now_ms: int) -> None:
         for holder, lease in list(self._leases.items()):
@@ -317,7 +317,7 @@
         self,
         holder: ids.HostId,
         requests: list[limiting.ShareRequest],
-    ) -> list[limiting.ShareGranted]:
+    ) -> list[limiting.ShareGrant]:
         """Return the holder's new share for each request."""
         now_ms = self._clock.mono_ms()
         settled = not self.unsettled_ms
--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -361,7 +361,7 @@
         return requests
 
     def _apply_grant(
-        self, granted: limiting.ShareGranted, wanted: float, asked_ms: int
+        self, granted: limiting.ShareGrant, wanted: float, asked_ms: int
     ) -> None:
         bucket = self._buckets.get(granted.team)
         if bucket is None:
--- a/wrenspoke/protocol/limiting.py
+++ b/wrenspoke/protocol/limiting.py
@@ -21,7 +21,7 @@
     depth_ms: float
 
 
-class ShareGranted(msgspec.Struct, array_like=True, frozen=True):
+class ShareGrant(msgspec.Struct, array_like=True, frozen=True):
     """Grant a share of a team's limit, with the level that goes with it."""
 
     team: ids.TeamId
@@ -51,7 +51,7 @@
     held, and less than the whole can be parted.
     """
 
-    granted: list[ShareGranted]
+    granted: list[ShareGrant]
     unsettled_ms: int = 0
 
 
