--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -324,7 +324,7 @@
         )
         await group.asyncio.sleep(0.1)
         voter.has_lease = False
-        assert not isinstance(await late, limiting.SharesGranted)
+        assert not isinstance(await late, limiting.AskSharesReply)
         assert voter.state.lenders == ('a', 'b')
         await allocated.close()
 
@@ -353,14 +353,14 @@
         held_up = ask_shares(allocated, 'a', asked(0.0, 0.9))
         granted = await ask_shares(allocated, 'a', asked(0.0, 0.9))
         assert granted.granted[0].share == pytest.approx(0.9)
-        assert not isinstance(await held_up, limiting.SharesGranted)
+        assert not isinstance(await held_up, limiting.AskSharesReply)
         granted = await ask_shares(allocated, 'b', asked(0.0, 0.9))
         assert granted.granted[0].share == pytest.approx(0.1)
         # The numbers of a restarted holder start again.
         again = limiting.AskShares([asked(0.0, 0.5)], 'later life', 1)
         assert isinstance(
             await allocated._handle_ask_shares('a', again),
-            limiting.SharesGranted,
+            limiting.AskSharesReply,
         )
         await allocated.close()
 
--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -196,7 +196,7 @@
 
     async def _handle_ask_shares(
         self, sender: ids.HostId, message: limiting.AskShares
-    ) -> limiting.SharesGranted | messages.Refusal:
+    ) -> limiting.AskSharesReply | messages.Refusal:
         if not self._local_voter.has_lease:
             return await self._forward(sender, message)
         holder = message.lender or sender
@@ -207,7 +207,7 @@
         if message.shares and not await self._ensure_registered(holder):
             return messages.Refusal('not noted as a lender')
         granted = self.grant(holder, message.shares)
-        return limiting.SharesGranted(granted, self.unsettled_ms)
+        return limiting.AskSharesReply(granted, self.unsettled_ms)
 
     def _is_stale(
         self, holder: ids.HostId, message: limiting.AskShares
@@ -221,7 +221,7 @@
 
     async def _forward(
         self, sender: ids.HostId, message: limiting.AskShares
-    ) -> limiting.SharesGranted | messages.Refusal:
+    ) -> limiting.AskSharesReply | messages.Refusal:
         """Forward a request to the leader; no request is forwarded twice."""
         leader = self._local_voter.leader
         if leader is None or message.lender is not None:
--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -312,7 +312,7 @@
                 'share_request_failed', peer=lead.via_host, reason=str(error)
             )
             return
-        if not isinstance(answer, limiting.SharesGranted):
+        if not isinstance(answer, limiting.AskSharesReply):
             logger.info('share_request_refused', peer=lead.via_host)
             return
         self._reported_lead = lead
--- a/wrenspoke/protocol/limiting.py
+++ b/wrenspoke/protocol/limiting.py
@@ -44,7 +44,7 @@
     lender: ids.HostId | None = None
 
 
-class SharesGranted(msgspec.Struct, tag='shares_granted'):
+class AskSharesReply(msgspec.Struct, tag='shares_granted'):
     """Answer with what is held from now on, for as long as a lease.
 
     For ``unsettled_ms`` shares that older leaders granted may still be
--- a/wrenspoke/protocol/peers.py
+++ b/wrenspoke/protocol/peers.py
@@ -31,7 +31,7 @@
     discovery_messages.WithdrawEndpoint,
     discovery_messages.ReportLeaving,
     limiting.AskShares,
-    limiting.SharesGranted,
+    limiting.AskSharesReply,
     limiting.AskAmount,
     limiting.AmountGranted,
     limiting.AskSend,
