--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -240,7 +240,7 @@
 
         async def ask(_team, _amount):
             asked_of.append(_amount)
-            return limiting.AmountGranted(True, 0)
+            return limiting.AskAmountReply(True, 0)
 
         monkeypatch.setattr(host.limiter, '_take_from_owner', ask)
         await host.limiter.take(team, 400)
--- a/wrenspoke/coordination/limiting/limiter.py
+++ b/wrenspoke/coordination/limiting/limiter.py
@@ -87,14 +87,14 @@
 
     async def _take_from_owner(
         self, team: ids.TeamId, amount: float
-    ) -> limiting.AmountGranted:
+    ) -> limiting.AskAmountReply:
         message = limiting.AskAmount(team, amount)
         timeout_ms = team_buckets.MAX_WAIT_MS + ANSWER_MARGIN_MS
         for host in self._owners.first_responsive(team, MAX_OWNERS_TRIED):
             if host == self._host:
                 break
             answer = await self._owners.call(host, message, timeout_ms)
-            if isinstance(answer, limiting.AmountGranted):
+            if isinstance(answer, limiting.AskAmountReply):
                 return answer
         return await self._buckets.take(team, amount)
 
--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -186,19 +186,19 @@
 
     async def _handle_ask_amount(
         self, _sender: ids.HostId, message: limiting.AskAmount
-    ) -> limiting.AmountGranted:
+    ) -> limiting.AskAmountReply:
         return await self.take(message.team, message.amount)
 
     async def take(
         self, team: ids.TeamId, amount: float
-    ) -> limiting.AmountGranted:
+    ) -> limiting.AskAmountReply:
         """Admit a call that needs an amount of its team's limit.
 
         The answer says whether it is admitted, and how long it has to wait.
         """
         limit = self._limit_of(team)
         if limit is None:
-            return limiting.AmountGranted(True, 0)
+            return limiting.AskAmountReply(True, 0)
         amount_ms = amount / self._overshoot.rate_per_s(limit) * MS_PER_S
         bucket = self._team_bucket(team, limit)
         bucket.demand.record(amount_ms, self._clock.mono_ms())
@@ -231,7 +231,7 @@
 
     def _try_take(
         self, bucket: TeamBucket, amount_ms: float
-    ) -> limiting.AmountGranted:
+    ) -> limiting.AskAmountReply:
         """Take an amount if it is available now, or will be soon.
 
         The level may become negative, so that later calls wait longer. While
@@ -245,13 +245,13 @@
             wait_ms = min(
                 max(settled_ms, RENEW_INTERVAL_MS), MAX_SETTLING_WAIT_MS
             )
-            return limiting.AmountGranted(False, wait_ms)
+            return limiting.AskAmountReply(False, wait_ms)
         if not wait_ms or (
             wait_ms <= MAX_WAIT_MS and not bucket.under_granted
         ):
             bucket.level_ms -= amount_ms
-            return limiting.AmountGranted(True, math.ceil(wait_ms))
-        return limiting.AmountGranted(False, math.ceil(wait_ms))
+            return limiting.AskAmountReply(True, math.ceil(wait_ms))
+        return limiting.AskAmountReply(False, math.ceil(wait_ms))
 
     async def _await_renewal(self) -> None:
         """Renew the shares immediately, and wait up to MAX_WAIT_MS for it."""
--- a/wrenspoke/protocol/limiting.py
+++ b/wrenspoke/protocol/limiting.py
@@ -62,7 +62,7 @@
     amount: float
 
 
-class AmountGranted(msgspec.Struct, tag='amount_granted'):
+class AskAmountReply(msgspec.Struct, tag='amount_granted'):
     """Answer whether a call may go on, after ``wait_ms``.
 
     One that may not should come back after that time.
--- a/wrenspoke/protocol/peers.py
+++ b/wrenspoke/protocol/peers.py
@@ -33,7 +33,7 @@
     limiting.AskShares,
     limiting.AskSharesReply,
     limiting.AskAmount,
-    limiting.AmountGranted,
+    limiting.AskAmountReply,
     limiting.AskSend,
     limiting.SendAnswered,
     limiting.LimitHeard,
