--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -120,26 +120,26 @@
 
     async def _handle_ask_send(
         self, _sender: ids.HostId, message: limiting.AskSend
-    ) -> limiting.SendAnswered:
+    ) -> limiting.AskSendReply:
         return self.take(message.known, message.rank)
 
     def take(
         self, known: limiting.EndpointLimit, rank: int
-    ) -> limiting.SendAnswered:
+    ) -> limiting.AskSendReply:
         """Return a permit for a request, or when to ask again."""
         self._merge(known)
         limit = self._advertised.limit_of(known.life)
         if limit.rate_per_s is None:
-            return limiting.SendAnswered(limit)
+            return limiting.AskSendReply(limit)
         bucket = self._bucket_of(limit)
         wait_ms = self._take_or_wait_ms(
             bucket, rank, _request_cost_ms(limit.rate_per_s)
         )
         if wait_ms:
-            return limiting.SendAnswered(limit, wait_ms=wait_ms)
+            return limiting.AskSendReply(limit, wait_ms=wait_ms)
         bucket.last_granted += 1
         grant = limiting.GrantName(self._host, self._life, bucket.last_granted)
-        return limiting.SendAnswered(limit, grant)
+        return limiting.AskSendReply(limit, grant)
 
     def _take_or_wait_ms(
         self, bucket: _EndpointBucket, rank: int, amount_ms: float
--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -146,7 +146,7 @@
 
     async def _request_permit(
         self, life: limiting.EndpointLife, rank: int
-    ) -> limiting.SendAnswered | None:
+    ) -> limiting.AskSendReply | None:
         """Request a permit from the first responsive owner, None without."""
         known = self._advertised.limit_of(life)
         for host in self._owners.first_responsive(life.endpoint, 1):
@@ -155,7 +155,7 @@
             answer = await self._owners.call(
                 host, limiting.AskSend(known, rank), PERMIT_TIMEOUT_MS
             )
-            if isinstance(answer, limiting.SendAnswered):
+            if isinstance(answer, limiting.AskSendReply):
                 return answer
         return None
 
--- a/wrenspoke/protocol/limiting.py
+++ b/wrenspoke/protocol/limiting.py
@@ -122,7 +122,7 @@
     rank: int
 
 
-class SendAnswered(msgspec.Struct, tag='send_answered'):
+class AskSendReply(msgspec.Struct, tag='send_answered'):
     """Answer whether it may, with what is known of the limit.
 
     ``grant`` is None where it may not, nor is worth asking again before
--- a/wrenspoke/protocol/peers.py
+++ b/wrenspoke/protocol/peers.py
@@ -35,7 +35,7 @@
     limiting.AskAmount,
     limiting.AskAmountReply,
     limiting.AskSend,
-    limiting.SendAnswered,
+    limiting.AskSendReply,
     limiting.LimitHeard,
     quarantining.RunsEnded,
     quarantining.RunsNoted,
