--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -106,7 +106,7 @@
         self._has_changes = asyncio.Event()
         self._tasks = runtime.Tasks()
         peers.answers(limiting.AskSend)(self._handle_ask_send)
-        peers.answers(limiting.LimitHeard)(self._handle_limit_heard)
+        peers.answers(limiting.ReportLimit)(self._handle_limit_heard)
 
     def start(self) -> None:
         """Start to gossip limits within the region."""
@@ -194,7 +194,7 @@
     # Advertised limits.
 
     async def _handle_limit_heard(
-        self, _sender: ids.HostId, message: limiting.LimitHeard
+        self, _sender: ids.HostId, message: limiting.ReportLimit
     ) -> None:
         self.on_advertised(message.known, message.rate_per_s, message.grant)
 
--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -209,7 +209,7 @@
             return
         if rate_per_s is not None:
             self._advertised.apply_if_lower(life, rate_per_s)
-        message = limiting.LimitHeard(
+        message = limiting.ReportLimit(
             self._advertised.limit_of(life), rate_per_s, grant
         )
         self._tasks.start(self._peers.tell(owner, message), fatal=False)
--- a/wrenspoke/protocol/limiting.py
+++ b/wrenspoke/protocol/limiting.py
@@ -134,7 +134,7 @@
     wait_ms: int = 0
 
 
-class LimitHeard(msgspec.Struct, tag='limit_heard'):
+class ReportLimit(msgspec.Struct, tag='limit_heard'):
     """Tell a lender which rate an endpoint's answer named, None if none.
 
     ``known`` is what the host knows of the limit after it, ``grant`` the
--- a/wrenspoke/protocol/peers.py
+++ b/wrenspoke/protocol/peers.py
@@ -36,7 +36,7 @@
     limiting.AskAmountReply,
     limiting.AskSend,
     limiting.AskSendReply,
-    limiting.LimitHeard,
+    limiting.ReportLimit,
     quarantining.RunsEnded,
     quarantining.RunsNoted,
     quarantining.HoldOff,
