--- a/tests/backoff_fleet.py
+++ b/tests/backoff_fleet.py
@@ -36,7 +36,7 @@
     """Engine that refuses requests for which ``refuses`` returns true."""
 
     def __init__(self, name):
-        self.life = limiting.EndpointLife(name)
+        self.life = limiting.EndpointInstance(name)
         self.arrivals = []
         self.backoff_ms = 3_000
         self.refuses = lambda host: False
--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -52,7 +52,7 @@
     """Engine that advertises its rate limit, once it has one."""
 
     def __init__(self, name):
-        self.life = limiting.EndpointLife(name)
+        self.life = limiting.EndpointInstance(name)
         # The advertised rates, each with the time of its start.
         self.rates = [(0, None)]
         self.arrivals = []
--- a/tests/test_advertised.py
+++ b/tests/test_advertised.py
@@ -18,7 +18,7 @@
 from wrenspoke.protocol import limiting
 from wrenspoke.protocol import retry_after
 
-LIFE = limiting.EndpointLife('e')
+LIFE = limiting.EndpointInstance('e')
 NOW_MS = 1_780_000_000_000
 
 
--- a/tests/test_advertised_limits.py
+++ b/tests/test_advertised_limits.py
@@ -56,7 +56,7 @@
     assert rate_per_s is None or 0 <= rate_per_s <= rates.HIGHEST_PER_S
 
 
-LIFE = limiting.EndpointLife('e', 5)
+LIFE = limiting.EndpointInstance('e', 5)
 
 
 def limit(rate_per_s, version=1, life=LIFE):
@@ -93,9 +93,12 @@
         ([limit(3), limit(1.2)], 1.2),
         ([limit(1.2), limit(3)], 1.2),
         ([limit(1.2), limit(None)], 1.2),
-        ([limit(1.2, 9, limiting.EndpointLife('e', 4))], None),
-        ([limit(2, 1), limit(1.2, 9, limiting.EndpointLife('e', 4))], 2),
-        ([limit(1.2, 9, limiting.EndpointLife('e', 6)), limit(2, 10)], None),
+        ([limit(1.2, 9, limiting.EndpointInstance('e', 4))], None),
+        ([limit(2, 1), limit(1.2, 9, limiting.EndpointInstance('e', 4))], 2),
+        (
+            [limit(1.2, 9, limiting.EndpointInstance('e', 6)), limit(2, 10)],
+            None,
+        ),
     ],
     ids=[
         'told',
--- a/tests/test_backoffs.py
+++ b/tests/test_backoffs.py
@@ -8,8 +8,8 @@
 from wrenspoke.coordination.limiting import leaving_endpoints
 from wrenspoke.protocol import limiting
 
-LIFE = limiting.EndpointLife('e', 1)
-NEXT_LIFE = limiting.EndpointLife('e', 2)
+LIFE = limiting.EndpointInstance('e', 1)
+NEXT_LIFE = limiting.EndpointInstance('e', 2)
 HOSTS = ['h0', 'h1', 'h2', 'h3']
 # All hosts have resumed by then.
 SETTLED_MS = endpoint_backoffs.RETURN_SPREAD_MS
--- a/tests/test_endpoint_gate.py
+++ b/tests/test_endpoint_gate.py
@@ -10,7 +10,7 @@
 from wrenspoke.protocol import advertised
 from wrenspoke.protocol import limiting
 
-LIFE = limiting.EndpointLife('e')
+LIFE = limiting.EndpointInstance('e')
 RANK = 10
 ECHOED = advertised.Origin.ECHOED
 UNNAMED = advertised.Origin.UNNAMED
@@ -150,7 +150,7 @@
     )
     malformed = advertised.Advertised(ECHOED, 503, retry_after=('soon',))
     for number in range(50):
-        life = limiting.EndpointLife(f'e{number}')
+        life = limiting.EndpointInstance(f'e{number}')
         known[:] = [life]
         permit = await gate.acquire(life, RANK)
         permit.on_response(malformed)
--- a/wrenspoke/coordination/limiting/advertised_limits.py
+++ b/wrenspoke/coordination/limiting/advertised_limits.py
@@ -18,7 +18,7 @@
 
 logger = structlog.get_logger(__name__)
 
-Exists = collections.abc.Callable[[limiting.EndpointLife], bool]
+Exists = collections.abc.Callable[[limiting.EndpointInstance], bool]
 
 
 class AdvertisedLimits:
@@ -29,7 +29,9 @@
         # Endpoints whose last value was malformed; logged once.
         self._malformed: set[ids.EndpointId] = set()
 
-    def limit_of(self, life: limiting.EndpointLife) -> limiting.EndpointLimit:
+    def limit_of(
+        self, life: limiting.EndpointInstance
+    ) -> limiting.EndpointLimit:
         """Return the known limit of one life of an endpoint.
 
         Its rate is None if the endpoint is not known to advertise one.
@@ -39,7 +41,7 @@
             return limiting.EndpointLimit(life)
         return found
 
-    def rate_per_s(self, life: limiting.EndpointLife) -> float | None:
+    def rate_per_s(self, life: limiting.EndpointInstance) -> float | None:
         """Return the limit in requests per second, None if unlimited."""
         return self.limit_of(life).rate_per_s
 
@@ -53,7 +55,7 @@
 
     def parse_header(
         self,
-        life: limiting.EndpointLife,
+        life: limiting.EndpointInstance,
         values: collections.abc.Sequence[str],
     ) -> float | None:
         """Return the rate that response headers advertise, None without.
@@ -78,7 +80,7 @@
         return rate_per_s
 
     def apply_if_lower(
-        self, life: limiting.EndpointLife, rate_per_s: float
+        self, life: limiting.EndpointInstance, rate_per_s: float
     ) -> bool:
         """Apply a rate unless a lower one is known; return if it changed."""
         known = self.limit_of(life)
@@ -87,7 +89,7 @@
         return self.apply_rate(life, rate_per_s)
 
     def apply_rate(
-        self, life: limiting.EndpointLife, rate_per_s: float | None
+        self, life: limiting.EndpointInstance, rate_per_s: float | None
     ) -> bool:
         """Apply a rate as the newest; return if it changed."""
         known = self.limit_of(life)
--- a/wrenspoke/coordination/limiting/endpoint_backoffs.py
+++ b/wrenspoke/coordination/limiting/endpoint_backoffs.py
@@ -45,7 +45,7 @@
 IDLE_TTL_MS = 10_000
 
 HostOrder = collections.abc.Callable[[str], list[str]]
-Exists = collections.abc.Callable[[limiting.EndpointLife], bool]
+Exists = collections.abc.Callable[[limiting.EndpointInstance], bool]
 Gossip = collections.abc.Callable[
     [list[limiting.EndpointBackoff]], collections.abc.Awaitable[None]
 ]
@@ -92,7 +92,7 @@
     ``unserved`` says that this host was refused and not served since.
     """
 
-    life: limiting.EndpointLife
+    life: limiting.EndpointInstance
     until_ms: int = 0
     resume_ms: int = 0
     last_refusal_ms: int = 0
@@ -143,7 +143,7 @@
         self._backoffs: dict[ids.EndpointId, Backoff] = {}
         self._tasks = runtime.Tasks()
         # How many requests each endpoint refused with an advertised backoff.
-        self.refused: collections.Counter[limiting.EndpointLife] = (
+        self.refused: collections.Counter[limiting.EndpointInstance] = (
             collections.Counter()
         )
 
@@ -163,14 +163,14 @@
         """Return whether there are no backoffs."""
         return not self._backoffs
 
-    def own_remaining_ms(self, life: limiting.EndpointLife) -> int:
+    def own_remaining_ms(self, life: limiting.EndpointInstance) -> int:
         """Return the rest of this host's own backoff, in milliseconds."""
         found = self._find(life)
         if found is None:
             return 0
         return max(found.until_ms - self._clock.mono_ms(), 0)
 
-    def remaining_ms(self, life: limiting.EndpointLife) -> int:
+    def remaining_ms(self, life: limiting.EndpointInstance) -> int:
         """Return the time until the next request, in milliseconds.
 
         Other hosts' refusals and the ramp-up are included.
@@ -197,7 +197,7 @@
         ]
         return [item for item in remaining if item[1]]
 
-    def _find(self, life: limiting.EndpointLife) -> Backoff | None:
+    def _find(self, life: limiting.EndpointInstance) -> Backoff | None:
         found = self._backoffs.get(life.endpoint)
         return found if found is not None and found.life == life else None
 
@@ -218,7 +218,7 @@
 
     # Requests.
 
-    def acquire(self, life: limiting.EndpointLife) -> None:
+    def acquire(self, life: limiting.EndpointInstance) -> None:
         """Count a request that is about to be sent.
 
         :raises EndpointBackoffError: this host backs off
@@ -231,7 +231,7 @@
             found.ramp.record_request(self._clock.mono_ms())
 
     def on_response(
-        self, life: limiting.EndpointLife, backoff_ms: int, sent_ms: int
+        self, life: limiting.EndpointInstance, backoff_ms: int, sent_ms: int
     ) -> None:
         """Update the backoff from the response to a request.
 
@@ -257,7 +257,7 @@
             del self._backoffs[life.endpoint]
 
     def _on_refusal(
-        self, life: limiting.EndpointLife, backoff_ms: int
+        self, life: limiting.EndpointInstance, backoff_ms: int
     ) -> None:
         """Start or extend this host's own backoff.
 
@@ -323,7 +323,7 @@
         found.peers_until_ms.clear()
         found.resume_ms = max(found.until_ms, self._clock.mono_ms())
 
-    def _find_or_create(self, life: limiting.EndpointLife) -> Backoff:
+    def _find_or_create(self, life: limiting.EndpointInstance) -> Backoff:
         found = self._find(life)
         if found is None:
             found = self._backoffs[life.endpoint] = Backoff(life)
@@ -352,7 +352,7 @@
             self._schedule_resume(found, now_ms + left_ms, left_ms)
         found.last_refusal_ms = now_ms
 
-    def _gossip(self, life: limiting.EndpointLife, left_ms: int) -> None:
+    def _gossip(self, life: limiting.EndpointInstance, left_ms: int) -> None:
         self._outbox.add(limiting.EndpointBackoff(life, self._host, left_ms))
 
     async def _run_eviction(self) -> None:
--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -64,7 +64,7 @@
     ``last_refused_ms`` when a call of each rank was last refused.
     """
 
-    life: limiting.EndpointLife
+    life: limiting.EndpointInstance
     tokens: token_bucket.TokenBucket
     last_granted: int = 0
     last_advertised: int = 0
@@ -102,7 +102,7 @@
         self._max_hosts = 0
         self._max_hosts_ms = clock.mono_ms()
         # Limits that changed, and until when they are gossiped.
-        self._changed: dict[limiting.EndpointLife, int] = {}
+        self._changed: dict[limiting.EndpointInstance, int] = {}
         self._has_changes = asyncio.Event()
         self._tasks = runtime.Tasks()
         peers.answers(limiting.AskSend)(self._handle_ask_send)
@@ -241,7 +241,7 @@
 
     # Gossip.
 
-    def _schedule_gossip(self, life: limiting.EndpointLife) -> None:
+    def _schedule_gossip(self, life: limiting.EndpointInstance) -> None:
         self._changed[life] = self._clock.mono_ms() + CHANGE_GOSSIP_MS
         self._has_changes.set()
 
--- a/wrenspoke/coordination/limiting/endpoint_gate.py
+++ b/wrenspoke/coordination/limiting/endpoint_gate.py
@@ -25,7 +25,7 @@
 
 logger = structlog.get_logger(__name__)
 
-Exists = collections.abc.Callable[[limiting.EndpointLife], bool]
+Exists = collections.abc.Callable[[limiting.EndpointInstance], bool]
 GossipToRegion = collections.abc.Callable[
     [discovery_messages.RegionGossip], collections.abc.Awaitable[None]
 ]
@@ -52,7 +52,9 @@
         ) -> None:
             await gossip(discovery_messages.RegionGossip(backoffs=backoffs))
 
-        async def gossip_leaving(lives: list[limiting.EndpointLife]) -> None:
+        async def gossip_leaving(
+            lives: list[limiting.EndpointInstance],
+        ) -> None:
             await gossip(discovery_messages.RegionGossip(leaving=lives))
 
         self._clock = clock
@@ -66,7 +68,7 @@
             exists, gossip_leaving, leaving_ttl_ms, clock
         )
         # Endpoints whose last value of a header was malformed; logged once.
-        self._malformed: set[tuple[limiting.EndpointLife, str]] = set()
+        self._malformed: set[tuple[limiting.EndpointInstance, str]] = set()
         self._exists = exists
 
     def start(self) -> None:
@@ -92,7 +94,7 @@
         """Return whether no endpoint has a backoff."""
         return self.limits.is_idle and self.backoffs.is_idle
 
-    def remaining_ms(self, life: limiting.EndpointLife) -> int:
+    def remaining_ms(self, life: limiting.EndpointInstance) -> int:
         """Return the remaining backoff of an endpoint, in milliseconds."""
         return max(
             self.limits.backoff_remaining_ms(life),
@@ -101,7 +103,7 @@
 
     async def acquire(
         self,
-        life: limiting.EndpointLife,
+        life: limiting.EndpointInstance,
         rank: int,
         is_continuation: bool = False,
     ) -> 'GatePermit':
@@ -122,7 +124,7 @@
             self, life, self._clock.mono_ms(), limit_permit, is_continuation
         )
 
-    def acquire_poll(self, life: limiting.EndpointLife) -> 'GatePermit':
+    def acquire_poll(self, life: limiting.EndpointInstance) -> 'GatePermit':
         """Return a permit for a request that takes no slot.
 
         :raises EndpointBackoffError: this host's own backoff applies
@@ -132,13 +134,15 @@
             raise errors.EndpointBackoffError(life.endpoint, remaining_ms)
         return self.acquire_unchecked(life)
 
-    def acquire_unchecked(self, life: limiting.EndpointLife) -> 'GatePermit':
+    def acquire_unchecked(
+        self, life: limiting.EndpointInstance
+    ) -> 'GatePermit':
         """Return a permit to cancel or control work that already runs."""
         return GatePermit(self, life, self._clock.mono_ms())
 
     def on_response(
         self,
-        life: limiting.EndpointLife,
+        life: limiting.EndpointInstance,
         head: advertised.Advertised,
         sent_ms: int,
         is_work: bool,
@@ -156,7 +160,7 @@
             self.leaving.mark(life)
 
     def _backoff_ms(
-        self, life: limiting.EndpointLife, head: advertised.Advertised
+        self, life: limiting.EndpointInstance, head: advertised.Advertised
     ) -> int:
         try:
             backoff_ms = head.backoff_ms(self._clock.wall_ms())
@@ -167,7 +171,7 @@
         return backoff_ms
 
     def _is_leaving(
-        self, life: limiting.EndpointLife, head: advertised.Advertised
+        self, life: limiting.EndpointInstance, head: advertised.Advertised
     ) -> bool:
         try:
             leaving = head.is_leaving()
@@ -179,7 +183,7 @@
 
     def _log_malformed(
         self,
-        life: limiting.EndpointLife,
+        life: limiting.EndpointInstance,
         field: str,
         error: protocol_errors.ProtocolError,
     ) -> None:
@@ -206,7 +210,7 @@
     def __init__(
         self,
         gate: EndpointGate,
-        life: limiting.EndpointLife,
+        life: limiting.EndpointInstance,
         acquired_ms: int,
         limit_permit: endpoint_limits.SendPermit | None = None,
         is_continuation: bool = False,
--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -65,7 +65,7 @@
         self._buckets = endpoint_buckets.EndpointBuckets(
             host, self._owners, self._advertised, gossip, peers, clock
         )
-        self._backoff_until_ms: dict[limiting.EndpointLife, int] = {}
+        self._backoff_until_ms: dict[limiting.EndpointInstance, int] = {}
         # How often each endpoint's limit refused a request.
         self.refused: collections.Counter[ids.EndpointId] = (
             collections.Counter()
@@ -84,11 +84,11 @@
 
     # Current limits.
 
-    def rate_per_s(self, life: limiting.EndpointLife) -> float | None:
+    def rate_per_s(self, life: limiting.EndpointInstance) -> float | None:
         """Return the limit in requests per second, None if unlimited."""
         return self._advertised.rate_per_s(life)
 
-    def share_per_s(self, life: limiting.EndpointLife) -> float | None:
+    def share_per_s(self, life: limiting.EndpointInstance) -> float | None:
         """Return an equal share of the limit for each host, None without."""
         rate_per_s = self.rate_per_s(life)
         if rate_per_s is None:
@@ -105,7 +105,7 @@
         """Return whether no backoff was started."""
         return not self._backoff_until_ms
 
-    def backoff_remaining_ms(self, life: limiting.EndpointLife) -> int:
+    def backoff_remaining_ms(self, life: limiting.EndpointInstance) -> int:
         """Return the remaining backoff, in milliseconds."""
         until_ms = self._backoff_until_ms.get(life)
         if until_ms is None or self.rate_per_s(life) is None:
@@ -120,7 +120,7 @@
     # Requests.
 
     async def acquire(
-        self, life: limiting.EndpointLife, rank: int
+        self, life: limiting.EndpointInstance, rank: int
     ) -> 'SendPermit':
         """Return a permit to send one request to an endpoint.
 
@@ -145,7 +145,7 @@
         raise self._limit_exceeded(life, answer.wait_ms)
 
     async def _request_permit(
-        self, life: limiting.EndpointLife, rank: int
+        self, life: limiting.EndpointInstance, rank: int
     ) -> limiting.AskSendReply | None:
         """Request a permit from the first responsive owner, None without."""
         known = self._advertised.limit_of(life)
@@ -160,7 +160,7 @@
         return None
 
     def _limit_exceeded(
-        self, life: limiting.EndpointLife, wait_ms: int
+        self, life: limiting.EndpointInstance, wait_ms: int
     ) -> errors.EndpointLimitError:
         """Start a backoff and return the error to raise."""
         self.refused[life.endpoint] += 1
@@ -168,7 +168,7 @@
         return errors.EndpointLimitError(life.endpoint, wait_ms)
 
     def is_valid(
-        self, life: limiting.EndpointLife, until_ms: int | None
+        self, life: limiting.EndpointInstance, until_ms: int | None
     ) -> bool:
         """Return whether a permit is still valid at send time.
 
@@ -182,7 +182,7 @@
 
     def on_response(
         self,
-        life: limiting.EndpointLife,
+        life: limiting.EndpointInstance,
         values: collections.abc.Sequence[str],
         grant: limiting.GrantName | None,
         echoed: bool,
@@ -232,7 +232,7 @@
     def __init__(
         self,
         limits: EndpointLimits,
-        life: limiting.EndpointLife,
+        life: limiting.EndpointInstance,
         grant: limiting.GrantName | None = None,
         until_ms: int | None = None,
     ):
--- a/wrenspoke/coordination/limiting/leaving_endpoints.py
+++ b/wrenspoke/coordination/limiting/leaving_endpoints.py
@@ -22,10 +22,10 @@
 # A mark that expires is gossiped again after this part of its TTL.
 REGOSSIP_SHARE = 0.25
 
-Exists = collections.abc.Callable[[limiting.EndpointLife], bool]
-Listener = collections.abc.Callable[[limiting.EndpointLife], None]
+Exists = collections.abc.Callable[[limiting.EndpointInstance], bool]
+Listener = collections.abc.Callable[[limiting.EndpointInstance], None]
 Gossip = collections.abc.Callable[
-    [list[limiting.EndpointLife]], collections.abc.Awaitable[None]
+    [list[limiting.EndpointInstance]], collections.abc.Awaitable[None]
 ]
 
 
@@ -44,8 +44,8 @@
         self._ttl_ms = ttl_ms
         self._clock = clock
         # When each endpoint was last marked, and when that was last gossiped.
-        self._last_marked_ms: dict[limiting.EndpointLife, int] = {}
-        self._last_gossiped_ms: dict[limiting.EndpointLife, int] = {}
+        self._last_marked_ms: dict[limiting.EndpointInstance, int] = {}
+        self._last_gossiped_ms: dict[limiting.EndpointInstance, int] = {}
         self._listeners: list[Listener] = []
         self._tasks = runtime.Tasks()
 
@@ -67,7 +67,7 @@
         """Return whether no endpoint was marked."""
         return not self._last_marked_ms
 
-    def is_leaving(self, life: limiting.EndpointLife) -> bool:
+    def is_leaving(self, life: limiting.EndpointInstance) -> bool:
         """Return whether an endpoint is leaving."""
         marked_ms = self._last_marked_ms.get(life)
         if marked_ms is None:
@@ -84,7 +84,7 @@
             if self.is_leaving(life)
         ]
 
-    def mark(self, life: limiting.EndpointLife) -> None:
+    def mark(self, life: limiting.EndpointInstance) -> None:
         """Mark an endpoint whose response announced that it is leaving."""
         now_ms = self._clock.mono_ms()
         if not self._mark(life, now_ms) and not self._needs_regossip(
@@ -96,7 +96,7 @@
         for listener in self._listeners:
             listener(life)
 
-    def merge(self, received: list[limiting.EndpointLife]) -> None:
+    def merge(self, received: list[limiting.EndpointInstance]) -> None:
         """Merge leaving endpoints received from other hosts of the region."""
         now_ms = self._clock.mono_ms()
         for life in received:
@@ -104,7 +104,7 @@
                 self._mark(life, now_ms)
                 self._last_gossiped_ms[life] = now_ms
 
-    def _mark(self, life: limiting.EndpointLife, now_ms: int) -> bool:
+    def _mark(self, life: limiting.EndpointInstance, now_ms: int) -> bool:
         """Mark an endpoint; return whether it was not marked before."""
         was_leaving = self.is_leaving(life)
         self._last_marked_ms[life] = now_ms
@@ -113,7 +113,7 @@
         return not was_leaving
 
     def _needs_regossip(
-        self, life: limiting.EndpointLife, now_ms: int
+        self, life: limiting.EndpointInstance, now_ms: int
     ) -> bool:
         """Return whether a mark has to be gossiped again."""
         if self._ttl_ms is None:
--- a/wrenspoke/coordination/membership/engine_loads.py
+++ b/wrenspoke/coordination/membership/engine_loads.py
@@ -220,7 +220,7 @@
         self, found: registry.Registered
     ) -> loads.EngineLoad | None:
         said = found.said
-        life = limiting.EndpointLife(said.endpoint, said.born_ms)
+        life = limiting.EndpointInstance(said.endpoint, said.born_ms)
         asked_ms = self._clock.mono_ms()
         try:
             poll_permit = self._gate.acquire_poll(life)
--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -205,5 +205,5 @@
         return mechanism not in self._switched_off
 
 
-def _life_of(found: registry.Registered) -> limiting.EndpointLife:
-    return limiting.EndpointLife(found.said.endpoint, found.said.born_ms)
+def _life_of(found: registry.Registered) -> limiting.EndpointInstance:
+    return limiting.EndpointInstance(found.said.endpoint, found.said.born_ms)
--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -308,7 +308,7 @@
         """
         if self._gate is None:
             return None
-        life = limiting.EndpointLife(send.endpoint)
+        life = limiting.EndpointInstance(send.endpoint)
         if send.purpose is Purpose.LOAD:
             return self._gate.acquire_poll(life)
         if send.purpose not in WORK:
@@ -396,7 +396,7 @@
     def _takes_work(self, endpoint: configuration.Endpoint) -> bool:
         if not self._replica.takes_work(endpoint):
             return False
-        life = limiting.EndpointLife(endpoint.endpoint)
+        life = limiting.EndpointInstance(endpoint.endpoint)
         return self._gate is None or not self._gate.leaving.is_leaving(life)
 
     def _headers(self, send: Send) -> dict[str, str]:
@@ -421,7 +421,7 @@
             # An overload status does not prove that a once-only request was
             # not run, so the response goes to the caller.
             return
-        life = limiting.EndpointLife(send.endpoint)
+        life = limiting.EndpointInstance(send.endpoint)
         backs_off = self._gate is not None and bool(
             self._gate.backoffs.own_remaining_ms(life)
         )
--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -443,6 +443,6 @@
         return queue
 
 
-def _life_of(endpoint: ids.EndpointId) -> limiting.EndpointLife:
+def _life_of(endpoint: ids.EndpointId) -> limiting.EndpointInstance:
     """Return the only incarnation that a configured endpoint has."""
-    return limiting.EndpointLife(endpoint)
+    return limiting.EndpointInstance(endpoint)
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -69,9 +69,9 @@
     send_permit: endpoint_gate.GatePermit | None = None
 
     @property
-    def life(self) -> limiting.EndpointLife:
+    def life(self) -> limiting.EndpointInstance:
         """Return the selected incarnation of the endpoint."""
-        return limiting.EndpointLife(
+        return limiting.EndpointInstance(
             self.endpoint, self.chosen.registered.said.born_ms
         )
 
--- a/wrenspoke/coordination/serving/warmup_probe.py
+++ b/wrenspoke/coordination/serving/warmup_probe.py
@@ -115,7 +115,7 @@
         service = self._replica.current.routes.service(said.service)
         if service is None:
             return None
-        life = limiting.EndpointLife(said.endpoint, said.born_ms)
+        life = limiting.EndpointInstance(said.endpoint, said.born_ms)
         try:
             async with clocks.timeout_ms(PROBE_TIMEOUT_MS):
                 # A probe counts against the endpoint's limit.
@@ -163,7 +163,7 @@
 
     def _note_advertised(
         self,
-        life: limiting.EndpointLife,
+        life: limiting.EndpointInstance,
         send_permit: endpoint_gate.GatePermit,
         response: aiohttp.ClientResponse,
     ) -> None:
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -233,7 +233,7 @@
             )
         )
 
-    def _lives(self, life: limiting.EndpointLife) -> bool:
+    def _lives(self, life: limiting.EndpointInstance) -> bool:
         """Tell whether an endpoint is known, and in that life of it."""
         found = self.attendance.registry.held.get(life.endpoint)
         return found is not None and found.said.born_ms == life.born_ms
--- a/wrenspoke/protocol/discovery_messages.py
+++ b/wrenspoke/protocol/discovery_messages.py
@@ -241,7 +241,7 @@
     pass_on: list[ids.HostId] = []
     limits: list[limiting.EndpointLimit] = []
     backoffs: list[limiting.EndpointBackoff] = []
-    leaving: list[limiting.EndpointLife] = []
+    leaving: list[limiting.EndpointInstance] = []
 
 
 class ReportLeaving(msgspec.Struct, tag='endpoint_leaves'):
--- a/wrenspoke/protocol/limiting.py
+++ b/wrenspoke/protocol/limiting.py
@@ -72,7 +72,7 @@
     wait_ms: int
 
 
-class EndpointLife(msgspec.Struct, array_like=True, frozen=True):
+class EndpointInstance(msgspec.Struct, array_like=True, frozen=True):
     """Name one life of an endpoint; ``born_ms`` is 0 where it has but one."""
 
     endpoint: ids.EndpointId
@@ -86,7 +86,7 @@
     higher ``version`` is newer.
     """
 
-    life: EndpointLife
+    life: EndpointInstance
     version: int = 0
     rate_per_s: float | None = None
 
@@ -98,7 +98,7 @@
     request of the host since.
     """
 
-    life: EndpointLife
+    life: EndpointInstance
     host: ids.HostId
     left_ms: int
 
