--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -138,7 +138,7 @@
         if wait_ms:
             return limiting.AskSendReply(limit, wait_ms=wait_ms)
         bucket.last_granted += 1
-        grant = limiting.GrantName(self._host, self._life, bucket.last_granted)
+        grant = limiting.GrantId(self._host, self._life, bucket.last_granted)
         return limiting.AskSendReply(limit, grant)
 
     def _take_or_wait_ms(
@@ -202,7 +202,7 @@
         self,
         known: limiting.EndpointLimit,
         rate_per_s: float | None,
-        grant: limiting.GrantName | None,
+        grant: limiting.GrantId | None,
     ) -> None:
         """Apply the rate that a response advertised, None without one.
 
@@ -228,7 +228,7 @@
         self._schedule_gossip(life)
 
     def _is_newest(
-        self, grant: limiting.GrantName | None, bucket: _EndpointBucket
+        self, grant: limiting.GrantId | None, bucket: _EndpointBucket
     ) -> bool:
         """Return whether no newer response has advertised a limit."""
         if grant is None or grant.life != self._life:
--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -184,7 +184,7 @@
         self,
         life: limiting.EndpointInstance,
         values: collections.abc.Sequence[str],
-        grant: limiting.GrantName | None,
+        grant: limiting.GrantId | None,
         echoed: bool,
     ) -> None:
         """Update the endpoint's limit from a response header.
@@ -233,7 +233,7 @@
         self,
         limits: EndpointLimits,
         life: limiting.EndpointInstance,
-        grant: limiting.GrantName | None = None,
+        grant: limiting.GrantId | None = None,
         until_ms: int | None = None,
     ):
         self._limits = limits
--- a/wrenspoke/protocol/limiting.py
+++ b/wrenspoke/protocol/limiting.py
@@ -103,7 +103,7 @@
     left_ms: int
 
 
-class GrantName(msgspec.Struct, array_like=True, frozen=True):
+class GrantId(msgspec.Struct, array_like=True, frozen=True):
     """Name a leave to send: the lender, its life, and a rising number."""
 
     lender: ids.HostId
@@ -130,7 +130,7 @@
     """
 
     known: EndpointLimit
-    grant: GrantName | None = None
+    grant: GrantId | None = None
     wait_ms: int = 0
 
 
@@ -143,4 +143,4 @@
 
     known: EndpointLimit
     rate_per_s: float | None
-    grant: GrantName | None = None
+    grant: GrantId | None = None
