--- a/benches/fatal_requests.py
+++ b/benches/fatal_requests.py
@@ -269,7 +269,7 @@
 def count_messages() -> None:
     """Print what one end costs, told to all or to control hosts."""
     ends = [
-        quarantining.RunEnd('0' * 32, 'engine-12345', 5) for _ in range(CALLS)
+        quarantining.EndpointCrash('0' * 32, 'engine-12345', 5) for _ in range(CALLS)
     ]
     print('| hosts | told to all: messages, KB | to control hosts |')
     print('| --- | --- | --- |')
--- a/wrenspoke/coordination/quarantine/crash_aggregator.py
+++ b/wrenspoke/coordination/quarantine/crash_aggregator.py
@@ -115,7 +115,9 @@
             [self._make_hold(one) for one in reported if self._is_held(one)],
         )
 
-    def _record_crash(self, end: quarantining.RunEnd, now_ms: int) -> bool:
+    def _record_crash(
+        self, end: quarantining.EndpointCrash, now_ms: int
+    ) -> bool:
         """Record a crash; return whether entry hosts must be notified."""
         if quarantine.held(self._quarantine, end.digest) is not None:
             # The request was sent before the hold reached that host.
--- a/wrenspoke/coordination/quarantine/crash_reporter.py
+++ b/wrenspoke/coordination/quarantine/crash_reporter.py
@@ -140,7 +140,7 @@
     ) -> quarantining.RunsNoted | None:
         now_ms = self._clock.mono_ms()
         run_ends = [
-            quarantining.RunEnd(digest, endpoint, now_ms - ended_ms)
+            quarantining.EndpointCrash(digest, endpoint, now_ms - ended_ms)
             for digest, endpoint, ended_ms in crashes
         ]
         message = quarantining.RunsEnded(run_ends, cleared)
--- a/wrenspoke/protocol/quarantining.py
+++ b/wrenspoke/protocol/quarantining.py
@@ -5,7 +5,7 @@
 from wrenspoke import ids
 
 
-class RunEnd(msgspec.Struct, array_like=True, frozen=True):
+class EndpointCrash(msgspec.Struct, array_like=True, frozen=True):
     """Tell that an endpoint ended under a request, ``age_ms`` ago."""
 
     digest: ids.RequestDigest
@@ -30,7 +30,7 @@
     What is in ``cleared`` some endpoint ran to a good end.
     """
 
-    ends: list[RunEnd]
+    ends: list[EndpointCrash]
     cleared: list[ids.RequestDigest] = []
 
 
