--- a/benches/fatal_requests.py
+++ b/benches/fatal_requests.py
@@ -277,7 +277,7 @@
         near = hosts / REGIONS
         each = max(CALLS / near, 1)
         who = min(near, CALLS)
-        message = quarantining.RunsEnded(ends[: round(each)])
+        message = quarantining.ReportCrashes(ends[: round(each)])
         size = len(msgspec.msgpack.encode(message))
         to_all = who * (hosts - 1)
         to_controls = who * CONTROLS
--- a/wrenspoke/coordination/quarantine/crash_aggregator.py
+++ b/wrenspoke/coordination/quarantine/crash_aggregator.py
@@ -86,7 +86,7 @@
         self._decided_ms: dict[quarantine.Quarantined, int] = {}
         self._proposing = False
         self._tasks = runtime.Tasks()
-        peers.answers(quarantining.RunsEnded)(self._handle_runs_ended)
+        peers.answers(quarantining.ReportCrashes)(self._handle_runs_ended)
 
     def start(self) -> None:
         """Start the task that proposes quarantine decisions."""
@@ -97,7 +97,7 @@
         await self._tasks.close()
 
     async def _handle_runs_ended(
-        self, _sender: ids.HostId, message: quarantining.RunsEnded
+        self, _sender: ids.HostId, message: quarantining.ReportCrashes
     ) -> quarantining.RunsNoted:
         now_ms = self._clock.mono_ms()
         for digest in message.cleared:
--- a/wrenspoke/coordination/quarantine/crash_reporter.py
+++ b/wrenspoke/coordination/quarantine/crash_reporter.py
@@ -143,7 +143,7 @@
             quarantining.EndpointCrash(digest, endpoint, now_ms - ended_ms)
             for digest, endpoint, ended_ms in crashes
         ]
-        message = quarantining.RunsEnded(run_ends, cleared)
+        message = quarantining.ReportCrashes(run_ends, cleared)
         try:
             answer = await self._peers.call(host, message, CALL_TIMEOUT_MS)
         except protocol_errors.ProtocolError as error:
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -73,7 +73,7 @@
         self.refused_count = 0
         reporter.set_hold_callback(self._hold_provisionally)
         peers.answers(quarantining.HoldOff)(self._handle_hold_off)
-        peers.answers(quarantining.RunsEnded)(self._collect_crash_reports)
+        peers.answers(quarantining.ReportCrashes)(self._collect_crash_reports)
 
     async def close(self) -> None:
         """Cancel all tasks, including those of the reporter."""
@@ -226,7 +226,7 @@
         )
 
     async def _collect_crash_reports(
-        self, _sender: ids.HostId, message: quarantining.RunsEnded
+        self, _sender: ids.HostId, message: quarantining.ReportCrashes
     ) -> quarantining.RunsNoted:
         """Aggregate crash reports in deployments without control hosts."""
         now_ms = self._clock.mono_ms()
--- a/wrenspoke/protocol/peers.py
+++ b/wrenspoke/protocol/peers.py
@@ -37,7 +37,7 @@
     limiting.AskSend,
     limiting.AskSendReply,
     limiting.ReportLimit,
-    quarantining.RunsEnded,
+    quarantining.ReportCrashes,
     quarantining.RunsNoted,
     quarantining.HoldOff,
     quarantining.HoldTaken,
--- a/wrenspoke/protocol/quarantining.py
+++ b/wrenspoke/protocol/quarantining.py
@@ -24,7 +24,7 @@
     for_ms: int
 
 
-class RunsEnded(msgspec.Struct, tag='runs_ended'):
+class ReportCrashes(msgspec.Struct, tag='runs_ended'):
     """Tell which runs ended endpoints, and which requests ran to an end.
 
     What is in ``cleared`` some endpoint ran to a good end.
