--- a/wrenspoke/coordination/quarantine/crash_aggregator.py
+++ b/wrenspoke/coordination/quarantine/crash_aggregator.py
@@ -98,7 +98,7 @@
 
     async def _handle_runs_ended(
         self, _sender: ids.HostId, message: quarantining.ReportCrashes
-    ) -> quarantining.RunsNoted:
+    ) -> quarantining.ReportCrashesReply:
         now_ms = self._clock.mono_ms()
         for digest in message.cleared:
             self._handle_success(digest)
@@ -110,7 +110,7 @@
             self._tasks.start(self._notify_entry_hosts(new_holds), fatal=False)
             self._tasks.start(self._propose_after_objections())
         reported = {end.digest for end in message.ends}
-        return quarantining.RunsNoted(
+        return quarantining.ReportCrashesReply(
             self._instance_id,
             [self._make_hold(one) for one in reported if self._is_held(one)],
         )
--- a/wrenspoke/coordination/quarantine/crash_reporter.py
+++ b/wrenspoke/coordination/quarantine/crash_reporter.py
@@ -137,7 +137,7 @@
         host: ids.HostId,
         crashes: list[LocalCrash],
         cleared: list[ids.RequestDigest],
-    ) -> quarantining.RunsNoted | None:
+    ) -> quarantining.ReportCrashesReply | None:
         now_ms = self._clock.mono_ms()
         run_ends = [
             quarantining.EndpointCrash(digest, endpoint, now_ms - ended_ms)
@@ -149,7 +149,7 @@
         except protocol_errors.ProtocolError as error:
             logger.info('crash_report_failed', peer=host, reason=str(error))
             return None
-        if not isinstance(answer, quarantining.RunsNoted):
+        if not isinstance(answer, quarantining.ReportCrashesReply):
             logger.info('crash_report_failed', peer=host, reason=repr(answer))
             return None
         return answer
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -227,7 +227,7 @@
 
     async def _collect_crash_reports(
         self, _sender: ids.HostId, message: quarantining.ReportCrashes
-    ) -> quarantining.RunsNoted:
+    ) -> quarantining.ReportCrashesReply:
         """Aggregate crash reports in deployments without control hosts."""
         now_ms = self._clock.mono_ms()
         for digest in message.cleared:
@@ -239,7 +239,7 @@
                     end.digest, end.endpoint, now_ms - end.age_ms
                 )
         reported = {end.digest for end in message.ends}
-        return quarantining.RunsNoted(
+        return quarantining.ReportCrashesReply(
             self._instance_id,
             [
                 quarantining.Hold(
--- a/wrenspoke/protocol/peers.py
+++ b/wrenspoke/protocol/peers.py
@@ -38,7 +38,7 @@
     limiting.AskSendReply,
     limiting.ReportLimit,
     quarantining.ReportCrashes,
-    quarantining.RunsNoted,
+    quarantining.ReportCrashesReply,
     quarantining.HoldOff,
     quarantining.HoldTaken,
 ]
--- a/wrenspoke/protocol/quarantining.py
+++ b/wrenspoke/protocol/quarantining.py
@@ -34,7 +34,7 @@
     cleared: list[ids.RequestDigest] = []
 
 
-class RunsNoted(msgspec.Struct, tag='runs_noted'):
+class ReportCrashesReply(msgspec.Struct, tag='runs_noted'):
     """Answer what was told of runs.
 
     ``life`` tells one life of the answering host from another, ``holds`` is
