--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -350,12 +350,12 @@
     host = GuardedHost()
     if worked:
         host.guard.mark_succeeded(host.guard.start_run('d', 'e', 'e:1'))
-    hear = host.peers.answerers[quarantining.HoldOff]
-    told = quarantining.HoldOff([quarantining.Hold('d', 3, 300_000)])
+    hear = host.peers.answerers[quarantining.UpdateHolds]
+    told = quarantining.UpdateHolds([quarantining.Hold('d', 3, 300_000)])
     answer = await hear('control', told)
     assert answer.cleared == (['d'] if worked else [])
     assert (host.guard.remaining_hold_ms('d') is None) == worked
-    await hear('control', quarantining.HoldOff([], ['d']))
+    await hear('control', quarantining.UpdateHolds([], ['d']))
     assert host.guard.remaining_hold_ms('d') is None
 
 
--- a/wrenspoke/coordination/quarantine/crash_aggregator.py
+++ b/wrenspoke/coordination/quarantine/crash_aggregator.py
@@ -183,14 +183,14 @@
         new_holds: list[quarantining.Hold],
         released: collections.abc.Iterable[ids.RequestDigest] = (),
     ) -> None:
-        message = quarantining.HoldOff(new_holds, list(released))
+        message = quarantining.UpdateHolds(new_holds, list(released))
         hosts = self._list_entry_hosts(self._local_voter.has_lease)
         await asyncio.gather(
             *(self._notify_entry_host(host, message) for host in hosts)
         )
 
     async def _notify_entry_host(
-        self, host: ids.HostId, message: quarantining.HoldOff
+        self, host: ids.HostId, message: quarantining.UpdateHolds
     ) -> None:
         try:
             answer = await self._peers.call(host, message, CALL_TIMEOUT_MS)
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -72,7 +72,7 @@
         self._tasks = runtime.Tasks()
         self.refused_count = 0
         reporter.set_hold_callback(self._hold_provisionally)
-        peers.answers(quarantining.HoldOff)(self._handle_hold_off)
+        peers.answers(quarantining.UpdateHolds)(self._handle_hold_off)
         peers.answers(quarantining.ReportCrashes)(self._collect_crash_reports)
 
     async def close(self) -> None:
@@ -210,7 +210,7 @@
             self._provisional_until_ms.popitem(last=False)
 
     async def _handle_hold_off(
-        self, _sender: ids.HostId, message: quarantining.HoldOff
+        self, _sender: ids.HostId, message: quarantining.UpdateHolds
     ) -> quarantining.HoldTaken:
         for digest in message.released:
             self._provisional_until_ms.pop(digest, None)
--- a/wrenspoke/protocol/peers.py
+++ b/wrenspoke/protocol/peers.py
@@ -39,7 +39,7 @@
     limiting.ReportLimit,
     quarantining.ReportCrashes,
     quarantining.ReportCrashesReply,
-    quarantining.HoldOff,
+    quarantining.UpdateHolds,
     quarantining.HoldTaken,
 ]
 Answerer = collections.abc.Callable[
--- a/wrenspoke/protocol/quarantining.py
+++ b/wrenspoke/protocol/quarantining.py
@@ -45,7 +45,7 @@
     holds: list[Hold] = []
 
 
-class HoldOff(msgspec.Struct, tag='hold_off'):
+class UpdateHolds(msgspec.Struct, tag='hold_off'):
     """Tell entry hosts which requests not to send, and which to send again."""
 
     holds: list[Hold]
