--- a/wrenspoke/coordination/quarantine/crash_aggregator.py
+++ b/wrenspoke/coordination/quarantine/crash_aggregator.py
@@ -199,7 +199,7 @@
                 'hold_notification_failed', peer=host, reason=str(error)
             )
             return
-        if isinstance(answer, quarantining.HoldTaken):
+        if isinstance(answer, quarantining.UpdateHoldsReply):
             for digest in answer.cleared:
                 self._handle_success(digest)
 
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -211,13 +211,13 @@
 
     async def _handle_hold_off(
         self, _sender: ids.HostId, message: quarantining.UpdateHolds
-    ) -> quarantining.HoldTaken:
+    ) -> quarantining.UpdateHoldsReply:
         for digest in message.released:
             self._provisional_until_ms.pop(digest, None)
             self._crash_history.clear(digest)
         for hold in message.holds:
             self._hold_provisionally(hold)
-        return quarantining.HoldTaken(
+        return quarantining.UpdateHoldsReply(
             [
                 hold.digest
                 for hold in message.holds
--- a/wrenspoke/protocol/peers.py
+++ b/wrenspoke/protocol/peers.py
@@ -40,7 +40,7 @@
     quarantining.ReportCrashes,
     quarantining.ReportCrashesReply,
     quarantining.UpdateHolds,
-    quarantining.HoldTaken,
+    quarantining.UpdateHoldsReply,
 ]
 Answerer = collections.abc.Callable[
     [ids.HostId, Message],
--- a/wrenspoke/protocol/quarantining.py
+++ b/wrenspoke/protocol/quarantining.py
@@ -52,7 +52,7 @@
     released: list[ids.RequestDigest] = []
 
 
-class HoldTaken(msgspec.Struct, tag='hold_taken'):
+class UpdateHoldsReply(msgspec.Struct, tag='hold_taken'):
     """Answer what was told of holds.
 
     What is in ``cleared`` ran to a good end of late.
