--- a/wrenspoke/protocol/peers.py
+++ b/wrenspoke/protocol/peers.py
@@ -42,7 +42,7 @@
     quarantining.UpdateHolds,
     quarantining.UpdateHoldsReply,
 ]
-Answerer = collections.abc.Callable[
+MessageHandler = collections.abc.Callable[
     [ids.HostId, Message],
     collections.abc.Awaitable[Message | None],
 ]
@@ -59,7 +59,7 @@
         silence: links.Silence = links.Silence(),
         noted: links.Noted | None = None,
     ):
-        self._answerers: dict[type, Answerer] = {}
+        self._answerers: dict[type, MessageHandler] = {}
         self._decoder = msgspec.msgpack.Decoder(Message)
         self._encoder = msgspec.msgpack.Encoder()
         self.links = links.Links(
@@ -68,10 +68,10 @@
 
     def answers(
         self, kind: type
-    ) -> collections.abc.Callable[[Answerer], Answerer]:
+    ) -> collections.abc.Callable[[MessageHandler], MessageHandler]:
         """Return a decorator that registers who answers a message."""
 
-        def register(answerer: Answerer) -> Answerer:
+        def register(answerer: MessageHandler) -> MessageHandler:
             self._answerers[kind] = answerer
             return answerer
 
