--- a/wrenspoke/protocol/peers.py
+++ b/wrenspoke/protocol/peers.py
@@ -59,7 +59,7 @@
         silence: links.Silence = links.Silence(),
         noted: links.Noted | None = None,
     ):
-        self._answerers: dict[type, MessageHandler] = {}
+        self._handlers: dict[type, MessageHandler] = {}
         self._decoder = msgspec.msgpack.Decoder(Message)
         self._encoder = msgspec.msgpack.Encoder()
         self.links = links.Links(
@@ -72,7 +72,7 @@
         """Return a decorator that registers who answers a message."""
 
         def register(answerer: MessageHandler) -> MessageHandler:
-            self._answerers[kind] = answerer
+            self._handlers[kind] = answerer
             return answerer
 
         return register
@@ -114,7 +114,7 @@
         except errors.MalformedMessageError as error:
             logger.warning('message_refused', reason=str(error), peer=sender)
             return None
-        answerer = self._answerers.get(type(message))
+        answerer = self._handlers.get(type(message))
         if answerer is None:
             answer = messages.Refusal('not answered on this host')
         else:
