--- a/wrenspoke/protocol/peers.py
+++ b/wrenspoke/protocol/peers.py
@@ -114,9 +114,9 @@
         except errors.MalformedMessageError as error:
             logger.warning('message_refused', reason=str(error), peer=sender)
             return None
-        answerer = self._handlers.get(type(message))
-        if answerer is None:
+        handler = self._handlers.get(type(message))
+        if handler is None:
             answer = messages.Refusal('not answered on this host')
         else:
-            answer = await answerer(sender, message)
+            answer = await handler(sender, message)
         return None if answer is None else self._encoder.encode(answer)
