--- a/wrenspoke/protocol/peers.py
+++ b/wrenspoke/protocol/peers.py
@@ -63,7 +63,7 @@
         self._decoder = msgspec.msgpack.Decoder(Message)
         self._encoder = msgspec.msgpack.Encoder()
         self.links = links.Links(
-            identity, peers, clock, self._handle, silence, noted
+            identity, peers, clock, self._on_message, silence, noted
         )
 
     def answers(
@@ -108,7 +108,9 @@
         except msgspec.DecodeError as error:
             raise errors.MalformedMessageError(str(error)) from error
 
-    async def _handle(self, sender: ids.HostId, body: bytes) -> bytes | None:
+    async def _on_message(
+        self, sender: ids.HostId, body: bytes
+    ) -> bytes | None:
         try:
             message = self._decode(body)
         except errors.MalformedMessageError as error:
