--- a/tests/test_advertised.py
+++ b/tests/test_advertised.py
@@ -128,7 +128,7 @@
 
 def head(origin=advertised.Origin.ECHOED, status=503, **fields):
     """Return the head of a response."""
-    return advertised.Advertised(origin, status, **fields)
+    return advertised.AdvertisedHeaders(origin, status, **fields)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_endpoint_gate.py
+++ b/tests/test_endpoint_gate.py
@@ -38,11 +38,13 @@
 
 
 def refusal(origin=ECHOED, status=503, **fields):
-    return advertised.Advertised(origin, status, retry_after=('3',), **fields)
+    return advertised.AdvertisedHeaders(
+        origin, status, retry_after=('3',), **fields
+    )
 
 
 def served(origin=ECHOED, **fields):
-    return advertised.Advertised(origin, 200, **fields)
+    return advertised.AdvertisedHeaders(origin, 200, **fields)
 
 
 LEAVES = served(leaving=('1',))
@@ -63,7 +65,7 @@
         (served(FOREIGN, leaving=('1',)), False, True),
         (served(), False, True),
         # Neither a refusal with a time, nor a success.
-        (advertised.Advertised(ECHOED, 503), False, True),
+        (advertised.AdvertisedHeaders(ECHOED, 503), False, True),
     ],
 )
 async def test_permit_is_validated_at_send_time(gate, head, continues, valid):
@@ -115,7 +117,7 @@
     permit = await gate.acquire(LIFE, RANK)
     for _number in range(3):
         permit.on_response(
-            advertised.Advertised(
+            advertised.AdvertisedHeaders(
                 ECHOED, 503, retry_after=('soon',), leaving=('yes',)
             )
         )
@@ -148,7 +150,9 @@
     gate = endpoint_gate.EndpointGate(
         'h', lambda _key: ['h'], known.__contains__, None, peers, clock
     )
-    malformed = advertised.Advertised(ECHOED, 503, retry_after=('soon',))
+    malformed = advertised.AdvertisedHeaders(
+        ECHOED, 503, retry_after=('soon',)
+    )
     for number in range(50):
         life = limiting.EndpointInstance(f'e{number}')
         known[:] = [life]
--- a/wrenspoke/coordination/limiting/endpoint_gate.py
+++ b/wrenspoke/coordination/limiting/endpoint_gate.py
@@ -143,7 +143,7 @@
     def on_response(
         self,
         life: limiting.EndpointInstance,
-        head: advertised.Advertised,
+        head: advertised.AdvertisedHeaders,
         sent_ms: int,
         is_work: bool,
     ) -> None:
@@ -160,7 +160,9 @@
             self.leaving.mark(life)
 
     def _backoff_ms(
-        self, life: limiting.EndpointInstance, head: advertised.Advertised
+        self,
+        life: limiting.EndpointInstance,
+        head: advertised.AdvertisedHeaders,
     ) -> int:
         try:
             backoff_ms = head.backoff_ms(self._clock.wall_ms())
@@ -171,7 +173,9 @@
         return backoff_ms
 
     def _is_leaving(
-        self, life: limiting.EndpointInstance, head: advertised.Advertised
+        self,
+        life: limiting.EndpointInstance,
+        head: advertised.AdvertisedHeaders,
     ) -> bool:
         try:
             leaving = head.is_leaving()
@@ -236,7 +240,7 @@
             return False
         return self._limit_permit.is_valid()
 
-    def on_response(self, head: advertised.Advertised) -> None:
+    def on_response(self, head: advertised.AdvertisedHeaders) -> None:
         """Update the endpoint's state from the head of the response."""
         if self._limit_permit is not None:
             echoed = head.origin is advertised.Origin.ECHOED
--- a/wrenspoke/protocol/advertised.py
+++ b/wrenspoke/protocol/advertised.py
@@ -41,7 +41,7 @@
     FOREIGN = 'foreign'
 
 
-class Advertised(msgspec.Struct, frozen=True):
+class AdvertisedHeaders(msgspec.Struct, frozen=True):
     """The header values of one response, unparsed."""
 
     origin: Origin
@@ -93,9 +93,9 @@
 
 def read(
     source: Origin, status: int, found: Headers, dialect: dialects.Dialect
-) -> Advertised:
+) -> AdvertisedHeaders:
     """Return what the head of a response advertises."""
-    return Advertised(
+    return AdvertisedHeaders(
         source,
         status,
         tuple(found.getall(dialect.limit, [])),
