--- a/wrenspoke/protocol/advertised.py
+++ b/wrenspoke/protocol/advertised.py
@@ -17,7 +17,7 @@
 SHOWN_CHARS = 40
 
 
-class Headers(typing.Protocol):
+class HeaderMultiMap(typing.Protocol):
     """The headers of a response."""
 
     def get(self, name: str) -> str | None:
@@ -92,7 +92,10 @@
 
 
 def read(
-    source: Origin, status: int, found: Headers, dialect: dialects.Dialect
+    source: Origin,
+    status: int,
+    found: HeaderMultiMap,
+    dialect: dialects.Dialect,
 ) -> AdvertisedHeaders:
     """Return what the head of a response advertises."""
     return AdvertisedHeaders(
