--- a/wrenspoke/coordination/limiting/endpoint_gate.py
+++ b/wrenspoke/coordination/limiting/endpoint_gate.py
@@ -151,7 +151,7 @@
 
         Only the response to a request with ``is_work`` ends a backoff.
         """
-        if not head.own:
+        if not head.is_from_endpoint:
             return
         backoff_ms = self._backoff_ms(life, head)
         if backoff_ms or (is_work and head.status not in advertised.REFUSALS):
--- a/wrenspoke/protocol/advertised.py
+++ b/wrenspoke/protocol/advertised.py
@@ -52,7 +52,7 @@
     date: str | None = None
 
     @property
-    def own(self) -> bool:
+    def is_from_endpoint(self) -> bool:
         """Return whether the response may be the endpoint's own."""
         return self.origin is not Origin.FOREIGN
 
