--- a/wrenspoke/coordination/limiting/endpoint_gate.py
+++ b/wrenspoke/coordination/limiting/endpoint_gate.py
@@ -154,7 +154,9 @@
         if not head.is_from_endpoint:
             return
         backoff_ms = self._backoff_ms(life, head)
-        if backoff_ms or (is_work and head.status not in advertised.REFUSALS):
+        if backoff_ms or (
+            is_work and head.status not in advertised.REFUSAL_STATUSES
+        ):
             self.backoffs.on_response(life, backoff_ms, sent_ms)
         if self._is_leaving(life, head):
             self.leaving.mark(life)
--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -415,7 +415,7 @@
     def _raise_if_overloaded(
         self, send: Send, response: aiohttp.ClientResponse
     ) -> None:
-        if response.status not in advertised.REFUSALS:
+        if response.status not in advertised.REFUSAL_STATUSES:
             return
         if send.head is not None and send.head.once:
             # An overload status does not prove that a once-only request was
--- a/wrenspoke/protocol/advertised.py
+++ b/wrenspoke/protocol/advertised.py
@@ -11,7 +11,7 @@
 from wrenspoke.protocol import headers
 from wrenspoke.protocol import retry_after
 
-REFUSALS = frozenset([429, 503])
+REFUSAL_STATUSES = frozenset([429, 503])
 MISDIRECTED = 421
 LEAVING = {'1': True, '0': False}
 SHOWN_CHARS = 40
@@ -61,7 +61,7 @@
 
         :raises MalformedRetryAfterError: it can't be read
         """
-        if self.status not in REFUSALS:
+        if self.status not in REFUSAL_STATUSES:
             return 0
         found_ms = retry_after.read_ms(self.retry_after, now_ms, self.date)
         return found_ms or 0
