--- a/wrenspoke/protocol/advertised.py
+++ b/wrenspoke/protocol/advertised.py
@@ -13,7 +13,7 @@
 
 REFUSAL_STATUSES = frozenset([429, 503])
 MISDIRECTED = 421
-LEAVING = {'1': True, '0': False}
+LEAVING_VALUES = {'1': True, '0': False}
 SHOWN_CHARS = 40
 
 
@@ -73,7 +73,7 @@
         """
         found = False
         for text in self.leaving:
-            value = LEAVING.get(text.strip())
+            value = LEAVING_VALUES.get(text.strip())
             if value is None:
                 raise errors.MalformedLeavingError(
                     f'{text[:SHOWN_CHARS]!r} is neither 0 nor 1'
