--- a/wrenspoke/protocol/advertised.py
+++ b/wrenspoke/protocol/advertised.py
@@ -14,7 +14,7 @@
 REFUSAL_STATUSES = frozenset([429, 503])
 MISDIRECTED = 421
 LEAVING_VALUES = {'1': True, '0': False}
-SHOWN_CHARS = 40
+MAX_QUOTED_CHARS = 40
 
 
 class HeaderMultiMap(typing.Protocol):
@@ -76,7 +76,7 @@
             value = LEAVING_VALUES.get(text.strip())
             if value is None:
                 raise errors.MalformedLeavingError(
-                    f'{text[:SHOWN_CHARS]!r} is neither 0 nor 1'
+                    f'{text[:MAX_QUOTED_CHARS]!r} is neither 0 nor 1'
                 )
             found |= value
         return found
