--- a/tests/test_advertised.py
+++ b/tests/test_advertised.py
@@ -144,7 +144,7 @@
     ],
 )
 def test_origin_of_a_response(status, found, origin):
-    assert advertised.origin(status, 'q', found) is origin
+    assert advertised.classify_origin(status, 'q', found) is origin
 
 
 @pytest.mark.parametrize(
--- a/wrenspoke/coordination/membership/engine_loads.py
+++ b/wrenspoke/coordination/membership/engine_loads.py
@@ -230,7 +230,9 @@
                 ) as response:
                     poll_permit.on_response(
                         advertised.read(
-                            advertised.origin(response.status, '', None),
+                            advertised.classify_origin(
+                                response.status, '', None
+                            ),
                             response.status,
                             response.headers,
                             self._dialect,
--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -342,7 +342,9 @@
         echoed = send.echo_id
         if endpoint.echoes_request_id:
             echoed = response.headers.get(headers.ECHO)
-        source = advertised.origin(response.status, send.echo_id, echoed)
+        source = advertised.classify_origin(
+            response.status, send.echo_id, echoed
+        )
         send_permit.on_response(
             advertised.read(source, response.status, response.headers, DIALECT)
         )
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -278,7 +278,9 @@
         if destination.endpoint is None:
             return
         echoed = response.headers.get(self._dialect.request)
-        source = advertised.origin(response.status, call.request, echoed)
+        source = advertised.classify_origin(
+            response.status, call.request, echoed
+        )
         destination.send_permit.on_response(
             advertised.read(
                 source, response.status, response.headers, self._dialect
--- a/wrenspoke/protocol/advertised.py
+++ b/wrenspoke/protocol/advertised.py
@@ -82,7 +82,7 @@
         return found
 
 
-def origin(status: int, expected: str, found: str | None) -> Origin:
+def classify_origin(status: int, expected: str, found: str | None) -> Origin:
     """Return whose response it is, by the name that it echoes."""
     if status == MISDIRECTED:
         return Origin.FOREIGN
