--- a/tests/test_advertised.py
+++ b/tests/test_advertised.py
@@ -166,7 +166,7 @@
             ('Date', date(0)),
         ]
     )
-    assert advertised.read(
+    assert advertised.read_headers(
         advertised.Origin.ECHOED, 503, found, dialects.Dialect()
     ) == head(
         limits=('1', '2'), retry_after=('3',), leaving=('1',), date=date(0)
--- a/wrenspoke/coordination/membership/engine_loads.py
+++ b/wrenspoke/coordination/membership/engine_loads.py
@@ -229,7 +229,7 @@
                     'GET', said.address, self._reader.path, [], None
                 ) as response:
                     poll_permit.on_response(
-                        advertised.read(
+                        advertised.read_headers(
                             advertised.classify_origin(
                                 response.status, '', None
                             ),
--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -346,7 +346,9 @@
             response.status, send.echo_id, echoed
         )
         send_permit.on_response(
-            advertised.read(source, response.status, response.headers, DIALECT)
+            advertised.read_headers(
+                source, response.status, response.headers, DIALECT
+            )
         )
 
     def _is_guarded(self, send: Send) -> bool:
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -282,7 +282,7 @@
             response.status, call.request, echoed
         )
         destination.send_permit.on_response(
-            advertised.read(
+            advertised.read_headers(
                 source, response.status, response.headers, self._dialect
             )
         )
--- a/wrenspoke/coordination/serving/warmup_probe.py
+++ b/wrenspoke/coordination/serving/warmup_probe.py
@@ -173,7 +173,7 @@
         if instance not in (None, life.endpoint):
             source = advertised.Origin.FOREIGN
         send_permit.on_response(
-            advertised.read(
+            advertised.read_headers(
                 source, response.status, response.headers, self._dialect
             )
         )
--- a/wrenspoke/protocol/advertised.py
+++ b/wrenspoke/protocol/advertised.py
@@ -91,7 +91,7 @@
     return Origin.ECHOED if found == expected else Origin.FOREIGN
 
 
-def read(
+def read_headers(
     source: Origin,
     status: int,
     found: HeaderMultiMap,
