--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -326,9 +326,9 @@
         fields.append((dialect.endpoint, destination.endpoint))
         if (
             destination.chosen is not None
-            and destination.chosen.source is not None
+            and destination.chosen.origin is not None
         ):
-            source = destination.chosen.source.said
+            source = destination.chosen.origin.said
             fields.append((dialect.fetch_from, source.address))
         if call.parts:
             fields.append((dialect.priority, str(permit.urgency)))
--- a/wrenspoke/protocol/advertised.py
+++ b/wrenspoke/protocol/advertised.py
@@ -92,14 +92,14 @@
 
 
 def read_headers(
-    source: Origin,
+    origin: Origin,
     status: int,
     found: HeaderMultiMap,
     dialect: dialects.Dialect,
 ) -> AdvertisedHeaders:
     """Return what the head of a response advertises."""
     return AdvertisedHeaders(
-        source,
+        origin,
         status,
         tuple(found.getall(dialect.limit, [])),
         tuple(found.getall(headers.RETRY_AFTER, [])),
