--- a/tests/test_advertised.py
+++ b/tests/test_advertised.py
@@ -48,11 +48,11 @@
     ],
 )
 def test_retry_after_is_read(texts, delay_ms):
-    assert retry_after.read_ms(texts, NOW_MS) == delay_ms
+    assert retry_after.parse_delay_ms(texts, NOW_MS) == delay_ms
 
 
 def test_date_counts_from_the_response_and_not_from_this_clock():
-    found = retry_after.read_ms([date(1_007)], NOW_MS, date(1_000))
+    found = retry_after.parse_delay_ms([date(1_007)], NOW_MS, date(1_000))
     assert found == 7_000
 
 
@@ -83,7 +83,7 @@
 @pytest.mark.parametrize('text', MALFORMED)
 def test_malformed_retry_after_names_the_value(text):
     with pytest.raises(errors.MalformedRetryAfterError) as caught:
-        retry_after.read_ms([text, '3'], NOW_MS)
+        retry_after.parse_delay_ms([text, '3'], NOW_MS)
     assert len(str(caught.value)) < 200
 
 
@@ -100,7 +100,7 @@
 )
 def test_any_retry_after_is_read_or_refused(texts, sent):
     try:
-        found = retry_after.read_ms(texts, NOW_MS, sent)
+        found = retry_after.parse_delay_ms(texts, NOW_MS, sent)
     except errors.MalformedRetryAfterError:
         return
     assert found is None or found >= 0
--- a/wrenspoke/protocol/advertised.py
+++ b/wrenspoke/protocol/advertised.py
@@ -63,7 +63,9 @@
         """
         if self.status not in REFUSAL_STATUSES:
             return 0
-        found_ms = retry_after.read_ms(self.retry_after, now_ms, self.date)
+        found_ms = retry_after.parse_delay_ms(
+            self.retry_after, now_ms, self.date
+        )
         return found_ms or 0
 
     def is_leaving(self) -> bool:
--- a/wrenspoke/protocol/retry_after.py
+++ b/wrenspoke/protocol/retry_after.py
@@ -13,7 +13,7 @@
 SHOWN_CHARS = 40
 
 
-def read_ms(
+def parse_delay_ms(
     texts: collections.abc.Sequence[str], now_ms: int, date: str | None = None
 ) -> int | None:
     """Return the requested delay in milliseconds, None without one.
