--- a/wrenspoke/protocol/retry_after.py
+++ b/wrenspoke/protocol/retry_after.py
@@ -24,12 +24,14 @@
     :raises MalformedRetryAfterError: a value is neither
     """
     delays_ms = [
-        delay_ms for text in texts for delay_ms in _read(text, now_ms, date)
+        delay_ms
+        for text in texts
+        for delay_ms in _parse_value(text, now_ms, date)
     ]
     return max(delays_ms, default=None)
 
 
-def _read(text: str, now_ms: int, date: str | None) -> list[int]:
+def _parse_value(text: str, now_ms: int, date: str | None) -> list[int]:
     text = text.strip()
     if DATE.match(text):
         sent_ms = now_ms if date is None else _date_ms(date)
