--- a/wrenspoke/protocol/retry_after.py
+++ b/wrenspoke/protocol/retry_after.py
@@ -34,8 +34,8 @@
 def _parse_value(text: str, now_ms: int, date: str | None) -> list[int]:
     text = text.strip()
     if DATE.match(text):
-        sent_ms = now_ms if date is None else _date_ms(date)
-        return [max(_date_ms(text) - sent_ms, 0)]
+        sent_ms = now_ms if date is None else _parse_date_ms(date)
+        return [max(_parse_date_ms(text) - sent_ms, 0)]
     delays_ms = []
     for part in text.split(','):
         delay_s = numerals.decimal(part.strip())
@@ -45,7 +45,7 @@
     return delays_ms
 
 
-def _date_ms(text: str) -> int:
+def _parse_date_ms(text: str) -> int:
     try:
         found = email.utils.parsedate_to_datetime(text)
     except (ValueError, IndexError, TypeError, OverflowError) as error:
