--- a/wrenspoke/protocol/retry_after.py
+++ b/wrenspoke/protocol/retry_after.py
@@ -40,7 +40,7 @@
     for part in text.split(','):
         delay_s = numerals.decimal(part.strip())
         if delay_s is None:
-            raise _malformed(text)
+            raise _malformed_error(text)
         delays_ms.append(round(delay_s * MS_PER_S))
     return delays_ms
 
@@ -49,13 +49,13 @@
     try:
         found = email.utils.parsedate_to_datetime(text)
     except (ValueError, IndexError, TypeError, OverflowError) as error:
-        raise _malformed(text) from error
+        raise _malformed_error(text) from error
     if found.tzinfo is None:
         found = found.replace(tzinfo=datetime.UTC)
     return round(found.timestamp() * MS_PER_S)
 
 
-def _malformed(text: str) -> errors.MalformedRetryAfterError:
+def _malformed_error(text: str) -> errors.MalformedRetryAfterError:
     return errors.MalformedRetryAfterError(
         f'{text[:SHOWN_CHARS]!r} is neither seconds nor an HTTP date'
     )
