--- a/wrenspoke/protocol/retry_after.py
+++ b/wrenspoke/protocol/retry_after.py
@@ -8,7 +8,7 @@
 from wrenspoke.protocol import errors
 from wrenspoke.protocol import numerals
 
-DATE = re.compile(r'[A-Za-z]{3,9},')
+HTTP_DATE_START = re.compile(r'[A-Za-z]{3,9},')
 MS_PER_S = 1_000
 SHOWN_CHARS = 40
 
@@ -33,7 +33,7 @@
 
 def _parse_value(text: str, now_ms: int, date: str | None) -> list[int]:
     text = text.strip()
-    if DATE.match(text):
+    if HTTP_DATE_START.match(text):
         sent_ms = now_ms if date is None else _parse_date_ms(date)
         return [max(_parse_date_ms(text) - sent_ms, 0)]
     delays_ms = []
