--- a/wrenspoke/protocol/retry_after.py
+++ b/wrenspoke/protocol/retry_after.py
@@ -10,7 +10,7 @@
 
 HTTP_DATE_START = re.compile(r'[A-Za-z]{3,9},')
 MS_PER_S = 1_000
-SHOWN_CHARS = 40
+MAX_QUOTED_CHARS = 40
 
 
 def parse_delay_ms(
@@ -57,5 +57,5 @@
 
 def _malformed_error(text: str) -> errors.MalformedRetryAfterError:
     return errors.MalformedRetryAfterError(
-        f'{text[:SHOWN_CHARS]!r} is neither seconds nor an HTTP date'
+        f'{text[:MAX_QUOTED_CHARS]!r} is neither seconds nor an HTTP date'
     )
