--- a/tests/test_advertised_limits.py
+++ b/tests/test_advertised_limits.py
@@ -32,7 +32,7 @@
     ids=lambda value: repr(value),
 )
 def test_rate_is_read(texts, rate_per_s):
-    assert rates.read(texts) == rate_per_s
+    assert rates.parse_rate(texts) == rate_per_s
 
 
 @pytest.mark.parametrize(
@@ -42,13 +42,13 @@
 )
 def test_malformed_rate_raises(text):
     with pytest.raises(errors.MalformedRateError):
-        rates.read([text])
+        rates.parse_rate([text])
 
 
 @hypothesis.given(strategies.lists(strategies.text(max_size=40), max_size=4))
 def test_any_text_parses_or_raises(texts):
     try:
-        rate_per_s = rates.read(texts)
+        rate_per_s = rates.parse_rate(texts)
     except errors.MalformedRateError as error:
         assert len(str(error)) < 400
         return
--- a/wrenspoke/coordination/limiting/advertised_limits.py
+++ b/wrenspoke/coordination/limiting/advertised_limits.py
@@ -65,7 +65,7 @@
         :raises MalformedRateError: a value is malformed
         """
         try:
-            rate_per_s = rates.read(values)
+            rate_per_s = rates.parse_rate(values)
         except protocol_errors.MalformedRateError as error:
             if life.endpoint not in self._malformed:
                 self._malformed.add(life.endpoint)
--- a/wrenspoke/protocol/rates.py
+++ b/wrenspoke/protocol/rates.py
@@ -9,7 +9,7 @@
 HIGHEST_PER_S = 1_000_000.0
 
 
-def read(texts: collections.abc.Sequence[str]) -> float | None:
+def parse_rate(texts: collections.abc.Sequence[str]) -> float | None:
     """Return the rate that an answer's headers name, None without any.
 
     Where several are named the lowest counts.
