--- a/wrenspoke/protocol/rates.py
+++ b/wrenspoke/protocol/rates.py
@@ -17,12 +17,14 @@
     :raises MalformedRateError: one of them is no decimal number
     """
     rates = [
-        _read_one(part.strip()) for text in texts for part in text.split(',')
+        _parse_single(part.strip())
+        for text in texts
+        for part in text.split(',')
     ]
     return min(rates, default=None)
 
 
-def _read_one(text: str) -> float:
+def _parse_single(text: str) -> float:
     rate_per_s = numerals.decimal(text)
     if rate_per_s is None:
         raise errors.MalformedRateError(
