--- a/tests/test_advertised_limits.py
+++ b/tests/test_advertised_limits.py
@@ -27,7 +27,7 @@
         (['0'], 0.0),
         (['4', '1.5'], 1.5),
         (['4, 1.5,2'], 1.5),
-        (['999999999999'], rates.HIGHEST_PER_S),
+        (['999999999999'], rates.MAX_RATE_PER_S),
     ],
     ids=lambda value: repr(value),
 )
@@ -53,7 +53,7 @@
         assert len(str(error)) < 400
         return
     assert (rate_per_s is None) == (not texts)
-    assert rate_per_s is None or 0 <= rate_per_s <= rates.HIGHEST_PER_S
+    assert rate_per_s is None or 0 <= rate_per_s <= rates.MAX_RATE_PER_S
 
 
 LIFE = limiting.EndpointInstance('e', 5)
--- a/wrenspoke/protocol/rates.py
+++ b/wrenspoke/protocol/rates.py
@@ -6,7 +6,7 @@
 from wrenspoke.protocol import numerals
 
 # More is as good as no limit, and keeps what is reckoned with it finite.
-HIGHEST_PER_S = 1_000_000.0
+MAX_RATE_PER_S = 1_000_000.0
 
 
 def parse_rate(texts: collections.abc.Sequence[str]) -> float | None:
@@ -30,4 +30,4 @@
         raise errors.MalformedRateError(
             f'found {text[:40]!r}; must be a decimal number of 0 or more'
         )
-    return min(rate_per_s, HIGHEST_PER_S)
+    return min(rate_per_s, MAX_RATE_PER_S)
