--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -351,7 +351,7 @@
                 await self._deny(context.call, context.reply, error)
                 return
             context.cause = f'{context.cause} ({error})'
-        except protocol_errors.CallerGoneError:
+        except protocol_errors.CallerDisconnectedError:
             logger.info('caller_gone', request=context.call.request)
             raise
         await self._give_up(context, BAD_GATEWAY)
--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -284,7 +284,10 @@
         except errors.NotSentError:
             self._server.loads.record_connect_failure(send.endpoint)
             raise
-        except (asyncio.CancelledError, protocol_errors.CallerGoneError):
+        except (
+            asyncio.CancelledError,
+            protocol_errors.CallerDisconnectedError,
+        ):
             self._start_cancel(send)
             raise
         taken_ms = clock.mono_ms() - started_ms
--- a/wrenspoke/protocol/entry_api.py
+++ b/wrenspoke/protocol/entry_api.py
@@ -135,7 +135,7 @@
         reply.request_id = head.request
         try:
             await self._gateway.serve(head, body, reply)
-        except errors.CallerGoneError:
+        except errors.CallerDisconnectedError:
             logger.info('caller_gone', request=head.request)
         return reply.response or web.Response(status=499)
 
--- a/wrenspoke/protocol/errors.py
+++ b/wrenspoke/protocol/errors.py
@@ -21,7 +21,7 @@
     """Say that a hop header was not written by a host of the cluster."""
 
 
-class CallerGoneError(ProtocolError):
+class CallerDisconnectedError(ProtocolError):
     """Say that the caller left before the end of its answer."""
 
 
--- a/wrenspoke/protocol/passthrough_api.py
+++ b/wrenspoke/protocol/passthrough_api.py
@@ -142,7 +142,7 @@
         try:
             await response.prepare(self._request)
         except (ConnectionError, aiohttp.ClientError) as error:
-            raise errors.CallerGoneError(repr(error)) from error
+            raise errors.CallerDisconnectedError(repr(error)) from error
 
     async def write(self, data: bytes) -> None:
         """Send a piece of the body.
@@ -152,7 +152,7 @@
         try:
             await self.response.write(data)
         except (ConnectionError, aiohttp.ClientError) as error:
-            raise errors.CallerGoneError(repr(error)) from error
+            raise errors.CallerDisconnectedError(repr(error)) from error
 
     async def end(self) -> None:
         """Send the end of the body."""
@@ -162,7 +162,7 @@
         try:
             await response.write_eof()
         except (ConnectionError, aiohttp.ClientError) as error:
-            raise errors.CallerGoneError(repr(error)) from error
+            raise errors.CallerDisconnectedError(repr(error)) from error
 
     def abort(self) -> None:
         """Break the connection, so that no end of the body is seen."""
@@ -254,7 +254,7 @@
             bad = Reply(request, close=True)
             await bad.refuse(error.status, str(error))
             return bad.response
-        except errors.CallerGoneError:
+        except errors.CallerDisconnectedError:
             logger.info('caller_gone', path=request.raw_path)
         return reply.response or web.Response(status=CLIENT_CLOSED_STATUS)
 
@@ -296,7 +296,7 @@
                 408,
             ) from error
         except (aiohttp.ClientError, ConnectionError) as error:
-            raise errors.CallerGoneError(repr(error)) from error
+            raise errors.CallerDisconnectedError(repr(error)) from error
         except (web.RequestPayloadError, ValueError) as error:
             raise errors.BadRequestError('body', repr(error)) from error
         return b''.join(chunks)
--- a/wrenspoke/protocol/replies.py
+++ b/wrenspoke/protocol/replies.py
@@ -123,7 +123,7 @@
         try:
             await awaitable
         except (ConnectionError, RuntimeError) as error:
-            raise errors.CallerGoneError(repr(error)) from error
+            raise errors.CallerDisconnectedError(repr(error)) from error
 
     def _headers(
         self,
