--- a/wrenspoke/protocol/entry_api.py
+++ b/wrenspoke/protocol/entry_api.py
@@ -127,7 +127,7 @@
             head = read(request, body)
         except errors.BadRequestError as error:
             return _bad_request(error)
-        except errors.ForgedHopError as error:
+        except errors.InvalidHopError as error:
             logger.warning('hop_refused', reason=str(error))
             return _bad_request(
                 errors.BadRequestError(headers.HOP, str(error), 403)
--- a/wrenspoke/protocol/errors.py
+++ b/wrenspoke/protocol/errors.py
@@ -17,7 +17,7 @@
         self.status = status
 
 
-class ForgedHopError(ProtocolError):
+class InvalidHopError(ProtocolError):
     """Say that a hop header was not written by a host of the cluster."""
 
 
--- a/wrenspoke/protocol/hops.py
+++ b/wrenspoke/protocol/hops.py
@@ -77,15 +77,15 @@
         try:
             raw = base64.urlsafe_b64decode(text.encode())
         except (binascii.Error, UnicodeEncodeError) as error:
-            raise errors.ForgedHopError('hop is not base64') from error
+            raise errors.InvalidHopError('hop is not base64') from error
         mac, body = raw[:SIGNATURE_BYTES], raw[SIGNATURE_BYTES:]
         if not hmac.compare_digest(mac, self._mac(body)):
-            raise errors.ForgedHopError('hop has a wrong signature')
+            raise errors.InvalidHopError('hop has a wrong signature')
         hop = msgspec.msgpack.decode(body, type=Hop)
         if hop.cluster != self._cluster:
-            raise errors.ForgedHopError('hop is of another cluster')
+            raise errors.InvalidHopError('hop is of another cluster')
         if hop.expires_ms + skew_ms < wall_ms:
-            raise errors.ForgedHopError('hop has expired')
+            raise errors.InvalidHopError('hop has expired')
         return hop
 
     def _mac(self, body: bytes) -> bytes:
