--- a/tests/group.py
+++ b/tests/group.py
@@ -209,7 +209,7 @@
             async with clocks.timeout_ms(timeout_ms):
                 return self._decoder.decode(await answered)
         except TimeoutError as error:
-            raise protocol_errors.NoAnswerError(host, sent=True) from error
+            raise protocol_errors.NoResponseError(host, sent=True) from error
 
     async def _deliver_call(self, host, body, answered):
         if not await self._network.transmit(self.host, host):
@@ -275,7 +275,7 @@
             await asyncio.sleep(EXCHANGE_INTERVAL_MS / MS_PER_S)
 
     async def _exchange_with(self, host):
-        with contextlib.suppress(protocol_errors.NoAnswerError):
+        with contextlib.suppress(protocol_errors.NoResponseError):
             message = discovery_messages.Exchange(
                 [], discovery_messages.HostChanges([], [])
             )
--- a/tests/test_host_pinger.py
+++ b/tests/test_host_pinger.py
@@ -35,12 +35,12 @@
     async def call(self, host, _message, timeout_ms):
         if self._refused:
             self._refused -= 1
-            raise errors.NoAnswerError(host, sent=False)
+            raise errors.NoResponseError(host, sent=False)
         answers_ms = BEGUN_MS + self._answers_after_ms
         wait_ms = max(answers_ms - group.LoopClock().mono_ms(), 1)
         await asyncio.sleep(min(wait_ms, timeout_ms) / group.MS_PER_S)
         if wait_ms > timeout_ms:
-            raise errors.NoAnswerError(host, sent=True)
+            raise errors.NoResponseError(host, sent=True)
         return messages.Pong(False)
 
 
--- a/wrenspoke/protocol/errors.py
+++ b/wrenspoke/protocol/errors.py
@@ -29,7 +29,7 @@
     """Say that a message between hosts can't be read."""
 
 
-class NoAnswerError(ProtocolError):
+class NoResponseError(ProtocolError):
     """Say that a host gave no answer; ``sent`` if it may have acted."""
 
     def __init__(self, host: str, sent: bool):
--- a/wrenspoke/protocol/peers.py
+++ b/wrenspoke/protocol/peers.py
@@ -90,9 +90,9 @@
                 host, self._encoder.encode(message), timeout_ms
             )
         except transport_errors.NotSentError as error:
-            raise errors.NoAnswerError(host, sent=False) from error
+            raise errors.NoResponseError(host, sent=False) from error
         except transport_errors.TransportError as error:
-            raise errors.NoAnswerError(host, sent=True) from error
+            raise errors.NoResponseError(host, sent=True) from error
         return self._decode(body)
 
     async def tell(self, host: ids.HostId, message: Message) -> int:
