--- a/wrenspoke/protocol/hops.py
+++ b/wrenspoke/protocol/hops.py
@@ -68,7 +68,7 @@
         body = msgspec.msgpack.encode(hop)
         return base64.urlsafe_b64encode(self._mac(body) + body).decode()
 
-    def read(self, text: str, wall_ms: int, skew_ms: int) -> Hop:
+    def verify(self, text: str, wall_ms: int, skew_ms: int) -> Hop:
         """Return what a header says.
 
         :raises ForgedHopError: no host of this cluster wrote it, or it
