--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -61,8 +61,12 @@
     ],
 )
 def test_different_requests_have_different_digests(other):
-    assert fingerprints.digest_of(*CALL) == fingerprints.digest_of(*CALL)
-    assert fingerprints.digest_of(*CALL) != fingerprints.digest_of(*other)
+    assert fingerprints.request_digest(*CALL) == fingerprints.request_digest(
+        *CALL
+    )
+    assert fingerprints.request_digest(*CALL) != fingerprints.request_digest(
+        *other
+    )
 
 
 # Bounded records.
@@ -469,7 +473,7 @@
         host = system.entries[0]
         connector = host._client._pooled.connector
         connect = connector._create_connection
-        digest_of = fingerprints.digest_of
+        digest_of = fingerprints.request_digest
         seen = []
 
         def note(*arguments):
--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -531,7 +531,7 @@
     """
     if head.digest:
         return head
-    digest = fingerprints.digest_of(
+    digest = fingerprints.request_digest(
         head.team, head.method, head.service, head.path, body
     )
     return msgspec.structs.replace(head, digest=digest)
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -487,6 +487,6 @@
         caller = permit.team.team
     else:
         caller = repr(call.credentials)
-    return fingerprints.digest_of(
+    return fingerprints.request_digest(
         caller, call.method, call.host, call.target, call.body
     )
--- a/wrenspoke/protocol/fingerprints.py
+++ b/wrenspoke/protocol/fingerprints.py
@@ -13,7 +13,7 @@
 LENGTH_BYTES = 8
 
 
-def digest_of(
+def request_digest(
     caller: str, method: str, host: str, target: str, body: bytes
 ) -> ids.RequestDigest:
     """Return a request's digest as hexadecimal digits.
