--- a/wrenspoke/protocol/fingerprints.py
+++ b/wrenspoke/protocol/fingerprints.py
@@ -24,11 +24,11 @@
     """
     made = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for text in (caller, method, host, target):
-        _add(made, text.encode('utf-8', 'surrogateescape'))
-    _add(made, body)
+        _update_length_prefixed(made, text.encode('utf-8', 'surrogateescape'))
+    _update_length_prefixed(made, body)
     return ids.RequestDigest(made.hexdigest())
 
 
-def _add(made: hashlib.blake2b, part: bytes) -> None:
+def _update_length_prefixed(made: hashlib.blake2b, part: bytes) -> None:
     made.update(len(part).to_bytes(LENGTH_BYTES))
     made.update(part)
