--- a/wrenspoke/protocol/fingerprints.py
+++ b/wrenspoke/protocol/fingerprints.py
@@ -22,11 +22,13 @@
     name that it asks, ``target`` the path and query. Each part goes with its
     length, so that no two requests run into one another.
     """
-    made = hashlib.blake2b(digest_size=DIGEST_BYTES)
+    hasher = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for text in (caller, method, host, target):
-        _update_length_prefixed(made, text.encode('utf-8', 'surrogateescape'))
-    _update_length_prefixed(made, body)
-    return ids.RequestDigest(made.hexdigest())
+        _update_length_prefixed(
+            hasher, text.encode('utf-8', 'surrogateescape')
+        )
+    _update_length_prefixed(hasher, body)
+    return ids.RequestDigest(hasher.hexdigest())
 
 
 def _update_length_prefixed(made: hashlib.blake2b, part: bytes) -> None:
