--- a/wrenspoke/protocol/fingerprints.py
+++ b/wrenspoke/protocol/fingerprints.py
@@ -31,6 +31,6 @@
     return ids.RequestDigest(hasher.hexdigest())
 
 
-def _update_length_prefixed(made: hashlib.blake2b, part: bytes) -> None:
-    made.update(len(part).to_bytes(LENGTH_BYTES))
-    made.update(part)
+def _update_length_prefixed(hasher: hashlib.blake2b, part: bytes) -> None:
+    hasher.update(len(part).to_bytes(LENGTH_BYTES))
+    hasher.update(part)
