--- a/benches/overhead.py
+++ b/benches/overhead.py
@@ -30,7 +30,7 @@
     """Send one request and return its time in ms."""
     sent = {headers.REQUEST: ids.new_unique()}
     if echo:
-        sent[headers.ECHO] = 'direct'
+        sent[headers.ECHOED_REQUEST_ID] = 'direct'
     started = time.perf_counter()
     async with client.send('GET', url, sent) as found:
         await web.read_whole(found, 1 << 20)
--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -341,7 +341,7 @@
             return
         echoed = send.echo_id
         if endpoint.echoes_request_id:
-            echoed = response.headers.get(headers.ECHO)
+            echoed = response.headers.get(headers.ECHOED_REQUEST_ID)
         source = advertised.classify_origin(
             response.status, send.echo_id, echoed
         )
@@ -404,7 +404,7 @@
         return self._gate is None or not self._gate.leaving.is_leaving(life)
 
     def _headers(self, send: Send) -> dict[str, str]:
-        sent = {headers.ECHO: send.echo_id, **send.extra_headers}
+        sent = {headers.ECHOED_REQUEST_ID: send.echo_id, **send.extra_headers}
         if send.head is None:
             return sent
         left_ms = send.head.deadline_ms - self._clock.mono_ms()
@@ -443,7 +443,7 @@
             'response_id_mismatch',
             endpoint=send.endpoint,
             expected=send.echo_id,
-            found=response.headers.get(headers.ECHO),
+            found=response.headers.get(headers.ECHOED_REQUEST_ID),
         )
         raise errors.MaybeSentError(
             f'{send.endpoint} echoed the id of another request'
@@ -458,7 +458,7 @@
     """Return whether a response echoes the id of the request."""
     if not endpoint.echoes_request_id:
         return True
-    return response.headers.get(headers.ECHO) == send.echo_id
+    return response.headers.get(headers.ECHOED_REQUEST_ID) == send.echo_id
 
 
 def _reject_unframed(send: Send, response: aiohttp.ClientResponse) -> None:
--- a/wrenspoke/protocol/headers.py
+++ b/wrenspoke/protocol/headers.py
@@ -27,5 +27,5 @@
 # A team's key stands behind the scheme.
 AUTHORIZATION = 'Authorization'
 SCHEME = 'bearer'
-ECHO = 'X-Request-Id'
+ECHOED_REQUEST_ID = 'X-Request-Id'
 FENCE = 'X-Fencing-Number'
--- a/wrenspoke/standin/engine.py
+++ b/wrenspoke/standin/engine.py
@@ -71,7 +71,10 @@
     """Return the answer by which an engine turns a chat away."""
     return web.Response(
         status=503,
-        headers={headers.ECHO: name, headers.RETRY_AFTER: retry_after},
+        headers={
+            headers.ECHOED_REQUEST_ID: name,
+            headers.RETRY_AFTER: retry_after,
+        },
     )
 
 
@@ -137,7 +140,7 @@
         raw = await request.read()
         self._arrivals_s.append(time.monotonic())
         body = msgspec.json.decode(raw)
-        name = request.headers.get(headers.ECHO, '')
+        name = request.headers.get(headers.ECHOED_REQUEST_ID, '')
         if self.faults.status:
             return self._plain_status(name)
         if self.faults.retry_after_text:
@@ -170,7 +173,7 @@
     def _plain_status(self, name: str) -> web.Response:
         return web.Response(
             status=self.faults.status,
-            headers={headers.ECHO: name},
+            headers={headers.ECHOED_REQUEST_ID: name},
             text='fault',
         )
 
@@ -237,7 +240,7 @@
     ) -> web.StreamResponse:
         response = web.StreamResponse(
             headers={
-                headers.ECHO: self._echo(request),
+                headers.ECHOED_REQUEST_ID: self._echo(request),
                 'Content-Type': 'text/event-stream',
             }
         )
@@ -310,20 +313,21 @@
         return web.Response(
             body=body,
             content_type='application/json',
-            headers={headers.ECHO: self._echo(request)},
+            headers={headers.ECHOED_REQUEST_ID: self._echo(request)},
         )
 
     def _echo(self, request: web.Request) -> str:
         if self.faults.crossed:
             return 'another/request'
-        return request.headers.get(headers.ECHO, '')
+        return request.headers.get(headers.ECHOED_REQUEST_ID, '')
 
     async def _resume(self, request: web.Request) -> web.StreamResponse:
         self._arrivals_s.append(time.monotonic())
         stream = self._streams.get(request.match_info['request'])
         if stream is None or self._abandoned(stream):
             return web.Response(
-                status=404, headers={headers.ECHO: self._echo(request)}
+                status=404,
+                headers={headers.ECHOED_REQUEST_ID: self._echo(request)},
             )
         stream.left_at = None
         after = int(request.headers.get(headers.LAST_EVENT_ID, '0'))
@@ -337,7 +341,8 @@
             async with stream.grown:
                 stream.grown.notify_all()
         return web.Response(
-            status=204, headers={headers.ECHO: self._echo(request)}
+            status=204,
+            headers={headers.ECHOED_REQUEST_ID: self._echo(request)},
         )
 
     def _note_load(self) -> None:
@@ -425,7 +430,7 @@
             body=msgspec.json.encode(body),
             status=status,
             content_type='application/json',
-            headers={headers.ECHO: self._echo(request)},
+            headers={headers.ECHOED_REQUEST_ID: self._echo(request)},
         )
 
 
@@ -434,7 +439,10 @@
 ) -> web.StreamResponse:
     """Send half of a body whose full length was stated, and close."""
     response = web.StreamResponse(
-        headers={headers.ECHO: echo, 'Content-Length': str(len(body))}
+        headers={
+            headers.ECHOED_REQUEST_ID: echo,
+            'Content-Length': str(len(body)),
+        }
     )
     await response.prepare(request)
     await response.write(body[: len(body) // 2])
--- a/wrenspoke/standin/plain.py
+++ b/wrenspoke/standin/plain.py
@@ -37,10 +37,10 @@
             return web.Response()
         if self.faults.delay_ms:
             await asyncio.sleep(self.faults.delay_ms / 1000)
-        echo = request.headers.get(headers.ECHO, '')
+        echo = request.headers.get(headers.ECHOED_REQUEST_ID, '')
         if self.faults.crossed:
             echo = 'another/request'
-        kept = {headers.ECHO: echo}
+        kept = {headers.ECHOED_REQUEST_ID: echo}
         if self.faults.redirect_to:
             kept['Location'] = self.faults.redirect_to
         answer = msgspec.json.encode(
