--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -308,7 +308,7 @@
             'POST',
             ORDERS_PATH,
             msgspec.json.encode(body),
-            extra_headers={headers.FENCE: str(number)},
+            extra_headers={headers.FENCING_NUMBER: str(number)},
         )
         # Checked last, right before sending: the rest of the lease bounds how
         # late the order can arrive.
--- a/wrenspoke/standin/engine.py
+++ b/wrenspoke/standin/engine.py
@@ -379,7 +379,7 @@
         )
 
     async def _order(self, request: web.Request) -> web.Response:
-        number = int(request.headers.get(headers.FENCE, '0'))
+        number = int(request.headers.get(headers.FENCING_NUMBER, '0'))
         order = msgspec.json.decode(await request.read())
         if self.model.fenced and number < self.fence:
             return self._json(
