--- a/wrenspoke/protocol/dialect.py
+++ b/wrenspoke/protocol/dialect.py
@@ -33,7 +33,7 @@
         'upgrade',
     ]
 )
-TOKEN = re.compile(r'[!-~]{1,128}\Z')
+REQUEST_ID_PATTERN = re.compile(r'[!-~]{1,128}\Z')
 # As the callers' own interface allows (entry.deadline_limit_ms).
 DEADLINE_LIMIT_MS = 600_000
 # Prompts have a few parts; more would only cost time to look at.
@@ -204,7 +204,7 @@
     def _request(self, found: dict[str, str]) -> ids.RequestId:
         name = self._dialect.request
         value = found.get(name.lower(), '')
-        if not TOKEN.match(value):
+        if not REQUEST_ID_PATTERN.match(value):
             raise errors.BadRequestError(
                 name, 'required: 1 to 128 visible characters'
             )
