--- a/wrenspoke/protocol/dialect.py
+++ b/wrenspoke/protocol/dialect.py
@@ -37,7 +37,7 @@
 # As the callers' own interface allows (entry.deadline_limit_ms).
 DEADLINE_LIMIT_MS = 600_000
 # Prompts have a few parts; more would only cost time to look at.
-PARTS_LIMIT = 256
+MAX_PROMPT_PARTS = 256
 
 Fields = list[tuple[str, str]]
 
@@ -238,7 +238,7 @@
         """
         text = found.get(self._dialect.prompt_parts.lower(), '')
         parts = []
-        for item in text.split(',')[:PARTS_LIMIT]:
+        for item in text.split(',')[:MAX_PROMPT_PARTS]:
             name, _, tokens = item.strip().partition(':')
             count = numerals.whole(tokens)
             if name and count is not None:
