--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -294,7 +294,7 @@
 
 
 def test_callers_cannot_give_engines_orders():
-    kept_back = words.DIALECT.kept_back()
+    kept_back = words.DIALECT.stripped_headers()
     for name in ('hold', 'pin-ms', 'kv-backup', 'kv-from', 'target-instance'):
         assert name in kept_back
 
--- a/wrenspoke/protocol/dialect.py
+++ b/wrenspoke/protocol/dialect.py
@@ -80,7 +80,7 @@
     team: str = 'Wrenspoke-Team'
     reserved: tuple[str, ...] = ()
 
-    def kept_back(self) -> frozenset[str]:
+    def stripped_headers(self) -> frozenset[str]:
         """Return, in lower case, what is not passed on to endpoints."""
         own = (
             self.deadline_ms,
@@ -145,7 +145,7 @@
     def __init__(self, dialect: Dialect, default_deadline_ms: int):
         self._dialect = dialect
         self._default_deadline_ms = default_deadline_ms
-        self._kept_back = dialect.kept_back()
+        self._kept_back = dialect.stripped_headers()
         self._credentials = {name.lower() for name in dialect.credentials()}
 
     def read(
