--- a/wrenspoke/protocol/dialect.py
+++ b/wrenspoke/protocol/dialect.py
@@ -145,7 +145,7 @@
     def __init__(self, dialect: Dialect, default_deadline_ms: int):
         self._dialect = dialect
         self._default_deadline_ms = default_deadline_ms
-        self._kept_back = dialect.stripped_headers()
+        self._stripped_headers = dialect.stripped_headers()
         self._credentials = {name.lower() for name in dialect.credentials()}
 
     def read(
@@ -172,7 +172,7 @@
             )
             fields.append((name, value))
         named = _connection_options(found.get('connection', ''))
-        left_out = self._kept_back | named
+        left_out = self._stripped_headers | named
         return Call(
             request=self._request(found),
             method=method,
