--- a/wrenspoke/protocol/dialect.py
+++ b/wrenspoke/protocol/dialect.py
@@ -165,7 +165,7 @@
             name = raw_name.decode('utf-8', 'surrogateescape')
             value = raw_value.decode('utf-8', 'surrogateescape')
             lower = name.lower()
-            if lower in found and lower in self._single():
+            if lower in found and lower in self._single_valued_headers():
                 raise errors.BadRequestError(name, 'may be given once only')
             found[lower] = (
                 f'{found[lower]}, {value}' if lower in found else value
@@ -196,7 +196,7 @@
             key=self._key(found),
         )
 
-    def _single(self) -> frozenset[str]:
+    def _single_valued_headers(self) -> frozenset[str]:
         dialect = self._dialect
         names = ('host', dialect.request, dialect.deadline_ms)
         return frozenset(name.lower() for name in names)
