--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -110,7 +110,7 @@
         super().__init__(response)
         self.verdict = verdict
         self.status = response.status
-        self.fields = dialects.answer_fields(response.raw_headers)
+        self.fields = dialects.response_fields(response.raw_headers)
         self.refused = _parse_refusal(
             response.headers.get(passthrough_api.REFUSED_HEADER)
         )
--- a/wrenspoke/protocol/dialect.py
+++ b/wrenspoke/protocol/dialect.py
@@ -277,7 +277,7 @@
     return target
 
 
-def answer_fields(
+def response_fields(
     raw: collections.abc.Iterable[tuple[bytes, bytes]],
 ) -> Fields:
     """Return the headers of an endpoint's answer that go to the caller."""
