--- a/wrenspoke/protocol/outcomes.py
+++ b/wrenspoke/protocol/outcomes.py
@@ -62,7 +62,7 @@
 }
 
 
-def status(ending: Ending) -> int:
+def http_status(ending: Ending) -> int:
     """Return the HTTP status that goes with an ending."""
     found = REASON_STATUSES.get(ending.reason)
     if found is not None:
--- a/wrenspoke/protocol/replies.py
+++ b/wrenspoke/protocol/replies.py
@@ -78,7 +78,7 @@
         if ending.retry_owned:
             extra[headers.RETRY_OWNED] = 'true'
         self.response = web.Response(
-            status=outcomes.status(ending),
+            status=outcomes.http_status(ending),
             headers=self._headers(extra, ending.outcome),
             body=encode_ending(ending),
             content_type='application/json',
