--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -31,7 +31,7 @@
 def test_message_is_counted_by_kind_and_distance(body, place, kind, distance):
     if isinstance(place, tuple):
         place = locations.Location(*place)
-    counted = traffic.Traffic(OWN, test_registry.FakeClock())
+    counted = traffic.TrafficCounter(OWN, test_registry.FakeClock())
     counted.tell_places(lambda _host: place)
     for _message in range(2):
         counted.note_message('h', body, 100)
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -161,7 +161,7 @@
         endpoint_client: web.HttpClient,
         host_client: web.HttpClient,
         access_control: access.AccessControl,
-        traffic_counter: traffic.Traffic,
+        traffic_counter: traffic.TrafficCounter,
         guard: guards.Guard,
         gate: endpoint_gate.EndpointGate,
     ):
--- a/wrenspoke/protocol/traffic.py
+++ b/wrenspoke/protocol/traffic.py
@@ -47,7 +47,7 @@
 Places = collections.abc.Callable[[ids.HostId], locations.Location | None]
 
 
-class Traffic:
+class TrafficCounter:
     """Count what this host sends."""
 
     def __init__(self, own: locations.Location, clock: clocks.Clock):
