--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -35,7 +35,7 @@
     counted.tell_places(lambda _host: place)
     for _message in range(2):
         counted.note_message('h', body, 100)
-    assert counted.sent == {(kind, distance): traffic.Sent(2, 200)}
+    assert counted.sent == {(kind, distance): traffic.SentTotals(2, 200)}
 
 
 async def test_running_hosts_count_what_they_send(tmp_path):
--- a/wrenspoke/protocol/traffic.py
+++ b/wrenspoke/protocol/traffic.py
@@ -33,7 +33,7 @@
     UNKNOWN = 'unknown'
 
 
-class Sent(msgspec.Struct):
+class SentTotals(msgspec.Struct):
     """Count messages and their bytes on the wire, without framing below."""
 
     messages: int = 0
@@ -57,7 +57,7 @@
         self._life = ids.new_unique()
         self._place_of: Places = _unknown_place
         self._decoder = msgspec.msgpack.Decoder(_Tagged)
-        self.sent: dict[tuple[str, Distance], Sent] = {}
+        self.sent: dict[tuple[str, Distance], SentTotals] = {}
 
     def tell_places(self, place_of: Places) -> None:
         """Say how it is known where other hosts stand."""
@@ -80,7 +80,7 @@
         key = (kind, self._distance(place))
         found = self.sent.get(key)
         if found is None:
-            found = self.sent[key] = Sent()
+            found = self.sent[key] = SentTotals()
         found.messages += 1
         found.bytes += size_bytes
 
