--- a/wrenspoke/protocol/traffic.py
+++ b/wrenspoke/protocol/traffic.py
@@ -44,7 +44,9 @@
     type: str = UNREADABLE
 
 
-Places = collections.abc.Callable[[ids.HostId], locations.Location | None]
+LocationLookup = collections.abc.Callable[
+    [ids.HostId], locations.Location | None
+]
 
 
 class TrafficCounter:
@@ -55,11 +57,11 @@
         self._clock = clock
         self._began_ms = clock.mono_ms()
         self._life = ids.new_unique()
-        self._place_of: Places = _unknown_place
+        self._place_of: LocationLookup = _unknown_place
         self._decoder = msgspec.msgpack.Decoder(_Tagged)
         self.sent: dict[tuple[str, Distance], SentTotals] = {}
 
-    def tell_places(self, place_of: Places) -> None:
+    def tell_places(self, place_of: LocationLookup) -> None:
         """Say how it is known where other hosts stand."""
         self._place_of = place_of
 
