--- a/wrenspoke/control_node.py
+++ b/wrenspoke/control_node.py
@@ -63,7 +63,7 @@
             self.peers,
             self.clock,
         )
-        self._traffic.tell_places(self.registrar.host_location)
+        self._traffic.set_location_lookup(self.registrar.host_location)
         self._kept_registry = registry_snapshot.RegistrySnapshot(
             pathlib.Path(node.data_folder),
             self.registrar.registry,
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -84,7 +84,7 @@
             self.clock,
             self.lease,
         )
-        self._traffic.tell_places(self.attendance.host_location)
+        self._traffic.set_location_lookup(self.attendance.host_location)
         self._client = web.HttpClient(
             node.entry.connect_timeout_ms, node.entry.endpoint_idle_ms
         )
--- a/wrenspoke/protocol/traffic.py
+++ b/wrenspoke/protocol/traffic.py
@@ -61,7 +61,7 @@
         self._decoder = msgspec.msgpack.Decoder(_Tagged)
         self.sent: dict[tuple[str, Distance], SentTotals] = {}
 
-    def tell_places(self, place_of: LocationLookup) -> None:
+    def set_location_lookup(self, place_of: LocationLookup) -> None:
         """Say how it is known where other hosts stand."""
         self._place_of = place_of
 
