--- a/wrenspoke/protocol/traffic.py
+++ b/wrenspoke/protocol/traffic.py
@@ -57,13 +57,13 @@
         self._clock = clock
         self._began_ms = clock.mono_ms()
         self._life = ids.new_unique()
-        self._place_of: LocationLookup = _unknown_place
+        self._location_of: LocationLookup = _unknown_place
         self._decoder = msgspec.msgpack.Decoder(_Tagged)
         self.sent: dict[tuple[str, Distance], SentTotals] = {}
 
     def set_location_lookup(self, location_of: LocationLookup) -> None:
         """Say how it is known where other hosts stand."""
-        self._place_of = location_of
+        self._location_of = location_of
 
     def note_message(
         self, host: ids.HostId, body: bytes, size_bytes: int
@@ -73,7 +73,7 @@
             kind = self._decoder.decode(body).type
         except msgspec.DecodeError:
             kind = UNREADABLE
-        self.note(kind, self._place_of(host), size_bytes)
+        self.note(kind, self._location_of(host), size_bytes)
 
     def note(
         self, kind: str, place: locations.Location | None, size_bytes: int
