--- a/wrenspoke/protocol/traffic.py
+++ b/wrenspoke/protocol/traffic.py
@@ -57,7 +57,7 @@
         self._clock = clock
         self._began_ms = clock.mono_ms()
         self._life = ids.new_unique()
-        self._location_of: LocationLookup = _unknown_place
+        self._location_of: LocationLookup = _unknown_location
         self._decoder = msgspec.msgpack.Decoder(_Tagged)
         self.sent: dict[tuple[str, Distance], SentTotals] = {}
 
@@ -119,5 +119,5 @@
             )
 
 
-def _unknown_place(_host: ids.HostId) -> locations.Location | None:
+def _unknown_location(_host: ids.HostId) -> locations.Location | None:
     return None
