--- a/wrenspoke/protocol/traffic.py
+++ b/wrenspoke/protocol/traffic.py
@@ -53,7 +53,7 @@
     """Count what this host sends."""
 
     def __init__(self, own: locations.Location, clock: clocks.Clock):
-        self._own = own
+        self._own_location = own
         self._clock = clock
         self._began_ms = clock.mono_ms()
         self._life = ids.new_unique()
@@ -89,9 +89,9 @@
     def _distance(self, place: locations.Location | None) -> Distance:
         if place is None:
             return Distance.UNKNOWN
-        if place.region != self._own.region:
+        if place.region != self._own_location.region:
             return Distance.BETWEEN_REGIONS
-        if place.data_centre != self._own.data_centre:
+        if place.data_centre != self._own_location.data_centre:
             return Distance.REGION
         return Distance.DATA_CENTRE
 
