--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -34,7 +34,7 @@
     counted = traffic.TrafficCounter(OWN, test_registry.FakeClock())
     counted.set_location_lookup(lambda _host: place)
     for _message in range(2):
-        counted.note_message('h', body, 100)
+        counted.count_message('h', body, 100)
     assert counted.sent == {(kind, distance): traffic.SentTotals(2, 200)}
 
 
--- a/wrenspoke/node_peers.py
+++ b/wrenspoke/node_peers.py
@@ -24,4 +24,4 @@
 ) -> peer_calls.Peers:
     """Return what a host calls others with; a name tells the address."""
     identity = links.Identity(node.cluster, node.host)
-    return peer_calls.Peers(identity, [], clock, SILENCE, sent.note_message)
+    return peer_calls.Peers(identity, [], clock, SILENCE, sent.count_message)
--- a/wrenspoke/protocol/traffic.py
+++ b/wrenspoke/protocol/traffic.py
@@ -65,7 +65,7 @@
         """Say how it is known where other hosts stand."""
         self._location_of = location_of
 
-    def note_message(
+    def count_message(
         self, host: ids.HostId, body: bytes, size_bytes: int
     ) -> None:
         """Count a message on a link; its kind is read from it."""
