--- a/wrenspoke/protocol/traffic.py
+++ b/wrenspoke/protocol/traffic.py
@@ -73,9 +73,9 @@
             kind = self._decoder.decode(body).type
         except msgspec.DecodeError:
             kind = UNREADABLE
-        self.note(kind, self._location_of(host), size_bytes)
+        self.count_bytes(kind, self._location_of(host), size_bytes)
 
-    def note(
+    def count_bytes(
         self, kind: str, place: locations.Location | None, size_bytes: int
     ) -> None:
         """Count something that was sent to a place."""
