--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -374,7 +374,7 @@
             logger.warning(
                 'response_id_mismatch',
                 request=call.request,
-                place=destination.name,
+                location=destination.name,
                 found=echoed,
                 status=response.status,
             )
--- a/wrenspoke/protocol/traffic.py
+++ b/wrenspoke/protocol/traffic.py
@@ -76,10 +76,10 @@
         self.count_bytes(kind, self._location_of(host), size_bytes)
 
     def count_bytes(
-        self, kind: str, place: locations.Location | None, size_bytes: int
+        self, kind: str, location: locations.Location | None, size_bytes: int
     ) -> None:
         """Count something that was sent to a place."""
-        key = (kind, self._distance(place))
+        key = (kind, self._distance(location))
         found = self.sent.get(key)
         if found is None:
             found = self.sent[key] = SentTotals()
