--- a/wrenspoke/protocol/traffic.py
+++ b/wrenspoke/protocol/traffic.py
@@ -86,12 +86,12 @@
         found.messages += 1
         found.bytes += size_bytes
 
-    def _distance(self, place: locations.Location | None) -> Distance:
-        if place is None:
+    def _distance(self, location: locations.Location | None) -> Distance:
+        if location is None:
             return Distance.UNKNOWN
-        if place.region != self._own_location.region:
+        if location.region != self._own_location.region:
             return Distance.BETWEEN_REGIONS
-        if place.data_centre != self._own_location.data_centre:
+        if location.data_centre != self._own_location.data_centre:
             return Distance.REGION
         return Distance.DATA_CENTRE
 
