--- a/wrenspoke/control_node.py
+++ b/wrenspoke/control_node.py
@@ -99,7 +99,7 @@
             self._kept_registry.start()
         self.registrar.start()
         self._gatherer.start()
-        self._tasks.start(self._traffic.keep_logging('control'))
+        self._tasks.start(self._traffic.log_periodically('control'))
         logger.info('started', host=self.node.host, seeds=self.node.seeds)
 
     def reload(self, node: nodes.Node) -> None:
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -381,7 +381,7 @@
         self._partners.start()
         self._tasks.start(self._keep_house())
         self._tasks.start(self._watch_evacuations())
-        self._tasks.start(self._traffic.keep_logging('entry'))
+        self._tasks.start(self._traffic.log_periodically('entry'))
         await self._hosts.start(f'{node.ip}:{node.passing_port}')
         await self._callers.start(node.callers_address)
         logger.info('started', host=node.host, seeds=node.seeds)
--- a/wrenspoke/protocol/traffic.py
+++ b/wrenspoke/protocol/traffic.py
@@ -95,7 +95,7 @@
             return Distance.REGION
         return Distance.DATA_CENTRE
 
-    async def keep_logging(self, role: str) -> None:
+    async def log_periodically(self, role: str) -> None:
         """Write what was counted so far, again and again."""
         while True:
             await self._clock.sleep_ms(LOG_INTERVAL_MS)
