--- a/tests/test_advertised.py
+++ b/tests/test_advertised.py
@@ -179,7 +179,7 @@
     strategies.lists(WORDS, max_size=2),
     strategies.lists(WORDS, max_size=2),
 )
-def test_gate_takes_any_head(origin, status, delays, leavings):
+def test_gate_accepts_any_response_head(origin, status, delays, leavings):
     gate = endpoint_limit_fleet.open_gate(clocks.Clock())
     gate.on_response(
         LIFE,
