--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -24,14 +24,14 @@
 
 HOME = [
     line(1.0, 'a:1', 'passed_on', request='q1', peer='b:1'),
-    line(1.5, 'a:1', 'answered', request='q1', location='b:1', status=200),
+    line(1.5, 'a:1', 'answered', request='q1', place='b:1', status=200),
 ]
 # The other host's clock is seconds ahead, or behind.
 AWAY = [
     line(9.0, 'b:1', 'endpoint_chosen', request='q1', endpoint='e1'),
-    line(9.3, 'b:1', 'answered', request='q1', location='e1', status=200),
+    line(9.3, 'b:1', 'answered', request='q1', place='e1', status=200),
 ]
-OTHER = line(1.2, 'a:1', 'answered', request='q10', location='e1', status=200)
+OTHER = line(1.2, 'a:1', 'answered', request='q10', place='e1', status=200)
 
 
 @pytest.mark.parametrize(
--- a/wrenspoke/controld.py
+++ b/wrenspoke/controld.py
@@ -89,7 +89,7 @@
             self.voter, self.replica, self._entry_hosts, self.peers, clock
         )
         surface = operator_api.OperatorApi(
-            self.control, deployment.operator_api
+            self.control, deployment.operators
         )
         self._metrics = metrics.Metrics(name)
         application = surface.application()
--- a/wrenspoke/coordination/membership/host_list_poller.py
+++ b/wrenspoke/coordination/membership/host_list_poller.py
@@ -99,6 +99,6 @@
                 self._replica.leaving.add(endpoint)
                 changed = True
                 logger.warning(
-                    'endpoint_leaving', endpoint=endpoint, origin='platform'
+                    'endpoint_leaving', endpoint=endpoint, source='platform'
                 )
         return changed
--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -294,7 +294,7 @@
                 endpoint=endpoint.endpoint,
                 policy=self._settings.policy,
                 score=round(item.score, 1),
-                location=position,
+                place=position,
                 candidates=len(ranked),
                 in_flight=limit.in_flight,
                 limit=round(limit.limit, 1),
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -326,9 +326,9 @@
         fields.append((dialect.endpoint, destination.endpoint))
         if (
             destination.chosen is not None
-            and destination.chosen.origin is not None
+            and destination.chosen.source is not None
         ):
-            source = destination.chosen.origin.said
+            source = destination.chosen.source.said
             fields.append((dialect.fetch_from, source.address))
         if call.parts:
             fields.append((dialect.priority, str(permit.urgency)))
@@ -374,7 +374,7 @@
             logger.warning(
                 'response_id_mismatch',
                 request=call.request,
-                location=destination.name,
+                place=destination.name,
                 found=echoed,
                 status=response.status,
             )
