--- a/tests/group.py
+++ b/tests/group.py
@@ -191,7 +191,7 @@
         self._call_tasks = set()
         self.closed = False
 
-    def answers(self, kind):
+    def handles(self, kind):
         def register(answerer):
             self._answerers[kind] = answerer
             return answerer
@@ -247,7 +247,7 @@
         clock = LoopClock()
         self.name = name
         self.peers = Peers(name, network)
-        self.peers.answers(discovery_messages.Exchange)(self._answer_exchange)
+        self.peers.handles(discovery_messages.Exchange)(self._answer_exchange)
         self._group = control_group.ControlGroup(name, seeds, clock)
         self._tasks = runtime.Tasks()
         store = storage.Storage(disk)
--- a/tests/test_advertised_limits.py
+++ b/tests/test_advertised_limits.py
@@ -134,7 +134,7 @@
     def __init__(self):
         self.told = []
 
-    def answers(self, _kind):
+    def handles(self, _kind):
         return lambda answerer: answerer
 
 
--- a/tests/test_engine_loads.py
+++ b/tests/test_engine_loads.py
@@ -26,7 +26,7 @@
 class NoPeers:
     """Accepts handlers, and sends nothing."""
 
-    def answers(self, _kind):
+    def handles(self, _kind):
         return lambda answerer: answerer
 
 
--- a/tests/test_host_pinger.py
+++ b/tests/test_host_pinger.py
@@ -29,7 +29,7 @@
         self.forgotten = []
         self.links = types.SimpleNamespace(forget=self.forgotten.append)
 
-    def answers(self, _kind):
+    def handles(self, _kind):
         return lambda answerer: answerer
 
     async def call(self, host, _message, timeout_ms):
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -203,7 +203,7 @@
     def __init__(self):
         self.answerers = {}
 
-    def answers(self, kind):
+    def handles(self, kind):
         def register(answerer):
             self.answerers[kind] = answerer
             return answerer
--- a/tests/test_region_pollers.py
+++ b/tests/test_region_pollers.py
@@ -42,7 +42,7 @@
         self._host = host
         self._region = region
 
-    def answers(self, _kind):
+    def handles(self, _kind):
         return lambda answerer: answerer
 
     async def tell(self, host, message):
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -69,7 +69,7 @@
 class NoPeers:
     """Accepts handlers, and sends nothing."""
 
-    def answers(self, _kind):
+    def handles(self, _kind):
         return lambda answerer: answerer
 
 
--- a/wrenspoke/coordination/agreement/control_service.py
+++ b/wrenspoke/coordination/agreement/control_service.py
@@ -61,8 +61,8 @@
         self._peers = peers
         self._relays: dict[ids.HostId, int] = {}
         self._tasks = runtime.Tasks()
-        peers.answers(messages.PullConfiguration)(self._serve_pull)
-        peers.answers(messages.ForwardStatus)(self._handle_status)
+        peers.handles(messages.PullConfiguration)(self._serve_pull)
+        peers.handles(messages.ForwardStatus)(self._handle_status)
 
     def start(self) -> None:
         """Start notifying relays of configuration changes."""
--- a/wrenspoke/coordination/agreement/rollback_check.py
+++ b/wrenspoke/coordination/agreement/rollback_check.py
@@ -54,7 +54,7 @@
         self.passed = False
         with contextlib.suppress(state_errors.DiskFullError):
             self._count_start()
-        peers.answers(messages.Hello)(self._handle_hello)
+        peers.handles(messages.Hello)(self._handle_hello)
 
     async def _call(
         self, host: ids.HostId, message: messages.Hello
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -131,10 +131,10 @@
         self.state = replicated.ReplicatedState()
         self._load_snapshot()
         self.commit(store.known_committed())
-        peers.answers(messages.RequestVote)(self._handle_vote_request)
-        peers.answers(messages.AppendEntries)(self._handle_append)
-        peers.answers(messages.InstallSnapshot)(self._handle_install)
-        peers.answers(discovery_messages.ConfirmIndex)(
+        peers.handles(messages.RequestVote)(self._handle_vote_request)
+        peers.handles(messages.AppendEntries)(self._handle_append)
+        peers.handles(messages.InstallSnapshot)(self._handle_install)
+        peers.handles(discovery_messages.ConfirmIndex)(
             self._handle_confirm_index
         )
 
--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -192,7 +192,7 @@
         self._last_request: dict[ids.HostId, tuple[str, int]] = {}
         self._registration: asyncio.Task | None = None
         self._tasks = runtime.Tasks()
-        peers.answers(limiting.AskShares)(self._handle_ask_shares)
+        peers.handles(limiting.AskShares)(self._handle_ask_shares)
 
     async def _handle_ask_shares(
         self, sender: ids.HostId, message: limiting.AskShares
--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -105,8 +105,8 @@
         self._changed: dict[limiting.EndpointInstance, int] = {}
         self._has_changes = asyncio.Event()
         self._tasks = runtime.Tasks()
-        peers.answers(limiting.AskSend)(self._handle_ask_send)
-        peers.answers(limiting.ReportLimit)(self._handle_limit_heard)
+        peers.handles(limiting.AskSend)(self._handle_ask_send)
+        peers.handles(limiting.ReportLimit)(self._handle_limit_heard)
 
     def start(self) -> None:
         """Start to gossip limits within the region."""
--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -174,7 +174,7 @@
         # Until when other hosts may hold shares unknown to the leader.
         self._settled_ms = 0
         self._tasks = runtime.Tasks()
-        peers.answers(limiting.AskAmount)(self._handle_ask_amount)
+        peers.handles(limiting.AskAmount)(self._handle_ask_amount)
 
     def start(self) -> None:
         """Start to request shares."""
--- a/wrenspoke/coordination/membership/configuration_puller.py
+++ b/wrenspoke/coordination/membership/configuration_puller.py
@@ -56,8 +56,8 @@
         self._clock = clock
         self._leader: ids.HostId | None = None
         self._tasks = runtime.Tasks()
-        peers.answers(messages.PullConfiguration)(self._handle_pull)
-        peers.answers(messages.UpdateAvailable)(self._handle_news)
+        peers.handles(messages.PullConfiguration)(self._handle_pull)
+        peers.handles(messages.UpdateAvailable)(self._handle_news)
 
     def start(self) -> None:
         """Start pulling; without control hosts serve the settings alone."""
--- a/wrenspoke/coordination/membership/control_sync.py
+++ b/wrenspoke/coordination/membership/control_sync.py
@@ -79,7 +79,7 @@
         self._sync_requests: dict[ids.HostId, asyncio.Event] = {}
         self._regions: dict[ids.HostId, ids.RegionId] = {}
         self._tasks = runtime.Tasks()
-        peers.answers(discovery_messages.Exchange)(self._handle_exchange)
+        peers.handles(discovery_messages.Exchange)(self._handle_exchange)
 
     def start(self) -> None:
         """Start the exchanges."""
--- a/wrenspoke/coordination/membership/host_pinger.py
+++ b/wrenspoke/coordination/membership/host_pinger.py
@@ -75,7 +75,7 @@
         self._on_answer = _ignore_answer
         self._remotes: dict[ids.HostId, RemoteState] = {}
         self._tasks = runtime.Tasks()
-        peers.answers(messages.Ping)(self._handle_ping)
+        peers.handles(messages.Ping)(self._handle_ping)
 
     async def close(self) -> None:
         """Cancel all tasks."""
--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -80,7 +80,7 @@
         self._interval_ms = self._settings.beat_interval_ms
         self.draining = False
         self.update_available = asyncio.Event()
-        peers.answers(messages.Heartbeat)(self._handle_beat)
+        peers.handles(messages.Heartbeat)(self._handle_beat)
 
     def start(self) -> None:
         """Start sending heartbeats and checking those of peers."""
--- a/wrenspoke/coordination/membership/region_pollers.py
+++ b/wrenspoke/coordination/membership/region_pollers.py
@@ -64,7 +64,7 @@
         self._listeners: list[Listener] = []
         # Engines of the region, as last counted by this host.
         self.engine_count = 0
-        peers.answers(discovery_messages.RegionGossip)(self._handle_broadcast)
+        peers.handles(discovery_messages.RegionGossip)(self._handle_broadcast)
 
     def add_listener(self, listener: Listener) -> None:
         """Call ``listener`` with every broadcast from other hosts."""
--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -81,11 +81,11 @@
             self._notify_waiters,
             clock,
         )
-        peers.answers(discovery_messages.Attend)(self._handle_attend)
-        peers.answers(discovery_messages.WithdrawEndpoint)(
+        peers.handles(discovery_messages.Attend)(self._handle_attend)
+        peers.handles(discovery_messages.WithdrawEndpoint)(
             self._handle_withdraw
         )
-        peers.answers(discovery_messages.ReportLeaving)(self._handle_leaving)
+        peers.handles(discovery_messages.ReportLeaving)(self._handle_leaving)
 
     @property
     def synced(self) -> bool:
--- a/wrenspoke/coordination/quarantine/crash_aggregator.py
+++ b/wrenspoke/coordination/quarantine/crash_aggregator.py
@@ -86,7 +86,7 @@
         self._decided_ms: dict[quarantine.Quarantined, int] = {}
         self._proposing = False
         self._tasks = runtime.Tasks()
-        peers.answers(quarantining.ReportCrashes)(self._handle_runs_ended)
+        peers.handles(quarantining.ReportCrashes)(self._handle_runs_ended)
 
     def start(self) -> None:
         """Start the task that proposes quarantine decisions."""
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -72,8 +72,8 @@
         self._tasks = runtime.Tasks()
         self.refused_count = 0
         reporter.set_hold_callback(self._hold_provisionally)
-        peers.answers(quarantining.UpdateHolds)(self._handle_hold_off)
-        peers.answers(quarantining.ReportCrashes)(self._collect_crash_reports)
+        peers.handles(quarantining.UpdateHolds)(self._handle_hold_off)
+        peers.handles(quarantining.ReportCrashes)(self._collect_crash_reports)
 
     async def close(self) -> None:
         """Cancel all tasks, including those of the reporter."""
--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -69,9 +69,9 @@
         return 0 if self._registers is None else len(self._registers)
 
     def _register_handlers(self) -> None:
-        self._peers.answers(messages.Prepare)(self._handle_prepare)
-        self._peers.answers(messages.Accept)(self._handle_accept)
-        self._peers.answers(messages.RecoverLedger)(self._handle_recall)
+        self._peers.handles(messages.Prepare)(self._handle_prepare)
+        self._peers.handles(messages.Accept)(self._handle_accept)
+        self._peers.handles(messages.RecoverLedger)(self._handle_recall)
 
     def start(self) -> None:
         """Start recovery from the other replicas and expiry of old claims."""
--- a/wrenspoke/coordination/serving/sent_call_broadcast.py
+++ b/wrenspoke/coordination/serving/sent_call_broadcast.py
@@ -61,7 +61,7 @@
         self._own_added = asyncio.Event()
         self._tasks = runtime.Tasks()
         pollers.add_listener(self._on_region_message)
-        peers.answers(discovery_messages.ReportSentCalls)(self._on_sent_calls)
+        peers.handles(discovery_messages.ReportSentCalls)(self._on_sent_calls)
 
     def subscribe(self, listener: Listener) -> None:
         """Call ``listener`` with every call that another host sent."""
--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -127,7 +127,7 @@
         self._buckets: dict[str, TeamTokenBucket] = {}
         self._lease_manager = RateLeaseManager(clock)
         self._tasks = runtime.Tasks()
-        peers.answers(messages.AskLeases)(self._handle_ask_leases)
+        peers.handles(messages.AskLeases)(self._handle_ask_leases)
 
     def start(self) -> None:
         """Start renewing leases."""
--- a/wrenspoke/protocol/peers.py
+++ b/wrenspoke/protocol/peers.py
@@ -66,7 +66,7 @@
             identity, peers, clock, self._on_message, silence, noted
         )
 
-    def answers(
+    def handles(
         self, kind: type
     ) -> collections.abc.Callable[[MessageHandler], MessageHandler]:
         """Return a decorator that registers who answers a message."""
