--- a/tests/test_advertised_limits.py
+++ b/tests/test_advertised_limits.py
@@ -135,7 +135,7 @@
         self.told = []
 
     def handles(self, _kind):
-        return lambda answerer: answerer
+        return lambda handler: handler
 
 
 def buckets_of(clock, known):
--- a/tests/test_engine_loads.py
+++ b/tests/test_engine_loads.py
@@ -27,7 +27,7 @@
     """Accepts handlers, and sends nothing."""
 
     def handles(self, _kind):
-        return lambda answerer: answerer
+        return lambda handler: handler
 
 
 def record(number):
--- a/tests/test_host_pinger.py
+++ b/tests/test_host_pinger.py
@@ -30,7 +30,7 @@
         self.links = types.SimpleNamespace(forget=self.forgotten.append)
 
     def handles(self, _kind):
-        return lambda answerer: answerer
+        return lambda handler: handler
 
     async def call(self, host, _message, timeout_ms):
         if self._refused:
--- a/tests/test_region_pollers.py
+++ b/tests/test_region_pollers.py
@@ -43,7 +43,7 @@
         self._region = region
 
     def handles(self, _kind):
-        return lambda answerer: answerer
+        return lambda handler: handler
 
     async def tell(self, host, message):
         if host in self._region.lost:
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -70,7 +70,7 @@
     """Accepts handlers, and sends nothing."""
 
     def handles(self, _kind):
-        return lambda answerer: answerer
+        return lambda handler: handler
 
 
 def registration():
--- a/wrenspoke/protocol/peers.py
+++ b/wrenspoke/protocol/peers.py
@@ -71,9 +71,9 @@
     ) -> collections.abc.Callable[[MessageHandler], MessageHandler]:
         """Return a decorator that registers who answers a message."""
 
-        def register(answerer: MessageHandler) -> MessageHandler:
-            self._handlers[kind] = answerer
-            return answerer
+        def register(handler: MessageHandler) -> MessageHandler:
+            self._handlers[kind] = handler
+            return handler
 
         return register
 
