--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -699,10 +699,10 @@
         'share of a lost host is lost',
         DECISIONS + 'membership/region_pollers.py',
         (
-            '            if await self._peers.tell(host, sent):\n                return\n'
+            '            if await self._peers.send_oneway(host, sent):\n                return\n'
         ),
         (
-            '            await self._peers.tell(host, sent)\n            return\n'
+            '            await self._peers.send_oneway(host, sent)\n            return\n'
         ),
         (
             'tests/test_region_pollers.py::test_host_that_is_lost_keeps_nothing_from_others'
--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -115,7 +115,7 @@
 class Peers(membership_fleet.CountingPeers):
     """Peers that can also send messages without an answer."""
 
-    async def tell(self, host, message):
+    async def send_oneway(self, host, message):
         body = self._encoder.encode(message)
         self._count(host, body)
         task = asyncio.ensure_future(self._deliver(host, body))
--- a/tests/test_region_pollers.py
+++ b/tests/test_region_pollers.py
@@ -45,7 +45,7 @@
     def handles(self, _kind):
         return lambda handler: handler
 
-    async def tell(self, host, message):
+    async def send_oneway(self, host, message):
         if host in self._region.lost:
             return 0
         self._region.sent[self._host] += 1
--- a/tests/test_sent_calls.py
+++ b/tests/test_sent_calls.py
@@ -24,7 +24,7 @@
 class TellingPeers(membership_fleet.CountingPeers):
     """Delivers and counts one-way messages as well."""
 
-    async def tell(self, host, message):
+    async def send_oneway(self, host, message):
         body = self._encoder.encode(message)
         self._count(host, body)
         asyncio.ensure_future(self._hand_over(host, body))
--- a/wrenspoke/coordination/agreement/control_service.py
+++ b/wrenspoke/coordination/agreement/control_service.py
@@ -87,7 +87,9 @@
                 if now_ms - pulled_ms > RELAY_EXPIRY_MS:
                     del self._relays[host]
                     continue
-                await self._peers.tell(host, messages.UpdateAvailable(index))
+                await self._peers.send_oneway(
+                    host, messages.UpdateAvailable(index)
+                )
 
     async def _serve_pull(
         self, sender: ids.HostId, message: messages.PullConfiguration
@@ -110,7 +112,7 @@
             return
         if elected.leader is None or not elected.state.running():
             return
-        await self._peers.tell(
+        await self._peers.send_oneway(
             elected.leader, messages.ForwardStatus(standing)
         )
 
--- a/wrenspoke/coordination/limiting/endpoint_limits.py
+++ b/wrenspoke/coordination/limiting/endpoint_limits.py
@@ -212,7 +212,7 @@
         message = limiting.ReportLimit(
             self._advertised.limit_of(life), rate_per_s, grant
         )
-        self._tasks.start(self._peers.tell(owner, message), fatal=False)
+        self._tasks.start(self._peers.send_oneway(owner, message), fatal=False)
 
     async def _evict_stale(self) -> None:
         """Evict state of endpoints that no longer exist."""
--- a/wrenspoke/coordination/membership/discovery_client.py
+++ b/wrenspoke/coordination/membership/discovery_client.py
@@ -210,7 +210,7 @@
             if session.host is None:
                 continue
             self._tasks.start(
-                self._peers.tell(session.host, message), fatal=False
+                self._peers.send_oneway(session.host, message), fatal=False
             )
 
     async def _run_session(self, session: _Session) -> None:
--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -187,7 +187,7 @@
         )
         sent_bytes = 0
         for host in self._local_peers:
-            sent_bytes += await self._peers.tell(host, beat)
+            sent_bytes += await self._peers.send_oneway(host, beat)
         # As many bytes are received as sent, hence the factor of 2.
         budget = self._settings.beat_budget_bytes_per_s
         self._interval_ms = max(
--- a/wrenspoke/coordination/membership/region_pollers.py
+++ b/wrenspoke/coordination/membership/region_pollers.py
@@ -158,14 +158,14 @@
             sent = msgspec.structs.replace(
                 message, pass_on=relay_group[number + 1 :]
             )
-            if await self._peers.tell(host, sent):
+            if await self._peers.send_oneway(host, sent):
                 return
 
     async def relay(self, message: discovery_messages.RegionGossip) -> None:
         """Send a message to the hosts in its ``pass_on``."""
         sent = msgspec.structs.replace(message, pass_on=[])
         for host in message.pass_on:
-            await self._peers.tell(host, sent)
+            await self._peers.send_oneway(host, sent)
 
 
 def relay_groups(hosts: list[ids.HostId]) -> list[list[ids.HostId]]:
--- a/wrenspoke/coordination/serving/sent_call_broadcast.py
+++ b/wrenspoke/coordination/serving/sent_call_broadcast.py
@@ -119,7 +119,7 @@
                 message = discovery_messages.ReportSentCalls(
                     self._with_ages(items)
                 )
-                await self._peers.tell(ids.HostId(collector), message)
+                await self._peers.send_oneway(ids.HostId(collector), message)
 
     async def _on_sent_calls(
         self, _sender: ids.HostId, message: discovery_messages.ReportSentCalls
--- a/wrenspoke/protocol/peers.py
+++ b/wrenspoke/protocol/peers.py
@@ -95,7 +95,7 @@
             raise errors.NoResponseError(host, sent=True) from error
         return self._decode(body)
 
-    async def tell(self, host: ids.HostId, message: Message) -> int:
+    async def send_oneway(self, host: ids.HostId, message: Message) -> int:
         """Send a message that has no answer; return the bytes sent.
 
         It may be lost.
