--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -133,7 +133,7 @@
     async def handle_message(self, sender, body):
         """Handle a message that has no answer."""
         message = self._decoder.decode(body)
-        await self._answerers[type(message)](sender, message)
+        await self._handlers[type(message)](sender, message)
 
 
 class LossyNetwork(group.Network):
--- a/tests/group.py
+++ b/tests/group.py
@@ -185,7 +185,7 @@
     def __init__(self, host, network):
         self.host = host
         self._network = network
-        self._answerers = {}
+        self._handlers = {}
         self._encoder = msgspec.msgpack.Encoder()
         self._decoder = msgspec.msgpack.Decoder(peer_calls.Message)
         self._call_tasks = set()
@@ -193,7 +193,7 @@
 
     def handles(self, kind):
         def register(answerer):
-            self._answerers[kind] = answerer
+            self._handlers[kind] = answerer
             return answerer
 
         return register
@@ -226,7 +226,7 @@
     async def handle(self, sender, body):
         """Decode a message and return the encoded answer."""
         message = self._decoder.decode(body)
-        answer = await self._answerers[type(message)](sender, message)
+        answer = await self._handlers[type(message)](sender, message)
         return self._encoder.encode(answer)
 
     async def close(self):
--- a/tests/test_sent_calls.py
+++ b/tests/test_sent_calls.py
@@ -34,7 +34,7 @@
         if await self._network.transmit(self.host, host):
             there = self._network.hosts[host]
             message = there._decoder.decode(body)
-            await there._answerers[type(message)](self.host, message)
+            await there._handlers[type(message)](self.host, message)
 
 
 class Host:
