--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -138,7 +138,7 @@
 
     A missing or malformed count is taken as one run.
     """
-    found = None if text is None else numerals.whole(text)
+    found = None if text is None else numerals.parse_whole(text)
     return 1 if found is None else found
 
 
--- a/wrenspoke/protocol/dialect.py
+++ b/wrenspoke/protocol/dialect.py
@@ -223,7 +223,7 @@
         value = found.get(name.lower())
         if value is None:
             return self._default_deadline_ms
-        left_ms = numerals.whole(value)
+        left_ms = numerals.parse_whole(value)
         if left_ms is None or left_ms > DEADLINE_LIMIT_MS:
             raise errors.BadRequestError(
                 name,
@@ -240,7 +240,7 @@
         parts = []
         for item in text.split(',')[:MAX_PROMPT_PARTS]:
             name, _, tokens = item.strip().partition(':')
-            count = numerals.whole(tokens)
+            count = numerals.parse_whole(tokens)
             if name and count is not None:
                 parts.append(PromptPart(name, count))
         return tuple(parts)
@@ -248,7 +248,7 @@
     def _tokens_expected(self, found: dict[str, str]) -> int:
         """Return how many tokens should come: the hint, else the most."""
         text = found.get(self._dialect.length_hint.lower(), '')
-        hint = numerals.whole(text.strip())
+        hint = numerals.parse_whole(text.strip())
         most = self._tokens(found)[1]
         if hint is None:
             return most
@@ -257,8 +257,8 @@
     def _tokens(self, found: dict[str, str]) -> tuple[int, int]:
         text = found.get(self._dialect.tokens.lower(), '')
         before, _, behind = text.partition(',')
-        tokens_in = numerals.whole(before.strip())
-        tokens_out = numerals.whole(behind.strip())
+        tokens_in = numerals.parse_whole(before.strip())
+        tokens_out = numerals.parse_whole(behind.strip())
         if tokens_in is None or tokens_out is None:
             return 0, 0
         return tokens_in, tokens_out
--- a/wrenspoke/protocol/numerals.py
+++ b/wrenspoke/protocol/numerals.py
@@ -10,7 +10,7 @@
 _DECIMAL = re.compile(r'([0-9]{1,12}(\.[0-9]{0,12})?|\.[0-9]{1,12})\Z')
 
 
-def whole(text: str) -> int | None:
+def parse_whole(text: str) -> int | None:
     """Return a whole number of 0 or more, None if the text is none."""
     return int(text) if _WHOLE.match(text) else None
 
--- a/wrenspoke/protocol/requests.py
+++ b/wrenspoke/protocol/requests.py
@@ -87,7 +87,7 @@
     parts = text.split(':')
     issued_ms = None
     if len(parts) == ONCE_KEY_PARTS:
-        issued_ms = numerals.whole(parts[1])
+        issued_ms = numerals.parse_whole(parts[1])
     if issued_ms is None:
         raise errors.BadRequestError(
             headers.REQUEST,
@@ -129,7 +129,7 @@
         value = self._found.get(name)
         if value is None:
             return default
-        found = numerals.whole(value)
+        found = numerals.parse_whole(value)
         if found is None or not low <= found <= high:
             raise errors.BadRequestError(
                 name,
--- a/wrenspoke/protocol/sse.py
+++ b/wrenspoke/protocol/sse.py
@@ -65,7 +65,7 @@
         elif field == 'event':
             name = value
         elif field == 'id':
-            number = numerals.whole(value)
+            number = numerals.parse_whole(value)
     if not data and not name:
         return None
     return SseEvent(data='\n'.join(data), event=name, number=number)
