--- a/tests/test_numerals.py
+++ b/tests/test_numerals.py
@@ -36,12 +36,12 @@
 )
 def test_number_is_read(text, whole, decimal):
     assert numerals.parse_whole(text) == whole
-    assert numerals.decimal(text) == decimal
+    assert numerals.parse_decimal(text) == decimal
 
 
 @hypothesis.given(strategies.text())
 def test_any_text_is_a_number_or_none(text):
-    for found in (numerals.parse_whole(text), numerals.decimal(text)):
+    for found in (numerals.parse_whole(text), numerals.parse_decimal(text)):
         assert found is None or 0 <= found < 10**18
 
 
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -129,7 +129,7 @@
 
 def _parse_retry_after_ms(fields: collections.abc.Mapping[str, str]) -> float:
     """Return the Retry-After of a host in ms, 0 if missing or malformed."""
-    found_s = numerals.decimal(fields.get('Retry-After', ''))
+    found_s = numerals.parse_decimal(fields.get('Retry-After', ''))
     return 0.0 if found_s is None else found_s * passthrough_api.MS_PER_S
 
 
--- a/wrenspoke/coordination/serving/warmup_probe.py
+++ b/wrenspoke/coordination/serving/warmup_probe.py
@@ -153,7 +153,7 @@
             )
             return None
         text = response.headers.get(self._dialect.warmup_ms, '0')
-        left_ms = numerals.decimal(text) or 0.0
+        left_ms = numerals.parse_decimal(text) or 0.0
         status = discovery_messages.WarmupStatus(said.endpoint, int(left_ms))
         self._record_status(status)
         logger.info(
--- a/wrenspoke/protocol/numerals.py
+++ b/wrenspoke/protocol/numerals.py
@@ -15,6 +15,6 @@
     return int(text) if _WHOLE.match(text) else None
 
 
-def decimal(text: str) -> float | None:
+def parse_decimal(text: str) -> float | None:
     """Return a decimal number of 0 or more, None if the text is none."""
     return float(text) if _DECIMAL.match(text) else None
--- a/wrenspoke/protocol/rates.py
+++ b/wrenspoke/protocol/rates.py
@@ -25,7 +25,7 @@
 
 
 def _parse_single(text: str) -> float:
-    rate_per_s = numerals.decimal(text)
+    rate_per_s = numerals.parse_decimal(text)
     if rate_per_s is None:
         raise errors.MalformedRateError(
             f'found {text[:40]!r}; must be a decimal number of 0 or more'
--- a/wrenspoke/protocol/retry_after.py
+++ b/wrenspoke/protocol/retry_after.py
@@ -38,7 +38,7 @@
         return [max(_parse_date_ms(text) - sent_ms, 0)]
     delays_ms = []
     for part in text.split(','):
-        delay_s = numerals.decimal(part.strip())
+        delay_s = numerals.parse_decimal(part.strip())
         if delay_s is None:
             raise _malformed_error(text)
         delays_ms.append(round(delay_s * MS_PER_S))
