--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -320,7 +320,7 @@
         body = await answer.read_all(BUFFERED_BODY_LIMIT_BYTES)
         if answer.status in OK_STATUSES:
             self._record_first_piece(context, destination)
-        await context.reply.whole(answer.status, answer.fields, body)
+        await context.reply.send_response(answer.status, answer.fields, body)
         self._log_answered(context, destination, answer.status)
         return True
 
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -443,7 +443,9 @@
             return
         if context.retained_response is not None:
             kept = context.retained_response
-            await context.reply.whole(kept.status, kept.fields, kept.body)
+            await context.reply.send_response(
+                kept.status, kept.fields, kept.body
+            )
             return
         retry_after_ms = None
         if status == UNAVAILABLE:
--- a/wrenspoke/protocol/passthrough_api.py
+++ b/wrenspoke/protocol/passthrough_api.py
@@ -109,7 +109,7 @@
         """Tell whether a head has been sent."""
         return self.response is not None
 
-    async def whole(
+    async def send_response(
         self, status: int, fields: dialects.Fields, body: bytes
     ) -> None:
         """Send a whole answer."""
@@ -188,7 +188,7 @@
             wait_s = f'{retry_after_ms / MS_PER_S:.3f}'
             fields.append(('Retry-After', wait_s))
         body = msgspec.json.encode({'error': {'reason': reason}})
-        await self.whole(status, fields, body)
+        await self.send_response(status, fields, body)
 
 
 class PassthroughServer(typing.Protocol):
