--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -396,7 +396,7 @@
                     continue
                 if not context.reply.started:
                     self._record_first_piece(context, destination)
-                    await context.reply.open(answer.status, answer.fields)
+                    await context.reply.send_head(answer.status, answer.fields)
                     context.tracker = tracker
                 context.record_piece(self._clock.mono_ms())
                 paced.record_piece()
@@ -425,7 +425,7 @@
         tracker: event_tracker.EventTracker,
     ) -> None:
         if not context.reply.started:
-            await context.reply.open(answer.status, answer.fields)
+            await context.reply.send_head(answer.status, answer.fields)
         rest = tracker.take_remainder()
         if rest:
             await context.reply.write(rest)
--- a/wrenspoke/protocol/passthrough_api.py
+++ b/wrenspoke/protocol/passthrough_api.py
@@ -121,7 +121,7 @@
         await self._prepare(response, status)
         await self._write_eof(response)
 
-    async def open(self, status: int, fields: dialects.Fields) -> None:
+    async def send_head(self, status: int, fields: dialects.Fields) -> None:
         """Send the head of an answer whose body comes in pieces."""
         response = web.StreamResponse(
             status=status, headers=multidict.CIMultiDict(fields)
