--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -223,7 +223,7 @@
             raise errors.MaybeSentError(
                 f'remote host reported outcome {text!r}'
             )
-        await forward_state.reply.whole(
+        await forward_state.reply.send_response(
             response.status, response.headers, body, outcome
         )
 
--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -303,7 +303,7 @@
             await self._streams.serve(head, body, reply)
             return
         answer = await self._server.serve(head, body)
-        await reply.whole(
+        await reply.send_response(
             answer.status, answer.headers, answer.body, answer.outcome
         )
 
--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -85,7 +85,7 @@
         if isinstance(answer, registers.Claim):
             await self._reply_from_claim(head, key, answer, reply)
             return
-        await reply.whole(
+        await reply.send_response(
             answer.status, answer.headers, answer.body, answer.outcome
         )
 
@@ -343,7 +343,7 @@
             kept_answer.body,
             ids.EndpointId(''),
         )
-        await reply.whole(
+        await reply.send_response(
             response.status, response.headers, response.body, response.outcome
         )
 
--- a/wrenspoke/protocol/replies.py
+++ b/wrenspoke/protocol/replies.py
@@ -50,7 +50,7 @@
         """Tell whether a stream has been opened."""
         return self._stream is not None
 
-    async def whole(
+    async def send_response(
         self,
         status: int,
         found: collections.abc.Mapping[str, str],
