--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -185,7 +185,7 @@
     ) -> None:
         reply = forward_state.reply
         if not reply.started:
-            await reply.open(response.headers)
+            await reply.start_stream(response.headers)
         chunks = _chunks(response)
         async with contextlib.aclosing(chunks):
             await streams.relay_events(
--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -321,7 +321,7 @@
                     **answer.headers,
                     headers.ENDPOINT: send.endpoint,
                 }
-                await reply.open(response_headers)
+                await reply.start_stream(response_headers)
             yield answer
 
     async def _resume_for_caller(
--- a/wrenspoke/protocol/replies.py
+++ b/wrenspoke/protocol/replies.py
@@ -85,7 +85,9 @@
         )
         await self._send_response()
 
-    async def open(self, found: collections.abc.Mapping[str, str]) -> None:
+    async def start_stream(
+        self, found: collections.abc.Mapping[str, str]
+    ) -> None:
         """Begin a stream of events."""
         kept = self._headers(found, None)
         kept['Content-Type'] = 'text/event-stream'
