--- a/wrenspoke/protocol/replies.py
+++ b/wrenspoke/protocol/replies.py
@@ -95,7 +95,7 @@
         self._stream = web.StreamResponse(status=200, headers=kept)
         await self._await_write(self._stream.prepare(self._request))
 
-    async def event(self, event: sse.SseEvent) -> None:
+    async def send_event(self, event: sse.SseEvent) -> None:
         """Send one event of the stream."""
         self.sent_events += 1
         await self._await_write(self._stream.write(sse.encode(event)))
