--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -198,7 +198,7 @@
                     self._left_ms(forward_state.head)
                 ),
             )
-        await reply.close()
+        await reply.finish_stream()
 
     async def _relay_response(
         self,
--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -296,7 +296,7 @@
             send.head.session, send.endpoint
         )
         send.slot.release(succeeded=True)
-        await reply.close()
+        await reply.finish_stream()
 
     @contextlib.asynccontextmanager
     async def _open_stream(
--- a/wrenspoke/protocol/replies.py
+++ b/wrenspoke/protocol/replies.py
@@ -104,7 +104,7 @@
         """Send bytes of a stream that another host has written."""
         await self._await_write(self._stream.write(chunk))
 
-    async def close(self) -> None:
+    async def finish_stream(self) -> None:
         """End a stream of which every event was sent."""
         await self._await_write(self._stream.write_eof())
         self.response = self._stream
