--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -129,7 +129,7 @@
         except errors.RequestEndedError as error:
             ending = _adjust_for_resend(head, error.ending)
             self._record_outcome(head, ending, started_ms)
-            await reply.end(ending)
+            await reply.send_ending(ending)
         finally:
             self._in_flight -= 1
             if self._in_flight == 0:
--- a/wrenspoke/protocol/replies.py
+++ b/wrenspoke/protocol/replies.py
@@ -65,7 +65,7 @@
         )
         await self._send_response()
 
-    async def end(self, ending: outcomes.Ending) -> None:
+    async def send_ending(self, ending: outcomes.Ending) -> None:
         """Tell how the request ended, in place of an answer."""
         if self.started:
             await self._abort_stream(ending)
