--- a/wrenspoke/protocol/replies.py
+++ b/wrenspoke/protocol/replies.py
@@ -100,7 +100,7 @@
         self.sent_events += 1
         await self._await_write(self._stream.write(sse.encode(event)))
 
-    async def raw(self, chunk: bytes) -> None:
+    async def send_chunk(self, chunk: bytes) -> None:
         """Send bytes of a stream that another host has written."""
         await self._await_write(self._stream.write(chunk))
 
