--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -44,7 +44,7 @@
             None,
             [],
             [],
-            discovery_messages.pack(delta),
+            discovery_messages.pack_delta(delta),
         )
 
 
--- a/tests/test_membership_fleet.py
+++ b/tests/test_membership_fleet.py
@@ -250,7 +250,7 @@
 def test_table_of_routes_is_packed_once_for_all_hosts(entries, monkeypatch):
     """Guards against packing a large table for each host."""
     packed = []
-    pack = discovery_messages.pack
+    pack = discovery_messages.pack_delta
     monkeypatch.setattr(
         discovery_messages,
         'pack',
--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -233,7 +233,9 @@
             self._packed_deltas.clear()
         packed = self._packed_deltas.get(index)
         if packed is None:
-            packed = discovery_messages.pack(self._replica.delta_since(index))
+            packed = discovery_messages.pack_delta(
+                self._replica.delta_since(index)
+            )
             self._packed_deltas[index] = packed
         return packed
 
--- a/wrenspoke/protocol/discovery_messages.py
+++ b/wrenspoke/protocol/discovery_messages.py
@@ -112,7 +112,7 @@
     term: int = 0
 
 
-def pack(delta: messages.ConfigurationDelta) -> bytes:
+def pack_delta(delta: messages.ConfigurationDelta) -> bytes:
     """Return the changes of a delta as bytes for ``Attended.news``."""
     body = msgspec.msgpack.encode(_without_route_documents(delta))
     return zlib.compress(body, COMPRESSION_LEVEL)
