--- a/wrenspoke/coordination/membership/discovery_client.py
+++ b/wrenspoke/coordination/membership/discovery_client.py
@@ -322,7 +322,9 @@
         self._group.record_contact(session.host)
         self._group.add_contacts(answer.controls)
         if answer.news:
-            self._replica.apply_delta(discovery_messages.unpack(answer.news))
+            self._replica.apply_delta(
+                discovery_messages.unpack_delta(answer.news)
+            )
         for said in answer.endpoints:
             self.registry.take(said)
         if answer.hosts is not None:
--- a/wrenspoke/protocol/discovery_messages.py
+++ b/wrenspoke/protocol/discovery_messages.py
@@ -135,7 +135,7 @@
     return msgspec.structs.replace(delta, whole=whole, changes=changes)
 
 
-def unpack(news: bytes) -> messages.ConfigurationDelta:
+def unpack_delta(news: bytes) -> messages.ConfigurationDelta:
     """Return the changes that were packed.
 
     :raises MalformedMessageError: they can't be read
