--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -305,12 +305,12 @@
         'cut short passed as whole',
         DECISIONS + 'serving/streams.py',
         (
-            '            if send_event is None:\n'
+            '            if event is None:\n'
             "                raise errors.MaybeSentError('stream"
             " ended early')"
         ),
         (
-            '            if send_event is None:\n'
+            '            if event is None:\n'
             '                transcript.finished = True\n'
             '                return'
         ),
--- a/tests/test_engine_loads.py
+++ b/tests/test_engine_loads.py
@@ -14,8 +14,8 @@
 from wrenspoke.coordination.membership import roster
 from wrenspoke.coordination.serving import availability
 from wrenspoke.coordination.serving import outlier_detection
-from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import dialect as dialects
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.state import configuration
 from wrenspoke.state import registry
 from wrenspoke.state import routes
--- a/tests/test_membership_fleet.py
+++ b/tests/test_membership_fleet.py
@@ -253,7 +253,7 @@
     pack = discovery_messages.pack_delta
     monkeypatch.setattr(
         discovery_messages,
-        'pack',
+        'pack_delta',
         lambda delta: packed.append(1) or pack(delta),
     )
 
--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -7,8 +7,8 @@
 from wrenspoke.coordination.membership import region_views
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.serving import remote_regions
-from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import dialect as dialects
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import messages
 from wrenspoke.state import configuration
 from wrenspoke.state import routes
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -487,7 +487,7 @@
             )
             return made
 
-        monkeypatch.setattr(fingerprints, 'digest_of', note)
+        monkeypatch.setattr(fingerprints, 'request_digest', note)
         monkeypatch.setattr(connector, '_create_connection', connect_late)
         got = await test_fatal_requests.send_to_entry_host(
             system, 0, body, 'q'
--- a/wrenspoke/caller.py
+++ b/wrenspoke/caller.py
@@ -9,12 +9,12 @@
 from wrenspoke import clock as clocks
 from wrenspoke import errors
 from wrenspoke import ids
+from wrenspoke.protocol import entry_api
 from wrenspoke.protocol import errors as protocol_errors
 from wrenspoke.protocol import headers
 from wrenspoke.protocol import replies
 from wrenspoke.protocol import requests
 from wrenspoke.protocol import sse
-from wrenspoke.protocol import entry_api
 from wrenspoke.transport import errors as transport_errors
 from wrenspoke.transport import web
 
--- a/wrenspoke/controld.py
+++ b/wrenspoke/controld.py
@@ -88,9 +88,7 @@
         self._gatherer = crash_aggregator.CrashAggregator(
             self.voter, self.replica, self._entry_hosts, self.peers, clock
         )
-        surface = operator_api.OperatorApi(
-            self.control, deployment.operators
-        )
+        surface = operator_api.OperatorApi(self.control, deployment.operators)
         self._metrics = metrics.Metrics(name)
         application = surface.application()
         application.router.add_get('/metrics', self._show_metrics)
--- a/wrenspoke/coordination/membership/engine_loads.py
+++ b/wrenspoke/coordination/membership/engine_loads.py
@@ -25,8 +25,8 @@
 from wrenspoke.coordination.serving import routing
 from wrenspoke import ids
 from wrenspoke.protocol import advertised
-from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import dialect as dialects
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import limiting
 from wrenspoke import runtime
 from wrenspoke.state import errors as state_errors
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -22,8 +22,8 @@
 from wrenspoke.coordination.serving import sampling
 from wrenspoke import ids
 from wrenspoke import mechanisms
-from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import dialect as dialects
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import messages
 from wrenspoke.state import registry
 from wrenspoke.state import routes
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -16,8 +16,8 @@
 from wrenspoke.coordination.serving import prefix_index
 from wrenspoke.coordination.serving import sent_call_broadcast
 from wrenspoke import ids
-from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import dialect as dialects
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.state import registry
 from wrenspoke.state import routes
 
--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -16,12 +16,12 @@
 from wrenspoke.coordination.serving import decisions
 from wrenspoke.coordination.serving import streams
 from wrenspoke import ids
+from wrenspoke.protocol import entry_api
 from wrenspoke.protocol import headers
 from wrenspoke.protocol import hops
 from wrenspoke.protocol import outcomes
 from wrenspoke.protocol import replies
 from wrenspoke.protocol import requests
-from wrenspoke.protocol import entry_api
 from wrenspoke import settings
 from wrenspoke.transport import errors as transport_errors
 from wrenspoke.transport import web
--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -19,8 +19,8 @@
 from wrenspoke.coordination.serving import prefix_index
 from wrenspoke.coordination.serving import sent_call_broadcast
 from wrenspoke import ids
-from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import dialect as dialects
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import messages
 from wrenspoke.state import routes
 
--- a/wrenspoke/coordination/serving/sent_call_broadcast.py
+++ b/wrenspoke/coordination/serving/sent_call_broadcast.py
@@ -18,8 +18,8 @@
 from wrenspoke import clock as clocks
 from wrenspoke.coordination.membership import region_pollers
 from wrenspoke import ids
-from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import dialect as dialects
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import peers as peer_calls
 from wrenspoke import runtime
 
--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -125,7 +125,7 @@
                 raise OutcomeEventError(event.data)
             on_event()
             event_timeout_ms = stall_ms
-            await reply.send_event(transcript.add_event(send_event))
+            await reply.send_event(transcript.add_event(event))
 
 
 class StreamServer:
--- a/wrenspoke/coordination/serving/warmup_probe.py
+++ b/wrenspoke/coordination/serving/warmup_probe.py
@@ -19,8 +19,8 @@
 from wrenspoke.coordination.membership import replica
 from wrenspoke import ids
 from wrenspoke.protocol import advertised
-from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import dialect as dialects
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import limiting
 from wrenspoke.protocol import numerals
 from wrenspoke import runtime
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -41,8 +41,8 @@
 from wrenspoke import mechanisms
 from wrenspoke import node as nodes
 from wrenspoke import node_peers
-from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import dialect as dialects
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import limiting
 from wrenspoke.protocol import messages
 from wrenspoke.protocol import passthrough_api
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -33,10 +33,10 @@
 from wrenspoke import ids
 from wrenspoke import keys
 from wrenspoke import metrics
+from wrenspoke.protocol import entry_api
 from wrenspoke.protocol import hops
 from wrenspoke.protocol import messages
 from wrenspoke.protocol import peers as peer_calls
-from wrenspoke.protocol import entry_api
 from wrenspoke import runtime
 from wrenspoke import settings
 from wrenspoke.transport import web
