--- a/wrenspoke/protocol/traffic.py
+++ b/wrenspoke/protocol/traffic.py
@@ -55,7 +55,7 @@
     def __init__(self, own: locations.Location, clock: clocks.Clock):
         self._own_location = own
         self._clock = clock
-        self._created_ms = clock.mono_ms()
+        self._counting_since_ms = clock.mono_ms()
         self._instance_id = ids.new_unique()
         self._location_of: LocationLookup = _unknown_location
         self._decoder = msgspec.msgpack.Decoder(_Tagged)
@@ -103,7 +103,7 @@
 
     def log(self, role: str) -> None:
         """Write a line for each kind and distance."""
-        lived_ms = self._clock.mono_ms() - self._created_ms
+        lived_ms = self._clock.mono_ms() - self._counting_since_ms
         for (kind, distance), found in sorted(
             self.sent.items(), key=lambda item: -item[1].bytes
         ):
