--- a/wrenspoke/protocol/traffic.py
+++ b/wrenspoke/protocol/traffic.py
@@ -56,7 +56,7 @@
         self._own_location = own
         self._clock = clock
         self._counting_since_ms = clock.mono_ms()
-        self._instance_id = ids.new_unique()
+        self._host_instance_id = ids.new_unique()
         self._location_of: LocationLookup = _unknown_location
         self._decoder = msgspec.msgpack.Decoder(_Tagged)
         self.sent: dict[tuple[str, Distance], SentTotals] = {}
@@ -110,7 +110,7 @@
             logger.info(
                 'traffic',
                 role=role,
-                life=self._instance_id,
+                life=self._host_instance_id,
                 kind=kind,
                 distance=distance,
                 messages=found.messages,
