--- a/wrenspoke/protocol/traffic.py
+++ b/wrenspoke/protocol/traffic.py
@@ -61,9 +61,9 @@
         self._decoder = msgspec.msgpack.Decoder(_Tagged)
         self.sent: dict[tuple[str, Distance], SentTotals] = {}
 
-    def set_location_lookup(self, location_of: LocationLookup) -> None:
+    def set_location_lookup(self, lookup: LocationLookup) -> None:
         """Say how it is known where other hosts stand."""
-        self._location_of = location_of
+        self._location_of = lookup
 
     def count_message(
         self, host: ids.HostId, body: bytes, size_bytes: int
