--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -299,8 +299,8 @@
         peer_location = locations.Location(
             destination.located_in, ids.DataCentreId('')
         )
-        self._traffic.note(CALL, peer_location, len(call.body))
-        self._traffic.note(ANSWER, peer_location, answer.bytes_read)
+        self._traffic.count_bytes(CALL, peer_location, len(call.body))
+        self._traffic.count_bytes(ANSWER, peer_location, answer.bytes_read)
 
     def _request_fields(
         self,
--- a/wrenspoke/protocol/entry_api.py
+++ b/wrenspoke/protocol/entry_api.py
@@ -246,7 +246,7 @@
         text = request.headers.get(headers.HOP)
         if text is None:
             return head
-        hop = self._signer.read(text, self._clock.wall_ms(), self._skew_ms)
+        hop = self._signer.verify(text, self._clock.wall_ms(), self._skew_ms)
         return msgspec.structs.replace(
             head,
             request=hop.request,
--- a/wrenspoke/settings.py
+++ b/wrenspoke/settings.py
@@ -424,7 +424,7 @@
     problems += _duplicates('endpoints', 'endpoint', deployment.endpoints)
     problems += _duplicates('rules', 'rule', deployment.rules)
     problems += _duplicates('limits', 'team', deployment.limits)
-    problems += _duplicates('operators', 'operator', deployment.operator_api)
+    problems += _duplicates('operators', 'operator', deployment.operators)
     problems += _unknown_names(deployment)
     problems += _host_problems(deployment)
     if (
