--- a/benches/switches_backoffs.py
+++ b/benches/switches_backoffs.py
@@ -67,8 +67,8 @@
     Switch(
         'polls show that an endpoint serves',
         GATE,
-        'if backoff_ms or (is_work and head',
-        'if backoff_ms or (head',
+        '            is_work and head.status not in',
+        '            head.status not in',
         f'{PERMITS}::test_poll_does_not_show_that_an_endpoint_serves',
     ),
     Switch(
