--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -561,8 +561,8 @@
     Switch(
         'headers of the connection passed on',
         'wrenspoke/protocol/dialect.py',
-        ('        left_out = self._kept_back | named'),
-        ('        left_out = self._kept_back'),
+        ('        left_out = self._stripped_headers | named'),
+        ('        left_out = self._stripped_headers'),
         (
             'tests/test_passing.py::test_gateway_headers_from_callers_are_dropped'
         ),
@@ -699,10 +699,10 @@
         'share of a lost host is lost',
         DECISIONS + 'membership/region_pollers.py',
         (
-            '            if await self._peers.tell(host, sent):\n                return\n'
+            '            if await self._peers.send_oneway(host, sent):\n                return\n'
         ),
         (
-            '            await self._peers.tell(host, sent)\n            return\n'
+            '            await self._peers.send_oneway(host, sent)\n            return\n'
         ),
         (
             'tests/test_region_pollers.py::test_host_that_is_lost_keeps_nothing_from_others'
--- a/tests/endpoint_limit_fleet.py
+++ b/tests/endpoint_limit_fleet.py
@@ -17,7 +17,7 @@
 from wrenspoke.coordination.limiting import endpoint_gate
 from wrenspoke.coordination.limiting import endpoint_limits
 from wrenspoke.coordination.membership import region_pollers
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import limiting
 
 MS_PER_S = 1_000
@@ -52,7 +52,7 @@
     """Engine that advertises its rate limit, once it has one."""
 
     def __init__(self, name):
-        self.life = limiting.EndpointLife(name)
+        self.life = limiting.EndpointInstance(name)
         # The advertised rates, each with the time of its start.
         self.rates = [(0, None)]
         self.arrivals = []
@@ -115,7 +115,7 @@
 class Peers(membership_fleet.CountingPeers):
     """Peers that can also send messages without an answer."""
 
-    async def tell(self, host, message):
+    async def send_oneway(self, host, message):
         body = self._encoder.encode(message)
         self._count(host, body)
         task = asyncio.ensure_future(self._deliver(host, body))
@@ -133,7 +133,7 @@
     async def handle_message(self, sender, body):
         """Handle a message that has no answer."""
         message = self._decoder.decode(body)
-        await self._answerers[type(message)](sender, message)
+        await self._handlers[type(message)](sender, message)
 
 
 class LossyNetwork(group.Network):
@@ -190,7 +190,9 @@
         self.limits.start()
 
     async def _gossip(self, limits):
-        await self.askers.broadcast(attending.TellRegion(limits=limits))
+        await self.askers.broadcast(
+            discovery_messages.RegionGossip(limits=limits)
+        )
 
     def may_choose(self, engine):
         """Return whether a call may choose an engine now."""
@@ -239,7 +241,7 @@
     def seen_by(self, name):
         """Return the records of the other hosts on a host's roster."""
         return [
-            attending.HostRecord(
+            discovery_messages.HostRecord(
                 other, REGION, f'{REGION}-hall', '', '', '', 0, False
             )
             for other in self.names
--- a/tests/group.py
+++ b/tests/group.py
@@ -19,7 +19,7 @@
 from wrenspoke.coordination.membership import control_group
 from wrenspoke.coordination.membership import replica
 from wrenspoke import node as settings
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import errors as protocol_errors
 from wrenspoke.protocol import peers as peer_calls
 from wrenspoke import runtime
@@ -185,15 +185,15 @@
     def __init__(self, host, network):
         self.host = host
         self._network = network
-        self._answerers = {}
+        self._handlers = {}
         self._encoder = msgspec.msgpack.Encoder()
         self._decoder = msgspec.msgpack.Decoder(peer_calls.Message)
         self._call_tasks = set()
         self.closed = False
 
-    def answers(self, kind):
+    def handles(self, kind):
         def register(answerer):
-            self._answerers[kind] = answerer
+            self._handlers[kind] = answerer
             return answerer
 
         return register
@@ -209,7 +209,7 @@
             async with clocks.timeout_ms(timeout_ms):
                 return self._decoder.decode(await answered)
         except TimeoutError as error:
-            raise protocol_errors.NoAnswerError(host, sent=True) from error
+            raise protocol_errors.NoResponseError(host, sent=True) from error
 
     async def _deliver_call(self, host, body, answered):
         if not await self._network.transmit(self.host, host):
@@ -226,7 +226,7 @@
     async def handle(self, sender, body):
         """Decode a message and return the encoded answer."""
         message = self._decoder.decode(body)
-        answer = await self._answerers[type(message)](sender, message)
+        answer = await self._handlers[type(message)](sender, message)
         return self._encoder.encode(answer)
 
     async def close(self):
@@ -247,7 +247,7 @@
         clock = LoopClock()
         self.name = name
         self.peers = Peers(name, network)
-        self.peers.answers(attending.Exchange)(self._answer_exchange)
+        self.peers.handles(discovery_messages.Exchange)(self._answer_exchange)
         self._group = control_group.ControlGroup(name, seeds, clock)
         self._tasks = runtime.Tasks()
         store = storage.Storage(disk)
@@ -275,14 +275,16 @@
             await asyncio.sleep(EXCHANGE_INTERVAL_MS / MS_PER_S)
 
     async def _exchange_with(self, host):
-        with contextlib.suppress(protocol_errors.NoAnswerError):
-            message = attending.Exchange([], attending.HostChanges([], []))
+        with contextlib.suppress(protocol_errors.NoResponseError):
+            message = discovery_messages.Exchange(
+                [], discovery_messages.HostChanges([], [])
+            )
             await self.peers.call(host, message, EXCHANGE_INTERVAL_MS)
             self._group.record_contact(host)
 
     async def _answer_exchange(self, sender, _message):
         self._group.record_contact(sender)
-        return attending.Exchanged()
+        return discovery_messages.ExchangeReply()
 
     async def close(self):
         await self.peers.close()
--- a/tests/test_advertised.py
+++ b/tests/test_advertised.py
@@ -18,7 +18,7 @@
 from wrenspoke.protocol import limiting
 from wrenspoke.protocol import retry_after
 
-LIFE = limiting.EndpointLife('e')
+LIFE = limiting.EndpointInstance('e')
 NOW_MS = 1_780_000_000_000
 
 
@@ -48,11 +48,11 @@
     ],
 )
 def test_retry_after_is_read(texts, delay_ms):
-    assert retry_after.read_ms(texts, NOW_MS) == delay_ms
+    assert retry_after.parse_delay_ms(texts, NOW_MS) == delay_ms
 
 
 def test_date_counts_from_the_response_and_not_from_this_clock():
-    found = retry_after.read_ms([date(1_007)], NOW_MS, date(1_000))
+    found = retry_after.parse_delay_ms([date(1_007)], NOW_MS, date(1_000))
     assert found == 7_000
 
 
@@ -83,7 +83,7 @@
 @pytest.mark.parametrize('text', MALFORMED)
 def test_malformed_retry_after_names_the_value(text):
     with pytest.raises(errors.MalformedRetryAfterError) as caught:
-        retry_after.read_ms([text, '3'], NOW_MS)
+        retry_after.parse_delay_ms([text, '3'], NOW_MS)
     assert len(str(caught.value)) < 200
 
 
@@ -100,7 +100,7 @@
 )
 def test_any_retry_after_is_read_or_refused(texts, sent):
     try:
-        found = retry_after.read_ms(texts, NOW_MS, sent)
+        found = retry_after.parse_delay_ms(texts, NOW_MS, sent)
     except errors.MalformedRetryAfterError:
         return
     assert found is None or found >= 0
@@ -128,7 +128,7 @@
 
 def head(origin=advertised.Origin.ECHOED, status=503, **fields):
     """Return the head of a response."""
-    return advertised.Advertised(origin, status, **fields)
+    return advertised.AdvertisedHeaders(origin, status, **fields)
 
 
 @pytest.mark.parametrize(
@@ -144,7 +144,7 @@
     ],
 )
 def test_origin_of_a_response(status, found, origin):
-    assert advertised.origin(status, 'q', found) is origin
+    assert advertised.classify_origin(status, 'q', found) is origin
 
 
 @pytest.mark.parametrize(
@@ -166,7 +166,7 @@
             ('Date', date(0)),
         ]
     )
-    assert advertised.read(
+    assert advertised.read_headers(
         advertised.Origin.ECHOED, 503, found, dialects.Dialect()
     ) == head(
         limits=('1', '2'), retry_after=('3',), leaving=('1',), date=date(0)
@@ -179,7 +179,7 @@
     strategies.lists(WORDS, max_size=2),
     strategies.lists(WORDS, max_size=2),
 )
-def test_gate_takes_any_head(origin, status, delays, leavings):
+def test_gate_accepts_any_response_head(origin, status, delays, leavings):
     gate = endpoint_limit_fleet.open_gate(clocks.Clock())
     gate.on_response(
         LIFE,
--- a/tests/test_advertised_limits.py
+++ b/tests/test_advertised_limits.py
@@ -27,12 +27,12 @@
         (['0'], 0.0),
         (['4', '1.5'], 1.5),
         (['4, 1.5,2'], 1.5),
-        (['999999999999'], rates.HIGHEST_PER_S),
+        (['999999999999'], rates.MAX_RATE_PER_S),
     ],
     ids=lambda value: repr(value),
 )
 def test_rate_is_read(texts, rate_per_s):
-    assert rates.read(texts) == rate_per_s
+    assert rates.parse_rate(texts) == rate_per_s
 
 
 @pytest.mark.parametrize(
@@ -42,21 +42,21 @@
 )
 def test_malformed_rate_raises(text):
     with pytest.raises(errors.MalformedRateError):
-        rates.read([text])
+        rates.parse_rate([text])
 
 
 @hypothesis.given(strategies.lists(strategies.text(max_size=40), max_size=4))
 def test_any_text_parses_or_raises(texts):
     try:
-        rate_per_s = rates.read(texts)
+        rate_per_s = rates.parse_rate(texts)
     except errors.MalformedRateError as error:
         assert len(str(error)) < 400
         return
     assert (rate_per_s is None) == (not texts)
-    assert rate_per_s is None or 0 <= rate_per_s <= rates.HIGHEST_PER_S
+    assert rate_per_s is None or 0 <= rate_per_s <= rates.MAX_RATE_PER_S
 
 
-LIFE = limiting.EndpointLife('e', 5)
+LIFE = limiting.EndpointInstance('e', 5)
 
 
 def limit(rate_per_s, version=1, life=LIFE):
@@ -93,9 +93,12 @@
         ([limit(3), limit(1.2)], 1.2),
         ([limit(1.2), limit(3)], 1.2),
         ([limit(1.2), limit(None)], 1.2),
-        ([limit(1.2, 9, limiting.EndpointLife('e', 4))], None),
-        ([limit(2, 1), limit(1.2, 9, limiting.EndpointLife('e', 4))], 2),
-        ([limit(1.2, 9, limiting.EndpointLife('e', 6)), limit(2, 10)], None),
+        ([limit(1.2, 9, limiting.EndpointInstance('e', 4))], None),
+        ([limit(2, 1), limit(1.2, 9, limiting.EndpointInstance('e', 4))], 2),
+        (
+            [limit(1.2, 9, limiting.EndpointInstance('e', 6)), limit(2, 10)],
+            None,
+        ),
     ],
     ids=[
         'told',
@@ -131,8 +134,8 @@
     def __init__(self):
         self.told = []
 
-    def answers(self, _kind):
-        return lambda answerer: answerer
+    def handles(self, _kind):
+        return lambda handler: handler
 
 
 def buckets_of(clock, known):
--- a/tests/test_engine_loads.py
+++ b/tests/test_engine_loads.py
@@ -14,8 +14,8 @@
 from wrenspoke.coordination.membership import roster
 from wrenspoke.coordination.serving import availability
 from wrenspoke.coordination.serving import outlier_detection
-from wrenspoke.protocol import attending
 from wrenspoke.protocol import dialect as dialects
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.state import configuration
 from wrenspoke.state import registry
 from wrenspoke.state import routes
@@ -26,12 +26,12 @@
 class NoPeers:
     """Accepts handlers, and sends nothing."""
 
-    def answers(self, _kind):
-        return lambda answerer: answerer
+    def handles(self, _kind):
+        return lambda handler: handler
 
 
 def record(number):
-    return attending.HostRecord(
+    return discovery_messages.HostRecord(
         f'h{number}', 'north', 'north-hall', '', '', 'start', 0, False
     )
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -61,8 +61,12 @@
     ],
 )
 def test_different_requests_have_different_digests(other):
-    assert fingerprints.digest_of(*CALL) == fingerprints.digest_of(*CALL)
-    assert fingerprints.digest_of(*CALL) != fingerprints.digest_of(*other)
+    assert fingerprints.request_digest(*CALL) == fingerprints.request_digest(
+        *CALL
+    )
+    assert fingerprints.request_digest(*CALL) != fingerprints.request_digest(
+        *other
+    )
 
 
 # Bounded records.
@@ -199,7 +203,7 @@
     def __init__(self):
         self.answerers = {}
 
-    def answers(self, kind):
+    def handles(self, kind):
         def register(answerer):
             self.answerers[kind] = answerer
             return answerer
@@ -350,12 +354,12 @@
     host = GuardedHost()
     if worked:
         host.guard.mark_succeeded(host.guard.start_run('d', 'e', 'e:1'))
-    hear = host.peers.answerers[quarantining.HoldOff]
-    told = quarantining.HoldOff([quarantining.Hold('d', 3, 300_000)])
+    hear = host.peers.answerers[quarantining.UpdateHolds]
+    told = quarantining.UpdateHolds([quarantining.Hold('d', 3, 300_000)])
     answer = await hear('control', told)
     assert answer.cleared == (['d'] if worked else [])
     assert (host.guard.remaining_hold_ms('d') is None) == worked
-    await hear('control', quarantining.HoldOff([], ['d']))
+    await hear('control', quarantining.UpdateHolds([], ['d']))
     assert host.guard.remaining_hold_ms('d') is None
 
 
@@ -469,7 +473,7 @@
         host = system.entries[0]
         connector = host._client._pooled.connector
         connect = connector._create_connection
-        digest_of = fingerprints.digest_of
+        digest_of = fingerprints.request_digest
         seen = []
 
         def note(*arguments):
@@ -483,7 +487,7 @@
             )
             return made
 
-        monkeypatch.setattr(fingerprints, 'digest_of', note)
+        monkeypatch.setattr(fingerprints, 'request_digest', note)
         monkeypatch.setattr(connector, '_create_connection', connect_late)
         got = await test_fatal_requests.send_to_entry_host(
             system, 0, body, 'q'
--- a/tests/test_sent_calls.py
+++ b/tests/test_sent_calls.py
@@ -24,7 +24,7 @@
 class TellingPeers(membership_fleet.CountingPeers):
     """Delivers and counts one-way messages as well."""
 
-    async def tell(self, host, message):
+    async def send_oneway(self, host, message):
         body = self._encoder.encode(message)
         self._count(host, body)
         asyncio.ensure_future(self._hand_over(host, body))
@@ -34,7 +34,7 @@
         if await self._network.transmit(self.host, host):
             there = self._network.hosts[host]
             message = there._decoder.decode(body)
-            await there._answerers[type(message)](self.host, message)
+            await there._handlers[type(message)](self.host, message)
 
 
 class Host:
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -21,7 +21,7 @@
 from wrenspoke.coordination.quarantine import recent_successes
 from wrenspoke.coordination.serving import shared_retry_budget
 from wrenspoke.coordination.serving import team_rate_limits
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import limiting
 from wrenspoke.state import registry
 from wrenspoke.transport import links
@@ -69,8 +69,8 @@
 class NoPeers:
     """Accepts handlers, and sends nothing."""
 
-    def answers(self, _kind):
-        return lambda answerer: answerer
+    def handles(self, _kind):
+        return lambda handler: handler
 
 
 def registration():
@@ -80,7 +80,7 @@
 
 
 def record():
-    return attending.HostRecord(
+    return discovery_messages.HostRecord(
         'h', 'north', 'hall', '127.0.0.1:2', '127.0.0.1:3', 'life', 1, False
     )
 
@@ -142,7 +142,7 @@
 
 def share_that_the_leader_counts(clock):
     parts = allocator.TeamAllocation(clock.mono_ms())
-    asked = limiting.ShareAsked('t', 0.0, 1.0, 0.0, 1_000.0)
+    asked = limiting.ShareRequest('t', 0.0, 1.0, 0.0, 1_000.0)
     parts.grant('lender', asked, True, clock.mono_ms())
 
     def counted():
--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -180,7 +180,7 @@
 
 def asked(held, wanted, returned_ms=0.0, depth_ms=3_000.0):
     """Return a holder's request for a share."""
-    return limiting.ShareAsked('t', held, wanted, returned_ms, depth_ms)
+    return limiting.ShareRequest('t', held, wanted, returned_ms, depth_ms)
 
 
 def test_lowered_share_stays_allocated_until_acknowledged():
@@ -240,7 +240,7 @@
 
         async def ask(_team, _amount):
             asked_of.append(_amount)
-            return limiting.AmountGranted(True, 0)
+            return limiting.AskAmountReply(True, 0)
 
         monkeypatch.setattr(host.limiter, '_take_from_owner', ask)
         await host.limiter.take(team, 400)
@@ -324,7 +324,7 @@
         )
         await group.asyncio.sleep(0.1)
         voter.has_lease = False
-        assert not isinstance(await late, limiting.SharesGranted)
+        assert not isinstance(await late, limiting.AskSharesReply)
         assert voter.state.lenders == ('a', 'b')
         await allocated.close()
 
@@ -353,14 +353,14 @@
         held_up = ask_shares(allocated, 'a', asked(0.0, 0.9))
         granted = await ask_shares(allocated, 'a', asked(0.0, 0.9))
         assert granted.granted[0].share == pytest.approx(0.9)
-        assert not isinstance(await held_up, limiting.SharesGranted)
+        assert not isinstance(await held_up, limiting.AskSharesReply)
         granted = await ask_shares(allocated, 'b', asked(0.0, 0.9))
         assert granted.granted[0].share == pytest.approx(0.1)
         # The numbers of a restarted holder start again.
         again = limiting.AskShares([asked(0.0, 0.5)], 'later life', 1)
         assert isinstance(
             await allocated._handle_ask_shares('a', again),
-            limiting.SharesGranted,
+            limiting.AskSharesReply,
         )
         await allocated.close()
 
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -6,7 +6,7 @@
 from tests import nodes
 from tests import test_explain
 from tests import test_registry
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import messages
 from wrenspoke.protocol import traffic
 from wrenspoke import report
@@ -14,7 +14,7 @@
 
 OWN = locations.Location('north', 'hall')
 PING = msgspec.msgpack.encode(messages.Ping())
-TOLD = msgspec.msgpack.encode(attending.TellRegion([]))
+TOLD = msgspec.msgpack.encode(discovery_messages.RegionGossip([]))
 DISTANCE = traffic.Distance
 
 
@@ -31,11 +31,11 @@
 def test_message_is_counted_by_kind_and_distance(body, place, kind, distance):
     if isinstance(place, tuple):
         place = locations.Location(*place)
-    counted = traffic.Traffic(OWN, test_registry.FakeClock())
-    counted.tell_places(lambda _host: place)
+    counted = traffic.TrafficCounter(OWN, test_registry.FakeClock())
+    counted.set_location_lookup(lambda _host: place)
     for _message in range(2):
-        counted.note_message('h', body, 100)
-    assert counted.sent == {(kind, distance): traffic.Sent(2, 200)}
+        counted.count_message('h', body, 100)
+    assert counted.sent == {(kind, distance): traffic.SentTotals(2, 200)}
 
 
 async def test_running_hosts_count_what_they_send(tmp_path):
--- a/wrenspoke/coordination/agreement/control_service.py
+++ b/wrenspoke/coordination/agreement/control_service.py
@@ -12,7 +12,7 @@
 from wrenspoke.coordination.membership import replica
 from wrenspoke import ids
 from wrenspoke.protocol import messages
-from wrenspoke.protocol import operators
+from wrenspoke.protocol import operator_api
 from wrenspoke.protocol import peers as peer_calls
 from wrenspoke import runtime
 from wrenspoke import settings
@@ -61,8 +61,8 @@
         self._peers = peers
         self._relays: dict[ids.HostId, int] = {}
         self._tasks = runtime.Tasks()
-        peers.answers(messages.PullConfiguration)(self._serve_pull)
-        peers.answers(messages.PassStanding)(self._handle_status)
+        peers.handles(messages.PullConfiguration)(self._serve_pull)
+        peers.handles(messages.ForwardStatus)(self._handle_status)
 
     def start(self) -> None:
         """Start notifying relays of configuration changes."""
@@ -87,7 +87,7 @@
                 if now_ms - pulled_ms > RELAY_EXPIRY_MS:
                     del self._relays[host]
                     continue
-                await self._peers.tell(host, messages.News(index))
+                await self._peers.send_oneway(host, messages.UpdateAvailable(index))
 
     async def _serve_pull(
         self, sender: ids.HostId, message: messages.PullConfiguration
@@ -100,7 +100,7 @@
         delta.leader = self._voter.leader
         return delta
 
-    async def _forward_status(self, standing: messages.Standing) -> None:
+    async def _forward_status(self, standing: messages.DataCentreStatus) -> None:
         """Forward a data centre's status to the leader if plans run."""
         local_voter = self._voter
         if local_voter.role is voter.Role.LEADER:
@@ -108,18 +108,18 @@
             return
         if local_voter.leader is None or not local_voter.state.running():
             return
-        await self._peers.tell(
-            local_voter.leader, messages.PassStanding(standing)
+        await self._peers.send_oneway(
+            local_voter.leader, messages.ForwardStatus(standing)
         )
 
     async def _handle_status(
-        self, _sender: ids.HostId, message: messages.PassStanding
+        self, _sender: ids.HostId, message: messages.ForwardStatus
     ) -> None:
         self._executor.update_status(message.standing)
 
     async def plan(
-        self, operator: ids.OperatorId, request: operators.PlanRequest
-    ) -> operators.OperatorAnswer:
+        self, operator: ids.OperatorId, request: operator_api.PlanRequest
+    ) -> operator_api.OperatorResponse:
         """Create a plan; a repeated request gets the same answer."""
         digest = _request_digest('plan', request)
         known = self._known_answer(operator, request.number, digest)
@@ -143,8 +143,8 @@
         self,
         operator: ids.OperatorId,
         plan: ids.PlanId,
-        request: operators.ConfirmRequest,
-    ) -> operators.OperatorAnswer:
+        request: operator_api.ConfirmRequest,
+    ) -> operator_api.OperatorResponse:
         """Confirm a plan; a repeated request gets the same answer."""
         digest = _request_digest(f'confirm {plan}', request)
         known = self._known_answer(operator, request.number, digest)
@@ -162,7 +162,7 @@
 
     def _known_answer(
         self, operator: ids.OperatorId, number: int, digest: str
-    ) -> operators.OperatorAnswer | None:
+    ) -> operator_api.OperatorResponse | None:
         if not self._voter.has_lease:
             return self._not_leader_answer(may_be_accepted=False)
         answer = self._voter.state.known_answer(operator, number, digest)
@@ -170,7 +170,7 @@
 
     async def _propose(
         self, entry: entries.MakePlan | entries.ConfirmPlan
-    ) -> operators.OperatorAnswer:
+    ) -> operator_api.OperatorResponse:
         try:
             applied = await self._voter.propose(entry)
         except errors.NotLeaderError as error:
@@ -187,16 +187,16 @@
 
     def _answer_for(
         self, answer: replicated.Answer
-    ) -> operators.OperatorAnswer:
+    ) -> operator_api.OperatorResponse:
         body = {'answer': answer}
         plan = self._voter.state.plans.get(answer.plan)
         if plan is not None:
             body['plan'] = plan
-        return operators.OperatorAnswer(VERDICT_STATUSES[answer.verdict], body)
+        return operator_api.OperatorResponse(VERDICT_STATUSES[answer.verdict], body)
 
     def _not_leader_answer(
         self, may_be_accepted: bool
-    ) -> operators.OperatorAnswer:
+    ) -> operator_api.OperatorResponse:
         leader = self._voter.leader
         body = {
             'error': {
@@ -206,10 +206,10 @@
             }
         }
         known = leader is not None and leader in self._operator_urls
-        status = operators.MISDIRECTED if known else UNAVAILABLE
-        return operators.OperatorAnswer(status, body)
+        status = operator_api.MISDIRECTED if known else UNAVAILABLE
+        return operator_api.OperatorResponse(status, body)
 
-    def show_plan(self, plan: ids.PlanId) -> operators.OperatorAnswer:
+    def show_plan(self, plan: ids.PlanId) -> operator_api.OperatorResponse:
         """Return a plan, its progress and what it waits for."""
         plan_record = self._voter.state.plans.get(plan)
         if plan_record is None:
@@ -218,9 +218,9 @@
             'plan': plan_record,
             'waits_for': self._executor.wait_reasons.get(plan, ''),
         }
-        return operators.OperatorAnswer(OK, body)
+        return operator_api.OperatorResponse(OK, body)
 
-    def list_plans(self) -> operators.OperatorAnswer:
+    def list_plans(self) -> operator_api.OperatorResponse:
         """Return summaries of the retained plans, oldest first."""
         listed = [
             {
@@ -231,13 +231,13 @@
             }
             for plan in self._voter.state.plans.values()
         ]
-        return operators.OperatorAnswer(OK, {'plans': listed})
+        return operator_api.OperatorResponse(OK, {'plans': listed})
 
-    def show_configuration(self) -> operators.OperatorAnswer:
+    def show_configuration(self) -> operator_api.OperatorResponse:
         """Return the configuration applied on this host."""
-        return operators.OperatorAnswer(OK, self._voter.state.configuration)
+        return operator_api.OperatorResponse(OK, self._voter.state.configuration)
 
-    def show_status(self) -> operators.OperatorAnswer:
+    def show_status(self) -> operator_api.OperatorResponse:
         """Return this host's role and view of the control group."""
         local_voter = self._voter
         electorate = local_voter.committed_electorate
@@ -252,7 +252,7 @@
             'commit_index': local_voter.commit_index,
             'configuration_index': local_voter.state.configuration.index,
         }
-        return operators.OperatorAnswer(OK, body)
+        return operator_api.OperatorResponse(OK, body)
 
 
 def _request_digest(kind: str, request: msgspec.Struct) -> str:
@@ -260,5 +260,5 @@
     return hashlib.sha256(body).hexdigest()
 
 
-def _error_answer(status: int, message: str) -> operators.OperatorAnswer:
-    return operators.OperatorAnswer(status, {'error': {'message': message}})
+def _error_answer(status: int, message: str) -> operator_api.OperatorResponse:
+    return operator_api.OperatorResponse(status, {'error': {'message': message}})
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -35,7 +35,7 @@
 from wrenspoke.coordination.membership import control_group
 from wrenspoke.coordination.membership import replica
 from wrenspoke import ids
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import errors as protocol_errors
 from wrenspoke.protocol import messages
 from wrenspoke.protocol import peers as peer_calls
@@ -131,10 +131,12 @@
         self.state = replicated.ReplicatedState()
         self._load_snapshot()
         self.commit(store.known_committed())
-        peers.answers(messages.AskVote)(self._handle_vote_request)
-        peers.answers(messages.Append)(self._handle_append)
-        peers.answers(messages.Install)(self._handle_install)
-        peers.answers(attending.ConfirmIndex)(self._handle_confirm_index)
+        peers.handles(messages.RequestVote)(self._handle_vote_request)
+        peers.handles(messages.AppendEntries)(self._handle_append)
+        peers.handles(messages.InstallSnapshot)(self._handle_install)
+        peers.handles(discovery_messages.ConfirmIndex)(
+            self._handle_confirm_index
+        )
 
     # Persistent state.
 
@@ -308,7 +310,7 @@
         :param pre: whether to run a pre-vote, which leaves the term as it is
         """
         term = self.term + 1 if pre else self.term
-        message = messages.AskVote(
+        message = messages.RequestVote(
             term,
             self.incarnation,
             self.storage.last_index,
@@ -347,7 +349,7 @@
         return tally.won
 
     async def _request_vote(
-        self, host: ids.HostId, message: messages.AskVote
+        self, host: ids.HostId, message: messages.RequestVote
     ) -> tuple[ids.HostId, messages.VoteReply | None]:
         answer = await self.call(host, message)
         if isinstance(answer, messages.VoteReply):
@@ -369,7 +371,7 @@
 
     @_refuse_if_disk_full
     async def _handle_vote_request(
-        self, sender: ids.HostId, message: messages.AskVote
+        self, sender: ids.HostId, message: messages.RequestVote
     ) -> messages.VoteReply:
         refused = self._vote_refusal(message)
         if refused is None and message.pre:
@@ -397,7 +399,7 @@
         return None
 
     def _vote_refusal(
-        self, message: messages.AskVote
+        self, message: messages.RequestVote
     ) -> messages.VoteRefusal | None:
         """Return why this host must refuse its vote, None if it may grant it.
 
@@ -414,9 +416,9 @@
         if message.term < self.term:
             return messages.VoteRefusal.OLD_TERM
         if self._has_leader_contact():
-            return messages.VoteRefusal.LEADER_HEARD
+            return messages.VoteRefusal.LEADER_ACTIVE
         if self.has_lease:
-            return messages.VoteRefusal.LEADS
+            return messages.VoteRefusal.IS_LEADER
         if message.pre and message.term <= self.term:
             return messages.VoteRefusal.OLD_TERM
         theirs = (message.last_term, message.last_index)
@@ -436,8 +438,10 @@
         if self.leader is None or self.leader == self.host:
             self._log_unconfirmed_index('no leader')
             return None
-        answer = await self.call(self.leader, attending.ConfirmIndex())
-        if not isinstance(answer, attending.IndexConfirmed):
+        answer = await self.call(
+            self.leader, discovery_messages.ConfirmIndex()
+        )
+        if not isinstance(answer, discovery_messages.ConfirmIndexReply):
             self._log_unconfirmed_index('leader gave no answer')
             return None
         if answer.index is None:
@@ -459,9 +463,9 @@
         )
 
     async def _handle_confirm_index(
-        self, _sender: ids.HostId, _message: attending.ConfirmIndex
-    ) -> attending.IndexConfirmed:
-        return attending.IndexConfirmed(
+        self, _sender: ids.HostId, _message: discovery_messages.ConfirmIndex
+    ) -> discovery_messages.ConfirmIndexReply:
+        return discovery_messages.ConfirmIndexReply(
             self.commit_index if self.has_lease else None
         )
 
@@ -568,12 +572,12 @@
             last_index,
             self.incarnation,
             self.location,
-            messages.Moment(self._instance_id, self.clock.mono_ms()),
+            messages.LocalTimestamp(self._instance_id, self.clock.mono_ms()),
         )
 
     @_refuse_if_disk_full
     async def _handle_append(
-        self, sender: ids.HostId, message: messages.Append
+        self, sender: ids.HostId, message: messages.AppendEntries
     ) -> messages.AppendReply:
         if not self._accept_leader(sender, message.term):
             return self._append_reply(False, self.storage.last_index)
@@ -590,7 +594,7 @@
         self._update_confirmed_ms(message)
         return self._append_reply(True, matched)
 
-    def _update_confirmed_ms(self, message: messages.Append) -> None:
+    def _update_confirmed_ms(self, message: messages.AppendEntries) -> None:
         """Record the time that a leader's message confirms.
 
         Times of another process instance are ignored, because the clock may
@@ -636,7 +640,7 @@
 
     @_refuse_if_disk_full
     async def _handle_install(
-        self, sender: ids.HostId, message: messages.Install
+        self, sender: ids.HostId, message: messages.InstallSnapshot
     ) -> messages.AppendReply:
         if not self._accept_leader(sender, message.term):
             return self._append_reply(False, self.storage.last_index)
--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -74,10 +74,10 @@
     def grant(
         self,
         holder: ids.HostId,
-        request: limiting.ShareAsked,
+        request: limiting.ShareRequest,
         settled: bool,
         now_ms: int,
-    ) -> limiting.ShareGranted:
+    ) -> limiting.ShareGrant:
         """Return the holder's new share, and its part of the free tokens.
 
         ``settled`` says that all shares of earlier leaders are known.
@@ -98,7 +98,7 @@
         self._leases[holder] = ShareLease(
             max(share, held), request.wanted, now_ms + LEASE_EXPIRY_MS
         )
-        return limiting.ShareGranted(request.team, share, level_ms)
+        return limiting.ShareGrant(request.team, share, level_ms)
 
     def _expire(self, now_ms: int) -> None:
         for holder, lease in list(self._leases.items()):
@@ -108,7 +108,7 @@
     def _reconcile(
         self,
         holder: ids.HostId,
-        request: limiting.ShareAsked,
+        request: limiting.ShareRequest,
         settled: bool,
     ) -> float:
         """Return the holder's current share, from its report and its lease."""
@@ -124,7 +124,7 @@
         return request.held
 
     def _refill(
-        self, free: float, request: limiting.ShareAsked, now_ms: int
+        self, free: float, request: limiting.ShareRequest, now_ms: int
     ) -> None:
         """Add the tokens of the unallocated part, and those returned."""
         grown_ms = free * (now_ms - self._refilled_ms)
@@ -192,11 +192,11 @@
         self._last_request: dict[ids.HostId, tuple[str, int]] = {}
         self._registration: asyncio.Task | None = None
         self._tasks = runtime.Tasks()
-        peers.answers(limiting.AskShares)(self._handle_ask_shares)
+        peers.handles(limiting.AskShares)(self._handle_ask_shares)
 
     async def _handle_ask_shares(
         self, sender: ids.HostId, message: limiting.AskShares
-    ) -> limiting.SharesGranted | messages.Refusal:
+    ) -> limiting.AskSharesReply | messages.Refusal:
         if not self._local_voter.has_lease:
             return await self._forward(sender, message)
         holder = message.lender or sender
@@ -207,7 +207,7 @@
         if message.shares and not await self._ensure_registered(holder):
             return messages.Refusal('not noted as a lender')
         granted = self.grant(holder, message.shares)
-        return limiting.SharesGranted(granted, self.unsettled_ms)
+        return limiting.AskSharesReply(granted, self.unsettled_ms)
 
     def _is_stale(
         self, holder: ids.HostId, message: limiting.AskShares
@@ -221,7 +221,7 @@
 
     async def _forward(
         self, sender: ids.HostId, message: limiting.AskShares
-    ) -> limiting.SharesGranted | messages.Refusal:
+    ) -> limiting.AskSharesReply | messages.Refusal:
         """Forward a request to the leader; no request is forwarded twice."""
         leader = self._local_voter.leader
         if leader is None or message.lender is not None:
@@ -316,8 +316,8 @@
     def grant(
         self,
         holder: ids.HostId,
-        requests: list[limiting.ShareAsked],
-    ) -> list[limiting.ShareGranted]:
+        requests: list[limiting.ShareRequest],
+    ) -> list[limiting.ShareGrant]:
         """Return the holder's new share for each request."""
         now_ms = self._clock.mono_ms()
         settled = not self.unsettled_ms
--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -64,7 +64,7 @@
     ``last_refused_ms`` when a call of each rank was last refused.
     """
 
-    life: limiting.EndpointLife
+    life: limiting.EndpointInstance
     tokens: token_bucket.TokenBucket
     last_granted: int = 0
     last_advertised: int = 0
@@ -102,11 +102,11 @@
         self._max_hosts = 0
         self._max_hosts_ms = clock.mono_ms()
         # Limits that changed, and until when they are gossiped.
-        self._changed: dict[limiting.EndpointLife, int] = {}
+        self._changed: dict[limiting.EndpointInstance, int] = {}
         self._has_changes = asyncio.Event()
         self._tasks = runtime.Tasks()
-        peers.answers(limiting.AskSend)(self._handle_ask_send)
-        peers.answers(limiting.LimitHeard)(self._handle_limit_heard)
+        peers.handles(limiting.AskSend)(self._handle_ask_send)
+        peers.handles(limiting.ReportLimit)(self._handle_limit_heard)
 
     def start(self) -> None:
         """Start to gossip limits within the region."""
@@ -120,26 +120,26 @@
 
     async def _handle_ask_send(
         self, _sender: ids.HostId, message: limiting.AskSend
-    ) -> limiting.SendAnswered:
+    ) -> limiting.AskSendReply:
         return self.take(message.known, message.rank)
 
     def take(
         self, known: limiting.EndpointLimit, rank: int
-    ) -> limiting.SendAnswered:
+    ) -> limiting.AskSendReply:
         """Return a permit for a request, or when to ask again."""
         self._merge(known)
         limit = self._advertised.limit_of(known.life)
         if limit.rate_per_s is None:
-            return limiting.SendAnswered(limit)
+            return limiting.AskSendReply(limit)
         bucket = self._bucket_of(limit)
         wait_ms = self._take_or_wait_ms(
             bucket, rank, _request_cost_ms(limit.rate_per_s)
         )
         if wait_ms:
-            return limiting.SendAnswered(limit, wait_ms=wait_ms)
+            return limiting.AskSendReply(limit, wait_ms=wait_ms)
         bucket.last_granted += 1
-        grant = limiting.GrantName(self._host, self._life, bucket.last_granted)
-        return limiting.SendAnswered(limit, grant)
+        grant = limiting.GrantId(self._host, self._life, bucket.last_granted)
+        return limiting.AskSendReply(limit, grant)
 
     def _take_or_wait_ms(
         self, bucket: _EndpointBucket, rank: int, amount_ms: float
@@ -194,7 +194,7 @@
     # Advertised limits.
 
     async def _handle_limit_heard(
-        self, _sender: ids.HostId, message: limiting.LimitHeard
+        self, _sender: ids.HostId, message: limiting.ReportLimit
     ) -> None:
         self.on_advertised(message.known, message.rate_per_s, message.grant)
 
@@ -202,7 +202,7 @@
         self,
         known: limiting.EndpointLimit,
         rate_per_s: float | None,
-        grant: limiting.GrantName | None,
+        grant: limiting.GrantId | None,
     ) -> None:
         """Apply the rate that a response advertised, None without one.
 
@@ -228,7 +228,7 @@
         self._schedule_gossip(life)
 
     def _is_newest(
-        self, grant: limiting.GrantName | None, bucket: _EndpointBucket
+        self, grant: limiting.GrantId | None, bucket: _EndpointBucket
     ) -> bool:
         """Return whether no newer response has advertised a limit."""
         if grant is None or grant.life != self._life:
@@ -241,7 +241,7 @@
 
     # Gossip.
 
-    def _schedule_gossip(self, life: limiting.EndpointLife) -> None:
+    def _schedule_gossip(self, life: limiting.EndpointInstance) -> None:
         self._changed[life] = self._clock.mono_ms() + CHANGE_GOSSIP_MS
         self._has_changes.set()
 
--- a/wrenspoke/coordination/limiting/endpoint_gate.py
+++ b/wrenspoke/coordination/limiting/endpoint_gate.py
@@ -17,7 +17,7 @@
 from wrenspoke.coordination.limiting import leaving_endpoints
 from wrenspoke import ids
 from wrenspoke.protocol import advertised
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import errors as protocol_errors
 from wrenspoke.protocol import headers
 from wrenspoke.protocol import limiting
@@ -25,9 +25,9 @@
 
 logger = structlog.get_logger(__name__)
 
-Exists = collections.abc.Callable[[limiting.EndpointLife], bool]
+Exists = collections.abc.Callable[[limiting.EndpointInstance], bool]
 GossipToRegion = collections.abc.Callable[
-    [attending.TellRegion], collections.abc.Awaitable[None]
+    [discovery_messages.RegionGossip], collections.abc.Awaitable[None]
 ]
 
 
@@ -45,15 +45,17 @@
         leaving_ttl_ms: int | None = None,
     ):
         async def gossip_limits(limits: list[limiting.EndpointLimit]) -> None:
-            await gossip(attending.TellRegion(limits=limits))
+            await gossip(discovery_messages.RegionGossip(limits=limits))
 
         async def gossip_backoffs(
             backoffs: list[limiting.EndpointBackoff],
         ) -> None:
-            await gossip(attending.TellRegion(backoffs=backoffs))
+            await gossip(discovery_messages.RegionGossip(backoffs=backoffs))
 
-        async def gossip_leaving(lives: list[limiting.EndpointLife]) -> None:
-            await gossip(attending.TellRegion(leaving=lives))
+        async def gossip_leaving(
+            lives: list[limiting.EndpointInstance],
+        ) -> None:
+            await gossip(discovery_messages.RegionGossip(leaving=lives))
 
         self._clock = clock
         self.limits = endpoint_limits.EndpointLimits(
@@ -66,7 +68,7 @@
             exists, gossip_leaving, leaving_ttl_ms, clock
         )
         # Endpoints whose last value of a header was malformed; logged once.
-        self._malformed: set[tuple[limiting.EndpointLife, str]] = set()
+        self._malformed: set[tuple[limiting.EndpointInstance, str]] = set()
         self._exists = exists
 
     def start(self) -> None:
@@ -81,7 +83,7 @@
         await self.backoffs.close()
         await self.leaving.close()
 
-    def merge(self, message: attending.TellRegion) -> None:
+    def merge(self, message: discovery_messages.RegionGossip) -> None:
         """Merge the state that another host of the region gossiped."""
         self.limits.merge(message.limits)
         self.backoffs.merge(message.backoffs)
@@ -92,7 +94,7 @@
         """Return whether no endpoint has a backoff."""
         return self.limits.is_idle and self.backoffs.is_idle
 
-    def remaining_ms(self, life: limiting.EndpointLife) -> int:
+    def remaining_ms(self, life: limiting.EndpointInstance) -> int:
         """Return the remaining backoff of an endpoint, in milliseconds."""
         return max(
             self.limits.backoff_remaining_ms(life),
@@ -101,7 +103,7 @@
 
     async def acquire(
         self,
-        life: limiting.EndpointLife,
+        life: limiting.EndpointInstance,
         rank: int,
         is_continuation: bool = False,
     ) -> 'GatePermit':
@@ -122,7 +124,7 @@
             self, life, self._clock.mono_ms(), limit_permit, is_continuation
         )
 
-    def acquire_poll(self, life: limiting.EndpointLife) -> 'GatePermit':
+    def acquire_poll(self, life: limiting.EndpointInstance) -> 'GatePermit':
         """Return a permit for a request that takes no slot.
 
         :raises EndpointBackoffError: this host's own backoff applies
@@ -132,14 +134,16 @@
             raise errors.EndpointBackoffError(life.endpoint, remaining_ms)
         return self.acquire_unchecked(life)
 
-    def acquire_unchecked(self, life: limiting.EndpointLife) -> 'GatePermit':
+    def acquire_unchecked(
+        self, life: limiting.EndpointInstance
+    ) -> 'GatePermit':
         """Return a permit to cancel or control work that already runs."""
         return GatePermit(self, life, self._clock.mono_ms())
 
     def on_response(
         self,
-        life: limiting.EndpointLife,
-        head: advertised.Advertised,
+        life: limiting.EndpointInstance,
+        head: advertised.AdvertisedHeaders,
         sent_ms: int,
         is_work: bool,
     ) -> None:
@@ -147,16 +151,20 @@
 
         Only the response to a request with ``is_work`` ends a backoff.
         """
-        if not head.own:
+        if not head.is_from_endpoint:
             return
         backoff_ms = self._backoff_ms(life, head)
-        if backoff_ms or (is_work and head.status not in advertised.REFUSALS):
+        if backoff_ms or (
+            is_work and head.status not in advertised.REFUSAL_STATUSES
+        ):
             self.backoffs.on_response(life, backoff_ms, sent_ms)
         if self._is_leaving(life, head):
             self.leaving.mark(life)
 
     def _backoff_ms(
-        self, life: limiting.EndpointLife, head: advertised.Advertised
+        self,
+        life: limiting.EndpointInstance,
+        head: advertised.AdvertisedHeaders,
     ) -> int:
         try:
             backoff_ms = head.backoff_ms(self._clock.wall_ms())
@@ -167,7 +175,9 @@
         return backoff_ms
 
     def _is_leaving(
-        self, life: limiting.EndpointLife, head: advertised.Advertised
+        self,
+        life: limiting.EndpointInstance,
+        head: advertised.AdvertisedHeaders,
     ) -> bool:
         try:
             leaving = head.is_leaving()
@@ -179,7 +189,7 @@
 
     def _log_malformed(
         self,
-        life: limiting.EndpointLife,
+        life: limiting.EndpointInstance,
         field: str,
         error: protocol_errors.ProtocolError,
     ) -> None:
@@ -206,7 +216,7 @@
     def __init__(
         self,
         gate: EndpointGate,
-        life: limiting.EndpointLife,
+        life: limiting.EndpointInstance,
         acquired_ms: int,
         limit_permit: endpoint_limits.SendPermit | None = None,
         is_continuation: bool = False,
@@ -232,7 +242,7 @@
             return False
         return self._limit_permit.is_valid()
 
-    def on_response(self, head: advertised.Advertised) -> None:
+    def on_response(self, head: advertised.AdvertisedHeaders) -> None:
         """Update the endpoint's state from the head of the response."""
         if self._limit_permit is not None:
             echoed = head.origin is advertised.Origin.ECHOED
--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -174,7 +174,7 @@
         # Until when other hosts may hold shares unknown to the leader.
         self._settled_ms = 0
         self._tasks = runtime.Tasks()
-        peers.answers(limiting.AskAmount)(self._handle_ask_amount)
+        peers.handles(limiting.AskAmount)(self._handle_ask_amount)
 
     def start(self) -> None:
         """Start to request shares."""
@@ -186,19 +186,19 @@
 
     async def _handle_ask_amount(
         self, _sender: ids.HostId, message: limiting.AskAmount
-    ) -> limiting.AmountGranted:
+    ) -> limiting.AskAmountReply:
         return await self.take(message.team, message.amount)
 
     async def take(
         self, team: ids.TeamId, amount: float
-    ) -> limiting.AmountGranted:
+    ) -> limiting.AskAmountReply:
         """Admit a call that needs an amount of its team's limit.
 
         The answer says whether it is admitted, and how long it has to wait.
         """
         limit = self._limit_of(team)
         if limit is None:
-            return limiting.AmountGranted(True, 0)
+            return limiting.AskAmountReply(True, 0)
         amount_ms = amount / self._overshoot.rate_per_s(limit) * MS_PER_S
         bucket = self._team_bucket(team, limit)
         bucket.demand.record(amount_ms, self._clock.mono_ms())
@@ -231,7 +231,7 @@
 
     def _try_take(
         self, bucket: TeamBucket, amount_ms: float
-    ) -> limiting.AmountGranted:
+    ) -> limiting.AskAmountReply:
         """Take an amount if it is available now, or will be soon.
 
         The level may become negative, so that later calls wait longer. While
@@ -245,13 +245,13 @@
             wait_ms = min(
                 max(settled_ms, RENEW_INTERVAL_MS), MAX_SETTLING_WAIT_MS
             )
-            return limiting.AmountGranted(False, wait_ms)
+            return limiting.AskAmountReply(False, wait_ms)
         if not wait_ms or (
             wait_ms <= MAX_WAIT_MS and not bucket.under_granted
         ):
             bucket.level_ms -= amount_ms
-            return limiting.AmountGranted(True, math.ceil(wait_ms))
-        return limiting.AmountGranted(False, math.ceil(wait_ms))
+            return limiting.AskAmountReply(True, math.ceil(wait_ms))
+        return limiting.AskAmountReply(False, math.ceil(wait_ms))
 
     async def _await_renewal(self) -> None:
         """Renew the shares immediately, and wait up to MAX_WAIT_MS for it."""
@@ -312,7 +312,7 @@
                 'share_request_failed', peer=lead.via_host, reason=str(error)
             )
             return
-        if not isinstance(answer, limiting.SharesGranted):
+        if not isinstance(answer, limiting.AskSharesReply):
             logger.info('share_request_refused', peer=lead.via_host)
             return
         self._reported_lead = lead
@@ -332,7 +332,7 @@
                 return True
         return False
 
-    def _share_requests(self, now_ms: int) -> list[limiting.ShareAsked]:
+    def _share_requests(self, now_ms: int) -> list[limiting.ShareRequest]:
         """Return the shares to request; lower those that are too large."""
         requests = []
         for team, bucket in list(self._buckets.items()):
@@ -349,7 +349,7 @@
             if wanted < DECREASE_THRESHOLD * bucket.share:
                 bucket.lower_share(wanted)
             requests.append(
-                limiting.ShareAsked(
+                limiting.ShareRequest(
                     team,
                     bucket.share,
                     wanted,
@@ -361,7 +361,7 @@
         return requests
 
     def _apply_grant(
-        self, granted: limiting.ShareGranted, wanted: float, asked_ms: int
+        self, granted: limiting.ShareGrant, wanted: float, asked_ms: int
     ) -> None:
         bucket = self._buckets.get(granted.team)
         if bucket is None:
--- a/wrenspoke/coordination/membership/engine_loads.py
+++ b/wrenspoke/coordination/membership/engine_loads.py
@@ -25,8 +25,8 @@
 from wrenspoke.coordination.serving import routing
 from wrenspoke import ids
 from wrenspoke.protocol import advertised
-from wrenspoke.protocol import attending
 from wrenspoke.protocol import dialect as dialects
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import limiting
 from wrenspoke import runtime
 from wrenspoke.state import errors as state_errors
@@ -170,7 +170,7 @@
             self._views.record_status(status)
         if heard or statuses:
             await self._pollers.broadcast(
-                attending.TellRegion(heard, statuses)
+                discovery_messages.RegionGossip(heard, statuses)
             )
 
     def _assigned_engines(
@@ -220,7 +220,7 @@
         self, found: registry.Registered
     ) -> loads.EngineLoad | None:
         said = found.said
-        life = limiting.EndpointLife(said.endpoint, said.born_ms)
+        life = limiting.EndpointInstance(said.endpoint, said.born_ms)
         asked_ms = self._clock.mono_ms()
         try:
             poll_permit = self._gate.acquire_poll(life)
@@ -229,8 +229,10 @@
                     'GET', said.address, self._reader.path, [], None
                 ) as response:
                     poll_permit.on_response(
-                        advertised.read(
-                            advertised.origin(response.status, '', None),
+                        advertised.read_headers(
+                            advertised.classify_origin(
+                                response.status, '', None
+                            ),
                             response.status,
                             response.headers,
                             self._dialect,
@@ -251,7 +253,9 @@
         self._on_answer(said.address, asked_ms)
         return load
 
-    def _merge_broadcast(self, message: attending.TellRegion) -> None:
+    def _merge_broadcast(
+        self, message: discovery_messages.RegionGossip
+    ) -> None:
         now_ms = self._clock.mono_ms()
         for status in message.regions:
             self._views.record_status(status)
--- a/wrenspoke/coordination/membership/members.py
+++ b/wrenspoke/coordination/membership/members.py
@@ -30,7 +30,9 @@
     last_beat_ms: int
     draining: bool = False
     index: int = 0
-    busy: list[messages.Busy] = dataclasses.field(default_factory=list)
+    busy: list[messages.EndpointInFlight] = dataclasses.field(
+        default_factory=list
+    )
     suspicion_timeout_ms: int = 0
     suspected: bool = False
 
@@ -78,7 +80,7 @@
         self._interval_ms = self._settings.beat_interval_ms
         self.draining = False
         self.update_available = asyncio.Event()
-        peers.answers(messages.Beat)(self._handle_beat)
+        peers.handles(messages.Heartbeat)(self._handle_beat)
 
     def start(self) -> None:
         """Start sending heartbeats and checking those of peers."""
@@ -175,7 +177,7 @@
             for endpoint in self._replica.current.endpoints
             if self.polls_endpoint(endpoint)
         ]
-        beat = messages.Beat(
+        beat = messages.Heartbeat(
             draining=self.draining,
             index=index,
             interval_ms=self._interval_ms,
@@ -185,7 +187,7 @@
         )
         sent_bytes = 0
         for host in self._local_peers:
-            sent_bytes += await self._peers.tell(host, beat)
+            sent_bytes += await self._peers.send_oneway(host, beat)
         # As many bytes are received as sent, hence the factor of 2.
         budget = self._settings.beat_budget_bytes_per_s
         self._interval_ms = max(
@@ -218,7 +220,7 @@
         self._ticked_ms = self._clock.mono_ms()
 
     async def _handle_beat(
-        self, sender: ids.HostId, beat: messages.Beat
+        self, sender: ids.HostId, beat: messages.Heartbeat
     ) -> None:
         known = self._peer_states.get(sender)
         if known is None or known.suspected:
@@ -261,16 +263,16 @@
                     silence_ms=silence_ms,
                 )
 
-    def _draining_in_flight(self) -> list[messages.Busy]:
+    def _draining_in_flight(self) -> list[messages.EndpointInFlight]:
         """Return the requests in flight to endpoints that take no new work."""
         return [
-            messages.Busy(endpoint.endpoint, in_flight)
+            messages.EndpointInFlight(endpoint.endpoint, in_flight)
             for endpoint in self._replica.current.endpoints.values()
             if not self._replica.takes_work(endpoint)
             and (in_flight := self._limits.in_flight(endpoint.endpoint))
         ]
 
-    def data_centre_status(self) -> messages.Standing:
+    def data_centre_status(self) -> messages.DataCentreStatus:
         """Return the lowest index and the requests in flight at live hosts."""
         low_index = self._replica.current.index
         counts: dict[ids.EndpointId, int] = {}
@@ -288,11 +290,14 @@
         for busy in itertools.chain.from_iterable(busy_lists):
             count = counts.get(busy.endpoint, 0) + busy.in_flight
             counts[busy.endpoint] = count
-        return messages.Standing(
+        return messages.DataCentreStatus(
             ids.DataCentreId(self._host.data_centre),
             ids.RegionId(self._host.region),
             low_index,
-            [messages.Busy(name, count) for name, count in counts.items()],
+            [
+                messages.EndpointInFlight(name, count)
+                for name, count in counts.items()
+            ],
         )
 
     def peers_settled(self) -> bool:
--- a/wrenspoke/coordination/quarantine/crash_aggregator.py
+++ b/wrenspoke/coordination/quarantine/crash_aggregator.py
@@ -86,7 +86,7 @@
         self._decided_ms: dict[quarantine.Quarantined, int] = {}
         self._proposing = False
         self._tasks = runtime.Tasks()
-        peers.answers(quarantining.RunsEnded)(self._handle_runs_ended)
+        peers.handles(quarantining.ReportCrashes)(self._handle_runs_ended)
 
     def start(self) -> None:
         """Start the task that proposes quarantine decisions."""
@@ -97,8 +97,8 @@
         await self._tasks.close()
 
     async def _handle_runs_ended(
-        self, _sender: ids.HostId, message: quarantining.RunsEnded
-    ) -> quarantining.RunsNoted:
+        self, _sender: ids.HostId, message: quarantining.ReportCrashes
+    ) -> quarantining.ReportCrashesReply:
         now_ms = self._clock.mono_ms()
         for digest in message.cleared:
             self._handle_success(digest)
@@ -110,12 +110,14 @@
             self._tasks.start(self._notify_entry_hosts(new_holds), fatal=False)
             self._tasks.start(self._propose_after_objections())
         reported = {end.digest for end in message.ends}
-        return quarantining.RunsNoted(
+        return quarantining.ReportCrashesReply(
             self._instance_id,
             [self._make_hold(one) for one in reported if self._is_held(one)],
         )
 
-    def _record_crash(self, end: quarantining.RunEnd, now_ms: int) -> bool:
+    def _record_crash(
+        self, end: quarantining.EndpointCrash, now_ms: int
+    ) -> bool:
         """Record a crash; return whether entry hosts must be notified."""
         if quarantine.held(self._quarantine, end.digest) is not None:
             # The request was sent before the hold reached that host.
@@ -181,14 +183,14 @@
         new_holds: list[quarantining.Hold],
         released: collections.abc.Iterable[ids.RequestDigest] = (),
     ) -> None:
-        message = quarantining.HoldOff(new_holds, list(released))
+        message = quarantining.UpdateHolds(new_holds, list(released))
         hosts = self._list_entry_hosts(self._local_voter.has_lease)
         await asyncio.gather(
             *(self._notify_entry_host(host, message) for host in hosts)
         )
 
     async def _notify_entry_host(
-        self, host: ids.HostId, message: quarantining.HoldOff
+        self, host: ids.HostId, message: quarantining.UpdateHolds
     ) -> None:
         try:
             answer = await self._peers.call(host, message, CALL_TIMEOUT_MS)
@@ -197,7 +199,7 @@
                 'hold_notification_failed', peer=host, reason=str(error)
             )
             return
-        if isinstance(answer, quarantining.HoldTaken):
+        if isinstance(answer, quarantining.UpdateHoldsReply):
             for digest in answer.cleared:
                 self._handle_success(digest)
 
--- a/wrenspoke/coordination/quarantine/crash_reporter.py
+++ b/wrenspoke/coordination/quarantine/crash_reporter.py
@@ -137,19 +137,19 @@
         host: ids.HostId,
         crashes: list[LocalCrash],
         cleared: list[ids.RequestDigest],
-    ) -> quarantining.RunsNoted | None:
+    ) -> quarantining.ReportCrashesReply | None:
         now_ms = self._clock.mono_ms()
         run_ends = [
-            quarantining.RunEnd(digest, endpoint, now_ms - ended_ms)
+            quarantining.EndpointCrash(digest, endpoint, now_ms - ended_ms)
             for digest, endpoint, ended_ms in crashes
         ]
-        message = quarantining.RunsEnded(run_ends, cleared)
+        message = quarantining.ReportCrashes(run_ends, cleared)
         try:
             answer = await self._peers.call(host, message, CALL_TIMEOUT_MS)
         except protocol_errors.ProtocolError as error:
             logger.info('crash_report_failed', peer=host, reason=str(error))
             return None
-        if not isinstance(answer, quarantining.RunsNoted):
+        if not isinstance(answer, quarantining.ReportCrashesReply):
             logger.info('crash_report_failed', peer=host, reason=repr(answer))
             return None
         return answer
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -72,8 +72,8 @@
         self._tasks = runtime.Tasks()
         self.refused_count = 0
         reporter.set_hold_callback(self._hold_provisionally)
-        peers.answers(quarantining.HoldOff)(self._handle_hold_off)
-        peers.answers(quarantining.RunsEnded)(self._collect_crash_reports)
+        peers.handles(quarantining.UpdateHolds)(self._handle_hold_off)
+        peers.handles(quarantining.ReportCrashes)(self._collect_crash_reports)
 
     async def close(self) -> None:
         """Cancel all tasks, including those of the reporter."""
@@ -210,14 +210,14 @@
             self._provisional_until_ms.popitem(last=False)
 
     async def _handle_hold_off(
-        self, _sender: ids.HostId, message: quarantining.HoldOff
-    ) -> quarantining.HoldTaken:
+        self, _sender: ids.HostId, message: quarantining.UpdateHolds
+    ) -> quarantining.UpdateHoldsReply:
         for digest in message.released:
             self._provisional_until_ms.pop(digest, None)
             self._crash_history.clear(digest)
         for hold in message.holds:
             self._hold_provisionally(hold)
-        return quarantining.HoldTaken(
+        return quarantining.UpdateHoldsReply(
             [
                 hold.digest
                 for hold in message.holds
@@ -226,8 +226,8 @@
         )
 
     async def _collect_crash_reports(
-        self, _sender: ids.HostId, message: quarantining.RunsEnded
-    ) -> quarantining.RunsNoted:
+        self, _sender: ids.HostId, message: quarantining.ReportCrashes
+    ) -> quarantining.ReportCrashesReply:
         """Aggregate crash reports in deployments without control hosts."""
         now_ms = self._clock.mono_ms()
         for digest in message.cleared:
@@ -239,7 +239,7 @@
                     end.digest, end.endpoint, now_ms - end.age_ms
                 )
         reported = {end.digest for end in message.ends}
-        return quarantining.RunsNoted(
+        return quarantining.ReportCrashesReply(
             self._instance_id,
             [
                 quarantining.Hold(
--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -26,7 +26,7 @@
 from wrenspoke.coordination.serving import retry_outcomes
 from wrenspoke.coordination.serving import sending
 from wrenspoke.coordination.serving import sent_call_broadcast
-from wrenspoke.protocol import passing
+from wrenspoke.protocol import passthrough_api
 from wrenspoke.state import routes
 
 logger = structlog.get_logger(__name__)
@@ -320,7 +320,7 @@
         body = await answer.read_all(BUFFERED_BODY_LIMIT_BYTES)
         if answer.status in OK_STATUSES:
             self._record_first_piece(context, destination)
-        await context.reply.whole(answer.status, answer.fields, body)
+        await context.reply.send_response(answer.status, answer.fields, body)
         self._log_answered(context, destination, answer.status)
         return True
 
@@ -339,17 +339,17 @@
         context.cause = f'{destination.name}: {answer.refused}'
         if answer.status == UNAVAILABLE:
             context.unexecuted_sends += 1
-        if answer.refused in passing.NOTHING_SENT:
+        if answer.refused in passthrough_api.UNSENT_REFUSALS:
             context.send_count -= 1
-        if answer.refused is passing.Refusal.UNSENT:
+        if answer.refused is passthrough_api.Refusal.UNSENT:
             context.remote_retry_after_ms = int(answer.retry_after_ms) or None
-        if answer.refused in (passing.Refusal.UNSENT, passing.Refusal.BUSY):
+        if answer.refused in (passthrough_api.Refusal.UNSENT, passthrough_api.Refusal.BUSY):
             context.refusing_regions.add(destination.serving_region)
-        if answer.refused == passing.Refusal.UNKNOWN_KEY:
+        if answer.refused == passthrough_api.Refusal.UNKNOWN_KEY:
             raise errors.UnknownKeyError(context.cause)
-        if answer.refused == passing.Refusal.QUARANTINED:
+        if answer.refused == passthrough_api.Refusal.QUARANTINED:
             raise errors.QuarantinedError(int(answer.retry_after_ms))
-        if answer.refused == passing.Refusal.BUSY:
+        if answer.refused == passthrough_api.Refusal.BUSY:
             self._remote_regions.record_busy(
                 destination.serving_region,
                 context.service.service,
@@ -393,7 +393,7 @@
                     continue
                 if not context.reply.started:
                     self._record_first_piece(context, destination)
-                    await context.reply.open(answer.status, answer.fields)
+                    await context.reply.send_head(answer.status, answer.fields)
                     context.tracker = tracker
                 context.record_piece(self._clock.mono_ms())
                 recorder.record_piece()
@@ -422,7 +422,7 @@
         tracker: event_tracker.EventTracker,
     ) -> None:
         if not context.reply.started:
-            await context.reply.open(answer.status, answer.fields)
+            await context.reply.send_head(answer.status, answer.fields)
         remainder = tracker.take_remainder()
         if remainder:
             await context.reply.write(remainder)
--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -21,8 +21,8 @@
 from wrenspoke.coordination.serving import sending
 from wrenspoke import ids
 from wrenspoke import mechanisms
-from wrenspoke.protocol import attending
-from wrenspoke.protocol import passing
+from wrenspoke.protocol import discovery_messages
+from wrenspoke.protocol import passthrough_api
 
 logger = structlog.get_logger(__name__)
 
@@ -243,7 +243,7 @@
 
     def _find_relay_host(
         self, context: call_context.CallContext, region: ids.RegionId
-    ) -> attending.HostRecord | None:
+    ) -> discovery_messages.HostRecord | None:
         """Return a host of a third region that can reach a region."""
         allowed = self._selector.allowed_remote_regions(context.route)
         for host in self._remote_regions.relay_hosts(region, allowed):
@@ -312,7 +312,7 @@
         self._remote_regions.record_forwarded(
             offer.region, context.service, context.call
         )
-        hop = passing.Hop(
+        hop = passthrough_api.Hop(
             self._host,
             context.route.name,
             context.service.service,
--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -308,7 +308,7 @@
         """
         if self._gate is None:
             return None
-        life = limiting.EndpointLife(send.endpoint)
+        life = limiting.EndpointInstance(send.endpoint)
         if send.purpose is Purpose.LOAD:
             return self._gate.acquire_poll(life)
         if send.purpose not in WORK:
@@ -341,10 +341,14 @@
             return
         echoed = send.echo_id
         if endpoint.echoes_request_id:
-            echoed = response.headers.get(headers.ECHO)
-        source = advertised.origin(response.status, send.echo_id, echoed)
+            echoed = response.headers.get(headers.ECHOED_REQUEST_ID)
+        source = advertised.classify_origin(
+            response.status, send.echo_id, echoed
+        )
         send_permit.on_response(
-            advertised.read(source, response.status, response.headers, DIALECT)
+            advertised.read_headers(
+                source, response.status, response.headers, DIALECT
+            )
         )
 
     def _is_guarded(self, send: Send) -> bool:
@@ -396,11 +400,11 @@
     def _takes_work(self, endpoint: configuration.Endpoint) -> bool:
         if not self._replica.takes_work(endpoint):
             return False
-        life = limiting.EndpointLife(endpoint.endpoint)
+        life = limiting.EndpointInstance(endpoint.endpoint)
         return self._gate is None or not self._gate.leaving.is_leaving(life)
 
     def _headers(self, send: Send) -> dict[str, str]:
-        sent = {headers.ECHO: send.echo_id, **send.extra_headers}
+        sent = {headers.ECHOED_REQUEST_ID: send.echo_id, **send.extra_headers}
         if send.head is None:
             return sent
         left_ms = send.head.deadline_ms - self._clock.mono_ms()
@@ -415,13 +419,13 @@
     def _raise_if_overloaded(
         self, send: Send, response: aiohttp.ClientResponse
     ) -> None:
-        if response.status not in advertised.REFUSALS:
+        if response.status not in advertised.REFUSAL_STATUSES:
             return
         if send.head is not None and send.head.once:
             # An overload status does not prove that a once-only request was
             # not run, so the response goes to the caller.
             return
-        life = limiting.EndpointLife(send.endpoint)
+        life = limiting.EndpointInstance(send.endpoint)
         backs_off = self._gate is not None and bool(
             self._gate.backoffs.own_remaining_ms(life)
         )
@@ -439,7 +443,7 @@
             'response_id_mismatch',
             endpoint=send.endpoint,
             expected=send.echo_id,
-            found=response.headers.get(headers.ECHO),
+            found=response.headers.get(headers.ECHOED_REQUEST_ID),
         )
         raise errors.MaybeSentError(
             f'{send.endpoint} echoed the id of another request'
@@ -454,7 +458,7 @@
     """Return whether a response echoes the id of the request."""
     if not endpoint.echoes_request_id:
         return True
-    return response.headers.get(headers.ECHO) == send.echo_id
+    return response.headers.get(headers.ECHOED_REQUEST_ID) == send.echo_id
 
 
 def _reject_unframed(send: Send, response: aiohttp.ClientResponse) -> None:
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -22,8 +22,8 @@
 from wrenspoke.coordination.serving import sampling
 from wrenspoke import ids
 from wrenspoke import mechanisms
-from wrenspoke.protocol import attending
 from wrenspoke.protocol import dialect as dialects
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import messages
 from wrenspoke.state import registry
 from wrenspoke.state import routes
@@ -337,7 +337,7 @@
             )
         )
 
-    def build_offers(self) -> list[messages.Offer]:
+    def build_offers(self) -> list[messages.ServiceOffer]:
         """Return the offers for each service to be sent to other regions."""
         services = self._replica.current.routes.services.values()
         offers = [self._build_offer(service) for service in services]
@@ -345,7 +345,7 @@
 
     def _build_offer(
         self, service: routes.RoutedService
-    ) -> messages.Offer | None:
+    ) -> messages.ServiceOffer | None:
         endpoints = self._availability.healthy_endpoints(
             service.service, self._region
         )
@@ -384,7 +384,7 @@
             usual_ms, present_ms = self._estimator.pace.forecast(
                 name, service.batch.event_tokens
             )
-        return messages.Offer(
+        return messages.ServiceOffer(
             service.service,
             wait_ms,
             token_ms,
@@ -400,7 +400,7 @@
         self,
         region: ids.RegionId,
         excluded: collections.abc.Container[ids.HostId],
-    ) -> attending.HostRecord | None:
+    ) -> discovery_messages.HostRecord | None:
         """Return an entry host of another region to forward a call to.
 
         Calls are spread over the first ``TARGETS_PER_REGION`` reachable hosts.
--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -16,12 +16,12 @@
 from wrenspoke.coordination.serving import decisions
 from wrenspoke.coordination.serving import streams
 from wrenspoke import ids
+from wrenspoke.protocol import entry_api
 from wrenspoke.protocol import headers
 from wrenspoke.protocol import hops
 from wrenspoke.protocol import outcomes
 from wrenspoke.protocol import replies
 from wrenspoke.protocol import requests
-from wrenspoke.protocol import surface
 from wrenspoke import settings
 from wrenspoke.transport import errors as transport_errors
 from wrenspoke.transport import web
@@ -185,7 +185,7 @@
     ) -> None:
         reply = forward_state.reply
         if not reply.started:
-            await reply.open(response.headers)
+            await reply.start_stream(response.headers)
         chunks = _chunks(response)
         async with contextlib.aclosing(chunks):
             await streams.relay_events(
@@ -198,7 +198,7 @@
                     self._left_ms(forward_state.head)
                 ),
             )
-        await reply.close()
+        await reply.finish_stream()
 
     async def _relay_response(
         self,
@@ -223,7 +223,7 @@
             raise errors.MaybeSentError(
                 f'remote host reported outcome {text!r}'
             )
-        await forward_state.reply.whole(
+        await forward_state.reply.send_response(
             response.status, response.headers, body, outcome
         )
 
@@ -280,7 +280,7 @@
 
 def _path(head: requests.RequestHead) -> str:
     if head.kind is requests.RequestKind.CHAT:
-        return surface.CHAT_PATH
+        return entry_api.CHAT_PATH
     return f'/services/{head.service}{head.path}'
 
 
--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -129,7 +129,7 @@
         except errors.RequestEndedError as error:
             ending = _adjust_for_resend(head, error.ending)
             self._record_outcome(head, ending, started_ms)
-            await reply.end(ending)
+            await reply.send_ending(ending)
         finally:
             self._in_flight -= 1
             if self._in_flight == 0:
@@ -303,7 +303,7 @@
             await self._streams.serve(head, body, reply)
             return
         answer = await self._server.serve(head, body)
-        await reply.whole(
+        await reply.send_response(
             answer.status, answer.headers, answer.body, answer.outcome
         )
 
@@ -531,7 +531,7 @@
     """
     if head.digest:
         return head
-    digest = fingerprints.digest_of(
+    digest = fingerprints.request_digest(
         head.team, head.method, head.service, head.path, body
     )
     return msgspec.structs.replace(head, digest=digest)
--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -69,9 +69,9 @@
         return 0 if self._registers is None else len(self._registers)
 
     def _register_handlers(self) -> None:
-        self._peers.answers(messages.Prepare)(self._handle_prepare)
-        self._peers.answers(messages.Accept)(self._handle_accept)
-        self._peers.answers(messages.Recall)(self._handle_recall)
+        self._peers.handles(messages.Prepare)(self._handle_prepare)
+        self._peers.handles(messages.Accept)(self._handle_accept)
+        self._peers.handles(messages.RecoverLedger)(self._handle_recall)
 
     def start(self) -> None:
         """Start recovery from the other replicas and expiry of old claims."""
@@ -228,12 +228,12 @@
         return messages.LedgerVote(self._vote_locally(message))
 
     async def _handle_recall(
-        self, sender: ids.HostId, message: messages.Recall
+        self, sender: ids.HostId, message: messages.RecoverLedger
     ) -> messages.Message:
         if self._registers is None:
             return messages.Refusal('no ledger on this host')
         memory = self._registers.remember(sender, message.epoch, message.after)
-        return messages.Recollection(memory)
+        return messages.RecoverLedgerReply(memory)
 
     async def _recover(self) -> None:
         others = [host for host in self._members if host != self._host]
@@ -289,12 +289,12 @@
         try:
             answer = await self._peers.call(
                 host,
-                messages.Recall(epoch, after),
+                messages.RecoverLedger(epoch, after),
                 RECALL_TIMEOUT_MS,
             )
         except protocol_errors.ProtocolError:
             return None
-        if not isinstance(answer, messages.Recollection):
+        if not isinstance(answer, messages.RecoverLedgerReply):
             return None
         return answer.memory
 
--- a/wrenspoke/coordination/serving/remote_regions.py
+++ b/wrenspoke/coordination/serving/remote_regions.py
@@ -19,8 +19,8 @@
 from wrenspoke.coordination.serving import prefix_index
 from wrenspoke.coordination.serving import sent_call_broadcast
 from wrenspoke import ids
-from wrenspoke.protocol import attending
 from wrenspoke.protocol import dialect as dialects
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import messages
 from wrenspoke.state import routes
 
@@ -48,7 +48,7 @@
     """
 
     region: ids.RegionId
-    host: attending.HostRecord
+    host: discovery_messages.HostRecord
     first_ms: float
     end_ms: float
     remote_prefill_ms: float
@@ -87,7 +87,7 @@
         region: ids.RegionId,
         service: routes.RoutedService,
         call: dialects.Call,
-        host: attending.HostRecord,
+        host: discovery_messages.HostRecord,
     ) -> RegionOffer | None:
         """Return a region's offer through a host, or None without one."""
         remote = self._latest_status(host)
@@ -128,13 +128,13 @@
 
     def relay_offers(
         self, unreachable: list[ids.RegionId]
-    ) -> dict[ids.RegionId, list[messages.Offer]]:
+    ) -> dict[ids.RegionId, list[messages.ServiceOffer]]:
         """Return the offers of regions that a remote host can't reach.
 
         The remote host may relay calls through this one, so that the round
         trip from here is added to the waits.
         """
-        found: dict[ids.RegionId, list[messages.Offer]] = {}
+        found: dict[ids.RegionId, list[messages.ServiceOffer]] = {}
         for region in unreachable:
             for host in self._remote_hosts.reachable(region):
                 remote = self._latest_status(host)
@@ -154,7 +154,7 @@
 
     def relay_hosts(
         self, region: ids.RegionId, allowed: list[ids.RegionId]
-    ) -> list[attending.HostRecord]:
+    ) -> list[discovery_messages.HostRecord]:
         """Return hosts of other regions that can relay calls to a region.
 
         Only hosts of ``allowed`` regions are considered.
@@ -172,7 +172,7 @@
         return hosts
 
     def _latest_status(
-        self, host: attending.HostRecord
+        self, host: discovery_messages.HostRecord
     ) -> host_pinger.RemoteState | region_views.RegionView | None:
         """Return a host's last status, or one received by a peer host."""
         if self._pinger.is_answering(host.host):
@@ -212,7 +212,7 @@
         self,
         region: ids.RegionId,
         remote: host_pinger.RemoteState | region_views.RegionView,
-        found: messages.Offer,
+        found: messages.ServiceOffer,
     ) -> float:
         """Return the wait due to forwarded calls newer than the offer."""
         forwarded = self._forwarded.get(region)
@@ -243,7 +243,7 @@
         if self._broadcaster is not None:
             self._broadcaster.publish(name, uncached, call.parts)
 
-    def _on_peer_forwarded(self, sent: attending.SentCall) -> None:
+    def _on_peer_forwarded(self, sent: discovery_messages.SentCall) -> None:
         """Record a call that another host of this region forwarded."""
         region, found, name = sent.endpoint.partition(CACHE_KEY_SEPARATOR)
         service = self._replica.current.routes.service(ids.ServiceId(name))
@@ -266,14 +266,14 @@
 
 
 def _default_offer(
-    region: ids.RegionId, host: attending.HostRecord
+    region: ids.RegionId, host: discovery_messages.HostRecord
 ) -> RegionOffer:
     return RegionOffer(region, host, DEFAULT_FIRST_MS, DEFAULT_FIRST_MS, 0.0)
 
 
 def _offer_of(
-    offers: list[messages.Offer] | None, service: ids.ServiceId
-) -> messages.Offer | None:
+    offers: list[messages.ServiceOffer] | None, service: ids.ServiceId
+) -> messages.ServiceOffer | None:
     for found in offers or ():
         if found.service == service:
             return found
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -28,7 +28,7 @@
 from wrenspoke.protocol import dialect as dialects
 from wrenspoke.protocol import limiting
 from wrenspoke.protocol import numerals
-from wrenspoke.protocol import passing
+from wrenspoke.protocol import passthrough_api
 from wrenspoke.protocol import traffic
 from wrenspoke.state import locations
 from wrenspoke.transport import errors as transport_errors
@@ -61,7 +61,7 @@
     endpoint: ids.EndpointId | None = None
     host: ids.HostId | None = None
     serving_region: ids.RegionId | None = None
-    hop: passing.Hop | None = None
+    hop: passthrough_api.Hop | None = None
     chosen: endpoint_selector.EndpointSelection | None = None
     sent_ms: int = 0
     answered: bool = False
@@ -69,9 +69,9 @@
     send_permit: endpoint_gate.GatePermit | None = None
 
     @property
-    def life(self) -> limiting.EndpointLife:
+    def life(self) -> limiting.EndpointInstance:
         """Return the selected incarnation of the endpoint."""
-        return limiting.EndpointLife(
+        return limiting.EndpointInstance(
             self.endpoint, self.chosen.registered.said.born_ms
         )
 
@@ -110,21 +110,27 @@
         super().__init__(response)
         self.verdict = verdict
         self.status = response.status
-        self.fields = dialects.answer_fields(response.raw_headers)
-        self.refused = _parse_refusal(response.headers.get(passing.REFUSED))
+        self.fields = dialects.response_fields(response.raw_headers)
+        self.refused = _parse_refusal(
+            response.headers.get(passthrough_api.REFUSED_HEADER)
+        )
         self.retry_after_ms = _parse_retry_after_ms(response.headers)
         self.runs = 1
         if from_host:
-            self.runs = _parse_runs(response.headers.get(passing.RUNS))
+            self.runs = _parse_runs(
+                response.headers.get(passthrough_api.RUNS_HEADER)
+            )
             self.fields = [
-                item for item in self.fields if item[0] != passing.RUNS
+                item
+                for item in self.fields
+                if item[0] != passthrough_api.RUNS_HEADER
             ]
 
 
 def _parse_retry_after_ms(fields: collections.abc.Mapping[str, str]) -> float:
     """Return the Retry-After of a host in ms, 0 if missing or malformed."""
-    found_s = numerals.decimal(fields.get('Retry-After', ''))
-    return 0.0 if found_s is None else found_s * passing.MS_PER_S
+    found_s = numerals.parse_decimal(fields.get('Retry-After', ''))
+    return 0.0 if found_s is None else found_s * passthrough_api.MS_PER_S
 
 
 def _parse_runs(text: str | None) -> int:
@@ -132,18 +138,18 @@
 
     A missing or malformed count is taken as one run.
     """
-    found = None if text is None else numerals.whole(text)
+    found = None if text is None else numerals.parse_whole(text)
     return 1 if found is None else found
 
 
-def _parse_refusal(text: str | None) -> passing.Refusal | None:
+def _parse_refusal(text: str | None) -> passthrough_api.Refusal | None:
     """Return why a host refused a call; unknown reasons are GAVE_UP."""
     if text is None:
         return None
     try:
-        return passing.Refusal(text)
+        return passthrough_api.Refusal(text)
     except ValueError:
-        return passing.Refusal.GAVE_UP
+        return passthrough_api.Refusal.GAVE_UP
 
 
 class Sender:
@@ -155,7 +161,7 @@
         endpoint_client: web.HttpClient,
         host_client: web.HttpClient,
         access_control: access.AccessControl,
-        traffic_counter: traffic.Traffic,
+        traffic_counter: traffic.TrafficCounter,
         guard: guards.Guard,
         gate: endpoint_gate.EndpointGate,
     ):
@@ -272,9 +278,11 @@
         if destination.endpoint is None:
             return
         echoed = response.headers.get(self._dialect.request)
-        source = advertised.origin(response.status, call.request, echoed)
+        source = advertised.classify_origin(
+            response.status, call.request, echoed
+        )
         destination.send_permit.on_response(
-            advertised.read(
+            advertised.read_headers(
                 source, response.status, response.headers, self._dialect
             )
         )
@@ -291,8 +299,8 @@
         peer_location = locations.Location(
             destination.located_in, ids.DataCentreId('')
         )
-        self._traffic.note(CALL, peer_location, len(call.body))
-        self._traffic.note(ANSWER, peer_location, answer.bytes_read)
+        self._traffic.count_bytes(CALL, peer_location, len(call.body))
+        self._traffic.count_bytes(ANSWER, peer_location, answer.bytes_read)
 
     def _request_fields(
         self,
@@ -311,7 +319,7 @@
         fields.append((dialect.deadline_ms, str(max(left_ms, 0))))
         if destination.hop is not None:
             hop = msgspec.json.encode(destination.hop).decode()
-            fields.append((passing.HOP, hop))
+            fields.append((passthrough_api.HOP_HEADER, hop))
             # The receiving host looks the key up in its own table.
             return fields + call.credentials
         fields += self._identity_fields(call, permit)
@@ -357,7 +365,7 @@
         if self._dialect.not_run in response.headers:
             return Verdict.NOT_RUN
         if (
-            passing.REFUSED in response.headers
+            passthrough_api.REFUSED_HEADER in response.headers
             and destination.host is not None
         ):
             return Verdict.ANSWERED
--- a/wrenspoke/coordination/serving/streams.py
+++ b/wrenspoke/coordination/serving/streams.py
@@ -123,7 +123,7 @@
                 raise OutcomeEventError(event.data)
             on_event()
             event_timeout_ms = stall_ms
-            await reply.event(transcript.add_event(event))
+            await reply.send_event(transcript.add_event(event))
 
 
 class StreamServer:
@@ -282,7 +282,10 @@
         except errors.NotSentError:
             self._server.loads.record_connect_failure(send.endpoint)
             raise
-        except (asyncio.CancelledError, protocol_errors.CallerGoneError):
+        except (
+            asyncio.CancelledError,
+            protocol_errors.CallerDisconnectedError,
+        ):
             self._start_cancel(send)
             raise
         taken_ms = clock.mono_ms() - started_ms
@@ -291,7 +294,7 @@
             send.head.session, send.endpoint
         )
         send.slot.release(succeeded=True)
-        await reply.close()
+        await reply.finish_stream()
 
     @contextlib.asynccontextmanager
     async def _open_stream(
@@ -316,7 +319,7 @@
                     **answer.headers,
                     headers.ENDPOINT: send.endpoint,
                 }
-                await reply.open(response_headers)
+                await reply.start_stream(response_headers)
             yield answer
 
     async def _resume_for_caller(
--- a/wrenspoke/coordination/serving/warmup_probe.py
+++ b/wrenspoke/coordination/serving/warmup_probe.py
@@ -19,8 +19,8 @@
 from wrenspoke.coordination.membership import replica
 from wrenspoke import ids
 from wrenspoke.protocol import advertised
-from wrenspoke.protocol import attending
 from wrenspoke.protocol import dialect as dialects
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import limiting
 from wrenspoke.protocol import numerals
 from wrenspoke import runtime
@@ -95,23 +95,27 @@
         )
         warm = [answer for answer in answers if answer is not None]
         if warm:
-            await self._pollers.broadcast(attending.TellRegion(warm=warm))
+            await self._pollers.broadcast(
+                discovery_messages.RegionGossip(warm=warm)
+            )
 
-    def _on_region_message(self, message: attending.TellRegion) -> None:
+    def _on_region_message(
+        self, message: discovery_messages.RegionGossip
+    ) -> None:
         for status in message.warm:
             self._record_status(status)
 
-    def _record_status(self, status: attending.WarmupStatus) -> None:
+    def _record_status(self, status: discovery_messages.WarmupStatus) -> None:
         now_ms = self._clock.mono_ms()
         self._warm_ms[status.endpoint] = (now_ms + status.left_ms, now_ms)
 
     async def _probe_endpoint(
         self, said: registry.Registration
-    ) -> attending.WarmupStatus | None:
+    ) -> discovery_messages.WarmupStatus | None:
         service = self._replica.current.routes.service(said.service)
         if service is None:
             return None
-        life = limiting.EndpointLife(said.endpoint, said.born_ms)
+        life = limiting.EndpointInstance(said.endpoint, said.born_ms)
         try:
             async with clocks.timeout_ms(PROBE_TIMEOUT_MS):
                 # A probe counts against the endpoint's limit.
@@ -149,8 +153,8 @@
             )
             return None
         text = response.headers.get(self._dialect.warmup_ms, '0')
-        left_ms = numerals.decimal(text) or 0.0
-        status = attending.WarmupStatus(said.endpoint, int(left_ms))
+        left_ms = numerals.parse_decimal(text) or 0.0
+        status = discovery_messages.WarmupStatus(said.endpoint, int(left_ms))
         self._record_status(status)
         logger.info(
             'warmup_status', endpoint=said.endpoint, warmup_left_ms=left_ms
@@ -159,7 +163,7 @@
 
     def _note_advertised(
         self,
-        life: limiting.EndpointLife,
+        life: limiting.EndpointInstance,
         send_permit: endpoint_gate.GatePermit,
         response: aiohttp.ClientResponse,
     ) -> None:
@@ -169,7 +173,7 @@
         if instance not in (None, life.endpoint):
             source = advertised.Origin.FOREIGN
         send_permit.on_response(
-            advertised.read(
+            advertised.read_headers(
                 source, response.status, response.headers, self._dialect
             )
         )
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -41,11 +41,11 @@
 from wrenspoke import mechanisms
 from wrenspoke import node as nodes
 from wrenspoke import node_peers
-from wrenspoke.protocol import attending
 from wrenspoke.protocol import dialect as dialects
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import limiting
 from wrenspoke.protocol import messages
-from wrenspoke.protocol import passing
+from wrenspoke.protocol import passthrough_api
 from wrenspoke import runtime
 from wrenspoke.state import registry
 from wrenspoke.transport import web
@@ -84,7 +84,7 @@
             self.clock,
             self.lease,
         )
-        self._traffic.tell_places(self.attendance.host_location)
+        self._traffic.set_location_lookup(self.attendance.host_location)
         self._client = web.HttpClient(
             node.entry.connect_timeout_ms, node.entry.endpoint_idle_ms
         )
@@ -126,9 +126,9 @@
         self._build_gauges(reports, dialect)
         self._build_serving(dialect)
 
-    def _record(self) -> attending.HostRecord:
+    def _record(self) -> discovery_messages.HostRecord:
         node = self.node
-        return attending.HostRecord(
+        return discovery_messages.HostRecord(
             node.host,
             node.region,
             node.data_centre,
@@ -188,7 +188,7 @@
             )
             self._sent_calls.subscribe(self._note_sent_by_another)
 
-    def _note_sent_by_another(self, sent: attending.SentCall) -> None:
+    def _note_sent_by_another(self, sent: discovery_messages.SentCall) -> None:
         """Note what another host of this region sends to an engine."""
         found = self.attendance.registry.held.get(sent.endpoint)
         if found is None:
@@ -233,7 +233,7 @@
             )
         )
 
-    def _lives(self, life: limiting.EndpointLife) -> bool:
+    def _lives(self, life: limiting.EndpointInstance) -> bool:
         """Tell whether an endpoint is known, and in that life of it."""
         found = self.attendance.registry.held.get(life.endpoint)
         return found is not None and found.said.born_ms == life.born_ms
@@ -348,10 +348,10 @@
             node.switched_off,
             self.clock,
         )
-        surface = passing.PassingSurface(
+        surface = passthrough_api.PassthroughApi(
             self.passthrough,
             dialect,
-            passing.PassingLimits(
+            passthrough_api.PassthroughLimits(
                 node.entry.body_limit_bytes,
                 node.entry.body_timeout_ms,
                 node.entry.default_deadline_ms,
@@ -381,7 +381,7 @@
         self._partners.start()
         self._tasks.start(self._keep_house())
         self._tasks.start(self._watch_evacuations())
-        self._tasks.start(self._traffic.keep_logging('entry'))
+        self._tasks.start(self._traffic.log_periodically('entry'))
         await self._hosts.start(f'{node.ip}:{node.passing_port}')
         await self._callers.start(node.callers_address)
         logger.info('started', host=node.host, seeds=node.seeds)
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -33,10 +33,10 @@
 from wrenspoke import ids
 from wrenspoke import keys
 from wrenspoke import metrics
+from wrenspoke.protocol import entry_api
 from wrenspoke.protocol import hops
 from wrenspoke.protocol import messages
 from wrenspoke.protocol import peers as peer_calls
-from wrenspoke.protocol import surface
 from wrenspoke import runtime
 from wrenspoke import settings
 from wrenspoke.transport import web
@@ -271,7 +271,7 @@
 
     def _build_surface(self) -> None:
         """Build what callers and scrapers talk to."""
-        entry_surface = surface.EntrySurface(
+        entry_surface = entry_api.EntryApi(
             self.gateway,
             self._host,
             self._settings,
--- a/wrenspoke/protocol/advertised.py
+++ b/wrenspoke/protocol/advertised.py
@@ -11,13 +11,13 @@
 from wrenspoke.protocol import headers
 from wrenspoke.protocol import retry_after
 
-REFUSALS = frozenset([429, 503])
+REFUSAL_STATUSES = frozenset([429, 503])
 MISDIRECTED = 421
-LEAVING = {'1': True, '0': False}
-SHOWN_CHARS = 40
+LEAVING_VALUES = {'1': True, '0': False}
+MAX_QUOTED_CHARS = 40
 
 
-class Headers(typing.Protocol):
+class HeaderMultiMap(typing.Protocol):
     """The headers of a response."""
 
     def get(self, name: str) -> str | None:
@@ -41,7 +41,7 @@
     FOREIGN = 'foreign'
 
 
-class Advertised(msgspec.Struct, frozen=True):
+class AdvertisedHeaders(msgspec.Struct, frozen=True):
     """The header values of one response, unparsed."""
 
     origin: Origin
@@ -52,7 +52,7 @@
     date: str | None = None
 
     @property
-    def own(self) -> bool:
+    def is_from_endpoint(self) -> bool:
         """Return whether the response may be the endpoint's own."""
         return self.origin is not Origin.FOREIGN
 
@@ -61,9 +61,11 @@
 
         :raises MalformedRetryAfterError: it can't be read
         """
-        if self.status not in REFUSALS:
+        if self.status not in REFUSAL_STATUSES:
             return 0
-        found_ms = retry_after.read_ms(self.retry_after, now_ms, self.date)
+        found_ms = retry_after.parse_delay_ms(
+            self.retry_after, now_ms, self.date
+        )
         return found_ms or 0
 
     def is_leaving(self) -> bool:
@@ -73,16 +75,16 @@
         """
         found = False
         for text in self.leaving:
-            value = LEAVING.get(text.strip())
+            value = LEAVING_VALUES.get(text.strip())
             if value is None:
                 raise errors.MalformedLeavingError(
-                    f'{text[:SHOWN_CHARS]!r} is neither 0 nor 1'
+                    f'{text[:MAX_QUOTED_CHARS]!r} is neither 0 nor 1'
                 )
             found |= value
         return found
 
 
-def origin(status: int, expected: str, found: str | None) -> Origin:
+def classify_origin(status: int, expected: str, found: str | None) -> Origin:
     """Return whose response it is, by the name that it echoes."""
     if status == MISDIRECTED:
         return Origin.FOREIGN
@@ -91,12 +93,15 @@
     return Origin.ECHOED if found == expected else Origin.FOREIGN
 
 
-def read(
-    source: Origin, status: int, found: Headers, dialect: dialects.Dialect
-) -> Advertised:
+def read_headers(
+    origin: Origin,
+    status: int,
+    found: HeaderMultiMap,
+    dialect: dialects.Dialect,
+) -> AdvertisedHeaders:
     """Return what the head of a response advertises."""
-    return Advertised(
-        source,
+    return AdvertisedHeaders(
+        origin,
         status,
         tuple(found.getall(dialect.limit, [])),
         tuple(found.getall(headers.RETRY_AFTER, [])),
--- a/wrenspoke/protocol/dialect.py
+++ b/wrenspoke/protocol/dialect.py
@@ -33,11 +33,11 @@
         'upgrade',
     ]
 )
-TOKEN = re.compile(r'[!-~]{1,128}\Z')
+REQUEST_ID_PATTERN = re.compile(r'[!-~]{1,128}\Z')
 # As the callers' own interface allows (entry.deadline_limit_ms).
 DEADLINE_LIMIT_MS = 600_000
 # Prompts have a few parts; more would only cost time to look at.
-PARTS_LIMIT = 256
+MAX_PROMPT_PARTS = 256
 
 Fields = list[tuple[str, str]]
 
@@ -80,7 +80,7 @@
     team: str = 'Wrenspoke-Team'
     reserved: tuple[str, ...] = ()
 
-    def kept_back(self) -> frozenset[str]:
+    def stripped_headers(self) -> frozenset[str]:
         """Return, in lower case, what is not passed on to endpoints."""
         own = (
             self.deadline_ms,
@@ -145,7 +145,7 @@
     def __init__(self, dialect: Dialect, default_deadline_ms: int):
         self._dialect = dialect
         self._default_deadline_ms = default_deadline_ms
-        self._kept_back = dialect.kept_back()
+        self._stripped_headers = dialect.stripped_headers()
         self._credentials = {name.lower() for name in dialect.credentials()}
 
     def read(
@@ -165,14 +165,14 @@
             name = raw_name.decode('utf-8', 'surrogateescape')
             value = raw_value.decode('utf-8', 'surrogateescape')
             lower = name.lower()
-            if lower in found and lower in self._single():
+            if lower in found and lower in self._single_valued_headers():
                 raise errors.BadRequestError(name, 'may be given once only')
             found[lower] = (
                 f'{found[lower]}, {value}' if lower in found else value
             )
             fields.append((name, value))
         named = _connection_options(found.get('connection', ''))
-        left_out = self._kept_back | named
+        left_out = self._stripped_headers | named
         return Call(
             request=self._request(found),
             method=method,
@@ -196,7 +196,7 @@
             key=self._key(found),
         )
 
-    def _single(self) -> frozenset[str]:
+    def _single_valued_headers(self) -> frozenset[str]:
         dialect = self._dialect
         names = ('host', dialect.request, dialect.deadline_ms)
         return frozenset(name.lower() for name in names)
@@ -204,7 +204,7 @@
     def _request(self, found: dict[str, str]) -> ids.RequestId:
         name = self._dialect.request
         value = found.get(name.lower(), '')
-        if not TOKEN.match(value):
+        if not REQUEST_ID_PATTERN.match(value):
             raise errors.BadRequestError(
                 name, 'required: 1 to 128 visible characters'
             )
@@ -223,7 +223,7 @@
         value = found.get(name.lower())
         if value is None:
             return self._default_deadline_ms
-        left_ms = numerals.whole(value)
+        left_ms = numerals.parse_whole(value)
         if left_ms is None or left_ms > DEADLINE_LIMIT_MS:
             raise errors.BadRequestError(
                 name,
@@ -238,9 +238,9 @@
         """
         text = found.get(self._dialect.prompt_parts.lower(), '')
         parts = []
-        for item in text.split(',')[:PARTS_LIMIT]:
+        for item in text.split(',')[:MAX_PROMPT_PARTS]:
             name, _, tokens = item.strip().partition(':')
-            count = numerals.whole(tokens)
+            count = numerals.parse_whole(tokens)
             if name and count is not None:
                 parts.append(PromptPart(name, count))
         return tuple(parts)
@@ -248,7 +248,7 @@
     def _tokens_expected(self, found: dict[str, str]) -> int:
         """Return how many tokens should come: the hint, else the most."""
         text = found.get(self._dialect.length_hint.lower(), '')
-        hint = numerals.whole(text.strip())
+        hint = numerals.parse_whole(text.strip())
         most = self._tokens(found)[1]
         if hint is None:
             return most
@@ -257,8 +257,8 @@
     def _tokens(self, found: dict[str, str]) -> tuple[int, int]:
         text = found.get(self._dialect.tokens.lower(), '')
         before, _, behind = text.partition(',')
-        tokens_in = numerals.whole(before.strip())
-        tokens_out = numerals.whole(behind.strip())
+        tokens_in = numerals.parse_whole(before.strip())
+        tokens_out = numerals.parse_whole(behind.strip())
         if tokens_in is None or tokens_out is None:
             return 0, 0
         return tokens_in, tokens_out
@@ -277,7 +277,7 @@
     return target
 
 
-def answer_fields(
+def response_fields(
     raw: collections.abc.Iterable[tuple[bytes, bytes]],
 ) -> Fields:
     """Return the headers of an endpoint's answer that go to the caller."""
--- a/wrenspoke/protocol/attending.py
+++ b/wrenspoke/protocol/discovery_messages.py
@@ -15,7 +15,7 @@
 
 # Tables of routes shrink to a tenth at the lowest level.
 COMPRESSION_LEVEL = 1
-_DELTAS = msgspec.msgpack.Decoder(messages.ConfigurationDelta)
+_DELTA_DECODER = msgspec.msgpack.Decoder(messages.ConfigurationDelta)
 
 # The field of that name hides the module in the message below.
 EngineLoad = loads.EngineLoad
@@ -81,7 +81,7 @@
     wait_ms: int
 
 
-class Attended(msgspec.Struct, tag='attended'):
+class AttendReply(msgspec.Struct, tag='attended'):
     """Answer an attending host with what it does not hold yet.
 
     ``confirmed`` says that nothing accepted was newer when this was sent,
@@ -112,13 +112,13 @@
     term: int = 0
 
 
-def pack(delta: messages.ConfigurationDelta) -> bytes:
+def pack_delta(delta: messages.ConfigurationDelta) -> bytes:
     """Return the changes of a delta as bytes for ``Attended.news``."""
-    body = msgspec.msgpack.encode(_without_documents(delta))
+    body = msgspec.msgpack.encode(_without_route_documents(delta))
     return zlib.compress(body, COMPRESSION_LEVEL)
 
 
-def _without_documents(
+def _without_route_documents(
     delta: messages.ConfigurationDelta,
 ) -> messages.ConfigurationDelta:
     """Leave out what only control hosts need of tables of routes."""
@@ -135,13 +135,13 @@
     return msgspec.structs.replace(delta, whole=whole, changes=changes)
 
 
-def unpack(news: bytes) -> messages.ConfigurationDelta:
+def unpack_delta(news: bytes) -> messages.ConfigurationDelta:
     """Return the changes that were packed.
 
     :raises MalformedMessageError: they can't be read
     """
     try:
-        return _DELTAS.decode(zlib.decompress(news))
+        return _DELTA_DECODER.decode(zlib.decompress(news))
     except (zlib.error, msgspec.DecodeError) as error:
         raise errors.MalformedMessageError(str(error)) from error
 
@@ -160,7 +160,7 @@
     region: ids.RegionId = ids.RegionId('')
 
 
-class Exchanged(msgspec.Struct, tag='exchanged'):
+class ExchangeReply(msgspec.Struct, tag='exchanged'):
     """Answer an exchange: everything in it has been taken.
 
     ``life`` tells one life of the control host from another, ``heard``
@@ -177,7 +177,7 @@
     """Ask a leader up to which index everything was accepted."""
 
 
-class IndexConfirmed(msgspec.Struct, tag='index_confirmed'):
+class ConfirmIndexReply(msgspec.Struct, tag='index_confirmed'):
     """Answer with the index, None from a host that does not lead."""
 
     index: int | None
@@ -219,13 +219,13 @@
     own_tokens: int = 0
 
 
-class TellSent(msgspec.Struct, tag='tell_sent'):
+class ReportSentCalls(msgspec.Struct, tag='tell_sent'):
     """Tell the host that collects them which calls were sent."""
 
     calls: list[SentCall]
 
 
-class TellRegion(msgspec.Struct, tag='tell_region'):
+class RegionGossip(msgspec.Struct, tag='tell_region'):
     """Tell the entry hosts of the region what one of them found out.
 
     That is what engines reported, what other regions offer, which
@@ -241,10 +241,10 @@
     pass_on: list[ids.HostId] = []
     limits: list[limiting.EndpointLimit] = []
     backoffs: list[limiting.EndpointBackoff] = []
-    leaving: list[limiting.EndpointLife] = []
+    leaving: list[limiting.EndpointInstance] = []
 
 
-class EndpointLeaves(msgspec.Struct, tag='endpoint_leaves'):
+class ReportLeaving(msgspec.Struct, tag='endpoint_leaves'):
     """Tell a control host that an endpoint says in answers that it leaves.
 
     ``born_ms`` names the life that is about to end.
@@ -254,7 +254,7 @@
     born_ms: int = 0
 
 
-class Withdraw(msgspec.Struct, tag='withdraw'):
+class WithdrawEndpoint(msgspec.Struct, tag='withdraw'):
     """Tell a control host that an endpoint is not there any more.
 
     Another one answered at its address. ``born_ms`` names the life that
--- a/wrenspoke/protocol/surface.py
+++ b/wrenspoke/protocol/entry_api.py
@@ -58,7 +58,7 @@
         """Return the engine service that answers for a model."""
 
 
-class EntrySurface:
+class EntryApi:
     """Turn HTTP requests into typed ones and hand them over."""
 
     def __init__(
@@ -127,7 +127,7 @@
             head = read(request, body)
         except errors.BadRequestError as error:
             return _bad_request(error)
-        except errors.ForgedHopError as error:
+        except errors.InvalidHopError as error:
             logger.warning('hop_refused', reason=str(error))
             return _bad_request(
                 errors.BadRequestError(headers.HOP, str(error), 403)
@@ -135,7 +135,7 @@
         reply.request_id = head.request
         try:
             await self._gateway.serve(head, body, reply)
-        except errors.CallerGoneError:
+        except errors.CallerDisconnectedError:
             logger.info('caller_gone', request=head.request)
         return reply.response or web.Response(status=499)
 
@@ -203,7 +203,7 @@
         service: str,
         path: str,
     ) -> requests.RequestHead:
-        _refuse_repeated(request)
+        _reject_repeated_headers(request)
         reader = requests.HeaderReader(request.headers)
         now_ms = self._clock.mono_ms()
         given = reader.token(headers.REQUEST)
@@ -238,15 +238,15 @@
                 'Content-Type', 'application/json'
             ),
         )
-        return self._with_hop(head, request, now_ms)
+        return self._apply_hop(head, request, now_ms)
 
-    def _with_hop(
+    def _apply_hop(
         self, head: requests.RequestHead, request: web.Request, now_ms: int
     ) -> requests.RequestHead:
         text = request.headers.get(headers.HOP)
         if text is None:
             return head
-        hop = self._signer.read(text, self._clock.wall_ms(), self._skew_ms)
+        hop = self._signer.verify(text, self._clock.wall_ms(), self._skew_ms)
         return msgspec.structs.replace(
             head,
             request=hop.request,
@@ -263,7 +263,7 @@
         )
 
 
-def _refuse_repeated(request: web.Request) -> None:
+def _reject_repeated_headers(request: web.Request) -> None:
     for name in set(request.headers.keys()):
         ours = name.lower().startswith(headers.PREFIX.lower())
         if ours and len(request.headers.getall(name)) > 1:
@@ -283,7 +283,7 @@
         outcomes.Outcome.NOT_RUN, outcomes.Reason.BAD_REQUEST, str(error)
     )
     return web.Response(
-        body=replies.ending_body(ending),
+        body=replies.encode_ending(ending),
         status=error.status,
         headers={
             headers.OUTCOME: ending.outcome.value,
--- a/wrenspoke/protocol/errors.py
+++ b/wrenspoke/protocol/errors.py
@@ -17,11 +17,11 @@
         self.status = status
 
 
-class ForgedHopError(ProtocolError):
+class InvalidHopError(ProtocolError):
     """Say that a hop header was not written by a host of the cluster."""
 
 
-class CallerGoneError(ProtocolError):
+class CallerDisconnectedError(ProtocolError):
     """Say that the caller left before the end of its answer."""
 
 
@@ -29,7 +29,7 @@
     """Say that a message between hosts can't be read."""
 
 
-class NoAnswerError(ProtocolError):
+class NoResponseError(ProtocolError):
     """Say that a host gave no answer; ``sent`` if it may have acted."""
 
     def __init__(self, host: str, sent: bool):
--- a/wrenspoke/protocol/fingerprints.py
+++ b/wrenspoke/protocol/fingerprints.py
@@ -13,7 +13,7 @@
 LENGTH_BYTES = 8
 
 
-def digest_of(
+def request_digest(
     caller: str, method: str, host: str, target: str, body: bytes
 ) -> ids.RequestDigest:
     """Return a request's digest as hexadecimal digits.
@@ -22,13 +22,15 @@
     name that it asks, ``target`` the path and query. Each part goes with its
     length, so that no two requests run into one another.
     """
-    made = hashlib.blake2b(digest_size=DIGEST_BYTES)
+    hasher = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for text in (caller, method, host, target):
-        _add(made, text.encode('utf-8', 'surrogateescape'))
-    _add(made, body)
-    return ids.RequestDigest(made.hexdigest())
+        _update_length_prefixed(
+            hasher, text.encode('utf-8', 'surrogateescape')
+        )
+    _update_length_prefixed(hasher, body)
+    return ids.RequestDigest(hasher.hexdigest())
 
 
-def _add(made: hashlib.blake2b, part: bytes) -> None:
-    made.update(len(part).to_bytes(LENGTH_BYTES))
-    made.update(part)
+def _update_length_prefixed(hasher: hashlib.blake2b, part: bytes) -> None:
+    hasher.update(len(part).to_bytes(LENGTH_BYTES))
+    hasher.update(part)
--- a/wrenspoke/protocol/headers.py
+++ b/wrenspoke/protocol/headers.py
@@ -27,5 +27,5 @@
 # A team's key stands behind the scheme.
 AUTHORIZATION = 'Authorization'
 SCHEME = 'bearer'
-ECHO = 'X-Request-Id'
-FENCE = 'X-Fencing-Number'
+ECHOED_REQUEST_ID = 'X-Request-Id'
+FENCING_NUMBER = 'X-Fencing-Number'
--- a/wrenspoke/protocol/hops.py
+++ b/wrenspoke/protocol/hops.py
@@ -68,7 +68,7 @@
         body = msgspec.msgpack.encode(hop)
         return base64.urlsafe_b64encode(self._mac(body) + body).decode()
 
-    def read(self, text: str, wall_ms: int, skew_ms: int) -> Hop:
+    def verify(self, text: str, wall_ms: int, skew_ms: int) -> Hop:
         """Return what a header says.
 
         :raises ForgedHopError: no host of this cluster wrote it, or it
@@ -77,15 +77,15 @@
         try:
             raw = base64.urlsafe_b64decode(text.encode())
         except (binascii.Error, UnicodeEncodeError) as error:
-            raise errors.ForgedHopError('hop is not base64') from error
+            raise errors.InvalidHopError('hop is not base64') from error
         mac, body = raw[:SIGNATURE_BYTES], raw[SIGNATURE_BYTES:]
         if not hmac.compare_digest(mac, self._mac(body)):
-            raise errors.ForgedHopError('hop has a wrong signature')
+            raise errors.InvalidHopError('hop has a wrong signature')
         hop = msgspec.msgpack.decode(body, type=Hop)
         if hop.cluster != self._cluster:
-            raise errors.ForgedHopError('hop is of another cluster')
+            raise errors.InvalidHopError('hop is of another cluster')
         if hop.expires_ms + skew_ms < wall_ms:
-            raise errors.ForgedHopError('hop has expired')
+            raise errors.InvalidHopError('hop has expired')
         return hop
 
     def _mac(self, body: bytes) -> bytes:
--- a/wrenspoke/protocol/limiting.py
+++ b/wrenspoke/protocol/limiting.py
@@ -5,7 +5,7 @@
 from wrenspoke import ids
 
 
-class ShareAsked(msgspec.Struct, array_like=True, frozen=True):
+class ShareRequest(msgspec.Struct, array_like=True, frozen=True):
     """Ask for a share of one team's limit.
 
     The lender goes on with ``held`` of it and could use ``wanted``.
@@ -21,7 +21,7 @@
     depth_ms: float
 
 
-class ShareGranted(msgspec.Struct, array_like=True, frozen=True):
+class ShareGrant(msgspec.Struct, array_like=True, frozen=True):
     """Grant a share of a team's limit, with the level that goes with it."""
 
     team: ids.TeamId
@@ -38,20 +38,20 @@
     held then.
     """
 
-    shares: list[ShareAsked]
+    shares: list[ShareRequest]
     life: str = ''
     number: int = 0
     lender: ids.HostId | None = None
 
 
-class SharesGranted(msgspec.Struct, tag='shares_granted'):
+class AskSharesReply(msgspec.Struct, tag='shares_granted'):
     """Answer with what is held from now on, for as long as a lease.
 
     For ``unsettled_ms`` shares that older leaders granted may still be
     held, and less than the whole can be parted.
     """
 
-    granted: list[ShareGranted]
+    granted: list[ShareGrant]
     unsettled_ms: int = 0
 
 
@@ -62,7 +62,7 @@
     amount: float
 
 
-class AmountGranted(msgspec.Struct, tag='amount_granted'):
+class AskAmountReply(msgspec.Struct, tag='amount_granted'):
     """Answer whether a call may go on, after ``wait_ms``.
 
     One that may not should come back after that time.
@@ -72,7 +72,7 @@
     wait_ms: int
 
 
-class EndpointLife(msgspec.Struct, array_like=True, frozen=True):
+class EndpointInstance(msgspec.Struct, array_like=True, frozen=True):
     """Name one life of an endpoint; ``born_ms`` is 0 where it has but one."""
 
     endpoint: ids.EndpointId
@@ -86,7 +86,7 @@
     higher ``version`` is newer.
     """
 
-    life: EndpointLife
+    life: EndpointInstance
     version: int = 0
     rate_per_s: float | None = None
 
@@ -98,12 +98,12 @@
     request of the host since.
     """
 
-    life: EndpointLife
+    life: EndpointInstance
     host: ids.HostId
     left_ms: int
 
 
-class GrantName(msgspec.Struct, array_like=True, frozen=True):
+class GrantId(msgspec.Struct, array_like=True, frozen=True):
     """Name a leave to send: the lender, its life, and a rising number."""
 
     lender: ids.HostId
@@ -122,7 +122,7 @@
     rank: int
 
 
-class SendAnswered(msgspec.Struct, tag='send_answered'):
+class AskSendReply(msgspec.Struct, tag='send_answered'):
     """Answer whether it may, with what is known of the limit.
 
     ``grant`` is None where it may not, nor is worth asking again before
@@ -130,11 +130,11 @@
     """
 
     known: EndpointLimit
-    grant: GrantName | None = None
+    grant: GrantId | None = None
     wait_ms: int = 0
 
 
-class LimitHeard(msgspec.Struct, tag='limit_heard'):
+class ReportLimit(msgspec.Struct, tag='limit_heard'):
     """Tell a lender which rate an endpoint's answer named, None if none.
 
     ``known`` is what the host knows of the limit after it, ``grant`` the
@@ -143,4 +143,4 @@
 
     known: EndpointLimit
     rate_per_s: float | None
-    grant: GrantName | None = None
+    grant: GrantId | None = None
--- a/wrenspoke/protocol/messages.py
+++ b/wrenspoke/protocol/messages.py
@@ -22,14 +22,14 @@
     age_ms: int
 
 
-class Busy(msgspec.Struct, array_like=True, frozen=True):
+class EndpointInFlight(msgspec.Struct, array_like=True, frozen=True):
     """State how many requests are at an endpoint that is to finish."""
 
     endpoint: ids.EndpointId
     in_flight: int
 
 
-class Beat(msgspec.Struct, tag='beat'):
+class Heartbeat(msgspec.Struct, tag='beat'):
     """Tell the peers of a data centre that this host lives.
 
     ``interval_ms`` is when the next one is due at the latest.
@@ -40,10 +40,10 @@
     interval_ms: int
     loads: list[LoadReport] = []
     leaving: list[ids.EndpointId] = []
-    busy: list[Busy] = []
+    busy: list[EndpointInFlight] = []
 
 
-class Standing(msgspec.Struct, array_like=True, frozen=True):
+class DataCentreStatus(msgspec.Struct, array_like=True, frozen=True):
     """State how far a data centre's entry hosts have come.
 
     ``low_index`` is the lowest configuration in force at any of them.
@@ -52,16 +52,16 @@
     data_centre: ids.DataCentreId
     region: ids.RegionId
     low_index: int
-    busy: list[Busy]
+    busy: list[EndpointInFlight]
 
 
-class PassStanding(msgspec.Struct, tag='standing'):
+class ForwardStatus(msgspec.Struct, tag='standing'):
     """Pass what a relay told on to the leader, while a plan needs it."""
 
-    standing: Standing
+    standing: DataCentreStatus
 
 
-class News(msgspec.Struct, tag='news'):
+class UpdateAvailable(msgspec.Struct, tag='news'):
     """Tell a relay that there is something newer to pull."""
 
     index: int
@@ -95,7 +95,7 @@
     cut_off: list[ids.RegionId] = []
 
 
-class Offer(msgspec.Struct, array_like=True, frozen=True):
+class ServiceOffer(msgspec.Struct, array_like=True, frozen=True):
     """State what a call to a service would find in a region.
 
     ``wait_ms`` is when a call without a prompt is expected to give its
@@ -123,15 +123,15 @@
     draining: bool
     serving: bool = True
     index: int = 0
-    offers: list[Offer] | None = None
-    relayed: dict[ids.RegionId, list[Offer]] = {}
+    offers: list[ServiceOffer] | None = None
+    relayed: dict[ids.RegionId, list[ServiceOffer]] = {}
 
 
 class PullConfiguration(msgspec.Struct, tag='pull'):
     """Ask for the changes after an index; relays tell their standing."""
 
     after: int
-    standing: Standing | None = None
+    standing: DataCentreStatus | None = None
 
 
 class ConfigurationDelta(msgspec.Struct, tag='delta'):
@@ -174,7 +174,7 @@
     vote: registers.Vote
 
 
-class Recall(msgspec.Struct, tag='recall'):
+class RecoverLedger(msgspec.Struct, tag='recall'):
     """Ask for a part of the ledger's memory after a restart.
 
     The part follows the key ``after``, given by issue time and name.
@@ -184,7 +184,7 @@
     after: tuple[int, str] = registers.FIRST
 
 
-class Recollection(msgspec.Struct, tag='recollection'):
+class RecoverLedgerReply(msgspec.Struct, tag='recollection'):
     """Answer a recall."""
 
     memory: registers.Memory
@@ -208,7 +208,7 @@
     known_boot: int
 
 
-class AskVote(msgspec.Struct, tag='ask_vote'):
+class RequestVote(msgspec.Struct, tag='ask_vote'):
     """Ask for a vote; ``pre`` only asks whether it would be given."""
 
     term: int
@@ -224,8 +224,8 @@
     NOT_CLEARED = 'not_cleared'
     NO_VOTE = 'no_vote'
     OLD_TERM = 'old_term'
-    LEADER_HEARD = 'leader_heard'
-    LEADS = 'leads'
+    LEADER_ACTIVE = 'leader_heard'
+    IS_LEADER = 'leads'
     LOG_BEHIND = 'log_behind'
     VOTED = 'voted'
 
@@ -239,7 +239,7 @@
     refused: VoteRefusal | None = None
 
 
-class Moment(msgspec.Struct, array_like=True, frozen=True):
+class LocalTimestamp(msgspec.Struct, array_like=True, frozen=True):
     """Name a moment by a host's own clock, in one of its lives.
 
     It means nothing to others, who give it back as it was.
@@ -249,7 +249,7 @@
     at_ms: int
 
 
-class Append(msgspec.Struct, tag='append'):
+class AppendEntries(msgspec.Struct, tag='append'):
     """Send log entries, or just a heartbeat, from the leader.
 
     ``confirmed`` is a moment that the follower told before: nothing was
@@ -262,7 +262,7 @@
     previous_term: int
     commit: int
     added: list[entries.LogEntry] = []
-    confirmed: Moment | None = None
+    confirmed: LocalTimestamp | None = None
 
 
 class AppendReply(msgspec.Struct, tag='append_reply'):
@@ -278,10 +278,10 @@
     last_index: int
     incarnation: ids.Incarnation
     location: locations.Location | None = None
-    moment: Moment | None = None
+    moment: LocalTimestamp | None = None
 
 
-class Install(msgspec.Struct, tag='install'):
+class InstallSnapshot(msgspec.Struct, tag='install'):
     """Send a whole snapshot in place of entries that are gone."""
 
     term: int
@@ -295,9 +295,9 @@
 
 
 Message = typing.Union[
-    Beat,
-    News,
-    PassStanding,
+    Heartbeat,
+    UpdateAvailable,
+    ForwardStatus,
     Ping,
     Pong,
     AskLeases,
@@ -307,14 +307,14 @@
     Prepare,
     Accept,
     LedgerVote,
-    Recall,
-    Recollection,
+    RecoverLedger,
+    RecoverLedgerReply,
     Hello,
     HelloReply,
-    AskVote,
+    RequestVote,
     VoteReply,
-    Append,
+    AppendEntries,
     AppendReply,
-    Install,
+    InstallSnapshot,
     Refusal,
 ]
--- a/wrenspoke/protocol/operators.py
+++ b/wrenspoke/protocol/operator_api.py
@@ -33,19 +33,19 @@
     number: int
 
 
-class OperatorAnswer(msgspec.Struct, frozen=True):
+class OperatorResponse(msgspec.Struct, frozen=True):
     """Hold the status and body of an answer to an operator."""
 
     status: int
     body: typing.Any
 
 
-class Control(typing.Protocol):
+class OperatorBackend(typing.Protocol):
     """Do what operators ask, once the surface has read it."""
 
     async def plan(
         self, operator: ids.OperatorId, request: PlanRequest
-    ) -> OperatorAnswer:
+    ) -> OperatorResponse:
         """Make a plan."""
 
     async def confirm(
@@ -53,28 +53,28 @@
         operator: ids.OperatorId,
         plan: ids.PlanId,
         request: ConfirmRequest,
-    ) -> OperatorAnswer:
+    ) -> OperatorResponse:
         """Put a plan in force."""
 
-    def show_plan(self, plan: ids.PlanId) -> OperatorAnswer:
+    def show_plan(self, plan: ids.PlanId) -> OperatorResponse:
         """Tell what a plan is and how far it has come."""
 
-    def list_plans(self) -> OperatorAnswer:
+    def list_plans(self) -> OperatorResponse:
         """List the plans that are kept."""
 
-    def show_configuration(self) -> OperatorAnswer:
+    def show_configuration(self) -> OperatorResponse:
         """Return the configuration."""
 
-    def show_status(self) -> OperatorAnswer:
+    def show_status(self) -> OperatorResponse:
         """Tell what this control host knows."""
 
 
-class OperatorSurface:
+class OperatorApi:
     """Turn operators' HTTP requests into typed ones."""
 
     def __init__(
         self,
-        control: Control,
+        control: OperatorBackend,
         operators: typing.Iterable[settings.OperatorSettings],
     ):
         self._control = control
@@ -92,7 +92,7 @@
         router.add_get('/status', self._status)
         return application
 
-    def _operator(self, request: web.Request) -> ids.OperatorId:
+    def _authenticate_operator(self, request: web.Request) -> ids.OperatorId:
         text = request.headers.get('Authorization', '')
         token = text.removeprefix(BEARER) if text.startswith(BEARER) else ''
         digest = hashlib.sha256(token.encode()).hexdigest()
@@ -106,60 +106,60 @@
 
     async def _plan(self, request: web.Request) -> web.Response:
         try:
-            operator = self._operator(request)
-            read = await _read(request, PlanRequest)
+            operator = self._authenticate_operator(request)
+            read = await _decode_body(request, PlanRequest)
         except errors.BadRequestError as error:
-            return _refused(error)
+            return _error_response(error)
         return _response(await self._control.plan(operator, read))
 
     async def _confirm(self, request: web.Request) -> web.Response:
         try:
-            operator = self._operator(request)
-            read = await _read(request, ConfirmRequest)
+            operator = self._authenticate_operator(request)
+            read = await _decode_body(request, ConfirmRequest)
         except errors.BadRequestError as error:
-            return _refused(error)
+            return _error_response(error)
         plan = ids.PlanId(request.match_info['plan'])
         return _response(await self._control.confirm(operator, plan, read))
 
     async def _show(self, request: web.Request) -> web.Response:
         plan = ids.PlanId(request.match_info['plan'])
-        return self._told(request, lambda: self._control.show_plan(plan))
+        return self._respond(request, lambda: self._control.show_plan(plan))
 
     async def _list(self, request: web.Request) -> web.Response:
-        return self._told(request, self._control.list_plans)
+        return self._respond(request, self._control.list_plans)
 
     async def _configuration(self, request: web.Request) -> web.Response:
-        return self._told(request, self._control.show_configuration)
+        return self._respond(request, self._control.show_configuration)
 
     async def _status(self, request: web.Request) -> web.Response:
-        return self._told(request, self._control.show_status)
+        return self._respond(request, self._control.show_status)
 
-    def _told(
+    def _respond(
         self,
         request: web.Request,
-        tell: typing.Callable[[], OperatorAnswer],
+        query: typing.Callable[[], OperatorResponse],
     ) -> web.Response:
         try:
-            self._operator(request)
+            self._authenticate_operator(request)
         except errors.BadRequestError as error:
-            return _refused(error)
-        return _response(tell())
+            return _error_response(error)
+        return _response(query())
 
 
-async def _read(request: web.Request, kind: type) -> typing.Any:
+async def _decode_body(request: web.Request, kind: type) -> typing.Any:
     try:
         return msgspec.json.decode(await request.read(), type=kind)
     except (msgspec.DecodeError, web.HTTPRequestEntityTooLarge) as error:
         raise errors.BadRequestError('body', str(error)) from error
 
 
-def _refused(error: errors.BadRequestError) -> web.Response:
+def _error_response(error: errors.BadRequestError) -> web.Response:
     return _response(
-        OperatorAnswer(error.status, {'error': {'message': str(error)}})
+        OperatorResponse(error.status, {'error': {'message': str(error)}})
     )
 
 
-def _response(answer: OperatorAnswer) -> web.Response:
+def _response(answer: OperatorResponse) -> web.Response:
     return web.Response(
         body=msgspec.json.encode(answer.body),
         status=answer.status,
--- a/wrenspoke/protocol/passing.py
+++ b/wrenspoke/protocol/passthrough_api.py
@@ -21,16 +21,16 @@
 
 logger = structlog.get_logger(__name__)
 
-HOP = 'Wrenspoke-Hop'
-REFUSED = 'Wrenspoke-Refused'
+HOP_HEADER = 'Wrenspoke-Hop'
+REFUSED_HEADER = 'Wrenspoke-Refused'
 # How many endpoints may have run it, in an answer to the host that passed
 # it on.
-RUNS = 'Wrenspoke-Runs'
+RUNS_HEADER = 'Wrenspoke-Runs'
 EXPECT = 'Expect'
 CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
 MS_PER_S = 1000
 # Nobody reads it; the name that proxies use for a caller who left.
-GONE_STATUS = 499
+CLIENT_CLOSED_STATUS = 499
 
 
 class Refusal(enum.Enum):
@@ -50,7 +50,7 @@
 
 # What a host says that sent nothing to an endpoint: its word costs the
 # budget of repeats nothing.
-NOTHING_SENT = frozenset(
+UNSENT_REFUSALS = frozenset(
     [
         Refusal.BUSY,
         Refusal.UNSENT,
@@ -83,7 +83,7 @@
     region: ids.RegionId | None = None
 
 
-class PassingLimits(msgspec.Struct, frozen=True):
+class PassthroughLimits(msgspec.Struct, frozen=True):
     """Bound what the surface reads of a request."""
 
     body_bytes: int
@@ -109,7 +109,7 @@
         """Tell whether a head has been sent."""
         return self.response is not None
 
-    async def whole(
+    async def send_response(
         self, status: int, fields: dialects.Fields, body: bytes
     ) -> None:
         """Send a whole answer."""
@@ -118,29 +118,31 @@
             headers=multidict.CIMultiDict(fields),
             body=body,
         )
-        await self._send(response, status)
+        await self._prepare(response, status)
         await self._write_eof(response)
 
-    async def open(self, status: int, fields: dialects.Fields) -> None:
+    async def send_head(self, status: int, fields: dialects.Fields) -> None:
         """Send the head of an answer whose body comes in pieces."""
         response = web.StreamResponse(
             status=status, headers=multidict.CIMultiDict(fields)
         )
         if self._request.version == aiohttp.HttpVersion11:
             response.enable_chunked_encoding()
-        await self._send(response, status)
+        await self._prepare(response, status)
 
-    async def _send(self, response: web.StreamResponse, status: int) -> None:
+    async def _prepare(
+        self, response: web.StreamResponse, status: int
+    ) -> None:
         if self._close:
             response.force_close()
         if self.runs is not None:
-            response.headers[RUNS] = str(self.runs)
+            response.headers[RUNS_HEADER] = str(self.runs)
         self.response = response
         self.status = status
         try:
             await response.prepare(self._request)
         except (ConnectionError, aiohttp.ClientError) as error:
-            raise errors.CallerGoneError(repr(error)) from error
+            raise errors.CallerDisconnectedError(repr(error)) from error
 
     async def write(self, data: bytes) -> None:
         """Send a piece of the body.
@@ -150,7 +152,7 @@
         try:
             await self.response.write(data)
         except (ConnectionError, aiohttp.ClientError) as error:
-            raise errors.CallerGoneError(repr(error)) from error
+            raise errors.CallerDisconnectedError(repr(error)) from error
 
     async def end(self) -> None:
         """Send the end of the body."""
@@ -160,7 +162,7 @@
         try:
             await response.write_eof()
         except (ConnectionError, aiohttp.ClientError) as error:
-            raise errors.CallerGoneError(repr(error)) from error
+            raise errors.CallerDisconnectedError(repr(error)) from error
 
     def abort(self) -> None:
         """Break the connection, so that no end of the body is seen."""
@@ -180,16 +182,16 @@
             reason = reason.value
         fields = [
             ('Content-Type', 'application/json'),
-            (REFUSED, reason),
+            (REFUSED_HEADER, reason),
         ]
         if retry_after_ms is not None:
             wait_s = f'{retry_after_ms / MS_PER_S:.3f}'
             fields.append(('Retry-After', wait_s))
         body = msgspec.json.encode({'error': {'reason': reason}})
-        await self.whole(status, fields, body)
+        await self.send_response(status, fields, body)
 
 
-class Server(typing.Protocol):
+class PassthroughServer(typing.Protocol):
     """Serve what the surface has read and checked."""
 
     async def serve(
@@ -206,14 +208,14 @@
         """Return how large a body may be."""
 
 
-class PassingSurface:
+class PassthroughApi:
     """Turn HTTP requests into calls and hand them over."""
 
     def __init__(
         self,
-        server: Server,
+        server: PassthroughServer,
         dialect: dialects.Dialect,
-        limits: PassingLimits,
+        limits: PassthroughLimits,
         clock: clocks.Clock,
     ):
         self._server = server
@@ -225,20 +227,20 @@
         self, request: web.BaseRequest
     ) -> web.StreamResponse:
         """Serve a caller's request."""
-        return await self._handle(request, passed=False)
+        return await self._handle(request, forwarded=False)
 
     async def handle_host(
         self, request: web.BaseRequest
     ) -> web.StreamResponse:
         """Serve a request that another entry host passes on."""
-        return await self._handle(request, passed=True)
+        return await self._handle(request, forwarded=True)
 
     async def _handle(
-        self, request: web.BaseRequest, passed: bool
+        self, request: web.BaseRequest, forwarded: bool
     ) -> web.StreamResponse:
         reply = Reply(request, self._server.leaving)
         try:
-            hop = self._hop(request) if passed else None
+            hop = self._parse_hop(request) if forwarded else None
             call = self._reader.read(
                 request.method,
                 request.raw_path,
@@ -252,18 +254,18 @@
             bad = Reply(request, close=True)
             await bad.refuse(error.status, str(error))
             return bad.response
-        except errors.CallerGoneError:
+        except errors.CallerDisconnectedError:
             logger.info('caller_gone', path=request.raw_path)
-        return reply.response or web.Response(status=GONE_STATUS)
+        return reply.response or web.Response(status=CLIENT_CLOSED_STATUS)
 
-    def _hop(self, request: web.BaseRequest) -> Hop:
-        text = request.headers.get(HOP)
+    def _parse_hop(self, request: web.BaseRequest) -> Hop:
+        text = request.headers.get(HOP_HEADER)
         if text is None:
-            raise errors.BadRequestError(HOP, 'required between hosts')
+            raise errors.BadRequestError(HOP_HEADER, 'required between hosts')
         try:
             return msgspec.json.decode(text, type=Hop)
         except msgspec.DecodeError as error:
-            raise errors.BadRequestError(HOP, str(error)) from error
+            raise errors.BadRequestError(HOP_HEADER, str(error)) from error
 
     async def _read_body(self, request: web.BaseRequest) -> bytes:
         if not request.body_exists:
@@ -294,7 +296,7 @@
                 408,
             ) from error
         except (aiohttp.ClientError, ConnectionError) as error:
-            raise errors.CallerGoneError(repr(error)) from error
+            raise errors.CallerDisconnectedError(repr(error)) from error
         except (web.RequestPayloadError, ValueError) as error:
             raise errors.BadRequestError('body', repr(error)) from error
         return b''.join(chunks)
@@ -304,5 +306,5 @@
     raw: typing.Iterable[tuple[bytes, bytes]],
 ) -> list[tuple[bytes, bytes]]:
     """Leave out what only hosts may say."""
-    hop = HOP.lower().encode()
+    hop = HOP_HEADER.lower().encode()
     return [item for item in raw if item[0].lower() != hop]
--- a/wrenspoke/protocol/peers.py
+++ b/wrenspoke/protocol/peers.py
@@ -8,7 +8,7 @@
 
 from wrenspoke import clock as clocks
 from wrenspoke import ids
-from wrenspoke.protocol import attending
+from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import errors
 from wrenspoke.protocol import limiting
 from wrenspoke.protocol import messages
@@ -20,29 +20,29 @@
 
 Message = typing.Union[
     messages.Message,
-    attending.Attend,
-    attending.Attended,
-    attending.Exchange,
-    attending.Exchanged,
-    attending.ConfirmIndex,
-    attending.IndexConfirmed,
-    attending.TellRegion,
-    attending.TellSent,
-    attending.Withdraw,
-    attending.EndpointLeaves,
+    discovery_messages.Attend,
+    discovery_messages.AttendReply,
+    discovery_messages.Exchange,
+    discovery_messages.ExchangeReply,
+    discovery_messages.ConfirmIndex,
+    discovery_messages.ConfirmIndexReply,
+    discovery_messages.RegionGossip,
+    discovery_messages.ReportSentCalls,
+    discovery_messages.WithdrawEndpoint,
+    discovery_messages.ReportLeaving,
     limiting.AskShares,
-    limiting.SharesGranted,
+    limiting.AskSharesReply,
     limiting.AskAmount,
-    limiting.AmountGranted,
+    limiting.AskAmountReply,
     limiting.AskSend,
-    limiting.SendAnswered,
-    limiting.LimitHeard,
-    quarantining.RunsEnded,
-    quarantining.RunsNoted,
-    quarantining.HoldOff,
-    quarantining.HoldTaken,
+    limiting.AskSendReply,
+    limiting.ReportLimit,
+    quarantining.ReportCrashes,
+    quarantining.ReportCrashesReply,
+    quarantining.UpdateHolds,
+    quarantining.UpdateHoldsReply,
 ]
-Answerer = collections.abc.Callable[
+MessageHandler = collections.abc.Callable[
     [ids.HostId, Message],
     collections.abc.Awaitable[Message | None],
 ]
@@ -59,21 +59,21 @@
         silence: links.Silence = links.Silence(),
         noted: links.Noted | None = None,
     ):
-        self._answerers: dict[type, Answerer] = {}
+        self._handlers: dict[type, MessageHandler] = {}
         self._decoder = msgspec.msgpack.Decoder(Message)
         self._encoder = msgspec.msgpack.Encoder()
         self.links = links.Links(
-            identity, peers, clock, self._handle, silence, noted
+            identity, peers, clock, self._on_message, silence, noted
         )
 
-    def answers(
+    def handles(
         self, kind: type
-    ) -> collections.abc.Callable[[Answerer], Answerer]:
+    ) -> collections.abc.Callable[[MessageHandler], MessageHandler]:
         """Return a decorator that registers who answers a message."""
 
-        def register(answerer: Answerer) -> Answerer:
-            self._answerers[kind] = answerer
-            return answerer
+        def register(handler: MessageHandler) -> MessageHandler:
+            self._handlers[kind] = handler
+            return handler
 
         return register
 
@@ -90,12 +90,12 @@
                 host, self._encoder.encode(message), timeout_ms
             )
         except transport_errors.NotSentError as error:
-            raise errors.NoAnswerError(host, sent=False) from error
+            raise errors.NoResponseError(host, sent=False) from error
         except transport_errors.TransportError as error:
-            raise errors.NoAnswerError(host, sent=True) from error
+            raise errors.NoResponseError(host, sent=True) from error
         return self._decode(body)
 
-    async def tell(self, host: ids.HostId, message: Message) -> int:
+    async def send_oneway(self, host: ids.HostId, message: Message) -> int:
         """Send a message that has no answer; return the bytes sent.
 
         It may be lost.
@@ -108,15 +108,17 @@
         except msgspec.DecodeError as error:
             raise errors.MalformedMessageError(str(error)) from error
 
-    async def _handle(self, sender: ids.HostId, body: bytes) -> bytes | None:
+    async def _on_message(
+        self, sender: ids.HostId, body: bytes
+    ) -> bytes | None:
         try:
             message = self._decode(body)
         except errors.MalformedMessageError as error:
             logger.warning('message_refused', reason=str(error), peer=sender)
             return None
-        answerer = self._answerers.get(type(message))
-        if answerer is None:
+        handler = self._handlers.get(type(message))
+        if handler is None:
             answer = messages.Refusal('not answered on this host')
         else:
-            answer = await answerer(sender, message)
+            answer = await handler(sender, message)
         return None if answer is None else self._encoder.encode(answer)
--- a/wrenspoke/protocol/quarantining.py
+++ b/wrenspoke/protocol/quarantining.py
@@ -5,7 +5,7 @@
 from wrenspoke import ids
 
 
-class RunEnd(msgspec.Struct, array_like=True, frozen=True):
+class EndpointCrash(msgspec.Struct, array_like=True, frozen=True):
     """Tell that an endpoint ended under a request, ``age_ms`` ago."""
 
     digest: ids.RequestDigest
@@ -24,17 +24,17 @@
     for_ms: int
 
 
-class RunsEnded(msgspec.Struct, tag='runs_ended'):
+class ReportCrashes(msgspec.Struct, tag='runs_ended'):
     """Tell which runs ended endpoints, and which requests ran to an end.
 
     What is in ``cleared`` some endpoint ran to a good end.
     """
 
-    ends: list[RunEnd]
+    ends: list[EndpointCrash]
     cleared: list[ids.RequestDigest] = []
 
 
-class RunsNoted(msgspec.Struct, tag='runs_noted'):
+class ReportCrashesReply(msgspec.Struct, tag='runs_noted'):
     """Answer what was told of runs.
 
     ``life`` tells one life of the answering host from another, ``holds`` is
@@ -45,14 +45,14 @@
     holds: list[Hold] = []
 
 
-class HoldOff(msgspec.Struct, tag='hold_off'):
+class UpdateHolds(msgspec.Struct, tag='hold_off'):
     """Tell entry hosts which requests not to send, and which to send again."""
 
     holds: list[Hold]
     released: list[ids.RequestDigest] = []
 
 
-class HoldTaken(msgspec.Struct, tag='hold_taken'):
+class UpdateHoldsReply(msgspec.Struct, tag='hold_taken'):
     """Answer what was told of holds.
 
     What is in ``cleared`` ran to a good end of late.
--- a/wrenspoke/protocol/rates.py
+++ b/wrenspoke/protocol/rates.py
@@ -6,10 +6,10 @@
 from wrenspoke.protocol import numerals
 
 # More is as good as no limit, and keeps what is reckoned with it finite.
-HIGHEST_PER_S = 1_000_000.0
+MAX_RATE_PER_S = 1_000_000.0
 
 
-def read(texts: collections.abc.Sequence[str]) -> float | None:
+def parse_rate(texts: collections.abc.Sequence[str]) -> float | None:
     """Return the rate that an answer's headers name, None without any.
 
     Where several are named the lowest counts.
@@ -17,15 +17,17 @@
     :raises MalformedRateError: one of them is no decimal number
     """
     rates = [
-        _read_one(part.strip()) for text in texts for part in text.split(',')
+        _parse_single(part.strip())
+        for text in texts
+        for part in text.split(',')
     ]
     return min(rates, default=None)
 
 
-def _read_one(text: str) -> float:
-    rate_per_s = numerals.decimal(text)
+def _parse_single(text: str) -> float:
+    rate_per_s = numerals.parse_decimal(text)
     if rate_per_s is None:
         raise errors.MalformedRateError(
             f'found {text[:40]!r}; must be a decimal number of 0 or more'
         )
-    return min(rate_per_s, HIGHEST_PER_S)
+    return min(rate_per_s, MAX_RATE_PER_S)
--- a/wrenspoke/protocol/replies.py
+++ b/wrenspoke/protocol/replies.py
@@ -50,7 +50,7 @@
         """Tell whether a stream has been opened."""
         return self._stream is not None
 
-    async def whole(
+    async def send_response(
         self,
         status: int,
         found: collections.abc.Mapping[str, str],
@@ -63,65 +63,69 @@
             headers=self._headers(found, outcome),
             body=body,
         )
-        await self._finish()
+        await self._send_response()
 
-    async def end(self, ending: outcomes.Ending) -> None:
+    async def send_ending(self, ending: outcomes.Ending) -> None:
         """Tell how the request ended, in place of an answer."""
         if self.started:
-            await self._end_stream(ending)
+            await self._abort_stream(ending)
             return
         extra = {headers.REASON: ending.reason.value}
         if ending.retry_after_ms:
-            extra[headers.RETRY_AFTER] = retry_after(ending.retry_after_ms)
+            extra[headers.RETRY_AFTER] = format_retry_after(
+                ending.retry_after_ms
+            )
         if ending.retry_owned:
             extra[headers.RETRY_OWNED] = 'true'
         self.response = web.Response(
-            status=outcomes.status(ending),
+            status=outcomes.http_status(ending),
             headers=self._headers(extra, ending.outcome),
-            body=ending_body(ending),
+            body=encode_ending(ending),
             content_type='application/json',
         )
-        await self._finish()
+        await self._send_response()
 
-    async def open(self, found: collections.abc.Mapping[str, str]) -> None:
+    async def start_stream(
+        self, found: collections.abc.Mapping[str, str]
+    ) -> None:
         """Begin a stream of events."""
         kept = self._headers(found, None)
         kept['Content-Type'] = 'text/event-stream'
         kept['Cache-Control'] = 'no-store'
         self._stream = web.StreamResponse(status=200, headers=kept)
-        await self._guard(self._stream.prepare(self._request))
+        await self._await_write(self._stream.prepare(self._request))
 
-    async def event(self, event: sse.SseEvent) -> None:
+    async def send_event(self, event: sse.SseEvent) -> None:
         """Send one event of the stream."""
         self.sent_events += 1
-        await self._guard(self._stream.write(sse.encode(event)))
+        await self._await_write(self._stream.write(sse.encode(event)))
 
-    async def raw(self, chunk: bytes) -> None:
+    async def send_chunk(self, chunk: bytes) -> None:
         """Send bytes of a stream that another host has written."""
-        await self._guard(self._stream.write(chunk))
+        await self._await_write(self._stream.write(chunk))
 
-    async def close(self) -> None:
+    async def finish_stream(self) -> None:
         """End a stream of which every event was sent."""
-        await self._guard(self._stream.write_eof())
+        await self._await_write(self._stream.write_eof())
         self.response = self._stream
 
-    async def _end_stream(self, ending: outcomes.Ending) -> None:
+    async def _abort_stream(self, ending: outcomes.Ending) -> None:
         last = sse.SseEvent(
-            event=OUTCOME_EVENT, data=ending_body(ending).decode()
+            event=OUTCOME_EVENT, data=encode_ending(ending).decode()
         )
-        await self._guard(self._stream.write(sse.encode(last)))
+        await self._await_write(self._stream.write(sse.encode(last)))
         self.response = self._stream
         transport_web.abort(self._request)
 
-    async def _finish(self) -> None:
-        await self._guard(self.response.prepare(self._request))
-        await self._guard(self.response.write_eof())
+    async def _send_response(self) -> None:
+        await self._await_write(self.response.prepare(self._request))
+        await self._await_write(self.response.write_eof())
 
-    async def _guard(self, awaitable: collections.abc.Awaitable) -> None:
+    async def _await_write(self, awaitable: collections.abc.Awaitable) -> None:
         try:
             await awaitable
         except (ConnectionError, RuntimeError) as error:
-            raise errors.CallerGoneError(repr(error)) from error
+            raise errors.CallerDisconnectedError(repr(error)) from error
 
     def _headers(
         self,
@@ -140,12 +144,12 @@
         return kept
 
 
-def retry_after(delay_ms: int) -> str:
+def format_retry_after(delay_ms: int) -> str:
     """Return whole seconds, rounded up, for Retry-After."""
     return str(max(1, -(-delay_ms // MS_PER_S)))
 
 
-def ending_body(ending: outcomes.Ending) -> bytes:
+def encode_ending(ending: outcomes.Ending) -> bytes:
     """Return the JSON that tells an ending."""
     return msgspec.json.encode(
         {
--- a/wrenspoke/protocol/retry_after.py
+++ b/wrenspoke/protocol/retry_after.py
@@ -8,12 +8,12 @@
 from wrenspoke.protocol import errors
 from wrenspoke.protocol import numerals
 
-DATE = re.compile(r'[A-Za-z]{3,9},')
+HTTP_DATE_START = re.compile(r'[A-Za-z]{3,9},')
 MS_PER_S = 1_000
-SHOWN_CHARS = 40
+MAX_QUOTED_CHARS = 40
 
 
-def read_ms(
+def parse_delay_ms(
     texts: collections.abc.Sequence[str], now_ms: int, date: str | None = None
 ) -> int | None:
     """Return the requested delay in milliseconds, None without one.
@@ -24,36 +24,38 @@
     :raises MalformedRetryAfterError: a value is neither
     """
     delays_ms = [
-        delay_ms for text in texts for delay_ms in _read(text, now_ms, date)
+        delay_ms
+        for text in texts
+        for delay_ms in _parse_value(text, now_ms, date)
     ]
     return max(delays_ms, default=None)
 
 
-def _read(text: str, now_ms: int, date: str | None) -> list[int]:
+def _parse_value(text: str, now_ms: int, date: str | None) -> list[int]:
     text = text.strip()
-    if DATE.match(text):
-        sent_ms = now_ms if date is None else _date_ms(date)
-        return [max(_date_ms(text) - sent_ms, 0)]
+    if HTTP_DATE_START.match(text):
+        sent_ms = now_ms if date is None else _parse_date_ms(date)
+        return [max(_parse_date_ms(text) - sent_ms, 0)]
     delays_ms = []
     for part in text.split(','):
-        delay_s = numerals.decimal(part.strip())
+        delay_s = numerals.parse_decimal(part.strip())
         if delay_s is None:
-            raise _malformed(text)
+            raise _malformed_error(text)
         delays_ms.append(round(delay_s * MS_PER_S))
     return delays_ms
 
 
-def _date_ms(text: str) -> int:
+def _parse_date_ms(text: str) -> int:
     try:
         found = email.utils.parsedate_to_datetime(text)
     except (ValueError, IndexError, TypeError, OverflowError) as error:
-        raise _malformed(text) from error
+        raise _malformed_error(text) from error
     if found.tzinfo is None:
         found = found.replace(tzinfo=datetime.UTC)
     return round(found.timestamp() * MS_PER_S)
 
 
-def _malformed(text: str) -> errors.MalformedRetryAfterError:
+def _malformed_error(text: str) -> errors.MalformedRetryAfterError:
     return errors.MalformedRetryAfterError(
-        f'{text[:SHOWN_CHARS]!r} is neither seconds nor an HTTP date'
+        f'{text[:MAX_QUOTED_CHARS]!r} is neither seconds nor an HTTP date'
     )
--- a/wrenspoke/protocol/traffic.py
+++ b/wrenspoke/protocol/traffic.py
@@ -33,7 +33,7 @@
     UNKNOWN = 'unknown'
 
 
-class Sent(msgspec.Struct):
+class SentTotals(msgspec.Struct):
     """Count messages and their bytes on the wire, without framing below."""
 
     messages: int = 0
@@ -44,26 +44,28 @@
     type: str = UNREADABLE
 
 
-Places = collections.abc.Callable[[ids.HostId], locations.Location | None]
+LocationLookup = collections.abc.Callable[
+    [ids.HostId], locations.Location | None
+]
 
 
-class Traffic:
+class TrafficCounter:
     """Count what this host sends."""
 
     def __init__(self, own: locations.Location, clock: clocks.Clock):
-        self._own = own
+        self._own_location = own
         self._clock = clock
-        self._began_ms = clock.mono_ms()
-        self._life = ids.new_unique()
-        self._place_of: Places = _unknown_place
+        self._counting_since_ms = clock.mono_ms()
+        self._host_instance_id = ids.new_unique()
+        self._location_of: LocationLookup = _unknown_location
         self._decoder = msgspec.msgpack.Decoder(_Tagged)
-        self.sent: dict[tuple[str, Distance], Sent] = {}
+        self.sent: dict[tuple[str, Distance], SentTotals] = {}
 
-    def tell_places(self, place_of: Places) -> None:
+    def set_location_lookup(self, lookup: LocationLookup) -> None:
         """Say how it is known where other hosts stand."""
-        self._place_of = place_of
+        self._location_of = lookup
 
-    def note_message(
+    def count_message(
         self, host: ids.HostId, body: bytes, size_bytes: int
     ) -> None:
         """Count a message on a link; its kind is read from it."""
@@ -71,29 +73,29 @@
             kind = self._decoder.decode(body).type
         except msgspec.DecodeError:
             kind = UNREADABLE
-        self.note(kind, self._place_of(host), size_bytes)
+        self.count_bytes(kind, self._location_of(host), size_bytes)
 
-    def note(
-        self, kind: str, place: locations.Location | None, size_bytes: int
+    def count_bytes(
+        self, kind: str, location: locations.Location | None, size_bytes: int
     ) -> None:
         """Count something that was sent to a place."""
-        key = (kind, self._distance(place))
+        key = (kind, self._distance(location))
         found = self.sent.get(key)
         if found is None:
-            found = self.sent[key] = Sent()
+            found = self.sent[key] = SentTotals()
         found.messages += 1
         found.bytes += size_bytes
 
-    def _distance(self, place: locations.Location | None) -> Distance:
-        if place is None:
+    def _distance(self, location: locations.Location | None) -> Distance:
+        if location is None:
             return Distance.UNKNOWN
-        if place.region != self._own.region:
+        if location.region != self._own_location.region:
             return Distance.BETWEEN_REGIONS
-        if place.data_centre != self._own.data_centre:
+        if location.data_centre != self._own_location.data_centre:
             return Distance.REGION
         return Distance.DATA_CENTRE
 
-    async def keep_logging(self, role: str) -> None:
+    async def log_periodically(self, role: str) -> None:
         """Write what was counted so far, again and again."""
         while True:
             await self._clock.sleep_ms(LOG_INTERVAL_MS)
@@ -101,14 +103,14 @@
 
     def log(self, role: str) -> None:
         """Write a line for each kind and distance."""
-        lived_ms = self._clock.mono_ms() - self._began_ms
+        lived_ms = self._clock.mono_ms() - self._counting_since_ms
         for (kind, distance), found in sorted(
             self.sent.items(), key=lambda item: -item[1].bytes
         ):
             logger.info(
                 'traffic',
                 role=role,
-                life=self._life,
+                life=self._host_instance_id,
                 kind=kind,
                 distance=distance,
                 messages=found.messages,
@@ -117,5 +119,5 @@
             )
 
 
-def _unknown_place(_host: ids.HostId) -> locations.Location | None:
+def _unknown_location(_host: ids.HostId) -> locations.Location | None:
     return None
