--- a/wrenspoke/coordination/agreement/control_service.py
+++ b/wrenspoke/coordination/agreement/control_service.py
@@ -87,7 +87,9 @@
                 if now_ms - pulled_ms > RELAY_EXPIRY_MS:
                     del self._relays[host]
                     continue
-                await self._peers.send_oneway(host, messages.UpdateAvailable(index))
+                await self._peers.send_oneway(
+                    host, messages.UpdateAvailable(index)
+                )
 
     async def _serve_pull(
         self, sender: ids.HostId, message: messages.PullConfiguration
@@ -100,7 +102,9 @@
         delta.leader = self._voter.leader
         return delta
 
-    async def _forward_status(self, standing: messages.DataCentreStatus) -> None:
+    async def _forward_status(
+        self, standing: messages.DataCentreStatus
+    ) -> None:
         """Forward a data centre's status to the leader if plans run."""
         local_voter = self._voter
         if local_voter.role is voter.Role.LEADER:
@@ -192,7 +196,9 @@
         plan = self._voter.state.plans.get(answer.plan)
         if plan is not None:
             body['plan'] = plan
-        return operator_api.OperatorResponse(VERDICT_STATUSES[answer.verdict], body)
+        return operator_api.OperatorResponse(
+            VERDICT_STATUSES[answer.verdict], body
+        )
 
     def _not_leader_answer(
         self, may_be_accepted: bool
@@ -235,7 +241,9 @@
 
     def show_configuration(self) -> operator_api.OperatorResponse:
         """Return the configuration applied on this host."""
-        return operator_api.OperatorResponse(OK, self._voter.state.configuration)
+        return operator_api.OperatorResponse(
+            OK, self._voter.state.configuration
+        )
 
     def show_status(self) -> operator_api.OperatorResponse:
         """Return this host's role and view of the control group."""
@@ -261,4 +269,6 @@
 
 
 def _error_answer(status: int, message: str) -> operator_api.OperatorResponse:
-    return operator_api.OperatorResponse(status, {'error': {'message': message}})
+    return operator_api.OperatorResponse(
+        status, {'error': {'message': message}}
+    )
--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -343,7 +343,10 @@
             context.send_count -= 1
         if answer.refused is passthrough_api.Refusal.UNSENT:
             context.remote_retry_after_ms = int(answer.retry_after_ms) or None
-        if answer.refused in (passthrough_api.Refusal.UNSENT, passthrough_api.Refusal.BUSY):
+        if answer.refused in (
+            passthrough_api.Refusal.UNSENT,
+            passthrough_api.Refusal.BUSY,
+        ):
             context.refusing_regions.add(destination.serving_region)
         if answer.refused == passthrough_api.Refusal.UNKNOWN_KEY:
             raise errors.UnknownKeyError(context.cause)
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -57,7 +57,10 @@
 # Status and reason for callers that may not be served.
 _DENIALS = {
     errors.NoRouteError: (NOT_FOUND, passthrough_api.Refusal.NO_ROUTE),
-    errors.UnknownKeyError: (UNAUTHORIZED, passthrough_api.Refusal.UNKNOWN_KEY),
+    errors.UnknownKeyError: (
+        UNAUTHORIZED,
+        passthrough_api.Refusal.UNKNOWN_KEY,
+    ),
     errors.NoLeaseError: (UNAVAILABLE, passthrough_api.Refusal.NO_LEASE),
 }
 
@@ -151,13 +154,17 @@
         elif self._waits and not self._has_current_configuration:
             await self._wait_for_current_configuration(call)
         if not self._has_current_configuration:
-            await self._refuse(call, reply, passthrough_api.Refusal.NO_CONFIGURATION)
+            await self._refuse(
+                call, reply, passthrough_api.Refusal.NO_CONFIGURATION
+            )
             return None
         table = self._replica.current.routes
         if table.version == 0 or (
             hop is not None and self._replica.current.index < hop.index
         ):
-            await self._refuse(call, reply, passthrough_api.Refusal.NO_CONFIGURATION)
+            await self._refuse(
+                call, reply, passthrough_api.Refusal.NO_CONFIGURATION
+            )
             return None
         try:
             permit = await self._permit(call)
