--- a/wrenspoke/state/registers.py
+++ b/wrenspoke/state/registers.py
@@ -22,7 +22,7 @@
 from wrenspoke import ids
 
 
-PART_BYTES = 2 * 1024 * 1024
+SNAPSHOT_CHUNK_BYTES = 2 * 1024 * 1024
 REGISTER_BYTES = 400
 FIRST = (-1, '')
 
@@ -158,7 +158,7 @@
         host: ids.HostId,
         epoch: int,
         after: tuple[int, str] = FIRST,
-        part_bytes: int = PART_BYTES,
+        part_bytes: int = SNAPSHOT_CHUNK_BYTES,
     ) -> Memory:
         """Note that ``host`` restarted and tell it a part of what is here.
 
