--- a/wrenspoke/state/registers.py
+++ b/wrenspoke/state/registers.py
@@ -23,7 +23,7 @@
 
 
 SNAPSHOT_CHUNK_BYTES = 2 * 1024 * 1024
-REGISTER_BYTES = 400
+REGISTER_OVERHEAD_BYTES = 400
 FIRST = (-1, '')
 
 
@@ -248,7 +248,9 @@
 
 def _size_bytes(register: Register) -> int:
     answer = register.claim.answer
-    return REGISTER_BYTES + (0 if answer is None else len(answer.body))
+    return REGISTER_OVERHEAD_BYTES + (
+        0 if answer is None else len(answer.body)
+    )
 
 
 def consistent(
