--- a/tests/test_registers.py
+++ b/tests/test_registers.py
@@ -296,7 +296,7 @@
         # Some keys share an issue time.
         copy.prepare(f'k{number}', number // 3, registers.Ballot(1, 'a'))
     told = []
-    after = registers.FIRST
+    after = registers.START_CURSOR
     for _part in range(count + 2):
         memory = copy.remember('b', 2, after, part_bytes)
         told += memory.registers
--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -256,7 +256,7 @@
     ) -> registers.Memory | None:
         """Return all that a host remembers, asked for part by part."""
         snapshot: registers.Memory | None = None
-        after = registers.FIRST
+        after = registers.START_CURSOR
         while True:
             page = await self._fetch_snapshot_page(host, epoch, after)
             if page is None:
--- a/wrenspoke/protocol/messages.py
+++ b/wrenspoke/protocol/messages.py
@@ -181,7 +181,7 @@
     """
 
     epoch: int
-    after: tuple[int, str] = registers.FIRST
+    after: tuple[int, str] = registers.START_CURSOR
 
 
 class Recollection(msgspec.Struct, tag='recollection'):
--- a/wrenspoke/state/registers.py
+++ b/wrenspoke/state/registers.py
@@ -24,7 +24,7 @@
 
 SNAPSHOT_CHUNK_BYTES = 2 * 1024 * 1024
 REGISTER_OVERHEAD_BYTES = 400
-FIRST = (-1, '')
+START_CURSOR = (-1, '')
 
 
 class ClaimState(enum.Enum):
@@ -157,7 +157,7 @@
         self,
         host: ids.HostId,
         epoch: int,
-        after: tuple[int, str] = FIRST,
+        after: tuple[int, str] = START_CURSOR,
         part_bytes: int = SNAPSHOT_CHUNK_BYTES,
     ) -> Memory:
         """Note that ``host`` restarted and tell it a part of what is here.
