--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -253,9 +253,9 @@
 
     async def _fetch_snapshot(
         self, host: ids.HostId, epoch: int
-    ) -> registers.Memory | None:
+    ) -> registers.LedgerSnapshot | None:
         """Return all that a host remembers, asked for part by part."""
-        snapshot: registers.Memory | None = None
+        snapshot: registers.LedgerSnapshot | None = None
         after = registers.START_CURSOR
         while True:
             page = await self._fetch_snapshot_page(host, epoch, after)
@@ -271,7 +271,7 @@
 
     async def _fetch_snapshot_page(
         self, host: ids.HostId, epoch: int, after: tuple[int, str]
-    ) -> registers.Memory | None:
+    ) -> registers.LedgerSnapshot | None:
         try:
             answer = await self._peers.call(
                 host,
--- a/wrenspoke/protocol/messages.py
+++ b/wrenspoke/protocol/messages.py
@@ -187,7 +187,7 @@
 class Recollection(msgspec.Struct, tag='recollection'):
     """Answer a recall."""
 
-    memory: registers.Memory
+    memory: registers.LedgerSnapshot
 
 
 class Hello(msgspec.Struct, tag='hello'):
--- a/wrenspoke/state/registers.py
+++ b/wrenspoke/state/registers.py
@@ -94,7 +94,7 @@
     forgotten: bool = False
 
 
-class Memory(msgspec.Struct):
+class LedgerSnapshot(msgspec.Struct):
     """Hold a part of what a ledger host tells one that has restarted.
 
     ``more`` says that keys follow after the last of ``registers``.
@@ -159,7 +159,7 @@
         epoch: int,
         after: tuple[int, str] = START_CURSOR,
         part_bytes: int = SNAPSHOT_CHUNK_BYTES,
-    ) -> Memory:
+    ) -> LedgerSnapshot:
         """Note that ``host`` restarted and tell it a part of what is here.
 
         A key that changes after its part was told does so by votes that
@@ -179,7 +179,7 @@
             size_bytes += _size_bytes(register)
         last = told[-1][:2] if told else after
         more = bool(self._by_age) and last < self._by_age[-1]
-        return Memory(
+        return LedgerSnapshot(
             epoch_known=known,
             trusted_since_ms=self.trusted_since_ms,
             epochs=dict(self.epochs),
@@ -187,7 +187,7 @@
             more=more,
         )
 
-    def restore(self, memories: typing.Sequence[Memory]) -> None:
+    def restore(self, memories: typing.Sequence[LedgerSnapshot]) -> None:
         """Take over what a majority of the other hosts remember."""
         for memory in memories:
             self.learn_epochs(memory.epochs)
