--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -225,7 +225,7 @@
                 key = f'region-1:{1796215282731 + number}:{number:016x}'
                 ballot = registers.Ballot(1, 'h')
                 held.prepare(key, number, ballot)
-                kept = registers.KeptAnswer(
+                kept = registers.StoredResponse(
                     200, {'Content-Type': 'application/json'}, b'x' * 200
                 )
                 claim = registers.Claim(
--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -272,7 +272,7 @@
         kept_answer = None
         limit_bytes = self._settings.kept_answer_bytes
         if answer is not None and len(answer.body) <= limit_bytes:
-            kept_answer = registers.KeptAnswer(
+            kept_answer = registers.StoredResponse(
                 answer.status, answer.headers, answer.body
             )
         try:
--- a/wrenspoke/state/registers.py
+++ b/wrenspoke/state/registers.py
@@ -36,7 +36,7 @@
     ANSWERED = 'answered'
 
 
-class KeptAnswer(msgspec.Struct, frozen=True):
+class StoredResponse(msgspec.Struct, frozen=True):
     """Hold an answer for a caller that asks again."""
 
     status: int
@@ -55,7 +55,7 @@
     attempt: int = 0
     host: ids.HostId = ids.HostId('')
     attempt_id: ids.AttemptId = ids.AttemptId('')
-    answer: KeptAnswer | None = None
+    answer: StoredResponse | None = None
 
 
 FREE = Claim()
@@ -302,7 +302,7 @@
 
 
 def answered(
-    old: Claim, attempt_id: ids.AttemptId, answer: KeptAnswer | None
+    old: Claim, attempt_id: ids.AttemptId, answer: StoredResponse | None
 ) -> Claim:
     """Return ``old`` with the answer to the attempt that ran."""
     ours = old.attempt_id == attempt_id
