--- a/tests/test_registers.py
+++ b/tests/test_registers.py
@@ -97,7 +97,7 @@
         for other in others:
             if other == host:
                 continue
-            told = self.copies[other].remember(host, copy.epoch)
+            told = self.copies[other].on_recovery_request(host, copy.epoch)
             # What is told was true then; it arrives as a copy.
             memories[other] = pickle.loads(pickle.dumps(told))
         if len(memories) >= QUORUM:
@@ -298,7 +298,7 @@
     told = []
     after = registers.START_CURSOR
     for _part in range(count + 2):
-        memory = copy.remember('b', 2, after, part_bytes)
+        memory = copy.on_recovery_request('b', 2, after, part_bytes)
         told += memory.registers
         if not memory.more:
             break
--- a/wrenspoke/state/registers.py
+++ b/wrenspoke/state/registers.py
@@ -153,7 +153,7 @@
             register.claim = claim
         return self._vote(granted, register)
 
-    def remember(
+    def on_recovery_request(
         self,
         host: ids.HostId,
         epoch: int,
