--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -238,7 +238,7 @@
         memory_mb = held_mb(fill)
         used_s = time.process_time() - started
         held = fill()
-        memory = held.on_recovery_request('other', 5, part_bytes=1 << 40)
+        memory = held.on_recovery_request('other', 5, chunk_bytes=1 << 40)
         found.append(
             {
                 'keys': count,
--- a/wrenspoke/state/registers.py
+++ b/wrenspoke/state/registers.py
@@ -158,7 +158,7 @@
         host: ids.HostId,
         epoch: int,
         after: tuple[int, str] = START_CURSOR,
-        part_bytes: int = SNAPSHOT_CHUNK_BYTES,
+        chunk_bytes: int = SNAPSHOT_CHUNK_BYTES,
     ) -> LedgerSnapshot:
         """Note that ``host`` restarted and tell it a part of what is here.
 
@@ -172,7 +172,7 @@
         size_bytes = 0
         following = self._by_age.irange(after, inclusive=(False, True))
         for issued_ms, key in following:
-            if size_bytes > part_bytes:
+            if size_bytes > chunk_bytes:
                 break
             register = self._registers[key]
             told.append((issued_ms, key, register))
