--- a/wrenspoke/state/registers.py
+++ b/wrenspoke/state/registers.py
@@ -168,22 +168,22 @@
         known = self.epochs.get(host, 0)
         if epoch > known:
             self.epochs[host] = epoch
-        told = []
+        selected = []
         size_bytes = 0
         following = self._by_age.irange(after, inclusive=(False, True))
         for issued_ms, key in following:
             if size_bytes > chunk_bytes:
                 break
             register = self._registers[key]
-            told.append((issued_ms, key, register))
+            selected.append((issued_ms, key, register))
             size_bytes += _size_bytes(register)
-        last = told[-1][:2] if told else after
+        last = selected[-1][:2] if selected else after
         more = bool(self._by_age) and last < self._by_age[-1]
         return LedgerSnapshot(
             epoch_known=known,
             trusted_since_ms=self.trusted_since_ms,
             epochs=dict(self.epochs),
-            registers=told,
+            registers=selected,
             more=more,
         )
 
