--- a/wrenspoke/state/registers.py
+++ b/wrenspoke/state/registers.py
@@ -189,11 +189,11 @@
 
     def restore(self, snapshots: typing.Sequence[LedgerSnapshot]) -> None:
         """Take over what a majority of the other hosts remember."""
-        for memory in snapshots:
-            self.learn_epochs(memory.epochs)
-            for issued_ms, key, theirs in memory.registers:
+        for snapshot in snapshots:
+            self.learn_epochs(snapshot.epochs)
+            for issued_ms, key, theirs in snapshot.registers:
                 self._merge(key, issued_ms, theirs)
-        since_ms = max(memory.trusted_since_ms for memory in snapshots)
+        since_ms = max(snapshot.trusted_since_ms for memory in snapshots)
         self.trusted_since_ms = min(self.trusted_since_ms, since_ms)
 
     def learn_epochs(self, epochs: typing.Mapping[str, int]) -> None:
