--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -240,7 +240,7 @@
             (memory.epoch_known for memory in snapshots), default=0
         )
         if latest_epoch > epoch:
-            self._registers.learn_epochs({self._host: latest_epoch + 1})
+            self._registers.merge_epochs({self._host: latest_epoch + 1})
             return False
         if len(snapshots) < self.quorum:
             return False
--- a/wrenspoke/state/registers.py
+++ b/wrenspoke/state/registers.py
@@ -190,13 +190,13 @@
     def restore(self, snapshots: typing.Sequence[LedgerSnapshot]) -> None:
         """Take over what a majority of the other hosts remember."""
         for snapshot in snapshots:
-            self.learn_epochs(snapshot.epochs)
+            self.merge_epochs(snapshot.epochs)
             for issued_ms, key, theirs in snapshot.registers:
                 self._merge(key, issued_ms, theirs)
         since_ms = max(snapshot.trusted_since_ms for memory in snapshots)
         self.trusted_since_ms = min(self.trusted_since_ms, since_ms)
 
-    def learn_epochs(self, epochs: typing.Mapping[str, int]) -> None:
+    def merge_epochs(self, epochs: typing.Mapping[str, int]) -> None:
         """Keep the highest epoch that is known of each host."""
         for host, epoch in epochs.items():
             if epoch > self.epochs.get(host, 0):
