--- a/wrenspoke/state/registers.py
+++ b/wrenspoke/state/registers.py
@@ -128,7 +128,7 @@
     def prepare(self, key: str, issued_ms: int, ballot: Ballot) -> Vote:
         """Promise ``ballot`` on a key unless a higher one was promised."""
         if issued_ms < self.trusted_since_ms:
-            return self._forgotten()
+            return self._reject_forgotten()
         register = self._register(key, issued_ms)
         granted = ballot > register.promised
         if granted:
@@ -144,7 +144,7 @@
     ) -> Vote:
         """Accept a value under ``ballot``, promised by a majority."""
         if issued_ms < self.trusted_since_ms:
-            return self._forgotten()
+            return self._reject_forgotten()
         register = self._register(key, issued_ms)
         granted = ballot >= register.promised
         if granted:
@@ -235,7 +235,7 @@
             epochs=dict(self.epochs),
         )
 
-    def _forgotten(self) -> Vote:
+    def _reject_forgotten(self) -> Vote:
         return Vote(
             granted=False,
             promised=NO_BALLOT,
