--- a/wrenspoke/state/registers.py
+++ b/wrenspoke/state/registers.py
@@ -133,7 +133,7 @@
         granted = ballot > register.promised
         if granted:
             register.promised = ballot
-        return self._vote(granted, register)
+        return self._build_vote(granted, register)
 
     def accept(
         self,
@@ -151,7 +151,7 @@
             register.promised = ballot
             register.accepted = ballot
             register.claim = claim
-        return self._vote(granted, register)
+        return self._build_vote(granted, register)
 
     def on_recovery_request(
         self,
@@ -226,7 +226,7 @@
             ours.accepted = theirs.accepted
             ours.claim = theirs.claim
 
-    def _vote(self, granted: bool, register: Register) -> Vote:
+    def _build_vote(self, granted: bool, register: Register) -> Vote:
         return Vote(
             granted=granted,
             promised=register.promised,
