--- a/wrenspoke/state/registers.py
+++ b/wrenspoke/state/registers.py
@@ -129,7 +129,7 @@
         """Promise ``ballot`` on a key unless a higher one was promised."""
         if issued_ms < self.trusted_since_ms:
             return self._reject_forgotten()
-        register = self._register(key, issued_ms)
+        register = self._get_or_create(key, issued_ms)
         granted = ballot > register.promised
         if granted:
             register.promised = ballot
@@ -145,7 +145,7 @@
         """Accept a value under ``ballot``, promised by a majority."""
         if issued_ms < self.trusted_since_ms:
             return self._reject_forgotten()
-        register = self._register(key, issued_ms)
+        register = self._get_or_create(key, issued_ms)
         granted = ballot >= register.promised
         if granted:
             register.promised = ballot
@@ -212,7 +212,7 @@
         self.trusted_since_ms = max(self.trusted_since_ms, before_ms)
         return count
 
-    def _register(self, key: str, issued_ms: int) -> Register:
+    def _get_or_create(self, key: str, issued_ms: int) -> Register:
         register = self._registers.get(key)
         if register is None:
             register = self._registers[key] = Register()
@@ -220,7 +220,7 @@
         return register
 
     def _merge(self, key: str, issued_ms: int, theirs: Register) -> None:
-        ours = self._register(key, issued_ms)
+        ours = self._get_or_create(key, issued_ms)
         ours.promised = max(ours.promised, theirs.promised)
         if theirs.accepted > ours.accepted:
             ours.accepted = theirs.accepted
