--- a/tests/test_registers.py
+++ b/tests/test_registers.py
@@ -34,7 +34,7 @@
 
 def consistent(votes):
     """Return the votes that count, if they are a majority."""
-    return registers.consistent(votes, QUORUM)
+    return registers.consistent_votes(votes, QUORUM)
 
 
 class Cluster:
--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -162,7 +162,7 @@
                     denied = True
                     continue
                 granted[host] = vote
-                quorum = registers.consistent(granted, self.quorum)
+                quorum = registers.consistent_votes(granted, self.quorum)
                 if quorum is not None:
                     return quorum
         finally:
--- a/wrenspoke/state/registers.py
+++ b/wrenspoke/state/registers.py
@@ -253,7 +253,7 @@
     )
 
 
-def consistent(
+def consistent_votes(
     votes: typing.Mapping[ids.HostId, Vote], quorum: int
 ) -> dict[ids.HostId, Vote] | None:
     """Return the votes that count, or None if they are too few.
