--- a/tests/test_registers.py
+++ b/tests/test_registers.py
@@ -63,7 +63,7 @@
         if quorum is None:
             return
         newest = max(quorum.values(), key=lambda vote: vote.accepted)
-        one.claim = registers.claimed(
+        one.claim = registers.with_claim(
             newest.claim, one.attempt, ids.HostId(one.host), one.name
         )
 
@@ -261,7 +261,7 @@
         ('answered', 1, 2, 'answered', 1),
     ]
     for state, held, attempt, after, kept in table:
-        found = registers.claimed(
+        found = registers.with_claim(
             claim(state, held, 'old'), attempt, ids.HostId('b'), 'new'
         )
         assert (found.state.value, found.attempt) == (after, kept)
--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -159,7 +159,7 @@
         try:
             claim = await self._ledger.change(
                 key,
-                lambda old: registers.claimed(
+                lambda old: registers.with_claim(
                     old, head.attempt, self._host, attempt_id
                 ),
             )
--- a/wrenspoke/state/registers.py
+++ b/wrenspoke/state/registers.py
@@ -273,7 +273,7 @@
     return kept if len(kept) >= quorum else None
 
 
-def claimed(
+def with_claim(
     old: Claim, attempt: int, host: ids.HostId, attempt_id: ids.AttemptId
 ) -> Claim:
     """Return ``old`` after a claim; it is ours if the attempt id is."""
