--- a/tests/test_registers.py
+++ b/tests/test_registers.py
@@ -273,7 +273,7 @@
         ('answered', 1, 2, 'answered', 1),
     ]
     for state, held, attempt, after, kept in refusals:
-        found = registers.refused(claim(state, held, 'old'), attempt)
+        found = registers.with_refusal(claim(state, held, 'old'), attempt)
         assert (found.state.value, found.attempt) == (after, kept)
 
 
--- a/wrenspoke/state/registers.py
+++ b/wrenspoke/state/registers.py
@@ -284,7 +284,7 @@
     return Claim(ClaimState.DISPATCHED, attempt, host, attempt_id)
 
 
-def refused(old: Claim, attempt: int) -> Claim:
+def with_refusal(old: Claim, attempt: int) -> Claim:
     """Return ``old`` after a refusal of all attempts up to one."""
     if old.state is ClaimState.FREE:
         return Claim(ClaimState.REFUSED, attempt)
