--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -258,7 +258,7 @@
         try:
             await self._ledger.change(
                 key,
-                lambda old: registers.released(old, ticket.attempt_id),
+                lambda old: registers.with_release(old, ticket.attempt_id),
             )
         except errors.LedgerUnreachableError:
             logger.warning('claim_kept', request=key)
--- a/wrenspoke/state/registers.py
+++ b/wrenspoke/state/registers.py
@@ -293,7 +293,7 @@
     return old
 
 
-def released(old: Claim, attempt_id: ids.AttemptId) -> Claim:
+def with_release(old: Claim, attempt_id: ids.AttemptId) -> Claim:
     """Return ``old`` with a claim given back that was never sent."""
     ours = old.attempt_id == attempt_id
     if old.state is ClaimState.DISPATCHED and ours:
