--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -278,7 +278,7 @@
         try:
             await self._ledger.change(
                 key,
-                lambda old: registers.answered(
+                lambda old: registers.with_answer(
                     old, ticket.attempt_id, kept_answer
                 ),
             )
--- a/wrenspoke/state/registers.py
+++ b/wrenspoke/state/registers.py
@@ -301,7 +301,7 @@
     return old
 
 
-def answered(
+def with_answer(
     old: Claim, attempt_id: ids.AttemptId, answer: StoredResponse | None
 ) -> Claim:
     """Return ``old`` with the answer to the attempt that ran."""
