--- a/wrenspoke/state/electorates.py
+++ b/wrenspoke/state/electorates.py
@@ -29,7 +29,7 @@
     before: Voters = {}
 
     @property
-    def sets(self) -> list[Voters]:
+    def voter_sets(self) -> list[Voters]:
         """Return the sets that each have to agree."""
         return [found for found in (self.voters, self.before) if found]
 
@@ -40,7 +40,7 @@
 
     def has(self, host: ids.HostId, disk: ids.Incarnation) -> bool:
         """Tell whether a host has a vote on a disk."""
-        return any(found.get(host) == disk for found in self.sets)
+        return any(found.get(host) == disk for found in self.voter_sets)
 
     def reached(
         self,
@@ -52,7 +52,7 @@
         was admitted. Without voters nothing is reached: 0.
         """
         least = []
-        for voters in self.sets:
+        for voters in self.voter_sets:
             values = sorted(known(*voter) for voter in voters.items())
             least.append(values[-majority(voters)])
         return min(least, default=0)
