--- a/tests/test_electorates.py
+++ b/tests/test_electorates.py
@@ -34,5 +34,5 @@
 def test_both_sets_are_asked_while_they_change():
     deciding = electorates.Electorate(OTHER, THREE)
     assert deciding.hosts == {'a', 'b', 'c', 'd'}
-    assert deciding.has('c', 'C') and deciding.has('d', 'D')
-    assert not deciding.has('c', 'D')
+    assert deciding.has_voter('c', 'C') and deciding.has_voter('d', 'D')
+    assert not deciding.has_voter('c', 'D')
--- a/wrenspoke/coordination/agreement/vote_tally.py
+++ b/wrenspoke/coordination/agreement/vote_tally.py
@@ -30,7 +30,7 @@
         self, host: ids.HostId, answer: messages.VoteReply
     ) -> None:
         """Count an answer."""
-        if not self._electorate.has(host, answer.incarnation):
+        if not self._electorate.has_voter(host, answer.incarnation):
             self._refused[host] = f'other disk {answer.incarnation}'
         elif answer.granted:
             self._granted[host] = answer.incarnation
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -159,7 +159,7 @@
     @property
     def is_voter(self) -> bool:
         """Tell whether this host, on this disk, has a vote."""
-        return self.electorate.has(self.host, self.incarnation)
+        return self.electorate.has_voter(self.host, self.incarnation)
 
     @property
     def _may_lead(self) -> bool:
@@ -170,7 +170,7 @@
         committed, by the votes of others, and steps down.
         """
         before = self.committed_electorate
-        return self.is_voter or before.has(self.host, self.incarnation)
+        return self.is_voter or before.has_voter(self.host, self.incarnation)
 
     def _load_snapshot(self) -> None:
         snapshot = self.storage.snapshot
--- a/wrenspoke/state/electorates.py
+++ b/wrenspoke/state/electorates.py
@@ -38,7 +38,7 @@
         """Return every host whose vote may be asked for."""
         return {*self.voters, *self.before}
 
-    def has(self, host: ids.HostId, disk: ids.Incarnation) -> bool:
+    def has_voter(self, host: ids.HostId, disk: ids.Incarnation) -> bool:
         """Tell whether a host has a vote on a disk."""
         return any(found.get(host) == disk for found in self.voter_sets)
 
