--- a/tests/test_electorates.py
+++ b/tests/test_electorates.py
@@ -28,7 +28,9 @@
 )
 def test_majority_of_each_set_has_to_agree(voters, before, at, reached):
     deciding = electorates.Electorate(voters, before)
-    assert deciding.reached(lambda _host, disk: at.get(disk, 0)) == reached
+    assert (
+        deciding.majority_value(lambda _host, disk: at.get(disk, 0)) == reached
+    )
 
 
 def test_both_sets_are_asked_while_they_change():
--- a/wrenspoke/state/electorates.py
+++ b/wrenspoke/state/electorates.py
@@ -42,7 +42,7 @@
         """Tell whether a host has a vote on a disk."""
         return any(found.get(host) == disk for found in self.voter_sets)
 
-    def reached(
+    def majority_value(
         self,
         known: collections.abc.Callable[[ids.HostId, ids.Incarnation], int],
     ) -> int:
