--- a/wrenspoke/state/electorates.py
+++ b/wrenspoke/state/electorates.py
@@ -44,7 +44,7 @@
 
     def majority_value(
         self,
-        known: collections.abc.Callable[[ids.HostId, ids.Incarnation], int],
+        value_of: collections.abc.Callable[[ids.HostId, ids.Incarnation], int],
     ) -> int:
         """Return what a majority of each set has reached.
 
@@ -53,6 +53,6 @@
         """
         least = []
         for voters in self.voter_sets:
-            values = sorted(known(*voter) for voter in voters.items())
+            values = sorted(value_of(*voter) for voter in voters.items())
             least.append(values[-majority(voters)])
         return min(least, default=0)
