--- a/wrenspoke/state/disk.py
+++ b/wrenspoke/state/disk.py
@@ -17,7 +17,7 @@
 
 logger = structlog.get_logger(__name__)
 
-TEMPORARY = '.new'
+TEMPORARY_SUFFIX = '.new'
 NO_ROOM = frozenset([errno.ENOSPC, errno.EDQUOT])
 
 
@@ -118,7 +118,7 @@
     def replace(self, name: str, data: bytes) -> None:
         """Put a whole file in place of the old one, or change nothing."""
         path = self._folder / name
-        temporary = path.with_name(name + TEMPORARY)
+        temporary = path.with_name(name + TEMPORARY_SUFFIX)
         with self._writing(name):
 
             def undo() -> None:
