--- a/wrenspoke/state/disk.py
+++ b/wrenspoke/state/disk.py
@@ -18,7 +18,7 @@
 logger = structlog.get_logger(__name__)
 
 TEMPORARY_SUFFIX = '.new'
-NO_ROOM = frozenset([errno.ENOSPC, errno.EDQUOT])
+NO_SPACE_ERRNOS = frozenset([errno.ENOSPC, errno.EDQUOT])
 
 
 class Disk:
@@ -69,7 +69,7 @@
         try:
             yield
         except OSError as error:
-            if error.errno not in NO_ROOM:
+            if error.errno not in NO_SPACE_ERRNOS:
                 raise
             undo()
             if not self._full:
