--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -223,8 +223,8 @@
         'goes on after a failed sync',
         STATE + 'disk.py',
         (
-            "            self._broken = f'{name}: {error}'\n"
-            '            raise errors.DiskError(self._broken) from'
+            "            self._failure = f'{name}: {error}'\n"
+            '            raise errors.DiskError(self._failure) from'
             ' error'
         ),
         ('            raise errors.DiskError(str(error)) from error'),
--- a/wrenspoke/state/disk.py
+++ b/wrenspoke/state/disk.py
@@ -26,7 +26,7 @@
 
     def __init__(self, folder: pathlib.Path):
         self._folder = folder
-        self._broken: str | None = None
+        self._failure: str | None = None
         self._full = False
         try:
             if not folder.is_dir():
@@ -43,8 +43,8 @@
 
         :raises DiskError: a write or sync failed before
         """
-        if self._broken is not None:
-            raise errors.DiskError(self._broken)
+        if self._failure is not None:
+            raise errors.DiskError(self._failure)
 
     @contextlib.contextmanager
     def _writing(self, name: str) -> collections.abc.Iterator[None]:
@@ -52,8 +52,8 @@
         try:
             yield
         except OSError as error:
-            self._broken = f'{name}: {error}'
-            raise errors.DiskError(self._broken) from error
+            self._failure = f'{name}: {error}'
+            raise errors.DiskError(self._failure) from error
         if self._full:
             self._full = False
             logger.info('disk_has_room', file=name)
