--- a/wrenspoke/state/disk.py
+++ b/wrenspoke/state/disk.py
@@ -47,7 +47,7 @@
             raise errors.DiskError(self._failure)
 
     @contextlib.contextmanager
-    def _writing(self, name: str) -> collections.abc.Iterator[None]:
+    def _fail_on_error(self, name: str) -> collections.abc.Iterator[None]:
         self.check()
         try:
             yield
@@ -89,7 +89,7 @@
     def append(self, name: str, data: bytes) -> None:
         """Add to a file and sync it; a new file's name is synced too."""
         path = self._folder / name
-        with self._writing(name):
+        with self._fail_on_error(name):
             fresh = not path.exists()
             size_bytes = 0 if fresh else path.stat().st_size
 
@@ -109,7 +109,7 @@
 
     def truncate(self, name: str, size_bytes: int) -> None:
         """Cut a file to a size and sync it."""
-        with self._writing(name):
+        with self._fail_on_error(name):
             with open(self._folder / name, 'r+b') as file:
                 file.truncate(size_bytes)
                 file.flush()
@@ -119,7 +119,7 @@
         """Put a whole file in place of the old one, or change nothing."""
         path = self._folder / name
         temporary = path.with_name(name + TEMPORARY_SUFFIX)
-        with self._writing(name):
+        with self._fail_on_error(name):
 
             def undo() -> None:
                 temporary.unlink(missing_ok=True)
@@ -142,7 +142,7 @@
 
     def remove(self, name: str) -> None:
         """Remove a file, if it is there."""
-        with self._writing(name):
+        with self._fail_on_error(name):
             (self._folder / name).unlink(missing_ok=True)
             self._sync_folder(self._folder)
 
