--- a/wrenspoke/state/disk.py
+++ b/wrenspoke/state/disk.py
@@ -59,7 +59,7 @@
             logger.info('disk_has_room', file=name)
 
     @contextlib.contextmanager
-    def _undone_if_full(
+    def _roll_back_if_full(
         self, name: str, undo: collections.abc.Callable[[], None]
     ) -> collections.abc.Iterator[None]:
         """Take a write back for which there was no room.
@@ -100,7 +100,7 @@
                     os.truncate(path, size_bytes)
 
             with (
-                self._undone_if_full(name, undo),
+                self._roll_back_if_full(name, undo),
                 open(path, 'ab') as file,
             ):
                 _put_synced(file, data)
@@ -125,7 +125,7 @@
                 temporary.unlink(missing_ok=True)
 
             with (
-                self._undone_if_full(name, undo),
+                self._roll_back_if_full(name, undo),
                 open(temporary, 'wb') as file,
             ):
                 _put_synced(file, data)
