--- a/wrenspoke/state/disk.py
+++ b/wrenspoke/state/disk.py
@@ -132,7 +132,7 @@
             temporary.replace(path)
             self._sync_folder(self._folder)
 
-    def note(self, name: str, data: bytes) -> None:
+    def write_unsynced(self, name: str, data: bytes) -> None:
         """Write a file that may be lost, without waiting for the disk."""
         self.check()
         try:
