--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -173,7 +173,7 @@
 ):
     """It acknowledges nothing meanwhile, and catches up by itself."""
     full = set()
-    write = disk._put_synced
+    write = disk._write_and_sync
 
     def write_if_room(file, data):
         if any(f'/{ip}/' in file.name for ip in full):
--- a/wrenspoke/state/disk.py
+++ b/wrenspoke/state/disk.py
@@ -103,7 +103,7 @@
                 self._roll_back_if_full(name, undo),
                 open(path, 'ab') as file,
             ):
-                _put_synced(file, data)
+                _write_and_sync(file, data)
             if fresh:
                 self._sync_folder(self._folder)
 
@@ -128,7 +128,7 @@
                 self._roll_back_if_full(name, undo),
                 open(temporary, 'wb') as file,
             ):
-                _put_synced(file, data)
+                _write_and_sync(file, data)
             temporary.replace(path)
             self._sync_folder(self._folder)
 
@@ -154,7 +154,7 @@
             os.close(opened)
 
 
-def _put_synced(file: typing.BinaryIO, data: bytes) -> None:
+def _write_and_sync(file: typing.BinaryIO, data: bytes) -> None:
     file.write(data)
     file.flush()
     os.fsync(file.fileno())
