--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -213,7 +213,7 @@
         'folder not synced',
         STATE + 'disk.py',
         (
-            '            if fresh:\n'
+            '            if is_new:\n'
             '                self._sync_folder(self._folder)\n'
         ),
         (''),
--- a/wrenspoke/state/disk.py
+++ b/wrenspoke/state/disk.py
@@ -90,11 +90,11 @@
         """Add to a file and sync it; a new file's name is synced too."""
         path = self._folder / name
         with self._fail_on_error(name):
-            fresh = not path.exists()
-            size_bytes = 0 if fresh else path.stat().st_size
+            is_new = not path.exists()
+            size_bytes = 0 if is_new else path.stat().st_size
 
             def undo() -> None:
-                if fresh:
+                if is_new:
                     path.unlink(missing_ok=True)
                 else:
                     os.truncate(path, size_bytes)
@@ -104,7 +104,7 @@
                 open(path, 'ab') as file,
             ):
                 _write_and_sync(file, data)
-            if fresh:
+            if is_new:
                 self._sync_folder(self._folder)
 
     def truncate(self, name: str, size_bytes: int) -> None:
