--- a/tests/test_execution.py
+++ b/tests/test_execution.py
@@ -88,7 +88,7 @@
     deployment = settings.parse(msgspec.json.encode(made))
     clock = FakeClock()
     state = replicated.ReplicatedState()
-    found = entries.Found(deployment.first_configuration())
+    found = entries.Bootstrap(deployment.first_configuration())
     state.apply(1, found)
     for number in (1, 2):
         plan = plans.make(
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -38,7 +38,7 @@
         },
     )
     state = replicated.ReplicatedState()
-    state.apply(1, entries.Found(made))
+    state.apply(1, entries.Bootstrap(made))
     return state
 
 
--- a/wrenspoke/controld.py
+++ b/wrenspoke/controld.py
@@ -149,7 +149,7 @@
     deployment = settings.read(path)
     folder = path.parent / deployment.host(name).data_folder
     kept = storage.Storage(disk.Disk(folder))
-    first = entries.Found(deployment.first_configuration())
+    first = entries.Bootstrap(deployment.first_configuration())
     bootstrap.bootstrap_single(kept, ids.HostId(name), first)
 
 
--- a/wrenspoke/coordination/agreement/bootstrap.py
+++ b/wrenspoke/coordination/agreement/bootstrap.py
@@ -14,7 +14,7 @@
 
 
 def bootstrap_single(
-    kept: storage.Storage, host: ids.HostId, first: entries.Found
+    kept: storage.Storage, host: ids.HostId, first: entries.Bootstrap
 ) -> None:
     """Begin a new group on an empty disk, with one voter.
 
@@ -56,7 +56,7 @@
     kept.meta.incarnation = voters[host]
     kept.meta.term = 1
     kept.save_meta()
-    first = entries.Found(configuration.Configuration())
+    first = entries.Bootstrap(configuration.Configuration())
     kept.append(
         [
             entries.LogEntry(1, 1, entries.SetVoters(voters, 'founding')),
--- a/wrenspoke/state/entries.py
+++ b/wrenspoke/state/entries.py
@@ -35,7 +35,7 @@
         return electorates.Electorate(self.voters, self.before)
 
 
-class Found(msgspec.Struct, frozen=True, tag='found'):
+class Bootstrap(msgspec.Struct, frozen=True, tag='found'):
     """Be the first entry: the settings' configuration."""
 
     configuration: configuration.Configuration
@@ -114,7 +114,7 @@
 Entry = typing.Union[
     LeaderStart,
     SetVoters,
-    Found,
+    Bootstrap,
     MakePlan,
     ConfirmPlan,
     IssueOrder,
--- a/wrenspoke/state/replicated.py
+++ b/wrenspoke/state/replicated.py
@@ -158,8 +158,8 @@
     return register
 
 
-@_applies(entries.Found)
-def _found(state: ReplicatedState, index: int, entry: entries.Found):
+@_applies(entries.Bootstrap)
+def _found(state: ReplicatedState, index: int, entry: entries.Bootstrap):
     change = configuration.SetAll(entry.configuration)
     state.configuration = configuration.apply(
         state.configuration, change, index
