--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -266,7 +266,7 @@
             kept &= active
         hosts = tuple(sorted(kept | active))
         try:
-            await self._local_voter.propose(entries.SetLenders(hosts))
+            await self._local_voter.propose(entries.SetShareHolders(hosts))
         except errors.NotLeaderError:
             logger.info('lenders_not_noted', hosts=len(hosts))
             return
--- a/wrenspoke/state/entries.py
+++ b/wrenspoke/state/entries.py
@@ -95,7 +95,7 @@
     evacuated: bool
 
 
-class SetLenders(msgspec.Struct, frozen=True, tag='lenders'):
+class SetShareHolders(msgspec.Struct, frozen=True, tag='lenders'):
     """Say which entry hosts may hold shares of teams' limits.
 
     None is granted one before an entry that names it is committed, so that
@@ -121,7 +121,7 @@
     EndStep,
     ReplaceRoutes,
     Evacuate,
-    SetLenders,
+    SetShareHolders,
     SetQuarantine,
 ]
 
--- a/wrenspoke/state/replicated.py
+++ b/wrenspoke/state/replicated.py
@@ -302,7 +302,7 @@
     return _put_in_force(state, index, change)
 
 
-@_applies(entries.SetLenders)
+@_applies(entries.SetShareHolders)
 def _set_lenders(state: ReplicatedState, _index: int, entry):
     state.lenders = entry.hosts
     return Applied()
