--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -138,10 +138,10 @@
     held = quarantine.changed({}, (quarantine.Quarantined('first', 3),), ())
     trials = tuple(
         quarantine.Quarantined(f'{n}', 3, True)
-        for n in range(quarantine.KEPT_LIMIT + 5)
+        for n in range(quarantine.MAX_QUARANTINED + 5)
     )
     held = quarantine.changed(held, trials, ())
-    assert len(held) == quarantine.KEPT_LIMIT
+    assert len(held) == quarantine.MAX_QUARANTINED
     assert 'first' in held
     assert quarantine.changed(held, (), ('first',)).get('first') is None
 
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -37,7 +37,7 @@
 MIN_HOLD_RETRY_MS = 1_000
 MS_PER_S = 1_000
 # As many as are kept of what is decided.
-MAX_HOLDS = quarantine.KEPT_LIMIT
+MAX_HOLDS = quarantine.MAX_QUARANTINED
 
 IsDraining = collections.abc.Callable[[ids.EndpointId], bool]
 
--- a/wrenspoke/state/quarantine.py
+++ b/wrenspoke/state/quarantine.py
@@ -6,7 +6,7 @@
 
 # Each takes three ends of endpoints or more. Beyond this those on probation
 # go first, then the oldest; 0.2 KB each on every host.
-KEPT_LIMIT = 1_000
+MAX_QUARANTINED = 1_000
 
 
 class Quarantined(msgspec.Struct, frozen=True):
@@ -46,7 +46,7 @@
     for found in entered:
         new.pop(found.digest, None)
         new[found.digest] = found
-    while len(new) > KEPT_LIMIT:
+    while len(new) > MAX_QUARANTINED:
         del new[_next_to_go(new)]
     return new
 
