--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -135,9 +135,11 @@
 
 
 def test_quarantine_is_bounded_and_keeps_what_is_held():
-    held = quarantine.changed({}, (quarantine.Quarantined('first', 3),), ())
+    held = quarantine.changed(
+        {}, (quarantine.QuarantineEntry('first', 3),), ()
+    )
     trials = tuple(
-        quarantine.Quarantined(f'{n}', 3, True)
+        quarantine.QuarantineEntry(f'{n}', 3, True)
         for n in range(quarantine.MAX_QUARANTINED + 5)
     )
     held = quarantine.changed(held, trials, ())
@@ -330,7 +332,7 @@
 @pytest.mark.parametrize('on_probation', [False, True])
 async def test_decided_hold_lasts_until_released(on_probation):
     host = GuardedHost()
-    host.set_decisions(quarantine.Quarantined('d', 4, on_probation))
+    host.set_decisions(quarantine.QuarantineEntry('d', 4, on_probation))
     assert (host.guard.remaining_hold_ms('d') is None) == on_probation
     host.clock.now_ms += 10 * hold_durations.MAX_HOLD_MS
     assert (host.guard.remaining_hold_ms('d') is None) == on_probation
@@ -340,7 +342,7 @@
 
 async def test_one_crash_on_probation_is_enough():
     host = GuardedHost()
-    host.set_decisions(quarantine.Quarantined('d', 3, on_probation=True))
+    host.set_decisions(quarantine.QuarantineEntry('d', 3, on_probation=True))
     await host.crash_endpoints('a')
     assert host.guard.remaining_hold_ms('d') is not None
 
@@ -364,7 +366,7 @@
 
 def test_operator_lets_a_request_be_sent_again():
     now = configuration.Configuration(
-        index=7, quarantine={'d': quarantine.Quarantined('d', 5)}
+        index=7, quarantine={'d': quarantine.QuarantineEntry('d', 5)}
     )
     intent = plans.ClearQuarantine('d')
     plan = plans.make('p', 'ada', intent, now, 0, 0)
--- a/wrenspoke/coordination/quarantine/crash_aggregator.py
+++ b/wrenspoke/coordination/quarantine/crash_aggregator.py
@@ -80,7 +80,7 @@
         # Those in quarantine that came to a good end.
         self._pending_releases: set[ids.RequestDigest] = set()
         # What is decided, and since when that is known here.
-        self._decided_ms: dict[quarantine.Quarantined, int] = {}
+        self._decided_ms: dict[quarantine.QuarantineEntry, int] = {}
         self._proposing = False
         self._tasks = runtime.Tasks()
         peers.answers(quarantining.RunsEnded)(self._handle_runs_ended)
@@ -255,7 +255,7 @@
     async def _propose_due(self) -> None:
         now_ms = self._clock.mono_ms()
         decisions = [
-            quarantine.Quarantined(digest, self._crash_count(digest))
+            quarantine.QuarantineEntry(digest, self._crash_count(digest))
             for digest, notified_ms in self._notified_ms.items()
             if now_ms - notified_ms >= OBJECTION_WINDOW_MS
         ]
@@ -281,7 +281,9 @@
                 on_probation=decision.on_probation,
             )
 
-    def _due_for_probation(self, now_ms: int) -> list[quarantine.Quarantined]:
+    def _due_for_probation(
+        self, now_ms: int
+    ) -> list[quarantine.QuarantineEntry]:
         """Return, on probation, what has been held for long enough."""
         due = []
         for decision, since_ms in self._decided_ms.items():
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -66,7 +66,7 @@
             ids.RequestDigest, int
         ] = collections.OrderedDict()
         # When this host learned of each decision.
-        self._decision_seen_ms: dict[quarantine.Quarantined, int] = {}
+        self._decision_seen_ms: dict[quarantine.QuarantineEntry, int] = {}
         self._instance_id = ids.new_unique()
         self._tasks = runtime.Tasks()
         self.refused_count = 0
@@ -99,7 +99,7 @@
             self.refused_count += 1
         return held_ms
 
-    def _decided_hold_end_ms(self, decided: quarantine.Quarantined) -> int:
+    def _decided_hold_end_ms(self, decided: quarantine.QuarantineEntry) -> int:
         if len(self._decision_seen_ms) > MAX_HOLDS:
             self._decision_seen_ms.clear()
         decision_seen_ms = self._decision_seen_ms.setdefault(
--- a/wrenspoke/state/configuration.py
+++ b/wrenspoke/state/configuration.py
@@ -232,7 +232,7 @@
 class SetQuarantine(msgspec.Struct, frozen=True, tag='quarantine'):
     """Let some requests be sent no more, and others again."""
 
-    entered: tuple[quarantine.Quarantined, ...] = ()
+    entered: tuple[quarantine.QuarantineEntry, ...] = ()
     cleared: tuple[ids.RequestDigest, ...] = ()
 
 
--- a/wrenspoke/state/quarantine.py
+++ b/wrenspoke/state/quarantine.py
@@ -9,7 +9,7 @@
 MAX_QUARANTINED = 1_000
 
 
-class Quarantined(msgspec.Struct, frozen=True):
+class QuarantineEntry(msgspec.Struct, frozen=True):
     """Say that ``ends`` endpoints ended under a request.
 
     On probation it is sent again; what ends one more endpoint then is back
@@ -21,12 +21,12 @@
     on_probation: bool = False
 
 
-Quarantine = dict[ids.RequestDigest, Quarantined]
+Quarantine = dict[ids.RequestDigest, QuarantineEntry]
 
 
 def held(
     all_known: Quarantine, digest: ids.RequestDigest
-) -> Quarantined | None:
+) -> QuarantineEntry | None:
     """Return what says that a request is not to be sent, None if it may."""
     found = all_known.get(digest)
     if found is None or found.on_probation:
@@ -36,7 +36,7 @@
 
 def changed(
     old: Quarantine,
-    entered: tuple[Quarantined, ...],
+    entered: tuple[QuarantineEntry, ...],
     cleared: tuple[ids.RequestDigest, ...],
 ) -> Quarantine:
     """Return a quarantine with some requests entered or cleared."""
