--- a/wrenspoke/coordination/quarantine/crash_aggregator.py
+++ b/wrenspoke/coordination/quarantine/crash_aggregator.py
@@ -114,7 +114,7 @@
 
     def _record_crash(self, end: quarantining.RunEnd, now_ms: int) -> bool:
         """Note an end; return whether it makes its request a fatal one."""
-        if quarantine.held(self._quarantine, end.digest) is not None:
+        if quarantine.blocking_entry(self._quarantine, end.digest) is not None:
             # Sent before that was known.
             return False
         self._crash_history.record_crash(
@@ -152,7 +152,7 @@
     def _is_held(self, digest: ids.RequestDigest) -> bool:
         if digest in self._notified_ms:
             return True
-        return quarantine.held(self._quarantine, digest) is not None
+        return quarantine.blocking_entry(self._quarantine, digest) is not None
 
     def _make_hold(self, digest: ids.RequestDigest) -> quarantining.Hold:
         crashes = self._crash_count(digest)
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -84,7 +84,9 @@
     def remaining_hold_ms(self, digest: ids.RequestDigest) -> int | None:
         """Return for how long a request is held, None if it may be sent."""
         now_ms = self._clock.mono_ms()
-        decided = quarantine.held(self._replica.current.quarantine, digest)
+        decided = quarantine.blocking_entry(
+            self._replica.current.quarantine, digest
+        )
         if decided is not None:
             # Only another decision releases it.
             left_ms = self._decided_hold_end_ms(decided) - now_ms
--- a/wrenspoke/state/quarantine.py
+++ b/wrenspoke/state/quarantine.py
@@ -24,7 +24,7 @@
 Quarantine = dict[ids.RequestDigest, QuarantineEntry]
 
 
-def held(
+def blocking_entry(
     all_known: Quarantine, digest: ids.RequestDigest
 ) -> QuarantineEntry | None:
     """Return what says that a request is not to be sent, None if it may."""
