--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -135,17 +135,17 @@
 
 
 def test_quarantine_is_bounded_and_keeps_what_is_held():
-    held = quarantine.changed(
+    held = quarantine.apply_changes(
         {}, (quarantine.QuarantineEntry('first', 3),), ()
     )
     trials = tuple(
         quarantine.QuarantineEntry(f'{n}', 3, True)
         for n in range(quarantine.MAX_QUARANTINED + 5)
     )
-    held = quarantine.changed(held, trials, ())
+    held = quarantine.apply_changes(held, trials, ())
     assert len(held) == quarantine.MAX_QUARANTINED
     assert 'first' in held
-    assert quarantine.changed(held, (), ('first',)).get('first') is None
+    assert quarantine.apply_changes(held, (), ('first',)).get('first') is None
 
 
 # What a look at an endpoint tells.
--- a/wrenspoke/state/configuration.py
+++ b/wrenspoke/state/configuration.py
@@ -431,7 +431,9 @@
 
 @_applies(SetQuarantine)
 def _set_quarantine(old: Configuration, change: SetQuarantine):
-    new = quarantine.changed(old.quarantine, change.entered, change.cleared)
+    new = quarantine.apply_changes(
+        old.quarantine, change.entered, change.cleared
+    )
     return {'quarantine': new}
 
 
--- a/wrenspoke/state/quarantine.py
+++ b/wrenspoke/state/quarantine.py
@@ -34,7 +34,7 @@
     return found
 
 
-def changed(
+def apply_changes(
     old: Quarantine,
     entered: tuple[QuarantineEntry, ...],
     cleared: tuple[ids.RequestDigest, ...],
