--- a/wrenspoke/state/quarantine.py
+++ b/wrenspoke/state/quarantine.py
@@ -47,11 +47,11 @@
         new.pop(found.digest, None)
         new[found.digest] = found
     while len(new) > MAX_QUARANTINED:
-        del new[_next_to_go(new)]
+        del new[_eviction_candidate(new)]
     return new
 
 
-def _next_to_go(held: Quarantine) -> ids.RequestDigest:
+def _eviction_candidate(held: Quarantine) -> ids.RequestDigest:
     for digest, found in held.items():
         if found.on_probation:
             return digest
