--- a/wrenspoke/state/records.py
+++ b/wrenspoke/state/records.py
@@ -39,7 +39,7 @@
     records = []
     offset = 0
     while offset < len(data):
-        record = _at(data, offset)
+        record = _record_at(data, offset)
         if record is not None:
             records.append(record)
             offset = record.end
@@ -52,7 +52,7 @@
     return records, offset
 
 
-def _at(data: bytes, offset: int) -> Record | None:
+def _record_at(data: bytes, offset: int) -> Record | None:
     start = offset + HEADER.size
     if start > len(data):
         return None
@@ -69,4 +69,4 @@
 def _any_behind(data: bytes, offset: int) -> bool:
     """Tell whether a good record starts anywhere after ``offset``."""
     last = len(data) - HEADER.size
-    return any(_at(data, other) for other in range(offset + 1, last))
+    return any(_record_at(data, other) for other in range(offset + 1, last))
