--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -366,7 +366,7 @@
     Switch(
         'torn end kept',
         STATE + 'records.py',
-        ('        if _any_behind(data, offset):'),
+        ('        if _has_record_after(data, offset):'),
         ('        if False:'),
         (
             'tests/test_storage.py::test_damage_in_the_middle_is_tol'
--- a/wrenspoke/state/records.py
+++ b/wrenspoke/state/records.py
@@ -44,7 +44,7 @@
             records.append(record)
             offset = record.end
             continue
-        if _any_behind(data, offset):
+        if _has_record_after(data, offset):
             raise errors.CorruptLogError(
                 name, offset, 'damaged record with good ones behind it'
             )
@@ -66,7 +66,7 @@
     return Record(offset, end, body)
 
 
-def _any_behind(data: bytes, offset: int) -> bool:
+def _has_record_after(data: bytes, offset: int) -> bool:
     """Tell whether a good record starts anywhere after ``offset``."""
     last = len(data) - HEADER.size
     return any(_record_at(data, other) for other in range(offset + 1, last))
