--- a/wrenspoke/state/plans.py
+++ b/wrenspoke/state/plans.py
@@ -14,7 +14,7 @@
 from wrenspoke.state import configuration
 from wrenspoke.state import errors
 
-LOAD_TAKES_MS = 5_000
+LOAD_DURATION_MS = 5_000
 ORDER_TAKES_MS = 1_000
 MS_PER_MINUTE = 60_000
 
@@ -357,7 +357,7 @@
             ),
         ],
         summary=f'load {intent.model} into {intent.endpoint}',
-        takes_ms=LOAD_TAKES_MS,
+        takes_ms=LOAD_DURATION_MS,
         waits_for=['the weight store', intent.endpoint],
     )
 
@@ -401,7 +401,7 @@
             Change(configuration.SetAdapter(intent.endpoint, name, True)),
         ],
         summary=f'load adapter {name} into {intent.endpoint}',
-        takes_ms=LOAD_TAKES_MS,
+        takes_ms=LOAD_DURATION_MS,
         waits_for=['the weight store', intent.endpoint],
     )
 
