--- a/wrenspoke/state/plans.py
+++ b/wrenspoke/state/plans.py
@@ -15,7 +15,7 @@
 from wrenspoke.state import errors
 
 LOAD_DURATION_MS = 5_000
-ORDER_TAKES_MS = 1_000
+ORDER_DURATION_MS = 1_000
 MS_PER_MINUTE = 60_000
 
 
@@ -380,7 +380,7 @@
         summary=f'take {intent.model} out of {intent.endpoint}',
         capacity_lost=_lost(endpoint, current),
         caches_cold=1,
-        takes_ms=ORDER_TAKES_MS,
+        takes_ms=ORDER_DURATION_MS,
         waits_for=[f'requests in flight at {intent.endpoint}'],
     )
 
@@ -422,7 +422,7 @@
             Order(intent.endpoint, 'retire', adapter=name),
         ],
         summary=f'take adapter {name} out of {intent.endpoint}',
-        takes_ms=ORDER_TAKES_MS,
+        takes_ms=ORDER_DURATION_MS,
     )
 
 
@@ -442,7 +442,7 @@
         summary=f'make {name} a {intent.role.value} engine',
         capacity_lost=_lost(endpoint, current),
         caches_cold=1,
-        takes_ms=ORDER_TAKES_MS,
+        takes_ms=ORDER_DURATION_MS,
         waits_for=[f'requests in flight at {name}'],
     )
 
