--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -260,7 +260,7 @@
         kept.append([entries.LogEntry(index, 1, entry)])
 
     limit = configuration.TeamLimit('team-1', 7.0, 9)
-    plan = plans.make(
+    plan = plans.build_plan(
         'ada-1',
         'ada',
         plans.ChangeLimit(limit),
--- a/tests/test_execution.py
+++ b/tests/test_execution.py
@@ -91,7 +91,7 @@
     found = entries.Bootstrap(deployment.first_configuration())
     state.apply(1, found)
     for number in (1, 2):
-        plan = plans.make(
+        plan = plans.build_plan(
             f'p{number}',
             'ada',
             plans.LoadModel(NAME, f'model-{number}'),
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -71,7 +71,7 @@
     )
     def make(self, operator, number, intent):
         try:
-            plan = plans.make(
+            plan = plans.build_plan(
                 f'{operator}-{number}',
                 operator,
                 intent,
@@ -155,7 +155,7 @@
 @pytest.mark.parametrize('intent', INTENTS[:2], ids=NAMES)
 def test_drain_goes_through_its_states(intent):
     state = first_state()
-    plan = plans.make('p', 'ada', intent, state.configuration, 0, 0)
+    plan = plans.build_plan('p', 'ada', intent, state.configuration, 0, 0)
     state.apply(2, entries.MakePlan('ada', 1, 'd', plan))
     state.apply(3, entries.ConfirmPlan('ada', 2, 'c', 'p', 0))
     found = state.configuration.endpoint(intent.endpoint)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -369,7 +369,7 @@
         index=7, quarantine={'d': quarantine.QuarantineEntry('d', 5)}
     )
     intent = plans.ClearQuarantine('d')
-    plan = plans.make('p', 'ada', intent, now, 0, 0)
+    plan = plans.build_plan('p', 'ada', intent, now, 0, 0)
     assert '5 endpoints ended' in plan.summary
     [step] = plan.steps
     assert configuration.apply(now, step.change, 8).quarantine == {}
@@ -378,7 +378,7 @@
 def test_clearing_what_is_not_held_is_refused():
     now = configuration.Configuration()
     with pytest.raises(errors.UnknownItemError, match='in quarantine'):
-        plans.make('p', 'ada', plans.ClearQuarantine('d'), now, 0, 0)
+        plans.build_plan('p', 'ada', plans.ClearQuarantine('d'), now, 0, 0)
 
 
 # Whole systems.
--- a/wrenspoke/coordination/agreement/control_service.py
+++ b/wrenspoke/coordination/agreement/control_service.py
@@ -124,7 +124,7 @@
         if known is not None:
             return known
         try:
-            plan = plans.make(
+            plan = plans.build_plan(
                 ids.PlanId(f'{operator}-{request.number}'),
                 operator,
                 request.intent,
--- a/wrenspoke/state/plans.py
+++ b/wrenspoke/state/plans.py
@@ -235,7 +235,7 @@
     waits_for: list[str] = []
 
 
-def make(
+def build_plan(
     plan: ids.PlanId,
     operator: ids.OperatorId,
     intent: Intent,
