--- a/wrenspoke/state/plans.py
+++ b/wrenspoke/state/plans.py
@@ -216,7 +216,7 @@
 _PLANNERS = {}
 
 
-def _plans(kind: type):
+def _register_planner(kind: type):
     def register(function):
         _PLANNERS[kind] = function
         return function
@@ -296,7 +296,7 @@
     return endpoint.slots / slots if slots else 0.0
 
 
-@_plans(Drain)
+@_register_planner(Drain)
 def _plan_drain(intent: Drain, current: configuration.Configuration):
     endpoint = current.endpoint(intent.endpoint)
     if endpoint.state is not configuration.EndpointState.ACTIVE:
@@ -317,7 +317,7 @@
     )
 
 
-@_plans(Undrain)
+@_register_planner(Undrain)
 def _plan_undrain(intent: Undrain, current: configuration.Configuration):
     endpoint = current.endpoint(intent.endpoint)
     if endpoint.state is configuration.EndpointState.ACTIVE:
@@ -342,7 +342,7 @@
     return endpoint
 
 
-@_plans(LoadModel)
+@_register_planner(LoadModel)
 def _plan_load(intent: LoadModel, current: configuration.Configuration):
     endpoint = _engine(intent.endpoint, current)
     if intent.model in endpoint.models:
@@ -362,7 +362,7 @@
     )
 
 
-@_plans(RetireModel)
+@_register_planner(RetireModel)
 def _plan_retire(intent: RetireModel, current: configuration.Configuration):
     endpoint = _engine(intent.endpoint, current)
     if intent.model not in endpoint.models:
@@ -385,7 +385,7 @@
     )
 
 
-@_plans(LoadAdapter)
+@_register_planner(LoadAdapter)
 def _plan_load_adapter(
     intent: LoadAdapter, current: configuration.Configuration
 ):
@@ -406,7 +406,7 @@
     )
 
 
-@_plans(RetireAdapter)
+@_register_planner(RetireAdapter)
 def _plan_retire_adapter(
     intent: RetireAdapter, current: configuration.Configuration
 ):
@@ -426,7 +426,7 @@
     )
 
 
-@_plans(ChangeRole)
+@_register_planner(ChangeRole)
 def _plan_role(intent: ChangeRole, current: configuration.Configuration):
     endpoint = _engine(intent.endpoint, current)
     states = configuration.EndpointState
@@ -447,7 +447,7 @@
     )
 
 
-@_plans(ChangeRule)
+@_register_planner(ChangeRule)
 def _plan_rule(intent: ChangeRule, current: configuration.Configuration):
     verb = 'replace' if intent.rule.rule in current.rules else 'add'
     return _Draft(
@@ -456,7 +456,7 @@
     )
 
 
-@_plans(DropRule)
+@_register_planner(DropRule)
 def _plan_drop(intent: DropRule, _current: configuration.Configuration):
     return _Draft(
         steps=[Change(configuration.RemoveRule(intent.rule))],
@@ -464,7 +464,7 @@
     )
 
 
-@_plans(ChangeLimit)
+@_register_planner(ChangeLimit)
 def _plan_limit(intent: ChangeLimit, _current: configuration.Configuration):
     return _Draft(
         steps=[Change(configuration.SetLimit(intent.limit))],
@@ -472,7 +472,7 @@
     )
 
 
-@_plans(IssueKey)
+@_register_planner(IssueKey)
 def _plan_issue(intent: IssueKey, _current: configuration.Configuration):
     return _Draft(
         steps=[Change(configuration.IssueKey(intent.team, intent.digest))],
@@ -480,7 +480,7 @@
     )
 
 
-@_plans(WithdrawKey)
+@_register_planner(WithdrawKey)
 def _plan_withdraw(intent: WithdrawKey, current: configuration.Configuration):
     team = current.keys.get(intent.digest)
     left = sum(holder == team for holder in current.keys.values()) - 1
@@ -490,7 +490,7 @@
     )
 
 
-@_plans(ClearQuarantine)
+@_register_planner(ClearQuarantine)
 def _plan_clear(intent: ClearQuarantine, current: configuration.Configuration):
     found = current.quarantine.get(intent.digest)
     if found is None:
@@ -507,7 +507,7 @@
     )
 
 
-@_plans(AddEndpoint)
+@_register_planner(AddEndpoint)
 def _plan_add(intent: AddEndpoint, current: configuration.Configuration):
     name = intent.endpoint.endpoint
     if name in current.endpoints:
@@ -519,7 +519,7 @@
     )
 
 
-@_plans(RemoveEndpoint)
+@_register_planner(RemoveEndpoint)
 def _plan_remove(
     intent: RemoveEndpoint, _current: configuration.Configuration
 ):
