--- a/wrenspoke/state/plans.py
+++ b/wrenspoke/state/plans.py
@@ -251,7 +251,7 @@
     """
     draft = _PLANNERS[type(intent)](intent, current)
     loads = any(isinstance(step, Order) and step.loads for step in draft.steps)
-    _check(draft, current)
+    _validate_changes(draft, current)
     return Plan(
         plan=plan,
         operator=operator,
@@ -269,7 +269,9 @@
     )
 
 
-def _check(draft: _Draft, current: configuration.Configuration) -> None:
+def _validate_changes(
+    draft: _Draft, current: configuration.Configuration
+) -> None:
     """Apply the changes to a copy, so that a bad one is refused now."""
     for step in draft.steps:
         if isinstance(step, Change):
