--- a/wrenspoke/state/plans.py
+++ b/wrenspoke/state/plans.py
@@ -284,7 +284,7 @@
     return Change(configuration.SetEndpointState(endpoint, state))
 
 
-def _lost(
+def _lost_capacity(
     endpoint: configuration.Endpoint, current: configuration.Configuration
 ) -> float:
     """Return an endpoint's share of its service's slots in its region."""
@@ -313,7 +313,7 @@
             _state(intent.endpoint, states.DRAINED),
         ],
         summary=f'give {intent.endpoint} no new work and let it finish',
-        capacity_lost=_lost(endpoint, current),
+        capacity_lost=_lost_capacity(endpoint, current),
         caches_cold=1,
         waits_for=[f'requests in flight at {intent.endpoint}'],
     )
@@ -380,7 +380,7 @@
             Order(intent.endpoint, 'retire', model=intent.model),
         ],
         summary=f'take {intent.model} out of {intent.endpoint}',
-        capacity_lost=_lost(endpoint, current),
+        capacity_lost=_lost_capacity(endpoint, current),
         caches_cold=1,
         takes_ms=ORDER_DURATION_MS,
         waits_for=[f'requests in flight at {intent.endpoint}'],
@@ -442,7 +442,7 @@
             _state(name, states.ACTIVE),
         ],
         summary=f'make {name} a {intent.role.value} engine',
-        capacity_lost=_lost(endpoint, current),
+        capacity_lost=_lost_capacity(endpoint, current),
         caches_cold=1,
         takes_ms=ORDER_DURATION_MS,
         waits_for=[f'requests in flight at {name}'],
