--- a/wrenspoke/state/plans.py
+++ b/wrenspoke/state/plans.py
@@ -278,7 +278,7 @@
             current = configuration.apply(current, step.change, current.index)
 
 
-def _state(
+def _set_state_step(
     endpoint: ids.EndpointId, state: configuration.EndpointState
 ) -> Change:
     return Change(configuration.SetEndpointState(endpoint, state))
@@ -308,9 +308,9 @@
     states = configuration.EndpointState
     return _Draft(
         steps=[
-            _state(intent.endpoint, states.DRAINING),
+            _set_state_step(intent.endpoint, states.DRAINING),
             WaitIdle(intent.endpoint),
-            _state(intent.endpoint, states.DRAINED),
+            _set_state_step(intent.endpoint, states.DRAINED),
         ],
         summary=f'give {intent.endpoint} no new work and let it finish',
         capacity_lost=_lost_capacity(endpoint, current),
@@ -328,7 +328,7 @@
         )
     active = configuration.EndpointState.ACTIVE
     return _Draft(
-        steps=[_state(intent.endpoint, active)],
+        steps=[_set_state_step(intent.endpoint, active)],
         summary=f'give {intent.endpoint} work again; its cache is cold',
         caches_cold=1,
     )
@@ -435,11 +435,11 @@
     name = intent.endpoint
     return _Draft(
         steps=[
-            _state(name, states.DRAINING),
+            _set_state_step(name, states.DRAINING),
             WaitIdle(name),
             Order(name, 'role', role=intent.role.value),
             Change(configuration.SetRole(name, intent.role)),
-            _state(name, states.ACTIVE),
+            _set_state_step(name, states.ACTIVE),
         ],
         summary=f'make {name} a {intent.role.value} engine',
         capacity_lost=_lost_capacity(endpoint, current),
