--- a/wrenspoke/state/plans.py
+++ b/wrenspoke/state/plans.py
@@ -334,7 +334,7 @@
     )
 
 
-def _engine(
+def _engine_endpoint(
     name: ids.EndpointId, current: configuration.Configuration
 ) -> configuration.Endpoint:
     endpoint = current.endpoint(name)
@@ -346,7 +346,7 @@
 
 @_register_planner(LoadModel)
 def _plan_load(intent: LoadModel, current: configuration.Configuration):
-    endpoint = _engine(intent.endpoint, current)
+    endpoint = _engine_endpoint(intent.endpoint, current)
     if intent.model in endpoint.models:
         raise errors.InvalidChangeError(
             f'{intent.endpoint} has {intent.model} already'
@@ -366,7 +366,7 @@
 
 @_register_planner(RetireModel)
 def _plan_retire(intent: RetireModel, current: configuration.Configuration):
-    endpoint = _engine(intent.endpoint, current)
+    endpoint = _engine_endpoint(intent.endpoint, current)
     if intent.model not in endpoint.models:
         raise errors.InvalidChangeError(
             f'{intent.endpoint} has no {intent.model}'
@@ -391,7 +391,7 @@
 def _plan_load_adapter(
     intent: LoadAdapter, current: configuration.Configuration
 ):
-    endpoint = _engine(intent.endpoint, current)
+    endpoint = _engine_endpoint(intent.endpoint, current)
     if intent.adapter in endpoint.adapters:
         raise errors.InvalidChangeError(
             f'{intent.endpoint} has {intent.adapter} already'
@@ -412,7 +412,7 @@
 def _plan_retire_adapter(
     intent: RetireAdapter, current: configuration.Configuration
 ):
-    endpoint = _engine(intent.endpoint, current)
+    endpoint = _engine_endpoint(intent.endpoint, current)
     if intent.adapter not in endpoint.adapters:
         raise errors.InvalidChangeError(
             f'{intent.endpoint} has no {intent.adapter}'
@@ -430,7 +430,7 @@
 
 @_register_planner(ChangeRole)
 def _plan_role(intent: ChangeRole, current: configuration.Configuration):
-    endpoint = _engine(intent.endpoint, current)
+    endpoint = _engine_endpoint(intent.endpoint, current)
     states = configuration.EndpointState
     name = intent.endpoint
     return _Draft(
