--- a/wrenspoke/state/plans.py
+++ b/wrenspoke/state/plans.py
@@ -178,7 +178,7 @@
     waits_for: tuple[str, ...] = ()
 
 
-class StepEnd(msgspec.Struct, frozen=True):
+class StepResult(msgspec.Struct, frozen=True):
     """Tell how one step ended."""
 
     step: int
@@ -203,7 +203,7 @@
     reached: int = 0
     reached_index: int = 0
     issued_index: int = 0
-    ends: tuple[StepEnd, ...] = ()
+    ends: tuple[StepResult, ...] = ()
 
     @property
     def current(self) -> Step | None:
--- a/wrenspoke/state/replicated.py
+++ b/wrenspoke/state/replicated.py
@@ -15,7 +15,7 @@
 Change = configuration.Change
 Configuration = configuration.Configuration
 Plan = plans.Plan
-StepEnd = plans.StepEnd
+StepEnd = plans.StepResult
 Plans = dict[ids.PlanId, plans.Plan]
 
 KEPT_ANSWERS = 1_000
@@ -248,7 +248,9 @@
     plan = state.plans.get(entry.plan)
     if plan is None or plan.current is None or plan.reached != entry.step:
         return Applied()
-    end = plans.StepEnd(entry.step, entry.succeeded, entry.detail, entry.at_ms)
+    end = plans.StepResult(
+        entry.step, entry.succeeded, entry.detail, entry.at_ms
+    )
     ends = (*plan.ends, end)
     if not entry.succeeded:
         state.plans[entry.plan] = msgspec.structs.replace(
