--- a/wrenspoke/state/configuration.py
+++ b/wrenspoke/state/configuration.py
@@ -261,13 +261,13 @@
 ]
 
 
-class Several(msgspec.Struct, frozen=True, tag='several'):
+class ChangeBatch(msgspec.Struct, frozen=True, tag='several'):
     """Make several changes in force together, at one index."""
 
     changes: tuple[Simple, ...]
 
 
-Change = typing.Union[Simple, Several]
+Change = typing.Union[Simple, ChangeBatch]
 
 _APPLIERS = {}
 
@@ -450,8 +450,8 @@
     }
 
 
-@_applies(Several)
-def _several(old: Configuration, change: Several):
+@_applies(ChangeBatch)
+def _several(old: Configuration, change: ChangeBatch):
     new = old
     for one in change.changes:
         new = apply(new, one, old.index)
--- a/wrenspoke/state/replicated.py
+++ b/wrenspoke/state/replicated.py
@@ -138,7 +138,7 @@
             return None
         if len(changes) == 1:
             return changes[0]
-        return configuration.Several(tuple(changes))
+        return configuration.ChangeBatch(tuple(changes))
 
     def running(self) -> list[Plan]:
         """Return the plans that wait for a step."""
@@ -219,7 +219,7 @@
         if change is None:
             # A plan that begins with an order changes nothing yet, but
             # no other made on the same index may be confirmed beside it.
-            change = configuration.Several(())
+            change = configuration.ChangeBatch(())
             state.configuration = configuration.apply(
                 state.configuration, change, index
             )
