--- a/wrenspoke/state/configuration.py
+++ b/wrenspoke/state/configuration.py
@@ -242,7 +242,7 @@
     configuration: Configuration
 
 
-Simple = typing.Union[
+SingleChange = typing.Union[
     SetEndpointState,
     AddEndpoint,
     RemoveEndpoint,
@@ -264,10 +264,10 @@
 class ChangeBatch(msgspec.Struct, frozen=True, tag='several'):
     """Make several changes in force together, at one index."""
 
-    changes: tuple[Simple, ...]
+    changes: tuple[SingleChange, ...]
 
 
-Change = typing.Union[Simple, ChangeBatch]
+Change = typing.Union[SingleChange, ChangeBatch]
 
 _APPLIERS = {}
 
