--- a/wrenspoke/state/configuration.py
+++ b/wrenspoke/state/configuration.py
@@ -451,7 +451,7 @@
 
 
 @_applies(ChangeBatch)
-def _several(old: Configuration, change: ChangeBatch):
+def _apply_batch(old: Configuration, change: ChangeBatch):
     new = old
     for one in change.changes:
         new = apply(new, one, old.index)
