--- a/wrenspoke/state/configuration.py
+++ b/wrenspoke/state/configuration.py
@@ -272,7 +272,7 @@
 _APPLIERS = {}
 
 
-def _applies(kind: type):
+def _register_applier(kind: type):
     def register(function):
         _APPLIERS[kind] = function
         return function
@@ -295,14 +295,14 @@
     return {'endpoints': {**old.endpoints, endpoint.endpoint: endpoint}}
 
 
-@_applies(SetEndpointState)
+@_register_applier(SetEndpointState)
 def _set_endpoint_state(old: Configuration, change: SetEndpointState):
     found = old.endpoint(change.endpoint)
     changed = msgspec.structs.replace(found, state=change.state)
     return _with_endpoint(old, changed)
 
 
-@_applies(AddEndpoint)
+@_register_applier(AddEndpoint)
 def _add_endpoint(old: Configuration, change: AddEndpoint):
     if change.endpoint.service not in old.services:
         raise errors.InvalidChangeError(
@@ -311,7 +311,7 @@
     return _with_endpoint(old, change.endpoint)
 
 
-@_applies(RemoveEndpoint)
+@_register_applier(RemoveEndpoint)
 def _remove_endpoint(old: Configuration, change: RemoveEndpoint):
     found = old.endpoint(change.endpoint)
     if found.state is EndpointState.ACTIVE:
@@ -330,14 +330,14 @@
     return (*rest, name) if present else rest
 
 
-@_applies(SetModel)
+@_register_applier(SetModel)
 def _set_model(old: Configuration, change: SetModel):
     found = old.endpoint(change.endpoint)
     models = _toggled(found.models, change.model, change.loaded)
     return _with_endpoint(old, msgspec.structs.replace(found, models=models))
 
 
-@_applies(SetAdapter)
+@_register_applier(SetAdapter)
 def _set_adapter(old: Configuration, change: SetAdapter):
     found = old.endpoint(change.endpoint)
     adapters = _toggled(found.adapters, change.adapter, change.loaded)
@@ -345,14 +345,14 @@
     return _with_endpoint(old, changed)
 
 
-@_applies(SetRole)
+@_register_applier(SetRole)
 def _set_role(old: Configuration, change: SetRole):
     found = old.endpoint(change.endpoint)
     changed = msgspec.structs.replace(found, role=change.role)
     return _with_endpoint(old, changed)
 
 
-@_applies(SetRule)
+@_register_applier(SetRule)
 def _set_rule(old: Configuration, change: SetRule):
     if change.rule.service not in old.services:
         raise errors.InvalidChangeError(
@@ -361,7 +361,7 @@
     return {'rules': {**old.rules, change.rule.rule: change.rule}}
 
 
-@_applies(RemoveRule)
+@_register_applier(RemoveRule)
 def _remove_rule(old: Configuration, change: RemoveRule):
     if change.rule not in old.rules:
         raise errors.UnknownItemError(f'rule {change.rule} is unknown')
@@ -370,7 +370,7 @@
     return {'rules': rules}
 
 
-@_applies(SetLimit)
+@_register_applier(SetLimit)
 def _set_limit(old: Configuration, change: SetLimit):
     if change.limit.requests_per_s <= 0:
         raise errors.InvalidChangeError(
@@ -383,7 +383,7 @@
     return {'limits': {**old.limits, change.limit.team: change.limit}}
 
 
-@_applies(IssueKey)
+@_register_applier(IssueKey)
 def _issue_key(old: Configuration, change: IssueKey):
     if not DIGEST.fullmatch(change.digest):
         raise errors.InvalidChangeError(
@@ -400,7 +400,7 @@
     return {'keys': keys, 'proved': True}
 
 
-@_applies(WithdrawKey)
+@_register_applier(WithdrawKey)
 def _withdraw_key(old: Configuration, change: WithdrawKey):
     if change.digest not in old.keys:
         raise errors.UnknownItemError(
@@ -411,7 +411,7 @@
     return {'keys': keys}
 
 
-@_applies(SetRoutes)
+@_register_applier(SetRoutes)
 def _set_routes(old: Configuration, change: SetRoutes):
     if change.table.version <= old.routes.version:
         raise errors.InvalidChangeError(
@@ -420,7 +420,7 @@
     return {'routes': change.table}
 
 
-@_applies(SetEvacuation)
+@_register_applier(SetEvacuation)
 def _set_evacuation(old: Configuration, change: SetEvacuation):
     return {
         'evacuated': _toggled(
@@ -429,7 +429,7 @@
     }
 
 
-@_applies(SetQuarantine)
+@_register_applier(SetQuarantine)
 def _set_quarantine(old: Configuration, change: SetQuarantine):
     new = quarantine.apply_changes(
         old.quarantine, change.entered, change.cleared
@@ -437,7 +437,7 @@
     return {'quarantine': new}
 
 
-@_applies(SetAll)
+@_register_applier(SetAll)
 def _set_all(_old: Configuration, change: SetAll):
     return _contents(change.configuration)
 
@@ -450,7 +450,7 @@
     }
 
 
-@_applies(ChangeBatch)
+@_register_applier(ChangeBatch)
 def _apply_batch(old: Configuration, change: ChangeBatch):
     new = old
     for one in change.changes:
