--- a/wrenspoke/state/configuration.py
+++ b/wrenspoke/state/configuration.py
@@ -323,7 +323,7 @@
     return {'endpoints': endpoints}
 
 
-def _toggled(
+def _with_presence(
     names: tuple[str, ...], name: str, present: bool
 ) -> tuple[str, ...]:
     rest = tuple(other for other in names if other != name)
@@ -333,14 +333,14 @@
 @_register_applier(SetModel)
 def _set_model(old: Configuration, change: SetModel):
     found = old.endpoint(change.endpoint)
-    models = _toggled(found.models, change.model, change.loaded)
+    models = _with_presence(found.models, change.model, change.loaded)
     return _with_endpoint(old, msgspec.structs.replace(found, models=models))
 
 
 @_register_applier(SetAdapter)
 def _set_adapter(old: Configuration, change: SetAdapter):
     found = old.endpoint(change.endpoint)
-    adapters = _toggled(found.adapters, change.adapter, change.loaded)
+    adapters = _with_presence(found.adapters, change.adapter, change.loaded)
     changed = msgspec.structs.replace(found, adapters=adapters)
     return _with_endpoint(old, changed)
 
@@ -423,7 +423,7 @@
 @_register_applier(SetEvacuation)
 def _set_evacuation(old: Configuration, change: SetEvacuation):
     return {
-        'evacuated': _toggled(
+        'evacuated': _with_presence(
             old.evacuated, change.data_centre, change.evacuated
         )
     }
