--- a/wrenspoke/state/configuration.py
+++ b/wrenspoke/state/configuration.py
@@ -439,10 +439,10 @@
 
 @_register_applier(SetAll)
 def _set_all(_old: Configuration, change: SetAll):
-    return _contents(change.configuration)
+    return _fields_except_index(change.configuration)
 
 
-def _contents(of: Configuration) -> dict:
+def _fields_except_index(of: Configuration) -> dict:
     return {
         field: getattr(of, field)
         for field in of.__struct_fields__
@@ -455,4 +455,4 @@
     new = old
     for one in change.changes:
         new = apply(new, one, old.index)
-    return _contents(new)
+    return _fields_except_index(new)
