--- a/wrenspoke/state/replicated.py
+++ b/wrenspoke/state/replicated.py
@@ -150,7 +150,7 @@
 _APPLIERS = {}
 
 
-def _applies(kind: type):
+def _register_applier(kind: type):
     def register(function):
         _APPLIERS[kind] = function
         return function
@@ -158,7 +158,7 @@
     return register
 
 
-@_applies(entries.Bootstrap)
+@_register_applier(entries.Bootstrap)
 def _found(state: ReplicatedState, index: int, entry: entries.Bootstrap):
     change = configuration.SetAll(entry.configuration)
     state.configuration = configuration.apply(
@@ -167,7 +167,7 @@
     return Applied(change=change)
 
 
-@_applies(entries.MakePlan)
+@_register_applier(entries.MakePlan)
 def _make_plan(state: ReplicatedState, index: int, entry: entries.MakePlan):
     known = state.known_answer(entry.operator, entry.number, entry.digest)
     if known is not None:
@@ -192,7 +192,7 @@
             return
 
 
-@_applies(entries.ConfirmPlan)
+@_register_applier(entries.ConfirmPlan)
 def _confirm_plan(
     state: ReplicatedState, index: int, entry: entries.ConfirmPlan
 ):
@@ -228,7 +228,7 @@
     return Applied(answer=answer, change=change)
 
 
-@_applies(entries.IssueOrder)
+@_register_applier(entries.IssueOrder)
 def _issue_order(
     state: ReplicatedState, index: int, entry: entries.IssueOrder
 ):
@@ -243,7 +243,7 @@
     return Applied()
 
 
-@_applies(entries.EndStep)
+@_register_applier(entries.EndStep)
 def _end_step(state: ReplicatedState, index: int, entry: entries.EndStep):
     plan = state.plans.get(entry.plan)
     if plan is None or plan.current is None or plan.reached != entry.step:
@@ -272,7 +272,7 @@
 NO_PLAN = ids.PlanId('')
 
 
-@_applies(entries.ReplaceRoutes)
+@_register_applier(entries.ReplaceRoutes)
 def _replace_routes(
     state: ReplicatedState, index: int, entry: entries.ReplaceRoutes
 ):
@@ -294,7 +294,7 @@
     return Verdict.ACCEPTED
 
 
-@_applies(entries.Evacuate)
+@_register_applier(entries.Evacuate)
 def _evacuate(state: ReplicatedState, index: int, entry: entries.Evacuate):
     held = entry.data_centre in state.configuration.evacuated
     if held == entry.evacuated:
@@ -304,13 +304,13 @@
     return _put_in_force(state, index, change)
 
 
-@_applies(entries.SetShareHolders)
+@_register_applier(entries.SetShareHolders)
 def _set_lenders(state: ReplicatedState, _index: int, entry):
     state.lenders = entry.hosts
     return Applied()
 
 
-@_applies(entries.SetQuarantine)
+@_register_applier(entries.SetQuarantine)
 def _set_quarantine(
     state: ReplicatedState, index: int, entry: entries.SetQuarantine
 ):
