--- a/wrenspoke/state/replicated.py
+++ b/wrenspoke/state/replicated.py
@@ -18,7 +18,7 @@
 StepEnd = plans.StepResult
 Plans = dict[ids.PlanId, plans.Plan]
 
-KEPT_ANSWERS = 1_000
+MAX_STORED_ANSWERS = 1_000
 KEPT_PLANS = 5_000
 
 
@@ -78,7 +78,7 @@
         kept = self.answers.get(operator, {})
         found = kept.get(number)
         if found is None:
-            if len(kept) >= KEPT_ANSWERS and number < min(kept):
+            if len(kept) >= MAX_STORED_ANSWERS and number < min(kept):
                 return self._reject(
                     Verdict.TOO_OLD, f'number {number} is not kept any more'
                 )
@@ -103,7 +103,7 @@
         """Keep an answer for a resend and return it."""
         kept = self.answers.setdefault(operator, {})
         kept[number] = KeptAnswer(digest, answer)
-        while len(kept) > KEPT_ANSWERS:
+        while len(kept) > MAX_STORED_ANSWERS:
             del kept[min(kept)]
         return Applied(answer=answer)
 
