--- a/wrenspoke/state/replicated.py
+++ b/wrenspoke/state/replicated.py
@@ -19,7 +19,7 @@
 Plans = dict[ids.PlanId, plans.Plan]
 
 MAX_STORED_ANSWERS = 1_000
-KEPT_PLANS = 5_000
+MAX_STORED_PLANS = 5_000
 
 
 class Verdict(enum.Enum):
@@ -182,13 +182,13 @@
 
 
 def _forget_old_plans(state: ReplicatedState) -> None:
-    if len(state.plans) <= KEPT_PLANS:
+    if len(state.plans) <= MAX_STORED_PLANS:
         return
     for name, plan in list(state.plans.items()):
         if plan.state is plans.PlanState.RUNNING:
             continue
         del state.plans[name]
-        if len(state.plans) <= KEPT_PLANS:
+        if len(state.plans) <= MAX_STORED_PLANS:
             return
 
 
