--- a/wrenspoke/coordination/agreement/control_service.py
+++ b/wrenspoke/coordination/agreement/control_service.py
@@ -32,7 +32,7 @@
 VERDICT_STATUSES = {
     replicated.Verdict.ACCEPTED: OK,
     replicated.Verdict.CONFLICT: CONFLICT,
-    replicated.Verdict.MOVED_ON: CONFLICT,
+    replicated.Verdict.STALE_BASE: CONFLICT,
     replicated.Verdict.UNKNOWN: NOT_FOUND,
     replicated.Verdict.TOO_OLD: CONFLICT,
 }
--- a/wrenspoke/state/replicated.py
+++ b/wrenspoke/state/replicated.py
@@ -27,7 +27,7 @@
 
     ACCEPTED = 'accepted'
     CONFLICT = 'conflict'
-    MOVED_ON = 'moved_on'
+    STALE_BASE = 'moved_on'
     UNKNOWN = 'unknown'
     TOO_OLD = 'too_old'
 
@@ -207,7 +207,7 @@
         verdict = Verdict.CONFLICT
         detail = f'plan {entry.plan} was confirmed before'
     elif plan.base_index != state.configuration.index:
-        verdict = Verdict.MOVED_ON
+        verdict = Verdict.STALE_BASE
         detail = (
             f'made on index {plan.base_index}, the configuration is at '
             f'{state.configuration.index}; plan again'
