--- a/wrenspoke/state/replicated.py
+++ b/wrenspoke/state/replicated.py
@@ -41,7 +41,7 @@
     detail: str = ''
 
 
-class KeptAnswer(msgspec.Struct, frozen=True):
+class StoredAnswer(msgspec.Struct, frozen=True):
     """Hold an answer with the digest of what was asked."""
 
     digest: str
@@ -61,7 +61,7 @@
     index: int = 0
     configuration: Configuration = Configuration()
     plans: Plans = {}
-    answers: dict[ids.OperatorId, dict[int, KeptAnswer]] = {}
+    answers: dict[ids.OperatorId, dict[int, StoredAnswer]] = {}
     last_load_ms: int = 0
     lenders: tuple[ids.HostId, ...] = ()
 
@@ -102,7 +102,7 @@
     ) -> Applied:
         """Keep an answer for a resend and return it."""
         kept = self.answers.setdefault(operator, {})
-        kept[number] = KeptAnswer(digest, answer)
+        kept[number] = StoredAnswer(digest, answer)
         while len(kept) > MAX_STORED_ANSWERS:
             del kept[min(kept)]
         return Applied(answer=answer)
