--- a/wrenspoke/coordination/agreement/leadership.py
+++ b/wrenspoke/coordination/agreement/leadership.py
@@ -57,7 +57,7 @@
     def adopt_term(self, term: int) -> None:
         """Take note of a higher term, which ends the lead."""
 
-    async def propose(self, entry: entries.Entry) -> replicated.Applied:
+    async def propose(self, entry: entries.Entry) -> replicated.ApplyResult:
         """Write an entry and wait until it is applied."""
 
 
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -504,7 +504,7 @@
         if silent or not self._may_lead:
             self._step_down()
 
-    async def propose(self, entry: entries.Entry) -> replicated.Applied:
+    async def propose(self, entry: entries.Entry) -> replicated.ApplyResult:
         """Write an entry and return what applying it did.
 
         :raises NotLeaderError: this host does not lead, or lost the lead
--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -164,7 +164,7 @@
     def state(self) -> replicated.ReplicatedState:
         """Return what is committed."""
 
-    async def propose(self, entry: entries.Entry) -> replicated.Applied:
+    async def propose(self, entry: entries.Entry) -> replicated.ApplyResult:
         """Write an entry and wait until it is applied."""
 
 
--- a/wrenspoke/coordination/quarantine/crash_aggregator.py
+++ b/wrenspoke/coordination/quarantine/crash_aggregator.py
@@ -52,7 +52,7 @@
     def has_lease(self) -> bool:
         """Tell whether no other host can be leader now."""
 
-    async def propose(self, entry: entries.Entry) -> replicated.Applied:
+    async def propose(self, entry: entries.Entry) -> replicated.ApplyResult:
         """Write an entry and wait until it is applied."""
 
 
--- a/wrenspoke/state/replicated.py
+++ b/wrenspoke/state/replicated.py
@@ -48,7 +48,7 @@
     answer: Answer
 
 
-class Applied(msgspec.Struct, frozen=True):
+class ApplyResult(msgspec.Struct, frozen=True):
     """Tell what applying an entry did."""
 
     answer: Answer | None = None
@@ -65,11 +65,13 @@
     last_load_ms: int = 0
     lenders: tuple[ids.HostId, ...] = ()
 
-    def apply(self, index: int, entry: entries.Entry) -> Applied:
+    def apply(self, index: int, entry: entries.Entry) -> ApplyResult:
         """Apply the entry at ``index``; the same on every voter."""
         self.index = index
         applier = _APPLIERS.get(type(entry))
-        return Applied() if applier is None else applier(self, index, entry)
+        return (
+            ApplyResult() if applier is None else applier(self, index, entry)
+        )
 
     def known_answer(
         self, operator: ids.OperatorId, number: int, digest: str
@@ -99,13 +101,13 @@
         number: int,
         digest: str,
         answer: Answer,
-    ) -> Applied:
+    ) -> ApplyResult:
         """Keep an answer for a resend and return it."""
         kept = self.answers.setdefault(operator, {})
         kept[number] = StoredAnswer(digest, answer)
         while len(kept) > MAX_STORED_ANSWERS:
             del kept[min(kept)]
-        return Applied(answer=answer)
+        return ApplyResult(answer=answer)
 
     def advance(
         self,
@@ -164,14 +166,14 @@
     state.configuration = configuration.apply(
         state.configuration, change, index
     )
-    return Applied(change=change)
+    return ApplyResult(change=change)
 
 
 @_register_applier(entries.MakePlan)
 def _make_plan(state: ReplicatedState, index: int, entry: entries.MakePlan):
     known = state.known_answer(entry.operator, entry.number, entry.digest)
     if known is not None:
-        return Applied(answer=known)
+        return ApplyResult(answer=known)
     plan = entry.plan
     state.plans[plan.plan] = plan
     _forget_old_plans(state)
@@ -198,7 +200,7 @@
 ):
     known = state.known_answer(entry.operator, entry.number, entry.digest)
     if known is not None:
-        return Applied(answer=known)
+        return ApplyResult(answer=known)
     change = None
     plan = state.plans.get(entry.plan)
     if plan is None:
@@ -225,7 +227,7 @@
             )
     answer = Answer(verdict, entry.plan, index, detail)
     state.keep_answer(entry.operator, entry.number, entry.digest, answer)
-    return Applied(answer=answer, change=change)
+    return ApplyResult(answer=answer, change=change)
 
 
 @_register_applier(entries.IssueOrder)
@@ -234,20 +236,20 @@
 ):
     plan = state.plans.get(entry.plan)
     if plan is None or plan.reached != entry.step:
-        return Applied()
+        return ApplyResult()
     if not isinstance(plan.current, plans.Order):
-        return Applied()
+        return ApplyResult()
     state.plans[entry.plan] = msgspec.structs.replace(plan, issued_index=index)
     if plan.current.loads:
         state.last_load_ms = max(state.last_load_ms, entry.at_ms)
-    return Applied()
+    return ApplyResult()
 
 
 @_register_applier(entries.EndStep)
 def _end_step(state: ReplicatedState, index: int, entry: entries.EndStep):
     plan = state.plans.get(entry.plan)
     if plan is None or plan.current is None or plan.reached != entry.step:
-        return Applied()
+        return ApplyResult()
     end = plans.StepResult(
         entry.step, entry.succeeded, entry.detail, entry.at_ms
     )
@@ -256,7 +258,7 @@
         state.plans[entry.plan] = msgspec.structs.replace(
             plan, state=plans.PlanState.FAILED, ends=ends
         )
-        return Applied()
+        return ApplyResult()
     try:
         change = state.advance(plan, index, plan.reached + 1, ends)
     except errors.StateError as error:
@@ -265,8 +267,8 @@
         state.plans[entry.plan] = msgspec.structs.replace(
             plan, state=plans.PlanState.FAILED, ends=(*plan.ends, failed)
         )
-        return Applied()
-    return Applied(change=change)
+        return ApplyResult()
+    return ApplyResult(change=change)
 
 
 NO_PLAN = ids.PlanId('')
@@ -280,7 +282,7 @@
     verdict = routes_verdict(held, entry.table)
     if verdict is not Verdict.ACCEPTED or entry.table.version <= held.version:
         detail = f'version {held.version} is in force'
-        return Applied(answer=Answer(verdict, NO_PLAN, index, detail))
+        return ApplyResult(answer=Answer(verdict, NO_PLAN, index, detail))
     change = configuration.SetRoutes(entry.table)
     return _put_in_force(state, index, change)
 
@@ -299,7 +301,7 @@
     held = entry.data_centre in state.configuration.evacuated
     if held == entry.evacuated:
         answer = Answer(Verdict.ACCEPTED, NO_PLAN, index, 'is so already')
-        return Applied(answer=answer)
+        return ApplyResult(answer=answer)
     change = configuration.SetEvacuation(entry.data_centre, entry.evacuated)
     return _put_in_force(state, index, change)
 
@@ -307,7 +309,7 @@
 @_register_applier(entries.SetShareHolders)
 def _set_lenders(state: ReplicatedState, _index: int, entry):
     state.lenders = entry.hosts
-    return Applied()
+    return ApplyResult()
 
 
 @_register_applier(entries.SetQuarantine)
@@ -322,4 +324,4 @@
         state.configuration, change, index
     )
     answer = Answer(Verdict.ACCEPTED, NO_PLAN, index)
-    return Applied(answer=answer, change=change)
+    return ApplyResult(answer=answer, change=change)
