--- a/wrenspoke/coordination/agreement/control_service.py
+++ b/wrenspoke/coordination/agreement/control_service.py
@@ -163,7 +163,7 @@
     ) -> operators.OperatorAnswer | None:
         if not self._voter.has_lease:
             return self._not_leader_answer(may_be_accepted=False)
-        answer = self._voter.state.known_answer(operator, number, digest)
+        answer = self._voter.state.find_answer(operator, number, digest)
         return None if answer is None else self._answer_for(answer)
 
     async def _propose(
--- a/wrenspoke/state/replicated.py
+++ b/wrenspoke/state/replicated.py
@@ -73,7 +73,7 @@
             ApplyResult() if applier is None else applier(self, index, entry)
         )
 
-    def known_answer(
+    def find_answer(
         self, operator: ids.OperatorId, number: int, digest: str
     ) -> Answer | None:
         """Return the answer to a request that was made before."""
@@ -171,7 +171,7 @@
 
 @_register_applier(entries.MakePlan)
 def _make_plan(state: ReplicatedState, index: int, entry: entries.MakePlan):
-    known = state.known_answer(entry.operator, entry.number, entry.digest)
+    known = state.find_answer(entry.operator, entry.number, entry.digest)
     if known is not None:
         return ApplyResult(answer=known)
     plan = entry.plan
@@ -198,7 +198,7 @@
 def _confirm_plan(
     state: ReplicatedState, index: int, entry: entries.ConfirmPlan
 ):
-    known = state.known_answer(entry.operator, entry.number, entry.digest)
+    known = state.find_answer(entry.operator, entry.number, entry.digest)
     if known is not None:
         return ApplyResult(answer=known)
     change = None
