--- a/wrenspoke/state/replicated.py
+++ b/wrenspoke/state/replicated.py
@@ -95,7 +95,7 @@
     def _reject(self, verdict: Verdict, detail: str) -> Answer:
         return Answer(verdict, ids.PlanId(''), self.index, detail)
 
-    def keep_answer(
+    def store_answer(
         self,
         operator: ids.OperatorId,
         number: int,
@@ -178,7 +178,7 @@
     state.plans[plan.plan] = plan
     _forget_old_plans(state)
     answer = Answer(Verdict.ACCEPTED, plan.plan, index, plan.summary)
-    return state.keep_answer(
+    return state.store_answer(
         entry.operator, entry.number, entry.digest, answer
     )
 
@@ -226,7 +226,7 @@
                 state.configuration, change, index
             )
     answer = Answer(verdict, entry.plan, index, detail)
-    state.keep_answer(entry.operator, entry.number, entry.digest, answer)
+    state.store_answer(entry.operator, entry.number, entry.digest, answer)
     return ApplyResult(answer=answer, change=change)
 
 
