--- a/wrenspoke/state/replicated.py
+++ b/wrenspoke/state/replicated.py
@@ -109,7 +109,7 @@
             del kept[min(kept)]
         return ApplyResult(answer=answer)
 
-    def advance(
+    def advance_plan(
         self,
         plan: Plan,
         index: int,
@@ -217,7 +217,7 @@
     else:
         verdict, detail = Verdict.ACCEPTED, plan.summary
         confirmed = msgspec.structs.replace(plan, confirmed_index=index)
-        change = state.advance(confirmed, index, 0, ())
+        change = state.advance_plan(confirmed, index, 0, ())
         if change is None:
             # A plan that begins with an order changes nothing yet, but
             # no other made on the same index may be confirmed beside it.
@@ -260,7 +260,7 @@
         )
         return ApplyResult()
     try:
-        change = state.advance(plan, index, plan.reached + 1, ends)
+        change = state.advance_plan(plan, index, plan.reached + 1, ends)
     except errors.StateError as error:
         # What the plan was made on has been changed by another since.
         failed = msgspec.structs.replace(end, detail=str(error))
