--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -115,14 +115,14 @@
         else:
             assert answer.verdict is replicated.Verdict.CONFLICT
 
-    @stateful.precondition(lambda self: self.state.running())
+    @stateful.precondition(lambda self: self.state.running_plans())
     @stateful.rule(
         data=strategies.data(),
         succeeded=strategies.booleans(),
         late=strategies.integers(0, 1),
     )
     def end_step(self, data, succeeded, late):
-        plan = data.draw(strategies.sampled_from(self.state.running()))
+        plan = data.draw(strategies.sampled_from(self.state.running_plans()))
         self.apply(entries.IssueOrder(plan.plan, plan.reached, 'c1', 0))
         step = plan.reached + late
         self.apply(
--- a/wrenspoke/state/replicated.py
+++ b/wrenspoke/state/replicated.py
@@ -142,7 +142,7 @@
             return changes[0]
         return configuration.ChangeBatch(tuple(changes))
 
-    def running(self) -> list[Plan]:
+    def running_plans(self) -> list[Plan]:
         """Return the plans that wait for a step."""
         return [
             plan for plan in self.plans.values() if plan.current is not None
