--- a/wrenspoke/state/replicated.py
+++ b/wrenspoke/state/replicated.py
@@ -161,7 +161,7 @@
 
 
 @_register_applier(entries.Bootstrap)
-def _found(state: ReplicatedState, index: int, entry: entries.Bootstrap):
+def _bootstrap(state: ReplicatedState, index: int, entry: entries.Bootstrap):
     change = configuration.SetAll(entry.configuration)
     state.configuration = configuration.apply(
         state.configuration, change, index
