--- a/wrenspoke/state/replicated.py
+++ b/wrenspoke/state/replicated.py
@@ -307,7 +307,7 @@
 
 
 @_register_applier(entries.SetShareHolders)
-def _set_lenders(state: ReplicatedState, _index: int, entry):
+def _set_share_holders(state: ReplicatedState, _index: int, entry):
     state.lenders = entry.hosts
     return ApplyResult()
 
