--- a/wrenspoke/state/replicated.py
+++ b/wrenspoke/state/replicated.py
@@ -176,14 +176,14 @@
         return ApplyResult(answer=known)
     plan = entry.plan
     state.plans[plan.plan] = plan
-    _forget_old_plans(state)
+    _evict_old_plans(state)
     answer = Answer(Verdict.ACCEPTED, plan.plan, index, plan.summary)
     return state.store_answer(
         entry.operator, entry.number, entry.digest, answer
     )
 
 
-def _forget_old_plans(state: ReplicatedState) -> None:
+def _evict_old_plans(state: ReplicatedState) -> None:
     if len(state.plans) <= MAX_STORED_PLANS:
         return
     for name, plan in list(state.plans.items()):
