--- a/wrenspoke/state/replicated.py
+++ b/wrenspoke/state/replicated.py
@@ -284,7 +284,7 @@
         detail = f'version {held.version} is in force'
         return ApplyResult(answer=Answer(verdict, NO_PLAN, index, detail))
     change = configuration.SetRoutes(entry.table)
-    return _put_in_force(state, index, change)
+    return _apply_change(state, index, change)
 
 
 def routes_verdict(
@@ -303,7 +303,7 @@
         answer = Answer(Verdict.ACCEPTED, NO_PLAN, index, 'is so already')
         return ApplyResult(answer=answer)
     change = configuration.SetEvacuation(entry.data_centre, entry.evacuated)
-    return _put_in_force(state, index, change)
+    return _apply_change(state, index, change)
 
 
 @_register_applier(entries.SetShareHolders)
@@ -316,10 +316,10 @@
 def _set_quarantine(
     state: ReplicatedState, index: int, entry: entries.SetQuarantine
 ):
-    return _put_in_force(state, index, entry.change)
+    return _apply_change(state, index, entry.change)
 
 
-def _put_in_force(state: ReplicatedState, index: int, change: Change):
+def _apply_change(state: ReplicatedState, index: int, change: Change):
     state.configuration = configuration.apply(
         state.configuration, change, index
     )
