--- a/wrenspoke/state/routes.py
+++ b/wrenspoke/state/routes.py
@@ -19,7 +19,7 @@
 # What a link of one megabit a second carries in a millisecond.
 BITS_PER_MS_OF_MBPS = 1_000
 # Homes of what no region may serve; a name that no region has.
-NOWHERE = (ids.RegionId(''),)
+NO_REGION = (ids.RegionId(''),)
 
 
 class RouteKind(enum.Enum):
@@ -83,7 +83,7 @@
         both = homes
         if self.homes:
             both = tuple(home for home in self.homes if home in homes)
-        return msgspec.structs.replace(self, homes=both or NOWHERE)
+        return msgspec.structs.replace(self, homes=both or NO_REGION)
 
 
 class Batch(msgspec.Struct, frozen=True):
