--- a/wrenspoke/coordination/serving/access.py
+++ b/wrenspoke/coordination/serving/access.py
@@ -90,7 +90,9 @@
         self, team: teams.Team, route: routes.Route
     ) -> RoutePermit:
         urgency = self._urgency(route, team)
-        return RoutePermit(route.bound_to(team.homes), team, urgency=urgency)
+        return RoutePermit(
+            route.restricted_to(team.homes), team, urgency=urgency
+        )
 
     def _urgency(self, route: routes.Route, team: teams.Team | None) -> int:
         """Return a call's urgency: its team's goes before its route's.
--- a/wrenspoke/state/routes.py
+++ b/wrenspoke/state/routes.py
@@ -73,7 +73,7 @@
         """Tell whether endpoints of a region may serve it."""
         return not self.homes or region in self.homes
 
-    def bound_to(self, homes: tuple[ids.RegionId, ...]) -> 'Route':
+    def restricted_to(self, homes: tuple[ids.RegionId, ...]) -> 'Route':
         """Return the route as it is for a team that has homes.
 
         Both bind: what is left is where both may be served.
