--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -103,7 +103,9 @@
         unread = max(call.tokens_in - kept - moved_tokens, 0.0)
         token_ms = self._token_ms(said.endpoint, said.service)
         ahead = self.backlog.tokens_ahead(said.endpoint, load, token_ms)
-        moving_ms = TRANSFER_WAIT_FACTOR * service.batch.move_ms(moved_tokens)
+        moving_ms = TRANSFER_WAIT_FACTOR * service.batch.cache_transfer_ms(
+            moved_tokens
+        )
         first_ms = model.first_ms(said.endpoint, unread, ahead) + moving_ms
         room = True
         if load is not None:
--- a/wrenspoke/state/routes.py
+++ b/wrenspoke/state/routes.py
@@ -101,7 +101,7 @@
     moves: bool = False
     event_tokens: int = 1
 
-    def move_ms(self, tokens: float) -> float:
+    def cache_transfer_ms(self, tokens: float) -> float:
         """Return how long the memory of some tokens is on its way."""
         if self.link_mbps <= 0:
             return 0.0
