--- a/wrenspoke/state/storage.py
+++ b/wrenspoke/state/storage.py
@@ -26,7 +26,7 @@
 LOG = 'log'
 COMMITTED = 'committed'
 # Begins a record of several entries; no encoded value begins with it.
-SEVERAL = b'\xc1'
+MULTI_ENTRY_MARKER = b'\xc1'
 
 
 class Meta(msgspec.Struct):
@@ -311,13 +311,13 @@
     """Return the body of the record that holds some entries."""
     if len(added) == 1:
         return msgspec.msgpack.encode(added[0])
-    return SEVERAL + msgspec.msgpack.encode(added)
+    return MULTI_ENTRY_MARKER + msgspec.msgpack.encode(added)
 
 
 def _entries_of(body: bytes) -> list[entries.LogEntry]:
     """Return the entries that a record holds."""
-    if not body.startswith(SEVERAL):
+    if not body.startswith(MULTI_ENTRY_MARKER):
         return [msgspec.msgpack.decode(body, type=entries.LogEntry)]
     return msgspec.msgpack.decode(
-        body[len(SEVERAL) :], type=list[entries.LogEntry]
+        body[len(MULTI_ENTRY_MARKER) :], type=list[entries.LogEntry]
     )
