--- a/wrenspoke/state/storage.py
+++ b/wrenspoke/state/storage.py
@@ -65,7 +65,7 @@
     def __init__(self, opened: disk.Disk):
         self._disk = opened
         self._entries: list[entries.LogEntry] = []
-        self._ends: list[int] = []
+        self._end_offsets: list[int] = []
         self.meta = self._read_meta()
         self._synced_meta = msgspec.msgpack.encode(self.meta)
         self.snapshot = self._read_snapshot()
@@ -122,7 +122,7 @@
     def _load(self, entry: entries.LogEntry, record: records.Record) -> None:
         if not self._entries and entry.index <= self.snapshot.index:
             # Written before the snapshot that covers it.
-            self._ends = [record.end]
+            self._end_offsets = [record.end]
             return
         if entry.index != self.last_index + 1:
             raise errors.CorruptLogError(
@@ -131,7 +131,7 @@
                 f'entry {entry.index} follows {self.last_index}',
             )
         self._entries.append(entry)
-        self._ends.append(record.end)
+        self._end_offsets.append(record.end)
 
     @property
     def first_index(self) -> int:
@@ -155,7 +155,7 @@
     @property
     def log_bytes(self) -> int:
         """Return the size of the log on the disk."""
-        return self._ends[-1] if self._ends else 0
+        return self._end_offsets[-1] if self._end_offsets else 0
 
     def term_at(self, index: int) -> int | None:
         """Return the term at an index, or None if it is not held."""
@@ -215,7 +215,7 @@
         self._disk.append(LOG, record)
         end = self.log_bytes + len(record)
         self._entries.extend(added)
-        self._ends.extend([end] * len(added))
+        self._end_offsets.extend([end] * len(added))
         if any(isinstance(new.entry, entries.SetVoters) for new in added):
             self._note_electorates()
 
@@ -224,16 +224,16 @@
         place = index - self.first_index
         if place >= len(self._entries):
             return
-        skipped = len(self._ends) - len(self._entries)
+        skipped = len(self._end_offsets) - len(self._entries)
         keep = place + skipped
-        size_bytes = self._ends[keep - 1] if keep else 0
-        if size_bytes == self._ends[keep]:
+        size_bytes = self._end_offsets[keep - 1] if keep else 0
+        if size_bytes == self._end_offsets[keep]:
             # What is kept stands in one record with what is dropped.
             self._rewrite_log(self._entries[:place])
             return
         self._disk.truncate(LOG, size_bytes)
         del self._entries[place:]
-        del self._ends[keep:]
+        del self._end_offsets[keep:]
         self._note_electorates()
 
     def save_meta(self) -> None:
@@ -268,7 +268,7 @@
         encoded = [records.encode(_body_of([entry])) for entry in kept]
         self._disk.replace(LOG, b''.join(encoded))
         self._entries = kept
-        self._ends = list(itertools.accumulate(map(len, encoded)))
+        self._end_offsets = list(itertools.accumulate(map(len, encoded)))
         self._note_electorates()
 
     def note_committed(self, index: int) -> None:
@@ -304,7 +304,7 @@
         self.snapshot = Snapshot()
         self._entries = []
         self._note_electorates()
-        self._ends = []
+        self._end_offsets = []
 
 
 def _body_of(added: typing.Sequence[entries.LogEntry]) -> bytes:
