--- a/wrenspoke/state/storage.py
+++ b/wrenspoke/state/storage.py
@@ -70,7 +70,7 @@
         self._synced_meta = msgspec.msgpack.encode(self.meta)
         self.snapshot = self._read_snapshot()
         self._read_log()
-        self._note_electorates()
+        self._index_electorates()
 
     def check(self) -> None:
         """Stop the voter if its disk has failed.
@@ -187,7 +187,7 @@
                 return found
         return self.snapshot.electorate
 
-    def _note_electorates(self) -> None:
+    def _index_electorates(self) -> None:
         """Remember which entries change who decides.
 
         It is asked for with each beat, the log is up to 500 entries long.
@@ -217,7 +217,7 @@
         self._entries.extend(added)
         self._end_offsets.extend([end] * len(added))
         if any(isinstance(new.entry, entries.SetVoters) for new in added):
-            self._note_electorates()
+            self._index_electorates()
 
     def truncate_from(self, index: int) -> None:
         """Drop the entries from an index on, which never committed."""
@@ -234,7 +234,7 @@
         self._disk.truncate(LOG, size_bytes)
         del self._entries[place:]
         del self._end_offsets[keep:]
-        self._note_electorates()
+        self._index_electorates()
 
     def save_meta(self) -> None:
         """Sync who this voter is and whom it voted for.
@@ -269,7 +269,7 @@
         self._disk.replace(LOG, b''.join(encoded))
         self._entries = kept
         self._end_offsets = list(itertools.accumulate(map(len, encoded)))
-        self._note_electorates()
+        self._index_electorates()
 
     def note_committed(self, index: int) -> None:
         """Write down, unsynced, up to where entries are committed."""
@@ -303,7 +303,7 @@
         self._disk.remove(SNAPSHOT)
         self.snapshot = Snapshot()
         self._entries = []
-        self._note_electorates()
+        self._index_electorates()
         self._end_offsets = []
 
 
