--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -80,7 +80,7 @@
     last = entries.LogEntry(3, 1, entries.LeaderStart('x'), told)
     kept.append([last])
     if case not in ('not noted', 'told by the log'):
-        kept.note_committed(9 if case == 'beyond the log' else 2)
+        kept.save_committed(9 if case == 'beyond the log' else 2)
     if case == 'of another disk':
         kept.meta.incarnation = 'other'
         kept.save_meta()
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -640,7 +640,7 @@
             self.commit_index = entry.index
             advanced = True
         if advanced:
-            self.storage.note_committed(self.commit_index)
+            self.storage.save_committed(self.commit_index)
         self._compact_log()
 
     def _apply_entry(self, entry: entries.LogEntry) -> None:
--- a/wrenspoke/state/storage.py
+++ b/wrenspoke/state/storage.py
@@ -271,7 +271,7 @@
         self._end_offsets = list(itertools.accumulate(map(len, encoded)))
         self._index_electorates()
 
-    def note_committed(self, index: int) -> None:
+    def save_committed(self, index: int) -> None:
         """Write down, unsynced, up to where entries are committed."""
         noted = (self.meta.incarnation, index)
         body = msgspec.msgpack.encode(noted)
