--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -509,7 +509,7 @@
     Switch(
         'committed entries not known after a restart',
         DECISIONS + 'agreement/voter.py',
-        ('        self.commit(store.known_committed())\n'),
+        ('        self.commit(store.read_committed())\n'),
         (''),
         (
             'tests/test_founding.py::test_restart_of_all_keeps_accepted_routes'
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -87,7 +87,7 @@
     if case == 'torn':
         path = tmp_path / storage.COMMITTED
         path.write_bytes(path.read_bytes()[:-1])
-    assert open_storage(tmp_path).known_committed() == known
+    assert open_storage(tmp_path).read_committed() == known
 
 
 async def test_restart_of_all_keeps_accepted_routes(tmp_path):
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -128,7 +128,7 @@
         self.commit_index = store.snapshot.index
         self.state = replicated.ReplicatedState()
         self._load_snapshot()
-        self.commit(store.known_committed())
+        self.commit(store.read_committed())
         peers.answers(messages.AskVote)(self._handle_vote_request)
         peers.answers(messages.Append)(self._handle_append)
         peers.answers(messages.Install)(self._handle_install)
--- a/wrenspoke/state/storage.py
+++ b/wrenspoke/state/storage.py
@@ -277,7 +277,7 @@
         body = msgspec.msgpack.encode(noted)
         self._disk.note(COMMITTED, records.encode(body))
 
-    def known_committed(self) -> int:
+    def read_committed(self) -> int:
         """Return up to where entries were surely committed."""
         least = self.snapshot.index
         if self._entries:
