--- a/wrenspoke/coordination/agreement/rollback_check.py
+++ b/wrenspoke/coordination/agreement/rollback_check.py
@@ -113,7 +113,7 @@
                     known_boot=answer.known_boot,
                     told_by=host,
                 )
-                self._storage.forget_all()
+                self._storage.reset_identity()
                 on_rollback()
                 self._storage.meta.boot = 1
                 self._storage.save_meta()
--- a/wrenspoke/state/storage.py
+++ b/wrenspoke/state/storage.py
@@ -293,7 +293,7 @@
             return least
         return max(least, min(index, self.last_index))
 
-    def forget_all(self) -> None:
+    def reset_identity(self) -> None:
         """Become a new disk: another incarnation that holds nothing."""
         # The new name goes first: a log under a name that never voted
         # claims nothing, while an old name without its log would.
