--- a/wrenspoke/state/storage.py
+++ b/wrenspoke/state/storage.py
@@ -117,9 +117,11 @@
             self._disk.truncate(LOG, size_bytes)
         for record in found:
             for entry in _entries_of(record.body):
-                self._load(entry, record)
+                self._load_entry(entry, record)
 
-    def _load(self, entry: entries.LogEntry, record: records.Record) -> None:
+    def _load_entry(
+        self, entry: entries.LogEntry, record: records.Record
+    ) -> None:
         if not self._entries and entry.index <= self.snapshot.index:
             # Written before the snapshot that covers it.
             self._end_offsets = [record.end]
