--- a/wrenspoke/state/storage.py
+++ b/wrenspoke/state/storage.py
@@ -80,7 +80,7 @@
         self._disk.check()
 
     def _read_meta(self) -> Meta:
-        body = self._read_single(META)
+        body = self._read_single_record(META)
         if body is not None:
             return msgspec.msgpack.decode(body, type=Meta)
         if self._disk.read(LOG) or self._disk.read(SNAPSHOT):
@@ -92,12 +92,12 @@
         return meta
 
     def _read_snapshot(self) -> Snapshot:
-        body = self._read_single(SNAPSHOT)
+        body = self._read_single_record(SNAPSHOT)
         if body is None:
             return Snapshot()
         return msgspec.msgpack.decode(body, type=Snapshot)
 
-    def _read_single(self, name: str) -> bytes | None:
+    def _read_single_record(self, name: str) -> bytes | None:
         data = self._disk.read(name)
         if data is None:
             return None
