--- a/wrenspoke/state/storage.py
+++ b/wrenspoke/state/storage.py
@@ -207,7 +207,7 @@
         several, a later one could be there without an earlier one, which
         looks as if the disk had lost what was synced.
         """
-        body = _body_of(added)
+        body = _encode_entries(added)
         if len(body) > records.RECORD_LIMIT_BYTES and len(added) > 1:
             half = len(added) // 2
             self.append(added[:half])
@@ -267,7 +267,7 @@
 
     def _rewrite_log(self, kept: list[entries.LogEntry]) -> None:
         """Put a log of some entries in place of the log, at once."""
-        encoded = [records.encode(_body_of([entry])) for entry in kept]
+        encoded = [records.encode(_encode_entries([entry])) for entry in kept]
         self._disk.replace(LOG, b''.join(encoded))
         self._entries = kept
         self._end_offsets = list(itertools.accumulate(map(len, encoded)))
@@ -309,7 +309,7 @@
         self._end_offsets = []
 
 
-def _body_of(added: typing.Sequence[entries.LogEntry]) -> bytes:
+def _encode_entries(added: typing.Sequence[entries.LogEntry]) -> bytes:
     """Return the body of the record that holds some entries."""
     if len(added) == 1:
         return msgspec.msgpack.encode(added[0])
