--- a/wrenspoke/state/storage.py
+++ b/wrenspoke/state/storage.py
@@ -116,7 +116,7 @@
             )  # fmt: skip
             self._disk.truncate(LOG, size_bytes)
         for record in found:
-            for entry in _entries_of(record.body):
+            for entry in _decode_entries(record.body):
                 self._load_entry(entry, record)
 
     def _load_entry(
@@ -316,7 +316,7 @@
     return MULTI_ENTRY_MARKER + msgspec.msgpack.encode(added)
 
 
-def _entries_of(body: bytes) -> list[entries.LogEntry]:
+def _decode_entries(body: bytes) -> list[entries.LogEntry]:
     """Return the entries that a record holds."""
     if not body.startswith(MULTI_ENTRY_MARKER):
         return [msgspec.msgpack.decode(body, type=entries.LogEntry)]
