--- a/tests/test_team_keys.py
+++ b/tests/test_team_keys.py
@@ -99,7 +99,7 @@
     """Issued and withdrawn by plan and confirm, in force everywhere."""
     made = fleet.deployment(controls=1)
     async with fleet.running(tmp_path, made) as running:
-        secret = teams.secret_of(made['cluster'])
+        secret = teams.derive_secret(made['cluster'])
         key = teams.new_key()
         digest = teams.digest_of(key, secret).hex()
         operator = running.operator()
--- a/wrenspoke/cli.py
+++ b/wrenspoke/cli.py
@@ -287,7 +287,7 @@
         return FAILED
     if not arguments.of:
         print(f'key: {key}')
-    digest = teams.digest_of(key, teams.secret_of(deployment.cluster))
+    digest = teams.digest_of(key, teams.derive_secret(deployment.cluster))
     print(f'digest: {digest.hex()}')
     return OK
 
--- a/wrenspoke/coordination/serving/gateway.py
+++ b/wrenspoke/coordination/serving/gateway.py
@@ -230,7 +230,7 @@
         current = self._replica.current
         if not current.proved or head.forwarded:
             return head
-        secret = teams.secret_of(self._deployment.cluster)
+        secret = teams.derive_secret(self._deployment.cluster)
         team = current.keys.get(teams.digest_of(head.key, secret).hex())
         if not head.key or team is None:
             raise errors.RequestEndedError(
--- a/wrenspoke/state/teams.py
+++ b/wrenspoke/state/teams.py
@@ -72,7 +72,7 @@
     return secrets.token_bytes(SECRET_BYTES)
 
 
-def secret_of(cluster: str) -> bytes:
+def derive_secret(cluster: str) -> bytes:
     """Return the secret of a deployment whose keys are drawn by ``new_key``.
 
     Such keys can't be guessed; the secret keeps digests of one deployment
