--- a/wrenspoke/coordination/serving/access.py
+++ b/wrenspoke/coordination/serving/access.py
@@ -125,7 +125,7 @@
         self._refresh_indexes()
         if self._teams is None:
             return None
-        found = self._teams.named(team)
+        found = self._teams.find_by_name(team)
         return None if found is None else found.limit
 
     def reauthorize(
--- a/wrenspoke/state/teams.py
+++ b/wrenspoke/state/teams.py
@@ -141,6 +141,6 @@
             return None
         return self._by_key.get(digest_of(key, self.table.secret))
 
-    def named(self, team: ids.TeamId) -> Team | None:
+    def find_by_name(self, team: ids.TeamId) -> Team | None:
         """Return a team by its name, None if there is none."""
         return self._by_name.get(team)
