--- a/tests/test_registers.py
+++ b/tests/test_registers.py
@@ -166,7 +166,7 @@
 
 
 @pytest.mark.parametrize('name', INTERLEAVINGS)
-def test_interleavings_let_one_attempt_through_at_most(name):
+def test_at_most_one_attempt_is_dispatched(name):
     ballots, steps = INTERLEAVINGS[name]
     cluster = Cluster()
     rounds = {
