--- a/tests/test_registers.py
+++ b/tests/test_registers.py
@@ -290,7 +290,7 @@
 
 @pytest.mark.parametrize('count', [0, 1, 7, 40])
 @pytest.mark.parametrize('part_bytes', [0, 2_000, 1 << 30])
-def test_memory_is_told_whole_in_parts(count, part_bytes):
+def test_snapshot_is_complete_across_chunks(count, part_bytes):
     copy = registers.Registers(ids.HostId('a'), 1, 0)
     for number in range(count):
         # Some keys share an issue time.
