--- a/tests/test_registers.py
+++ b/tests/test_registers.py
@@ -252,7 +252,7 @@
     )
 
 
-def test_claims_change_only_as_the_table_says():
+def test_claim_transitions():
     table = [
         ('free', 0, 1, 'dispatched', 1),
         ('refused', 1, 1, 'refused', 1),
