--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -90,7 +90,7 @@
     assert (applied.change is not None) == (held[0] == 8)
 
 
-def test_evacuations_hold_beside_routes_and_are_taken_back():
+def test_evacuations_are_independent_of_routes():
     state = replicated.ReplicatedState()
     state.apply(1, entries.Evacuate('north', True))
     state.apply(2, entries.ReplaceRoutes(table(version=2)))
