--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -196,7 +196,7 @@
 
 
 @pytest.mark.parametrize('damaged', [0, 1, 2])
-def test_damage_in_the_middle_is_told_with_its_place(damaged):
+def test_damage_in_the_middle_is_reported_with_offset(damaged):
     encoded = [records.encode(b'record %d' % n) for n in range(4)]
     data = bytearray(b''.join(encoded))
     offset = len(encoded[0]) * damaged
