--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -248,7 +248,7 @@
     assert opened.read('file') == kept + b'new'
 
 
-def test_full_disk_remembers_no_vote(tmp_path, monkeypatch):
+def test_full_disk_keeps_previous_vote(tmp_path, monkeypatch):
     kept = storage.Storage(disk.Disk(tmp_path / 'data'))
     kept.meta.term = 3
     kept.save_meta()
