--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -310,7 +310,7 @@
     assert storage.Storage(made).entry(2).term == 2
 
 
-def test_append_that_is_too_large_for_one_record_is_several(monkeypatch):
+def test_oversized_append_is_split_into_records(monkeypatch):
     monkeypatch.setattr(records, 'RECORD_LIMIT_BYTES', 60)
     made = FakeDisk()
     kept = storage.Storage(made)
