--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -295,7 +295,7 @@
 
 
 @pytest.mark.parametrize('lost', range(1, 40, 6))
-def test_append_whose_beginning_was_lost_is_left_out_whole(lost):
+def test_partly_lost_append_is_dropped_whole(lost):
     """It was not synced, whatever of it is on the disk."""
     made = FakeDisk()
     kept = storage.Storage(made)
