--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -332,7 +332,7 @@
 
 
 @pytest.mark.parametrize('append', [1, 3])
-def test_damage_before_a_later_append_is_told(append):
+def test_damage_before_a_later_append_is_reported(append):
     """What was synced and is damaged must not be taken for a torn end."""
     made = FakeDisk()
     kept = storage.Storage(made)
