--- a/tests/test_engine_loads.py
+++ b/tests/test_engine_loads.py
@@ -46,7 +46,7 @@
         registry.RegistrationState.READY,
         1,
     )
-    return registry.Registered(said, 0, 1)
+    return registry.EndpointEntry(said, 0, 1)
 
 
 def engine_loads_of(host, hosts, engines):
--- a/wrenspoke/coordination/membership/control_sync.py
+++ b/wrenspoke/coordination/membership/control_sync.py
@@ -40,7 +40,7 @@
 REGION_CONTACT_WINDOW_MS = 3_000
 
 # What is held of an endpoint or a host: when it was heard, and by whom.
-Entry = typing.TypeVar('Entry', registry.Registered, roster.HostEntry)
+Entry = typing.TypeVar('Entry', registry.EndpointEntry, roster.HostEntry)
 
 
 @dataclasses.dataclass
--- a/wrenspoke/coordination/membership/engine_loads.py
+++ b/wrenspoke/coordination/membership/engine_loads.py
@@ -176,8 +176,8 @@
             )
 
     def _assigned_engines(
-        self, engines: list[registry.Registered]
-    ) -> list[registry.Registered]:
+        self, engines: list[registry.EndpointEntry]
+    ) -> list[registry.EndpointEntry]:
         """Return the engines that this host asks for all others.
 
         Those are the ones that fall to it, and those of the hosts before
@@ -192,7 +192,7 @@
                 own.append(found)
         return own
 
-    def _is_overdue(self, found: registry.Registered, place: int) -> bool:
+    def _is_overdue(self, found: registry.EndpointEntry, place: int) -> bool:
         """Tell whether those before this host in order tell no load."""
         missed_ms = TAKEOVER_INTERVALS * place * self._interval_ms
         _load, heard_ms = self._loads.get(found.said.endpoint, (None, None))
@@ -202,7 +202,7 @@
             )
         return self._clock.mono_ms() - heard_ms > missed_ms
 
-    def _engines(self) -> list[registry.Registered]:
+    def _engines(self) -> list[registry.EndpointEntry]:
         """Return the engines of this region that take work."""
         services = self._replica.current.routes.services
         engines = []
@@ -219,7 +219,7 @@
         return engines
 
     async def _poll_engine(
-        self, found: registry.Registered
+        self, found: registry.EndpointEntry
     ) -> loads.EngineLoad | None:
         said = found.said
         life = limiting.EndpointLife(said.endpoint, said.born_ms)
--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -61,7 +61,7 @@
 
     def usable_endpoints(
         self, service: ids.ServiceId, region: ids.RegionId
-    ) -> list[registry.Registered]:
+    ) -> list[registry.EndpointEntry]:
         """Return the endpoints of a service that may get new work."""
         self.update_evacuations()
         return [
@@ -76,7 +76,7 @@
 
     def warm_endpoints(
         self, service: ids.ServiceId, region: ids.RegionId
-    ) -> list[registry.Registered]:
+    ) -> list[registry.EndpointEntry]:
         """Return the usable endpoints that bear more than a few requests."""
         return [
             found
@@ -113,7 +113,7 @@
 
     def healthy_endpoints(
         self, service: ids.ServiceId, region: ids.RegionId
-    ) -> list[registry.Registered]:
+    ) -> list[registry.EndpointEntry]:
         """Return the warm endpoints that take work now."""
         return [
             found
@@ -121,30 +121,30 @@
             if not self.is_degraded(found) and not self.limit_wait_ms(found)
         ]
 
-    def advertises_limit(self, found: registry.Registered) -> bool:
+    def advertises_limit(self, found: registry.EndpointEntry) -> bool:
         """Tell whether an endpoint names a limit."""
         return self._gate.limits.rate_per_s(_life_of(found)) is not None
 
-    def share_per_s(self, found: registry.Registered) -> float | None:
+    def share_per_s(self, found: registry.EndpointEntry) -> float | None:
         """Return this host's part of an endpoint's limit, None without."""
         return self._gate.limits.share_per_s(_life_of(found))
 
-    def limit_wait_ms(self, found: registry.Registered) -> int:
+    def limit_wait_ms(self, found: registry.EndpointEntry) -> int:
         """Return for how long an endpoint is sent nothing more, in ms."""
         if self._gate.is_idle:
             return 0
         return self._gate.remaining_ms(_life_of(found))
 
-    def _announced_leaving(self, found: registry.Registered) -> bool:
+    def _announced_leaving(self, found: registry.EndpointEntry) -> bool:
         """Return whether an endpoint said in an answer that it leaves."""
         leaving = self._gate.leaving
         return not leaving.is_idle and leaving.is_leaving(_life_of(found))
 
-    def in_backoff(self, found: registry.Registered) -> bool:
+    def in_backoff(self, found: registry.EndpointEntry) -> bool:
         """Return whether this host backs off from an endpoint."""
         return self._gate.backoffs.remaining_ms(_life_of(found)) > 0
 
-    def is_cold(self, found: registry.Registered) -> bool:
+    def is_cold(self, found: registry.EndpointEntry) -> bool:
         """Tell whether an endpoint bears a few requests only."""
         if found.warm_ms > self._clock.mono_ms():
             return True
@@ -163,8 +163,8 @@
     def next_warmup_endpoint(
         self,
         service: routes.RoutedService,
-        candidates: list[registry.Registered],
-    ) -> registry.Registered | None:
+        candidates: list[registry.EndpointEntry],
+    ) -> registry.EndpointEntry | None:
         """Return a cold endpoint whose next request is due from here."""
         if service.warmup_per_s <= 0:
             return None
@@ -182,7 +182,7 @@
             return found
         return None
 
-    def is_degraded(self, found: registry.Registered) -> bool:
+    def is_degraded(self, found: registry.EndpointEntry) -> bool:
         """Tell whether others should be used before an endpoint.
 
         Its calls failed here, or it is silent to all hosts of the region.
@@ -203,5 +203,5 @@
         return mechanism not in self._switched_off
 
 
-def _life_of(found: registry.Registered) -> limiting.EndpointLife:
+def _life_of(found: registry.EndpointEntry) -> limiting.EndpointLife:
     return limiting.EndpointLife(found.said.endpoint, found.said.born_ms)
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -51,14 +51,14 @@
     over, instead of reading them.
     """
 
-    registered: registry.Registered
+    registered: registry.EndpointEntry
     estimate: estimate.Estimate
     first_ms: float
     can_start_now: bool
     has_affinity: bool
     candidates: int
     cost_ms: float = 0.0
-    source: registry.Registered | None = None
+    source: registry.EndpointEntry | None = None
     moved_tokens: float = 0.0
 
 
@@ -188,7 +188,7 @@
         service: routes.RoutedService,
         route: routes.Route,
         call: dialects.Call,
-        candidates: list[registry.Registered],
+        candidates: list[registry.EndpointEntry],
         count: int,
     ) -> list[EndpointSelection]:
         names = [found.said.endpoint for found in candidates]
@@ -227,7 +227,7 @@
         self,
         service: routes.RoutedService,
         call: dialects.Call,
-        candidates: list[registry.Registered],
+        candidates: list[registry.EndpointEntry],
     ) -> prefix_index.CacheHolder | None:
         """Return the engine that keeps the most of a prompt.
 
@@ -386,7 +386,7 @@
             len(found),
         )
 
-    def _in_flight_at(self, found: registry.Registered) -> int:
+    def _in_flight_at(self, found: registry.EndpointEntry) -> int:
         return self.in_flight.get(found.said.endpoint, 0)
 
     def select_host(
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -77,7 +77,7 @@
 
     def estimate(
         self,
-        found: registry.Registered,
+        found: registry.EndpointEntry,
         service: routes.RoutedService,
         call: dialects.Call,
         in_flight: int,
@@ -131,7 +131,7 @@
         )
 
     def free_slots(
-        self, found: registry.Registered, service: routes.RoutedService
+        self, found: registry.EndpointEntry, service: routes.RoutedService
     ) -> int:
         """Return the places of an engine that its last report left free."""
         load = self._engine_loads.load(found.said.endpoint)
--- a/wrenspoke/coordination/serving/sampling.py
+++ b/wrenspoke/coordination/serving/sampling.py
@@ -17,10 +17,10 @@
 
 
 def sample(
-    candidates: list[registry.Registered],
+    candidates: list[registry.EndpointEntry],
     always: collections.abc.Container[ids.EndpointId],
     rng: random.Random,
-) -> list[registry.Registered]:
+) -> list[registry.EndpointEntry]:
     """Return some endpoints by chance, and those that are always weighed."""
     if len(candidates) <= SAMPLE_SIZE:
         return candidates
--- a/wrenspoke/coordination/serving/warmup_probe.py
+++ b/wrenspoke/coordination/serving/warmup_probe.py
@@ -73,7 +73,7 @@
         return warm_ms
 
     def start_probes(
-        self, taken_back: collections.abc.Iterable[registry.Registered]
+        self, taken_back: collections.abc.Iterable[registry.EndpointEntry]
     ) -> None:
         """Begin to ask endpoints that were taken back."""
         early_ms = self._clock.mono_ms() - EARLY_STATUS_MS
@@ -89,7 +89,7 @@
             self._tasks.start(self._probe_endpoints(chosen))
 
     async def _probe_endpoints(
-        self, chosen: list[registry.Registered]
+        self, chosen: list[registry.EndpointEntry]
     ) -> None:
         answers = await asyncio.gather(
             *(self._probe_endpoint(one.said) for one in chosen)
--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -67,7 +67,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Registered:
+class EndpointEntry:
     """Hold a registration with when it was said and last changed.
 
     ``told_by`` is the control host that heard it, None for this one.
@@ -101,7 +101,7 @@
 
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
-        self.held: dict[ids.EndpointId, Registered] = {}
+        self.held: dict[ids.EndpointId, EndpointEntry] = {}
         self._at_address: dict[str, set[ids.EndpointId]] = {}
         self._told_reborn: list[Listener] = []
         self.revision = 0
@@ -151,7 +151,7 @@
         """Hold a life of an endpoint that was not known before."""
         before = self.held.get(said.endpoint)
         self.revision += 1
-        self.held[said.endpoint] = Registered(
+        self.held[said.endpoint] = EndpointEntry(
             said, heard_ms, self.revision, told_by=told_by
         )
         if before is None:
@@ -177,7 +177,7 @@
             return False
         return self._mark(old)
 
-    def _mark(self, old: Registered) -> bool:
+    def _mark(self, old: EndpointEntry) -> bool:
         if old.said.leaving or old.said.state is RegistrationState.GONE:
             return False
         old.said = msgspec.structs.replace(old.said, leaving=True)
@@ -213,7 +213,7 @@
         self.take(said, told_by)
         return True
 
-    def occupant(self, said: Registration) -> Registered | None:
+    def occupant(self, said: Registration) -> EndpointEntry | None:
         """Return who else renewed lately at a registration's address.
 
         Only one endpoint runs at an address. A registration that was held
@@ -236,7 +236,7 @@
             found.silent = True
             found.revision = self.revision
 
-    def _others_at(self, said: Registration) -> list[Registered]:
+    def _others_at(self, said: Registration) -> list[EndpointEntry]:
         others = []
         for endpoint in self._at_address.get(said.address, ()):
             found = self.held.get(endpoint)
@@ -304,7 +304,7 @@
             if found.revision > revision
         ]
 
-    def aged(self, found: Registered) -> Registration:
+    def aged(self, found: EndpointEntry) -> Registration:
         """Return a registration with its age of now."""
         age_ms = self._clock.mono_ms() - found.heard_ms
         return msgspec.structs.replace(found.said, age_ms=max(age_ms, 0))
@@ -330,7 +330,7 @@
             self._at_address.pop(said.address, None)
 
 
-def _differs(old: Registered, said: Registration, heard_ms: int) -> bool:
+def _differs(old: EndpointEntry, said: Registration, heard_ms: int) -> bool:
     was = old.said
     if (was.state, was.address, was.slots, was.service, was.leaving) != (
         said.state,
