--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -77,7 +77,7 @@
     heard_ms: int
     revision: int
     silent: bool = False
-    told_by: ids.HostId | None = None
+    relayed_by: ids.HostId | None = None
 
     @property
     def warm_ms(self) -> int:
