--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -74,7 +74,7 @@
     """
 
     said: Registration
-    heard_ms: int
+    reported_ms: int
     revision: int
     silent: bool = False
     relayed_by: ids.HostId | None = None
@@ -82,7 +82,7 @@
     @property
     def warm_ms(self) -> int:
         """Return when the endpoint is warm, in this host's time."""
-        return self.heard_ms + self.said.warmup_left_ms
+        return self.reported_ms + self.said.warmup_left_ms
 
     @property
     def takes_work(self) -> bool:
