--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -120,7 +120,7 @@
     told = registry.Registry(clock)
     hears.take(registration(1))
     told.take(hears.after(0)[0])
-    clock.now_ms += registry.SILENT_AFTER_MS + 1
+    clock.now_ms += registry.RENEWAL_TIMEOUT_MS + 1
     assert not told.silent('e')
     seen = hears.revision
     assert hears.mark_silent() and not hears.mark_silent()
--- a/wrenspoke/coordination/membership/registry_snapshot.py
+++ b/wrenspoke/coordination/membership/registry_snapshot.py
@@ -67,7 +67,7 @@
             # It only helps: endpoints renew.
             logger.warning('registry_not_read', reason=str(error))
             return
-        age_ms = registry.SILENT_AFTER_MS - RESTORED_LEASE_MS
+        age_ms = registry.RENEWAL_TIMEOUT_MS - RESTORED_LEASE_MS
         for registration in registrations:
             if registration.warmup_left_ms > 0:
                 # For how long it is still cold is known once it renews.
--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -23,7 +23,7 @@
 
 # An endpoint renews about every 1.2 s and may come seconds late; after
 # four renewals and some delay were missed, others are used before it.
-SILENT_AFTER_MS = 6_000
+RENEWAL_TIMEOUT_MS = 6_000
 # Who renewed at an address within this time still runs there: longer than
 # the time between two renewals (1.2 s) and most of their delays, no longer
 # than it takes until another may get the address (2 s).
@@ -130,7 +130,7 @@
             )
         elif said.number <= old.said.number:
             # The same again, from who noticed that no newer one comes.
-            old.silent |= said.age_ms > SILENT_AFTER_MS
+            old.silent |= said.age_ms > RENEWAL_TIMEOUT_MS
             return said.leaving and self._mark(old)
         if old.said.leaving:
             # Reports may still call it ready; it leaves all the same.
@@ -139,7 +139,7 @@
         old.said = said
         old.heard_ms = heard_ms
         old.told_by = told_by
-        old.silent = said.age_ms > SILENT_AFTER_MS
+        old.silent = said.age_ms > RENEWAL_TIMEOUT_MS
         if changed:
             self.revision += 1
             old.revision = self.revision
@@ -284,7 +284,7 @@
         now_ms = self._clock.mono_ms()
         marked = False
         for found in self.held.values():
-            if found.silent or now_ms - found.heard_ms <= SILENT_AFTER_MS:
+            if found.silent or now_ms - found.heard_ms <= RENEWAL_TIMEOUT_MS:
                 continue
             self.revision += 1
             found.silent = marked = True
