--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -27,7 +27,7 @@
 # Who renewed at an address within this time still runs there: longer than
 # the time between two renewals (1.2 s) and most of their delays, no longer
 # than it takes until another may get the address (2 s).
-OCCUPIED_MS = 2_000
+ADDRESS_HOLD_MS = 2_000
 # Longer than any word of a life that ended is under way.
 FORGOTTEN_AFTER_MS = 120_000
 # Smaller moves of the end of a warm-up are not worth telling.
@@ -223,7 +223,7 @@
         if said.state is RegistrationState.GONE:
             return None
         for found in self._others_at(said):
-            if self._clock.mono_ms() - found.heard_ms < OCCUPIED_MS:
+            if self._clock.mono_ms() - found.heard_ms < ADDRESS_HOLD_MS:
                 return found
         return None
 
