--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -145,7 +145,7 @@
     held.take(registration(1))
     if case == 'gone':
         held.take(held.withdraw('e'))
-    clock.now_ms += registry.FORGOTTEN_AFTER_MS + 1
+    clock.now_ms += registry.ENTRY_TTL_MS + 1
     if case == 'silent':
         held.mark_silent()
     held.forget_old()
@@ -266,7 +266,7 @@
     held.take(registration(1))
     held.take(registration(2, GONE))
     revision = held.revision
-    clock.now_ms += registry.FORGOTTEN_AFTER_MS + 1
+    clock.now_ms += registry.ENTRY_TTL_MS + 1
     held.forget_old()
     assert not held.held and held.revision == revision
 
--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -29,7 +29,7 @@
 # than it takes until another may get the address (2 s).
 ADDRESS_HOLD_MS = 2_000
 # Longer than any word of a life that ended is under way.
-FORGOTTEN_AFTER_MS = 120_000
+ENTRY_TTL_MS = 120_000
 # Smaller moves of the end of a warm-up are not worth telling.
 WARMUP_STEP_MS = 400
 
@@ -319,7 +319,7 @@
             gone = found.said.state is RegistrationState.GONE
             if not (gone or found.silent):
                 continue
-            if now_ms - found.heard_ms > FORGOTTEN_AFTER_MS:
+            if now_ms - found.heard_ms > ENTRY_TTL_MS:
                 del self.held[endpoint]
                 self._leave_address(found.said)
 
