--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -31,7 +31,7 @@
 # Longer than any word of a life that ended is under way.
 ENTRY_TTL_MS = 120_000
 # Smaller moves of the end of a warm-up are not worth telling.
-WARMUP_STEP_MS = 400
+MIN_WARMUP_CHANGE_MS = 400
 
 
 class RegistrationState(enum.Enum):
@@ -344,4 +344,4 @@
         return True
     moved_ms = heard_ms + said.warmup_left_ms - old.warm_ms
     cold = was.warmup_left_ms > 0 or said.warmup_left_ms > 0
-    return cold and abs(moved_ms) > WARMUP_STEP_MS
+    return cold and abs(moved_ms) > MIN_WARMUP_CHANGE_MS
