--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -93,7 +93,7 @@
         )
 
 
-Listener = collections.abc.Callable[[Registration], None]
+RestartListener = collections.abc.Callable[[Registration], None]
 
 
 class Registry:
@@ -103,7 +103,7 @@
         self._clock = clock
         self.held: dict[ids.EndpointId, EndpointEntry] = {}
         self._at_address: dict[str, set[ids.EndpointId]] = {}
-        self._told_reborn: list[Listener] = []
+        self._told_reborn: list[RestartListener] = []
         self.revision = 0
 
     def tell_reborn(self, listener: 'Listener') -> None:
