--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -102,7 +102,7 @@
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
         self.held: dict[ids.EndpointId, EndpointEntry] = {}
-        self._at_address: dict[str, set[ids.EndpointId]] = {}
+        self._by_address: dict[str, set[ids.EndpointId]] = {}
         self._told_reborn: list[RestartListener] = []
         self.revision = 0
 
@@ -118,7 +118,7 @@
         old = self.held.get(said.endpoint)
         if old is not None and said.born_ms < old.said.born_ms:
             return False
-        self._at_address.setdefault(said.address, set()).add(said.endpoint)
+        self._by_address.setdefault(said.address, set()).add(said.endpoint)
         if old is None or said.born_ms > old.said.born_ms:
             self._begin_life(said, heard_ms, told_by)
             return True
@@ -238,7 +238,7 @@
 
     def _others_at(self, said: Registration) -> list[EndpointEntry]:
         others = []
-        for endpoint in self._at_address.get(said.address, ()):
+        for endpoint in self._by_address.get(said.address, ()):
             found = self.held.get(endpoint)
             if found is None or endpoint == said.endpoint:
                 continue
@@ -324,10 +324,10 @@
                 self._leave_address(found.said)
 
     def _leave_address(self, said: Registration) -> None:
-        there = self._at_address.get(said.address, set())
+        there = self._by_address.get(said.address, set())
         there.discard(said.endpoint)
         if not there:
-            self._at_address.pop(said.address, None)
+            self._by_address.pop(said.address, None)
 
 
 def _differs(old: EndpointEntry, said: Registration, heard_ms: int) -> bool:
