--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -103,12 +103,12 @@
         self._clock = clock
         self.held: dict[ids.EndpointId, EndpointEntry] = {}
         self._by_address: dict[str, set[ids.EndpointId]] = {}
-        self._told_reborn: list[RestartListener] = []
+        self._restart_listeners: list[RestartListener] = []
         self.revision = 0
 
     def tell_reborn(self, listener: 'Listener') -> None:
         """Call a listener with what an endpoint said before it began anew."""
-        self._told_reborn.append(listener)
+        self._restart_listeners.append(listener)
 
     def take(
         self, said: Registration, told_by: ids.HostId | None = None
@@ -164,7 +164,7 @@
         )
         if before.said.address != said.address:
             self._leave_address(before.said)
-        for listener in self._told_reborn:
+        for listener in self._restart_listeners:
             listener(before.said)
 
     def mark_leaving(self, endpoint: ids.EndpointId, born_ms: int) -> bool:
