--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -367,7 +367,7 @@
 def test_who_learned_of_an_endpoint_is_told_that_it_began_anew():
     held = registry.Registry(FakeClock())
     heard = []
-    held.tell_reborn(heard.append)
+    held.add_restart_listener(heard.append)
     held.take(registration(5, born_ms=BORN_MS))
     held.take(registration(6, born_ms=BORN_MS))
     assert heard == []
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -358,7 +358,7 @@
             ),
             self.clock,
         )
-        self.attendance.registry.tell_reborn(self._forget_life)
+        self.attendance.registry.add_restart_listener(self._forget_life)
         self._callers = self._server(surface.handle_caller)
         self._hosts = self._server(surface.handle_host)
 
