--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -653,8 +653,8 @@
     Switch(
         'nobody passes on what another hears',
         DECISIONS + 'membership/control_sync.py',
-        ('        and found.told_by not in recent_contacts\n'),
-        ('        and found.told_by is None\n'),
+        ('        and found.relayed_by not in recent_contacts\n'),
+        ('        and found.relayed_by is None\n'),
         (
             'tests/test_membership_fleet.py::test_what_a_control_host_hears_reaches_those_that_it_is_cut_off_from'
         ),
--- a/wrenspoke/coordination/membership/control_sync.py
+++ b/wrenspoke/coordination/membership/control_sync.py
@@ -266,5 +266,5 @@
         for found in entries
         if found.heard_ms >= since_ms
         and found.revision <= sent_revision
-        and found.told_by not in recent_contacts
+        and found.relayed_by not in recent_contacts
     ]
--- a/wrenspoke/coordination/membership/roster.py
+++ b/wrenspoke/coordination/membership/roster.py
@@ -80,7 +80,7 @@
             return True
         old.record = record
         old.heard_ms = heard_ms
-        old.told_by = told_by
+        old.relayed_by = told_by
         return False
 
     def renew(self, renewal: attending.Renewal, told_by: ids.HostId) -> bool:
@@ -93,7 +93,7 @@
                 old.record, number=renewal.number
             )
             old.heard_ms = self._clock.mono_ms() - renewal.age_ms
-            old.told_by = told_by
+            old.relayed_by = told_by
         return True
 
     def _store_record(
@@ -133,7 +133,7 @@
         return bool(ended)
 
     def _lease_of(self, known: HostEntry) -> int:
-        return self._relayed_lease_ms if known.told_by else self._lease_ms
+        return self._relayed_lease_ms if known.relayed_by else self._lease_ms
 
     def _expire_host(self, host: ids.HostId) -> None:
         self.remove_host(host)
--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -111,7 +111,7 @@
         self._restart_listeners.append(listener)
 
     def take(
-        self, said: Registration, told_by: ids.HostId | None = None
+        self, said: Registration, relayed_by: ids.HostId | None = None
     ) -> bool:
         """Take what is newer; return whether it changes routing."""
         heard_ms = self._clock.mono_ms() - said.age_ms
@@ -120,7 +120,7 @@
             return False
         self._by_address.setdefault(said.address, set()).add(said.endpoint)
         if old is None or said.born_ms > old.said.born_ms:
-            self._begin_life(said, heard_ms, told_by)
+            self._begin_life(said, heard_ms, relayed_by)
             return True
         if old.said.state is RegistrationState.GONE:
             return False
@@ -138,7 +138,7 @@
         changed = old.silent or _differs(old, said, heard_ms)
         old.said = said
         old.heard_ms = heard_ms
-        old.told_by = told_by
+        old.relayed_by = relayed_by
         old.silent = said.age_ms > RENEWAL_TIMEOUT_MS
         if changed:
             self.revision += 1
