--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -114,13 +114,13 @@
         self, said: Registration, relayed_by: ids.HostId | None = None
     ) -> bool:
         """Take what is newer; return whether it changes routing."""
-        heard_ms = self._clock.mono_ms() - said.age_ms
+        reported_ms = self._clock.mono_ms() - said.age_ms
         old = self.held.get(said.endpoint)
         if old is not None and said.born_ms < old.said.born_ms:
             return False
         self._by_address.setdefault(said.address, set()).add(said.endpoint)
         if old is None or said.born_ms > old.said.born_ms:
-            self._begin_life(said, heard_ms, relayed_by)
+            self._begin_life(said, reported_ms, relayed_by)
             return True
         if old.said.state is RegistrationState.GONE:
             return False
@@ -135,9 +135,9 @@
         if old.said.leaving:
             # Reports may still call it ready; it leaves all the same.
             said = msgspec.structs.replace(said, leaving=True)
-        changed = old.silent or _differs(old, said, heard_ms)
+        changed = old.silent or _differs(old, said, reported_ms)
         old.said = said
-        old.heard_ms = heard_ms
+        old.reported_ms = reported_ms
         old.relayed_by = relayed_by
         old.silent = said.age_ms > RENEWAL_TIMEOUT_MS
         if changed:
@@ -223,7 +223,7 @@
         if said.state is RegistrationState.GONE:
             return None
         for found in self._others_at(said):
-            if self._clock.mono_ms() - found.heard_ms < ADDRESS_HOLD_MS:
+            if self._clock.mono_ms() - found.reported_ms < ADDRESS_HOLD_MS:
                 return found
         return None
 
@@ -284,7 +284,10 @@
         now_ms = self._clock.mono_ms()
         marked = False
         for found in self.held.values():
-            if found.silent or now_ms - found.heard_ms <= RENEWAL_TIMEOUT_MS:
+            if (
+                found.silent
+                or now_ms - found.reported_ms <= RENEWAL_TIMEOUT_MS
+            ):
                 continue
             self.revision += 1
             found.silent = marked = True
@@ -306,7 +309,7 @@
 
     def aged(self, found: EndpointEntry) -> Registration:
         """Return a registration with its age of now."""
-        age_ms = self._clock.mono_ms() - found.heard_ms
+        age_ms = self._clock.mono_ms() - found.reported_ms
         return msgspec.structs.replace(found.said, age_ms=max(age_ms, 0))
 
     def forget_old(self) -> None:
@@ -319,7 +322,7 @@
             gone = found.said.state is RegistrationState.GONE
             if not (gone or found.silent):
                 continue
-            if now_ms - found.heard_ms > ENTRY_TTL_MS:
+            if now_ms - found.reported_ms > ENTRY_TTL_MS:
                 del self.held[endpoint]
                 self._leave_address(found.said)
 
