--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -163,7 +163,7 @@
         assert ('e' in held) is known
         # Believed for a while only, as nothing renews it here.
         if known:
-            age_ms = again.clock.mono_ms() - held['e'].heard_ms
+            age_ms = again.clock.mono_ms() - held['e'].reported_ms
             assert age_ms >= registry_snapshot.RESTORED_LEASE_MS
 
 
--- a/wrenspoke/coordination/membership/control_sync.py
+++ b/wrenspoke/coordination/membership/control_sync.py
@@ -186,7 +186,7 @@
                 attending.Renewal(
                     found.said.endpoint,
                     found.said.number,
-                    self._age_ms(found.heard_ms),
+                    self._age_ms(found.reported_ms),
                     found.said.born_ms,
                 )
                 for found in endpoints
@@ -195,7 +195,7 @@
                 attending.Renewal(
                     found.record.host,
                     found.record.number,
-                    self._age_ms(found.heard_ms),
+                    self._age_ms(found.reported_ms),
                     roster.instance_checksum(found.record),
                 )
                 for found in hosts
@@ -264,7 +264,7 @@
     return [
         found
         for found in entries
-        if found.heard_ms >= since_ms
+        if found.reported_ms >= since_ms
         and found.revision <= sent_revision
         and found.relayed_by not in recent_contacts
     ]
--- a/wrenspoke/coordination/membership/roster.py
+++ b/wrenspoke/coordination/membership/roster.py
@@ -73,13 +73,13 @@
         same_life = old.record.start == record.start
         if same_life and record.number <= old.record.number:
             return False
-        if not same_life and heard_ms < old.heard_ms:
+        if not same_life and heard_ms < old.reported_ms:
             return False
         if _differs(old.record, record):
             self._store_record(record, heard_ms, told_by)
             return True
         old.record = record
-        old.heard_ms = heard_ms
+        old.reported_ms = heard_ms
         old.relayed_by = told_by
         return False
 
@@ -92,7 +92,7 @@
             old.record = msgspec.structs.replace(
                 old.record, number=renewal.number
             )
-            old.heard_ms = self._clock.mono_ms() - renewal.age_ms
+            old.reported_ms = self._clock.mono_ms() - renewal.age_ms
             old.relayed_by = told_by
         return True
 
@@ -125,7 +125,7 @@
         ended = [
             host
             for host, known in self._entries.items()
-            if now_ms - known.heard_ms > self._lease_of(known)
+            if now_ms - known.reported_ms > self._lease_of(known)
         ]
         for host in ended:
             self._expire_host(host)
@@ -144,7 +144,7 @@
         known = self._entries.get(host)
         if known is None:
             return
-        if self._clock.mono_ms() - known.heard_ms > self._lease_ms:
+        if self._clock.mono_ms() - known.reported_ms > self._lease_ms:
             self._expire_host(host)
 
     def _prune_tombstones(self, now_ms: int) -> None:
@@ -172,7 +172,7 @@
         return attending.HostChanges(found, lost)
 
     def _with_age(self, known: HostEntry) -> attending.HostRecord:
-        age_ms = max(self._clock.mono_ms() - known.heard_ms, 0)
+        age_ms = max(self._clock.mono_ms() - known.reported_ms, 0)
         return msgspec.structs.replace(known.record, age_ms=age_ms)
 
     def records(self) -> list[attending.HostRecord]:
--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -149,7 +149,7 @@
         if found.warm_ms > self._clock.mono_ms():
             return True
         taken_back_ms = self._restored_at_ms.get(found.said.data_centre)
-        if taken_back_ms is None or found.heard_ms >= taken_back_ms:
+        if taken_back_ms is None or found.reported_ms >= taken_back_ms:
             return False
         service = self._replica.current.routes.service(found.said.service)
         if service is None or service.warmup_per_s <= 0:
--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -146,13 +146,16 @@
         return changed
 
     def _begin_life(
-        self, said: Registration, heard_ms: int, relayed_by: ids.HostId | None
+        self,
+        said: Registration,
+        reported_ms: int,
+        relayed_by: ids.HostId | None,
     ) -> None:
         """Hold a life of an endpoint that was not known before."""
         before = self.held.get(said.endpoint)
         self.revision += 1
         self.held[said.endpoint] = EndpointEntry(
-            said, heard_ms, self.revision, relayed_by=relayed_by
+            said, reported_ms, self.revision, relayed_by=relayed_by
         )
         if before is None:
             return
