--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -193,7 +193,7 @@
         endpoint: ids.EndpointId,
         number: int,
         age_ms: int,
-        told_by: ids.HostId,
+        relayed_by: ids.HostId,
         born_ms: int = 0,
     ) -> bool:
         """Take a renewal without change; return False if it is not known.
@@ -213,7 +213,7 @@
         said = msgspec.structs.replace(
             old.said, number=number, warmup_left_ms=left_ms, age_ms=age_ms
         )
-        self.take(said, told_by)
+        self.take(said, relayed_by)
         return True
 
     def occupant(self, said: Registration) -> EndpointEntry | None:
