--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -208,8 +208,8 @@
             return True
         left_ms = old.said.warmup_left_ms
         if left_ms > 0:
-            heard_ms = self._clock.mono_ms() - age_ms
-            left_ms = max(old.warm_ms - heard_ms, 0)
+            reported_ms = self._clock.mono_ms() - age_ms
+            left_ms = max(old.warm_ms - reported_ms, 0)
         said = msgspec.structs.replace(
             old.said, number=number, warmup_left_ms=left_ms, age_ms=age_ms
         )
