--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -336,7 +336,7 @@
             self._by_address.pop(said.address, None)
 
 
-def _differs(old: EndpointEntry, said: Registration, heard_ms: int) -> bool:
+def _differs(old: EndpointEntry, said: Registration, reported_ms: int) -> bool:
     was = old.said
     if (was.state, was.address, was.slots, was.service, was.leaving) != (
         said.state,
@@ -348,6 +348,6 @@
         return True
     if was.ends_in_ms != said.ends_in_ms:
         return True
-    moved_ms = heard_ms + said.warmup_left_ms - old.warm_ms
+    moved_ms = reported_ms + said.warmup_left_ms - old.warm_ms
     cold = was.warmup_left_ms > 0 or said.warmup_left_ms > 0
     return cold and abs(moved_ms) > MIN_WARMUP_CHANGE_MS
