--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -120,7 +120,7 @@
             return False
         self._by_address.setdefault(said.address, set()).add(said.endpoint)
         if old is None or said.born_ms > old.said.born_ms:
-            self._begin_life(said, reported_ms, relayed_by)
+            self._add_instance(said, reported_ms, relayed_by)
             return True
         if old.said.state is RegistrationState.GONE:
             return False
@@ -145,7 +145,7 @@
             old.revision = self.revision
         return changed
 
-    def _begin_life(
+    def _add_instance(
         self,
         said: Registration,
         reported_ms: int,
