--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -131,7 +131,7 @@
         elif said.number <= old.said.number:
             # The same again, from who noticed that no newer one comes.
             old.silent |= said.age_ms > RENEWAL_TIMEOUT_MS
-            return said.leaving and self._mark(old)
+            return said.leaving and self._set_leaving(old)
         if old.said.leaving:
             # Reports may still call it ready; it leaves all the same.
             said = msgspec.structs.replace(said, leaving=True)
@@ -178,9 +178,9 @@
         old = self.held.get(endpoint)
         if old is None or old.said.born_ms != born_ms:
             return False
-        return self._mark(old)
+        return self._set_leaving(old)
 
-    def _mark(self, old: EndpointEntry) -> bool:
+    def _set_leaving(self, old: EndpointEntry) -> bool:
         if old.said.leaving or old.said.state is RegistrationState.GONE:
             return False
         old.said = msgspec.structs.replace(old.said, leaving=True)
