--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -166,7 +166,7 @@
             before_ms=before.said.born_ms,
         )
         if before.said.address != said.address:
-            self._leave_address(before.said)
+            self._remove_from_address(before.said)
         for listener in self._restart_listeners:
             listener(before.said)
 
@@ -327,9 +327,9 @@
                 continue
             if now_ms - found.reported_ms > ENTRY_TTL_MS:
                 del self.held[endpoint]
-                self._leave_address(found.said)
+                self._remove_from_address(found.said)
 
-    def _leave_address(self, said: Registration) -> None:
+    def _remove_from_address(self, said: Registration) -> None:
         there = self._by_address.get(said.address, set())
         there.discard(said.endpoint)
         if not there:
