--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -185,7 +185,7 @@
     """Tell another host how old it is."""
     made = registry.Registry(clock)
     made.take(registration())
-    return lambda: made.aged(made.held['e']).age_ms < SUSPENDED_MS
+    return lambda: made.with_age(made.held['e']).age_ms < SUSPENDED_MS
 
 
 def attending_host(clock):
--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -305,12 +305,12 @@
     def after(self, revision: int) -> list[Registration]:
         """Return what changed after a revision, with its age."""
         return [
-            self.aged(found)
+            self.with_age(found)
             for found in self.held.values()
             if found.revision > revision
         ]
 
-    def aged(self, found: EndpointEntry) -> Registration:
+    def with_age(self, found: EndpointEntry) -> Registration:
         """Return a registration with its age of now."""
         age_ms = self._clock.mono_ms() - found.reported_ms
         return msgspec.structs.replace(found.said, age_ms=max(age_ms, 0))
