--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -148,7 +148,7 @@
     clock.now_ms += registry.ENTRY_TTL_MS + 1
     if case == 'silent':
         held.mark_silent()
-    held.forget_old()
+    held.evict_expired()
     assert ('e' in held.held) is kept
 
 
@@ -267,7 +267,7 @@
     held.take(registration(2, GONE))
     revision = held.revision
     clock.now_ms += registry.ENTRY_TTL_MS + 1
-    held.forget_old()
+    held.evict_expired()
     assert not held.held and held.revision == revision
 
 
--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -255,7 +255,7 @@
                 self._control_sync.request_sync()
             if self.registry.mark_silent():
                 self._notify_all()
-            self.registry.forget_old()
+            self.registry.evict_expired()
             self._answered_ms = {
                 host: told_ms
                 for host, told_ms in self._answered_ms.items()
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -404,7 +404,7 @@
             places = {found.said.address for found in held.values()}
             places |= {record.passing_address for record in hosts}
             self._health.keep_only(places)
-            self.attendance.registry.forget_old()
+            self.attendance.registry.evict_expired()
             await self.clock.sleep_ms(HOUSE_INTERVAL_MS)
 
     async def _watch_evacuations(self) -> None:
--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -315,7 +315,7 @@
         age_ms = self._clock.mono_ms() - found.reported_ms
         return msgspec.structs.replace(found.said, age_ms=max(age_ms, 0))
 
-    def forget_old(self) -> None:
+    def evict_expired(self) -> None:
         """Drop what left or fell silent too long ago to matter.
 
         Age alone says nothing where only changes are heard.
