--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -534,7 +534,7 @@
     Switch(
         'a name that is gone is tried again',
         DECISIONS + 'membership/discovery_client.py',
-        ('        if not self.registry.take(gone):'),
+        ('        if not self.registry.merge_registration(gone):'),
         ('        if True:'),
         (
             'tests/test_passing.py::test_misdirected_endpoint_is_deregistered'
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -256,9 +256,11 @@
 def test_no_heartbeat_harms_what_is_known(body):
     """Whatever comes is taken for what it says, or refused."""
     held = registry.Registry(test_registry.FakeClock())
-    held.take(heartbeat(json.dumps(HEARTBEAT).encode(), 'i-true'))
+    held.merge_registration(
+        heartbeat(json.dumps(HEARTBEAT).encode(), 'i-true')
+    )
     try:
-        held.take(heartbeat(body, 'i-other'))
+        held.merge_registration(heartbeat(body, 'i-other'))
     except errors.InvalidChangeError:
         assert 'i-other' not in held.held
     assert held.held['i-true'].takes_work
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -45,9 +45,9 @@
 )
 def test_newer_number_prevails(later, changed, state, number):
     held = registry.Registry(FakeClock())
-    assert held.take(registration(5))
+    assert held.merge_registration(registration(5))
     before = held.revision
-    assert held.take(later) is changed
+    assert held.merge_registration(later) is changed
     assert (held.revision > before) is changed
     found = held.held['e']
     assert (found.said.state, found.said.number) == (state, number)
@@ -55,9 +55,9 @@
 
 def test_endpoint_that_left_never_comes_back_under_its_name():
     held = registry.Registry(FakeClock())
-    held.take(registration(5))
-    held.take(held.withdraw('e'))
-    assert not held.take(registration(99))
+    held.merge_registration(registration(5))
+    held.merge_registration(held.withdraw('e'))
+    assert not held.merge_registration(registration(99))
     assert not held.held['e'].takes_work
 
 
@@ -90,7 +90,7 @@
 ):
     clock = FakeClock()
     held = registry.Registry(clock)
-    held.take(registration_at(first, 1))
+    held.merge_registration(registration_at(first, 1))
     clock.now_ms += after_ms
     found = held.occupant(later)
     assert (found and found.said.endpoint) == occupant
@@ -98,8 +98,8 @@
 
 def test_successor_at_an_address_is_used_before_its_predecessor():
     held = registry.Registry(FakeClock())
-    held.take(registration_at('old', 5))
-    held.take(registration_at('new', 1))
+    held.merge_registration(registration_at('old', 5))
+    held.merge_registration(registration_at('new', 1))
     before = held.revision
     held.displace(registration_at('new', 1))
     assert held.silent('old') and not held.silent('new')
@@ -109,8 +109,8 @@
 def test_leave_of_an_unknown_endpoint_is_remembered():
     """The heartbeat before it may come later, from another host."""
     held = registry.Registry(FakeClock())
-    held.take(held.withdraw('e'))
-    held.take(registration(1))
+    held.merge_registration(held.withdraw('e'))
+    held.merge_registration(registration(1))
     assert not held.held['e'].takes_work
 
 
@@ -118,19 +118,19 @@
     clock = FakeClock()
     hears = registry.Registry(clock)
     told = registry.Registry(clock)
-    hears.take(registration(1))
-    told.take(hears.after(0)[0])
+    hears.merge_registration(registration(1))
+    told.merge_registration(hears.after(0)[0])
     clock.now_ms += registry.RENEWAL_TIMEOUT_MS + 1
     assert not told.silent('e')
     seen = hears.revision
     assert hears.mark_silent() and not hears.mark_silent()
     for change in hears.after(seen):
-        told.take(change)
+        told.merge_registration(change)
     assert told.silent('e') and hears.silent('e')
     seen = hears.revision
-    assert hears.take(registration(2))
+    assert hears.merge_registration(registration(2))
     for change in hears.after(seen):
-        told.take(change)
+        told.merge_registration(change)
     assert not told.silent('e')
 
 
@@ -142,9 +142,9 @@
     """A host that hears changes only must not forget the others."""
     clock = FakeClock()
     held = registry.Registry(clock)
-    held.take(registration(1))
+    held.merge_registration(registration(1))
     if case == 'gone':
-        held.take(held.withdraw('e'))
+        held.merge_registration(held.withdraw('e'))
     clock.now_ms += registry.ENTRY_TTL_MS + 1
     if case == 'silent':
         held.mark_silent()
@@ -263,8 +263,8 @@
     """It left long ago; who attends has nothing to learn of it."""
     clock = FakeClock()
     held = registry.Registry(clock)
-    held.take(registration(1))
-    held.take(registration(2, GONE))
+    held.merge_registration(registration(1))
+    held.merge_registration(registration(2, GONE))
     revision = held.revision
     clock.now_ms += registry.ENTRY_TTL_MS + 1
     held.evict_expired()
@@ -347,15 +347,15 @@
 def test_birth_orders_before_numbers(before, later, takes_work, number):
     held = registry.Registry(FakeClock())
     for one in before:
-        held.take(one)
-    held.take(later)
+        held.merge_registration(one)
+    held.merge_registration(later)
     found = held.held['e']
     assert (found.takes_work, found.said.number) == (takes_work, number)
 
 
 def test_renewal_counts_for_its_life_only():
     held = registry.Registry(FakeClock())
-    held.take(registration(5, born_ms=BORN_MS))
+    held.merge_registration(registration(5, born_ms=BORN_MS))
     assert held.renew('e', 6, 0, 'other', BORN_MS)
     assert held.held['e'].said.number == 6
     assert held.renew('e', 99, 0, 'other', BORN_MS - 1)
@@ -368,40 +368,40 @@
     held = registry.Registry(FakeClock())
     heard = []
     held.add_restart_listener(heard.append)
-    held.take(registration(5, born_ms=BORN_MS))
-    held.take(registration(6, born_ms=BORN_MS))
+    held.merge_registration(registration(5, born_ms=BORN_MS))
+    held.merge_registration(registration(6, born_ms=BORN_MS))
     assert heard == []
-    held.take(registration(1, born_ms=BORN_MS + 1))
+    held.merge_registration(registration(1, born_ms=BORN_MS + 1))
     assert [before.number for before in heard] == [6]
 
 
 def test_leave_that_names_a_life_ends_no_other():
     held = registry.Registry(FakeClock())
-    held.take(registration(1, born_ms=BORN_MS))
-    assert not held.take(held.withdraw('e', BORN_MS - 1))
+    held.merge_registration(registration(1, born_ms=BORN_MS))
+    assert not held.merge_registration(held.withdraw('e', BORN_MS - 1))
     assert held.held['e'].takes_work
-    assert held.take(held.withdraw('e', BORN_MS))
+    assert held.merge_registration(held.withdraw('e', BORN_MS))
     assert not held.held['e'].takes_work
 
 
 def test_leave_outlives_reports_that_call_an_endpoint_ready():
     """For good in that life, also by what other hosts hold of it."""
     known = registry.Registry(FakeClock())
-    known.take(registration(number=1))
+    known.merge_registration(registration(number=1))
     assert known.mark_leaving('e', 0)
     assert not known.mark_leaving('e', 0)
     [found] = known.held.values()
     assert not found.takes_work
     for number in (1, 2, 9):
-        known.take(registration(number=number))
+        known.merge_registration(registration(number=number))
         assert not found.takes_work
     [told] = known.after(0)
     other = registry.Registry(FakeClock())
-    other.take(registration(number=20))
-    assert other.take(told)
+    other.merge_registration(registration(number=20))
+    assert other.merge_registration(told)
     [heard] = other.held.values()
     assert not heard.takes_work
-    other.take(registration(number=21, born_ms=5))
+    other.merge_registration(registration(number=21, born_ms=5))
     [reborn] = other.held.values()
     assert reborn.takes_work
     assert not other.mark_leaving('e', 0)
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -163,7 +163,7 @@
 
 def renewed_registration(clock):
     made = registry.Registry(clock)
-    made.take(registration())
+    made.merge_registration(registration())
 
     def fresh():
         made.mark_silent()
@@ -174,7 +174,7 @@
 
 def occupied_address(clock):
     made = registry.Registry(clock)
-    made.take(registration())
+    made.merge_registration(registration())
     other = registry.Registration(
         'f', 's', '127.0.0.1:1', 'hall', 1, registry.RegistrationState.READY, 1
     )
@@ -184,7 +184,7 @@
 def young_registration(clock):
     """Tell another host how old it is."""
     made = registry.Registry(clock)
-    made.take(registration())
+    made.merge_registration(registration())
     return lambda: made.with_age(made.held['e']).age_ms < SUSPENDED_MS
 
 
--- a/wrenspoke/coordination/membership/discovery_client.py
+++ b/wrenspoke/coordination/membership/discovery_client.py
@@ -186,7 +186,7 @@
         ``born_ms`` names the life that was found to have ended.
         """
         gone = self.registry.withdraw(endpoint, born_ms)
-        if not self.registry.take(gone):
+        if not self.registry.merge_registration(gone):
             return
         logger.info('endpoint_gone', endpoint=endpoint)
         self._notify_control_hosts(attending.Withdraw(endpoint, born_ms))
@@ -320,7 +320,7 @@
         if answer.news:
             self._replica.apply_delta(attending.unpack(answer.news))
         for said in answer.endpoints:
-            self.registry.take(said)
+            self.registry.merge_registration(said)
         if answer.hosts is not None:
             self._apply_host_changes(session, answer.hosts)
         self._local_controls.update(answer.near)
--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -124,7 +124,7 @@
             return
         if registration.state is not registry.RegistrationState.GONE:
             self.registry.displace(registration)
-        if self.registry.take(registration):
+        if self.registry.merge_registration(registration):
             logger.info(
                 'endpoint_registered',
                 endpoint=registration.endpoint,
--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -110,7 +110,7 @@
         """Call a listener with what an endpoint said before it began anew."""
         self._restart_listeners.append(listener)
 
-    def take(
+    def merge_registration(
         self, said: Registration, relayed_by: ids.HostId | None = None
     ) -> bool:
         """Take what is newer; return whether it changes routing."""
@@ -213,7 +213,7 @@
         said = msgspec.structs.replace(
             old.said, number=number, warmup_left_ms=left_ms, age_ms=age_ms
         )
-        self.take(said, relayed_by)
+        self.merge_registration(said, relayed_by)
         return True
 
     def occupant(self, said: Registration) -> EndpointEntry | None:
