--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -119,17 +119,17 @@
     hears = registry.Registry(clock)
     told = registry.Registry(clock)
     hears.merge_registration(registration(1))
-    told.merge_registration(hears.after(0)[0])
+    told.merge_registration(hears.registrations_since(0)[0])
     clock.now_ms += registry.RENEWAL_TIMEOUT_MS + 1
     assert not told.silent('e')
     seen = hears.revision
     assert hears.mark_silent() and not hears.mark_silent()
-    for change in hears.after(seen):
+    for change in hears.registrations_since(seen):
         told.merge_registration(change)
     assert told.silent('e') and hears.silent('e')
     seen = hears.revision
     assert hears.merge_registration(registration(2))
-    for change in hears.after(seen):
+    for change in hears.registrations_since(seen):
         told.merge_registration(change)
     assert not told.silent('e')
 
@@ -395,7 +395,7 @@
     for number in (1, 2, 9):
         known.merge_registration(registration(number=number))
         assert not found.takes_work
-    [told] = known.after(0)
+    [told] = known.registrations_since(0)
     other = registry.Registry(FakeClock())
     other.merge_registration(registration(number=20))
     assert other.merge_registration(told)
--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -211,7 +211,7 @@
             self._instance_id,
             self.registry.revision,
             self.roster.revision,
-            self.registry.after(endpoints_revision),
+            self.registry.registrations_since(endpoints_revision),
             hosts,
             [self._group.host, *self._group.seen_within(CONTACT_WINDOW_MS)],
             self._control_sync.control_hosts_in(message.record.region),
--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -302,7 +302,7 @@
         found = self.held.get(endpoint)
         return found is None or found.silent
 
-    def after(self, revision: int) -> list[Registration]:
+    def registrations_since(self, revision: int) -> list[Registration]:
         """Return what changed after a revision, with its age."""
         return [
             self.with_age(found)
