--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -56,7 +56,7 @@
 def test_endpoint_that_left_never_comes_back_under_its_name():
     held = registry.Registry(FakeClock())
     held.merge_registration(registration(5))
-    held.merge_registration(held.withdraw('e'))
+    held.merge_registration(held.final_registration('e'))
     assert not held.merge_registration(registration(99))
     assert not held.held['e'].takes_work
 
@@ -109,7 +109,7 @@
 def test_leave_of_an_unknown_endpoint_is_remembered():
     """The heartbeat before it may come later, from another host."""
     held = registry.Registry(FakeClock())
-    held.merge_registration(held.withdraw('e'))
+    held.merge_registration(held.final_registration('e'))
     held.merge_registration(registration(1))
     assert not held.held['e'].takes_work
 
@@ -144,7 +144,7 @@
     held = registry.Registry(clock)
     held.merge_registration(registration(1))
     if case == 'gone':
-        held.merge_registration(held.withdraw('e'))
+        held.merge_registration(held.final_registration('e'))
     clock.now_ms += registry.ENTRY_TTL_MS + 1
     if case == 'silent':
         held.mark_silent()
@@ -378,9 +378,11 @@
 def test_leave_that_names_a_life_ends_no_other():
     held = registry.Registry(FakeClock())
     held.merge_registration(registration(1, born_ms=BORN_MS))
-    assert not held.merge_registration(held.withdraw('e', BORN_MS - 1))
+    assert not held.merge_registration(
+        held.final_registration('e', BORN_MS - 1)
+    )
     assert held.held['e'].takes_work
-    assert held.merge_registration(held.withdraw('e', BORN_MS))
+    assert held.merge_registration(held.final_registration('e', BORN_MS))
     assert not held.held['e'].takes_work
 
 
--- a/wrenspoke/coordination/membership/discovery_client.py
+++ b/wrenspoke/coordination/membership/discovery_client.py
@@ -185,7 +185,7 @@
 
         ``born_ms`` names the life that was found to have ended.
         """
-        gone = self.registry.withdraw(endpoint, born_ms)
+        gone = self.registry.final_registration(endpoint, born_ms)
         if not self.registry.merge_registration(gone):
             return
         logger.info('endpoint_gone', endpoint=endpoint)
--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -141,7 +141,7 @@
         self, endpoint: ids.EndpointId, born_ms: int | None = None
     ) -> None:
         """Take note that an endpoint leaves, in one of its lives."""
-        self.register(self.registry.withdraw(endpoint, born_ms))
+        self.register(self.registry.final_registration(endpoint, born_ms))
 
     async def _handle_withdraw(
         self, _sender: ids.HostId, message: attending.Withdraw
--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -251,7 +251,7 @@
                 others.append(found)
         return others
 
-    def withdraw(
+    def final_registration(
         self, endpoint: ids.EndpointId, born_ms: int | None = None
     ) -> Registration:
         """Return the last registration of an endpoint that leaves.
