--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -123,7 +123,7 @@
     clock.now_ms += registry.RENEWAL_TIMEOUT_MS + 1
     assert not told.silent('e')
     seen = hears.revision
-    assert hears.mark_silent() and not hears.mark_silent()
+    assert hears.mark_stale() and not hears.mark_stale()
     for change in hears.registrations_since(seen):
         told.merge_registration(change)
     assert told.silent('e') and hears.silent('e')
@@ -147,7 +147,7 @@
         held.merge_registration(held.final_registration('e'))
     clock.now_ms += registry.ENTRY_TTL_MS + 1
     if case == 'silent':
-        held.mark_silent()
+        held.mark_stale()
     held.evict_expired()
     assert ('e' in held.held) is kept
 
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -166,7 +166,7 @@
     made.merge_registration(registration())
 
     def fresh():
-        made.mark_silent()
+        made.mark_stale()
         return not made.silent('e')
 
     return fresh
--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -253,7 +253,7 @@
         while True:
             if self.roster.expire():
                 self._control_sync.request_sync()
-            if self.registry.mark_silent():
+            if self.registry.mark_stale():
                 self._notify_all()
             self.registry.evict_expired()
             self._answered_ms = {
--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -279,7 +279,7 @@
             born_ms=born_ms or 0,
         )
 
-    def mark_silent(self) -> bool:
+    def mark_stale(self) -> bool:
         """Mark those that have not renewed for long; tell if any is new.
 
         Only who hears the renewals can tell; others are told.
