--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -102,7 +102,7 @@
     held.merge_registration(registration_at('new', 1))
     before = held.revision
     held.displace(registration_at('new', 1))
-    assert held.silent('old') and not held.silent('new')
+    assert held.is_stale('old') and not held.is_stale('new')
     assert held.revision == before + 1
 
 
@@ -121,17 +121,17 @@
     hears.merge_registration(registration(1))
     told.merge_registration(hears.registrations_since(0)[0])
     clock.now_ms += registry.RENEWAL_TIMEOUT_MS + 1
-    assert not told.silent('e')
+    assert not told.is_stale('e')
     seen = hears.revision
     assert hears.mark_stale() and not hears.mark_stale()
     for change in hears.registrations_since(seen):
         told.merge_registration(change)
-    assert told.silent('e') and hears.silent('e')
+    assert told.is_stale('e') and hears.is_stale('e')
     seen = hears.revision
     assert hears.merge_registration(registration(2))
     for change in hears.registrations_since(seen):
         told.merge_registration(change)
-    assert not told.silent('e')
+    assert not told.is_stale('e')
 
 
 @pytest.mark.parametrize(
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -167,7 +167,7 @@
 
     def fresh():
         made.mark_stale()
-        return not made.silent('e')
+        return not made.is_stale('e')
 
     return fresh
 
--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -297,7 +297,7 @@
             found.revision = self.revision
         return marked
 
-    def silent(self, endpoint: ids.EndpointId) -> bool:
+    def is_stale(self, endpoint: ids.EndpointId) -> bool:
         """Tell whether an endpoint has not renewed for long."""
         found = self.held.get(endpoint)
         return found is None or found.silent
