--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -76,7 +76,7 @@
     said: Registration
     reported_ms: int
     revision: int
-    silent: bool = False
+    is_stale: bool = False
     relayed_by: ids.HostId | None = None
 
     @property
