--- a/tests/test_engine_loads.py
+++ b/tests/test_engine_loads.py
@@ -141,7 +141,7 @@
     clock.now_ms += engine_loads.TAKEOVER_INTERVALS * 400 + 1
     assert len(assigned_engines(second)) == len(engines)
     for found in engines:
-        second._loads[found.said.endpoint] = (None, clock.now_ms)
+        second._loads[found.registration.endpoint] = (None, clock.now_ms)
     assert {
         found.said.endpoint for found in assigned_engines(second)
     } == before
@@ -187,7 +187,7 @@
     gauged._clock = test_registry.FakeClock()
     now_ms = gauged._clock.now_ms
     for found in engines:
-        gauged._loads[found.said.endpoint] = (None, now_ms)
+        gauged._loads[found.registration.endpoint] = (None, now_ms)
     if silent:
         gauged._loads['e0'] = (None, now_ms - 1_601)
     # One that left reports no more, and counts for nothing.
--- a/tests/test_warmth.py
+++ b/tests/test_warmth.py
@@ -33,11 +33,11 @@
     made = warmup_probe.WarmupProbe(
         asking, None, None, None, endpoint_limit_fleet.open_gate(clock), clock
     )
-    status = attending.WarmupStatus(endpoint.said.endpoint, 500)
+    status = attending.WarmupStatus(endpoint.registration.endpoint, 500)
     [listener] = asking._listeners
     listener(attending.TellRegion(warm=[status]))
     warm_ms = clock.now_ms + 500
     clock.now_ms += before_ms
     made.start_probes([endpoint])
-    found = made.warm_ms(endpoint.said.endpoint)
+    found = made.warm_ms(endpoint.registration.endpoint)
     assert found == (warm_ms if known else None)
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -72,7 +72,7 @@
     def life(self) -> limiting.EndpointLife:
         """Return which life of the endpoint was chosen."""
         return limiting.EndpointLife(
-            self.endpoint, self.chosen.registered.said.born_ms
+            self.endpoint, self.chosen.registered.registration.born_ms
         )
 
     @property
--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -73,7 +73,7 @@
     ``told_by`` is the control host that heard it, None for this one.
     """
 
-    said: Registration
+    registration: Registration
     reported_ms: int
     revision: int
     is_stale: bool = False
@@ -82,14 +82,14 @@
     @property
     def warm_ms(self) -> int:
         """Return when the endpoint is warm, in this host's time."""
-        return self.reported_ms + self.said.warmup_left_ms
+        return self.reported_ms + self.registration.warmup_left_ms
 
     @property
     def takes_work(self) -> bool:
         """Tell whether it may be given new work."""
         return (
-            self.said.state is RegistrationState.READY
-            and not self.said.leaving
+            self.registration.state is RegistrationState.READY
+            and not self.registration.leaving
         )
 
 
