--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -262,8 +262,8 @@
     try:
         held.merge_registration(heartbeat(body, 'i-other'))
     except errors.InvalidChangeError:
-        assert 'i-other' not in held.held
-    assert held.held['i-true'].takes_work
+        assert 'i-other' not in held.entries
+    assert held.entries['i-true'].takes_work
 
 
 @hypothesis.settings(max_examples=300, deadline=None)
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -49,7 +49,7 @@
     before = held.revision
     assert held.merge_registration(later) is changed
     assert (held.revision > before) is changed
-    found = held.held['e']
+    found = held.entries['e']
     assert (found.said.state, found.said.number) == (state, number)
 
 
@@ -58,7 +58,7 @@
     held.merge_registration(registration(5))
     held.merge_registration(held.final_registration('e'))
     assert not held.merge_registration(registration(99))
-    assert not held.held['e'].takes_work
+    assert not held.entries['e'].takes_work
 
 
 def registration_at(name, number, state=READY):
@@ -111,7 +111,7 @@
     held = registry.Registry(FakeClock())
     held.merge_registration(held.final_registration('e'))
     held.merge_registration(registration(1))
-    assert not held.held['e'].takes_work
+    assert not held.entries['e'].takes_work
 
 
 def test_silence_is_told_to_those_who_hear_changes_only():
@@ -149,7 +149,7 @@
     if case == 'silent':
         held.mark_stale()
     held.evict_expired()
-    assert ('e' in held.held) is kept
+    assert ('e' in held.entries) is kept
 
 
 def record(host, start='a', number=1, draining=False, age_ms=0, **place):
@@ -268,7 +268,7 @@
     revision = held.revision
     clock.now_ms += registry.ENTRY_TTL_MS + 1
     held.evict_expired()
-    assert not held.held and held.revision == revision
+    assert not held.entries and held.revision == revision
 
 
 BORN_MS = 1_790_000_000_000
@@ -349,7 +349,7 @@
     for one in before:
         held.merge_registration(one)
     held.merge_registration(later)
-    found = held.held['e']
+    found = held.entries['e']
     assert (found.takes_work, found.said.number) == (takes_work, number)
 
 
@@ -357,9 +357,9 @@
     held = registry.Registry(FakeClock())
     held.merge_registration(registration(5, born_ms=BORN_MS))
     assert held.renew('e', 6, 0, 'other', BORN_MS)
-    assert held.held['e'].said.number == 6
+    assert held.entries['e'].said.number == 6
     assert held.renew('e', 99, 0, 'other', BORN_MS - 1)
-    assert held.held['e'].said.number == 6
+    assert held.entries['e'].said.number == 6
     # Of a life that is not known here all is to be told.
     assert not held.renew('e', 1, 0, 'other', BORN_MS + 1)
 
@@ -381,9 +381,9 @@
     assert not held.merge_registration(
         held.final_registration('e', BORN_MS - 1)
     )
-    assert held.held['e'].takes_work
+    assert held.entries['e'].takes_work
     assert held.merge_registration(held.final_registration('e', BORN_MS))
-    assert not held.held['e'].takes_work
+    assert not held.entries['e'].takes_work
 
 
 def test_leave_outlives_reports_that_call_an_endpoint_ready():
@@ -392,7 +392,7 @@
     known.merge_registration(registration(number=1))
     assert known.mark_leaving('e', 0)
     assert not known.mark_leaving('e', 0)
-    [found] = known.held.values()
+    [found] = known.entries.values()
     assert not found.takes_work
     for number in (1, 2, 9):
         known.merge_registration(registration(number=number))
@@ -401,9 +401,9 @@
     other = registry.Registry(FakeClock())
     other.merge_registration(registration(number=20))
     assert other.merge_registration(told)
-    [heard] = other.held.values()
+    [heard] = other.entries.values()
     assert not heard.takes_work
     other.merge_registration(registration(number=21, born_ms=5))
-    [reborn] = other.held.values()
+    [reborn] = other.entries.values()
     assert reborn.takes_work
     assert not other.mark_leaving('e', 0)
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -185,7 +185,7 @@
     """Tell another host how old it is."""
     made = registry.Registry(clock)
     made.merge_registration(registration())
-    return lambda: made.with_age(made.held['e']).age_ms < SUSPENDED_MS
+    return lambda: made.with_age(made.entries['e']).age_ms < SUSPENDED_MS
 
 
 def attending_host(clock):
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -190,7 +190,7 @@
 
     def _note_sent_by_another(self, sent: attending.SentCall) -> None:
         """Note what another host of this region sends to an engine."""
-        found = self.attendance.registry.held.get(sent.endpoint)
+        found = self.attendance.registry.entries.get(sent.endpoint)
         if found is None:
             return
         service = self.replica.current.routes.service(found.said.service)
@@ -235,7 +235,7 @@
 
     def _lives(self, life: limiting.EndpointLife) -> bool:
         """Tell whether an endpoint is known, and in that life of it."""
-        found = self.attendance.registry.held.get(life.endpoint)
+        found = self.attendance.registry.entries.get(life.endpoint)
         return found is not None and found.said.born_ms == life.born_ms
 
     def _build_guard(self) -> None:
@@ -252,14 +252,14 @@
 
     def _leaves(self, endpoint: ids.EndpointId) -> bool:
         """Tell whether an endpoint has said that it is about to end."""
-        found = self.attendance.registry.held.get(endpoint)
+        found = self.attendance.registry.entries.get(endpoint)
         if found is None:
             return False
         return not found.takes_work
 
     def _forget_life(self, before: registry.Registration) -> None:
         """Forget what was learned of an endpoint that began anew."""
-        others = set(self.attendance.registry.held) - {before.endpoint}
+        others = set(self.attendance.registry.entries) - {before.endpoint}
         self._estimator.keep_only(others)
         self._warmth.keep_only(others)
         self._gauges.evict(before.endpoint)
@@ -398,7 +398,7 @@
             self.spending.set_hosts(record.host for record in hosts)
             near = self.attendance.roster.usable(self.node.region)
             self._estimator.backlog.host_count = max(len(near), 1)
-            held = self.attendance.registry.held
+            held = self.attendance.registry.entries
             self._estimator.keep_only(set(held))
             self._warmth.keep_only(set(held))
             places = {found.said.address for found in held.values()}
--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -101,7 +101,7 @@
 
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
-        self.held: dict[ids.EndpointId, EndpointEntry] = {}
+        self.entries: dict[ids.EndpointId, EndpointEntry] = {}
         self._by_address: dict[str, set[ids.EndpointId]] = {}
         self._restart_listeners: list[RestartListener] = []
         self.revision = 0
@@ -115,7 +115,7 @@
     ) -> bool:
         """Take what is newer; return whether it changes routing."""
         reported_ms = self._clock.mono_ms() - said.age_ms
-        old = self.held.get(said.endpoint)
+        old = self.entries.get(said.endpoint)
         if old is not None and said.born_ms < old.said.born_ms:
             return False
         self._by_address.setdefault(said.address, set()).add(said.endpoint)
@@ -152,9 +152,9 @@
         relayed_by: ids.HostId | None,
     ) -> None:
         """Hold a life of an endpoint that was not known before."""
-        before = self.held.get(said.endpoint)
+        before = self.entries.get(said.endpoint)
         self.revision += 1
-        self.held[said.endpoint] = EndpointEntry(
+        self.entries[said.endpoint] = EndpointEntry(
             said, reported_ms, self.revision, relayed_by=relayed_by
         )
         if before is None:
@@ -175,7 +175,7 @@
 
         Return whether that changes routing.
         """
-        old = self.held.get(endpoint)
+        old = self.entries.get(endpoint)
         if old is None or old.said.born_ms != born_ms:
             return False
         return self._set_leaving(old)
@@ -200,7 +200,7 @@
 
         The end of a warm-up stays where it was.
         """
-        old = self.held.get(endpoint)
+        old = self.entries.get(endpoint)
         if old is None or old.said.born_ms < born_ms:
             return False
         if old.said.born_ms > born_ms:
@@ -242,7 +242,7 @@
     def _others_at(self, said: Registration) -> list[EndpointEntry]:
         others = []
         for endpoint in self._by_address.get(said.address, ()):
-            found = self.held.get(endpoint)
+            found = self.entries.get(endpoint)
             if found is None or endpoint == said.endpoint:
                 continue
             if found.said.address != said.address:
@@ -258,7 +258,7 @@
 
         ``born_ms`` names the life that ends, None the one that is known.
         """
-        old = self.held.get(endpoint)
+        old = self.entries.get(endpoint)
         if old is not None and born_ms not in (None, old.said.born_ms):
             old = None
         if old is not None:
@@ -286,7 +286,7 @@
         """
         now_ms = self._clock.mono_ms()
         marked = False
-        for found in self.held.values():
+        for found in self.entries.values():
             if (
                 found.silent
                 or now_ms - found.reported_ms <= RENEWAL_TIMEOUT_MS
@@ -299,14 +299,14 @@
 
     def is_stale(self, endpoint: ids.EndpointId) -> bool:
         """Tell whether an endpoint has not renewed for long."""
-        found = self.held.get(endpoint)
+        found = self.entries.get(endpoint)
         return found is None or found.silent
 
     def registrations_since(self, revision: int) -> list[Registration]:
         """Return what changed after a revision, with its age."""
         return [
             self.with_age(found)
-            for found in self.held.values()
+            for found in self.entries.values()
             if found.revision > revision
         ]
 
@@ -321,12 +321,12 @@
         Age alone says nothing where only changes are heard.
         """
         now_ms = self._clock.mono_ms()
-        for endpoint, found in list(self.held.items()):
+        for endpoint, found in list(self.entries.items()):
             gone = found.said.state is RegistrationState.GONE
             if not (gone or found.silent):
                 continue
             if now_ms - found.reported_ms > ENTRY_TTL_MS:
-                del self.held[endpoint]
+                del self.entries[endpoint]
                 self._remove_from_address(found.said)
 
     def _remove_from_address(self, said: Registration) -> None:
