--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -135,7 +135,7 @@
         if old.said.leaving:
             # Reports may still call it ready; it leaves all the same.
             said = msgspec.structs.replace(said, leaving=True)
-        changed = old.silent or _differs(old, said, reported_ms)
+        changed = old.silent or _affects_routing(old, said, reported_ms)
         old.said = said
         old.reported_ms = reported_ms
         old.relayed_by = relayed_by
@@ -336,7 +336,9 @@
             self._by_address.pop(said.address, None)
 
 
-def _differs(old: EndpointEntry, said: Registration, reported_ms: int) -> bool:
+def _affects_routing(
+    old: EndpointEntry, said: Registration, reported_ms: int
+) -> bool:
     was = old.said
     if (was.state, was.address, was.slots, was.service, was.leaving) != (
         said.state,
