--- a/wrenspoke/coordination/membership/roster.py
+++ b/wrenspoke/coordination/membership/roster.py
@@ -34,7 +34,7 @@
     record: attending.HostRecord
     heard_ms: int
     revision: int
-    told_by: ids.HostId | None = None
+    relayed_by: ids.HostId | None = None
 
 
 class Roster:
