--- a/wrenspoke/coordination/membership/roster.py
+++ b/wrenspoke/coordination/membership/roster.py
@@ -32,7 +32,7 @@
     """
 
     record: attending.HostRecord
-    heard_ms: int
+    reported_ms: int
     revision: int
     relayed_by: ids.HostId | None = None
 
