--- a/wrenspoke/coordination/agreement/rollback_check.py
+++ b/wrenspoke/coordination/agreement/rollback_check.py
@@ -111,7 +111,7 @@
                     'old_disk',
                     boot=meta.boot,
                     known_boot=answer.known_boot,
-                    relayed_by=host,
+                    told_by=host,
                 )
                 self._storage.reset_identity()
                 on_rollback()
--- a/wrenspoke/coordination/membership/control_group.py
+++ b/wrenspoke/coordination/membership/control_group.py
@@ -71,8 +71,8 @@
         now_ms = self._clock.mono_ms()
         return [
             host
-            for host, reported_ms in self._last_contact_ms.items()
-            if now_ms - reported_ms <= within_ms
+            for host, heard_ms in self._last_contact_ms.items()
+            if now_ms - heard_ms <= within_ms
         ]
 
     def _expire_contacts(self) -> None:
