--- a/wrenspoke/coordination/membership/roster.py
+++ b/wrenspoke/coordination/membership/roster.py
@@ -28,7 +28,7 @@
 class HostEntry:
     """Hold what a host last told, and when this host learned of it.
 
-    ``told_by`` is the control host that heard it, None for this one.
+    ``relayed_by`` is the control host that heard it, None for this one.
     """
 
     record: attending.HostRecord
@@ -61,29 +61,31 @@
     def merge_record(
         self,
         record: attending.HostRecord,
-        told_by: ids.HostId | None = None,
+        relayed_by: ids.HostId | None = None,
     ) -> bool:
         """Take what is newer; return whether others should be told."""
-        heard_ms = self._clock.mono_ms() - record.age_ms
+        reported_ms = self._clock.mono_ms() - record.age_ms
         old = self._entries.get(record.host)
         if old is None:
-            self._store_record(record, heard_ms, told_by)
+            self._store_record(record, reported_ms, relayed_by)
             logger.info('host_found', peer=record.host, region=record.region)
             return True
         same_life = old.record.start == record.start
         if same_life and record.number <= old.record.number:
             return False
-        if not same_life and heard_ms < old.reported_ms:
+        if not same_life and reported_ms < old.reported_ms:
             return False
         if _differs(old.record, record):
-            self._store_record(record, heard_ms, told_by)
+            self._store_record(record, reported_ms, relayed_by)
             return True
         old.record = record
-        old.reported_ms = heard_ms
-        old.relayed_by = told_by
+        old.reported_ms = reported_ms
+        old.relayed_by = relayed_by
         return False
 
-    def renew(self, renewal: attending.Renewal, told_by: ids.HostId) -> bool:
+    def renew(
+        self, renewal: attending.Renewal, relayed_by: ids.HostId
+    ) -> bool:
         """Take a renewal; return False if its host is not known so."""
         old = self._entries.get(ids.HostId(renewal.name))
         if old is None or instance_checksum(old.record) != renewal.life:
@@ -93,19 +95,19 @@
                 old.record, number=renewal.number
             )
             old.reported_ms = self._clock.mono_ms() - renewal.age_ms
-            old.relayed_by = told_by
+            old.relayed_by = relayed_by
         return True
 
     def _store_record(
         self,
         record: attending.HostRecord,
-        heard_ms: int,
-        told_by: ids.HostId | None,
+        reported_ms: int,
+        relayed_by: ids.HostId | None,
     ) -> None:
         self._next_revision()
         self._tombstones.pop(record.host, None)
         self._entries[record.host] = HostEntry(
-            record, heard_ms, self.revision, told_by
+            record, reported_ms, self.revision, relayed_by
         )
 
     def _next_revision(self) -> None:
--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -70,7 +70,7 @@
 class EndpointEntry:
     """Hold a registration with when it was said and last changed.
 
-    ``told_by`` is the control host that heard it, None for this one.
+    ``relayed_by`` is the control host that heard it, None for this one.
     """
 
     registration: Registration
