--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -527,7 +527,7 @@
     Switch(
         'late registration taken',
         STATE + 'registry.py',
-        ('        elif said.number <= old.said.number:'),
+        ('        elif said.number <= old.registration.number:'),
         ('        elif False:'),
         ('tests/test_registry.py::test_newer_number_prevails'),
     ),
--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -97,7 +97,7 @@
         'late word of a life that ended taken',
         STATE + 'registry.py',
         (
-            '        if old is not None and said.born_ms < old.said.born_ms:\n            return False\n'
+            '        if old is not None and said.born_ms < old.registration.born_ms:\n            return False\n'
         ),
         (''),
         ('tests/test_registry.py::test_birth_orders_before_numbers'),
@@ -106,7 +106,7 @@
         'leave ends another life',
         STATE + 'registry.py',
         (
-            '        if old is not None and born_ms not in (None, old.said.born_ms):\n'
+            '        if old is not None and born_ms not in (None, old.registration.born_ms):\n'
         ),
         ('        if False:\n'),
         ('tests/test_registry.py::test_leave_that_names_a_life_ends_no_other'),
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -171,7 +171,7 @@
         await until(
             lambda: all(
                 (found := entry.attendance.registry.held.get(name))
-                and found.said.state is said.state
+                and found.registration.state is said.state
                 for entry in self.entries
             )
         )
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -58,7 +58,7 @@
         self._engines = [
             test_engine_loads.registered(n) for n in range(engines)
         ]
-        names = [found.said.endpoint for found in self._engines]
+        names = [found.registration.endpoint for found in self._engines]
         self._ends_ms = {name: [] for name in names}
         self._reports = [(0.0, dict.fromkeys(names, 0))]
         self._rate_per_ms = share * engines / (MEAN_TOKENS * TOKEN_MS)
@@ -111,14 +111,14 @@
         age_ms = int(now_ms - heard_ms)
 
         def ahead(found):
-            name = found.said.endpoint
+            name = found.registration.endpoint
             load = loads.EngineLoad(name, queued[name], 0, 0, 1, age_ms)
             return host.tokens_ahead(
                 name, load, TOKEN_MS
             ), self._random.random()
 
         weighed = self._sampling(self._engines, (), self._random)
-        name = min(weighed, key=ahead).said.endpoint
+        name = min(weighed, key=ahead).registration.endpoint
         tokens = self._random.expovariate(1 / MEAN_TOKENS)
         ends = self._ends_ms[name] = [
             end for end in self._ends_ms[name] if end > now_ms
@@ -195,6 +195,6 @@
     always = {'e0', f'e{engines - 1}'}
     for seed in range(20):
         drawn = sampling.sample(candidates, always, random.Random(seed))
-        names = [found.said.endpoint for found in drawn]
+        names = [found.registration.endpoint for found in drawn]
         assert len(set(names)) == len(names) <= sampling.SAMPLE_SIZE + 2
         assert always <= set(names)
--- a/tests/test_engine_loads.py
+++ b/tests/test_engine_loads.py
@@ -51,7 +51,7 @@
 
 def engine_loads_of(host, hosts, engines):
     """Return what a host of a region knows of engines' loads."""
-    held = {found.said.endpoint: found for found in engines}
+    held = {found.registration.endpoint: found for found in engines}
     known = roster.Roster(1_000, clocks.Clock())
     for found in hosts:
         known.merge_record(found)
@@ -116,15 +116,15 @@
         own = assigned_engines(
             engine_loads_of(host.host, hosts, [*engines, *others])
         )
-        asked.update(found.said.endpoint for found in own)
+        asked.update(found.registration.endpoint for found in own)
         asking += bool(own)
-    assert asked == {found.said.endpoint: 1 for found in engines}
+    assert asked == {found.registration.endpoint: 1 for found in engines}
     assert asking <= asking_count
 
 
 def test_host_that_is_not_known_yet_counts_itself():
     own = assigned_engines(engine_loads_of('alone', [], [registered(1)]))
-    assert [found.said.endpoint for found in own] == ['e1']
+    assert [found.registration.endpoint for found in own] == ['e1']
 
 
 def test_next_in_order_asks_where_no_report_comes():
@@ -136,14 +136,18 @@
         gauged._clock = clock
     asking = [gauged for gauged in every if assigned_engines(gauged)]
     first, second = asking
-    before = {found.said.endpoint for found in assigned_engines(second)}
-    assert before.isdisjoint(f.said.endpoint for f in assigned_engines(first))
+    before = {
+        found.registration.endpoint for found in assigned_engines(second)
+    }
+    assert before.isdisjoint(
+        f.registration.endpoint for f in assigned_engines(first)
+    )
     clock.now_ms += engine_loads.TAKEOVER_INTERVALS * 400 + 1
     assert len(assigned_engines(second)) == len(engines)
     for found in engines:
         second._loads[found.registration.endpoint] = (None, clock.now_ms)
     assert {
-        found.said.endpoint for found in assigned_engines(second)
+        found.registration.endpoint for found in assigned_engines(second)
     } == before
 
 
@@ -207,7 +211,7 @@
         clock,
     )
     sound = [
-        found.said.endpoint
+        found.registration.endpoint
         for found in available.healthy_endpoints('s', 'north')
     ]
     assert sound == (['e1'] if silent else ['e0', 'e1'])
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -50,7 +50,10 @@
     assert held.merge_registration(later) is changed
     assert (held.revision > before) is changed
     found = held.entries['e']
-    assert (found.said.state, found.said.number) == (state, number)
+    assert (found.registration.state, found.registration.number) == (
+        state,
+        number,
+    )
 
 
 def test_endpoint_that_left_never_comes_back_under_its_name():
@@ -93,7 +96,7 @@
     held.merge_registration(registration_at(first, 1))
     clock.now_ms += after_ms
     found = held.occupant(later)
-    assert (found and found.said.endpoint) == occupant
+    assert (found and found.registration.endpoint) == occupant
 
 
 def test_successor_at_an_address_is_used_before_its_predecessor():
@@ -350,16 +353,19 @@
         held.merge_registration(one)
     held.merge_registration(later)
     found = held.entries['e']
-    assert (found.takes_work, found.said.number) == (takes_work, number)
+    assert (found.takes_work, found.registration.number) == (
+        takes_work,
+        number,
+    )
 
 
 def test_renewal_counts_for_its_life_only():
     held = registry.Registry(FakeClock())
     held.merge_registration(registration(5, born_ms=BORN_MS))
     assert held.renew('e', 6, 0, 'other', BORN_MS)
-    assert held.entries['e'].said.number == 6
+    assert held.entries['e'].registration.number == 6
     assert held.renew('e', 99, 0, 'other', BORN_MS - 1)
-    assert held.entries['e'].said.number == 6
+    assert held.entries['e'].registration.number == 6
     # Of a life that is not known here all is to be told.
     assert not held.renew('e', 1, 0, 'other', BORN_MS + 1)
 
--- a/wrenspoke/coordination/membership/control_sync.py
+++ b/wrenspoke/coordination/membership/control_sync.py
@@ -184,10 +184,10 @@
             self._hosts.changes_since(progress.hosts_revision),
             [
                 attending.Renewal(
-                    found.said.endpoint,
-                    found.said.number,
+                    found.registration.endpoint,
+                    found.registration.number,
                     self._age_ms(found.reported_ms),
-                    found.said.born_ms,
+                    found.registration.born_ms,
                 )
                 for found in endpoints
             ],
--- a/wrenspoke/coordination/membership/engine_loads.py
+++ b/wrenspoke/coordination/membership/engine_loads.py
@@ -133,7 +133,7 @@
         """Tell whether an engine stopped reporting while others go on."""
         if not self._is_report_stale(endpoint):
             return False
-        engines = [other.said.endpoint for other in self._engines()]
+        engines = [other.registration.endpoint for other in self._engines()]
         fresh = sum(not self._is_report_stale(other) for other in engines)
         return fresh >= MIN_FRESH_SHARE * len(engines)
 
@@ -186,7 +186,7 @@
         asking = self._pollers.polling_hosts()
         own = []
         for found in engines:
-            order = routing.rendezvous(found.said.endpoint, asking)
+            order = routing.rendezvous(found.registration.endpoint, asking)
             place = order.index(self._host)
             if place == 0 or self._is_overdue(found, place):
                 own.append(found)
@@ -195,10 +195,12 @@
     def _is_overdue(self, found: registry.EndpointEntry, place: int) -> bool:
         """Tell whether those before this host in order tell no load."""
         missed_ms = TAKEOVER_INTERVALS * place * self._interval_ms
-        _load, heard_ms = self._loads.get(found.said.endpoint, (None, None))
+        _load, heard_ms = self._loads.get(
+            found.registration.endpoint, (None, None)
+        )
         if heard_ms is None:
             heard_ms = self._first_seen_ms.setdefault(
-                found.said.endpoint, self._clock.mono_ms()
+                found.registration.endpoint, self._clock.mono_ms()
             )
         return self._clock.mono_ms() - heard_ms > missed_ms
 
@@ -207,7 +209,7 @@
         services = self._replica.current.routes.services
         engines = []
         for found in self._discovery.registry.held.values():
-            said = found.said
+            said = found.registration
             service = services.get(said.service)
             if service is None or service.batch is None:
                 continue
@@ -221,7 +223,7 @@
     async def _poll_engine(
         self, found: registry.EndpointEntry
     ) -> loads.EngineLoad | None:
-        said = found.said
+        said = found.registration
         life = limiting.EndpointLife(said.endpoint, said.born_ms)
         asked_ms = self._clock.mono_ms()
         try:
@@ -262,7 +264,7 @@
             found = self._discovery.registry.held.get(load.endpoint)
             if found is not None:
                 asked_ms = now_ms - REPORT_TIMEOUT_MS
-                self._on_answer(found.said.address, asked_ms)
+                self._on_answer(found.registration.address, asked_ms)
         self._evict_unregistered()
 
     def evict(self, endpoint: ids.EndpointId) -> None:
--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -119,7 +119,7 @@
                 'registration_contested',
                 endpoint=registration.endpoint,
                 address=registration.address,
-                occupant=occupant.said.endpoint,
+                occupant=occupant.registration.endpoint,
             )
             return
         if registration.state is not registry.RegistrationState.GONE:
--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -282,7 +282,7 @@
             # Nothing of this life of it will come back.
             self._discovery.withdraw(
                 destination.endpoint,
-                destination.chosen.registered.said.born_ms,
+                destination.chosen.registered.registration.born_ms,
             )
             return False
         if answer.verdict is sending.Verdict.NOT_RUN:
--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -68,9 +68,9 @@
             found
             for found in self._discovery.registry.held.values()
             if found.takes_work
-            and found.said.service == service
-            and self._regions.get(found.said.data_centre) == region
-            and found.said.data_centre not in self._evacuated
+            and found.registration.service == service
+            and self._regions.get(found.registration.data_centre) == region
+            and found.registration.data_centre not in self._evacuated
             and not self._announced_leaving(found)
         ]
 
@@ -105,10 +105,11 @@
             found
             for found in self._discovery.registry.held.values()
             if found.takes_work
-            and found.said.data_centre in taken_back
-            and self._regions.get(found.said.data_centre) == self._region
-            and found.said.service in services
-            and services[found.said.service].warmup_per_s > 0
+            and found.registration.data_centre in taken_back
+            and self._regions.get(found.registration.data_centre)
+            == self._region
+            and found.registration.service in services
+            and services[found.registration.service].warmup_per_s > 0
         )
 
     def healthy_endpoints(
@@ -148,13 +149,17 @@
         """Tell whether an endpoint bears a few requests only."""
         if found.warm_ms > self._clock.mono_ms():
             return True
-        taken_back_ms = self._restored_at_ms.get(found.said.data_centre)
+        taken_back_ms = self._restored_at_ms.get(
+            found.registration.data_centre
+        )
         if taken_back_ms is None or found.reported_ms >= taken_back_ms:
             return False
-        service = self._replica.current.routes.service(found.said.service)
+        service = self._replica.current.routes.service(
+            found.registration.service
+        )
         if service is None or service.warmup_per_s <= 0:
             return False
-        warm_ms = self._warmup_probe.warm_ms(found.said.endpoint)
+        warm_ms = self._warmup_probe.warm_ms(found.registration.endpoint)
         if warm_ms is not None:
             return warm_ms > self._clock.mono_ms()
         since_ms = self._clock.mono_ms() - taken_back_ms
@@ -170,10 +175,10 @@
             return None
         now_ms = self._clock.mono_ms()
         for found in candidates:
-            name = found.said.endpoint
+            name = found.registration.endpoint
             if not self.is_cold(found) or not self._pollers.is_owner_of(name):
                 continue
-            if self.is_ejected(found.said.address):
+            if self.is_ejected(found.registration.address):
                 continue
             if now_ms < self._next_warmup_ms.get(name, 0):
                 continue
@@ -187,11 +192,11 @@
 
         Its calls failed here, or it is silent to all hosts of the region.
         """
-        if self.is_ejected(found.said.address):
+        if self.is_ejected(found.registration.address):
             return True
         if not self._is_enabled(mechanisms.Mechanism.SETTING_ASIDE):
             return False
-        return self._engine_loads.silent(found.said.endpoint)
+        return self._engine_loads.silent(found.registration.endpoint)
 
     def is_ejected(self, place: str) -> bool:
         """Tell whether a place is to be left alone for now."""
@@ -204,4 +209,6 @@
 
 
 def _life_of(found: registry.EndpointEntry) -> limiting.EndpointLife:
-    return limiting.EndpointLife(found.said.endpoint, found.said.born_ms)
+    return limiting.EndpointLife(
+        found.registration.endpoint, found.registration.born_ms
+    )
--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -183,7 +183,7 @@
     ) -> sending.Destination | None:
         if chosen is None:
             return None
-        said = chosen.registered.said
+        said = chosen.registered.registration
         logger.info(
             'endpoint_chosen',
             request=context.call.request,
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -120,7 +120,7 @@
             for found in self._availability.usable_endpoints(
                 service.service, self._region
             )
-            if found.said.endpoint not in excluded
+            if found.registration.endpoint not in excluded
             and not self._availability.limit_wait_ms(found)
         ]
         warm = [
@@ -191,7 +191,7 @@
         candidates: list[registry.EndpointEntry],
         count: int,
     ) -> list[EndpointSelection]:
-        names = [found.said.endpoint for found in candidates]
+        names = [found.registration.endpoint for found in candidates]
         usual = None
         if self._is_enabled(mechanisms.Mechanism.USUAL_ENGINES):
             usual = prefix_index.affinity_endpoint(call.parts, names)
@@ -201,7 +201,7 @@
             holder = None
         estimated = []
         for found in sampling.sample(candidates, keeping, self._random):
-            name = found.said.endpoint
+            name = found.registration.endpoint
             item = EndpointSelection(
                 found, estimate.Estimate(0.0), 0.0, True, name == usual, count
             )
@@ -237,7 +237,9 @@
         if service.batch is None:
             return None
         names = [
-            found.said.endpoint for found in candidates if not found.silent
+            found.registration.endpoint
+            for found in candidates
+            if not found.silent
         ]
         return self._estimator.prefixes.best_cache_holder(call.parts, names)
 
@@ -254,7 +256,7 @@
         holder: prefix_index.CacheHolder | None,
     ) -> None:
         """Let an engine take from the holder what it lacks of a prompt."""
-        name = item.registered.said.endpoint
+        name = item.registered.registration.endpoint
         if holder is None or holder.endpoint == name:
             return
         kept = self._estimator.prefixes.cached_tokens(
@@ -298,7 +300,7 @@
         waits_ms = []
         for found in usable:
             until_ms = self._outlier_detector.ejected_until_ms(
-                found.said.address
+                found.registration.address
             )
             wait_ms = max(
                 found.warm_ms - now_ms,
@@ -355,7 +357,7 @@
         name, best = min(
             (
                 (
-                    one.said.endpoint,
+                    one.registration.endpoint,
                     self._estimator.estimate(
                         one,
                         service,
@@ -387,7 +389,7 @@
         )
 
     def _in_flight_at(self, found: registry.EndpointEntry) -> int:
-        return self.in_flight.get(found.said.endpoint, 0)
+        return self.in_flight.get(found.registration.endpoint, 0)
 
     def select_host(
         self,
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -89,7 +89,7 @@
         ``moved_tokens`` is what it takes over from another engine, and
         ``usual`` says that hosts agree on it for the prompt's prefix.
         """
-        said = found.said
+        said = found.registration
         if service.batch is None:
             hold_ms = self._hold_ms.get(said.service, INITIAL_HOLD_MS)
             waves = (in_flight + 1) / said.slots
@@ -134,7 +134,7 @@
         self, found: registry.EndpointEntry, service: routes.RoutedService
     ) -> int:
         """Return the places of an engine that its last report left free."""
-        load = self._engine_loads.load(found.said.endpoint)
+        load = self._engine_loads.load(found.registration.endpoint)
         if service.batch is None or load is None:
             return 0
         return max(service.batch.slots - load.running - load.queued, 0)
--- a/wrenspoke/coordination/serving/sampling.py
+++ b/wrenspoke/coordination/serving/sampling.py
@@ -25,10 +25,11 @@
     if len(candidates) <= SAMPLE_SIZE:
         return candidates
     drawn = rng.sample(candidates, SAMPLE_SIZE)
-    names = {found.said.endpoint for found in drawn}
+    names = {found.registration.endpoint for found in drawn}
     drawn.extend(
         found
         for found in candidates
-        if found.said.endpoint in always and found.said.endpoint not in names
+        if found.registration.endpoint in always
+        and found.registration.endpoint not in names
     )
     return drawn
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -320,7 +320,7 @@
             destination.chosen is not None
             and destination.chosen.source is not None
         ):
-            source = destination.chosen.source.said
+            source = destination.chosen.source.registration
             fields.append((dialect.fetch_from, source.address))
         if call.parts:
             fields.append((dialect.priority, str(permit.urgency)))
--- a/wrenspoke/coordination/serving/warmup_probe.py
+++ b/wrenspoke/coordination/serving/warmup_probe.py
@@ -79,7 +79,7 @@
         early_ms = self._clock.mono_ms() - EARLY_STATUS_MS
         chosen = []
         for one in taken_back:
-            endpoint = one.said.endpoint
+            endpoint = one.registration.endpoint
             _warm_ms, heard_ms = self._warm_ms.get(endpoint, (0, 0))
             if heard_ms < early_ms:
                 self._warm_ms.pop(endpoint, None)
@@ -92,7 +92,7 @@
         self, chosen: list[registry.EndpointEntry]
     ) -> None:
         answers = await asyncio.gather(
-            *(self._probe_endpoint(one.said) for one in chosen)
+            *(self._probe_endpoint(one.registration) for one in chosen)
         )
         warm = [answer for answer in answers if answer is not None]
         if warm:
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -193,7 +193,9 @@
         found = self.attendance.registry.entries.get(sent.endpoint)
         if found is None:
             return
-        service = self.replica.current.routes.service(found.said.service)
+        service = self.replica.current.routes.service(
+            found.registration.service
+        )
         if service is not None:
             self._estimator.record_peer_sent(sent, service)
 
@@ -236,7 +238,7 @@
     def _lives(self, life: limiting.EndpointLife) -> bool:
         """Tell whether an endpoint is known, and in that life of it."""
         found = self.attendance.registry.entries.get(life.endpoint)
-        return found is not None and found.said.born_ms == life.born_ms
+        return found is not None and found.registration.born_ms == life.born_ms
 
     def _build_guard(self) -> None:
         """Build what holds back requests that end endpoints."""
@@ -401,7 +403,7 @@
             held = self.attendance.registry.entries
             self._estimator.keep_only(set(held))
             self._warmth.keep_only(set(held))
-            places = {found.said.address for found in held.values()}
+            places = {found.registration.address for found in held.values()}
             places |= {record.passing_address for record in hosts}
             self._health.keep_only(places)
             self.attendance.registry.evict_expired()
--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -116,27 +116,27 @@
         """Take what is newer; return whether it changes routing."""
         reported_ms = self._clock.mono_ms() - said.age_ms
         old = self.entries.get(said.endpoint)
-        if old is not None and said.born_ms < old.said.born_ms:
+        if old is not None and said.born_ms < old.registration.born_ms:
             return False
         self._by_address.setdefault(said.address, set()).add(said.endpoint)
-        if old is None or said.born_ms > old.said.born_ms:
+        if old is None or said.born_ms > old.registration.born_ms:
             self._add_instance(said, reported_ms, relayed_by)
             return True
-        if old.said.state is RegistrationState.GONE:
+        if old.registration.state is RegistrationState.GONE:
             return False
         if said.state is RegistrationState.GONE:
             said = msgspec.structs.replace(
-                old.said, state=said.state, number=said.number
+                old.registration, state=said.state, number=said.number
             )
-        elif said.number <= old.said.number:
+        elif said.number <= old.registration.number:
             # The same again, from who noticed that no newer one comes.
             old.silent |= said.age_ms > RENEWAL_TIMEOUT_MS
             return said.leaving and self._set_leaving(old)
-        if old.said.leaving:
+        if old.registration.leaving:
             # Reports may still call it ready; it leaves all the same.
             said = msgspec.structs.replace(said, leaving=True)
         changed = old.silent or _affects_routing(old, said, reported_ms)
-        old.said = said
+        old.registration = said
         old.reported_ms = reported_ms
         old.relayed_by = relayed_by
         old.silent = said.age_ms > RENEWAL_TIMEOUT_MS
@@ -163,12 +163,12 @@
             'endpoint_reborn',
             endpoint=said.endpoint,
             born_ms=said.born_ms,
-            before_ms=before.said.born_ms,
+            before_ms=before.registration.born_ms,
         )
-        if before.said.address != said.address:
-            self._remove_from_address(before.said)
+        if before.registration.address != said.address:
+            self._remove_from_address(before.registration)
         for listener in self._restart_listeners:
-            listener(before.said)
+            listener(before.registration)
 
     def mark_leaving(self, endpoint: ids.EndpointId, born_ms: int) -> bool:
         """Note that an endpoint leaves in one of its lives, for good.
@@ -176,14 +176,19 @@
         Return whether that changes routing.
         """
         old = self.entries.get(endpoint)
-        if old is None or old.said.born_ms != born_ms:
+        if old is None or old.registration.born_ms != born_ms:
             return False
         return self._set_leaving(old)
 
     def _set_leaving(self, old: EndpointEntry) -> bool:
-        if old.said.leaving or old.said.state is RegistrationState.GONE:
+        if (
+            old.registration.leaving
+            or old.registration.state is RegistrationState.GONE
+        ):
             return False
-        old.said = msgspec.structs.replace(old.said, leaving=True)
+        old.registration = msgspec.structs.replace(
+            old.registration, leaving=True
+        )
         self.revision += 1
         old.revision = self.revision
         return True
@@ -201,17 +206,20 @@
         The end of a warm-up stays where it was.
         """
         old = self.entries.get(endpoint)
-        if old is None or old.said.born_ms < born_ms:
+        if old is None or old.registration.born_ms < born_ms:
             return False
-        if old.said.born_ms > born_ms:
+        if old.registration.born_ms > born_ms:
             # Of a life that has ended: nothing of it is to be told again.
             return True
-        left_ms = old.said.warmup_left_ms
+        left_ms = old.registration.warmup_left_ms
         if left_ms > 0:
             reported_ms = self._clock.mono_ms() - age_ms
             left_ms = max(old.warm_ms - reported_ms, 0)
         said = msgspec.structs.replace(
-            old.said, number=number, warmup_left_ms=left_ms, age_ms=age_ms
+            old.registration,
+            number=number,
+            warmup_left_ms=left_ms,
+            age_ms=age_ms,
         )
         self.merge_registration(said, relayed_by)
         return True
@@ -245,9 +253,9 @@
             found = self.entries.get(endpoint)
             if found is None or endpoint == said.endpoint:
                 continue
-            if found.said.address != said.address:
+            if found.registration.address != said.address:
                 continue
-            if found.said.state is not RegistrationState.GONE:
+            if found.registration.state is not RegistrationState.GONE:
                 others.append(found)
         return others
 
@@ -259,13 +267,13 @@
         ``born_ms`` names the life that ends, None the one that is known.
         """
         old = self.entries.get(endpoint)
-        if old is not None and born_ms not in (None, old.said.born_ms):
+        if old is not None and born_ms not in (None, old.registration.born_ms):
             old = None
         if old is not None:
             return msgspec.structs.replace(
-                old.said,
+                old.registration,
                 state=RegistrationState.GONE,
-                number=old.said.number + 1,
+                number=old.registration.number + 1,
                 age_ms=0,
             )
         return Registration(
@@ -313,7 +321,9 @@
     def with_age(self, found: EndpointEntry) -> Registration:
         """Return a registration with its age of now."""
         age_ms = self._clock.mono_ms() - found.reported_ms
-        return msgspec.structs.replace(found.said, age_ms=max(age_ms, 0))
+        return msgspec.structs.replace(
+            found.registration, age_ms=max(age_ms, 0)
+        )
 
     def evict_expired(self) -> None:
         """Drop what left or fell silent too long ago to matter.
@@ -322,12 +332,12 @@
         """
         now_ms = self._clock.mono_ms()
         for endpoint, found in list(self.entries.items()):
-            gone = found.said.state is RegistrationState.GONE
+            gone = found.registration.state is RegistrationState.GONE
             if not (gone or found.silent):
                 continue
             if now_ms - found.reported_ms > ENTRY_TTL_MS:
                 del self.entries[endpoint]
-                self._remove_from_address(found.said)
+                self._remove_from_address(found.registration)
 
     def _remove_from_address(self, said: Registration) -> None:
         there = self._by_address.get(said.address, set())
@@ -339,7 +349,7 @@
 def _affects_routing(
     old: EndpointEntry, said: Registration, reported_ms: int
 ) -> bool:
-    was = old.said
+    was = old.registration
     if (was.state, was.address, was.slots, was.service, was.leaving) != (
         said.state,
         said.address,
