--- a/tests/test_membership_fleet.py
+++ b/tests/test_membership_fleet.py
@@ -136,7 +136,7 @@
             silent = [
                 endpoint
                 for endpoint, found in told.registry.held.items()
-                if found.silent
+                if found.is_stale
             ]
             assert silent == [] and len(told.registry.held) == 10
         await fleet.close()
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -218,7 +218,7 @@
             item.can_start_now = item.estimate.can_start_now
             if not item.can_start_now:
                 item.first_ms += NO_CAPACITY_PENALTY_MS
-            if self._discovery.registry.silent(name):
+            if self._discovery.registry.is_stale(name):
                 item.first_ms += STALE_REGISTRATION_PENALTY_MS
             estimated.append(item)
         return estimated
@@ -239,7 +239,7 @@
         names = [
             found.registration.endpoint
             for found in candidates
-            if not found.silent
+            if not found.is_stale
         ]
         return self._estimator.prefixes.best_cache_holder(call.parts, names)
 
--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -130,16 +130,16 @@
             )
         elif said.number <= old.registration.number:
             # The same again, from who noticed that no newer one comes.
-            old.silent |= said.age_ms > RENEWAL_TIMEOUT_MS
+            old.is_stale |= said.age_ms > RENEWAL_TIMEOUT_MS
             return said.leaving and self._set_leaving(old)
         if old.registration.leaving:
             # Reports may still call it ready; it leaves all the same.
             said = msgspec.structs.replace(said, leaving=True)
-        changed = old.silent or _affects_routing(old, said, reported_ms)
+        changed = old.is_stale or _affects_routing(old, said, reported_ms)
         old.registration = said
         old.reported_ms = reported_ms
         old.relayed_by = relayed_by
-        old.silent = said.age_ms > RENEWAL_TIMEOUT_MS
+        old.is_stale = said.age_ms > RENEWAL_TIMEOUT_MS
         if changed:
             self.revision += 1
             old.revision = self.revision
@@ -241,10 +241,10 @@
     def displace(self, said: Registration) -> None:
         """Use others before those that ran at the address until now."""
         for found in self._others_at(said):
-            if found.silent:
+            if found.is_stale:
                 continue
             self.revision += 1
-            found.silent = True
+            found.is_stale = True
             found.revision = self.revision
 
     def _others_at(self, said: Registration) -> list[EndpointEntry]:
@@ -296,19 +296,19 @@
         marked = False
         for found in self.entries.values():
             if (
-                found.silent
+                found.is_stale
                 or now_ms - found.reported_ms <= RENEWAL_TIMEOUT_MS
             ):
                 continue
             self.revision += 1
-            found.silent = marked = True
+            found.is_stale = marked = True
             found.revision = self.revision
         return marked
 
     def is_stale(self, endpoint: ids.EndpointId) -> bool:
         """Tell whether an endpoint has not renewed for long."""
         found = self.entries.get(endpoint)
-        return found is None or found.silent
+        return found is None or found.is_stale
 
     def registrations_since(self, revision: int) -> list[Registration]:
         """Return what changed after a revision, with its age."""
@@ -333,7 +333,7 @@
         now_ms = self._clock.mono_ms()
         for endpoint, found in list(self.entries.items()):
             gone = found.registration.state is RegistrationState.GONE
-            if not (gone or found.silent):
+            if not (gone or found.is_stale):
                 continue
             if now_ms - found.reported_ms > ENTRY_TTL_MS:
                 del self.entries[endpoint]
