--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -406,9 +406,9 @@
     )
     assert status == 200
     for host in surfaces.controls:
-        await nodes.until(lambda: 'i-1' in host.registrar.registry.held)
+        await nodes.until(lambda: 'i-1' in host.registrar.registry.entries)
     await send(surfaces, other, '/instances/i-1/deregister')
-    held = last.registrar.registry.held
+    held = last.registrar.registry.entries
     await nodes.until(lambda: not held['i-1'].takes_work)
     status, _body, _headers = await send(
         surfaces, one, '/instances/i-2/heartbeat', b'{}'
@@ -425,7 +425,7 @@
             surfaces, one, f'/instances/i-{name}/heartbeat', body
         )
         assert status == 200, 'the sender is not to try elsewhere'
-    held = one.registrar.registry.held
+    held = one.registrar.registry.entries
     assert 'i-new' in held and 'i-old' not in held
 
 
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -159,7 +159,7 @@
             path.write_bytes(path.read_bytes()[:-1])
         system.controls.clear()
         again = await system.start_control(control.node.ip, first_start=False)
-        held = again.registrar.registry.held
+        held = again.registrar.registry.entries
         assert ('e' in held) is known
         # Believed for a while only, as nothing renews it here.
         if known:
@@ -204,7 +204,7 @@
         )
         found.registrar.register(said)
         [entry] = system.entries
-        await nodes.until(lambda: 'e' in entry.attendance.registry.held)
+        await nodes.until(lambda: 'e' in entry.attendance.registry.entries)
         # Started again without room, it answers too.
         await found.close()
         system.controls.remove(found)
--- a/tests/test_membership_fleet.py
+++ b/tests/test_membership_fleet.py
@@ -135,10 +135,10 @@
             assert told.roster.hosts() == {*fleet.entry_names}
             silent = [
                 endpoint
-                for endpoint, found in told.registry.held.items()
+                for endpoint, found in told.registry.entries.items()
                 if found.is_stale
             ]
-            assert silent == [] and len(told.registry.held) == 10
+            assert silent == [] and len(told.registry.entries) == 10
         await fleet.close()
 
     group.run(play())
@@ -154,7 +154,7 @@
         await fleet.wait_ms(SETTLED_MS)
         told = fleet.controls[name].registrar
         assert told.roster.hosts() == {*fleet.entry_names}
-        assert len(told.registry.held) == 10
+        assert len(told.registry.entries) == 10
         await fleet.close()
 
     group.run(play())
@@ -173,7 +173,7 @@
         await fleet.wait_ms(LOST_MS)
         for host in fleet.controls.values():
             assert host.registrar.roster.hosts() == {*fleet.entry_names}
-            assert len(host.registrar.registry.held) == 10
+            assert len(host.registrar.registry.entries) == 10
         await fleet.close()
 
     group.run(play())
--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -301,7 +301,7 @@
         got = await system.ask(request(request_id=f'q{number}'))
         assert got.endswith(b'whole')
     assert len(other.requests) == 1
-    held = system.controls[0].registrar.registry.held
+    held = system.controls[0].registrar.registry.entries
     await nodes.until(lambda: not held['e1'].takes_work)
 
 
--- a/wrenspoke/coordination/membership/control_sync.py
+++ b/wrenspoke/coordination/membership/control_sync.py
@@ -168,7 +168,7 @@
         since_ms = progress.last_sent_ms - SYNC_INTERVAL_MS
         recent_contacts = {*progress.recent_contacts, host}
         endpoints = _renewed_entries(
-            self._endpoints.held.values(),
+            self._endpoints.entries.values(),
             since_ms,
             progress.endpoints_revision,
             recent_contacts,
--- a/wrenspoke/coordination/membership/engine_loads.py
+++ b/wrenspoke/coordination/membership/engine_loads.py
@@ -208,7 +208,7 @@
         """Return the engines of this region that take work."""
         services = self._replica.current.routes.services
         engines = []
-        for found in self._discovery.registry.held.values():
+        for found in self._discovery.registry.entries.values():
             said = found.registration
             service = services.get(said.service)
             if service is None or service.batch is None:
@@ -261,7 +261,7 @@
             self._views.record_status(status)
         for load in message.loads:
             self._loads[load.endpoint] = (load, now_ms)
-            found = self._discovery.registry.held.get(load.endpoint)
+            found = self._discovery.registry.entries.get(load.endpoint)
             if found is not None:
                 asked_ms = now_ms - REPORT_TIMEOUT_MS
                 self._on_answer(found.registration.address, asked_ms)
@@ -275,5 +275,5 @@
     def _evict_unregistered(self) -> None:
         for known in (self._loads, self._first_seen_ms):
             for endpoint in list(known):
-                if endpoint not in self._discovery.registry.held:
+                if endpoint not in self._discovery.registry.entries:
                     del known[endpoint]
--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -66,7 +66,7 @@
         self.update_evacuations()
         return [
             found
-            for found in self._discovery.registry.held.values()
+            for found in self._discovery.registry.entries.values()
             if found.takes_work
             and found.registration.service == service
             and self._regions.get(found.registration.data_centre) == region
@@ -103,7 +103,7 @@
         services = self._replica.current.routes.services
         self._warmup_probe.start_probes(
             found
-            for found in self._discovery.registry.held.values()
+            for found in self._discovery.registry.entries.values()
             if found.takes_work
             and found.registration.data_centre in taken_back
             and self._regions.get(found.registration.data_centre)
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -264,7 +264,7 @@
         )
         if holder.tokens - kept < prefix_index.MIN_TRANSFER_TOKENS:
             return
-        item.source = self._discovery.registry.held.get(holder.endpoint)
+        item.source = self._discovery.registry.entries.get(holder.endpoint)
         item.moved_tokens = holder.tokens - kept
 
     def estimate_spread(self, service: ids.ServiceId) -> float:
