--- a/wrenspoke/coordination/membership/control_sync.py
+++ b/wrenspoke/coordination/membership/control_sync.py
@@ -224,7 +224,7 @@
         self._regions[sender] = message.region
         before = (self._endpoints.revision, self._hosts.revision)
         for said in message.endpoints:
-            self._endpoints.take(said, sender)
+            self._endpoints.merge_registration(said, sender)
         for record in message.hosts.found:
             self._hosts.merge_record(record, sender)
         for host in message.hosts.lost:
--- a/wrenspoke/coordination/membership/registry_snapshot.py
+++ b/wrenspoke/coordination/membership/registry_snapshot.py
@@ -72,7 +72,7 @@
             if registration.warmup_left_ms > 0:
                 # For how long it is still cold is known once it renews.
                 continue
-            self._registry.take(
+            self._registry.merge_registration(
                 msgspec.structs.replace(registration, age_ms=age_ms)
             )
         logger.info('registry_read', endpoints=len(registrations))
