--- a/wrenspoke/coordination/membership/control_sync.py
+++ b/wrenspoke/coordination/membership/control_sync.py
@@ -180,7 +180,7 @@
             recent_contacts,
         )
         return attending.Exchange(
-            self._endpoints.after(progress.endpoints_revision),
+            self._endpoints.registrations_since(progress.endpoints_revision),
             self._hosts.changes_since(progress.hosts_revision),
             [
                 attending.Renewal(
--- a/wrenspoke/coordination/membership/registry_snapshot.py
+++ b/wrenspoke/coordination/membership/registry_snapshot.py
@@ -83,7 +83,9 @@
             revision = self._registry.revision
             if revision == self._written_revision:
                 continue
-            body = msgspec.msgpack.encode(self._registry.after(0))
+            body = msgspec.msgpack.encode(
+                self._registry.registrations_since(0)
+            )
             try:
                 # The disk may stall; answers go on meanwhile.
                 await asyncio.to_thread(
