--- a/tests/group.py
+++ b/tests/group.py
@@ -105,7 +105,7 @@
     def replace(self, name, data):
         self.synced[name] = data
 
-    def note(self, name, data):
+    def write_unsynced(self, name, data):
         self.noted[name] = data
 
     def remove(self, name):
--- a/wrenspoke/state/storage.py
+++ b/wrenspoke/state/storage.py
@@ -277,7 +277,7 @@
         """Write down, unsynced, up to where entries are committed."""
         noted = (self.meta.incarnation, index)
         body = msgspec.msgpack.encode(noted)
-        self._disk.note(COMMITTED, records.encode(body))
+        self._disk.write_unsynced(COMMITTED, records.encode(body))
 
     def read_committed(self) -> int:
         """Return up to where entries were surely committed."""
