--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -180,7 +180,7 @@
             raise OSError(errno.ENOSPC, 'No space left on device')
         write(file, data)
 
-    monkeypatch.setattr(disk, '_put_synced', write_if_room)
+    monkeypatch.setattr(disk, '_write_and_sync', write_if_room)
     async with nodes.running(tmp_path, controls=3) as system:
         await system.put(version=3)
         leader = await system.leader()
