--- a/wrenspoke/state/replicated.py
+++ b/wrenspoke/state/replicated.py
@@ -15,7 +15,7 @@
 Change = configuration.Change
 Configuration = configuration.Configuration
 Plan = plans.Plan
-StepEnd = plans.StepResult
+StepResult = plans.StepResult
 Plans = dict[ids.PlanId, plans.Plan]
 
 MAX_STORED_ANSWERS = 1_000
@@ -114,7 +114,7 @@
         plan: Plan,
         index: int,
         reached: int,
-        ends: tuple[StepEnd, ...],
+        ends: tuple[StepResult, ...],
     ) -> Change | None:
         """Move a plan on, putting the changes that it reaches in force."""
         changes = []
