--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -106,7 +106,7 @@
         self._restart_listeners: list[RestartListener] = []
         self.revision = 0
 
-    def add_restart_listener(self, listener: 'Listener') -> None:
+    def add_restart_listener(self, listener: 'RestartListener') -> None:
         """Call a listener with what an endpoint said before it began anew."""
         self._restart_listeners.append(listener)
 
