--- a/wrenspoke/coordination/agreement/leadership.py
+++ b/wrenspoke/coordination/agreement/leadership.py
@@ -126,7 +126,7 @@
                 else 0
             )
 
-        return self._node.electorate.reached(acked_ms)
+        return self._node.electorate.majority_value(acked_ms)
 
     def _is_local_disk(self, host: ids.HostId, disk: ids.Incarnation) -> bool:
         group = self._node
@@ -237,7 +237,7 @@
             follower = self._follower_on_disk(host, disk)
             return 0 if follower is None else follower.match_index
 
-        index = self._node.electorate.reached(held_index)
+        index = self._node.electorate.majority_value(held_index)
         if self._node.storage.term_at(index) != self.term:
             return
         if index > self._node.commit_index:
--- a/wrenspoke/coordination/agreement/rollback_check.py
+++ b/wrenspoke/coordination/agreement/rollback_check.py
@@ -123,7 +123,9 @@
         def has_acknowledged(host: ids.HostId, disk: ids.Incarnation) -> int:
             return int(host in acknowledged or disk == meta.incarnation)
 
-        if not electorate.voters or electorate.reached(has_acknowledged):
+        if not electorate.voters or electorate.majority_value(
+            has_acknowledged
+        ):
             self.passed = True
             logger.info(
                 'cleared', incarnation=meta.incarnation, boot=meta.boot
--- a/wrenspoke/coordination/agreement/vote_tally.py
+++ b/wrenspoke/coordination/agreement/vote_tally.py
@@ -42,7 +42,7 @@
     def won(self) -> bool:
         """Tell whether a majority gave its vote."""
         return bool(
-            self._electorate.reached(
+            self._electorate.majority_value(
                 lambda host, disk: int(self._granted.get(host) == disk)
             )
         )
