--- a/wrenspoke/coordination/agreement/control_service.py
+++ b/wrenspoke/coordination/agreement/control_service.py
@@ -106,7 +106,7 @@
         if elected.role is voter.Role.LEADER:
             self._executor.update_status(standing)
             return
-        if elected.leader is None or not elected.state.running():
+        if elected.leader is None or not elected.state.running_plans():
             return
         await self._peers.tell(elected.leader, messages.PassStanding(standing))
 
--- a/wrenspoke/coordination/agreement/execution.py
+++ b/wrenspoke/coordination/agreement/execution.py
@@ -105,7 +105,7 @@
         """Return how long a load planned now waits for the weight store."""
         ahead = sum(
             1
-            for plan in self._voter.state.running()
+            for plan in self._voter.state.running_plans()
             if isinstance(plan.current, plans.Order) and plan.current.loads
         )
         free_ms = self._next_load_ms() - self._clock.wall_ms()
@@ -122,7 +122,7 @@
             await self._clock.sleep_ms(self._settings.drain_poll_interval_ms)
             if not self._voter.has_lease:
                 continue
-            for plan in self._voter.state.running():
+            for plan in self._voter.state.running_plans():
                 if plan.plan in self._step_tasks:
                     continue
                 task = self._tasks.start(self._execute_step(plan), fatal=False)
