--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -31,9 +31,9 @@
         'homes of teams bind nothing',
         DECISIONS + 'serving/access.py',
         (
-            '        return RoutePermit(route.restricted_to(team.homes), team, urgency=urgency)\n'
+            '            route.restricted_to(team.homes), team, urgency=urgency\n'
         ),
-        ('        return RoutePermit(route, team, urgency=urgency)\n'),
+        ('            route, team, urgency=urgency\n'),
         ('tests/test_keys.py::test_homes_of_team_and_route_both_bind'),
     ),
     Switch(
