--- a/tests/test_engine_loads.py
+++ b/tests/test_engine_loads.py
@@ -56,7 +56,7 @@
     for found in hosts:
         known.merge_record(found)
     attended = types.SimpleNamespace(
-        roster=known, registry=types.SimpleNamespace(held=held)
+        roster=known, registry=types.SimpleNamespace(entries=held)
     )
     asking = region_pollers.RegionPollers('north', host, known, NoPeers())
     table = routes.RouteTable(
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -118,7 +118,7 @@
         commit_index=1,
         settings=types.SimpleNamespace(election_timeout_ms=1_000),
         electorate=types.SimpleNamespace(
-            reached=lambda held: held('other', 'disk')
+            majority_value=lambda held: held('other', 'disk')
         ),
     )
     made = leadership.Leadership.__new__(leadership.Leadership)
