--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -225,7 +225,7 @@
                 key = f'region-1:{1796215282731 + number}:{number:016x}'
                 ballot = registers.Ballot(1, 'h')
                 held.prepare(key, number, ballot)
-                kept = registers.KeptAnswer(
+                kept = registers.StoredResponse(
                     200, {'Content-Type': 'application/json'}, b'x' * 200
                 )
                 claim = registers.Claim(
@@ -238,7 +238,7 @@
         memory_mb = held_mb(fill)
         used_s = time.process_time() - started
         held = fill()
-        memory = held.remember('other', 5, part_bytes=1 << 40)
+        memory = held.on_recovery_request('other', 5, chunk_bytes=1 << 40)
         found.append(
             {
                 'keys': count,
@@ -260,7 +260,7 @@
         kept.append([entries.LogEntry(index, 1, entry)])
 
     limit = configuration.TeamLimit('team-1', 7.0, 9)
-    plan = plans.make(
+    plan = plans.build_plan(
         'ada-1',
         'ada',
         plans.ChangeLimit(limit),
--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -213,7 +213,7 @@
         'folder not synced',
         STATE + 'disk.py',
         (
-            '            if fresh:\n'
+            '            if is_new:\n'
             '                self._sync_folder(self._folder)\n'
         ),
         (''),
@@ -223,8 +223,8 @@
         'goes on after a failed sync',
         STATE + 'disk.py',
         (
-            "            self._broken = f'{name}: {error}'\n"
-            '            raise errors.DiskError(self._broken) from'
+            "            self._failure = f'{name}: {error}'\n"
+            '            raise errors.DiskError(self._failure) from'
             ' error'
         ),
         ('            raise errors.DiskError(str(error)) from error'),
@@ -366,7 +366,7 @@
     Switch(
         'torn end kept',
         STATE + 'records.py',
-        ('        if _any_behind(data, offset):'),
+        ('        if _has_record_after(data, offset):'),
         ('        if False:'),
         (
             'tests/test_storage.py::test_damage_in_the_middle_is_tol'
@@ -509,7 +509,7 @@
     Switch(
         'committed entries not known after a restart',
         DECISIONS + 'agreement/voter.py',
-        ('        self.commit(store.known_committed())\n'),
+        ('        self.commit(store.read_committed())\n'),
         (''),
         (
             'tests/test_founding.py::test_restart_of_all_keeps_accepted_routes'
@@ -527,14 +527,14 @@
     Switch(
         'late registration taken',
         STATE + 'registry.py',
-        ('        elif said.number <= old.said.number:'),
+        ('        elif said.number <= old.registration.number:'),
         ('        elif False:'),
         ('tests/test_registry.py::test_newer_number_prevails'),
     ),
     Switch(
         'a name that is gone is tried again',
         DECISIONS + 'membership/discovery_client.py',
-        ('        if not self.registry.take(gone):'),
+        ('        if not self.registry.merge_registration(gone):'),
         ('        if True:'),
         (
             'tests/test_passing.py::test_misdirected_endpoint_is_deregistered'
@@ -653,8 +653,8 @@
     Switch(
         'nobody passes on what another hears',
         DECISIONS + 'membership/control_sync.py',
-        ('        and found.told_by not in recent_contacts\n'),
-        ('        and found.told_by is None\n'),
+        ('        and found.relayed_by not in recent_contacts\n'),
+        ('        and found.relayed_by is None\n'),
         (
             'tests/test_membership_fleet.py::test_what_a_control_host_hears_reaches_those_that_it_is_cut_off_from'
         ),
--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -31,9 +31,9 @@
         'homes of teams bind nothing',
         DECISIONS + 'serving/access.py',
         (
-            '        return RoutePermit(route.bound_to(team.homes), team, urgency=urgency)\n'
+            '            route.restricted_to(team.homes), team, urgency=urgency\n'
         ),
-        ('        return RoutePermit(route, team, urgency=urgency)\n'),
+        ('            route, team, urgency=urgency\n'),
         ('tests/test_keys.py::test_homes_of_team_and_route_both_bind'),
     ),
     Switch(
@@ -97,7 +97,7 @@
         'late word of a life that ended taken',
         STATE + 'registry.py',
         (
-            '        if old is not None and said.born_ms < old.said.born_ms:\n            return False\n'
+            '        if old is not None and said.born_ms < old.registration.born_ms:\n            return False\n'
         ),
         (''),
         ('tests/test_registry.py::test_birth_orders_before_numbers'),
@@ -106,7 +106,7 @@
         'leave ends another life',
         STATE + 'registry.py',
         (
-            '        if old is not None and born_ms not in (None, old.said.born_ms):\n'
+            '        if old is not None and born_ms not in (None, old.registration.born_ms):\n'
         ),
         ('        if False:\n'),
         ('tests/test_registry.py::test_leave_that_names_a_life_ends_no_other'),
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -256,12 +256,14 @@
 def test_no_heartbeat_harms_what_is_known(body):
     """Whatever comes is taken for what it says, or refused."""
     held = registry.Registry(test_registry.FakeClock())
-    held.take(heartbeat(json.dumps(HEARTBEAT).encode(), 'i-true'))
+    held.merge_registration(
+        heartbeat(json.dumps(HEARTBEAT).encode(), 'i-true')
+    )
     try:
-        held.take(heartbeat(body, 'i-other'))
+        held.merge_registration(heartbeat(body, 'i-other'))
     except errors.InvalidChangeError:
-        assert 'i-other' not in held.held
-    assert held.held['i-true'].takes_work
+        assert 'i-other' not in held.entries
+    assert held.entries['i-true'].takes_work
 
 
 @hypothesis.settings(max_examples=300, deadline=None)
@@ -404,9 +406,9 @@
     )
     assert status == 200
     for host in surfaces.controls:
-        await nodes.until(lambda: 'i-1' in host.registrar.registry.held)
+        await nodes.until(lambda: 'i-1' in host.registrar.registry.entries)
     await send(surfaces, other, '/instances/i-1/deregister')
-    held = last.registrar.registry.held
+    held = last.registrar.registry.entries
     await nodes.until(lambda: not held['i-1'].takes_work)
     status, _body, _headers = await send(
         surfaces, one, '/instances/i-2/heartbeat', b'{}'
@@ -423,7 +425,7 @@
             surfaces, one, f'/instances/i-{name}/heartbeat', body
         )
         assert status == 200, 'the sender is not to try elsewhere'
-    held = one.registrar.registry.held
+    held = one.registrar.registry.entries
     assert 'i-new' in held and 'i-old' not in held
 
 
--- a/tests/test_electorates.py
+++ b/tests/test_electorates.py
@@ -28,11 +28,13 @@
 )
 def test_majority_of_each_set_has_to_agree(voters, before, at, reached):
     deciding = electorates.Electorate(voters, before)
-    assert deciding.reached(lambda _host, disk: at.get(disk, 0)) == reached
+    assert (
+        deciding.majority_value(lambda _host, disk: at.get(disk, 0)) == reached
+    )
 
 
 def test_both_sets_are_asked_while_they_change():
     deciding = electorates.Electorate(OTHER, THREE)
     assert deciding.hosts == {'a', 'b', 'c', 'd'}
-    assert deciding.has('c', 'C') and deciding.has('d', 'D')
-    assert not deciding.has('c', 'D')
+    assert deciding.has_voter('c', 'C') and deciding.has_voter('d', 'D')
+    assert not deciding.has_voter('c', 'D')
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -80,14 +80,14 @@
     last = entries.LogEntry(3, 1, entries.LeaderStart('x'), told)
     kept.append([last])
     if case not in ('not noted', 'told by the log'):
-        kept.note_committed(9 if case == 'beyond the log' else 2)
+        kept.save_committed(9 if case == 'beyond the log' else 2)
     if case == 'of another disk':
         kept.meta.incarnation = 'other'
         kept.save_meta()
     if case == 'torn':
         path = tmp_path / storage.COMMITTED
         path.write_bytes(path.read_bytes()[:-1])
-    assert open_storage(tmp_path).known_committed() == known
+    assert open_storage(tmp_path).read_committed() == known
 
 
 async def test_restart_of_all_keeps_accepted_routes(tmp_path):
@@ -159,11 +159,11 @@
             path.write_bytes(path.read_bytes()[:-1])
         system.controls.clear()
         again = await system.start_control(control.node.ip, first_start=False)
-        held = again.registrar.registry.held
+        held = again.registrar.registry.entries
         assert ('e' in held) is known
         # Restored with a limited lifetime, as nothing renews it here.
         if known:
-            age_ms = again.clock.mono_ms() - held['e'].heard_ms
+            age_ms = again.clock.mono_ms() - held['e'].reported_ms
             assert age_ms >= registry_snapshot.RESTORED_LEASE_MS
 
 
@@ -173,14 +173,14 @@
 ):
     """It accepts no entry while its disk is full, and catches up after."""
     full = set()
-    write = disk._put_synced
+    write = disk._write_and_sync
 
     def write_if_room(file, data):
         if any(f'/{ip}/' in file.name for ip in full):
             raise OSError(errno.ENOSPC, 'No space left on device')
         write(file, data)
 
-    monkeypatch.setattr(disk, '_put_synced', write_if_room)
+    monkeypatch.setattr(disk, '_write_and_sync', write_if_room)
     async with nodes.running(tmp_path, controls=3) as system:
         await system.put(version=3)
         leader = await system.leader()
@@ -204,7 +204,7 @@
         )
         found.registrar.register(said)
         [entry] = system.entries
-        await nodes.until(lambda: 'e' in entry.attendance.registry.held)
+        await nodes.until(lambda: 'e' in entry.attendance.registry.entries)
         # It also answers after a restart with a full disk.
         await found.close()
         system.controls.remove(found)
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -38,7 +38,7 @@
         },
     )
     state = replicated.ReplicatedState()
-    state.apply(1, entries.Found(made))
+    state.apply(1, entries.Bootstrap(made))
     return state
 
 
@@ -71,7 +71,7 @@
     )
     def make(self, operator, number, intent):
         try:
-            plan = plans.make(
+            plan = plans.build_plan(
                 f'{operator}-{number}',
                 operator,
                 intent,
@@ -115,14 +115,14 @@
         else:
             assert answer.verdict is replicated.Verdict.CONFLICT
 
-    @stateful.precondition(lambda self: self.state.running())
+    @stateful.precondition(lambda self: self.state.running_plans())
     @stateful.rule(
         data=strategies.data(),
         succeeded=strategies.booleans(),
         late=strategies.integers(0, 1),
     )
     def end_step(self, data, succeeded, late):
-        plan = data.draw(strategies.sampled_from(self.state.running()))
+        plan = data.draw(strategies.sampled_from(self.state.running_plans()))
         self.apply(entries.IssueOrder(plan.plan, plan.reached, 'c1', 0))
         step = plan.reached + late
         self.apply(
@@ -155,7 +155,7 @@
 @pytest.mark.parametrize('intent', INTENTS[:2], ids=NAMES)
 def test_drain_goes_through_its_states(intent):
     state = first_state()
-    plan = plans.make('p', 'ada', intent, state.configuration, 0, 0)
+    plan = plans.build_plan('p', 'ada', intent, state.configuration, 0, 0)
     state.apply(2, entries.MakePlan('ada', 1, 'd', plan))
     state.apply(3, entries.ConfirmPlan('ada', 2, 'c', 'p', 0))
     found = state.configuration.endpoint(intent.endpoint)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -139,15 +139,17 @@
 
 
 def test_quarantine_is_bounded_and_keeps_what_is_held():
-    held = quarantine.changed({}, (quarantine.Quarantined('first', 3),), ())
+    held = quarantine.apply_changes(
+        {}, (quarantine.QuarantineEntry('first', 3),), ()
+    )
     trials = tuple(
-        quarantine.Quarantined(f'{n}', 3, True)
-        for n in range(quarantine.KEPT_LIMIT + 5)
+        quarantine.QuarantineEntry(f'{n}', 3, True)
+        for n in range(quarantine.MAX_QUARANTINED + 5)
     )
-    held = quarantine.changed(held, trials, ())
-    assert len(held) == quarantine.KEPT_LIMIT
+    held = quarantine.apply_changes(held, trials, ())
+    assert len(held) == quarantine.MAX_QUARANTINED
     assert 'first' in held
-    assert quarantine.changed(held, (), ('first',)).get('first') is None
+    assert quarantine.apply_changes(held, (), ('first',)).get('first') is None
 
 
 # Liveness probes.
@@ -334,7 +336,7 @@
 @pytest.mark.parametrize('on_probation', [False, True])
 async def test_decided_hold_lasts_until_released(on_probation):
     host = GuardedHost()
-    host.set_decisions(quarantine.Quarantined('d', 4, on_probation))
+    host.set_decisions(quarantine.QuarantineEntry('d', 4, on_probation))
     assert (host.guard.remaining_hold_ms('d') is None) == on_probation
     host.clock.now_ms += 10 * hold_durations.MAX_HOLD_MS
     assert (host.guard.remaining_hold_ms('d') is None) == on_probation
@@ -344,7 +346,7 @@
 
 async def test_one_crash_on_probation_is_enough():
     host = GuardedHost()
-    host.set_decisions(quarantine.Quarantined('d', 3, on_probation=True))
+    host.set_decisions(quarantine.QuarantineEntry('d', 3, on_probation=True))
     await host.crash_endpoints('a')
     assert host.guard.remaining_hold_ms('d') is not None
 
@@ -368,10 +370,10 @@
 
 def test_operator_lets_a_request_be_sent_again():
     now = configuration.Configuration(
-        index=7, quarantine={'d': quarantine.Quarantined('d', 5)}
+        index=7, quarantine={'d': quarantine.QuarantineEntry('d', 5)}
     )
     intent = plans.ClearQuarantine('d')
-    plan = plans.make('p', 'ada', intent, now, 0, 0)
+    plan = plans.build_plan('p', 'ada', intent, now, 0, 0)
     assert '5 endpoints ended' in plan.summary
     [step] = plan.steps
     assert configuration.apply(now, step.change, 8).quarantine == {}
@@ -380,7 +382,7 @@
 def test_clearing_what_is_not_held_is_refused():
     now = configuration.Configuration()
     with pytest.raises(errors.UnknownItemError, match='in quarantine'):
-        plans.make('p', 'ada', plans.ClearQuarantine('d'), now, 0, 0)
+        plans.build_plan('p', 'ada', plans.ClearQuarantine('d'), now, 0, 0)
 
 
 # Complete systems.
--- a/tests/test_registers.py
+++ b/tests/test_registers.py
@@ -34,7 +34,7 @@
 
 def consistent(votes):
     """Return the votes that count, if they are a majority."""
-    return registers.consistent(votes, QUORUM)
+    return registers.consistent_votes(votes, QUORUM)
 
 
 class Cluster:
@@ -63,7 +63,7 @@
         if quorum is None:
             return
         newest = max(quorum.values(), key=lambda vote: vote.accepted)
-        one.claim = registers.claimed(
+        one.claim = registers.with_claim(
             newest.claim, one.attempt, ids.HostId(one.host), one.name
         )
 
@@ -97,7 +97,7 @@
         for other in others:
             if other == host:
                 continue
-            told = self.copies[other].remember(host, copy.epoch)
+            told = self.copies[other].on_recovery_request(host, copy.epoch)
             # What is told was true then; it arrives as a copy.
             memories[other] = pickle.loads(pickle.dumps(told))
         if len(memories) >= QUORUM:
@@ -166,7 +166,7 @@
 
 
 @pytest.mark.parametrize('name', INTERLEAVINGS)
-def test_interleavings_let_one_attempt_through_at_most(name):
+def test_at_most_one_attempt_is_dispatched(name):
     ballots, steps = INTERLEAVINGS[name]
     cluster = Cluster()
     rounds = {
@@ -252,7 +252,7 @@
     )
 
 
-def test_claims_change_only_as_the_table_says():
+def test_claim_transitions():
     table = [
         ('free', 0, 1, 'dispatched', 1),
         ('refused', 1, 1, 'refused', 1),
@@ -261,7 +261,7 @@
         ('answered', 1, 2, 'answered', 1),
     ]
     for state, held, attempt, after, kept in table:
-        found = registers.claimed(
+        found = registers.with_claim(
             claim(state, held, 'old'), attempt, ids.HostId('b'), 'new'
         )
         assert (found.state.value, found.attempt) == (after, kept)
@@ -273,7 +273,7 @@
         ('answered', 1, 2, 'answered', 1),
     ]
     for state, held, attempt, after, kept in refusals:
-        found = registers.refused(claim(state, held, 'old'), attempt)
+        found = registers.with_refusal(claim(state, held, 'old'), attempt)
         assert (found.state.value, found.attempt) == (after, kept)
 
 
@@ -290,15 +290,15 @@
 
 @pytest.mark.parametrize('count', [0, 1, 7, 40])
 @pytest.mark.parametrize('part_bytes', [0, 2_000, 1 << 30])
-def test_memory_is_told_whole_in_parts(count, part_bytes):
+def test_snapshot_is_complete_across_chunks(count, part_bytes):
     copy = registers.Registers(ids.HostId('a'), 1, 0)
     for number in range(count):
         # Some keys share an issue time.
         copy.prepare(f'k{number}', number // 3, registers.Ballot(1, 'a'))
     told = []
-    after = registers.FIRST
+    after = registers.START_CURSOR
     for _part in range(count + 2):
-        memory = copy.remember('b', 2, after, part_bytes)
+        memory = copy.on_recovery_request('b', 2, after, part_bytes)
         told += memory.registers
         if not memory.more:
             break
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -90,7 +90,7 @@
     assert (applied.change is not None) == (held[0] == 8)
 
 
-def test_evacuations_hold_beside_routes_and_are_taken_back():
+def test_evacuations_are_independent_of_routes():
     state = replicated.ReplicatedState()
     state.apply(1, entries.Evacuate('north', True))
     state.apply(2, entries.ReplaceRoutes(table(version=2)))
@@ -110,7 +110,7 @@
         ('{"b":[1,2]}', '{"b":[2,1]}', False),
     ],
 )
-def test_digest_goes_by_what_is_said(one, other, equal):
+def test_digest_ignores_formatting(one, other, equal):
     digests = [
         routes.digest_of(msgspec.json.decode(text)) for text in (one, other)
     ]
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -196,7 +196,7 @@
 
 
 @pytest.mark.parametrize('damaged', [0, 1, 2])
-def test_damage_in_the_middle_is_told_with_its_place(damaged):
+def test_damage_in_the_middle_is_reported_with_offset(damaged):
     encoded = [records.encode(b'record %d' % n) for n in range(4)]
     data = bytearray(b''.join(encoded))
     offset = len(encoded[0]) * damaged
@@ -248,7 +248,7 @@
     assert opened.read('file') == kept + b'new'
 
 
-def test_full_disk_remembers_no_vote(tmp_path, monkeypatch):
+def test_full_disk_keeps_previous_vote(tmp_path, monkeypatch):
     kept = storage.Storage(disk.Disk(tmp_path / 'data'))
     kept.meta.term = 3
     kept.save_meta()
@@ -295,7 +295,7 @@
 
 
 @pytest.mark.parametrize('lost', range(1, 40, 6))
-def test_append_whose_beginning_was_lost_is_left_out_whole(lost):
+def test_partly_lost_append_is_dropped_whole(lost):
     """It was not synced, whatever of it is on the disk."""
     made = FakeDisk()
     kept = storage.Storage(made)
@@ -310,7 +310,7 @@
     assert storage.Storage(made).entry(2).term == 2
 
 
-def test_append_that_is_too_large_for_one_record_is_several(monkeypatch):
+def test_oversized_append_is_split_into_records(monkeypatch):
     monkeypatch.setattr(records, 'RECORD_LIMIT_BYTES', 60)
     made = FakeDisk()
     kept = storage.Storage(made)
@@ -332,7 +332,7 @@
 
 
 @pytest.mark.parametrize('append', [1, 3])
-def test_damage_before_a_later_append_is_told(append):
+def test_damage_before_a_later_append_is_reported(append):
     """What was synced and is damaged must not be taken for a torn end."""
     made = FakeDisk()
     kept = storage.Storage(made)
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -115,7 +115,7 @@
         commit_index=1,
         settings=types.SimpleNamespace(election_timeout_ms=1_000),
         electorate=types.SimpleNamespace(
-            reached=lambda held: held('other', 'disk')
+            majority_value=lambda held: held('other', 'disk')
         ),
     )
     made = leadership.Leadership.__new__(leadership.Leadership)
@@ -160,18 +160,18 @@
 
 def renewed_registration(clock):
     made = registry.Registry(clock)
-    made.take(registration())
+    made.merge_registration(registration())
 
     def fresh():
-        made.mark_silent()
-        return not made.silent('e')
+        made.mark_stale()
+        return not made.is_stale('e')
 
     return fresh
 
 
 def occupied_address(clock):
     made = registry.Registry(clock)
-    made.take(registration())
+    made.merge_registration(registration())
     other = registry.Registration(
         'f', 's', '127.0.0.1:1', 'hall', 1, registry.RegistrationState.READY, 1
     )
@@ -181,8 +181,8 @@
 def young_registration(clock):
     """Report the age of a registration to another host."""
     made = registry.Registry(clock)
-    made.take(registration())
-    return lambda: made.aged(made.held['e']).age_ms < SUSPENDED_MS
+    made.merge_registration(registration())
+    return lambda: made.with_age(made.entries['e']).age_ms < SUSPENDED_MS
 
 
 def attending_host(clock):
--- a/wrenspoke/coordination/agreement/bootstrap.py
+++ b/wrenspoke/coordination/agreement/bootstrap.py
@@ -14,7 +14,7 @@
 
 
 def bootstrap_single(
-    store: storage.Storage, host: ids.HostId, first_entry: entries.Found
+    store: storage.Storage, host: ids.HostId, first_entry: entries.Bootstrap
 ) -> None:
     """Bootstrap a new group on an empty disk, with one voter.
 
@@ -57,7 +57,7 @@
     store.meta.incarnation = voters[host]
     store.meta.term = 1
     store.save_meta()
-    first_entry = entries.Found(configuration.Configuration())
+    first_entry = entries.Bootstrap(configuration.Configuration())
     store.append(
         [
             entries.LogEntry(1, 1, entries.SetVoters(voters, 'founding')),
--- a/wrenspoke/coordination/agreement/control_service.py
+++ b/wrenspoke/coordination/agreement/control_service.py
@@ -32,7 +32,7 @@
 VERDICT_STATUSES = {
     replicated.Verdict.ACCEPTED: OK,
     replicated.Verdict.CONFLICT: CONFLICT,
-    replicated.Verdict.MOVED_ON: CONFLICT,
+    replicated.Verdict.STALE_BASE: CONFLICT,
     replicated.Verdict.UNKNOWN: NOT_FOUND,
     replicated.Verdict.TOO_OLD: CONFLICT,
 }
@@ -110,7 +110,7 @@
         if local_voter.role is voter.Role.LEADER:
             self._executor.update_status(standing)
             return
-        if local_voter.leader is None or not local_voter.state.running():
+        if local_voter.leader is None or not local_voter.state.running_plans():
             return
         await self._peers.send_oneway(
             local_voter.leader, messages.ForwardStatus(standing)
@@ -130,7 +130,7 @@
         if known is not None:
             return known
         try:
-            plan = plans.make(
+            plan = plans.build_plan(
                 ids.PlanId(f'{operator}-{request.number}'),
                 operator,
                 request.intent,
@@ -169,7 +169,7 @@
     ) -> operator_api.OperatorResponse | None:
         if not self._voter.has_lease:
             return self._not_leader_answer(may_be_accepted=False)
-        answer = self._voter.state.known_answer(operator, number, digest)
+        answer = self._voter.state.find_answer(operator, number, digest)
         return None if answer is None else self._answer_for(answer)
 
     async def _propose(
--- a/wrenspoke/coordination/agreement/leadership.py
+++ b/wrenspoke/coordination/agreement/leadership.py
@@ -57,7 +57,7 @@
     def adopt_term(self, term: int) -> None:
         """Adopt a higher term, which ends this leadership."""
 
-    async def propose(self, entry: entries.Entry) -> replicated.Applied:
+    async def propose(self, entry: entries.Entry) -> replicated.ApplyResult:
         """Append an entry and return the result once it is applied."""
 
 
@@ -124,10 +124,10 @@
             if follower is not None and follower.acked_ms is not None:
                 return follower.acked_ms
             return (
-                self.since_ms if self._electing_voters.has(host, disk) else 0
+                self.since_ms if self._electing_voters.has_voter(host, disk) else 0
             )
 
-        return self._node.electorate.reached(host_acked_ms)
+        return self._node.electorate.majority_value(host_acked_ms)
 
     def _is_local_disk(self, host: ids.HostId, disk: ids.Incarnation) -> bool:
         group = self._node
@@ -245,7 +245,7 @@
             follower = self._follower_on_disk(host, disk)
             return 0 if follower is None else follower.match_index
 
-        index = self._node.electorate.reached(held_index)
+        index = self._node.electorate.majority_value(held_index)
         if self._node.storage.term_at(index) != self.term:
             return
         if index > self._node.commit_index:
--- a/wrenspoke/coordination/agreement/rollback_check.py
+++ b/wrenspoke/coordination/agreement/rollback_check.py
@@ -115,7 +115,7 @@
                     known_boot=answer.known_boot,
                     told_by=host,
                 )
-                self._storage.forget_all()
+                self._storage.reset_identity()
                 on_rollback()
                 self._storage.meta.boot = 1
                 self._storage.save_meta()
@@ -125,7 +125,9 @@
         def has_acknowledged(host: ids.HostId, disk: ids.Incarnation) -> int:
             return int(host in acknowledged or disk == meta.incarnation)
 
-        if not electorate.voters or electorate.reached(has_acknowledged):
+        if not electorate.voters or electorate.majority_value(
+            has_acknowledged
+        ):
             self.passed = True
             logger.info(
                 'cleared', incarnation=meta.incarnation, boot=meta.boot
--- a/wrenspoke/coordination/agreement/vote_tally.py
+++ b/wrenspoke/coordination/agreement/vote_tally.py
@@ -30,7 +30,7 @@
         self, host: ids.HostId, answer: messages.VoteReply
     ) -> None:
         """Record a voter's reply."""
-        if not self._electorate.has(host, answer.incarnation):
+        if not self._electorate.has_voter(host, answer.incarnation):
             self._refused[host] = f'other disk {answer.incarnation}'
         elif answer.granted:
             self._granted[host] = answer.incarnation
@@ -42,7 +42,7 @@
     def won(self) -> bool:
         """Return whether a majority granted its vote."""
         return bool(
-            self._electorate.reached(
+            self._electorate.majority_value(
                 lambda host, disk: int(self._granted.get(host) == disk)
             )
         )
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -130,7 +130,7 @@
         self.commit_index = store.snapshot.index
         self.state = replicated.ReplicatedState()
         self._load_snapshot()
-        self.commit(store.known_committed())
+        self.commit(store.read_committed())
         peers.handles(messages.RequestVote)(self._handle_vote_request)
         peers.handles(messages.AppendEntries)(self._handle_append)
         peers.handles(messages.InstallSnapshot)(self._handle_install)
@@ -163,7 +163,7 @@
     @property
     def is_voter(self) -> bool:
         """Return whether this host has a vote with its current disk."""
-        return self.electorate.has(self.host, self.incarnation)
+        return self.electorate.has_voter(self.host, self.incarnation)
 
     @property
     def _may_lead(self) -> bool:
@@ -174,7 +174,7 @@
         change with the votes of the others, and steps down.
         """
         before = self.committed_electorate
-        return self.is_voter or before.has(self.host, self.incarnation)
+        return self.is_voter or before.has_voter(self.host, self.incarnation)
 
     def _load_snapshot(self) -> None:
         snapshot = self.storage.snapshot
@@ -517,7 +517,7 @@
         if silent or not self._may_lead:
             self._step_down()
 
-    async def propose(self, entry: entries.Entry) -> replicated.Applied:
+    async def propose(self, entry: entries.Entry) -> replicated.ApplyResult:
         """Append an entry and return the result of applying it.
 
         :raises NotLeaderError: this host is not leader, or lost leadership
@@ -664,7 +664,7 @@
             self.commit_index = entry.index
             advanced = True
         if advanced:
-            self.storage.note_committed(self.commit_index)
+            self.storage.save_committed(self.commit_index)
         self._compact_log()
 
     def _apply_entry(self, entry: entries.LogEntry) -> None:
--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -167,7 +167,7 @@
     def state(self) -> replicated.ReplicatedState:
         """Return the committed state."""
 
-    async def propose(self, entry: entries.Entry) -> replicated.Applied:
+    async def propose(self, entry: entries.Entry) -> replicated.ApplyResult:
         """Append an entry to the log and wait until it is applied."""
 
 
@@ -274,7 +274,7 @@
             kept &= active
         hosts = tuple(sorted(kept | active))
         try:
-            await self._local_voter.propose(entries.SetLenders(hosts))
+            await self._local_voter.propose(entries.SetShareHolders(hosts))
         except errors.NotLeaderError:
             logger.info('share_holders_not_committed', hosts=len(hosts))
             return
--- a/wrenspoke/coordination/membership/control_sync.py
+++ b/wrenspoke/coordination/membership/control_sync.py
@@ -40,7 +40,7 @@
 REGION_CONTACT_WINDOW_MS = 3_000
 
 # A registry or roster entry, with its receive time and source.
-Entry = typing.TypeVar('Entry', registry.Registered, roster.HostEntry)
+Entry = typing.TypeVar('Entry', registry.EndpointEntry, roster.HostEntry)
 
 
 @dataclasses.dataclass
@@ -171,7 +171,7 @@
         since_ms = progress.last_sent_ms - SYNC_INTERVAL_MS
         recent_contacts = {*progress.recent_contacts, host}
         endpoints = _renewed_entries(
-            self._endpoints.held.values(),
+            self._endpoints.entries.values(),
             since_ms,
             progress.endpoints_revision,
             recent_contacts,
@@ -183,14 +183,14 @@
             recent_contacts,
         )
         return discovery_messages.Exchange(
-            self._endpoints.after(progress.endpoints_revision),
+            self._endpoints.registrations_since(progress.endpoints_revision),
             self._hosts.changes_since(progress.hosts_revision),
             [
                 discovery_messages.Renewal(
-                    found.said.endpoint,
-                    found.said.number,
-                    self._age_ms(found.heard_ms),
-                    found.said.born_ms,
+                    found.registration.endpoint,
+                    found.registration.number,
+                    self._age_ms(found.reported_ms),
+                    found.registration.born_ms,
                 )
                 for found in endpoints
             ],
@@ -198,7 +198,7 @@
                 discovery_messages.Renewal(
                     found.record.host,
                     found.record.number,
-                    self._age_ms(found.heard_ms),
+                    self._age_ms(found.reported_ms),
                     roster.instance_checksum(found.record),
                 )
                 for found in hosts
@@ -227,7 +227,7 @@
         self._regions[sender] = message.region
         before = (self._endpoints.revision, self._hosts.revision)
         for said in message.endpoints:
-            self._endpoints.take(said, sender)
+            self._endpoints.merge_registration(said, sender)
         for record in message.hosts.found:
             self._hosts.merge_record(record, sender)
         for host in message.hosts.lost:
@@ -268,7 +268,7 @@
     return [
         found
         for found in entries
-        if found.heard_ms >= since_ms
+        if found.reported_ms >= since_ms
         and found.revision <= sent_revision
-        and found.told_by not in recent_contacts
+        and found.relayed_by not in recent_contacts
     ]
--- a/wrenspoke/coordination/membership/discovery_client.py
+++ b/wrenspoke/coordination/membership/discovery_client.py
@@ -185,8 +185,8 @@
 
         ``born_ms`` identifies the instance of the endpoint that has ended.
         """
-        gone = self.registry.withdraw(endpoint, born_ms)
-        if not self.registry.take(gone):
+        gone = self.registry.final_registration(endpoint, born_ms)
+        if not self.registry.merge_registration(gone):
             return
         logger.info('endpoint_gone', endpoint=endpoint)
         self._notify_control_hosts(
@@ -326,7 +326,7 @@
                 discovery_messages.unpack_delta(answer.news)
             )
         for said in answer.endpoints:
-            self.registry.take(said)
+            self.registry.merge_registration(said)
         if answer.hosts is not None:
             self._apply_host_changes(session, answer.hosts)
         self._local_controls.update(answer.near)
--- a/wrenspoke/coordination/membership/engine_loads.py
+++ b/wrenspoke/coordination/membership/engine_loads.py
@@ -131,7 +131,7 @@
         """Return whether an engine stopped reporting while most report."""
         if not self._is_report_stale(endpoint):
             return False
-        engines = [other.said.endpoint for other in self._engines()]
+        engines = [other.registration.endpoint for other in self._engines()]
         fresh = sum(not self._is_report_stale(other) for other in engines)
         return fresh >= MIN_FRESH_SHARE * len(engines)
 
@@ -174,8 +174,8 @@
             )
 
     def _assigned_engines(
-        self, engines: list[registry.Registered]
-    ) -> list[registry.Registered]:
+        self, engines: list[registry.EndpointEntry]
+    ) -> list[registry.EndpointEntry]:
         """Return the engines that this host polls for the region.
 
         These are its own, and those of hosts before it in order whose
@@ -184,28 +184,28 @@
         asking = self._pollers.polling_hosts()
         own = []
         for found in engines:
-            order = routing.rendezvous(found.said.endpoint, asking)
+            order = routing.rendezvous(found.registration.endpoint, asking)
             place = order.index(self._host)
             if place == 0 or self._is_overdue(found, place):
                 own.append(found)
         return own
 
-    def _is_overdue(self, found: registry.Registered, place: int) -> bool:
+    def _is_overdue(self, found: registry.EndpointEntry, place: int) -> bool:
         """Return whether hosts before this one in order report no load."""
         missed_ms = TAKEOVER_INTERVALS * place * self._interval_ms
-        _load, heard_ms = self._loads.get(found.said.endpoint, (None, None))
+        _load, heard_ms = self._loads.get(found.registration.endpoint, (None, None))
         if heard_ms is None:
             heard_ms = self._first_seen_ms.setdefault(
-                found.said.endpoint, self._clock.mono_ms()
+                found.registration.endpoint, self._clock.mono_ms()
             )
         return self._clock.mono_ms() - heard_ms > missed_ms
 
-    def _engines(self) -> list[registry.Registered]:
+    def _engines(self) -> list[registry.EndpointEntry]:
         """Return the engines of this region that accept work."""
         services = self._replica.current.routes.services
         engines = []
-        for found in self._discovery.registry.held.values():
-            said = found.said
+        for found in self._discovery.registry.entries.values():
+            said = found.registration
             service = services.get(said.service)
             if service is None or service.batch is None:
                 continue
@@ -217,9 +217,9 @@
         return engines
 
     async def _poll_engine(
-        self, found: registry.Registered
+        self, found: registry.EndpointEntry
     ) -> loads.EngineLoad | None:
-        said = found.said
+        said = found.registration
         life = limiting.EndpointInstance(said.endpoint, said.born_ms)
         asked_ms = self._clock.mono_ms()
         try:
@@ -261,10 +261,10 @@
             self._views.record_status(status)
         for load in message.loads:
             self._loads[load.endpoint] = (load, now_ms)
-            found = self._discovery.registry.held.get(load.endpoint)
+            found = self._discovery.registry.entries.get(load.endpoint)
             if found is not None:
                 asked_ms = now_ms - REPORT_TIMEOUT_MS
-                self._on_answer(found.said.address, asked_ms)
+                self._on_answer(found.registration.address, asked_ms)
         self._evict_unregistered()
 
     def evict(self, endpoint: ids.EndpointId) -> None:
@@ -275,5 +275,5 @@
     def _evict_unregistered(self) -> None:
         for known in (self._loads, self._first_seen_ms):
             for endpoint in list(known):
-                if endpoint not in self._discovery.registry.held:
+                if endpoint not in self._discovery.registry.entries:
                     del known[endpoint]
--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -119,12 +119,12 @@
                 'registration_conflict',
                 endpoint=registration.endpoint,
                 address=registration.address,
-                occupant=occupant.said.endpoint,
+                occupant=occupant.registration.endpoint,
             )
             return
         if registration.state is not registry.RegistrationState.GONE:
             self.registry.displace(registration)
-        if self.registry.take(registration):
+        if self.registry.merge_registration(registration):
             logger.info(
                 'endpoint_registered',
                 endpoint=registration.endpoint,
@@ -141,7 +141,7 @@
         self, endpoint: ids.EndpointId, born_ms: int | None = None
     ) -> None:
         """Mark an endpoint as gone; ``born_ms`` selects one instance."""
-        self.register(self.registry.withdraw(endpoint, born_ms))
+        self.register(self.registry.final_registration(endpoint, born_ms))
 
     async def _handle_withdraw(
         self, _sender: ids.HostId, message: discovery_messages.WithdrawEndpoint
@@ -211,7 +211,7 @@
             self._instance_id,
             self.registry.revision,
             self.roster.revision,
-            self.registry.after(endpoints_revision),
+            self.registry.registrations_since(endpoints_revision),
             hosts,
             [self._group.host, *self._group.seen_within(CONTACT_WINDOW_MS)],
             self._control_sync.control_hosts_in(message.record.region),
@@ -255,9 +255,9 @@
         while True:
             if self.roster.expire():
                 self._control_sync.request_sync()
-            if self.registry.mark_silent():
+            if self.registry.mark_stale():
                 self._notify_all()
-            self.registry.forget_old()
+            self.registry.evict_expired()
             self._answered_ms = {
                 host: told_ms
                 for host, told_ms in self._answered_ms.items()
--- a/wrenspoke/coordination/membership/registry_snapshot.py
+++ b/wrenspoke/coordination/membership/registry_snapshot.py
@@ -67,12 +67,12 @@
             # The snapshot is optional: endpoints renew.
             logger.warning('registry_snapshot_unreadable', reason=str(error))
             return
-        age_ms = registry.SILENT_AFTER_MS - RESTORED_LEASE_MS
+        age_ms = registry.RENEWAL_TIMEOUT_MS - RESTORED_LEASE_MS
         for registration in registrations:
             if registration.warmup_left_ms > 0:
                 # The remaining warm-up is unknown until the endpoint renews.
                 continue
-            self._registry.take(
+            self._registry.merge_registration(
                 msgspec.structs.replace(registration, age_ms=age_ms)
             )
         logger.info('registry_snapshot_restored', endpoints=len(registrations))
@@ -83,7 +83,9 @@
             revision = self._registry.revision
             if revision == self._written_revision:
                 continue
-            body = msgspec.msgpack.encode(self._registry.after(0))
+            body = msgspec.msgpack.encode(
+                self._registry.registrations_since(0)
+            )
             try:
                 # A stalled disk must not block the event loop.
                 await asyncio.to_thread(
--- a/wrenspoke/coordination/membership/roster.py
+++ b/wrenspoke/coordination/membership/roster.py
@@ -28,14 +28,14 @@
 class HostEntry:
     """The last record of a host, and when it was received.
 
-    ``told_by`` is the control host that sent it, None if it was received
+    ``relayed_by`` is the control host that sent it, None if it was received
     from the host itself.
     """
 
     record: discovery_messages.HostRecord
-    heard_ms: int
+    reported_ms: int
     revision: int
-    told_by: ids.HostId | None = None
+    relayed_by: ids.HostId | None = None
 
 
 class Roster:
@@ -62,30 +62,30 @@
     def merge_record(
         self,
         record: discovery_messages.HostRecord,
-        told_by: ids.HostId | None = None,
+        relayed_by: ids.HostId | None = None,
     ) -> bool:
         """Merge a newer record; return whether it should be replicated."""
-        heard_ms = self._clock.mono_ms() - record.age_ms
+        reported_ms = self._clock.mono_ms() - record.age_ms
         old = self._entries.get(record.host)
         if old is None:
-            self._store_record(record, heard_ms, told_by)
+            self._store_record(record, reported_ms, relayed_by)
             logger.info('host_found', peer=record.host, region=record.region)
             return True
         same_life = old.record.start == record.start
         if same_life and record.number <= old.record.number:
             return False
-        if not same_life and heard_ms < old.heard_ms:
+        if not same_life and reported_ms < old.reported_ms:
             return False
         if _differs(old.record, record):
-            self._store_record(record, heard_ms, told_by)
+            self._store_record(record, reported_ms, relayed_by)
             return True
         old.record = record
-        old.heard_ms = heard_ms
-        old.told_by = told_by
+        old.reported_ms = reported_ms
+        old.relayed_by = relayed_by
         return False
 
     def renew(
-        self, renewal: discovery_messages.Renewal, told_by: ids.HostId
+        self, renewal: discovery_messages.Renewal, relayed_by: ids.HostId
     ) -> bool:
         """Apply a renewal; return False if its host instance is unknown."""
         old = self._entries.get(ids.HostId(renewal.name))
@@ -95,20 +95,20 @@
             old.record = msgspec.structs.replace(
                 old.record, number=renewal.number
             )
-            old.heard_ms = self._clock.mono_ms() - renewal.age_ms
-            old.told_by = told_by
+            old.reported_ms = self._clock.mono_ms() - renewal.age_ms
+            old.relayed_by = relayed_by
         return True
 
     def _store_record(
         self,
         record: discovery_messages.HostRecord,
-        heard_ms: int,
-        told_by: ids.HostId | None,
+        reported_ms: int,
+        relayed_by: ids.HostId | None,
     ) -> None:
         self._next_revision()
         self._tombstones.pop(record.host, None)
         self._entries[record.host] = HostEntry(
-            record, heard_ms, self.revision, told_by
+            record, reported_ms, self.revision, relayed_by
         )
 
     def _next_revision(self) -> None:
@@ -128,7 +128,7 @@
         ended = [
             host
             for host, known in self._entries.items()
-            if now_ms - known.heard_ms > self._lease_of(known)
+            if now_ms - known.reported_ms > self._lease_of(known)
         ]
         for host in ended:
             self._expire_host(host)
@@ -136,7 +136,7 @@
         return bool(ended)
 
     def _lease_of(self, known: HostEntry) -> int:
-        return self._relayed_lease_ms if known.told_by else self._lease_ms
+        return self._relayed_lease_ms if known.relayed_by else self._lease_ms
 
     def _expire_host(self, host: ids.HostId) -> None:
         self.remove_host(host)
@@ -147,7 +147,7 @@
         known = self._entries.get(host)
         if known is None:
             return
-        if self._clock.mono_ms() - known.heard_ms > self._lease_ms:
+        if self._clock.mono_ms() - known.reported_ms > self._lease_ms:
             self._expire_host(host)
 
     def _prune_tombstones(self, now_ms: int) -> None:
@@ -177,7 +177,7 @@
         return discovery_messages.HostChanges(found, lost)
 
     def _with_age(self, known: HostEntry) -> discovery_messages.HostRecord:
-        age_ms = max(self._clock.mono_ms() - known.heard_ms, 0)
+        age_ms = max(self._clock.mono_ms() - known.reported_ms, 0)
         return msgspec.structs.replace(known.record, age_ms=age_ms)
 
     def records(self) -> list[discovery_messages.HostRecord]:
--- a/wrenspoke/coordination/quarantine/crash_aggregator.py
+++ b/wrenspoke/coordination/quarantine/crash_aggregator.py
@@ -52,7 +52,7 @@
     def has_lease(self) -> bool:
         """Return whether this host is leader and holds the lease."""
 
-    async def propose(self, entry: entries.Entry) -> replicated.Applied:
+    async def propose(self, entry: entries.Entry) -> replicated.ApplyResult:
         """Append an entry and return the result once it is applied.
 
         :raises NotLeaderError: this host is not leader, or lost leadership
@@ -83,7 +83,7 @@
         # Quarantined requests that completed and are to be released.
         self._pending_releases: set[ids.RequestDigest] = set()
         # Committed decisions, with the time at which they were applied here.
-        self._decided_ms: dict[quarantine.Quarantined, int] = {}
+        self._decided_ms: dict[quarantine.QuarantineEntry, int] = {}
         self._proposing = False
         self._tasks = runtime.Tasks()
         peers.handles(quarantining.ReportCrashes)(self._handle_runs_ended)
@@ -119,7 +119,7 @@
         self, end: quarantining.EndpointCrash, now_ms: int
     ) -> bool:
         """Record a crash; return whether entry hosts must be notified."""
-        if quarantine.held(self._quarantine, end.digest) is not None:
+        if quarantine.blocking_entry(self._quarantine, end.digest) is not None:
             # The request was sent before the hold reached that host.
             return False
         self._crash_history.record_crash(
@@ -157,7 +157,7 @@
     def _is_held(self, digest: ids.RequestDigest) -> bool:
         if digest in self._notified_ms:
             return True
-        return quarantine.held(self._quarantine, digest) is not None
+        return quarantine.blocking_entry(self._quarantine, digest) is not None
 
     def _make_hold(self, digest: ids.RequestDigest) -> quarantining.Hold:
         crashes = self._crash_count(digest)
@@ -262,7 +262,7 @@
     async def _propose_due(self) -> None:
         now_ms = self._clock.mono_ms()
         decisions = [
-            quarantine.Quarantined(digest, self._crash_count(digest))
+            quarantine.QuarantineEntry(digest, self._crash_count(digest))
             for digest, notified_ms in self._notified_ms.items()
             if now_ms - notified_ms >= OBJECTION_WINDOW_MS
         ]
@@ -288,7 +288,7 @@
                 on_probation=decision.on_probation,
             )
 
-    def _due_for_probation(self, now_ms: int) -> list[quarantine.Quarantined]:
+    def _due_for_probation(self, now_ms: int) -> list[quarantine.QuarantineEntry]:
         """Return expired quarantines as new decisions on probation."""
         due = []
         for decision, since_ms in self._decided_ms.items():
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -38,7 +38,7 @@
 MIN_HOLD_RETRY_MS = 1_000
 MS_PER_S = 1_000
 # The same limit as for committed decisions.
-MAX_HOLDS = quarantine.KEPT_LIMIT
+MAX_HOLDS = quarantine.MAX_QUARANTINED
 
 IsDraining = collections.abc.Callable[[ids.EndpointId], bool]
 
@@ -67,7 +67,7 @@
             ids.RequestDigest, int
         ] = collections.OrderedDict()
         # When this host first saw each committed decision.
-        self._decision_seen_ms: dict[quarantine.Quarantined, int] = {}
+        self._decision_seen_ms: dict[quarantine.QuarantineEntry, int] = {}
         self._instance_id = ids.new_unique()
         self._tasks = runtime.Tasks()
         self.refused_count = 0
@@ -85,7 +85,7 @@
     def remaining_hold_ms(self, digest: ids.RequestDigest) -> int | None:
         """Return how long a request stays held, None if it may be sent."""
         now_ms = self._clock.mono_ms()
-        decided = quarantine.held(self._replica.current.quarantine, digest)
+        decided = quarantine.blocking_entry(self._replica.current.quarantine, digest)
         if decided is not None:
             # Only another committed decision releases it, not the time.
             left_ms = self._decided_hold_end_ms(decided) - now_ms
@@ -103,7 +103,7 @@
             self.refused_count += 1
         return held_ms
 
-    def _decided_hold_end_ms(self, decided: quarantine.Quarantined) -> int:
+    def _decided_hold_end_ms(self, decided: quarantine.QuarantineEntry) -> int:
         if len(self._decision_seen_ms) > MAX_HOLDS:
             self._decision_seen_ms.clear()
         decision_seen_ms = self._decision_seen_ms.setdefault(
--- a/wrenspoke/coordination/serving/access.py
+++ b/wrenspoke/coordination/serving/access.py
@@ -91,7 +91,9 @@
         self, team: teams.Team, route: routes.Route
     ) -> RoutePermit:
         urgency = self._urgency(route, team)
-        return RoutePermit(route.bound_to(team.homes), team, urgency=urgency)
+        return RoutePermit(
+            route.restricted_to(team.homes), team, urgency=urgency
+        )
 
     def _urgency(self, route: routes.Route, team: teams.Team | None) -> int:
         """Return the urgency of a call, by team priority, then by route.
@@ -125,7 +127,7 @@
         self._refresh_indexes()
         if self._teams is None:
             return None
-        found = self._teams.named(team)
+        found = self._teams.find_by_name(team)
         return None if found is None else found.limit
 
     def reauthorize(
--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -284,7 +284,7 @@
             # This instance of the endpoint is gone for good.
             self._discovery.withdraw(
                 destination.endpoint,
-                destination.chosen.registered.said.born_ms,
+                destination.chosen.registered.registration.born_ms,
             )
             return False
         if answer.verdict is sending.Verdict.NOT_RUN:
--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -61,22 +61,22 @@
 
     def usable_endpoints(
         self, service: ids.ServiceId, region: ids.RegionId
-    ) -> list[registry.Registered]:
+    ) -> list[registry.EndpointEntry]:
         """Return the endpoints of a service that may get new requests."""
         self.update_evacuations()
         return [
             found
-            for found in self._discovery.registry.held.values()
+            for found in self._discovery.registry.entries.values()
             if found.takes_work
-            and found.said.service == service
-            and self._regions.get(found.said.data_centre) == region
-            and found.said.data_centre not in self._evacuated
+            and found.registration.service == service
+            and self._regions.get(found.registration.data_centre) == region
+            and found.registration.data_centre not in self._evacuated
             and not self._announced_leaving(found)
         ]
 
     def warm_endpoints(
         self, service: ids.ServiceId, region: ids.RegionId
-    ) -> list[registry.Registered]:
+    ) -> list[registry.EndpointEntry]:
         """Return the usable endpoints that have warmed up."""
         return [
             found
@@ -104,17 +104,17 @@
         services = self._replica.current.routes.services
         self._warmup_probe.start_probes(
             found
-            for found in self._discovery.registry.held.values()
+            for found in self._discovery.registry.entries.values()
             if found.takes_work
-            and found.said.data_centre in restored
-            and self._regions.get(found.said.data_centre) == self._region
-            and found.said.service in services
-            and services[found.said.service].warmup_per_s > 0
+            and found.registration.data_centre in restored
+            and self._regions.get(found.registration.data_centre) == self._region
+            and found.registration.service in services
+            and services[found.registration.service].warmup_per_s > 0
         )
 
     def healthy_endpoints(
         self, service: ids.ServiceId, region: ids.RegionId
-    ) -> list[registry.Registered]:
+    ) -> list[registry.EndpointEntry]:
         """Return the warm endpoints that are not degraded or limited now."""
         return [
             found
@@ -122,40 +122,40 @@
             if not self.is_degraded(found) and not self.limit_wait_ms(found)
         ]
 
-    def advertises_limit(self, found: registry.Registered) -> bool:
+    def advertises_limit(self, found: registry.EndpointEntry) -> bool:
         """Return whether an endpoint advertises a rate limit."""
         return self._gate.limits.rate_per_s(_life_of(found)) is not None
 
-    def share_per_s(self, found: registry.Registered) -> float | None:
+    def share_per_s(self, found: registry.EndpointEntry) -> float | None:
         """Return this host's share of an endpoint's limit, if it has one."""
         return self._gate.limits.share_per_s(_life_of(found))
 
-    def limit_wait_ms(self, found: registry.Registered) -> int:
+    def limit_wait_ms(self, found: registry.EndpointEntry) -> int:
         """Return in how many ms an endpoint's limit admits a request."""
         if self._gate.is_idle:
             return 0
         return self._gate.remaining_ms(_life_of(found))
 
-    def _announced_leaving(self, found: registry.Registered) -> bool:
+    def _announced_leaving(self, found: registry.EndpointEntry) -> bool:
         """Return whether an endpoint announced its leaving in a response."""
         leaving = self._gate.leaving
         return not leaving.is_idle and leaving.is_leaving(_life_of(found))
 
-    def in_backoff(self, found: registry.Registered) -> bool:
+    def in_backoff(self, found: registry.EndpointEntry) -> bool:
         """Return whether this host is backing off from an endpoint."""
         return self._gate.backoffs.remaining_ms(_life_of(found)) > 0
 
-    def is_cold(self, found: registry.Registered) -> bool:
+    def is_cold(self, found: registry.EndpointEntry) -> bool:
         """Return whether an endpoint must be limited to its warmup rate."""
         if found.warm_ms > self._clock.mono_ms():
             return True
-        restored_at_ms = self._restored_at_ms.get(found.said.data_centre)
-        if restored_at_ms is None or found.heard_ms >= restored_at_ms:
+        restored_at_ms = self._restored_at_ms.get(found.registration.data_centre)
+        if restored_at_ms is None or found.reported_ms >= restored_at_ms:
             return False
-        service = self._replica.current.routes.service(found.said.service)
+        service = self._replica.current.routes.service(found.registration.service)
         if service is None or service.warmup_per_s <= 0:
             return False
-        warm_ms = self._warmup_probe.warm_ms(found.said.endpoint)
+        warm_ms = self._warmup_probe.warm_ms(found.registration.endpoint)
         if warm_ms is not None:
             return warm_ms > self._clock.mono_ms()
         since_ms = self._clock.mono_ms() - restored_at_ms
@@ -164,17 +164,17 @@
     def next_warmup_endpoint(
         self,
         service: routes.RoutedService,
-        candidates: list[registry.Registered],
-    ) -> registry.Registered | None:
+        candidates: list[registry.EndpointEntry],
+    ) -> registry.EndpointEntry | None:
         """Return a cold endpoint that is due a request from this host."""
         if service.warmup_per_s <= 0:
             return None
         now_ms = self._clock.mono_ms()
         for found in candidates:
-            name = found.said.endpoint
+            name = found.registration.endpoint
             if not self.is_cold(found) or not self._pollers.is_owner_of(name):
                 continue
-            if self.is_ejected(found.said.address):
+            if self.is_ejected(found.registration.address):
                 continue
             if now_ms < self._next_warmup_ms.get(name, 0):
                 continue
@@ -183,17 +183,17 @@
             return found
         return None
 
-    def is_degraded(self, found: registry.Registered) -> bool:
+    def is_degraded(self, found: registry.EndpointEntry) -> bool:
         """Return whether other endpoints should be preferred.
 
         That is if the endpoint is ejected, or if it does not answer the load
         polls of any host in the region.
         """
-        if self.is_ejected(found.said.address):
+        if self.is_ejected(found.registration.address):
             return True
         if not self._is_enabled(mechanisms.Mechanism.SETTING_ASIDE):
             return False
-        return self._engine_loads.silent(found.said.endpoint)
+        return self._engine_loads.silent(found.registration.endpoint)
 
     def is_ejected(self, place: str) -> bool:
         """Return whether an address is ejected by outlier detection."""
@@ -205,5 +205,5 @@
         return mechanism not in self._switched_off
 
 
-def _life_of(found: registry.Registered) -> limiting.EndpointInstance:
-    return limiting.EndpointInstance(found.said.endpoint, found.said.born_ms)
+def _life_of(found: registry.EndpointEntry) -> limiting.EndpointInstance:
+    return limiting.EndpointInstance(found.registration.endpoint, found.registration.born_ms)
--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -185,7 +185,7 @@
     ) -> sending.Destination | None:
         if chosen is None:
             return None
-        registration = chosen.registered.said
+        registration = chosen.registered.registration
         logger.info(
             'endpoint_chosen',
             request=context.call.request,
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -51,14 +51,14 @@
     fetched from there instead of being computed.
     """
 
-    registered: registry.Registered
+    registered: registry.EndpointEntry
     estimate: estimate.Estimate
     first_ms: float
     can_start_now: bool
     has_affinity: bool
     candidates: int
     cost_ms: float = 0.0
-    source: registry.Registered | None = None
+    source: registry.EndpointEntry | None = None
     moved_tokens: float = 0.0
 
 
@@ -120,7 +120,7 @@
             for found in self._availability.usable_endpoints(
                 service.service, self._region
             )
-            if found.said.endpoint not in excluded
+            if found.registration.endpoint not in excluded
             and not self._availability.limit_wait_ms(found)
         ]
         warm = [
@@ -188,10 +188,10 @@
         service: routes.RoutedService,
         route: routes.Route,
         call: dialects.Call,
-        candidates: list[registry.Registered],
+        candidates: list[registry.EndpointEntry],
         count: int,
     ) -> list[EndpointSelection]:
-        names = [found.said.endpoint for found in candidates]
+        names = [found.registration.endpoint for found in candidates]
         affinity_name = None
         if self._is_enabled(mechanisms.Mechanism.USUAL_ENGINES):
             affinity_name = prefix_index.affinity_endpoint(call.parts, names)
@@ -201,7 +201,7 @@
             holder = None
         estimated = []
         for found in sampling.sample(candidates, required, self._random):
-            name = found.said.endpoint
+            name = found.registration.endpoint
             item = EndpointSelection(
                 found,
                 estimate.Estimate(0.0),
@@ -223,7 +223,7 @@
             item.can_start_now = item.estimate.can_start_now
             if not item.can_start_now:
                 item.first_ms += NO_CAPACITY_PENALTY_MS
-            if self._discovery.registry.silent(name):
+            if self._discovery.registry.is_stale(name):
                 item.first_ms += STALE_REGISTRATION_PENALTY_MS
             estimated.append(item)
         return estimated
@@ -232,7 +232,7 @@
         self,
         service: routes.RoutedService,
         call: dialects.Call,
-        candidates: list[registry.Registered],
+        candidates: list[registry.EndpointEntry],
     ) -> prefix_index.CacheHolder | None:
         """Return the engine that caches the longest prefix of a prompt.
 
@@ -243,7 +243,7 @@
         if service.batch is None:
             return None
         names = [
-            found.said.endpoint for found in candidates if not found.silent
+            found.registration.endpoint for found in candidates if not found.is_stale
         ]
         return self._estimator.prefixes.best_cache_holder(call.parts, names)
 
@@ -260,7 +260,7 @@
         holder: prefix_index.CacheHolder | None,
     ) -> None:
         """Set the source of a cache transfer, if one is worth its cost."""
-        name = item.registered.said.endpoint
+        name = item.registered.registration.endpoint
         if holder is None or holder.endpoint == name:
             return
         cached = self._estimator.prefixes.cached_tokens(
@@ -268,7 +268,7 @@
         )
         if holder.tokens - cached < prefix_index.MIN_TRANSFER_TOKENS:
             return
-        item.source = self._discovery.registry.held.get(holder.endpoint)
+        item.source = self._discovery.registry.entries.get(holder.endpoint)
         item.moved_tokens = holder.tokens - cached
 
     def estimate_spread(self, service: ids.ServiceId) -> float:
@@ -304,7 +304,7 @@
         waits_ms = []
         for found in usable:
             until_ms = self._outlier_detector.ejected_until_ms(
-                found.said.address
+                found.registration.address
             )
             wait_ms = max(
                 found.warm_ms - now_ms,
@@ -362,7 +362,7 @@
         name, best = min(
             (
                 (
-                    one.said.endpoint,
+                    one.registration.endpoint,
                     self._estimator.estimate(
                         one,
                         service,
@@ -393,8 +393,8 @@
             len(endpoints),
         )
 
-    def _in_flight_at(self, found: registry.Registered) -> int:
-        return self.in_flight.get(found.said.endpoint, 0)
+    def _in_flight_at(self, found: registry.EndpointEntry) -> int:
+        return self.in_flight.get(found.registration.endpoint, 0)
 
     def select_host(
         self,
--- a/wrenspoke/coordination/serving/estimate.py
+++ b/wrenspoke/coordination/serving/estimate.py
@@ -76,7 +76,7 @@
 
     def estimate(
         self,
-        found: registry.Registered,
+        found: registry.EndpointEntry,
         service: routes.RoutedService,
         call: dialects.Call,
         in_flight: int,
@@ -90,7 +90,7 @@
         endpoint, and ``moved_tokens`` the tokens whose KV cache would be
         fetched from another engine.
         """
-        said = found.said
+        said = found.registration
         if service.batch is None:
             hold_ms = self._hold_ms.get(said.service, INITIAL_HOLD_MS)
             waves = (in_flight + 1) / said.slots
@@ -106,7 +106,7 @@
         uncached = max(call.tokens_in - cached - moved_tokens, 0.0)
         token_ms = self._token_ms(said.endpoint, said.service)
         queued = self.backlog.tokens_ahead(said.endpoint, load, token_ms)
-        transfer_ms = TRANSFER_WAIT_FACTOR * service.batch.move_ms(
+        transfer_ms = TRANSFER_WAIT_FACTOR * service.batch.cache_transfer_ms(
             moved_tokens
         )
         first_ms = (
@@ -136,10 +136,10 @@
         )
 
     def free_slots(
-        self, found: registry.Registered, service: routes.RoutedService
+        self, found: registry.EndpointEntry, service: routes.RoutedService
     ) -> int:
         """Return an engine's free batch slots, by its last load report."""
-        load = self._engine_loads.load(found.said.endpoint)
+        load = self._engine_loads.load(found.registration.endpoint)
         if service.batch is None or load is None:
             return 0
         return max(service.batch.slots - load.running - load.queued, 0)
--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -174,7 +174,7 @@
                     denied = True
                     continue
                 granted[host] = vote
-                quorum = registers.consistent(granted, self.quorum)
+                quorum = registers.consistent_votes(granted, self.quorum)
                 if quorum is not None:
                     return quorum
         finally:
@@ -232,7 +232,7 @@
     ) -> messages.Message:
         if self._registers is None:
             return messages.Refusal('no ledger on this host')
-        memory = self._registers.remember(sender, message.epoch, message.after)
+        memory = self._registers.on_recovery_request(sender, message.epoch, message.after)
         return messages.RecoverLedgerReply(memory)
 
     async def _recover(self) -> None:
@@ -252,7 +252,7 @@
             (memory.epoch_known for memory in snapshots), default=0
         )
         if latest_epoch > epoch:
-            self._registers.learn_epochs({self._host: latest_epoch + 1})
+            self._registers.merge_epochs({self._host: latest_epoch + 1})
             return False
         if len(snapshots) < self.quorum:
             return False
@@ -267,10 +267,10 @@
 
     async def _fetch_snapshot(
         self, host: ids.HostId, epoch: int
-    ) -> registers.Memory | None:
+    ) -> registers.LedgerSnapshot | None:
         """Fetch the registers of a host page by page; None if a call fails."""
-        snapshot: registers.Memory | None = None
-        after = registers.FIRST
+        snapshot: registers.LedgerSnapshot | None = None
+        after = registers.START_CURSOR
         while True:
             page = await self._fetch_snapshot_page(host, epoch, after)
             if page is None:
@@ -285,7 +285,7 @@
 
     async def _fetch_snapshot_page(
         self, host: ids.HostId, epoch: int, after: tuple[int, str]
-    ) -> registers.Memory | None:
+    ) -> registers.LedgerSnapshot | None:
         try:
             answer = await self._peers.call(
                 host,
--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -168,7 +168,7 @@
         try:
             claim = await self._ledger.change(
                 key,
-                lambda old: registers.claimed(
+                lambda old: registers.with_claim(
                     old, head.attempt, self._host, attempt_id
                 ),
             )
@@ -270,7 +270,7 @@
         try:
             await self._ledger.change(
                 key,
-                lambda old: registers.released(old, ticket.attempt_id),
+                lambda old: registers.with_release(old, ticket.attempt_id),
             )
         except errors.LedgerUnreachableError:
             logger.warning('claim_release_failed', request=key)
@@ -284,13 +284,13 @@
         kept_answer = None
         limit_bytes = self._settings.kept_answer_bytes
         if answer is not None and len(answer.body) <= limit_bytes:
-            kept_answer = registers.KeptAnswer(
+            kept_answer = registers.StoredResponse(
                 answer.status, answer.headers, answer.body
             )
         try:
             await self._ledger.change(
                 key,
-                lambda old: registers.answered(
+                lambda old: registers.with_answer(
                     old, ticket.attempt_id, kept_answer
                 ),
             )
--- a/wrenspoke/coordination/serving/sampling.py
+++ b/wrenspoke/coordination/serving/sampling.py
@@ -16,18 +16,18 @@
 
 
 def sample(
-    candidates: list[registry.Registered],
+    candidates: list[registry.EndpointEntry],
     always: collections.abc.Container[ids.EndpointId],
     rng: random.Random,
-) -> list[registry.Registered]:
+) -> list[registry.EndpointEntry]:
     """Return a random sample of endpoints, plus those in ``always``."""
     if len(candidates) <= SAMPLE_SIZE:
         return candidates
     drawn = rng.sample(candidates, SAMPLE_SIZE)
-    names = {found.said.endpoint for found in drawn}
+    names = {found.registration.endpoint for found in drawn}
     drawn.extend(
         found
         for found in candidates
-        if found.said.endpoint in always and found.said.endpoint not in names
+        if found.registration.endpoint in always and found.registration.endpoint not in names
     )
     return drawn
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -72,7 +72,7 @@
     def life(self) -> limiting.EndpointInstance:
         """Return the selected incarnation of the endpoint."""
         return limiting.EndpointInstance(
-            self.endpoint, self.chosen.registered.said.born_ms
+            self.endpoint, self.chosen.registered.registration.born_ms
         )
 
     @property
@@ -328,7 +328,7 @@
             destination.chosen is not None
             and destination.chosen.source is not None
         ):
-            source = destination.chosen.source.said
+            source = destination.chosen.source.registration
             fields.append((dialect.fetch_from, source.address))
         if call.parts:
             fields.append((dialect.priority, str(permit.urgency)))
--- a/wrenspoke/coordination/serving/warmup_probe.py
+++ b/wrenspoke/coordination/serving/warmup_probe.py
@@ -72,13 +72,13 @@
         return warm_ms
 
     def start_probes(
-        self, restored: collections.abc.Iterable[registry.Registered]
+        self, restored: collections.abc.Iterable[registry.EndpointEntry]
     ) -> None:
         """Start to probe endpoints of restored data centres."""
         early_ms = self._clock.mono_ms() - EARLY_STATUS_MS
         assigned = []
         for one in restored:
-            endpoint = one.said.endpoint
+            endpoint = one.registration.endpoint
             _warm_ms, heard_ms = self._warm_ms.get(endpoint, (0, 0))
             if heard_ms < early_ms:
                 self._warm_ms.pop(endpoint, None)
@@ -88,10 +88,10 @@
             self._tasks.start(self._probe_endpoints(assigned))
 
     async def _probe_endpoints(
-        self, assigned: list[registry.Registered]
+        self, assigned: list[registry.EndpointEntry]
     ) -> None:
         answers = await asyncio.gather(
-            *(self._probe_endpoint(one.said) for one in assigned)
+            *(self._probe_endpoint(one.registration) for one in assigned)
         )
         warm = [answer for answer in answers if answer is not None]
         if warm:
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -190,10 +190,12 @@
 
     def _note_sent_by_another(self, sent: discovery_messages.SentCall) -> None:
         """Note what another host of this region sends to an engine."""
-        found = self.attendance.registry.held.get(sent.endpoint)
+        found = self.attendance.registry.entries.get(sent.endpoint)
         if found is None:
             return
-        service = self.replica.current.routes.service(found.said.service)
+        service = self.replica.current.routes.service(
+            found.registration.service
+        )
         if service is not None:
             self._estimator.record_peer_sent(sent, service)
 
@@ -235,8 +237,8 @@
 
     def _lives(self, life: limiting.EndpointInstance) -> bool:
         """Tell whether an endpoint is known, and in that life of it."""
-        found = self.attendance.registry.held.get(life.endpoint)
-        return found is not None and found.said.born_ms == life.born_ms
+        found = self.attendance.registry.entries.get(life.endpoint)
+        return found is not None and found.registration.born_ms == life.born_ms
 
     def _build_guard(self) -> None:
         """Build what holds back requests that end endpoints."""
@@ -252,14 +254,14 @@
 
     def _leaves(self, endpoint: ids.EndpointId) -> bool:
         """Tell whether an endpoint has said that it is about to end."""
-        found = self.attendance.registry.held.get(endpoint)
+        found = self.attendance.registry.entries.get(endpoint)
         if found is None:
             return False
         return not found.takes_work
 
     def _forget_life(self, before: registry.Registration) -> None:
         """Forget what was learned of an endpoint that began anew."""
-        others = set(self.attendance.registry.held) - {before.endpoint}
+        others = set(self.attendance.registry.entries) - {before.endpoint}
         self._estimator.keep_only(others)
         self._warmth.keep_only(others)
         self._gauges.evict(before.endpoint)
@@ -358,7 +360,7 @@
             ),
             self.clock,
         )
-        self.attendance.registry.tell_reborn(self._forget_life)
+        self.attendance.registry.add_restart_listener(self._forget_life)
         self._callers = self._server(surface.handle_caller)
         self._hosts = self._server(surface.handle_host)
 
@@ -398,13 +400,13 @@
             self.spending.set_hosts(record.host for record in hosts)
             near = self.attendance.roster.usable(self.node.region)
             self._estimator.backlog.host_count = max(len(near), 1)
-            held = self.attendance.registry.held
+            held = self.attendance.registry.entries
             self._estimator.keep_only(set(held))
             self._warmth.keep_only(set(held))
-            places = {found.said.address for found in held.values()}
+            places = {found.registration.address for found in held.values()}
             places |= {record.passing_address for record in hosts}
             self._health.keep_only(places)
-            self.attendance.registry.forget_old()
+            self.attendance.registry.evict_expired()
             await self.clock.sleep_ms(HOUSE_INTERVAL_MS)
 
     async def _watch_evacuations(self) -> None:
--- a/wrenspoke/protocol/messages.py
+++ b/wrenspoke/protocol/messages.py
@@ -181,13 +181,13 @@
     """
 
     epoch: int
-    after: tuple[int, str] = registers.FIRST
+    after: tuple[int, str] = registers.START_CURSOR
 
 
 class RecoverLedgerReply(msgspec.Struct, tag='recollection'):
     """Answer a recall."""
 
-    memory: registers.Memory
+    memory: registers.LedgerSnapshot
 
 
 class Hello(msgspec.Struct, tag='hello'):
--- a/wrenspoke/state/disk.py
+++ b/wrenspoke/state/disk.py
@@ -17,8 +17,8 @@
 
 logger = structlog.get_logger(__name__)
 
-TEMPORARY = '.new'
-NO_ROOM = frozenset([errno.ENOSPC, errno.EDQUOT])
+TEMPORARY_SUFFIX = '.new'
+NO_SPACE_ERRNOS = frozenset([errno.ENOSPC, errno.EDQUOT])
 
 
 class Disk:
@@ -26,7 +26,7 @@
 
     def __init__(self, folder: pathlib.Path):
         self._folder = folder
-        self._broken: str | None = None
+        self._failure: str | None = None
         self._full = False
         try:
             if not folder.is_dir():
@@ -43,23 +43,23 @@
 
         :raises DiskError: a write or sync failed before
         """
-        if self._broken is not None:
-            raise errors.DiskError(self._broken)
+        if self._failure is not None:
+            raise errors.DiskError(self._failure)
 
     @contextlib.contextmanager
-    def _writing(self, name: str) -> collections.abc.Iterator[None]:
+    def _fail_on_error(self, name: str) -> collections.abc.Iterator[None]:
         self.check()
         try:
             yield
         except OSError as error:
-            self._broken = f'{name}: {error}'
-            raise errors.DiskError(self._broken) from error
+            self._failure = f'{name}: {error}'
+            raise errors.DiskError(self._failure) from error
         if self._full:
             self._full = False
             logger.info('disk_has_room', file=name)
 
     @contextlib.contextmanager
-    def _undone_if_full(
+    def _roll_back_if_full(
         self, name: str, undo: collections.abc.Callable[[], None]
     ) -> collections.abc.Iterator[None]:
         """Take a write back for which there was no room.
@@ -69,7 +69,7 @@
         try:
             yield
         except OSError as error:
-            if error.errno not in NO_ROOM:
+            if error.errno not in NO_SPACE_ERRNOS:
                 raise
             undo()
             if not self._full:
@@ -89,27 +89,27 @@
     def append(self, name: str, data: bytes) -> None:
         """Add to a file and sync it; a new file's name is synced too."""
         path = self._folder / name
-        with self._writing(name):
-            fresh = not path.exists()
-            size_bytes = 0 if fresh else path.stat().st_size
+        with self._fail_on_error(name):
+            is_new = not path.exists()
+            size_bytes = 0 if is_new else path.stat().st_size
 
             def undo() -> None:
-                if fresh:
+                if is_new:
                     path.unlink(missing_ok=True)
                 else:
                     os.truncate(path, size_bytes)
 
             with (
-                self._undone_if_full(name, undo),
+                self._roll_back_if_full(name, undo),
                 open(path, 'ab') as file,
             ):
-                _put_synced(file, data)
-            if fresh:
+                _write_and_sync(file, data)
+            if is_new:
                 self._sync_folder(self._folder)
 
     def truncate(self, name: str, size_bytes: int) -> None:
         """Cut a file to a size and sync it."""
-        with self._writing(name):
+        with self._fail_on_error(name):
             with open(self._folder / name, 'r+b') as file:
                 file.truncate(size_bytes)
                 file.flush()
@@ -118,21 +118,21 @@
     def replace(self, name: str, data: bytes) -> None:
         """Put a whole file in place of the old one, or change nothing."""
         path = self._folder / name
-        temporary = path.with_name(name + TEMPORARY)
-        with self._writing(name):
+        temporary = path.with_name(name + TEMPORARY_SUFFIX)
+        with self._fail_on_error(name):
 
             def undo() -> None:
                 temporary.unlink(missing_ok=True)
 
             with (
-                self._undone_if_full(name, undo),
+                self._roll_back_if_full(name, undo),
                 open(temporary, 'wb') as file,
             ):
-                _put_synced(file, data)
+                _write_and_sync(file, data)
             temporary.replace(path)
             self._sync_folder(self._folder)
 
-    def note(self, name: str, data: bytes) -> None:
+    def write_unsynced(self, name: str, data: bytes) -> None:
         """Write a file that may be lost, without waiting for the disk."""
         self.check()
         try:
@@ -142,7 +142,7 @@
 
     def remove(self, name: str) -> None:
         """Remove a file, if it is there."""
-        with self._writing(name):
+        with self._fail_on_error(name):
             (self._folder / name).unlink(missing_ok=True)
             self._sync_folder(self._folder)
 
@@ -154,7 +154,7 @@
             os.close(opened)
 
 
-def _put_synced(file: typing.BinaryIO, data: bytes) -> None:
+def _write_and_sync(file: typing.BinaryIO, data: bytes) -> None:
     file.write(data)
     file.flush()
     os.fsync(file.fileno())
--- a/wrenspoke/state/electorates.py
+++ b/wrenspoke/state/electorates.py
@@ -29,7 +29,7 @@
     before: Voters = {}
 
     @property
-    def sets(self) -> list[Voters]:
+    def voter_sets(self) -> list[Voters]:
         """Return the sets that each have to agree."""
         return [found for found in (self.voters, self.before) if found]
 
@@ -38,13 +38,13 @@
         """Return every host whose vote may be asked for."""
         return {*self.voters, *self.before}
 
-    def has(self, host: ids.HostId, disk: ids.Incarnation) -> bool:
+    def has_voter(self, host: ids.HostId, disk: ids.Incarnation) -> bool:
         """Tell whether a host has a vote on a disk."""
-        return any(found.get(host) == disk for found in self.sets)
+        return any(found.get(host) == disk for found in self.voter_sets)
 
-    def reached(
+    def majority_value(
         self,
-        known: collections.abc.Callable[[ids.HostId, ids.Incarnation], int],
+        value_of: collections.abc.Callable[[ids.HostId, ids.Incarnation], int],
     ) -> int:
         """Return what a majority of each set has reached.
 
@@ -52,7 +52,7 @@
         was admitted. Without voters nothing is reached: 0.
         """
         least = []
-        for voters in self.sets:
-            values = sorted(known(*voter) for voter in voters.items())
+        for voters in self.voter_sets:
+            values = sorted(value_of(*voter) for voter in voters.items())
             least.append(values[-majority(voters)])
         return min(least, default=0)
--- a/wrenspoke/state/entries.py
+++ b/wrenspoke/state/entries.py
@@ -35,7 +35,7 @@
         return electorates.Electorate(self.voters, self.before)
 
 
-class Found(msgspec.Struct, frozen=True, tag='found'):
+class Bootstrap(msgspec.Struct, frozen=True, tag='found'):
     """Be the first entry: the settings' configuration."""
 
     configuration: configuration.Configuration
@@ -95,7 +95,7 @@
     evacuated: bool
 
 
-class SetLenders(msgspec.Struct, frozen=True, tag='lenders'):
+class SetShareHolders(msgspec.Struct, frozen=True, tag='lenders'):
     """Say which entry hosts may hold shares of teams' limits.
 
     None is granted one before an entry that names it is committed, so that
@@ -114,14 +114,14 @@
 Entry = typing.Union[
     LeaderStart,
     SetVoters,
-    Found,
+    Bootstrap,
     MakePlan,
     ConfirmPlan,
     IssueOrder,
     EndStep,
     ReplaceRoutes,
     Evacuate,
-    SetLenders,
+    SetShareHolders,
     SetQuarantine,
 ]
 
--- a/wrenspoke/state/plans.py
+++ b/wrenspoke/state/plans.py
@@ -14,8 +14,8 @@
 from wrenspoke.state import configuration
 from wrenspoke.state import errors
 
-LOAD_TAKES_MS = 5_000
-ORDER_TAKES_MS = 1_000
+LOAD_DURATION_MS = 5_000
+ORDER_DURATION_MS = 1_000
 MS_PER_MINUTE = 60_000
 
 
@@ -178,7 +178,7 @@
     waits_for: tuple[str, ...] = ()
 
 
-class StepEnd(msgspec.Struct, frozen=True):
+class StepResult(msgspec.Struct, frozen=True):
     """Tell how one step ended."""
 
     step: int
@@ -203,7 +203,7 @@
     reached: int = 0
     reached_index: int = 0
     issued_index: int = 0
-    ends: tuple[StepEnd, ...] = ()
+    ends: tuple[StepResult, ...] = ()
 
     @property
     def current(self) -> Step | None:
@@ -216,7 +216,7 @@
 _PLANNERS = {}
 
 
-def _plans(kind: type):
+def _register_planner(kind: type):
     def register(function):
         _PLANNERS[kind] = function
         return function
@@ -235,7 +235,7 @@
     waits_for: list[str] = []
 
 
-def make(
+def build_plan(
     plan: ids.PlanId,
     operator: ids.OperatorId,
     intent: Intent,
@@ -251,7 +251,7 @@
     """
     draft = _PLANNERS[type(intent)](intent, current)
     loads = any(isinstance(step, Order) and step.loads for step in draft.steps)
-    _check(draft, current)
+    _validate_changes(draft, current)
     return Plan(
         plan=plan,
         operator=operator,
@@ -269,20 +269,22 @@
     )
 
 
-def _check(draft: _Draft, current: configuration.Configuration) -> None:
+def _validate_changes(
+    draft: _Draft, current: configuration.Configuration
+) -> None:
     """Apply the changes to a copy, so that a bad one is refused now."""
     for step in draft.steps:
         if isinstance(step, Change):
             current = configuration.apply(current, step.change, current.index)
 
 
-def _state(
+def _set_state_step(
     endpoint: ids.EndpointId, state: configuration.EndpointState
 ) -> Change:
     return Change(configuration.SetEndpointState(endpoint, state))
 
 
-def _lost(
+def _lost_capacity(
     endpoint: configuration.Endpoint, current: configuration.Configuration
 ) -> float:
     """Return an endpoint's share of its service's slots in its region."""
@@ -296,7 +298,7 @@
     return endpoint.slots / slots if slots else 0.0
 
 
-@_plans(Drain)
+@_register_planner(Drain)
 def _plan_drain(intent: Drain, current: configuration.Configuration):
     endpoint = current.endpoint(intent.endpoint)
     if endpoint.state is not configuration.EndpointState.ACTIVE:
@@ -306,18 +308,18 @@
     states = configuration.EndpointState
     return _Draft(
         steps=[
-            _state(intent.endpoint, states.DRAINING),
+            _set_state_step(intent.endpoint, states.DRAINING),
             WaitIdle(intent.endpoint),
-            _state(intent.endpoint, states.DRAINED),
+            _set_state_step(intent.endpoint, states.DRAINED),
         ],
         summary=f'give {intent.endpoint} no new work and let it finish',
-        capacity_lost=_lost(endpoint, current),
+        capacity_lost=_lost_capacity(endpoint, current),
         caches_cold=1,
         waits_for=[f'requests in flight at {intent.endpoint}'],
     )
 
 
-@_plans(Undrain)
+@_register_planner(Undrain)
 def _plan_undrain(intent: Undrain, current: configuration.Configuration):
     endpoint = current.endpoint(intent.endpoint)
     if endpoint.state is configuration.EndpointState.ACTIVE:
@@ -326,13 +328,13 @@
         )
     active = configuration.EndpointState.ACTIVE
     return _Draft(
-        steps=[_state(intent.endpoint, active)],
+        steps=[_set_state_step(intent.endpoint, active)],
         summary=f'give {intent.endpoint} work again; its cache is cold',
         caches_cold=1,
     )
 
 
-def _engine(
+def _engine_endpoint(
     name: ids.EndpointId, current: configuration.Configuration
 ) -> configuration.Endpoint:
     endpoint = current.endpoint(name)
@@ -342,9 +344,9 @@
     return endpoint
 
 
-@_plans(LoadModel)
+@_register_planner(LoadModel)
 def _plan_load(intent: LoadModel, current: configuration.Configuration):
-    endpoint = _engine(intent.endpoint, current)
+    endpoint = _engine_endpoint(intent.endpoint, current)
     if intent.model in endpoint.models:
         raise errors.InvalidChangeError(
             f'{intent.endpoint} has {intent.model} already'
@@ -357,14 +359,14 @@
             ),
         ],
         summary=f'load {intent.model} into {intent.endpoint}',
-        takes_ms=LOAD_TAKES_MS,
+        takes_ms=LOAD_DURATION_MS,
         waits_for=['the weight store', intent.endpoint],
     )
 
 
-@_plans(RetireModel)
+@_register_planner(RetireModel)
 def _plan_retire(intent: RetireModel, current: configuration.Configuration):
-    endpoint = _engine(intent.endpoint, current)
+    endpoint = _engine_endpoint(intent.endpoint, current)
     if intent.model not in endpoint.models:
         raise errors.InvalidChangeError(
             f'{intent.endpoint} has no {intent.model}'
@@ -378,18 +380,18 @@
             Order(intent.endpoint, 'retire', model=intent.model),
         ],
         summary=f'take {intent.model} out of {intent.endpoint}',
-        capacity_lost=_lost(endpoint, current),
+        capacity_lost=_lost_capacity(endpoint, current),
         caches_cold=1,
-        takes_ms=ORDER_TAKES_MS,
+        takes_ms=ORDER_DURATION_MS,
         waits_for=[f'requests in flight at {intent.endpoint}'],
     )
 
 
-@_plans(LoadAdapter)
+@_register_planner(LoadAdapter)
 def _plan_load_adapter(
     intent: LoadAdapter, current: configuration.Configuration
 ):
-    endpoint = _engine(intent.endpoint, current)
+    endpoint = _engine_endpoint(intent.endpoint, current)
     if intent.adapter in endpoint.adapters:
         raise errors.InvalidChangeError(
             f'{intent.endpoint} has {intent.adapter} already'
@@ -401,16 +403,16 @@
             Change(configuration.SetAdapter(intent.endpoint, name, True)),
         ],
         summary=f'load adapter {name} into {intent.endpoint}',
-        takes_ms=LOAD_TAKES_MS,
+        takes_ms=LOAD_DURATION_MS,
         waits_for=['the weight store', intent.endpoint],
     )
 
 
-@_plans(RetireAdapter)
+@_register_planner(RetireAdapter)
 def _plan_retire_adapter(
     intent: RetireAdapter, current: configuration.Configuration
 ):
-    endpoint = _engine(intent.endpoint, current)
+    endpoint = _engine_endpoint(intent.endpoint, current)
     if intent.adapter not in endpoint.adapters:
         raise errors.InvalidChangeError(
             f'{intent.endpoint} has no {intent.adapter}'
@@ -422,32 +424,32 @@
             Order(intent.endpoint, 'retire', adapter=name),
         ],
         summary=f'take adapter {name} out of {intent.endpoint}',
-        takes_ms=ORDER_TAKES_MS,
+        takes_ms=ORDER_DURATION_MS,
     )
 
 
-@_plans(ChangeRole)
+@_register_planner(ChangeRole)
 def _plan_role(intent: ChangeRole, current: configuration.Configuration):
-    endpoint = _engine(intent.endpoint, current)
+    endpoint = _engine_endpoint(intent.endpoint, current)
     states = configuration.EndpointState
     name = intent.endpoint
     return _Draft(
         steps=[
-            _state(name, states.DRAINING),
+            _set_state_step(name, states.DRAINING),
             WaitIdle(name),
             Order(name, 'role', role=intent.role.value),
             Change(configuration.SetRole(name, intent.role)),
-            _state(name, states.ACTIVE),
+            _set_state_step(name, states.ACTIVE),
         ],
         summary=f'make {name} a {intent.role.value} engine',
-        capacity_lost=_lost(endpoint, current),
+        capacity_lost=_lost_capacity(endpoint, current),
         caches_cold=1,
-        takes_ms=ORDER_TAKES_MS,
+        takes_ms=ORDER_DURATION_MS,
         waits_for=[f'requests in flight at {name}'],
     )
 
 
-@_plans(ChangeRule)
+@_register_planner(ChangeRule)
 def _plan_rule(intent: ChangeRule, current: configuration.Configuration):
     verb = 'replace' if intent.rule.rule in current.rules else 'add'
     return _Draft(
@@ -456,7 +458,7 @@
     )
 
 
-@_plans(DropRule)
+@_register_planner(DropRule)
 def _plan_drop(intent: DropRule, _current: configuration.Configuration):
     return _Draft(
         steps=[Change(configuration.RemoveRule(intent.rule))],
@@ -464,7 +466,7 @@
     )
 
 
-@_plans(ChangeLimit)
+@_register_planner(ChangeLimit)
 def _plan_limit(intent: ChangeLimit, _current: configuration.Configuration):
     return _Draft(
         steps=[Change(configuration.SetLimit(intent.limit))],
@@ -472,7 +474,7 @@
     )
 
 
-@_plans(IssueKey)
+@_register_planner(IssueKey)
 def _plan_issue(intent: IssueKey, _current: configuration.Configuration):
     return _Draft(
         steps=[Change(configuration.IssueKey(intent.team, intent.digest))],
@@ -480,7 +482,7 @@
     )
 
 
-@_plans(WithdrawKey)
+@_register_planner(WithdrawKey)
 def _plan_withdraw(intent: WithdrawKey, current: configuration.Configuration):
     team = current.keys.get(intent.digest)
     left = sum(holder == team for holder in current.keys.values()) - 1
@@ -490,7 +492,7 @@
     )
 
 
-@_plans(ClearQuarantine)
+@_register_planner(ClearQuarantine)
 def _plan_clear(intent: ClearQuarantine, current: configuration.Configuration):
     found = current.quarantine.get(intent.digest)
     if found is None:
@@ -507,7 +509,7 @@
     )
 
 
-@_plans(AddEndpoint)
+@_register_planner(AddEndpoint)
 def _plan_add(intent: AddEndpoint, current: configuration.Configuration):
     name = intent.endpoint.endpoint
     if name in current.endpoints:
@@ -519,7 +521,7 @@
     )
 
 
-@_plans(RemoveEndpoint)
+@_register_planner(RemoveEndpoint)
 def _plan_remove(
     intent: RemoveEndpoint, _current: configuration.Configuration
 ):
--- a/wrenspoke/state/quarantine.py
+++ b/wrenspoke/state/quarantine.py
@@ -6,10 +6,10 @@
 
 # Each takes three ends of endpoints or more. Beyond this those on probation
 # go first, then the oldest; 0.2 KB each on every host.
-KEPT_LIMIT = 1_000
+MAX_QUARANTINED = 1_000
 
 
-class Quarantined(msgspec.Struct, frozen=True):
+class QuarantineEntry(msgspec.Struct, frozen=True):
     """Say that ``ends`` endpoints ended under a request.
 
     On probation it is sent again; what ends one more endpoint then is back
@@ -21,12 +21,12 @@
     on_probation: bool = False
 
 
-Quarantine = dict[ids.RequestDigest, Quarantined]
+Quarantine = dict[ids.RequestDigest, QuarantineEntry]
 
 
-def held(
+def blocking_entry(
     all_known: Quarantine, digest: ids.RequestDigest
-) -> Quarantined | None:
+) -> QuarantineEntry | None:
     """Return what says that a request is not to be sent, None if it may."""
     found = all_known.get(digest)
     if found is None or found.on_probation:
@@ -34,9 +34,9 @@
     return found
 
 
-def changed(
+def apply_changes(
     old: Quarantine,
-    entered: tuple[Quarantined, ...],
+    entered: tuple[QuarantineEntry, ...],
     cleared: tuple[ids.RequestDigest, ...],
 ) -> Quarantine:
     """Return a quarantine with some requests entered or cleared."""
@@ -46,12 +46,12 @@
     for found in entered:
         new.pop(found.digest, None)
         new[found.digest] = found
-    while len(new) > KEPT_LIMIT:
-        del new[_next_to_go(new)]
+    while len(new) > MAX_QUARANTINED:
+        del new[_eviction_candidate(new)]
     return new
 
 
-def _next_to_go(held: Quarantine) -> ids.RequestDigest:
+def _eviction_candidate(held: Quarantine) -> ids.RequestDigest:
     for digest, found in held.items():
         if found.on_probation:
             return digest
--- a/wrenspoke/state/records.py
+++ b/wrenspoke/state/records.py
@@ -39,12 +39,12 @@
     records = []
     offset = 0
     while offset < len(data):
-        record = _at(data, offset)
+        record = _record_at(data, offset)
         if record is not None:
             records.append(record)
             offset = record.end
             continue
-        if _any_behind(data, offset):
+        if _has_record_after(data, offset):
             raise errors.CorruptLogError(
                 name, offset, 'damaged record with good ones behind it'
             )
@@ -52,7 +52,7 @@
     return records, offset
 
 
-def _at(data: bytes, offset: int) -> Record | None:
+def _record_at(data: bytes, offset: int) -> Record | None:
     start = offset + HEADER.size
     if start > len(data):
         return None
@@ -66,7 +66,7 @@
     return Record(offset, end, body)
 
 
-def _any_behind(data: bytes, offset: int) -> bool:
+def _has_record_after(data: bytes, offset: int) -> bool:
     """Tell whether a good record starts anywhere after ``offset``."""
     last = len(data) - HEADER.size
-    return any(_at(data, other) for other in range(offset + 1, last))
+    return any(_record_at(data, other) for other in range(offset + 1, last))
--- a/wrenspoke/state/registers.py
+++ b/wrenspoke/state/registers.py
@@ -22,9 +22,9 @@
 from wrenspoke import ids
 
 
-PART_BYTES = 2 * 1024 * 1024
-REGISTER_BYTES = 400
-FIRST = (-1, '')
+SNAPSHOT_CHUNK_BYTES = 2 * 1024 * 1024
+REGISTER_OVERHEAD_BYTES = 400
+START_CURSOR = (-1, '')
 
 
 class ClaimState(enum.Enum):
@@ -36,7 +36,7 @@
     ANSWERED = 'answered'
 
 
-class KeptAnswer(msgspec.Struct, frozen=True):
+class StoredResponse(msgspec.Struct, frozen=True):
     """Hold an answer for a caller that asks again."""
 
     status: int
@@ -55,7 +55,7 @@
     attempt: int = 0
     host: ids.HostId = ids.HostId('')
     attempt_id: ids.AttemptId = ids.AttemptId('')
-    answer: KeptAnswer | None = None
+    answer: StoredResponse | None = None
 
 
 FREE = Claim()
@@ -94,7 +94,7 @@
     forgotten: bool = False
 
 
-class Memory(msgspec.Struct):
+class LedgerSnapshot(msgspec.Struct):
     """Hold a part of what a ledger host tells one that has restarted.
 
     ``more`` says that keys follow after the last of ``registers``.
@@ -128,12 +128,12 @@
     def prepare(self, key: str, issued_ms: int, ballot: Ballot) -> Vote:
         """Promise ``ballot`` on a key unless a higher one was promised."""
         if issued_ms < self.trusted_since_ms:
-            return self._forgotten()
-        register = self._register(key, issued_ms)
+            return self._reject_forgotten()
+        register = self._get_or_create(key, issued_ms)
         granted = ballot > register.promised
         if granted:
             register.promised = ballot
-        return self._vote(granted, register)
+        return self._build_vote(granted, register)
 
     def accept(
         self,
@@ -144,22 +144,22 @@
     ) -> Vote:
         """Accept a value under ``ballot``, promised by a majority."""
         if issued_ms < self.trusted_since_ms:
-            return self._forgotten()
-        register = self._register(key, issued_ms)
+            return self._reject_forgotten()
+        register = self._get_or_create(key, issued_ms)
         granted = ballot >= register.promised
         if granted:
             register.promised = ballot
             register.accepted = ballot
             register.claim = claim
-        return self._vote(granted, register)
+        return self._build_vote(granted, register)
 
-    def remember(
+    def on_recovery_request(
         self,
         host: ids.HostId,
         epoch: int,
-        after: tuple[int, str] = FIRST,
-        part_bytes: int = PART_BYTES,
-    ) -> Memory:
+        after: tuple[int, str] = START_CURSOR,
+        chunk_bytes: int = SNAPSHOT_CHUNK_BYTES,
+    ) -> LedgerSnapshot:
         """Note that ``host`` restarted and tell it a part of what is here.
 
         A key that changes after its part was told does so by votes that
@@ -168,35 +168,35 @@
         known = self.epochs.get(host, 0)
         if epoch > known:
             self.epochs[host] = epoch
-        told = []
+        selected = []
         size_bytes = 0
         following = self._by_age.irange(after, inclusive=(False, True))
         for issued_ms, key in following:
-            if size_bytes > part_bytes:
+            if size_bytes > chunk_bytes:
                 break
             register = self._registers[key]
-            told.append((issued_ms, key, register))
+            selected.append((issued_ms, key, register))
             size_bytes += _size_bytes(register)
-        last = told[-1][:2] if told else after
+        last = selected[-1][:2] if selected else after
         more = bool(self._by_age) and last < self._by_age[-1]
-        return Memory(
+        return LedgerSnapshot(
             epoch_known=known,
             trusted_since_ms=self.trusted_since_ms,
             epochs=dict(self.epochs),
-            registers=told,
+            registers=selected,
             more=more,
         )
 
-    def restore(self, memories: typing.Sequence[Memory]) -> None:
+    def restore(self, snapshots: typing.Sequence[LedgerSnapshot]) -> None:
         """Take over what a majority of the other hosts remember."""
-        for memory in memories:
-            self.learn_epochs(memory.epochs)
-            for issued_ms, key, theirs in memory.registers:
+        for snapshot in snapshots:
+            self.merge_epochs(snapshot.epochs)
+            for issued_ms, key, theirs in snapshot.registers:
                 self._merge(key, issued_ms, theirs)
-        since_ms = max(memory.trusted_since_ms for memory in memories)
+        since_ms = max(snapshot.trusted_since_ms for memory in snapshots)
         self.trusted_since_ms = min(self.trusted_since_ms, since_ms)
 
-    def learn_epochs(self, epochs: typing.Mapping[str, int]) -> None:
+    def merge_epochs(self, epochs: typing.Mapping[str, int]) -> None:
         """Keep the highest epoch that is known of each host."""
         for host, epoch in epochs.items():
             if epoch > self.epochs.get(host, 0):
@@ -212,7 +212,7 @@
         self.trusted_since_ms = max(self.trusted_since_ms, before_ms)
         return count
 
-    def _register(self, key: str, issued_ms: int) -> Register:
+    def _get_or_create(self, key: str, issued_ms: int) -> Register:
         register = self._registers.get(key)
         if register is None:
             register = self._registers[key] = Register()
@@ -220,13 +220,13 @@
         return register
 
     def _merge(self, key: str, issued_ms: int, theirs: Register) -> None:
-        ours = self._register(key, issued_ms)
+        ours = self._get_or_create(key, issued_ms)
         ours.promised = max(ours.promised, theirs.promised)
         if theirs.accepted > ours.accepted:
             ours.accepted = theirs.accepted
             ours.claim = theirs.claim
 
-    def _vote(self, granted: bool, register: Register) -> Vote:
+    def _build_vote(self, granted: bool, register: Register) -> Vote:
         return Vote(
             granted=granted,
             promised=register.promised,
@@ -235,7 +235,7 @@
             epochs=dict(self.epochs),
         )
 
-    def _forgotten(self) -> Vote:
+    def _reject_forgotten(self) -> Vote:
         return Vote(
             granted=False,
             promised=NO_BALLOT,
@@ -248,10 +248,12 @@
 
 def _size_bytes(register: Register) -> int:
     answer = register.claim.answer
-    return REGISTER_BYTES + (0 if answer is None else len(answer.body))
+    return REGISTER_OVERHEAD_BYTES + (
+        0 if answer is None else len(answer.body)
+    )
 
 
-def consistent(
+def consistent_votes(
     votes: typing.Mapping[ids.HostId, Vote], quorum: int
 ) -> dict[ids.HostId, Vote] | None:
     """Return the votes that count, or None if they are too few.
@@ -271,7 +273,7 @@
     return kept if len(kept) >= quorum else None
 
 
-def claimed(
+def with_claim(
     old: Claim, attempt: int, host: ids.HostId, attempt_id: ids.AttemptId
 ) -> Claim:
     """Return ``old`` after a claim; it is ours if the attempt id is."""
@@ -282,7 +284,7 @@
     return Claim(ClaimState.DISPATCHED, attempt, host, attempt_id)
 
 
-def refused(old: Claim, attempt: int) -> Claim:
+def with_refusal(old: Claim, attempt: int) -> Claim:
     """Return ``old`` after a refusal of all attempts up to one."""
     if old.state is ClaimState.FREE:
         return Claim(ClaimState.REFUSED, attempt)
@@ -291,7 +293,7 @@
     return old
 
 
-def released(old: Claim, attempt_id: ids.AttemptId) -> Claim:
+def with_release(old: Claim, attempt_id: ids.AttemptId) -> Claim:
     """Return ``old`` with a claim given back that was never sent."""
     ours = old.attempt_id == attempt_id
     if old.state is ClaimState.DISPATCHED and ours:
@@ -299,8 +301,8 @@
     return old
 
 
-def answered(
-    old: Claim, attempt_id: ids.AttemptId, answer: KeptAnswer | None
+def with_answer(
+    old: Claim, attempt_id: ids.AttemptId, answer: StoredResponse | None
 ) -> Claim:
     """Return ``old`` with the answer to the attempt that ran."""
     ours = old.attempt_id == attempt_id
--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -23,15 +23,15 @@
 
 # An endpoint renews about every 1.2 s and may come seconds late; after
 # four renewals and some delay were missed, others are used before it.
-SILENT_AFTER_MS = 6_000
+RENEWAL_TIMEOUT_MS = 6_000
 # Who renewed at an address within this time still runs there: longer than
 # the time between two renewals (1.2 s) and most of their delays, no longer
 # than it takes until another may get the address (2 s).
-OCCUPIED_MS = 2_000
+ADDRESS_HOLD_MS = 2_000
 # Longer than any word of a life that ended is under way.
-FORGOTTEN_AFTER_MS = 120_000
+ENTRY_TTL_MS = 120_000
 # Smaller moves of the end of a warm-up are not worth telling.
-WARMUP_STEP_MS = 400
+MIN_WARMUP_CHANGE_MS = 400
 
 
 class RegistrationState(enum.Enum):
@@ -67,33 +67,33 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Registered:
+class EndpointEntry:
     """Hold a registration with when it was said and last changed.
 
-    ``told_by`` is the control host that heard it, None for this one.
+    ``relayed_by`` is the control host that heard it, None for this one.
     """
 
-    said: Registration
-    heard_ms: int
+    registration: Registration
+    reported_ms: int
     revision: int
-    silent: bool = False
-    told_by: ids.HostId | None = None
+    is_stale: bool = False
+    relayed_by: ids.HostId | None = None
 
     @property
     def warm_ms(self) -> int:
         """Return when the endpoint is warm, in this host's time."""
-        return self.heard_ms + self.said.warmup_left_ms
+        return self.reported_ms + self.registration.warmup_left_ms
 
     @property
     def takes_work(self) -> bool:
         """Tell whether it may be given new work."""
         return (
-            self.said.state is RegistrationState.READY
-            and not self.said.leaving
+            self.registration.state is RegistrationState.READY
+            and not self.registration.leaving
         )
 
 
-Listener = collections.abc.Callable[[Registration], None]
+RestartListener = collections.abc.Callable[[Registration], None]
 
 
 class Registry:
@@ -101,58 +101,61 @@
 
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
-        self.held: dict[ids.EndpointId, Registered] = {}
-        self._at_address: dict[str, set[ids.EndpointId]] = {}
-        self._told_reborn: list[Listener] = []
+        self.entries: dict[ids.EndpointId, EndpointEntry] = {}
+        self._by_address: dict[str, set[ids.EndpointId]] = {}
+        self._restart_listeners: list[RestartListener] = []
         self.revision = 0
 
-    def tell_reborn(self, listener: 'Listener') -> None:
+    def add_restart_listener(self, listener: 'RestartListener') -> None:
         """Call a listener with what an endpoint said before it began anew."""
-        self._told_reborn.append(listener)
+        self._restart_listeners.append(listener)
 
-    def take(
-        self, said: Registration, told_by: ids.HostId | None = None
+    def merge_registration(
+        self, said: Registration, relayed_by: ids.HostId | None = None
     ) -> bool:
         """Take what is newer; return whether it changes routing."""
-        heard_ms = self._clock.mono_ms() - said.age_ms
-        old = self.held.get(said.endpoint)
-        if old is not None and said.born_ms < old.said.born_ms:
+        reported_ms = self._clock.mono_ms() - said.age_ms
+        old = self.entries.get(said.endpoint)
+        if old is not None and said.born_ms < old.registration.born_ms:
             return False
-        self._at_address.setdefault(said.address, set()).add(said.endpoint)
-        if old is None or said.born_ms > old.said.born_ms:
-            self._begin_life(said, heard_ms, told_by)
+        self._by_address.setdefault(said.address, set()).add(said.endpoint)
+        if old is None or said.born_ms > old.registration.born_ms:
+            self._add_instance(said, reported_ms, relayed_by)
             return True
-        if old.said.state is RegistrationState.GONE:
+        if old.registration.state is RegistrationState.GONE:
             return False
         if said.state is RegistrationState.GONE:
             said = msgspec.structs.replace(
-                old.said, state=said.state, number=said.number
+                old.registration, state=said.state, number=said.number
             )
-        elif said.number <= old.said.number:
+        elif said.number <= old.registration.number:
             # The same again, from who noticed that no newer one comes.
-            old.silent |= said.age_ms > SILENT_AFTER_MS
-            return said.leaving and self._mark(old)
-        if old.said.leaving:
+            old.is_stale |= said.age_ms > RENEWAL_TIMEOUT_MS
+            return said.leaving and self._set_leaving(old)
+        if old.registration.leaving:
             # Reports may still call it ready; it leaves all the same.
             said = msgspec.structs.replace(said, leaving=True)
-        changed = old.silent or _differs(old, said, heard_ms)
-        old.said = said
-        old.heard_ms = heard_ms
-        old.told_by = told_by
-        old.silent = said.age_ms > SILENT_AFTER_MS
+        changed = old.is_stale or _affects_routing(old, said, reported_ms)
+        old.registration = said
+        old.reported_ms = reported_ms
+        old.relayed_by = relayed_by
+        old.is_stale = said.age_ms > RENEWAL_TIMEOUT_MS
         if changed:
             self.revision += 1
             old.revision = self.revision
         return changed
 
-    def _begin_life(
-        self, said: Registration, heard_ms: int, told_by: ids.HostId | None
+    def _add_instance(
+        self,
+        said: Registration,
+        reported_ms: int,
+        relayed_by: ids.HostId | None,
     ) -> None:
         """Hold a life of an endpoint that was not known before."""
-        before = self.held.get(said.endpoint)
+        before = self.entries.get(said.endpoint)
         self.revision += 1
-        self.held[said.endpoint] = Registered(
-            said, heard_ms, self.revision, told_by=told_by
+        self.entries[said.endpoint] = EndpointEntry(
+            said, reported_ms, self.revision, relayed_by=relayed_by
         )
         if before is None:
             return
@@ -160,27 +163,32 @@
             'endpoint_reborn',
             endpoint=said.endpoint,
             born_ms=said.born_ms,
-            before_ms=before.said.born_ms,
+            before_ms=before.registration.born_ms,
         )
-        if before.said.address != said.address:
-            self._leave_address(before.said)
-        for listener in self._told_reborn:
-            listener(before.said)
+        if before.registration.address != said.address:
+            self._remove_from_address(before.registration)
+        for listener in self._restart_listeners:
+            listener(before.registration)
 
     def mark_leaving(self, endpoint: ids.EndpointId, born_ms: int) -> bool:
         """Note that an endpoint leaves in one of its lives, for good.
 
         Return whether that changes routing.
         """
-        old = self.held.get(endpoint)
-        if old is None or old.said.born_ms != born_ms:
+        old = self.entries.get(endpoint)
+        if old is None or old.registration.born_ms != born_ms:
             return False
-        return self._mark(old)
+        return self._set_leaving(old)
 
-    def _mark(self, old: Registered) -> bool:
-        if old.said.leaving or old.said.state is RegistrationState.GONE:
+    def _set_leaving(self, old: EndpointEntry) -> bool:
+        if (
+            old.registration.leaving
+            or old.registration.state is RegistrationState.GONE
+        ):
             return False
-        old.said = msgspec.structs.replace(old.said, leaving=True)
+        old.registration = msgspec.structs.replace(
+            old.registration, leaving=True
+        )
         self.revision += 1
         old.revision = self.revision
         return True
@@ -190,30 +198,33 @@
         endpoint: ids.EndpointId,
         number: int,
         age_ms: int,
-        told_by: ids.HostId,
+        relayed_by: ids.HostId,
         born_ms: int = 0,
     ) -> bool:
         """Take a renewal without change; return False if it is not known.
 
         The end of a warm-up stays where it was.
         """
-        old = self.held.get(endpoint)
-        if old is None or old.said.born_ms < born_ms:
+        old = self.entries.get(endpoint)
+        if old is None or old.registration.born_ms < born_ms:
             return False
-        if old.said.born_ms > born_ms:
+        if old.registration.born_ms > born_ms:
             # Of a life that has ended: nothing of it is to be told again.
             return True
-        left_ms = old.said.warmup_left_ms
+        left_ms = old.registration.warmup_left_ms
         if left_ms > 0:
-            heard_ms = self._clock.mono_ms() - age_ms
-            left_ms = max(old.warm_ms - heard_ms, 0)
+            reported_ms = self._clock.mono_ms() - age_ms
+            left_ms = max(old.warm_ms - reported_ms, 0)
         said = msgspec.structs.replace(
-            old.said, number=number, warmup_left_ms=left_ms, age_ms=age_ms
+            old.registration,
+            number=number,
+            warmup_left_ms=left_ms,
+            age_ms=age_ms,
         )
-        self.take(said, told_by)
+        self.merge_registration(said, relayed_by)
         return True
 
-    def occupant(self, said: Registration) -> Registered | None:
+    def occupant(self, said: Registration) -> EndpointEntry | None:
         """Return who else renewed lately at a registration's address.
 
         Only one endpoint runs at an address. A registration that was held
@@ -223,46 +234,46 @@
         if said.state is RegistrationState.GONE:
             return None
         for found in self._others_at(said):
-            if self._clock.mono_ms() - found.heard_ms < OCCUPIED_MS:
+            if self._clock.mono_ms() - found.reported_ms < ADDRESS_HOLD_MS:
                 return found
         return None
 
     def displace(self, said: Registration) -> None:
         """Use others before those that ran at the address until now."""
         for found in self._others_at(said):
-            if found.silent:
+            if found.is_stale:
                 continue
             self.revision += 1
-            found.silent = True
+            found.is_stale = True
             found.revision = self.revision
 
-    def _others_at(self, said: Registration) -> list[Registered]:
+    def _others_at(self, said: Registration) -> list[EndpointEntry]:
         others = []
-        for endpoint in self._at_address.get(said.address, ()):
-            found = self.held.get(endpoint)
+        for endpoint in self._by_address.get(said.address, ()):
+            found = self.entries.get(endpoint)
             if found is None or endpoint == said.endpoint:
                 continue
-            if found.said.address != said.address:
+            if found.registration.address != said.address:
                 continue
-            if found.said.state is not RegistrationState.GONE:
+            if found.registration.state is not RegistrationState.GONE:
                 others.append(found)
         return others
 
-    def withdraw(
+    def final_registration(
         self, endpoint: ids.EndpointId, born_ms: int | None = None
     ) -> Registration:
         """Return the last registration of an endpoint that leaves.
 
         ``born_ms`` names the life that ends, None the one that is known.
         """
-        old = self.held.get(endpoint)
-        if old is not None and born_ms not in (None, old.said.born_ms):
+        old = self.entries.get(endpoint)
+        if old is not None and born_ms not in (None, old.registration.born_ms):
             old = None
         if old is not None:
             return msgspec.structs.replace(
-                old.said,
+                old.registration,
                 state=RegistrationState.GONE,
-                number=old.said.number + 1,
+                number=old.registration.number + 1,
                 age_ms=0,
             )
         return Registration(
@@ -276,62 +287,69 @@
             born_ms=born_ms or 0,
         )
 
-    def mark_silent(self) -> bool:
+    def mark_stale(self) -> bool:
         """Mark those that have not renewed for long; tell if any is new.
 
         Only who hears the renewals can tell; others are told.
         """
         now_ms = self._clock.mono_ms()
         marked = False
-        for found in self.held.values():
-            if found.silent or now_ms - found.heard_ms <= SILENT_AFTER_MS:
+        for found in self.entries.values():
+            if (
+                found.is_stale
+                or now_ms - found.reported_ms <= RENEWAL_TIMEOUT_MS
+            ):
                 continue
             self.revision += 1
-            found.silent = marked = True
+            found.is_stale = marked = True
             found.revision = self.revision
         return marked
 
-    def silent(self, endpoint: ids.EndpointId) -> bool:
+    def is_stale(self, endpoint: ids.EndpointId) -> bool:
         """Tell whether an endpoint has not renewed for long."""
-        found = self.held.get(endpoint)
-        return found is None or found.silent
+        found = self.entries.get(endpoint)
+        return found is None or found.is_stale
 
-    def after(self, revision: int) -> list[Registration]:
+    def registrations_since(self, revision: int) -> list[Registration]:
         """Return what changed after a revision, with its age."""
         return [
-            self.aged(found)
-            for found in self.held.values()
+            self.with_age(found)
+            for found in self.entries.values()
             if found.revision > revision
         ]
 
-    def aged(self, found: Registered) -> Registration:
+    def with_age(self, found: EndpointEntry) -> Registration:
         """Return a registration with its age of now."""
-        age_ms = self._clock.mono_ms() - found.heard_ms
-        return msgspec.structs.replace(found.said, age_ms=max(age_ms, 0))
+        age_ms = self._clock.mono_ms() - found.reported_ms
+        return msgspec.structs.replace(
+            found.registration, age_ms=max(age_ms, 0)
+        )
 
-    def forget_old(self) -> None:
+    def evict_expired(self) -> None:
         """Drop what left or fell silent too long ago to matter.
 
         Age alone says nothing where only changes are heard.
         """
         now_ms = self._clock.mono_ms()
-        for endpoint, found in list(self.held.items()):
-            gone = found.said.state is RegistrationState.GONE
-            if not (gone or found.silent):
+        for endpoint, found in list(self.entries.items()):
+            gone = found.registration.state is RegistrationState.GONE
+            if not (gone or found.is_stale):
                 continue
-            if now_ms - found.heard_ms > FORGOTTEN_AFTER_MS:
-                del self.held[endpoint]
-                self._leave_address(found.said)
+            if now_ms - found.reported_ms > ENTRY_TTL_MS:
+                del self.entries[endpoint]
+                self._remove_from_address(found.registration)
 
-    def _leave_address(self, said: Registration) -> None:
-        there = self._at_address.get(said.address, set())
+    def _remove_from_address(self, said: Registration) -> None:
+        there = self._by_address.get(said.address, set())
         there.discard(said.endpoint)
         if not there:
-            self._at_address.pop(said.address, None)
+            self._by_address.pop(said.address, None)
 
 
-def _differs(old: Registered, said: Registration, heard_ms: int) -> bool:
-    was = old.said
+def _affects_routing(
+    old: EndpointEntry, said: Registration, reported_ms: int
+) -> bool:
+    was = old.registration
     if (was.state, was.address, was.slots, was.service, was.leaving) != (
         said.state,
         said.address,
@@ -342,6 +360,6 @@
         return True
     if was.ends_in_ms != said.ends_in_ms:
         return True
-    moved_ms = heard_ms + said.warmup_left_ms - old.warm_ms
+    moved_ms = reported_ms + said.warmup_left_ms - old.warm_ms
     cold = was.warmup_left_ms > 0 or said.warmup_left_ms > 0
-    return cold and abs(moved_ms) > WARMUP_STEP_MS
+    return cold and abs(moved_ms) > MIN_WARMUP_CHANGE_MS
--- a/wrenspoke/state/replicated.py
+++ b/wrenspoke/state/replicated.py
@@ -15,11 +15,11 @@
 Change = configuration.Change
 Configuration = configuration.Configuration
 Plan = plans.Plan
-StepEnd = plans.StepEnd
+StepResult = plans.StepResult
 Plans = dict[ids.PlanId, plans.Plan]
 
-KEPT_ANSWERS = 1_000
-KEPT_PLANS = 5_000
+MAX_STORED_ANSWERS = 1_000
+MAX_STORED_PLANS = 5_000
 
 
 class Verdict(enum.Enum):
@@ -27,7 +27,7 @@
 
     ACCEPTED = 'accepted'
     CONFLICT = 'conflict'
-    MOVED_ON = 'moved_on'
+    STALE_BASE = 'moved_on'
     UNKNOWN = 'unknown'
     TOO_OLD = 'too_old'
 
@@ -41,14 +41,14 @@
     detail: str = ''
 
 
-class KeptAnswer(msgspec.Struct, frozen=True):
+class StoredAnswer(msgspec.Struct, frozen=True):
     """Hold an answer with the digest of what was asked."""
 
     digest: str
     answer: Answer
 
 
-class Applied(msgspec.Struct, frozen=True):
+class ApplyResult(msgspec.Struct, frozen=True):
     """Tell what applying an entry did."""
 
     answer: Answer | None = None
@@ -61,24 +61,26 @@
     index: int = 0
     configuration: Configuration = Configuration()
     plans: Plans = {}
-    answers: dict[ids.OperatorId, dict[int, KeptAnswer]] = {}
+    answers: dict[ids.OperatorId, dict[int, StoredAnswer]] = {}
     last_load_ms: int = 0
     lenders: tuple[ids.HostId, ...] = ()
 
-    def apply(self, index: int, entry: entries.Entry) -> Applied:
+    def apply(self, index: int, entry: entries.Entry) -> ApplyResult:
         """Apply the entry at ``index``; the same on every voter."""
         self.index = index
         applier = _APPLIERS.get(type(entry))
-        return Applied() if applier is None else applier(self, index, entry)
+        return (
+            ApplyResult() if applier is None else applier(self, index, entry)
+        )
 
-    def known_answer(
+    def find_answer(
         self, operator: ids.OperatorId, number: int, digest: str
     ) -> Answer | None:
         """Return the answer to a request that was made before."""
         kept = self.answers.get(operator, {})
         found = kept.get(number)
         if found is None:
-            if len(kept) >= KEPT_ANSWERS and number < min(kept):
+            if len(kept) >= MAX_STORED_ANSWERS and number < min(kept):
                 return self._reject(
                     Verdict.TOO_OLD, f'number {number} is not kept any more'
                 )
@@ -93,26 +95,26 @@
     def _reject(self, verdict: Verdict, detail: str) -> Answer:
         return Answer(verdict, ids.PlanId(''), self.index, detail)
 
-    def keep_answer(
+    def store_answer(
         self,
         operator: ids.OperatorId,
         number: int,
         digest: str,
         answer: Answer,
-    ) -> Applied:
+    ) -> ApplyResult:
         """Keep an answer for a resend and return it."""
         kept = self.answers.setdefault(operator, {})
-        kept[number] = KeptAnswer(digest, answer)
-        while len(kept) > KEPT_ANSWERS:
+        kept[number] = StoredAnswer(digest, answer)
+        while len(kept) > MAX_STORED_ANSWERS:
             del kept[min(kept)]
-        return Applied(answer=answer)
+        return ApplyResult(answer=answer)
 
-    def advance(
+    def advance_plan(
         self,
         plan: Plan,
         index: int,
         reached: int,
-        ends: tuple[StepEnd, ...],
+        ends: tuple[StepResult, ...],
     ) -> Change | None:
         """Move a plan on, putting the changes that it reaches in force."""
         changes = []
@@ -138,9 +140,9 @@
             return None
         if len(changes) == 1:
             return changes[0]
-        return configuration.Several(tuple(changes))
+        return configuration.ChangeBatch(tuple(changes))
 
-    def running(self) -> list[Plan]:
+    def running_plans(self) -> list[Plan]:
         """Return the plans that wait for a step."""
         return [
             plan for plan in self.plans.values() if plan.current is not None
@@ -150,7 +152,7 @@
 _APPLIERS = {}
 
 
-def _applies(kind: type):
+def _register_applier(kind: type):
     def register(function):
         _APPLIERS[kind] = function
         return function
@@ -158,47 +160,47 @@
     return register
 
 
-@_applies(entries.Found)
-def _found(state: ReplicatedState, index: int, entry: entries.Found):
+@_register_applier(entries.Bootstrap)
+def _bootstrap(state: ReplicatedState, index: int, entry: entries.Bootstrap):
     change = configuration.SetAll(entry.configuration)
     state.configuration = configuration.apply(
         state.configuration, change, index
     )
-    return Applied(change=change)
+    return ApplyResult(change=change)
 
 
-@_applies(entries.MakePlan)
+@_register_applier(entries.MakePlan)
 def _make_plan(state: ReplicatedState, index: int, entry: entries.MakePlan):
-    known = state.known_answer(entry.operator, entry.number, entry.digest)
+    known = state.find_answer(entry.operator, entry.number, entry.digest)
     if known is not None:
-        return Applied(answer=known)
+        return ApplyResult(answer=known)
     plan = entry.plan
     state.plans[plan.plan] = plan
-    _forget_old_plans(state)
+    _evict_old_plans(state)
     answer = Answer(Verdict.ACCEPTED, plan.plan, index, plan.summary)
-    return state.keep_answer(
+    return state.store_answer(
         entry.operator, entry.number, entry.digest, answer
     )
 
 
-def _forget_old_plans(state: ReplicatedState) -> None:
-    if len(state.plans) <= KEPT_PLANS:
+def _evict_old_plans(state: ReplicatedState) -> None:
+    if len(state.plans) <= MAX_STORED_PLANS:
         return
     for name, plan in list(state.plans.items()):
         if plan.state is plans.PlanState.RUNNING:
             continue
         del state.plans[name]
-        if len(state.plans) <= KEPT_PLANS:
+        if len(state.plans) <= MAX_STORED_PLANS:
             return
 
 
-@_applies(entries.ConfirmPlan)
+@_register_applier(entries.ConfirmPlan)
 def _confirm_plan(
     state: ReplicatedState, index: int, entry: entries.ConfirmPlan
 ):
-    known = state.known_answer(entry.operator, entry.number, entry.digest)
+    known = state.find_answer(entry.operator, entry.number, entry.digest)
     if known is not None:
-        return Applied(answer=known)
+        return ApplyResult(answer=known)
     change = None
     plan = state.plans.get(entry.plan)
     if plan is None:
@@ -207,7 +209,7 @@
         verdict = Verdict.CONFLICT
         detail = f'plan {entry.plan} was confirmed before'
     elif plan.base_index != state.configuration.index:
-        verdict = Verdict.MOVED_ON
+        verdict = Verdict.STALE_BASE
         detail = (
             f'made on index {plan.base_index}, the configuration is at '
             f'{state.configuration.index}; plan again'
@@ -215,62 +217,64 @@
     else:
         verdict, detail = Verdict.ACCEPTED, plan.summary
         confirmed = msgspec.structs.replace(plan, confirmed_index=index)
-        change = state.advance(confirmed, index, 0, ())
+        change = state.advance_plan(confirmed, index, 0, ())
         if change is None:
             # A plan that begins with an order changes nothing yet, but
             # no other made on the same index may be confirmed beside it.
-            change = configuration.Several(())
+            change = configuration.ChangeBatch(())
             state.configuration = configuration.apply(
                 state.configuration, change, index
             )
     answer = Answer(verdict, entry.plan, index, detail)
-    state.keep_answer(entry.operator, entry.number, entry.digest, answer)
-    return Applied(answer=answer, change=change)
+    state.store_answer(entry.operator, entry.number, entry.digest, answer)
+    return ApplyResult(answer=answer, change=change)
 
 
-@_applies(entries.IssueOrder)
+@_register_applier(entries.IssueOrder)
 def _issue_order(
     state: ReplicatedState, index: int, entry: entries.IssueOrder
 ):
     plan = state.plans.get(entry.plan)
     if plan is None or plan.reached != entry.step:
-        return Applied()
+        return ApplyResult()
     if not isinstance(plan.current, plans.Order):
-        return Applied()
+        return ApplyResult()
     state.plans[entry.plan] = msgspec.structs.replace(plan, issued_index=index)
     if plan.current.loads:
         state.last_load_ms = max(state.last_load_ms, entry.at_ms)
-    return Applied()
+    return ApplyResult()
 
 
-@_applies(entries.EndStep)
+@_register_applier(entries.EndStep)
 def _end_step(state: ReplicatedState, index: int, entry: entries.EndStep):
     plan = state.plans.get(entry.plan)
     if plan is None or plan.current is None or plan.reached != entry.step:
-        return Applied()
-    end = plans.StepEnd(entry.step, entry.succeeded, entry.detail, entry.at_ms)
+        return ApplyResult()
+    end = plans.StepResult(
+        entry.step, entry.succeeded, entry.detail, entry.at_ms
+    )
     ends = (*plan.ends, end)
     if not entry.succeeded:
         state.plans[entry.plan] = msgspec.structs.replace(
             plan, state=plans.PlanState.FAILED, ends=ends
         )
-        return Applied()
+        return ApplyResult()
     try:
-        change = state.advance(plan, index, plan.reached + 1, ends)
+        change = state.advance_plan(plan, index, plan.reached + 1, ends)
     except errors.StateError as error:
         # What the plan was made on has been changed by another since.
         failed = msgspec.structs.replace(end, detail=str(error))
         state.plans[entry.plan] = msgspec.structs.replace(
             plan, state=plans.PlanState.FAILED, ends=(*plan.ends, failed)
         )
-        return Applied()
-    return Applied(change=change)
+        return ApplyResult()
+    return ApplyResult(change=change)
 
 
 NO_PLAN = ids.PlanId('')
 
 
-@_applies(entries.ReplaceRoutes)
+@_register_applier(entries.ReplaceRoutes)
 def _replace_routes(
     state: ReplicatedState, index: int, entry: entries.ReplaceRoutes
 ):
@@ -278,9 +282,9 @@
     verdict = routes_verdict(held, entry.table)
     if verdict is not Verdict.ACCEPTED or entry.table.version <= held.version:
         detail = f'version {held.version} is in force'
-        return Applied(answer=Answer(verdict, NO_PLAN, index, detail))
+        return ApplyResult(answer=Answer(verdict, NO_PLAN, index, detail))
     change = configuration.SetRoutes(entry.table)
-    return _put_in_force(state, index, change)
+    return _apply_change(state, index, change)
 
 
 def routes_verdict(
@@ -292,32 +296,32 @@
     return Verdict.ACCEPTED
 
 
-@_applies(entries.Evacuate)
+@_register_applier(entries.Evacuate)
 def _evacuate(state: ReplicatedState, index: int, entry: entries.Evacuate):
     held = entry.data_centre in state.configuration.evacuated
     if held == entry.evacuated:
         answer = Answer(Verdict.ACCEPTED, NO_PLAN, index, 'is so already')
-        return Applied(answer=answer)
+        return ApplyResult(answer=answer)
     change = configuration.SetEvacuation(entry.data_centre, entry.evacuated)
-    return _put_in_force(state, index, change)
+    return _apply_change(state, index, change)
 
 
-@_applies(entries.SetLenders)
-def _set_lenders(state: ReplicatedState, _index: int, entry):
+@_register_applier(entries.SetShareHolders)
+def _set_share_holders(state: ReplicatedState, _index: int, entry):
     state.lenders = entry.hosts
-    return Applied()
+    return ApplyResult()
 
 
-@_applies(entries.SetQuarantine)
+@_register_applier(entries.SetQuarantine)
 def _set_quarantine(
     state: ReplicatedState, index: int, entry: entries.SetQuarantine
 ):
-    return _put_in_force(state, index, entry.change)
+    return _apply_change(state, index, entry.change)
 
 
-def _put_in_force(state: ReplicatedState, index: int, change: Change):
+def _apply_change(state: ReplicatedState, index: int, change: Change):
     state.configuration = configuration.apply(
         state.configuration, change, index
     )
     answer = Answer(Verdict.ACCEPTED, NO_PLAN, index)
-    return Applied(answer=answer, change=change)
+    return ApplyResult(answer=answer, change=change)
--- a/wrenspoke/state/routes.py
+++ b/wrenspoke/state/routes.py
@@ -19,7 +19,7 @@
 # What a link of one megabit a second carries in a millisecond.
 BITS_PER_MS_OF_MBPS = 1_000
 # Homes of what no region may serve; a name that no region has.
-NOWHERE = (ids.RegionId(''),)
+NO_REGION = (ids.RegionId(''),)
 
 
 class RouteKind(enum.Enum):
@@ -73,7 +73,7 @@
         """Tell whether endpoints of a region may serve it."""
         return not self.homes or region in self.homes
 
-    def bound_to(self, homes: tuple[ids.RegionId, ...]) -> 'Route':
+    def restricted_to(self, homes: tuple[ids.RegionId, ...]) -> 'Route':
         """Return the route as it is for a team that has homes.
 
         Both bind: what is left is where both may be served.
@@ -83,7 +83,7 @@
         both = homes
         if self.homes:
             both = tuple(home for home in self.homes if home in homes)
-        return msgspec.structs.replace(self, homes=both or NOWHERE)
+        return msgspec.structs.replace(self, homes=both or NO_REGION)
 
 
 class Batch(msgspec.Struct, frozen=True):
@@ -101,7 +101,7 @@
     moves: bool = False
     event_tokens: int = 1
 
-    def move_ms(self, tokens: float) -> float:
+    def cache_transfer_ms(self, tokens: float) -> float:
         """Return how long the memory of some tokens is on its way."""
         if self.link_mbps <= 0:
             return 0.0
--- a/wrenspoke/state/storage.py
+++ b/wrenspoke/state/storage.py
@@ -26,7 +26,7 @@
 LOG = 'log'
 COMMITTED = 'committed'
 # Begins a record of several entries; no encoded value begins with it.
-SEVERAL = b'\xc1'
+MULTI_ENTRY_MARKER = b'\xc1'
 
 
 class Meta(msgspec.Struct):
@@ -65,12 +65,12 @@
     def __init__(self, opened: disk.Disk):
         self._disk = opened
         self._entries: list[entries.LogEntry] = []
-        self._ends: list[int] = []
+        self._end_offsets: list[int] = []
         self.meta = self._read_meta()
         self._synced_meta = msgspec.msgpack.encode(self.meta)
         self.snapshot = self._read_snapshot()
         self._read_log()
-        self._note_electorates()
+        self._index_electorates()
 
     def check(self) -> None:
         """Stop the voter if its disk has failed.
@@ -80,7 +80,7 @@
         self._disk.check()
 
     def _read_meta(self) -> Meta:
-        body = self._read_single(META)
+        body = self._read_single_record(META)
         if body is not None:
             return msgspec.msgpack.decode(body, type=Meta)
         if self._disk.read(LOG) or self._disk.read(SNAPSHOT):
@@ -92,12 +92,12 @@
         return meta
 
     def _read_snapshot(self) -> Snapshot:
-        body = self._read_single(SNAPSHOT)
+        body = self._read_single_record(SNAPSHOT)
         if body is None:
             return Snapshot()
         return msgspec.msgpack.decode(body, type=Snapshot)
 
-    def _read_single(self, name: str) -> bytes | None:
+    def _read_single_record(self, name: str) -> bytes | None:
         data = self._disk.read(name)
         if data is None:
             return None
@@ -116,13 +116,15 @@
             )  # fmt: skip
             self._disk.truncate(LOG, size_bytes)
         for record in found:
-            for entry in _entries_of(record.body):
-                self._load(entry, record)
+            for entry in _decode_entries(record.body):
+                self._load_entry(entry, record)
 
-    def _load(self, entry: entries.LogEntry, record: records.Record) -> None:
+    def _load_entry(
+        self, entry: entries.LogEntry, record: records.Record
+    ) -> None:
         if not self._entries and entry.index <= self.snapshot.index:
             # Written before the snapshot that covers it.
-            self._ends = [record.end]
+            self._end_offsets = [record.end]
             return
         if entry.index != self.last_index + 1:
             raise errors.CorruptLogError(
@@ -131,7 +133,7 @@
                 f'entry {entry.index} follows {self.last_index}',
             )
         self._entries.append(entry)
-        self._ends.append(record.end)
+        self._end_offsets.append(record.end)
 
     @property
     def first_index(self) -> int:
@@ -155,7 +157,7 @@
     @property
     def log_bytes(self) -> int:
         """Return the size of the log on the disk."""
-        return self._ends[-1] if self._ends else 0
+        return self._end_offsets[-1] if self._end_offsets else 0
 
     def term_at(self, index: int) -> int | None:
         """Return the term at an index, or None if it is not held."""
@@ -187,7 +189,7 @@
                 return found
         return self.snapshot.electorate
 
-    def _note_electorates(self) -> None:
+    def _index_electorates(self) -> None:
         """Remember which entries change who decides.
 
         It is asked for with each beat, the log is up to 500 entries long.
@@ -205,7 +207,7 @@
         several, a later one could be there without an earlier one, which
         looks as if the disk had lost what was synced.
         """
-        body = _body_of(added)
+        body = _encode_entries(added)
         if len(body) > records.RECORD_LIMIT_BYTES and len(added) > 1:
             half = len(added) // 2
             self.append(added[:half])
@@ -215,26 +217,26 @@
         self._disk.append(LOG, record)
         end = self.log_bytes + len(record)
         self._entries.extend(added)
-        self._ends.extend([end] * len(added))
+        self._end_offsets.extend([end] * len(added))
         if any(isinstance(new.entry, entries.SetVoters) for new in added):
-            self._note_electorates()
+            self._index_electorates()
 
     def truncate_from(self, index: int) -> None:
         """Drop the entries from an index on, which never committed."""
         place = index - self.first_index
         if place >= len(self._entries):
             return
-        skipped = len(self._ends) - len(self._entries)
+        skipped = len(self._end_offsets) - len(self._entries)
         keep = place + skipped
-        size_bytes = self._ends[keep - 1] if keep else 0
-        if size_bytes == self._ends[keep]:
+        size_bytes = self._end_offsets[keep - 1] if keep else 0
+        if size_bytes == self._end_offsets[keep]:
             # What is kept stands in one record with what is dropped.
             self._rewrite_log(self._entries[:place])
             return
         self._disk.truncate(LOG, size_bytes)
         del self._entries[place:]
-        del self._ends[keep:]
-        self._note_electorates()
+        del self._end_offsets[keep:]
+        self._index_electorates()
 
     def save_meta(self) -> None:
         """Sync who this voter is and whom it voted for.
@@ -265,19 +267,19 @@
 
     def _rewrite_log(self, kept: list[entries.LogEntry]) -> None:
         """Put a log of some entries in place of the log, at once."""
-        encoded = [records.encode(_body_of([entry])) for entry in kept]
+        encoded = [records.encode(_encode_entries([entry])) for entry in kept]
         self._disk.replace(LOG, b''.join(encoded))
         self._entries = kept
-        self._ends = list(itertools.accumulate(map(len, encoded)))
-        self._note_electorates()
+        self._end_offsets = list(itertools.accumulate(map(len, encoded)))
+        self._index_electorates()
 
-    def note_committed(self, index: int) -> None:
+    def save_committed(self, index: int) -> None:
         """Write down, unsynced, up to where entries are committed."""
         noted = (self.meta.incarnation, index)
         body = msgspec.msgpack.encode(noted)
-        self._disk.note(COMMITTED, records.encode(body))
+        self._disk.write_unsynced(COMMITTED, records.encode(body))
 
-    def known_committed(self) -> int:
+    def read_committed(self) -> int:
         """Return up to where entries were surely committed."""
         least = self.snapshot.index
         if self._entries:
@@ -293,7 +295,7 @@
             return least
         return max(least, min(index, self.last_index))
 
-    def forget_all(self) -> None:
+    def reset_identity(self) -> None:
         """Become a new disk: another incarnation that holds nothing."""
         # The new name goes first: a log under a name that never voted
         # claims nothing, while an old name without its log would.
@@ -303,21 +305,21 @@
         self._disk.remove(SNAPSHOT)
         self.snapshot = Snapshot()
         self._entries = []
-        self._note_electorates()
-        self._ends = []
+        self._index_electorates()
+        self._end_offsets = []
 
 
-def _body_of(added: typing.Sequence[entries.LogEntry]) -> bytes:
+def _encode_entries(added: typing.Sequence[entries.LogEntry]) -> bytes:
     """Return the body of the record that holds some entries."""
     if len(added) == 1:
         return msgspec.msgpack.encode(added[0])
-    return SEVERAL + msgspec.msgpack.encode(added)
+    return MULTI_ENTRY_MARKER + msgspec.msgpack.encode(added)
 
 
-def _entries_of(body: bytes) -> list[entries.LogEntry]:
+def _decode_entries(body: bytes) -> list[entries.LogEntry]:
     """Return the entries that a record holds."""
-    if not body.startswith(SEVERAL):
+    if not body.startswith(MULTI_ENTRY_MARKER):
         return [msgspec.msgpack.decode(body, type=entries.LogEntry)]
     return msgspec.msgpack.decode(
-        body[len(SEVERAL) :], type=list[entries.LogEntry]
+        body[len(MULTI_ENTRY_MARKER) :], type=list[entries.LogEntry]
     )
--- a/wrenspoke/state/teams.py
+++ b/wrenspoke/state/teams.py
@@ -72,7 +72,7 @@
     return secrets.token_bytes(SECRET_BYTES)
 
 
-def secret_of(cluster: str) -> bytes:
+def derive_secret(cluster: str) -> bytes:
     """Return the secret of a deployment whose keys are drawn by ``new_key``.
 
     Such keys can't be guessed; the secret keeps digests of one deployment
@@ -141,6 +141,6 @@
             return None
         return self._by_key.get(digest_of(key, self.table.secret))
 
-    def named(self, team: ids.TeamId) -> Team | None:
+    def find_by_name(self, team: ids.TeamId) -> Team | None:
         """Return a team by its name, None if there is none."""
         return self._by_name.get(team)
