--- a/tests/test_engine_loads.py
+++ b/tests/test_engine_loads.py
@@ -136,8 +136,12 @@
         gauged._clock = clock
     asking = [gauged for gauged in every if assigned_engines(gauged)]
     first, second = asking
-    before = {found.registration.endpoint for found in assigned_engines(second)}
-    assert before.isdisjoint(f.registration.endpoint for f in assigned_engines(first))
+    before = {
+        found.registration.endpoint for found in assigned_engines(second)
+    }
+    assert before.isdisjoint(
+        f.registration.endpoint for f in assigned_engines(first)
+    )
     clock.now_ms += engine_loads.TAKEOVER_INTERVALS * 400 + 1
     assert len(assigned_engines(second)) == len(engines)
     for found in engines:
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -50,7 +50,10 @@
     assert held.merge_registration(later) is changed
     assert (held.revision > before) is changed
     found = held.entries['e']
-    assert (found.registration.state, found.registration.number) == (state, number)
+    assert (found.registration.state, found.registration.number) == (
+        state,
+        number,
+    )
 
 
 def test_endpoint_that_left_never_comes_back_under_its_name():
@@ -350,7 +353,10 @@
         held.merge_registration(one)
     held.merge_registration(later)
     found = held.entries['e']
-    assert (found.takes_work, found.registration.number) == (takes_work, number)
+    assert (found.takes_work, found.registration.number) == (
+        takes_work,
+        number,
+    )
 
 
 def test_renewal_counts_for_its_life_only():
@@ -378,7 +384,9 @@
 def test_leave_that_names_a_life_ends_no_other():
     held = registry.Registry(FakeClock())
     held.merge_registration(registration(1, born_ms=BORN_MS))
-    assert not held.merge_registration(held.final_registration('e', BORN_MS - 1))
+    assert not held.merge_registration(
+        held.final_registration('e', BORN_MS - 1)
+    )
     assert held.entries['e'].takes_work
     assert held.merge_registration(held.final_registration('e', BORN_MS))
     assert not held.entries['e'].takes_work
--- a/tests/test_warmth.py
+++ b/tests/test_warmth.py
@@ -33,7 +33,9 @@
     made = warmup_probe.WarmupProbe(
         asking, None, None, None, endpoint_limit_fleet.open_gate(clock), clock
     )
-    status = discovery_messages.WarmupStatus(endpoint.registration.endpoint, 500)
+    status = discovery_messages.WarmupStatus(
+        endpoint.registration.endpoint, 500
+    )
     [listener] = asking._listeners
     listener(discovery_messages.RegionGossip(warm=[status]))
     warm_ms = clock.now_ms + 500
--- a/wrenspoke/coordination/agreement/leadership.py
+++ b/wrenspoke/coordination/agreement/leadership.py
@@ -124,7 +124,9 @@
             if follower is not None and follower.acked_ms is not None:
                 return follower.acked_ms
             return (
-                self.since_ms if self._electing_voters.has_voter(host, disk) else 0
+                self.since_ms
+                if self._electing_voters.has_voter(host, disk)
+                else 0
             )
 
         return self._node.electorate.majority_value(host_acked_ms)
--- a/wrenspoke/coordination/membership/engine_loads.py
+++ b/wrenspoke/coordination/membership/engine_loads.py
@@ -193,7 +193,9 @@
     def _is_overdue(self, found: registry.EndpointEntry, place: int) -> bool:
         """Return whether hosts before this one in order report no load."""
         missed_ms = TAKEOVER_INTERVALS * place * self._interval_ms
-        _load, heard_ms = self._loads.get(found.registration.endpoint, (None, None))
+        _load, heard_ms = self._loads.get(
+            found.registration.endpoint, (None, None)
+        )
         if heard_ms is None:
             heard_ms = self._first_seen_ms.setdefault(
                 found.registration.endpoint, self._clock.mono_ms()
--- a/wrenspoke/coordination/quarantine/crash_aggregator.py
+++ b/wrenspoke/coordination/quarantine/crash_aggregator.py
@@ -288,7 +288,9 @@
                 on_probation=decision.on_probation,
             )
 
-    def _due_for_probation(self, now_ms: int) -> list[quarantine.QuarantineEntry]:
+    def _due_for_probation(
+        self, now_ms: int
+    ) -> list[quarantine.QuarantineEntry]:
         """Return expired quarantines as new decisions on probation."""
         due = []
         for decision, since_ms in self._decided_ms.items():
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -85,7 +85,9 @@
     def remaining_hold_ms(self, digest: ids.RequestDigest) -> int | None:
         """Return how long a request stays held, None if it may be sent."""
         now_ms = self._clock.mono_ms()
-        decided = quarantine.blocking_entry(self._replica.current.quarantine, digest)
+        decided = quarantine.blocking_entry(
+            self._replica.current.quarantine, digest
+        )
         if decided is not None:
             # Only another committed decision releases it, not the time.
             left_ms = self._decided_hold_end_ms(decided) - now_ms
--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -107,7 +107,8 @@
             for found in self._discovery.registry.entries.values()
             if found.takes_work
             and found.registration.data_centre in restored
-            and self._regions.get(found.registration.data_centre) == self._region
+            and self._regions.get(found.registration.data_centre)
+            == self._region
             and found.registration.service in services
             and services[found.registration.service].warmup_per_s > 0
         )
@@ -149,10 +150,14 @@
         """Return whether an endpoint must be limited to its warmup rate."""
         if found.warm_ms > self._clock.mono_ms():
             return True
-        restored_at_ms = self._restored_at_ms.get(found.registration.data_centre)
+        restored_at_ms = self._restored_at_ms.get(
+            found.registration.data_centre
+        )
         if restored_at_ms is None or found.reported_ms >= restored_at_ms:
             return False
-        service = self._replica.current.routes.service(found.registration.service)
+        service = self._replica.current.routes.service(
+            found.registration.service
+        )
         if service is None or service.warmup_per_s <= 0:
             return False
         warm_ms = self._warmup_probe.warm_ms(found.registration.endpoint)
@@ -206,4 +211,6 @@
 
 
 def _life_of(found: registry.EndpointEntry) -> limiting.EndpointInstance:
-    return limiting.EndpointInstance(found.registration.endpoint, found.registration.born_ms)
+    return limiting.EndpointInstance(
+        found.registration.endpoint, found.registration.born_ms
+    )
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -243,7 +243,9 @@
         if service.batch is None:
             return None
         names = [
-            found.registration.endpoint for found in candidates if not found.is_stale
+            found.registration.endpoint
+            for found in candidates
+            if not found.is_stale
         ]
         return self._estimator.prefixes.best_cache_holder(call.parts, names)
 
--- a/wrenspoke/coordination/serving/ledger.py
+++ b/wrenspoke/coordination/serving/ledger.py
@@ -232,7 +232,9 @@
     ) -> messages.Message:
         if self._registers is None:
             return messages.Refusal('no ledger on this host')
-        memory = self._registers.on_recovery_request(sender, message.epoch, message.after)
+        memory = self._registers.on_recovery_request(
+            sender, message.epoch, message.after
+        )
         return messages.RecoverLedgerReply(memory)
 
     async def _recover(self) -> None:
--- a/wrenspoke/coordination/serving/sampling.py
+++ b/wrenspoke/coordination/serving/sampling.py
@@ -28,6 +28,7 @@
     drawn.extend(
         found
         for found in candidates
-        if found.registration.endpoint in always and found.registration.endpoint not in names
+        if found.registration.endpoint in always
+        and found.registration.endpoint not in names
     )
     return drawn
