--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -369,8 +369,7 @@
         ('        if _has_record_after(data, offset):'),
         ('        if False:'),
         (
-            'tests/test_storage.py::test_damage_in_the_middle_is_tol'
-            'd_with_its_place'
+            'tests/test_storage.py::test_damage_in_the_middle_is_reported_with_offset'
         ),
     ),
     Switch(
