--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -237,7 +237,7 @@
                     self._count_traffic(call, destination, answer)
             if run is not None and verdict is Verdict.ANSWERED:
                 self._guard.mark_succeeded(run)
-        except transport_errors.HeldBackError as error:
+        except transport_errors.SendAbortedError as error:
             raise errors.SendAbortedError(str(error)) from error
         except transport_errors.NotSentError as error:
             raise errors.NotSentError(str(error)) from error
--- a/wrenspoke/transport/connecting.py
+++ b/wrenspoke/transport/connecting.py
@@ -47,7 +47,7 @@
         may_leave = _MAY_LEAVE.get()
         if may_leave is not None and not may_leave():
             found.release()
-            raise errors.HeldBackError('it may not leave any more')
+            raise errors.SendAbortedError('it may not leave any more')
         return found
 
     async def _wrap_create_connection(
--- a/wrenspoke/transport/errors.py
+++ b/wrenspoke/transport/errors.py
@@ -11,7 +11,7 @@
     """Say that no byte of the message left this process."""
 
 
-class HeldBackError(NotSentError):
+class SendAbortedError(NotSentError):
     """Say that the message may not leave any more, and did not."""
 
 
--- a/wrenspoke/transport/web.py
+++ b/wrenspoke/transport/web.py
@@ -87,7 +87,7 @@
     ) -> None:
         if not self._may_leave():
             self.held_back = True
-            raise errors.HeldBackError('it may not leave any more')
+            raise errors.SendAbortedError('it may not leave any more')
         await super().write_with_length(writer, length)
 
 
@@ -208,7 +208,7 @@
                 )
         except (aiohttp.ClientError, OSError, ValueError) as error:
             if guarded is not None and guarded.held_back:
-                raise errors.HeldBackError(repr(error)) from error
+                raise errors.SendAbortedError(repr(error)) from error
             raise errors.MaybeSentError(repr(error)) from error
         try:
             yield response
