--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -147,7 +147,7 @@
     ),
     Switch(
         'connection cancelled as it is made',
-        'wrenspoke/transport/connecting.py',
+        'wrenspoke/transport/connector.py',
         ('                return await asyncio.shield(making)\n'),
         ('                return await making\n'),
         (
@@ -156,7 +156,7 @@
     ),
     Switch(
         'request without a body not looked at again',
-        'wrenspoke/transport/connecting.py',
+        'wrenspoke/transport/connector.py',
         ('        if may_leave is not None and not may_leave():\n'),
         ('        if False:\n'),
         (
--- a/wrenspoke/transport/web.py
+++ b/wrenspoke/transport/web.py
@@ -17,7 +17,7 @@
 import multidict
 import yarl
 
-from wrenspoke.transport import connecting
+from wrenspoke.transport import connector
 from wrenspoke.transport import errors
 
 POOL_PER_HOST = 256
@@ -117,11 +117,11 @@
         idle = {}
         if not force_close:
             idle['keepalive_timeout'] = self._idle_timeout_s
-        connector = connecting.WaryConnector(
+        connector = connector.WaryConnector(
             limit=0,
             limit_per_host=0 if force_close else POOL_PER_HOST,
             force_close=force_close,
-            socket_factory=connecting.probing_socket,
+            socket_factory=connector.probing_socket,
             **idle,
         )
         connector._factory = functools.partial(
@@ -157,7 +157,7 @@
         """
         session = self._fresh if fresh else self._pooled
         try:
-            with connecting.asking(may_leave):
+            with connector.asking(may_leave):
                 response = await session.request(
                     method,
                     url,
@@ -197,7 +197,7 @@
         if may_leave is not None and body:
             body = guarded = _GuardedBody(body, may_leave)
         try:
-            with connecting.asking(may_leave):
+            with connector.asking(may_leave):
                 response = await self._pooled.request(
                     method,
                     url,
@@ -226,7 +226,7 @@
     made = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     made.setblocking(False)
     made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    connecting.probe(made)
+    connector.probe(made)
     made.bind((ip, port))
     return made
 
