--- a/wrenspoke/transport/connector.py
+++ b/wrenspoke/transport/connector.py
@@ -26,7 +26,7 @@
 USER_TIMEOUT_MS = 3_000
 
 
-class WaryConnector(aiohttp.TCPConnector):
+class CancellationSafeConnector(aiohttp.TCPConnector):
     """Let nothing cancel a socket as it becomes a connection.
 
     Where that happens, uvloop (0.22.1) closes the socket's number and
--- a/wrenspoke/transport/web.py
+++ b/wrenspoke/transport/web.py
@@ -117,7 +117,7 @@
         idle = {}
         if not force_close:
             idle['keepalive_timeout'] = self._idle_timeout_s
-        connector = connector.WaryConnector(
+        connector = connector.CancellationSafeConnector(
             limit=0,
             limit_per_host=0 if force_close else POOL_PER_HOST,
             force_close=force_close,
