--- a/wrenspoke/transport/connector.py
+++ b/wrenspoke/transport/connector.py
@@ -87,7 +87,7 @@
 
 
 @contextlib.contextmanager
-def asking(
+def guard_sends(
     may_leave: collections.abc.Callable[[], bool] | None,
 ) -> collections.abc.Iterator[None]:
     """Have what is sent within the block leave only if it still may."""
--- a/wrenspoke/transport/web.py
+++ b/wrenspoke/transport/web.py
@@ -157,7 +157,7 @@
         """
         session = self._fresh if fresh else self._pooled
         try:
-            with connector.asking(may_leave):
+            with connector.guard_sends(may_leave):
                 response = await session.request(
                     method,
                     url,
@@ -197,7 +197,7 @@
         if may_leave is not None and body:
             body = guarded = _GuardedBody(body, may_leave)
         try:
-            with connector.asking(may_leave):
+            with connector.guard_sends(may_leave):
                 response = await self._pooled.request(
                     method,
                     url,
