--- a/wrenspoke/transport/connector.py
+++ b/wrenspoke/transport/connector.py
@@ -119,12 +119,12 @@
     family, kind, protocol, _name, _address = address
     made = socket.socket(family, kind, protocol)
     made.setblocking(False)
-    probe(made)
+    enable_keepalive(made)
     _OPENED.get([]).append(made)
     return made
 
 
-def probe(opened: socket.socket) -> None:
+def enable_keepalive(opened: socket.socket) -> None:
     """Let the system find out when the other end is gone."""
     tcp = socket.IPPROTO_TCP
     opened.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
--- a/wrenspoke/transport/web.py
+++ b/wrenspoke/transport/web.py
@@ -226,7 +226,7 @@
     made = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     made.setblocking(False)
     made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    connector.probe(made)
+    connector.enable_keepalive(made)
     made.bind((ip, port))
     return made
 
