--- a/wrenspoke/transport/connector.py
+++ b/wrenspoke/transport/connector.py
@@ -114,7 +114,7 @@
     transport.abort()
 
 
-def probing_socket(address: tuple) -> socket.socket:
+def create_keepalive_socket(address: tuple) -> socket.socket:
     """Return a socket that notices a peer that is no longer there."""
     family, kind, protocol, _name, _address = address
     made = socket.socket(family, kind, protocol)
--- a/wrenspoke/transport/web.py
+++ b/wrenspoke/transport/web.py
@@ -121,7 +121,7 @@
             limit=0,
             limit_per_host=0 if force_close else POOL_PER_HOST,
             force_close=force_close,
-            socket_factory=connector.probing_socket,
+            socket_factory=connector.create_keepalive_socket,
             **idle,
         )
         connector._factory = functools.partial(
