--- a/wrenspoke/transport/connector.py
+++ b/wrenspoke/transport/connector.py
@@ -57,7 +57,7 @@
         **named: typing.Any,
     ) -> tuple[asyncio.Transport, client_proto.ResponseHandler]:
         opened: list[socket.socket] = []
-        noted = _OPENED.set(opened)
+        noted = _OPENED_SOCKETS.set(opened)
         making = asyncio.ensure_future(
             super()._wrap_create_connection(
                 *arguments,
@@ -65,7 +65,7 @@
                 **named,
             )
         )
-        _OPENED.reset(noted)
+        _OPENED_SOCKETS.reset(noted)
         try:
             async with asyncio.timeout(timeout.sock_connect):
                 return await asyncio.shield(making)
@@ -81,8 +81,8 @@
     collections.abc.Callable[[], bool] | None
 ] = contextvars.ContextVar('may_leave', default=None)
 # The sockets that the connecting task has opened.
-_OPENED: contextvars.ContextVar[list[socket.socket]] = contextvars.ContextVar(
-    'opened'
+_OPENED_SOCKETS: contextvars.ContextVar[list[socket.socket]] = (
+    contextvars.ContextVar('opened')
 )
 
 
@@ -120,7 +120,7 @@
     made = socket.socket(family, kind, protocol)
     made.setblocking(False)
     enable_keepalive(made)
-    _OPENED.get([]).append(made)
+    _OPENED_SOCKETS.get([]).append(made)
     return made
 
 
