--- a/wrenspoke/transport/connector.py
+++ b/wrenspoke/transport/connector.py
@@ -44,7 +44,7 @@
         self, *arguments: typing.Any, **named: typing.Any
     ) -> connectors.Connection:
         found = await super().connect(*arguments, **named)
-        may_leave = _MAY_LEAVE.get()
+        may_leave = _MAY_SEND.get()
         if may_leave is not None and not may_leave():
             found.release()
             raise errors.SendAbortedError('it may not leave any more')
@@ -77,7 +77,7 @@
 
 
 # Asked as a request is given its connection; a body asks once more.
-_MAY_LEAVE: contextvars.ContextVar[
+_MAY_SEND: contextvars.ContextVar[
     collections.abc.Callable[[], bool] | None
 ] = contextvars.ContextVar('may_leave', default=None)
 # The sockets that the connecting task has opened.
@@ -91,11 +91,11 @@
     may_leave: collections.abc.Callable[[], bool] | None,
 ) -> collections.abc.Iterator[None]:
     """Have what is sent within the block leave only if it still may."""
-    asked = _MAY_LEAVE.set(may_leave)
+    asked = _MAY_SEND.set(may_leave)
     try:
         yield
     finally:
-        _MAY_LEAVE.reset(asked)
+        _MAY_SEND.reset(asked)
 
 
 def _is_connected(opened: socket.socket) -> bool:
