--- a/benches/switches_quarantine.py
+++ b/benches/switches_quarantine.py
@@ -158,8 +158,8 @@
     Switch(
         'chats leave unasked',
         DECISIONS + 'serving/dispatch.py',
-        'may_leave=lambda: self._may_send(send, send_permit),',
-        'may_leave=None,',
+        'may_send=lambda: self._may_send(send, send_permit),',
+        'may_send=None,',
         f'{UNITS}::test_chat_that_waits_for_a_connection_is_held_back',
     ),
     Switch(
--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -157,7 +157,7 @@
     Switch(
         'request without a body not looked at again',
         'wrenspoke/transport/connector.py',
-        ('        if may_leave is not None and not may_leave():\n'),
+        ('        if may_send is not None and not may_send():\n'),
         ('        if False:\n'),
         (
             'tests/test_keys.py::test_lease_that_ends_while_a_connection_is_made_sends_nothing'
--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -277,7 +277,7 @@
                     self._headers(send),
                     send.body,
                     fresh=once,
-                    may_leave=lambda: self._may_send(send, send_permit),
+                    may_send=lambda: self._may_send(send, send_permit),
                 ) as response,
             ):
                 self._record_advertised(send, endpoint, send_permit, response)
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -197,9 +197,7 @@
         :raises SendAbortedError: no longer allowed; nothing was sent
         :raises MaybeSentError: it may have been run
         """
-        may_leave = functools.partial(
-            self._may_send, call, permit, destination
-        )
+        may_send = functools.partial(self._may_send, call, permit, destination)
         fields = self._request_fields(
             call, permit, destination, left_ms, last_event
         )
@@ -223,7 +221,7 @@
                     call.target,
                     fields,
                     body,
-                    may_leave,
+                    may_send,
                 ) as response,
             ):
                 self._record_advertised(call, destination, response)
--- a/wrenspoke/transport/connector.py
+++ b/wrenspoke/transport/connector.py
@@ -44,8 +44,8 @@
         self, *arguments: typing.Any, **named: typing.Any
     ) -> connectors.Connection:
         found = await super().connect(*arguments, **named)
-        may_leave = _MAY_SEND.get()
-        if may_leave is not None and not may_leave():
+        may_send = _MAY_SEND.get()
+        if may_send is not None and not may_send():
             found.release()
             raise errors.SendAbortedError('it may not leave any more')
         return found
@@ -88,10 +88,10 @@
 
 @contextlib.contextmanager
 def guard_sends(
-    may_leave: collections.abc.Callable[[], bool] | None,
+    may_send: collections.abc.Callable[[], bool] | None,
 ) -> collections.abc.Iterator[None]:
     """Have what is sent within the block leave only if it still may."""
-    asked = _MAY_SEND.set(may_leave)
+    asked = _MAY_SEND.set(may_send)
     try:
         yield
     finally:
--- a/wrenspoke/transport/web.py
+++ b/wrenspoke/transport/web.py
@@ -76,10 +76,10 @@
     """
 
     def __init__(
-        self, body: bytes, may_leave: collections.abc.Callable[[], bool]
+        self, body: bytes, may_send: collections.abc.Callable[[], bool]
     ):
         super().__init__(body)
-        self._may_leave = may_leave
+        self._may_leave = may_send
         self.held_back = False
 
     async def write_with_length(
@@ -143,7 +143,7 @@
         headers: collections.abc.Mapping[str, str],
         body: bytes | None = None,
         fresh: bool = False,
-        may_leave: collections.abc.Callable[[], bool] | None = None,
+        may_send: collections.abc.Callable[[], bool] | None = None,
     ) -> collections.abc.AsyncIterator[aiohttp.ClientResponse]:
         """Send one request and yield its answer once the head is here.
 
@@ -157,7 +157,7 @@
         """
         session = self._fresh if fresh else self._pooled
         try:
-            with connector.guard_sends(may_leave):
+            with connector.guard_sends(may_send):
                 response = await session.request(
                     method,
                     url,
@@ -182,7 +182,7 @@
         target: str,
         fields: collections.abc.Iterable[tuple[str, str]],
         body: bytes | None,
-        may_leave: collections.abc.Callable[[], bool] | None = None,
+        may_send: collections.abc.Callable[[], bool] | None = None,
     ) -> collections.abc.AsyncIterator[aiohttp.ClientResponse]:
         """Send a request as its caller wrote it; see ``send``.
 
@@ -194,10 +194,10 @@
         """
         url = yarl.URL(f'http://{address}{target}', encoded=True)
         guarded = None
-        if may_leave is not None and body:
-            body = guarded = _GuardedBody(body, may_leave)
+        if may_send is not None and body:
+            body = guarded = _GuardedBody(body, may_send)
         try:
-            with connector.guard_sends(may_leave):
+            with connector.guard_sends(may_send):
                 response = await self._pooled.request(
                     method,
                     url,
