--- a/wrenspoke/transport/web.py
+++ b/wrenspoke/transport/web.py
@@ -69,7 +69,7 @@
             payload.set_exception(aiohttp.ClientPayloadError(repr(error)))
 
 
-class _GuardedBody(aiohttp.BytesPayload):
+class _ConditionalPayload(aiohttp.BytesPayload):
     """Leave only if it still may, at the moment of the first byte.
 
     A connection may have been waited for since that was looked at last.
@@ -195,7 +195,7 @@
         url = yarl.URL(f'http://{address}{target}', encoded=True)
         guarded = None
         if may_send is not None and body:
-            body = guarded = _GuardedBody(body, may_send)
+            body = guarded = _ConditionalPayload(body, may_send)
         try:
             with connector.guard_sends(may_send):
                 response = await self._pooled.request(
