--- a/wrenspoke/transport/web.py
+++ b/wrenspoke/transport/web.py
@@ -79,13 +79,13 @@
         self, body: bytes, may_send: collections.abc.Callable[[], bool]
     ):
         super().__init__(body)
-        self._may_leave = may_send
+        self._may_send = may_send
         self.held_back = False
 
     async def write_with_length(
         self, writer: aiohttp.abc.AbstractStreamWriter, length: int | None
     ) -> None:
-        if not self._may_leave():
+        if not self._may_send():
             self.held_back = True
             raise errors.SendAbortedError('it may not leave any more')
         await super().write_with_length(writer, length)
