--- a/wrenspoke/transport/web.py
+++ b/wrenspoke/transport/web.py
@@ -80,13 +80,13 @@
     ):
         super().__init__(body)
         self._may_send = may_send
-        self.held_back = False
+        self.aborted = False
 
     async def write_with_length(
         self, writer: aiohttp.abc.AbstractStreamWriter, length: int | None
     ) -> None:
         if not self._may_send():
-            self.held_back = True
+            self.aborted = True
             raise errors.SendAbortedError('it may not leave any more')
         await super().write_with_length(writer, length)
 
@@ -207,7 +207,7 @@
                     allow_redirects=False,
                 )
         except (aiohttp.ClientError, OSError, ValueError) as error:
-            if guarded is not None and guarded.held_back:
+            if guarded is not None and guarded.aborted:
                 raise errors.SendAbortedError(repr(error)) from error
             raise errors.MaybeSentError(repr(error)) from error
         try:
