--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -44,7 +44,7 @@
     await server.start(address)
     client = web.HttpClient(1_000)
     try:
-        async with client.pass_on('GET', address, '/', [], None) as answer:
+        async with client.send_raw('GET', address, '/', [], None) as answer:
             sender = answer.connection.transport.get_extra_info('socket')
             seen['sender'] = found_after_ms(sender)
             looked_at.set()
--- a/wrenspoke/transport/web.py
+++ b/wrenspoke/transport/web.py
@@ -175,7 +175,7 @@
             response.close()
 
     @contextlib.asynccontextmanager
-    async def pass_on(
+    async def send_raw(
         self,
         method: str,
         address: str,
