--- a/wrenspoke/transport/web.py
+++ b/wrenspoke/transport/web.py
@@ -111,7 +111,7 @@
             total=None, sock_connect=connect_timeout_ms / 1000
         )
         self._pooled = self._session(force_close=False)
-        self._fresh = self._session(force_close=True)
+        self._unpooled = self._session(force_close=True)
 
     def _session(self, force_close: bool) -> aiohttp.ClientSession:
         idle = {}
@@ -155,7 +155,7 @@
         :raises HeldBackError: it may not leave any more
         :raises MaybeSentError: the connection ended before the head came
         """
-        session = self._fresh if fresh else self._pooled
+        session = self._unpooled if fresh else self._pooled
         try:
             with connector.guard_sends(may_send):
                 response = await session.request(
@@ -218,7 +218,7 @@
     async def close(self) -> None:
         """Close every connection."""
         await self._pooled.close()
-        await self._fresh.close()
+        await self._unpooled.close()
 
 
 def _listening_socket(ip: str, port: int) -> socket.socket:
