--- a/wrenspoke/caller.py
+++ b/wrenspoke/caller.py
@@ -159,7 +159,7 @@
     ) -> None:
         started_ms = self._clock.mono_ms()
         async with self.client.send(
-            method, url, sent, body, fresh=True
+            method, url, sent, body, new_connection=True
         ) as found:
             total.status = found.status
             total.headers = dict(found.headers)
--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -276,7 +276,7 @@
                     endpoint.url + send.path,
                     self._headers(send),
                     send.body,
-                    fresh=once,
+                    new_connection=once,
                     may_send=lambda: self._may_send(send, send_permit),
                 ) as response,
             ):
--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -169,7 +169,7 @@
             forward_state.transcript.continuation_body()
             if forward_state.head.stream
             else forward_state.body,
-            fresh=forward_state.head.once,
+            new_connection=forward_state.head.once,
         ) as response:
             kind = response.headers.get('Content-Type', '')
             if response.status == 200 and kind.startswith(EVENT_STREAM):
--- a/wrenspoke/operator.py
+++ b/wrenspoke/operator.py
@@ -91,7 +91,7 @@
     ) -> operators.OperatorAnswer:
         async with clocks.timeout_ms(self._timeout_ms / 4):
             async with self._client.send(
-                method, url, self._headers, data, fresh=True
+                method, url, self._headers, data, new_connection=True
             ) as found:
                 raw = await web.read_whole(found, ANSWER_LIMIT_BYTES)
         body = msgspec.json.decode(raw) if raw else {}
--- a/wrenspoke/transport/web.py
+++ b/wrenspoke/transport/web.py
@@ -142,7 +142,7 @@
         url: str,
         headers: collections.abc.Mapping[str, str],
         body: bytes | None = None,
-        fresh: bool = False,
+        new_connection: bool = False,
         may_send: collections.abc.Callable[[], bool] | None = None,
     ) -> collections.abc.AsyncIterator[aiohttp.ClientResponse]:
         """Send one request and yield its answer once the head is here.
@@ -155,7 +155,7 @@
         :raises HeldBackError: it may not leave any more
         :raises MaybeSentError: the connection ended before the head came
         """
-        session = self._unpooled if fresh else self._pooled
+        session = self._unpooled if new_connection else self._pooled
         try:
             with connector.guard_sends(may_send):
                 response = await session.request(
