--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -81,7 +81,7 @@
     Switch(
         'client repeats',
         'wrenspoke/transport/web.py',
-        ('middlewares=(_once_only,),'),
+        ('middlewares=(_disable_retries,),'),
         (''),
         (
             'tests/test_endpoints.py::test_reused_connection_is_not_'
--- a/wrenspoke/transport/web.py
+++ b/wrenspoke/transport/web.py
@@ -130,7 +130,7 @@
         return aiohttp.ClientSession(
             connector=connector,
             timeout=self._timeout,
-            middlewares=(_once_only,),
+            middlewares=(_disable_retries,),
             auto_decompress=False,
             cookie_jar=aiohttp.DummyCookieJar(),
         )
@@ -231,7 +231,7 @@
     return made
 
 
-async def _once_only(
+async def _disable_retries(
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
     """Turn a failed send into an error that aiohttp does not repeat."""
