--- a/benches/control.py
+++ b/benches/control.py
@@ -76,7 +76,7 @@
     try:
         url = running.url(host) + '/metrics'
         async with client.send('GET', url, {}) as found:
-            body = (await web.read_whole(found, 1 << 20)).decode()
+            body = (await web.read_body(found, 1 << 20)).decode()
     finally:
         await client.close()
     return sum(
--- a/benches/overhead.py
+++ b/benches/overhead.py
@@ -33,7 +33,7 @@
         sent[headers.ECHO] = 'direct'
     started = time.perf_counter()
     async with client.send('GET', url, sent) as found:
-        await web.read_whole(found, 1 << 20)
+        await web.read_body(found, 1 << 20)
         assert found.status == 200, found.status
     return (time.perf_counter() - started) * 1000
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -423,7 +423,7 @@
         url = self.endpoint_url(endpoint) + path
         try:
             async with client.send(method, url, {}, data) as found:
-                raw = await web.read_whole(found, 1 << 26)
+                raw = await web.read_body(found, 1 << 26)
                 return msgspec.json.decode(raw) if raw else {}
         finally:
             await client.close()
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -31,7 +31,7 @@
         async with client.send(
             'POST', running.url('north-1') + path, sent or {}, body
         ) as found:
-            raw = await web.read_whole(found, 1 << 20)
+            raw = await web.read_body(found, 1 << 20)
             return found.status, msgspec.json.decode(raw)
     finally:
         await client.close()
--- a/wrenspoke/caller.py
+++ b/wrenspoke/caller.py
@@ -75,7 +75,7 @@
         for url in self._urls:
             try:
                 async with self.client.send('GET', url + path, {}) as found:
-                    body = await web.read_whole(found, ANSWER_LIMIT_BYTES)
+                    body = await web.read_body(found, ANSWER_LIMIT_BYTES)
                     return msgspec.json.decode(body)
             except transport_errors.TransportError as error:
                 problems.append(f'{url}: {error}')
@@ -167,7 +167,7 @@
             if found.status == OK and kind.startswith(EVENT_STREAM):
                 await self._read_stream(found, total, on_text, started_ms)
                 return
-            total.body = await web.read_whole(found, ANSWER_LIMIT_BYTES)
+            total.body = await web.read_body(found, ANSWER_LIMIT_BYTES)
             if total.first_ms is None:
                 total.first_ms = self._clock.mono_ms() - started_ms
             total.outcome = found.headers.get(headers.OUTCOME, 'lost')
--- a/wrenspoke/coordination/membership/engine_loads.py
+++ b/wrenspoke/coordination/membership/engine_loads.py
@@ -236,7 +236,7 @@
                             self._dialect,
                         )
                     )
-                    body = await web.read_whole(response, REPORT_LIMIT_BYTES)
+                    body = await web.read_body(response, REPORT_LIMIT_BYTES)
             load = self._reader.read(said.endpoint, body)
         except (
             TimeoutError,
--- a/wrenspoke/coordination/membership/host_list_poller.py
+++ b/wrenspoke/coordination/membership/host_list_poller.py
@@ -77,7 +77,7 @@
         try:
             async with clocks.timeout_ms(LIST_INTERVAL_MS):
                 async with self._client.send('GET', self._url, {}) as found:
-                    body = await web.read_whole(found, LIST_LIMIT_BYTES)
+                    body = await web.read_body(found, LIST_LIMIT_BYTES)
             return msgspec.json.decode(body, type=HostList).hosts
         except (
             transport_errors.TransportError,
--- a/wrenspoke/coordination/serving/response_body.py
+++ b/wrenspoke/coordination/serving/response_body.py
@@ -23,7 +23,7 @@
             exceeds ``limit_bytes``
         """
         try:
-            body = await web.read_whole(self._response, limit_bytes)
+            body = await web.read_body(self._response, limit_bytes)
             self.bytes_read += len(body)
             return body
         except transport_errors.TransportError as error:
--- a/wrenspoke/coordination/serving/warmup_probe.py
+++ b/wrenspoke/coordination/serving/warmup_probe.py
@@ -127,7 +127,7 @@
                     send_permit.is_valid,
                 ) as response:
                     self._note_advertised(life, send_permit, response)
-                    await web.read_whole(response, BODY_LIMIT_BYTES)
+                    await web.read_body(response, BODY_LIMIT_BYTES)
         except (
             TimeoutError,
             errors.EndpointBusyError,
--- a/wrenspoke/load.py
+++ b/wrenspoke/load.py
@@ -239,7 +239,7 @@
                 async with client.send(
                     'GET', f'{endpoint.url}/runs', {}
                 ) as answer:
-                    body = await web.read_whole(
+                    body = await web.read_body(
                         answer, callers.ANSWER_LIMIT_BYTES
                     )
             except transport_errors.TransportError:
--- a/wrenspoke/operator.py
+++ b/wrenspoke/operator.py
@@ -93,7 +93,7 @@
             async with self._client.send(
                 method, url, self._headers, data, new_connection=True
             ) as found:
-                raw = await web.read_whole(found, ANSWER_LIMIT_BYTES)
+                raw = await web.read_body(found, ANSWER_LIMIT_BYTES)
         body = msgspec.json.decode(raw) if raw else {}
         return operators.OperatorAnswer(found.status, body)
 
--- a/wrenspoke/transport/web.py
+++ b/wrenspoke/transport/web.py
@@ -246,7 +246,7 @@
         raise errors.MaybeSentError(repr(error)) from error
 
 
-async def read_whole(
+async def read_body(
     response: aiohttp.ClientResponse, limit_bytes: int
 ) -> bytes:
     """Read a body to its stated end, or fail.
