--- a/wrenspoke/transport/web.py
+++ b/wrenspoke/transport/web.py
@@ -41,7 +41,7 @@
 ]
 
 
-class WaryHandler(client_proto.ResponseHandler):
+class ResetAwareHandler(client_proto.ResponseHandler):
     """Tell a reset from the end of an answer that states no length.
 
     aiohttp takes the end of the connection, however it came, for the end
@@ -125,7 +125,7 @@
             **idle,
         )
         connector._factory = functools.partial(
-            WaryHandler, loop=asyncio.get_running_loop()
+            ResetAwareHandler, loop=asyncio.get_running_loop()
         )
         return aiohttp.ClientSession(
             connector=connector,
