--- a/wrenspoke/transport/web.py
+++ b/wrenspoke/transport/web.py
@@ -54,16 +54,16 @@
         opened = self.transport.get_extra_info('socket')
         found = opened.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if found:
-            self._fail(OSError(found, os.strerror(found)))
+            self._fail_payload(OSError(found, os.strerror(found)))
         super().eof_received()
 
     def connection_lost(self, exc: BaseException | None) -> None:
         """Fail an answer whose connection did not end as it should."""
         if exc is not None:
-            self._fail(exc)
+            self._fail_payload(exc)
         super().connection_lost(exc)
 
-    def _fail(self, error: BaseException) -> None:
+    def _fail_payload(self, error: BaseException) -> None:
         payload = self._payload
         if payload is not None and not payload.is_eof():
             payload.set_exception(aiohttp.ClientPayloadError(repr(error)))
