--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -40,7 +40,7 @@
 
     [port] = web.free_ports(1)
     address = f'127.0.0.1:{port}'
-    server = web.PlainServer(handle, 1_000)
+    server = web.LowLevelServer(handle, 1_000)
     await server.start(address)
     client = web.HttpClient(1_000)
     try:
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -362,9 +362,9 @@
         self._callers = self._server(surface.handle_caller)
         self._hosts = self._server(surface.handle_host)
 
-    def _server(self, handler: web.Handler) -> web.PlainServer:
+    def _server(self, handler: web.Handler) -> web.LowLevelServer:
         entry = self.node.entry
-        return web.PlainServer(
+        return web.LowLevelServer(
             handler, entry.caller_idle_ms, entry.header_limit_bytes
         )
 
--- a/wrenspoke/transport/web.py
+++ b/wrenspoke/transport/web.py
@@ -316,7 +316,7 @@
         await self.close()
 
 
-class PlainServer:
+class LowLevelServer:
     """Serve a handler on one IP number and port, without routes.
 
     Nothing is read from a request but what the handler asks for: no
