--- a/wrenspoke/transport/web.py
+++ b/wrenspoke/transport/web.py
@@ -20,7 +20,7 @@
 from wrenspoke.transport import connector
 from wrenspoke.transport import errors
 
-POOL_PER_HOST = 256
+MAX_CONNECTIONS_PER_HOST = 256
 LINE_LIMIT_BYTES = 8190
 BACKLOG = 4096
 # Whoever closes a plain server has waited for what was in flight.
@@ -119,7 +119,7 @@
             idle['keepalive_timeout'] = self._idle_timeout_s
         connector = connector.CancellationSafeConnector(
             limit=0,
-            limit_per_host=0 if force_close else POOL_PER_HOST,
+            limit_per_host=0 if force_close else MAX_CONNECTIONS_PER_HOST,
             force_close=force_close,
             socket_factory=connector.create_keepalive_socket,
             **idle,
