--- a/wrenspoke/transport/web.py
+++ b/wrenspoke/transport/web.py
@@ -21,7 +21,7 @@
 from wrenspoke.transport import errors
 
 MAX_CONNECTIONS_PER_HOST = 256
-LINE_LIMIT_BYTES = 8190
+MAX_LINE_BYTES = 8190
 BACKLOG = 4096
 # Whoever closes a plain server has waited for what was in flight.
 SHUTDOWN_TIMEOUT_S = 0.1
@@ -292,8 +292,8 @@
             handler_cancellation=True,
             keepalive_timeout=75,
             shutdown_timeout=0.5,
-            max_line_size=LINE_LIMIT_BYTES,
-            max_field_size=LINE_LIMIT_BYTES,
+            max_line_size=MAX_LINE_BYTES,
+            max_field_size=MAX_LINE_BYTES,
         )
 
     async def start(self, ip: str, port: int) -> None:
@@ -327,7 +327,7 @@
         self,
         handler: Handler,
         idle_timeout_ms: int,
-        header_limit_bytes: int = LINE_LIMIT_BYTES,
+        header_limit_bytes: int = MAX_LINE_BYTES,
     ):
         self._handler = handler
         self._idle_timeout_ms = idle_timeout_ms
