--- a/wrenspoke/transport/web.py
+++ b/wrenspoke/transport/web.py
@@ -27,7 +27,7 @@
 SHUTDOWN_TIMEOUT_S = 0.1
 IDLE_TIMEOUT_MS = 15_000
 # What aiohttp adds by itself, none of which the caller asked for.
-ADDED_FIELDS = frozenset(
+AUTO_HEADERS = frozenset(
     ['Accept', 'Accept-Encoding', 'User-Agent', 'Content-Type']
 )
 PORT_RANGE = range(10_000, 32_000)
@@ -202,7 +202,7 @@
                     method,
                     url,
                     headers=multidict.CIMultiDict(fields),
-                    skip_auto_headers=ADDED_FIELDS,
+                    skip_auto_headers=AUTO_HEADERS,
                     data=body,
                     allow_redirects=False,
                 )
