--- a/wrenspoke/transport/web.py
+++ b/wrenspoke/transport/web.py
@@ -31,7 +31,7 @@
     ['Accept', 'Accept-Encoding', 'User-Agent', 'Content-Type']
 )
 PORT_RANGE = range(10_000, 32_000)
-_GIVEN_PORTS: set[int] = set()
+_ALLOCATED_PORTS: set[int] = set()
 # Held open for as long as the process lives.
 _RESERVATIONS: list[int] = []
 
@@ -376,7 +376,7 @@
     """
     found: list[int] = []
     for port in random.sample(PORT_RANGE, len(PORT_RANGE)):
-        if port in _GIVEN_PORTS or not _reserved(port):
+        if port in _ALLOCATED_PORTS or not _reserved(port):
             continue
         with socket.socket() as tried:
             try:
@@ -384,7 +384,7 @@
             except OSError:
                 continue
         found.append(port)
-        _GIVEN_PORTS.add(port)
+        _ALLOCATED_PORTS.add(port)
         if len(found) == count:
             break
     return found
