--- a/wrenspoke/transport/web.py
+++ b/wrenspoke/transport/web.py
@@ -33,7 +33,7 @@
 PORT_RANGE = range(10_000, 32_000)
 _ALLOCATED_PORTS: set[int] = set()
 # Held open for as long as the process lives.
-_RESERVATIONS: list[int] = []
+_PORT_LOCKS: list[int] = []
 
 
 Handler = collections.abc.Callable[
@@ -399,5 +399,5 @@
     except OSError:
         os.close(lock)
         return False
-    _RESERVATIONS.append(lock)
+    _PORT_LOCKS.append(lock)
     return True
