--- a/wrenspoke/transport/web.py
+++ b/wrenspoke/transport/web.py
@@ -376,7 +376,7 @@
     """
     found: list[int] = []
     for port in random.sample(PORT_RANGE, len(PORT_RANGE)):
-        if port in _ALLOCATED_PORTS or not _reserved(port):
+        if port in _ALLOCATED_PORTS or not _try_lock_port(port):
             continue
         with socket.socket() as tried:
             try:
@@ -390,7 +390,7 @@
     return found
 
 
-def _reserved(port: int) -> bool:
+def _try_lock_port(port: int) -> bool:
     """Reserve a port among the processes that ask for free ones."""
     path = pathlib.Path(tempfile.gettempdir()) / f'wrenspoke-port-{port}'
     lock = os.open(path, os.O_CREAT | os.O_RDWR, 0o600)
