--- a/tests/test_thawed_links.py
+++ b/tests/test_thawed_links.py
@@ -140,7 +140,7 @@
         [],
         clocks.Clock(),
         ignore,
-        links.Silence(SENT_HEARTBEAT_MS, SENDER_PATIENCE_MS),
+        links.HeartbeatOptions(SENT_HEARTBEAT_MS, SENDER_PATIENCE_MS),
     )
     name = f'127.0.0.1:{relay_port}'
     try:
--- a/wrenspoke/node_peers.py
+++ b/wrenspoke/node_peers.py
@@ -8,7 +8,7 @@
 from wrenspoke.transport import links
 
 # A cut says nothing; a link is made anew soon after one heals.
-SILENCE = links.Silence(heartbeat_ms=700, timeout_ms=2_000)
+SILENCE = links.HeartbeatOptions(heartbeat_ms=700, timeout_ms=2_000)
 
 
 def traffic_of(node: nodes.Node, clock: clocks.Clock) -> traffic.Traffic:
--- a/wrenspoke/protocol/peers.py
+++ b/wrenspoke/protocol/peers.py
@@ -56,7 +56,7 @@
         identity: links.Identity,
         peers: collections.abc.Iterable[links.Peer],
         clock: clocks.Clock,
-        silence: links.Silence = links.Silence(),
+        silence: links.HeartbeatOptions = links.HeartbeatOptions(),
         noted: links.Noted | None = None,
     ):
         self._answerers: dict[type, Answerer] = {}
--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -90,7 +90,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Silence:
+class HeartbeatOptions:
     """Say how soon a link that has fallen silent is given up."""
 
     heartbeat_ms: int = HEARTBEAT_IVL_MS
@@ -113,7 +113,7 @@
         peers: collections.abc.Iterable[Peer],
         clock: clocks.Clock,
         handler: Handler,
-        silence: Silence = Silence(),
+        silence: HeartbeatOptions = HeartbeatOptions(),
         noted: Noted | None = None,
     ):
         self._noted = noted or _note_nothing
@@ -392,7 +392,9 @@
     return body[1:]
 
 
-def _set_options(opened: zmq.asyncio.Socket, silence: Silence) -> None:
+def _set_options(
+    opened: zmq.asyncio.Socket, silence: HeartbeatOptions
+) -> None:
     opened.setsockopt(zmq.LINGER, 0)
     opened.setsockopt(zmq.SNDHWM, HIGH_WATER_MARK)
     opened.setsockopt(zmq.RCVHWM, RECEIVED_HIGH_WATER_MARK)
