--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -124,7 +124,7 @@
         }
         self._clock = clock
         self._handler = handler
-        self._silence = silence
+        self._heartbeat_options = silence
         self._offsets_ms: dict[tuple[str, str], int] = {}
         self._epoch = ids.new_unique()
         self._context = zmq.asyncio.Context()
@@ -141,7 +141,7 @@
     async def start(self, ip: str, port: int) -> None:
         """Listen for the calls of known hosts, of all without keys."""
         router = self._context.socket(zmq.ROUTER)
-        _set_options(router, self._silence)
+        _set_options(router, self._heartbeat_options)
         router.setsockopt(zmq.ROUTER_MANDATORY, 1)
         if self._identity.keyed:
             self._ask_for_keys()
@@ -222,7 +222,7 @@
             return dealer
         peer = self._peer(host)
         dealer = self._context.socket(zmq.DEALER)
-        _set_options(dealer, self._silence)
+        _set_options(dealer, self._heartbeat_options)
         dealer.setsockopt(zmq.IMMEDIATE, 1)
         if self._identity.keyed:
             dealer.curve_serverkey = peer.public_key.encode()
