--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -113,7 +113,7 @@
         peers: collections.abc.Iterable[Peer],
         clock: clocks.Clock,
         handler: Handler,
-        silence: HeartbeatOptions = HeartbeatOptions(),
+        heartbeat_options: HeartbeatOptions = HeartbeatOptions(),
         noted: Noted | None = None,
     ):
         self._noted = noted or _note_nothing
@@ -124,7 +124,7 @@
         }
         self._clock = clock
         self._handler = handler
-        self._heartbeat_options = silence
+        self._heartbeat_options = heartbeat_options
         self._offsets_ms: dict[tuple[str, str], int] = {}
         self._epoch = ids.new_unique()
         self._context = zmq.asyncio.Context()
