--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -393,15 +393,15 @@
 
 
 def _set_options(
-    opened: zmq.asyncio.Socket, silence: HeartbeatOptions
+    opened: zmq.asyncio.Socket, heartbeat_options: HeartbeatOptions
 ) -> None:
     opened.setsockopt(zmq.LINGER, 0)
     opened.setsockopt(zmq.SNDHWM, HIGH_WATER_MARK)
     opened.setsockopt(zmq.RCVHWM, RECEIVED_HIGH_WATER_MARK)
-    opened.setsockopt(zmq.HEARTBEAT_IVL, silence.heartbeat_ms)
-    opened.setsockopt(zmq.HEARTBEAT_TIMEOUT, silence.timeout_ms)
+    opened.setsockopt(zmq.HEARTBEAT_IVL, heartbeat_options.heartbeat_ms)
+    opened.setsockopt(zmq.HEARTBEAT_TIMEOUT, heartbeat_options.timeout_ms)
     opened.setsockopt(zmq.MAXMSGSIZE, MESSAGE_LIMIT_BYTES)
-    opened.setsockopt(zmq.CONNECT_TIMEOUT, silence.timeout_ms)
+    opened.setsockopt(zmq.CONNECT_TIMEOUT, heartbeat_options.timeout_ms)
     opened.setsockopt(zmq.RECONNECT_IVL, RECONNECT_MS)
     opened.setsockopt(zmq.RECONNECT_IVL_MAX, LONGEST_RECONNECT_MS)
 
