--- a/wrenspoke/protocol/peers.py
+++ b/wrenspoke/protocol/peers.py
@@ -57,7 +57,7 @@
         peers: collections.abc.Iterable[links.Peer],
         clock: clocks.Clock,
         silence: links.HeartbeatOptions = links.HeartbeatOptions(),
-        noted: links.Noted | None = None,
+        noted: links.SendListener | None = None,
     ):
         self._answerers: dict[type, Answerer] = {}
         self._decoder = msgspec.msgpack.Decoder(Message)
--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -98,7 +98,7 @@
 
 
 # Told of each message that was sent: to whom, what, and the bytes it took.
-Noted = collections.abc.Callable[[ids.HostId, bytes, int], None]
+SendListener = collections.abc.Callable[[ids.HostId, bytes, int], None]
 Handler = collections.abc.Callable[
     [ids.HostId, bytes], collections.abc.Awaitable[bytes | None]
 ]
@@ -114,7 +114,7 @@
         clock: clocks.Clock,
         handler: Handler,
         heartbeat_options: HeartbeatOptions = HeartbeatOptions(),
-        noted: Noted | None = None,
+        noted: SendListener | None = None,
     ):
         self._noted = noted or _note_nothing
         self._identity = identity
