--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -116,7 +116,7 @@
         heartbeat_options: HeartbeatOptions = HeartbeatOptions(),
         noted: SendListener | None = None,
     ):
-        self._noted = noted or _note_nothing
+        self._on_sent = noted or _note_nothing
         self._identity = identity
         self._peers = {peer.host: peer for peer in peers}
         self._hosts_by_key = {
@@ -214,7 +214,7 @@
 
     def _note_sent(self, host: ids.HostId, body: bytes, frame: bytes) -> None:
         self.sent_bytes += len(frame)
-        self._noted(host, body, len(frame))
+        self._on_sent(host, body, len(frame))
 
     def _dealer(self, host: ids.HostId) -> zmq.asyncio.Socket:
         dealer = self._dealers.get(host)
