--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -114,9 +114,9 @@
         clock: clocks.Clock,
         handler: Handler,
         heartbeat_options: HeartbeatOptions = HeartbeatOptions(),
-        noted: SendListener | None = None,
+        on_sent: SendListener | None = None,
     ):
-        self._on_sent = noted or _note_nothing
+        self._on_sent = on_sent or _note_nothing
         self._identity = identity
         self._peers = {peer.host: peer for peer in peers}
         self._hosts_by_key = {
