--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -116,7 +116,7 @@
         heartbeat_options: HeartbeatOptions = HeartbeatOptions(),
         on_sent: SendListener | None = None,
     ):
-        self._on_sent = on_sent or _note_nothing
+        self._on_sent = on_sent or _ignore_sent
         self._identity = identity
         self._peers = {peer.host: peer for peer in peers}
         self._hosts_by_key = {
@@ -357,7 +357,7 @@
         self._context.destroy(linger=0)
 
 
-def _note_nothing(_host: ids.HostId, _body: bytes, _size: int) -> None:
+def _ignore_sent(_host: ids.HostId, _body: bytes, _size: int) -> None:
     return
 
 
