--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -188,7 +188,7 @@
         try:
             async with clocks.timeout_ms(timeout_ms):
                 await _send_when_connected(dealer, frame)
-                self._note_sent(host, body, frame)
+                self._record_sent(host, body, frame)
                 return await future
         except TimeoutError as error:
             raise errors.MaybeSentError(f'no answer from {host}') from error
@@ -209,10 +209,12 @@
         except (zmq.ZMQError, errors.NotSentError):
             logger.debug('tell_dropped', peer=host)
             return 0
-        self._note_sent(host, body, frame)
+        self._record_sent(host, body, frame)
         return len(frame)
 
-    def _note_sent(self, host: ids.HostId, body: bytes, frame: bytes) -> None:
+    def _record_sent(
+        self, host: ids.HostId, body: bytes, frame: bytes
+    ) -> None:
         self.sent_bytes += len(frame)
         self._on_sent(host, body, len(frame))
 
@@ -341,7 +343,7 @@
         frame = self._wrap(envelope.number, answer, envelope.good_for_ms)
         try:
             await self._router.send_multipart([route, frame], zmq.NOBLOCK)
-            self._note_sent(sender, answer, frame)
+            self._record_sent(sender, answer, frame)
         except zmq.ZMQError:
             logger.info('answer_dropped', peer=sender)
 
