--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -53,7 +53,7 @@
     """pyzmq queues a send behind one that waits, NOBLOCK or not."""
     waiting = asyncio.create_task(ends['a'].call('absent', b'x', 20_000))
     await asyncio.sleep(0.1)
-    await ends['a'].tell('absent', b'y')
+    await ends['a'].send_oneway('absent', b'y')
     assert not waiting.done()
     assert await ends['a'].call('b', b'z', 10_000) == b'a said z'
     waiting.cancel()
@@ -76,7 +76,7 @@
     """What was sent while it was away must not arrive when it is back."""
     one = ends['a']
     for _number in range(5):
-        await one.tell('absent', b'old')
+        await one.send_oneway('absent', b'old')
     with pytest.raises(errors.TransportError):
         await one.call('absent', b'old', 300)
     heard = []
--- a/tests/test_thawed_links.py
+++ b/tests/test_thawed_links.py
@@ -117,7 +117,7 @@
     sent = 0
     begun_bytes = relay.passed_bytes
     for _number in range(MESSAGES):
-        sent += await sender.tell(receiver, b'x' * 50)
+        sent += await sender.send_oneway(receiver, b'x' * 50)
         await asyncio.sleep(0.001)
     await nodes.until(lambda: relay.passed_bytes - begun_bytes >= sent)
 
--- a/wrenspoke/protocol/peers.py
+++ b/wrenspoke/protocol/peers.py
@@ -100,7 +100,9 @@
 
         It may be lost.
         """
-        return await self.links.tell(host, self._encoder.encode(message))
+        return await self.links.send_oneway(
+            host, self._encoder.encode(message)
+        )
 
     def _decode(self, body: bytes) -> Message:
         try:
--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -197,7 +197,7 @@
         finally:
             self._pending.pop(number, None)
 
-    async def tell(self, host: ids.HostId, body: bytes) -> int:
+    async def send_oneway(self, host: ids.HostId, body: bytes) -> int:
         """Send ``body`` without an answer; return the bytes sent.
 
         It is dropped, as 0 bytes, if nobody listens.
