--- a/wrenspoke/coordination/membership/host_pinger.py
+++ b/wrenspoke/coordination/membership/host_pinger.py
@@ -204,7 +204,7 @@
                 lost()
         remote.ping_task = None
         # Idle links would keep sending heartbeats between regions.
-        self._peers.links.forget(host)
+        self._peers.links.disconnect(host)
 
     def _is_used(self, remote: RemoteState) -> bool:
         age_ms = self._clock.mono_ms() - remote.last_used_ms
--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -245,7 +245,7 @@
             raise errors.NotSentError(f'unknown host {host}')
         return Peer(host, ip, int(port))
 
-    def forget(self, host: ids.HostId) -> None:
+    def disconnect(self, host: ids.HostId) -> None:
         """Close the link to a host that is gone."""
         dealer = self._dealers.pop(host, None)
         if dealer is None:
