--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -144,14 +144,14 @@
         _set_options(router, self._heartbeat_options)
         router.setsockopt(zmq.ROUTER_MANDATORY, 1)
         if self._identity.keyed:
-            self._ask_for_keys()
+            self._start_authenticator()
             router.curve_server = True
             self._show_key(router)
         router.bind(f'tcp://{ip}:{port}')
         self._router = router
         self._tasks.start(self._serve())
 
-    def _ask_for_keys(self) -> None:
+    def _start_authenticator(self) -> None:
         from zmq.auth import asyncio as auth
 
         self._authenticator = auth.AsyncioAuthenticator(self._context)
