--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -146,7 +146,7 @@
         if self._identity.keyed:
             self._start_authenticator()
             router.curve_server = True
-            self._show_key(router)
+            self._set_curve_keys(router)
         router.bind(f'tcp://{ip}:{port}')
         self._router = router
         self._tasks.start(self._serve())
@@ -160,7 +160,7 @@
             domain='*', credentials_provider=self
         )
 
-    def _show_key(self, opened: zmq.asyncio.Socket) -> None:
+    def _set_curve_keys(self, opened: zmq.asyncio.Socket) -> None:
         opened.curve_secretkey = self._identity.secret_key.encode()
         opened.curve_publickey = self._identity.public_key.encode()
 
@@ -228,7 +228,7 @@
         dealer.setsockopt(zmq.IMMEDIATE, 1)
         if self._identity.keyed:
             dealer.curve_serverkey = peer.public_key.encode()
-            self._show_key(dealer)
+            self._set_curve_keys(dealer)
         dealer.connect(f'tcp://{peer.ip}:{peer.port}')
         self._dealers[host] = dealer
         self._receivers[host] = self._tasks.start(self._receive(host, dealer))
