--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -288,14 +288,14 @@
                 continue
             payload = frames[1].bytes
             self.received_bytes += len(payload)
-            envelope = self._open(payload, self._shown_by(frames[1]))
+            envelope = self._open(payload, self._authenticated_host(frames[1]))
             if envelope is None:
                 continue
             self._tasks.start(
                 self._answer(frames[0].bytes, envelope), fatal=False
             )
 
-    def _shown_by(self, frame: zmq.Frame) -> ids.HostId | None:
+    def _authenticated_host(self, frame: zmq.Frame) -> ids.HostId | None:
         """Return whose key a message came with."""
         if not self._identity.keyed:
             return None
