--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -429,7 +429,7 @@
         for host in running.settings.hosts
     ]
     posing = links.Links(identity, peers, clocks.Clock(), None)
-    wrap = posing._wrap
+    wrap = posing._encode_envelope
 
     def wrapped(*arguments):
         envelope = msgspec.msgpack.decode(
@@ -438,7 +438,7 @@
         changed = msgspec.structs.replace(envelope, **change_envelope)
         return msgspec.msgpack.encode(changed)
 
-    posing._wrap = wrapped
+    posing._encode_envelope = wrapped
     try:
         with pytest.raises(errors.TransportError):
             await posing.call('control-1', b'x', 800)
--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -182,7 +182,7 @@
         dealer = self._dealer(host)
         self._number += 1
         number = self._number
-        frame = self._wrap(number, body, timeout_ms)
+        frame = self._encode_envelope(number, body, timeout_ms)
         future = asyncio.get_running_loop().create_future()
         self._pending[number] = future
         try:
@@ -204,7 +204,7 @@
         """
         try:
             dealer = self._dealer(host)
-            frame = self._wrap(NO_ANSWER, body, TELL_EXPIRY_MS)
+            frame = self._encode_envelope(NO_ANSWER, body, TELL_EXPIRY_MS)
             await dealer.send(frame, zmq.NOBLOCK)
         except (zmq.ZMQError, errors.NotSentError):
             logger.debug('tell_dropped', peer=host)
@@ -253,7 +253,9 @@
         dealer.close(linger=0)
         self._receivers.pop(host).cancel()
 
-    def _wrap(self, number: int, body: bytes, timeout_ms: float) -> bytes:
+    def _encode_envelope(
+        self, number: int, body: bytes, timeout_ms: float
+    ) -> bytes:
         return msgspec.msgpack.encode(
             Envelope(
                 self._identity.cluster,
@@ -340,7 +342,9 @@
         answer = await self._handler(sender, _unpacked(envelope.body))
         if answer is None or envelope.number == NO_ANSWER:
             return
-        frame = self._wrap(envelope.number, answer, envelope.good_for_ms)
+        frame = self._encode_envelope(
+            envelope.number, answer, envelope.good_for_ms
+        )
         try:
             await self._router.send_multipart([route, frame], zmq.NOBLOCK)
             self._record_sent(sender, answer, frame)
