--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -274,7 +274,7 @@
         while True:
             frame = await dealer.recv()
             self.received_bytes += len(frame)
-            envelope = self._open(frame, host)
+            envelope = self._decode_envelope(frame, host)
             if envelope is None:
                 continue
             future = self._pending.get(envelope.number)
@@ -290,7 +290,9 @@
                 continue
             payload = frames[1].bytes
             self.received_bytes += len(payload)
-            envelope = self._open(payload, self._authenticated_host(frames[1]))
+            envelope = self._decode_envelope(
+                payload, self._authenticated_host(frames[1])
+            )
             if envelope is None:
                 continue
             self._tasks.start(
@@ -303,7 +305,9 @@
             return None
         return self._hosts_by_key.get(frame.get('User-Id'))
 
-    def _open(self, frame: bytes, host: ids.HostId | None) -> Envelope | None:
+    def _decode_envelope(
+        self, frame: bytes, host: ids.HostId | None
+    ) -> Envelope | None:
         try:
             envelope = msgspec.msgpack.decode(frame, type=Envelope)
         except msgspec.DecodeError:
