--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -313,13 +313,13 @@
         except msgspec.DecodeError:
             logger.warning('message_refused', reason='malformed', peer=host)
             return None
-        reason = self._refusal(envelope, host)
+        reason = self._rejection_reason(envelope, host)
         if reason is None:
             return envelope
         logger.warning('message_refused', reason=reason, peer=envelope.sender)
         return None
 
-    def _refusal(
+    def _rejection_reason(
         self, envelope: Envelope, host: ids.HostId | None
     ) -> str | None:
         if envelope.cluster != self._identity.cluster:
