--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -231,7 +231,9 @@
             self._set_curve_keys(dealer)
         dealer.connect(f'tcp://{peer.ip}:{peer.port}')
         self._dealers[host] = dealer
-        self._receivers[host] = self._tasks.start(self._receive(host, dealer))
+        self._receivers[host] = self._tasks.start(
+            self._receive_replies(host, dealer)
+        )
         return dealer
 
     def _peer(self, host: ids.HostId) -> Peer:
@@ -268,7 +270,7 @@
             )
         )
 
-    async def _receive(
+    async def _receive_replies(
         self, host: ids.HostId, dealer: zmq.asyncio.Socket
     ) -> None:
         while True:
