--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -149,7 +149,7 @@
             self._set_curve_keys(router)
         router.bind(f'tcp://{ip}:{port}')
         self._router = router
-        self._tasks.start(self._serve())
+        self._tasks.start(self._serve_requests())
 
     def _start_authenticator(self) -> None:
         from zmq.auth import asyncio as auth
@@ -284,7 +284,7 @@
                 continue
             future.set_result(_unpacked(envelope.body))
 
-    async def _serve(self) -> None:
+    async def _serve_requests(self) -> None:
         while True:
             frames = await self._router.recv_multipart(copy=False)
             if len(frames) != 2:
