--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -298,7 +298,7 @@
             if envelope is None:
                 continue
             self._tasks.start(
-                self._answer(frames[0].bytes, envelope), fatal=False
+                self._handle_request(frames[0].bytes, envelope), fatal=False
             )
 
     def _authenticated_host(self, frame: zmq.Frame) -> ids.HostId | None:
@@ -343,7 +343,7 @@
             self._offsets_ms[key] = quickest_ms = offset_ms
         return offset_ms - quickest_ms
 
-    async def _answer(self, route: bytes, envelope: Envelope) -> None:
+    async def _handle_request(self, route: bytes, envelope: Envelope) -> None:
         sender = ids.HostId(envelope.sender)
         answer = await self._handler(sender, _unpacked(envelope.body))
         if answer is None or envelope.number == NO_ANSWER:
