--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -222,7 +222,7 @@
         dealer = self._dealers.get(host)
         if dealer is not None:
             return dealer
-        peer = self._peer(host)
+        peer = self._find_peer(host)
         dealer = self._context.socket(zmq.DEALER)
         _set_options(dealer, self._heartbeat_options)
         dealer.setsockopt(zmq.IMMEDIATE, 1)
@@ -236,7 +236,7 @@
         )
         return dealer
 
-    def _peer(self, host: ids.HostId) -> Peer:
+    def _find_peer(self, host: ids.HostId) -> Peer:
         """Return where a host listens; a name without a key tells it."""
         peer = self._peers.get(host)
         if peer is not None:
