--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -179,7 +179,7 @@
         :raises NotSentError: the host is unknown or not connected
         :raises MaybeSentError: no answer came within ``timeout_ms``
         """
-        dealer = self._dealer(host)
+        dealer = self._get_or_connect(host)
         self._number += 1
         number = self._number
         frame = self._encode_envelope(number, body, timeout_ms)
@@ -203,7 +203,7 @@
         It is dropped, as 0 bytes, if nobody listens.
         """
         try:
-            dealer = self._dealer(host)
+            dealer = self._get_or_connect(host)
             frame = self._encode_envelope(NO_ANSWER, body, TELL_EXPIRY_MS)
             await dealer.send(frame, zmq.NOBLOCK)
         except (zmq.ZMQError, errors.NotSentError):
@@ -218,7 +218,7 @@
         self.sent_bytes += len(frame)
         self._on_sent(host, body, len(frame))
 
-    def _dealer(self, host: ids.HostId) -> zmq.asyncio.Socket:
+    def _get_or_connect(self, host: ids.HostId) -> zmq.asyncio.Socket:
         dealer = self._dealers.get(host)
         if dealer is not None:
             return dealer
