--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -211,7 +211,7 @@
     """Receive a message that was sent before the suspension."""
     made = links.Links.__new__(links.Links)
     made._clock = clock
-    made._offsets_ms = {}
+    made._min_offsets_ms = {}
 
     def envelope(sent_ms):
         return links.Envelope('c', 'h', 'epoch', 0, sent_ms, 2_000, b'')
@@ -283,7 +283,7 @@
     made._clock = types.SimpleNamespace(
         mono_ms=lambda: machine._boot_ms + 5_000
     )
-    made._offsets_ms = {}
+    made._min_offsets_ms = {}
 
     def age_ms():
         sent = links.Envelope('c', 'h', 'epoch', 0, sender.mono_ms(), 1, b'')
--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -125,7 +125,7 @@
         self._clock = clock
         self._handler = handler
         self._heartbeat_options = heartbeat_options
-        self._offsets_ms: dict[tuple[str, str], int] = {}
+        self._min_offsets_ms: dict[tuple[str, str], int] = {}
         self._epoch = ids.new_unique()
         self._context = zmq.asyncio.Context()
         self._authenticator = None
@@ -336,11 +336,11 @@
         """Return how much longer it took than the quickest before it."""
         key = (envelope.sender, envelope.epoch)
         offset_ms = self._clock.mono_ms() - envelope.sent_ms
-        quickest_ms = self._offsets_ms.get(key)
-        if quickest_ms is None and len(self._offsets_ms) >= KEPT_EPOCHS:
-            del self._offsets_ms[next(iter(self._offsets_ms))]
+        quickest_ms = self._min_offsets_ms.get(key)
+        if quickest_ms is None and len(self._min_offsets_ms) >= KEPT_EPOCHS:
+            del self._min_offsets_ms[next(iter(self._min_offsets_ms))]
         if quickest_ms is None or offset_ms < quickest_ms:
-            self._offsets_ms[key] = quickest_ms = offset_ms
+            self._min_offsets_ms[key] = quickest_ms = offset_ms
         return offset_ms - quickest_ms
 
     async def _handle_request(self, route: bytes, envelope: Envelope) -> None:
