--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -265,7 +265,7 @@
     Switch(
         'host may pose as another',
         'wrenspoke/transport/links.py',
-        ('        if self._identity.keyed and envelope.sender != host:'),
+        ('        if self._identity.has_keys and envelope.sender != host:'),
         ('        if False:'),
         ('tests/test_control.py::test_invalid_envelopes_are_refused'),
     ),
--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -84,7 +84,7 @@
     secret_key: str | None = None
 
     @property
-    def keyed(self) -> bool:
+    def has_keys(self) -> bool:
         """Tell whether links show and ask for keys."""
         return self.secret_key is not None
 
@@ -143,7 +143,7 @@
         router = self._context.socket(zmq.ROUTER)
         _set_options(router, self._heartbeat_options)
         router.setsockopt(zmq.ROUTER_MANDATORY, 1)
-        if self._identity.keyed:
+        if self._identity.has_keys:
             self._start_authenticator()
             router.curve_server = True
             self._set_curve_keys(router)
@@ -226,7 +226,7 @@
         dealer = self._context.socket(zmq.DEALER)
         _set_options(dealer, self._heartbeat_options)
         dealer.setsockopt(zmq.IMMEDIATE, 1)
-        if self._identity.keyed:
+        if self._identity.has_keys:
             dealer.curve_serverkey = peer.public_key.encode()
             self._set_curve_keys(dealer)
         dealer.connect(f'tcp://{peer.ip}:{peer.port}')
@@ -243,7 +243,7 @@
             return peer
         ip, _, port = host.rpartition(':')
         digits = port.isascii() and port.isdigit()
-        if self._identity.keyed or not ip or not digits:
+        if self._identity.has_keys or not ip or not digits:
             raise errors.NotSentError(f'unknown host {host}')
         return Peer(host, ip, int(port))
 
@@ -303,7 +303,7 @@
 
     def _authenticated_host(self, frame: zmq.Frame) -> ids.HostId | None:
         """Return whose key a message came with."""
-        if not self._identity.keyed:
+        if not self._identity.has_keys:
             return None
         return self._hosts_by_key.get(frame.get('User-Id'))
 
@@ -326,7 +326,7 @@
     ) -> str | None:
         if envelope.cluster != self._identity.cluster:
             return 'other_cluster'
-        if self._identity.keyed and envelope.sender != host:
+        if self._identity.has_keys and envelope.sender != host:
             return 'key_of_another_host'
         if self._age_ms(envelope) > envelope.good_for_ms:
             return 'expired'
