--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -266,7 +266,7 @@
                 number,
                 self._clock.mono_ms(),
                 int(timeout_ms) + 1,
-                _packed(body),
+                _compress(body),
             )
         )
 
@@ -389,7 +389,7 @@
             await asyncio.sleep(CONNECT_POLL_S)
 
 
-def _packed(body: bytes) -> bytes:
+def _compress(body: bytes) -> bytes:
     if len(body) < COMPRESSED_FROM_BYTES:
         return PLAIN + body
     sample = body[-COMPRESSED_FROM_BYTES:]
