--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -282,7 +282,7 @@
             future = self._pending.get(envelope.number)
             if future is None or future.done():
                 continue
-            future.set_result(_unpacked(envelope.body))
+            future.set_result(_decompress(envelope.body))
 
     async def _serve_requests(self) -> None:
         while True:
@@ -345,7 +345,7 @@
 
     async def _handle_request(self, route: bytes, envelope: Envelope) -> None:
         sender = ids.HostId(envelope.sender)
-        answer = await self._handler(sender, _unpacked(envelope.body))
+        answer = await self._handler(sender, _decompress(envelope.body))
         if answer is None or envelope.number == NO_ANSWER:
             return
         frame = self._encode_envelope(
@@ -398,7 +398,7 @@
     return COMPRESSED + zlib.compress(body, COMPRESSION_LEVEL)
 
 
-def _unpacked(body: bytes) -> bytes:
+def _decompress(body: bytes) -> bytes:
     if body.startswith(COMPRESSED):
         return zlib.decompress(body[1:])
     return body[1:]
