--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -27,7 +27,7 @@
 
 logger = structlog.get_logger(__name__)
 
-HIGH_WATER_MARK = 64
+SEND_HIGH_WATER_MARK = 64
 # So many that libzmq goes on reading a link while a host is behind. Where one
 # ends that is not read, libzmq (4.3.5) ends the process as a heartbeat is due
 # there, or is found among what had been read. Some hundred bytes each; what
@@ -408,7 +408,7 @@
     opened: zmq.asyncio.Socket, heartbeat_options: HeartbeatOptions
 ) -> None:
     opened.setsockopt(zmq.LINGER, 0)
-    opened.setsockopt(zmq.SNDHWM, HIGH_WATER_MARK)
+    opened.setsockopt(zmq.SNDHWM, SEND_HIGH_WATER_MARK)
     opened.setsockopt(zmq.RCVHWM, RECEIVED_HIGH_WATER_MARK)
     opened.setsockopt(zmq.HEARTBEAT_IVL, heartbeat_options.heartbeat_ms)
     opened.setsockopt(zmq.HEARTBEAT_TIMEOUT, heartbeat_options.timeout_ms)
