--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -32,7 +32,7 @@
 # ends that is not read, libzmq (4.3.5) ends the process as a heartbeat is due
 # there, or is found among what had been read. Some hundred bytes each; what
 # comes late has expired and costs next to nothing.
-RECEIVED_HIGH_WATER_MARK = 20_000
+RECEIVE_HIGH_WATER_MARK = 20_000
 NO_ANSWER = 0
 CONNECT_POLL_S = 0.005
 TELL_EXPIRY_MS = 2000
@@ -409,7 +409,7 @@
 ) -> None:
     opened.setsockopt(zmq.LINGER, 0)
     opened.setsockopt(zmq.SNDHWM, SEND_HIGH_WATER_MARK)
-    opened.setsockopt(zmq.RCVHWM, RECEIVED_HIGH_WATER_MARK)
+    opened.setsockopt(zmq.RCVHWM, RECEIVE_HIGH_WATER_MARK)
     opened.setsockopt(zmq.HEARTBEAT_IVL, heartbeat_options.heartbeat_ms)
     opened.setsockopt(zmq.HEARTBEAT_TIMEOUT, heartbeat_options.timeout_ms)
     opened.setsockopt(zmq.MAXMSGSIZE, MESSAGE_LIMIT_BYTES)
