--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -33,7 +33,7 @@
 # there, or is found among what had been read. Some hundred bytes each; what
 # comes late has expired and costs next to nothing.
 RECEIVE_HIGH_WATER_MARK = 20_000
-NO_ANSWER = 0
+ONEWAY_NUMBER = 0
 CONNECT_POLL_S = 0.005
 TELL_EXPIRY_MS = 2000
 HEARTBEAT_IVL_MS = 2000
@@ -204,7 +204,7 @@
         """
         try:
             dealer = self._get_or_connect(host)
-            frame = self._encode_envelope(NO_ANSWER, body, TELL_EXPIRY_MS)
+            frame = self._encode_envelope(ONEWAY_NUMBER, body, TELL_EXPIRY_MS)
             await dealer.send(frame, zmq.NOBLOCK)
         except (zmq.ZMQError, errors.NotSentError):
             logger.debug('tell_dropped', peer=host)
@@ -346,7 +346,7 @@
     async def _handle_request(self, route: bytes, envelope: Envelope) -> None:
         sender = ids.HostId(envelope.sender)
         answer = await self._handler(sender, _decompress(envelope.body))
-        if answer is None or envelope.number == NO_ANSWER:
+        if answer is None or envelope.number == ONEWAY_NUMBER:
             return
         frame = self._encode_envelope(
             envelope.number, answer, envelope.good_for_ms
