--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -35,7 +35,7 @@
 RECEIVE_HIGH_WATER_MARK = 20_000
 ONEWAY_NUMBER = 0
 CONNECT_POLL_S = 0.005
-TELL_EXPIRY_MS = 2000
+ONEWAY_TTL_MS = 2000
 HEARTBEAT_IVL_MS = 2000
 HEARTBEAT_TIMEOUT_MS = 6000
 # Hosts that start together find each other within a fraction of their own
@@ -204,7 +204,7 @@
         """
         try:
             dealer = self._get_or_connect(host)
-            frame = self._encode_envelope(ONEWAY_NUMBER, body, TELL_EXPIRY_MS)
+            frame = self._encode_envelope(ONEWAY_NUMBER, body, ONEWAY_TTL_MS)
             await dealer.send(frame, zmq.NOBLOCK)
         except (zmq.ZMQError, errors.NotSentError):
             logger.debug('tell_dropped', peer=host)
