--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -41,7 +41,7 @@
 # Hosts that start together find each other within a fraction of their own
 # start of 0.3 s; one that stays away costs ten packets a second.
 RECONNECT_MS = 30
-LONGEST_RECONNECT_MS = 100
+MAX_RECONNECT_MS = 100
 MESSAGE_LIMIT_BYTES = 16 * 1024 * 1024
 # Tables of routes shrink to a tenth; shorter messages are not worth it.
 COMPRESSED_FROM_BYTES = 2_048
@@ -415,7 +415,7 @@
     opened.setsockopt(zmq.MAXMSGSIZE, MESSAGE_LIMIT_BYTES)
     opened.setsockopt(zmq.CONNECT_TIMEOUT, heartbeat_options.timeout_ms)
     opened.setsockopt(zmq.RECONNECT_IVL, RECONNECT_MS)
-    opened.setsockopt(zmq.RECONNECT_IVL_MAX, LONGEST_RECONNECT_MS)
+    opened.setsockopt(zmq.RECONNECT_IVL_MAX, MAX_RECONNECT_MS)
 
 
 def new_keys() -> tuple[str, str]:
