--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -42,7 +42,7 @@
 # start of 0.3 s; one that stays away costs ten packets a second.
 RECONNECT_MS = 30
 MAX_RECONNECT_MS = 100
-MESSAGE_LIMIT_BYTES = 16 * 1024 * 1024
+MAX_MESSAGE_BYTES = 16 * 1024 * 1024
 # Tables of routes shrink to a tenth; shorter messages are not worth it.
 COMPRESSED_FROM_BYTES = 2_048
 COMPRESSION_LEVEL = 1
@@ -412,7 +412,7 @@
     opened.setsockopt(zmq.RCVHWM, RECEIVE_HIGH_WATER_MARK)
     opened.setsockopt(zmq.HEARTBEAT_IVL, heartbeat_options.heartbeat_ms)
     opened.setsockopt(zmq.HEARTBEAT_TIMEOUT, heartbeat_options.timeout_ms)
-    opened.setsockopt(zmq.MAXMSGSIZE, MESSAGE_LIMIT_BYTES)
+    opened.setsockopt(zmq.MAXMSGSIZE, MAX_MESSAGE_BYTES)
     opened.setsockopt(zmq.CONNECT_TIMEOUT, heartbeat_options.timeout_ms)
     opened.setsockopt(zmq.RECONNECT_IVL, RECONNECT_MS)
     opened.setsockopt(zmq.RECONNECT_IVL_MAX, MAX_RECONNECT_MS)
