--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -44,7 +44,7 @@
 MAX_RECONNECT_MS = 100
 MAX_MESSAGE_BYTES = 16 * 1024 * 1024
 # Tables of routes shrink to a tenth; shorter messages are not worth it.
-COMPRESSED_FROM_BYTES = 2_048
+MIN_COMPRESS_BYTES = 2_048
 COMPRESSION_LEVEL = 1
 # A message whose end hardly shrinks was packed before it came here.
 DENSE = 0.9
@@ -390,9 +390,9 @@
 
 
 def _compress(body: bytes) -> bytes:
-    if len(body) < COMPRESSED_FROM_BYTES:
+    if len(body) < MIN_COMPRESS_BYTES:
         return PLAIN + body
-    sample = body[-COMPRESSED_FROM_BYTES:]
+    sample = body[-MIN_COMPRESS_BYTES:]
     if len(zlib.compress(sample, COMPRESSION_LEVEL)) > len(sample) * DENSE:
         return PLAIN + body
     return COMPRESSED + zlib.compress(body, COMPRESSION_LEVEL)
