--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -47,7 +47,7 @@
 MIN_COMPRESS_BYTES = 2_048
 COMPRESSION_LEVEL = 1
 # A message whose end hardly shrinks was packed before it came here.
-DENSE = 0.9
+MAX_COMPRESSION_RATIO = 0.9
 PLAIN, COMPRESSED = b'\0', b'\1'
 KEPT_EPOCHS = 4_096
 
@@ -393,7 +393,10 @@
     if len(body) < MIN_COMPRESS_BYTES:
         return PLAIN + body
     sample = body[-MIN_COMPRESS_BYTES:]
-    if len(zlib.compress(sample, COMPRESSION_LEVEL)) > len(sample) * DENSE:
+    if (
+        len(zlib.compress(sample, COMPRESSION_LEVEL))
+        > len(sample) * MAX_COMPRESSION_RATIO
+    ):
         return PLAIN + body
     return COMPRESSED + zlib.compress(body, COMPRESSION_LEVEL)
 
