--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -49,7 +49,7 @@
 # A message whose end hardly shrinks was packed before it came here.
 MAX_COMPRESSION_RATIO = 0.9
 PLAIN, COMPRESSED = b'\0', b'\1'
-KEPT_EPOCHS = 4_096
+MAX_TRACKED_EPOCHS = 4_096
 
 
 class Envelope(msgspec.Struct, array_like=True):
@@ -337,7 +337,10 @@
         key = (envelope.sender, envelope.epoch)
         offset_ms = self._clock.mono_ms() - envelope.sent_ms
         quickest_ms = self._min_offsets_ms.get(key)
-        if quickest_ms is None and len(self._min_offsets_ms) >= KEPT_EPOCHS:
+        if (
+            quickest_ms is None
+            and len(self._min_offsets_ms) >= MAX_TRACKED_EPOCHS
+        ):
             del self._min_offsets_ms[next(iter(self._min_offsets_ms))]
         if quickest_ms is None or offset_ms < quickest_ms:
             self._min_offsets_ms[key] = quickest_ms = offset_ms
