--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -28,7 +28,7 @@
 from wrenspoke import runtime
 from wrenspoke.state import quarantine
 from wrenspoke.transport import errors as transport_errors
-from wrenspoke.transport import reachable
+from wrenspoke.transport import port_probe
 
 logger = structlog.get_logger(__name__)
 
@@ -53,7 +53,7 @@
         peers: peer_calls.Peers,
         is_draining: IsDraining,
         clock: clocks.Clock,
-        probe: run_tracker.Probe = reachable.is_refused,
+        probe: run_tracker.Probe = port_probe.is_refused,
     ):
         self._replica = config_replica
         self._reporter = reporter
--- a/wrenspoke/coordination/quarantine/run_tracker.py
+++ b/wrenspoke/coordination/quarantine/run_tracker.py
@@ -15,7 +15,7 @@
 
 from wrenspoke import clock as clocks
 from wrenspoke import ids
-from wrenspoke.transport import reachable
+from wrenspoke.transport import port_probe
 
 logger = structlog.get_logger(__name__)
 
@@ -60,7 +60,7 @@
     """Distinguishes runs that crashed their endpoint from other failures."""
 
     def __init__(
-        self, clock: clocks.Clock, probe: Probe = reachable.is_refused
+        self, clock: clocks.Clock, probe: Probe = port_probe.is_refused
     ):
         self._clock = clock
         self._probe = probe
