--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -152,8 +152,8 @@
 async def test_only_refused_connection_counts_as_crash():
     with socket.create_server(('127.0.0.1', 0)) as listening:
         address = '127.0.0.1:{}'.format(listening.getsockname()[1])
-        assert not await port_probe.is_refused(address, 1_000)
-    assert await port_probe.is_refused(address, 1_000)
+        assert not await port_probe.is_connection_refused(address, 1_000)
+    assert await port_probe.is_connection_refused(address, 1_000)
 
 
 async def test_connect_timeout_is_not_a_crash():
@@ -167,7 +167,7 @@
             tried = opened.enter_context(socket.socket())
             tried.setblocking(False)
             tried.connect_ex((ip, port))
-        assert not await port_probe.is_refused(f'{ip}:{port}', 20)
+        assert not await port_probe.is_connection_refused(f'{ip}:{port}', 20)
 
 
 # Holds on one host.
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -53,7 +53,7 @@
         peers: peer_calls.Peers,
         is_draining: IsDraining,
         clock: clocks.Clock,
-        probe: run_tracker.Probe = port_probe.is_refused,
+        probe: run_tracker.Probe = port_probe.is_connection_refused,
     ):
         self._replica = config_replica
         self._reporter = reporter
--- a/wrenspoke/coordination/quarantine/run_tracker.py
+++ b/wrenspoke/coordination/quarantine/run_tracker.py
@@ -60,7 +60,9 @@
     """Distinguishes runs that crashed their endpoint from other failures."""
 
     def __init__(
-        self, clock: clocks.Clock, probe: Probe = port_probe.is_refused
+        self,
+        clock: clocks.Clock,
+        probe: Probe = port_probe.is_connection_refused,
     ):
         self._clock = clock
         self._probe = probe
--- a/wrenspoke/transport/port_probe.py
+++ b/wrenspoke/transport/port_probe.py
@@ -6,7 +6,7 @@
 from wrenspoke import clock as clocks
 
 
-async def is_refused(address: str, timeout_ms: int) -> bool:
+async def is_connection_refused(address: str, timeout_ms: int) -> bool:
     """Tell whether nobody listens at an ``IP:PORT``.
 
     A system that lives refuses connections for a program that has ended. No
