--- a/wrenspoke/standin/main.py
+++ b/wrenspoke/standin/main.py
@@ -10,7 +10,7 @@
 from wrenspoke import runtime
 from wrenspoke import settings
 from wrenspoke.standin import engine
-from wrenspoke.standin import lives
+from wrenspoke.standin import restartable
 from wrenspoke.standin import plain
 from wrenspoke.state import configuration
 
@@ -38,7 +38,7 @@
     deployment: settings.Deployment,
     names: list[str],
     model: engine.EngineModel,
-) -> dict[str, lives.Server]:
+) -> dict[str, restartable.Server]:
     """Start stand-ins; without names, for all endpoints."""
     servers = {}
     for endpoint in deployment.endpoints:
@@ -46,7 +46,7 @@
             continue
         address = urllib.parse.urlsplit(endpoint.url)
         standin = build(deployment, endpoint, model)
-        server = lives.Server(standin, address.hostname, address.port)
+        server = restartable.Server(standin, address.hostname, address.port)
         await server.start()
         servers[endpoint.endpoint] = server
     return servers
