--- a/wrenspoke/standin/main.py
+++ b/wrenspoke/standin/main.py
@@ -38,7 +38,7 @@
     deployment: settings.Deployment,
     names: list[str],
     model: engine.EngineModel,
-) -> dict[str, restartable.Server]:
+) -> dict[str, restartable.RestartableServer]:
     """Start stand-ins; without names, for all endpoints."""
     servers = {}
     for endpoint in deployment.endpoints:
@@ -46,7 +46,9 @@
             continue
         address = urllib.parse.urlsplit(endpoint.url)
         standin = build(deployment, endpoint, model)
-        server = restartable.Server(standin, address.hostname, address.port)
+        server = restartable.RestartableServer(
+            standin, address.hostname, address.port
+        )
         await server.start()
         servers[endpoint.endpoint] = server
     return servers
--- a/wrenspoke/standin/restartable.py
+++ b/wrenspoke/standin/restartable.py
@@ -8,7 +8,7 @@
 from wrenspoke.transport import web
 
 
-class Server:
+class RestartableServer:
     """Serve a stand-in at one IP number and port, life after life."""
 
     def __init__(
