--- a/wrenspoke/standin/restartable.py
+++ b/wrenspoke/standin/restartable.py
@@ -20,14 +20,14 @@
         self._server: web.HttpServer | None = None
         self._tasks = runtime.Tasks()
         if isinstance(standin, engine.Engine):
-            standin.end = self.end
+            standin.end = self.crash
 
     async def start(self) -> None:
         """Listen; the port must be free."""
         self._server = web.HttpServer(self._standin.application())
         await self._server.start(self._ip, self._port)
 
-    def end(self, back_after_ms: int) -> None:
+    def crash(self, back_after_ms: int) -> None:
         """Break all connections off, and listen again after a while."""
         if self._server is None:
             return
