--- a/wrenspoke/standin/restartable.py
+++ b/wrenspoke/standin/restartable.py
@@ -32,9 +32,9 @@
         if self._server is None:
             return
         ended, self._server = self._server, None
-        self._tasks.start(self._come_back(ended, back_after_ms))
+        self._tasks.start(self._restart(ended, back_after_ms))
 
-    async def _come_back(
+    async def _restart(
         self, ended: web.HttpServer, back_after_ms: int
     ) -> None:
         await ended.abort()
