--- a/wrenspoke/standin/main.py
+++ b/wrenspoke/standin/main.py
@@ -11,7 +11,7 @@
 from wrenspoke import settings
 from wrenspoke.standin import engine
 from wrenspoke.standin import restartable
-from wrenspoke.standin import plain
+from wrenspoke.standin import plain_service
 from wrenspoke.state import configuration
 
 logger = structlog.get_logger(__name__)
@@ -21,13 +21,13 @@
     deployment: settings.Deployment,
     endpoint: settings.EndpointSettings,
     model: engine.EngineModel,
-) -> engine.Engine | plain.Plain:
+) -> engine.Engine | plain_service.Plain:
     """Return the stand-in that fits an endpoint's service."""
     for service in deployment.services:
         if service.service != endpoint.service:
             continue
         if service.kind is configuration.ServiceKind.PLAIN:
-            return plain.Plain(endpoint.endpoint)
+            return plain_service.Plain(endpoint.endpoint)
     own = msgspec.structs.replace(
         model, slots=endpoint.slots, fenced=endpoint.fenced
     )
--- a/wrenspoke/standin/restartable.py
+++ b/wrenspoke/standin/restartable.py
@@ -4,7 +4,7 @@
 
 from wrenspoke import runtime
 from wrenspoke.standin import engine
-from wrenspoke.standin import plain
+from wrenspoke.standin import plain_service
 from wrenspoke.transport import web
 
 
@@ -12,7 +12,7 @@
     """Serve a stand-in at one IP number and port, life after life."""
 
     def __init__(
-        self, standin: engine.Engine | plain.Plain, ip: str, port: int
+        self, standin: engine.Engine | plain_service.Plain, ip: str, port: int
     ):
         self._standin = standin
         self._ip = ip
