--- a/wrenspoke/standin/main.py
+++ b/wrenspoke/standin/main.py
@@ -21,13 +21,13 @@
     deployment: settings.Deployment,
     endpoint: settings.EndpointSettings,
     model: engine.EngineModel,
-) -> engine.Engine | plain_service.Plain:
+) -> engine.Engine | plain_service.PlainService:
     """Return the stand-in that fits an endpoint's service."""
     for service in deployment.services:
         if service.service != endpoint.service:
             continue
         if service.kind is configuration.ServiceKind.PLAIN:
-            return plain_service.Plain(endpoint.endpoint)
+            return plain_service.PlainService(endpoint.endpoint)
     own = msgspec.structs.replace(
         model, slots=endpoint.slots, fenced=endpoint.fenced
     )
--- a/wrenspoke/standin/plain_service.py
+++ b/wrenspoke/standin/plain_service.py
@@ -12,7 +12,7 @@
 from wrenspoke.transport import web as transport_web
 
 
-class Plain:
+class PlainService:
     """Answer any method on any path, and tell what was run."""
 
     def __init__(self, name: str):
--- a/wrenspoke/standin/restartable.py
+++ b/wrenspoke/standin/restartable.py
@@ -12,7 +12,10 @@
     """Serve a stand-in at one IP number and port, life after life."""
 
     def __init__(
-        self, standin: engine.Engine | plain_service.Plain, ip: str, port: int
+        self,
+        standin: engine.Engine | plain_service.PlainService,
+        ip: str,
+        port: int,
     ):
         self._standin = standin
         self._ip = ip
