--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -8,7 +8,7 @@
 from wrenspoke import ids
 from wrenspoke.protocol import headers
 from wrenspoke.standin import engine
-from wrenspoke.standin import platform
+from wrenspoke.standin import host_list
 from wrenspoke.transport import web
 
 # More than an engine's slots.
@@ -118,7 +118,7 @@
 
 @pytest.mark.parametrize('hosts', [1, 3])
 async def test_platform_list_only_ever_adds_leaving(tmp_path, hosts):
-    listed = platform.Platform(lag_ms=100)
+    listed = host_list.Platform(lag_ms=100)
     server = web.HttpServer(listed.application())
     port = web.free_ports(1)[0]
     await server.start('127.0.0.1', port)
