--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -118,7 +118,7 @@
 
 @pytest.mark.parametrize('hosts', [1, 3])
 async def test_platform_list_only_ever_adds_leaving(tmp_path, hosts):
-    listed = host_list.Platform(lag_ms=100)
+    listed = host_list.HostListService(lag_ms=100)
     server = web.HttpServer(listed.application())
     port = web.free_ports(1)[0]
     await server.start('127.0.0.1', port)
--- a/wrenspoke/standin/host_list.py
+++ b/wrenspoke/standin/host_list.py
@@ -6,7 +6,7 @@
 import msgspec
 
 
-class Platform:
+class HostListService:
     """Tell which addresses are leaving, some time after it is so."""
 
     def __init__(self, lag_ms: int = 500):
