--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -132,7 +132,7 @@
         async with fleet.running(tmp_path, made) as running:
             url = running.endpoint_url('north-chat-1')
             address = url.removeprefix('http://')
-            listed.leave(address)
+            listed.mark_leaving(address)
 
             async def all_know():
                 for number in range(1, hosts + 1):
--- a/wrenspoke/standin/host_list.py
+++ b/wrenspoke/standin/host_list.py
@@ -20,7 +20,7 @@
         application.router.add_get('/hosts', self._hosts)
         return application
 
-    def leave(self, address: str) -> None:
+    def mark_leaving(self, address: str) -> None:
         """Say that a host is leaving; the list shows it later."""
         self._later(self._leaving.add, address)
 
