--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -141,7 +141,7 @@
                 return True
 
             await fleet.until(all_know, 'every host to avoid it')
-            listed.stay(address)
+            listed.clear_leaving(address)
             await asyncio.sleep(2.5)
             for number in range(1, hosts + 1):
                 assert await _avoids(running, f'north-{number}')
--- a/wrenspoke/standin/host_list.py
+++ b/wrenspoke/standin/host_list.py
@@ -24,7 +24,7 @@
         """Say that a host is leaving; the list shows it later."""
         self._later(self._leaving.add, address)
 
-    def stay(self, address: str) -> None:
+    def clear_leaving(self, address: str) -> None:
         """Say that a host lives, as a wrong list would."""
         self._later(self._leaving.discard, address)
 
