--- a/wrenspoke/standin/host_list.py
+++ b/wrenspoke/standin/host_list.py
@@ -22,13 +22,13 @@
 
     def mark_leaving(self, address: str) -> None:
         """Say that a host is leaving; the list shows it later."""
-        self._later(self._leaving.add, address)
+        self._apply_after_lag(self._leaving.add, address)
 
     def clear_leaving(self, address: str) -> None:
         """Say that a host lives, as a wrong list would."""
-        self._later(self._leaving.discard, address)
+        self._apply_after_lag(self._leaving.discard, address)
 
-    def _later(self, function, address: str) -> None:
+    def _apply_after_lag(self, function, address: str) -> None:
         loop = asyncio.get_running_loop()
         loop.call_later(self._lag_ms / 1000, function, address)
 
