--- a/wrenspoke/demo.py
+++ b/wrenspoke/demo.py
@@ -119,7 +119,7 @@
         keys.make(path)
         deployment = settings.read(path)
         folder = path.parent / deployment.keys_folder
-        model = engine.EngineModel(token_ms=30)
+        model = engine.EngineProfile(token_ms=30)
         servers = await standins.start(deployment, [], model)
         controld.found(path, CONTROL)
         control = controld.ControlDaemon(deployment, CONTROL, path.parent)
--- a/wrenspoke/standin/engine.py
+++ b/wrenspoke/standin/engine.py
@@ -27,7 +27,7 @@
 DEFAULT_TOKENS = 16
 
 
-class EngineModel(msgspec.Struct):
+class EngineProfile(msgspec.Struct):
     """Set how fast a stand-in engine is and how much it remembers."""
 
     slots: int = 8
@@ -78,7 +78,7 @@
 class Engine:
     """Serve one engine's HTTP surface."""
 
-    def __init__(self, name: str, model: EngineModel, models: list[str]):
+    def __init__(self, name: str, model: EngineProfile, models: list[str]):
         self.name = name
         self.model = model
         self.faults = faults.Faults()
--- a/wrenspoke/standin/main.py
+++ b/wrenspoke/standin/main.py
@@ -20,7 +20,7 @@
 def build(
     deployment: settings.Deployment,
     endpoint: settings.EndpointSettings,
-    model: engine.EngineModel,
+    model: engine.EngineProfile,
 ) -> engine.Engine | plain_service.PlainService:
     """Return the stand-in that fits an endpoint's service."""
     for service in deployment.services:
@@ -37,7 +37,7 @@
 async def start(
     deployment: settings.Deployment,
     names: list[str],
-    model: engine.EngineModel,
+    model: engine.EngineProfile,
 ) -> dict[str, restartable.RestartableServer]:
     """Start stand-ins; without names, for all endpoints."""
     servers = {}
@@ -57,7 +57,7 @@
 async def serve(arguments: argparse.Namespace) -> None:
     """Run until told to stop."""
     deployment = settings.read(arguments.settings)
-    model = msgspec.json.decode(arguments.model, type=engine.EngineModel)
+    model = msgspec.json.decode(arguments.model, type=engine.EngineProfile)
     servers = await start(deployment, arguments.endpoint, model)
     logger.info('standins_started', count=len(servers))
     await runtime.wait_for_stop()
