--- a/wrenspoke/standin/engine.py
+++ b/wrenspoke/standin/engine.py
@@ -80,7 +80,7 @@
 
     def __init__(self, name: str, model: EngineProfile, models: list[str]):
         self.name = name
-        self.model = model
+        self.profile = model
         self.faults = faults.Faults()
         self.models = list(models)
         self.adapters: list[str] = []
@@ -142,7 +142,7 @@
             return self._plain_status(name)
         if self.faults.retry_after_text:
             return _unavailable(name, self.faults.retry_after_text)
-        if self._waiting >= self.model.queue_limit:
+        if self._waiting >= self.profile.queue_limit:
             return _unavailable(name, '1')
         stream = self._begin(request, body, name)
         self._end_if_fatal(raw)
@@ -204,7 +204,7 @@
                 self._note_load()
 
     async def _work(self, stream: _Stream, session: str | None) -> None:
-        crowd = 1 + self.model.crowding * self._running / self.model.slots
+        crowd = 1 + self.profile.crowding * self._running / self.profile.slots
         crowd *= self.faults.slow_factor
         first_ms = self._first_ms(session)
         await asyncio.sleep(first_ms * crowd / 1000)
@@ -213,7 +213,7 @@
             self.tokens += 1
             async with stream.grown:
                 stream.grown.notify_all()
-            await asyncio.sleep(self.model.token_ms * crowd / 1000)
+            await asyncio.sleep(self.profile.token_ms * crowd / 1000)
 
     def _abandoned(self, stream: _Stream) -> bool:
         if stream.cancelled:
@@ -224,13 +224,15 @@
 
     def _first_ms(self, session: str | None) -> float:
         if session is None:
-            return self.model.cold_first_ms
+            return self.profile.cold_first_ms
         warm = session in self._cache
         self._cache[session] = None
         self._cache.move_to_end(session)
-        if len(self._cache) > self.model.cached_sessions:
+        if len(self._cache) > self.profile.cached_sessions:
             self._cache.popitem(last=False)
-        return self.model.warm_first_ms if warm else self.model.cold_first_ms
+        return (
+            self.profile.warm_first_ms if warm else self.profile.cold_first_ms
+        )
 
     async def _send_stream(
         self, request: web.Request, stream: _Stream, after: int
@@ -344,7 +346,7 @@
         self._reports.append((time.monotonic(), self._running, self._waiting))
 
     async def _load(self, request: web.Request) -> web.Response:
-        lag_s = self.model.report_lag_ms / 1000
+        lag_s = self.profile.report_lag_ms / 1000
         seen = time.monotonic() - lag_s
         running = waiting = 0
         while len(self._reports) > 1 and self._reports[1][0] <= seen:
@@ -356,7 +358,7 @@
             {
                 'running': running,
                 'waiting': waiting,
-                'age_ms': self.model.report_lag_ms,
+                'age_ms': self.profile.report_lag_ms,
             },
         )
 
@@ -376,14 +378,14 @@
     async def _order(self, request: web.Request) -> web.Response:
         number = int(request.headers.get(headers.FENCE, '0'))
         order = msgspec.json.decode(await request.read())
-        if self.model.fenced and number < self.fence:
+        if self.profile.fenced and number < self.fence:
             return self._json(
                 request, {'refused': 'old number', 'fence': self.fence}, 409
             )
         self.fence = max(self.fence, number)
         self.orders.append({'number': number, **order})
         if order.get('kind') == 'load':
-            await asyncio.sleep(self.model.load_model_ms / 1000)
+            await asyncio.sleep(self.profile.load_model_ms / 1000)
         self._carry_out(order)
         return self._json(request, {'done': True, 'fence': self.fence})
 
