--- a/wrenspoke/standin/engine.py
+++ b/wrenspoke/standin/engine.py
@@ -78,9 +78,9 @@
 class Engine:
     """Serve one engine's HTTP surface."""
 
-    def __init__(self, name: str, model: EngineProfile, models: list[str]):
+    def __init__(self, name: str, profile: EngineProfile, models: list[str]):
         self.name = name
-        self.profile = model
+        self.profile = profile
         self.faults = faults.Faults()
         self.models = list(models)
         self.adapters: list[str] = []
@@ -98,7 +98,7 @@
         )
         self._running = 0
         self._waiting = 0
-        self._slots = asyncio.Semaphore(model.slots)
+        self._slots = asyncio.Semaphore(profile.slots)
         self._cache: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
