--- a/wrenspoke/standin/main.py
+++ b/wrenspoke/standin/main.py
@@ -20,7 +20,7 @@
 def build(
     deployment: settings.Deployment,
     endpoint: settings.EndpointSettings,
-    model: engine.EngineProfile,
+    profile: engine.EngineProfile,
 ) -> engine.Engine | plain_service.PlainService:
     """Return the stand-in that fits an endpoint's service."""
     for service in deployment.services:
@@ -29,7 +29,7 @@
         if service.kind is configuration.ServiceKind.PLAIN:
             return plain_service.PlainService(endpoint.endpoint)
     own = msgspec.structs.replace(
-        model, slots=endpoint.slots, fenced=endpoint.fenced
+        profile, slots=endpoint.slots, fenced=endpoint.fenced
     )
     return engine.Engine(endpoint.endpoint, own, list(endpoint.models))
 
