--- a/wrenspoke/standin/main.py
+++ b/wrenspoke/standin/main.py
@@ -37,7 +37,7 @@
 async def start(
     deployment: settings.Deployment,
     names: list[str],
-    model: engine.EngineProfile,
+    profile: engine.EngineProfile,
 ) -> dict[str, restartable.RestartableServer]:
     """Start stand-ins; without names, for all endpoints."""
     servers = {}
@@ -45,7 +45,7 @@
         if names and endpoint.endpoint not in names:
             continue
         address = urllib.parse.urlsplit(endpoint.url)
-        standin = build(deployment, endpoint, model)
+        standin = build(deployment, endpoint, profile)
         server = restartable.RestartableServer(
             standin, address.hostname, address.port
         )
