--- a/wrenspoke/standin/main.py
+++ b/wrenspoke/standin/main.py
@@ -57,8 +57,8 @@
 async def serve(arguments: argparse.Namespace) -> None:
     """Run until told to stop."""
     deployment = settings.read(arguments.settings)
-    model = msgspec.json.decode(arguments.model, type=engine.EngineProfile)
-    servers = await start(deployment, arguments.endpoint, model)
+    profile = msgspec.json.decode(arguments.model, type=engine.EngineProfile)
+    servers = await start(deployment, arguments.endpoint, profile)
     logger.info('standins_started', count=len(servers))
     await runtime.wait_for_stop()
     for server in servers.values():
