--- a/wrenspoke/standin/engine.py
+++ b/wrenspoke/standin/engine.py
@@ -21,7 +21,7 @@
 
 logger = structlog.get_logger(__name__)
 
-KEPT_STREAMS = 2_048
+MAX_STREAMS = 2_048
 KEPT_ARRIVALS = 4_096
 RESUME_GRACE_S = 2.0
 DEFAULT_TOKENS = 16
@@ -186,7 +186,7 @@
         request_id = request.headers.get(headers.REQUEST, name)
         self.runs[request_id] += 1
         self._streams[request_id] = stream
-        if len(self._streams) > KEPT_STREAMS:
+        if len(self._streams) > MAX_STREAMS:
             self._streams.popitem(last=False)
         return stream
 
