--- a/wrenspoke/standin/engine.py
+++ b/wrenspoke/standin/engine.py
@@ -22,7 +22,7 @@
 logger = structlog.get_logger(__name__)
 
 MAX_STREAMS = 2_048
-KEPT_ARRIVALS = 4_096
+MAX_ARRIVALS = 4_096
 RESUME_GRACE_S = 2.0
 DEFAULT_TOKENS = 16
 
@@ -94,7 +94,7 @@
         self.end: collections.abc.Callable[[int], None] | None = None
         self.ends = 0
         self._arrivals_s: collections.deque[float] = collections.deque(
-            maxlen=KEPT_ARRIVALS
+            maxlen=MAX_ARRIVALS
         )
         self._running = 0
         self._waiting = 0
