--- a/wrenspoke/standin/engine.py
+++ b/wrenspoke/standin/engine.py
@@ -49,7 +49,7 @@
         self.name = name
         self.model = model
         self.words = words
-        self.first = first
+        self.start_index = first
         self.made = first
         self.cancelled = False
         self.grown = asyncio.Condition()
@@ -153,7 +153,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         if body.get('stream'):
-            return await self._send_stream(request, stream, stream.first)
+            return await self._send_stream(request, stream, stream.start_index)
         return await self._send_whole(request, stream, task)
 
     def _end_if_fatal(self, raw: bytes) -> None:
@@ -292,7 +292,7 @@
         self, request: web.Request, stream: _Stream, task: asyncio.Task
     ) -> web.Response:
         await asyncio.shield(task)
-        text = ''.join(stream.words[stream.first :])
+        text = ''.join(stream.words[stream.start_index :])
         answer = {
             'id': stream.name,
             'object': 'chat.completion',
