--- a/wrenspoke/standin/engine.py
+++ b/wrenspoke/standin/engine.py
@@ -50,14 +50,14 @@
         self.model = model
         self.words = words
         self.start_index = first
-        self.made = first
+        self.generated_count = first
         self.cancelled = False
         self.grown = asyncio.Condition()
         self.left_at: float | None = None
 
     @property
     def finished(self) -> bool:
-        return self.made >= len(self.words)
+        return self.generated_count >= len(self.words)
 
 
 def answer_words(messages: list[dict], count: int) -> list[str]:
