--- a/wrenspoke/standin/engine.py
+++ b/wrenspoke/standin/engine.py
@@ -52,7 +52,7 @@
         self.start_index = first
         self.generated_count = first
         self.cancelled = False
-        self.grown = asyncio.Condition()
+        self.progress = asyncio.Condition()
         self.left_at: float | None = None
 
     @property
@@ -211,8 +211,8 @@
         while not stream.finished and not self._abandoned(stream):
             stream.made += 1
             self.tokens += 1
-            async with stream.grown:
-                stream.grown.notify_all()
+            async with stream.progress:
+                stream.progress.notify_all()
             await asyncio.sleep(self.profile.token_ms * crowd / 1000)
 
     def _abandoned(self, stream: _Stream) -> bool:
@@ -247,8 +247,8 @@
         sent = after
         try:
             while sent < len(stream.words):
-                async with stream.grown:
-                    await stream.grown.wait_for(
+                async with stream.progress:
+                    await stream.progress.wait_for(
                         lambda: stream.made > sent or stream.cancelled
                     )
                 if stream.cancelled:
@@ -336,8 +336,8 @@
         if stream is not None:
             stream.cancelled = True
             self.cancels += 1
-            async with stream.grown:
-                stream.grown.notify_all()
+            async with stream.progress:
+                stream.progress.notify_all()
         return web.Response(
             status=204, headers={headers.ECHO: self._echo(request)}
         )
