--- a/wrenspoke/standin/engine.py
+++ b/wrenspoke/standin/engine.py
@@ -53,7 +53,7 @@
         self.generated_count = first
         self.cancelled = False
         self.progress = asyncio.Condition()
-        self.left_at: float | None = None
+        self.disconnected_at: float | None = None
 
     @property
     def finished(self) -> bool:
@@ -218,9 +218,9 @@
     def _abandoned(self, stream: _Stream) -> bool:
         if stream.cancelled:
             return True
-        if stream.left_at is None:
+        if stream.disconnected_at is None:
             return False
-        return time.monotonic() - stream.left_at > RESUME_GRACE_S
+        return time.monotonic() - stream.disconnected_at > RESUME_GRACE_S
 
     def _first_ms(self, session: str | None) -> float:
         if session is None:
@@ -257,7 +257,7 @@
                 sent += 1
                 await response.write(self._chunk(stream, sent))
                 if self._breaks(sent - after):
-                    stream.left_at = time.monotonic()
+                    stream.disconnected_at = time.monotonic()
                     if self.faults.end_early:
                         await response.write_eof()
                     else:
@@ -266,7 +266,7 @@
             await response.write(sse.encode(sse.SseEvent(data=sse.DONE)))
             await response.write_eof()
         except (ConnectionError, asyncio.CancelledError):
-            stream.left_at = time.monotonic()
+            stream.disconnected_at = time.monotonic()
             raise
         return response
 
@@ -327,7 +327,7 @@
             return web.Response(
                 status=404, headers={headers.ECHO: self._echo(request)}
             )
-        stream.left_at = None
+        stream.disconnected_at = None
         after = int(request.headers.get(headers.LAST_EVENT_ID, '0'))
         return await self._send_stream(request, stream, after)
 
