--- a/wrenspoke/standin/engine.py
+++ b/wrenspoke/standin/engine.py
@@ -91,7 +91,7 @@
         self.tokens = 0
         self.cancels = 0
         # What ends this engine for a while, and how often that was done.
-        self.end: collections.abc.Callable[[int], None] | None = None
+        self.on_crash: collections.abc.Callable[[int], None] | None = None
         self.ends = 0
         self._arrivals_s: collections.deque[float] = collections.deque(
             maxlen=MAX_ARRIVALS
@@ -158,14 +158,14 @@
 
     def _end_if_fatal(self, raw: bytes) -> None:
         fatal = self.faults.fatal_text
-        if not fatal or fatal.encode() not in raw or self.end is None:
+        if not fatal or fatal.encode() not in raw or self.on_crash is None:
             return
         loop = asyncio.get_running_loop()
         loop.call_later(self.faults.fatal_after_ms / 1000, self._end)
 
     def _end(self) -> None:
         self.ends += 1
-        self.end(self.faults.back_after_ms)
+        self.on_crash(self.faults.back_after_ms)
 
     def _plain_status(self, name: str) -> web.Response:
         return web.Response(
