--- a/wrenspoke/standin/engine.py
+++ b/wrenspoke/standin/engine.py
@@ -92,7 +92,7 @@
         self.cancels = 0
         # What ends this engine for a while, and how often that was done.
         self.on_crash: collections.abc.Callable[[int], None] | None = None
-        self.ends = 0
+        self.crash_count = 0
         self._arrivals_s: collections.deque[float] = collections.deque(
             maxlen=MAX_ARRIVALS
         )
@@ -164,7 +164,7 @@
         loop.call_later(self.faults.fatal_after_ms / 1000, self._end)
 
     def _end(self) -> None:
-        self.ends += 1
+        self.crash_count += 1
         self.on_crash(self.faults.back_after_ms)
 
     def _plain_status(self, name: str) -> web.Response:
@@ -409,7 +409,7 @@
                 'orders': self.orders,
                 'tokens': self.tokens,
                 'cancels': self.cancels,
-                'ends': self.ends,
+                'ends': self.crash_count,
                 'arrivals_s': list(self._arrivals_s),
             },
         )
