--- a/wrenspoke/standin/engine.py
+++ b/wrenspoke/standin/engine.py
@@ -161,9 +161,9 @@
         if not fatal or fatal.encode() not in raw or self.on_crash is None:
             return
         loop = asyncio.get_running_loop()
-        loop.call_later(self.faults.fatal_after_ms / 1000, self._end)
+        loop.call_later(self.faults.fatal_after_ms / 1000, self._crash)
 
-    def _end(self) -> None:
+    def _crash(self) -> None:
         self.crash_count += 1
         self.on_crash(self.faults.back_after_ms)
 
