--- a/wrenspoke/standin/engine.py
+++ b/wrenspoke/standin/engine.py
@@ -145,7 +145,7 @@
         if self._waiting >= self.profile.queue_limit:
             return _unavailable(name, '1')
         stream = self._begin(request, body, name)
-        self._end_if_fatal(raw)
+        self._crash_if_fatal(raw)
         session = request.headers.get(headers.SESSION) or body.get('user')
         task = asyncio.get_running_loop().create_task(
             self._generate(stream, session)
@@ -156,7 +156,7 @@
             return await self._send_stream(request, stream, stream.start_index)
         return await self._send_whole(request, stream, task)
 
-    def _end_if_fatal(self, raw: bytes) -> None:
+    def _crash_if_fatal(self, raw: bytes) -> None:
         fatal = self.faults.fatal_text
         if not fatal or fatal.encode() not in raw or self.on_crash is None:
             return
