--- a/wrenspoke/standin/engine.py
+++ b/wrenspoke/standin/engine.py
@@ -144,7 +144,7 @@
             return _unavailable(name, self.faults.retry_after_text)
         if self._waiting >= self.profile.queue_limit:
             return _unavailable(name, '1')
-        stream = self._begin(request, body, name)
+        stream = self._create_stream(request, body, name)
         self._crash_if_fatal(raw)
         session = request.headers.get(headers.SESSION) or body.get('user')
         task = asyncio.get_running_loop().create_task(
@@ -174,7 +174,9 @@
             text='fault',
         )
 
-    def _begin(self, request: web.Request, body: dict, name: str) -> _Stream:
+    def _create_stream(
+        self, request: web.Request, body: dict, name: str
+    ) -> _Stream:
         messages = body['messages']
         said = 0
         if body.get('continue_final_message'):
