--- a/wrenspoke/standin/engine.py
+++ b/wrenspoke/standin/engine.py
@@ -200,12 +200,14 @@
             self._running += 1
             self._note_load()
             try:
-                await self._work(stream, session)
+                await self._generate_words(stream, session)
             finally:
                 self._running -= 1
                 self._note_load()
 
-    async def _work(self, stream: _Stream, session: str | None) -> None:
+    async def _generate_words(
+        self, stream: _Stream, session: str | None
+    ) -> None:
         crowd = 1 + self.profile.crowding * self._running / self.profile.slots
         crowd *= self.faults.slow_factor
         first_ms = self._first_ms(session)
