--- a/wrenspoke/standin/engine.py
+++ b/wrenspoke/standin/engine.py
@@ -212,14 +212,14 @@
         crowd *= self.faults.slow_factor
         first_ms = self._first_ms(session)
         await asyncio.sleep(first_ms * crowd / 1000)
-        while not stream.finished and not self._abandoned(stream):
+        while not stream.finished and not self._is_abandoned(stream):
             stream.made += 1
             self.tokens += 1
             async with stream.progress:
                 stream.progress.notify_all()
             await asyncio.sleep(self.profile.token_ms * crowd / 1000)
 
-    def _abandoned(self, stream: _Stream) -> bool:
+    def _is_abandoned(self, stream: _Stream) -> bool:
         if stream.cancelled:
             return True
         if stream.disconnected_at is None:
@@ -327,7 +327,7 @@
     async def _resume(self, request: web.Request) -> web.StreamResponse:
         self._arrivals_s.append(time.monotonic())
         stream = self._streams.get(request.match_info['request'])
-        if stream is None or self._abandoned(stream):
+        if stream is None or self._is_abandoned(stream):
             return web.Response(
                 status=404, headers={headers.ECHO: self._echo(request)}
             )
