--- a/wrenspoke/standin/engine.py
+++ b/wrenspoke/standin/engine.py
@@ -210,7 +210,7 @@
     ) -> None:
         crowd = 1 + self.profile.crowding * self._running / self.profile.slots
         crowd *= self.faults.slow_factor
-        first_ms = self._first_ms(session)
+        first_ms = self._first_token_ms(session)
         await asyncio.sleep(first_ms * crowd / 1000)
         while not stream.finished and not self._is_abandoned(stream):
             stream.made += 1
@@ -226,7 +226,7 @@
             return False
         return time.monotonic() - stream.disconnected_at > RESUME_GRACE_S
 
-    def _first_ms(self, session: str | None) -> float:
+    def _first_token_ms(self, session: str | None) -> float:
         if session is None:
             return self.profile.cold_first_ms
         warm = session in self._cache
