--- a/wrenspoke/standin/engine.py
+++ b/wrenspoke/standin/engine.py
@@ -260,7 +260,7 @@
                     return response
                 sent += 1
                 await response.write(self._chunk(stream, sent))
-                if self._breaks(sent - after):
+                if self._should_break(sent - after):
                     stream.disconnected_at = time.monotonic()
                     if self.faults.end_early:
                         await response.write_eof()
@@ -274,7 +274,7 @@
             raise
         return response
 
-    def _breaks(self, sent: int) -> bool:
+    def _should_break(self, sent: int) -> bool:
         broken = self.faults
         if not broken.break_times or sent != broken.break_after_events:
             return False
