--- a/wrenspoke/standin/engine.py
+++ b/wrenspoke/standin/engine.py
@@ -120,7 +120,7 @@
         router.add_delete('/v1/streams/{request}', self._cancel)
         router.add_get('/load', self._load)
         router.add_get('/state', self._state)
-        router.add_post('/orders', self._order)
+        router.add_post('/orders', self._handle_order)
         router.add_get('/runs', self._runs)
         router.add_post('/faults', self._set_faults)
         return application
@@ -379,7 +379,7 @@
             },
         )
 
-    async def _order(self, request: web.Request) -> web.Response:
+    async def _handle_order(self, request: web.Request) -> web.Response:
         number = int(request.headers.get(headers.FENCE, '0'))
         order = msgspec.json.decode(await request.read())
         if self.profile.fenced and number < self.fence:
