--- a/wrenspoke/standin/engine.py
+++ b/wrenspoke/standin/engine.py
@@ -390,10 +390,10 @@
         self.orders.append({'number': number, **order})
         if order.get('kind') == 'load':
             await asyncio.sleep(self.profile.load_model_ms / 1000)
-        self._carry_out(order)
+        self._apply_order(order)
         return self._json(request, {'done': True, 'fence': self.fence})
 
-    def _carry_out(self, order: dict) -> None:
+    def _apply_order(self, order: dict) -> None:
         kind = order['kind']
         if kind == 'role':
             self.role = order['role']
