--- a/wrenspoke/standin/engine.py
+++ b/wrenspoke/standin/engine.py
@@ -194,16 +194,16 @@
 
     async def _generate(self, stream: _Stream, session: str | None) -> None:
         self._waiting += 1
-        self._note_load()
+        self._record_load()
         async with self._slots:
             self._waiting -= 1
             self._running += 1
-            self._note_load()
+            self._record_load()
             try:
                 await self._generate_words(stream, session)
             finally:
                 self._running -= 1
-                self._note_load()
+                self._record_load()
 
     async def _generate_words(
         self, stream: _Stream, session: str | None
@@ -346,7 +346,7 @@
             status=204, headers={headers.ECHO: self._echo(request)}
         )
 
-    def _note_load(self) -> None:
+    def _record_load(self) -> None:
         self._reports.append((time.monotonic(), self._running, self._waiting))
 
     async def _load(self, request: web.Request) -> web.Response:
