--- a/wrenspoke/standin/engine.py
+++ b/wrenspoke/standin/engine.py
@@ -243,7 +243,7 @@
     ) -> web.StreamResponse:
         response = web.StreamResponse(
             headers={
-                headers.ECHO: self._echo(request),
+                headers.ECHO: self._echoed_request_id(request),
                 'Content-Type': 'text/event-stream',
             }
         )
@@ -312,14 +312,16 @@
         }
         body = msgspec.json.encode(answer)
         if self.faults.truncate:
-            return await truncated(request, body, self._echo(request))
+            return await truncated(
+                request, body, self._echoed_request_id(request)
+            )
         return web.Response(
             body=body,
             content_type='application/json',
-            headers={headers.ECHO: self._echo(request)},
+            headers={headers.ECHO: self._echoed_request_id(request)},
         )
 
-    def _echo(self, request: web.Request) -> str:
+    def _echoed_request_id(self, request: web.Request) -> str:
         if self.faults.crossed:
             return 'another/request'
         return request.headers.get(headers.ECHO, '')
@@ -329,7 +331,8 @@
         stream = self._streams.get(request.match_info['request'])
         if stream is None or self._is_abandoned(stream):
             return web.Response(
-                status=404, headers={headers.ECHO: self._echo(request)}
+                status=404,
+                headers={headers.ECHO: self._echoed_request_id(request)},
             )
         stream.disconnected_at = None
         after = int(request.headers.get(headers.LAST_EVENT_ID, '0'))
@@ -343,7 +346,8 @@
             async with stream.progress:
                 stream.progress.notify_all()
         return web.Response(
-            status=204, headers={headers.ECHO: self._echo(request)}
+            status=204,
+            headers={headers.ECHO: self._echoed_request_id(request)},
         )
 
     def _record_load(self) -> None:
@@ -431,7 +435,7 @@
             body=msgspec.json.encode(body),
             status=status,
             content_type='application/json',
-            headers={headers.ECHO: self._echo(request)},
+            headers={headers.ECHO: self._echoed_request_id(request)},
         )
 
 
