--- a/wrenspoke/standin/engine.py
+++ b/wrenspoke/standin/engine.py
@@ -312,7 +312,7 @@
         }
         body = msgspec.json.encode(answer)
         if self.faults.truncate:
-            return await truncated(
+            return await send_truncated(
                 request, body, self._echoed_request_id(request)
             )
         return web.Response(
@@ -439,7 +439,7 @@
         )
 
 
-async def truncated(
+async def send_truncated(
     request: web.Request, body: bytes, echo: str
 ) -> web.StreamResponse:
     """Send half of a body whose full length was stated, and close."""
--- a/wrenspoke/standin/plain_service.py
+++ b/wrenspoke/standin/plain_service.py
@@ -53,7 +53,7 @@
             }
         )
         if self.faults.truncate:
-            return await engine.truncated(request, answer, echo)
+            return await engine.send_truncated(request, answer, echo)
         return web.Response(
             body=answer,
             status=self.faults.status or 200,
