--- a/wrenspoke/standin/relay.py
+++ b/wrenspoke/standin/relay.py
@@ -19,8 +19,8 @@
 
     def __init__(self, target_ip: str, target_port: int):
         self._target = (target_ip, target_port)
-        self._open = asyncio.Event()
-        self._open.set()
+        self._link_up = asyncio.Event()
+        self._link_up.set()
         self._server: asyncio.Server | None = None
         self._tasks = runtime.Tasks()
         self._accepting: set[asyncio.Task] = set()
@@ -36,18 +36,18 @@
 
     def cut(self) -> None:
         """Hold back everything from now on."""
-        self._open.clear()
+        self._link_up.clear()
 
     def heal(self) -> None:
         """Let everything through again."""
-        self._open.set()
+        self._link_up.set()
 
     async def close(self) -> None:
         """End every connection."""
         if self._server is not None:
             self._server.close()
         self._closing = True
-        self._open.set()
+        self._link_up.set()
         await self._tasks.close()
         if self._accepting:
             await asyncio.wait(self._accepting)
@@ -58,7 +58,7 @@
         accepting = asyncio.current_task()
         self._accepting.add(accepting)
         accepting.add_done_callback(self._accepting.discard)
-        await self._open.wait()
+        await self._link_up.wait()
         if self._closing:
             writer.transport.abort()
             return
@@ -81,7 +81,7 @@
                 chunk = await reader.read(CHUNK_BYTES)
                 if self.delay_ms:
                     await asyncio.sleep(self.delay_ms / 1000)
-                await self._open.wait()
+                await self._link_up.wait()
                 if not chunk:
                     break
                 writer.write(chunk)
