--- a/wrenspoke/standin/relay.py
+++ b/wrenspoke/standin/relay.py
@@ -69,11 +69,11 @@
         except OSError:
             writer.transport.abort()
             return
-        there = self._tasks.start(self._pass(reader, target_writer), False)
-        back = self._tasks.start(self._pass(target_reader, writer), False)
+        there = self._tasks.start(self._forward(reader, target_writer), False)
+        back = self._tasks.start(self._forward(target_reader, writer), False)
         await asyncio.wait([there, back])
 
-    async def _pass(
+    async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         with contextlib.suppress(ConnectionError):
