--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -26,7 +26,7 @@
 from adapter import registrations  # noqa: E402
 from adapter import reports  # noqa: E402
 from adapter import routes as decoder  # noqa: E402
-from adapter import words  # noqa: E402
+from adapter import header_names  # noqa: E402
 
 ROUTE = {
     'name': 'r-1',
@@ -294,7 +294,7 @@
 
 
 def test_callers_cannot_give_engines_orders():
-    kept_back = words.DIALECT.kept_back()
+    kept_back = header_names.DIALECT.kept_back()
     for name in ('hold', 'pin-ms', 'kv-backup', 'kv-from', 'target-instance'):
         assert name in kept_back
 
--- a/wrenspoke/standin/engine.py
+++ b/wrenspoke/standin/engine.py
@@ -250,7 +250,7 @@
         await response.prepare(request)
         sent = after
         try:
-            while sent < len(stream.words):
+            while sent < len(stream.header_names):
                 async with stream.progress:
                     await stream.progress.wait_for(
                         lambda: stream.made > sent or stream.cancelled
@@ -282,7 +282,7 @@
         return True
 
     def _chunk(self, stream: _Stream, number: int) -> bytes:
-        word = stream.words[number - 1]
+        word = stream.header_names[number - 1]
         chunk = {
             'id': stream.name,
             'object': 'chat.completion.chunk',
@@ -296,7 +296,7 @@
         self, request: web.Request, stream: _Stream, task: asyncio.Task
     ) -> web.Response:
         await asyncio.shield(task)
-        text = ''.join(stream.words[stream.start_index :])
+        text = ''.join(stream.header_names[stream.start_index :])
         answer = {
             'id': stream.name,
             'object': 'chat.completion',
@@ -308,7 +308,7 @@
                     'finish_reason': 'stop',
                 }
             ],
-            'usage': {'completion_tokens': len(stream.words)},
+            'usage': {'completion_tokens': len(stream.header_names)},
         }
         body = msgspec.json.encode(answer)
         if self.faults.truncate:
