--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -305,7 +305,7 @@
     async with nodes.running(tmp_path, controls=3) as system:
         servers = []
         for one in system.controls:
-            surface = control.ControlSurface(one)
+            surface = control.ControlApi(one)
             server = web.HttpServer(surface.control())
             ip, _, port = one.node.control_address.rpartition(':')
             await server.start(ip, int(port))
