--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -306,7 +306,7 @@
         servers = []
         for one in system.controls:
             surface = control.ControlApi(one)
-            server = web.HttpServer(surface.control())
+            server = web.HttpServer(surface.control_application())
             ip, _, port = one.node.control_address.rpartition(':')
             await server.start(ip, int(port))
             servers.append(server)
