--- a/deploy/days.py
+++ b/deploy/days.py
@@ -17,7 +17,7 @@
 FIRST_S, SECOND_S = 6.0, 19.0
 CHANGE = '{ at = 8.0, kind = "config_change", how = "route" }'
 # Kind, its fields, and whether it is planned work.
-TROUBLES = [
+FAULT_SCENARIOS = [
     ('burst', 'x = 2.0, for_s = 4.0', False),
     ('shift', 'share = 0.5, for_s = 6.0', False),
     ('retry_abuse', 'share = 0.3, x = 3.0, for_s = 4.0', False),
@@ -149,7 +149,9 @@
     parser.add_argument('--jobs', type=int, default=3)
     found = parser.parse_args()
     rows = [
-        row for row in TROUBLES if not found.kinds or row[0] in found.kinds
+        row
+        for row in FAULT_SCENARIOS
+        if not found.kinds or row[0] in found.kinds
     ]
     with concurrent.futures.ThreadPoolExecutor(found.jobs) as pool:
         played = [
