--- a/deploy/days.py
+++ b/deploy/days.py
@@ -101,7 +101,7 @@
 ]  # fmt: skip
 
 
-def day_of(site: str, kind: str, fields: str, planned: bool) -> str:
+def build_day(site: str, kind: str, fields: str, planned: bool) -> str:
     """Return a day with one trouble, twice, beside one change."""
     found = re.search(r'(?ms)^\[\[day\]\]\n(.*?)(?=^\[\[day\]\]|\Z)', site)
     text = found.group(1)
@@ -124,7 +124,7 @@
     site = pathlib.Path(path).read_text()
     with tempfile.TemporaryDirectory(dir=pathlib.Path.cwd().parent) as folder:
         day = pathlib.Path(folder) / 'day.toml'
-        day.write_text(day_of(site, kind, fields, planned))
+        day.write_text(build_day(site, kind, fields, planned))
         ended = subprocess.run(
             [bench, 'run', path, str(day), '--why', f'{kind} {fields}, twice'],
             capture_output=True,
