--- a/deploy/days.py
+++ b/deploy/days.py
@@ -118,7 +118,7 @@
     return '[[day]]\n' + text.replace('traffic =', head + 'traffic =', 1)
 
 
-def play(bench: str, path: str, row: tuple[str, str, bool]) -> str:
+def run_day(bench: str, path: str, row: tuple[str, str, bool]) -> str:
     """Play one day and return its line."""
     kind, fields, planned = row
     site = pathlib.Path(path).read_text()
@@ -155,7 +155,7 @@
     ]
     with concurrent.futures.ThreadPoolExecutor(found.jobs) as pool:
         played = [
-            pool.submit(play, found.bench, found.site, row) for row in rows
+            pool.submit(run_day, found.bench, found.site, row) for row in rows
         ]
         for one in concurrent.futures.as_completed(played):
             print(one.result(), flush=True)
