--- a/tests/test_thawed_links.py
+++ b/tests/test_thawed_links.py
@@ -34,7 +34,7 @@
 # So often that some lie among what was read as reading stops.
 SENT_HEARTBEAT_MS = 5
 # Only the relay ends its links.
-SENDER_PATIENCE_MS = 60_000
+SENDER_TIMEOUT_MS = 60_000
 # More than a socket takes in at once, by far.
 MESSAGES = 400
 BUSY_S = 0.01
@@ -140,7 +140,7 @@
         [],
         clocks.Clock(),
         ignore,
-        links.HeartbeatOptions(SENT_HEARTBEAT_MS, SENDER_PATIENCE_MS),
+        links.HeartbeatOptions(SENT_HEARTBEAT_MS, SENDER_TIMEOUT_MS),
     )
     name = f'127.0.0.1:{relay_port}'
     try:
