--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -13,7 +13,7 @@
 FOUND_WITHIN_MS = 3_000
 
 
-def found_after_ms(opened):
+def detection_time_ms(opened):
     """Return after which silence the system ends a connection."""
     assert opened.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE)
 
@@ -32,7 +32,7 @@
 
     async def handle(request):
         accepted = request.transport.get_extra_info('socket')
-        seen['receiver'] = found_after_ms(accepted)
+        seen['receiver'] = detection_time_ms(accepted)
         answer = aiohttp_web.StreamResponse()
         await answer.prepare(request)
         await looked_at.wait()
@@ -46,7 +46,7 @@
     try:
         async with client.send_raw('GET', address, '/', [], None) as answer:
             sender = answer.connection.transport.get_extra_info('socket')
-            seen['sender'] = found_after_ms(sender)
+            seen['sender'] = detection_time_ms(sender)
             looked_at.set()
             await answer.read()
     finally:
