--- a/tests/test_thawed_links.py
+++ b/tests/test_thawed_links.py
@@ -122,7 +122,7 @@
     await nodes.until(lambda: relay.passed_bytes - begun_bytes >= sent)
 
 
-async def test_host_that_thaws_outlives_what_it_was_sent():
+async def test_resumed_host_survives_link_reset():
     port, relay_port, sender_port = web.free_ports(3)
     relay = ResettingRelay(port)
     await relay.start(relay_port)
