--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -67,7 +67,7 @@
         ('nobody', errors.NotSentError),
     ],
 )
-async def test_host_that_is_not_there_is_told(ends, host, error):
+async def test_call_to_absent_host_raises(ends, host, error):
     with pytest.raises(error):
         await ends['a'].call(host, b'x', 300)
 
