--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -151,7 +151,7 @@
         ('                return await asyncio.shield(making)\n'),
         ('                return await making\n'),
         (
-            'tests/test_connecting.py::test_number_of_a_dropped_socket_is_closed_once'
+            'tests/test_connecting.py::test_cancelled_connect_closes_descriptor_once'
         ),
     ),
     Switch(
--- a/tests/test_connecting.py
+++ b/tests/test_connecting.py
@@ -38,7 +38,7 @@
     server.close()
 
 
-async def test_number_of_a_dropped_socket_is_closed_once(address, monkeypatch):
+async def test_cancelled_connect_closes_descriptor_once(address, monkeypatch):
     """Its number may be another's by the time it is collected."""
     start = aiohappyeyeballs.start_connection
     client = web.HttpClient(CONNECT_TIMEOUT_MS)
