--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -253,7 +253,7 @@
         hypothesis.strategies.integers(1, 400),
     )
 )
-def test_no_heartbeat_harms_what_is_known(body):
+def test_invalid_heartbeat_keeps_known_endpoints(body):
     """Whatever comes is taken for what it says, or refused."""
     held = registry.Registry(test_registry.FakeClock())
     held.take(heartbeat(json.dumps(HEARTBEAT).encode(), 'i-true'))
