--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -23,10 +23,10 @@
 sys.path.append(str(FOLDER))
 
 from adapter import control  # noqa: E402
+from adapter import header_names  # noqa: E402
 from adapter import registrations  # noqa: E402
 from adapter import reports  # noqa: E402
 from adapter import routes as decoder  # noqa: E402
-from adapter import header_names  # noqa: E402
 
 ROUTE = {
     'name': 'r-1',
--- a/tests/test_host_pinger.py
+++ b/tests/test_host_pinger.py
@@ -27,7 +27,7 @@
         self._answers_after_ms = answers_after_ms
         self._refused = refused
         self.forgotten = []
-        self.links = types.SimpleNamespace(forget=self.forgotten.append)
+        self.links = types.SimpleNamespace(disconnect=self.forgotten.append)
 
     def answers(self, _kind):
         return lambda answerer: answerer
--- a/tests/test_thawed_links.py
+++ b/tests/test_thawed_links.py
@@ -56,8 +56,8 @@
 
 async def main():
     identity = links.Identity('test', sys.argv[1])
-    silence = links.Silence({HEARTBEAT_MS}, {10 * HEARTBEAT_MS})
-    made = links.Links(identity, [], clock.Clock(), answer, silence)
+    options = links.HeartbeatOptions({HEARTBEAT_MS}, {10 * HEARTBEAT_MS})
+    made = links.Links(identity, [], clock.Clock(), answer, options)
     ip, _, port = sys.argv[1].rpartition(':')
     await made.start(ip, int(port))
     print('ready', flush=True)
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -215,7 +215,7 @@
         try:
             async with (
                 tracked as run,
-                client.pass_on(
+                client.send_raw(
                     call.method,
                     destination.address,
                     call.target,
--- a/wrenspoke/coordination/serving/warmup_probe.py
+++ b/wrenspoke/coordination/serving/warmup_probe.py
@@ -118,7 +118,7 @@
                 send_permit = await self._gate.acquire(
                     life, endpoint_limits.LAST_RANK
                 )
-                async with self._client.pass_on(
+                async with self._client.send_raw(
                     'GET',
                     said.address,
                     service.health_path,
--- a/wrenspoke/logread.py
+++ b/wrenspoke/logread.py
@@ -78,7 +78,7 @@
         total=sum(sizes) or None,
         unit='B',
         unit_scale=True,
-        mark_leaving=False,
+        leave=False,
         disable=None,
     )
 
--- a/wrenspoke/standin/main.py
+++ b/wrenspoke/standin/main.py
@@ -10,8 +10,8 @@
 from wrenspoke import runtime
 from wrenspoke import settings
 from wrenspoke.standin import engine
-from wrenspoke.standin import restartable
 from wrenspoke.standin import plain_service
+from wrenspoke.standin import restartable
 from wrenspoke.state import configuration
 
 logger = structlog.get_logger(__name__)
--- a/wrenspoke/transport/web.py
+++ b/wrenspoke/transport/web.py
@@ -117,18 +117,18 @@
         idle = {}
         if not force_close:
             idle['keepalive_timeout'] = self._idle_timeout_s
-        connector = connector.CancellationSafeConnector(
+        tcp_connector = connector.CancellationSafeConnector(
             limit=0,
             limit_per_host=0 if force_close else MAX_CONNECTIONS_PER_HOST,
             force_close=force_close,
             socket_factory=connector.create_keepalive_socket,
             **idle,
         )
-        connector._factory = functools.partial(
+        tcp_connector._factory = functools.partial(
             ResetAwareHandler, loop=asyncio.get_running_loop()
         )
         return aiohttp.ClientSession(
-            connector=connector,
+            connector=tcp_connector,
             timeout=self._timeout,
             middlewares=(_disable_retries,),
             auto_decompress=False,
