--- a/tests/test_connecting.py
+++ b/tests/test_connecting.py
@@ -45,7 +45,7 @@
     seen = {}
 
     async def ask():
-        async with client.send_raw('GET', address, '/', [], None):
+        async with client.send_verbatim('GET', address, '/', [], None):
             pass
 
     async def cancel_next(*arguments, **named):
@@ -103,7 +103,7 @@
     monkeypatch.setattr(connector, '_loop', _Loop(loop, note), raising=True)
 
     async def ask():
-        async with client.send_raw('GET', address, '/', [], None):
+        async with client.send_verbatim('GET', address, '/', [], None):
             pass
 
     asking = asyncio.ensure_future(ask())
@@ -154,7 +154,7 @@
         _Loop(loop, loop.create_connection, never),
     )
     with pytest.raises(errors.NotSentError):
-        async with client.send_raw('GET', address, '/', [], None):
+        async with client.send_verbatim('GET', address, '/', [], None):
             pass
     monkeypatch.undo()
     async with asyncio.timeout(30):
@@ -167,6 +167,8 @@
     client = web.HttpClient(CONNECT_TIMEOUT_MS)
     [port] = web.free_ports(1)
     with pytest.raises(errors.NotSentError):
-        async with client.send_raw('GET', f'127.0.0.1:{port}', '/', [], None):
+        async with client.send_verbatim(
+            'GET', f'127.0.0.1:{port}', '/', [], None
+        ):
             pass
     await client.close()
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -66,7 +66,7 @@
         for node in ast.walk(ast.parse(path.read_text())):
             if not isinstance(node, ast.Call):
                 continue
-            if getattr(node.func, 'attr', '') != 'send_raw':
+            if getattr(node.func, 'attr', '') != 'send_verbatim':
                 continue
             body = node.args[4]
             if not (isinstance(body, ast.Constant) and body.value is None):
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -132,7 +132,7 @@
         async with fleet.running(tmp_path, made) as running:
             url = running.endpoint_url('north-chat-1')
             address = url.removeprefix('http://')
-            listed.mark_leaving(address)
+            listed.add_leaving(address)
 
             async def all_know():
                 for number in range(1, hosts + 1):
@@ -141,7 +141,7 @@
                 return True
 
             await fleet.until(all_know, 'every host to avoid it')
-            listed.clear_leaving(address)
+            listed.remove_leaving(address)
             await asyncio.sleep(2.5)
             for number in range(1, hosts + 1):
                 assert await _avoids(running, f'north-{number}')
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -44,7 +44,9 @@
     await server.start(address)
     client = web.HttpClient(1_000)
     try:
-        async with client.send_raw('GET', address, '/', [], None) as answer:
+        async with client.send_verbatim(
+            'GET', address, '/', [], None
+        ) as answer:
             sender = answer.connection.transport.get_extra_info('socket')
             seen['sender'] = detection_time_ms(sender)
             looked_at.set()
--- a/wrenspoke/coordination/membership/engine_loads.py
+++ b/wrenspoke/coordination/membership/engine_loads.py
@@ -225,7 +225,7 @@
         try:
             poll_permit = self._gate.acquire_poll(life)
             async with clocks.timeout_ms(REPORT_TIMEOUT_MS):
-                async with self._client.send_raw(
+                async with self._client.send_verbatim(
                     'GET', said.address, self._reader.path, [], None
                 ) as response:
                     poll_permit.on_response(
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -215,7 +215,7 @@
         try:
             async with (
                 tracked as run,
-                client.send_raw(
+                client.send_verbatim(
                     call.method,
                     destination.address,
                     call.target,
--- a/wrenspoke/coordination/serving/warmup_probe.py
+++ b/wrenspoke/coordination/serving/warmup_probe.py
@@ -118,7 +118,7 @@
                 send_permit = await self._gate.acquire(
                     life, endpoint_limits.LAST_RANK
                 )
-                async with self._client.send_raw(
+                async with self._client.send_verbatim(
                     'GET',
                     said.address,
                     service.health_path,
--- a/wrenspoke/standin/engine.py
+++ b/wrenspoke/standin/engine.py
@@ -92,7 +92,7 @@
         self.cancels = 0
         # What ends this engine for a while, and how often that was done.
         self.on_crash: collections.abc.Callable[[int], None] | None = None
-        self.crash_count = 0
+        self.crashes = 0
         self._arrivals_s: collections.deque[float] = collections.deque(
             maxlen=MAX_ARRIVALS
         )
@@ -164,7 +164,7 @@
         loop.call_later(self.faults.fatal_after_ms / 1000, self._crash)
 
     def _crash(self) -> None:
-        self.crash_count += 1
+        self.crashes += 1
         self.on_crash(self.faults.back_after_ms)
 
     def _plain_status(self, name: str) -> web.Response:
@@ -213,7 +213,7 @@
         first_ms = self._first_token_ms(session)
         await asyncio.sleep(first_ms * crowd / 1000)
         while not stream.finished and not self._is_abandoned(stream):
-            stream.made += 1
+            stream.generated_count += 1
             self.tokens += 1
             async with stream.progress:
                 stream.progress.notify_all()
@@ -250,10 +250,12 @@
         await response.prepare(request)
         sent = after
         try:
-            while sent < len(stream.header_names):
+            while sent < len(stream.words):
                 async with stream.progress:
                     await stream.progress.wait_for(
-                        lambda: stream.made > sent or stream.cancelled
+                        lambda: (
+                            stream.generated_count > sent or stream.cancelled
+                        )
                     )
                 if stream.cancelled:
                     transport_web.abort(request)
@@ -282,7 +284,7 @@
         return True
 
     def _chunk(self, stream: _Stream, number: int) -> bytes:
-        word = stream.header_names[number - 1]
+        word = stream.words[number - 1]
         chunk = {
             'id': stream.name,
             'object': 'chat.completion.chunk',
@@ -296,7 +298,7 @@
         self, request: web.Request, stream: _Stream, task: asyncio.Task
     ) -> web.Response:
         await asyncio.shield(task)
-        text = ''.join(stream.header_names[stream.start_index :])
+        text = ''.join(stream.words[stream.start_index :])
         answer = {
             'id': stream.name,
             'object': 'chat.completion',
@@ -308,7 +310,7 @@
                     'finish_reason': 'stop',
                 }
             ],
-            'usage': {'completion_tokens': len(stream.header_names)},
+            'usage': {'completion_tokens': len(stream.words)},
         }
         body = msgspec.json.encode(answer)
         if self.faults.truncate:
@@ -417,7 +419,7 @@
                 'orders': self.orders,
                 'tokens': self.tokens,
                 'cancels': self.cancels,
-                'ends': self.crash_count,
+                'ends': self.crashes,
                 'arrivals_s': list(self._arrivals_s),
             },
         )
--- a/wrenspoke/standin/host_list.py
+++ b/wrenspoke/standin/host_list.py
@@ -20,11 +20,11 @@
         application.router.add_get('/hosts', self._hosts)
         return application
 
-    def mark_leaving(self, address: str) -> None:
+    def add_leaving(self, address: str) -> None:
         """Say that a host is leaving; the list shows it later."""
         self._apply_after_lag(self._leaving.add, address)
 
-    def clear_leaving(self, address: str) -> None:
+    def remove_leaving(self, address: str) -> None:
         """Say that a host lives, as a wrong list would."""
         self._apply_after_lag(self._leaving.discard, address)
 
--- a/wrenspoke/standin/restartable.py
+++ b/wrenspoke/standin/restartable.py
@@ -23,7 +23,7 @@
         self._server: web.HttpServer | None = None
         self._tasks = runtime.Tasks()
         if isinstance(standin, engine.Engine):
-            standin.end = self.crash
+            standin.on_crash = self.crash
 
     async def start(self) -> None:
         """Listen; the port must be free."""
--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -188,7 +188,7 @@
         try:
             async with clocks.timeout_ms(timeout_ms):
                 await _send_when_connected(dealer, frame)
-                self._record_sent(host, body, frame)
+                self._on_message_sent(host, body, frame)
                 return await future
         except TimeoutError as error:
             raise errors.MaybeSentError(f'no answer from {host}') from error
@@ -209,10 +209,10 @@
         except (zmq.ZMQError, errors.NotSentError):
             logger.debug('tell_dropped', peer=host)
             return 0
-        self._record_sent(host, body, frame)
+        self._on_message_sent(host, body, frame)
         return len(frame)
 
-    def _record_sent(
+    def _on_message_sent(
         self, host: ids.HostId, body: bytes, frame: bytes
     ) -> None:
         self.sent_bytes += len(frame)
@@ -356,7 +356,7 @@
         )
         try:
             await self._router.send_multipart([route, frame], zmq.NOBLOCK)
-            self._record_sent(sender, answer, frame)
+            self._on_message_sent(sender, answer, frame)
         except zmq.ZMQError:
             logger.info('answer_dropped', peer=sender)
 
--- a/wrenspoke/transport/web.py
+++ b/wrenspoke/transport/web.py
@@ -79,13 +79,13 @@
         self, body: bytes, may_send: collections.abc.Callable[[], bool]
     ):
         super().__init__(body)
-        self._may_send = may_send
+        self._is_permitted = may_send
         self.aborted = False
 
     async def write_with_length(
         self, writer: aiohttp.abc.AbstractStreamWriter, length: int | None
     ) -> None:
-        if not self._may_send():
+        if not self._is_permitted():
             self.aborted = True
             raise errors.SendAbortedError('it may not leave any more')
         await super().write_with_length(writer, length)
@@ -175,7 +175,7 @@
             response.close()
 
     @contextlib.asynccontextmanager
-    async def send_raw(
+    async def send_verbatim(
         self,
         method: str,
         address: str,
