--- a/wrenspoke/standin/engine.py
+++ b/wrenspoke/standin/engine.py
@@ -177,7 +177,9 @@
             text='fault',
         )
 
-    def _create_stream(self, request: web.Request, body: dict, name: str) -> _Stream:
+    def _create_stream(
+        self, request: web.Request, body: dict, name: str
+    ) -> _Stream:
         messages = body['messages']
         said = 0
         if body.get('continue_final_message'):
@@ -206,7 +208,9 @@
                 self._running -= 1
                 self._record_load()
 
-    async def _generate_words(self, stream: _Stream, session: str | None) -> None:
+    async def _generate_words(
+        self, stream: _Stream, session: str | None
+    ) -> None:
         crowd = 1 + self.profile.crowding * self._running / self.profile.slots
         crowd *= self.faults.slow_factor
         first_ms = self._first_token_ms(session)
@@ -233,7 +237,9 @@
         self._cache.move_to_end(session)
         if len(self._cache) > self.profile.cached_sessions:
             self._cache.popitem(last=False)
-        return self.profile.warm_first_ms if warm else self.profile.cold_first_ms
+        return (
+            self.profile.warm_first_ms if warm else self.profile.cold_first_ms
+        )
 
     async def _send_stream(
         self, request: web.Request, stream: _Stream, after: int
@@ -250,7 +256,9 @@
             while sent < len(stream.words):
                 async with stream.progress:
                     await stream.progress.wait_for(
-                        lambda: stream.generated_count > sent or stream.cancelled
+                        lambda: (
+                            stream.generated_count > sent or stream.cancelled
+                        )
                     )
                 if stream.cancelled:
                     transport_web.abort(request)
@@ -309,11 +317,15 @@
         }
         body = msgspec.json.encode(answer)
         if self.faults.truncate:
-            return await send_truncated(request, body, self._echoed_request_id(request))
+            return await send_truncated(
+                request, body, self._echoed_request_id(request)
+            )
         return web.Response(
             body=body,
             content_type='application/json',
-            headers={headers.ECHOED_REQUEST_ID: self._echoed_request_id(request)},
+            headers={
+                headers.ECHOED_REQUEST_ID: self._echoed_request_id(request)
+            },
         )
 
     def _echoed_request_id(self, request: web.Request) -> str:
@@ -327,7 +339,9 @@
         if stream is None or self._is_abandoned(stream):
             return web.Response(
                 status=404,
-                headers={headers.ECHOED_REQUEST_ID: self._echoed_request_id(request)},
+                headers={
+                    headers.ECHOED_REQUEST_ID: self._echoed_request_id(request)
+                },
             )
         stream.disconnected_at = None
         after = int(request.headers.get(headers.LAST_EVENT_ID, '0'))
@@ -342,7 +356,9 @@
                 stream.progress.notify_all()
         return web.Response(
             status=204,
-            headers={headers.ECHOED_REQUEST_ID: self._echoed_request_id(request)},
+            headers={
+                headers.ECHOED_REQUEST_ID: self._echoed_request_id(request)
+            },
         )
 
     def _record_load(self) -> None:
@@ -430,7 +446,9 @@
             body=msgspec.json.encode(body),
             status=status,
             content_type='application/json',
-            headers={headers.ECHOED_REQUEST_ID: self._echoed_request_id(request)},
+            headers={
+                headers.ECHOED_REQUEST_ID: self._echoed_request_id(request)
+            },
         )
 
 
