--- a/wrenspoke/control_node.py
+++ b/wrenspoke/control_node.py
@@ -19,7 +19,7 @@
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.quarantine import crash_aggregator
 from wrenspoke import ids
-from wrenspoke import mechanisms
+from wrenspoke import feature_flags
 from wrenspoke import node as nodes
 from wrenspoke import node_peers
 from wrenspoke import runtime
@@ -93,7 +93,7 @@
         await self.peers.links.start(self.node.ip, self.node.link_port)
         self.voter.start()
         if (
-            mechanisms.Mechanism.KEEPING_ENDPOINTS
+            feature_flags.Mechanism.KEEPING_ENDPOINTS
             not in self.node.switched_off
         ):
             self._kept_registry.start()
--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -20,7 +20,7 @@
 from wrenspoke.coordination.serving import retry_schedule
 from wrenspoke.coordination.serving import sending
 from wrenspoke import ids
-from wrenspoke import mechanisms
+from wrenspoke import feature_flags
 from wrenspoke.protocol import attending
 from wrenspoke.protocol import passing
 
@@ -64,7 +64,7 @@
         local_replica: replica.Replica,
         selector: endpoint_selector.EndpointSelector,
         region_offers: remote_regions.RemoteRegions,
-        switched_off: collections.abc.Set[mechanisms.Mechanism],
+        switched_off: collections.abc.Set[feature_flags.Mechanism],
         clock: clocks.Clock,
     ):
         self._host = host
@@ -105,7 +105,7 @@
             )
         return self._endpoint_destination(context, local)
 
-    def _is_enabled(self, mechanism: mechanisms.Mechanism) -> bool:
+    def _is_enabled(self, mechanism: feature_flags.Mechanism) -> bool:
         return mechanism not in self._switched_off
 
     def _bounds(
@@ -137,7 +137,7 @@
         )
         if context.send_count or probability <= DEADLINE_MISS_LIMIT:
             return
-        if not self._is_enabled(mechanisms.Mechanism.REFUSING_HOPELESS):
+        if not self._is_enabled(feature_flags.Mechanism.REFUSING_HOPELESS):
             return
         logger.info(
             'deadline_unmeetable',
@@ -222,7 +222,9 @@
             if region in context.refusing_regions:
                 continue
             host = self._selector.select_host(region, context.attempted)
-            if host is None and self._is_enabled(mechanisms.Mechanism.RELAYS):
+            if host is None and self._is_enabled(
+                feature_flags.Mechanism.RELAYS
+            ):
                 host = self._find_relay_host(context, region)
             if host is None:
                 continue
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -25,7 +25,7 @@
 from wrenspoke.coordination.serving import retry_schedule
 from wrenspoke.coordination.serving import shared_retry_budget
 from wrenspoke import ids
-from wrenspoke import mechanisms
+from wrenspoke import feature_flags
 from wrenspoke.protocol import dialect as dialects
 from wrenspoke.protocol import errors as protocol_errors
 from wrenspoke.protocol import fingerprints
@@ -76,7 +76,7 @@
         access_control: access.AccessControl,
         limiter: limiters.Limiter,
         guard: guards.Guard,
-        switched_off: collections.abc.Set[mechanisms.Mechanism],
+        switched_off: collections.abc.Set[feature_flags.Mechanism],
         clock: clocks.Clock,
     ):
         self._replica = local_replica
@@ -88,7 +88,9 @@
         self._access_control = access_control
         self._limiter = limiter
         self._guard = guard
-        self._waits = mechanisms.Mechanism.WAITING_AT_START not in switched_off
+        self._waits = (
+            feature_flags.Mechanism.WAITING_AT_START not in switched_off
+        )
         self._clock = clock
         self.in_flight = 0
         self.leaving = False
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -38,7 +38,7 @@
 from wrenspoke.coordination.serving import shared_retry_budget
 from wrenspoke.coordination.serving import warmup_probe
 from wrenspoke import ids
-from wrenspoke import mechanisms
+from wrenspoke import feature_flags
 from wrenspoke import node as nodes
 from wrenspoke import node_peers
 from wrenspoke.protocol import attending
@@ -182,7 +182,7 @@
         )
         self._estimator = estimate.Estimator(self._gauges, self.clock)
         self._sent_calls = None
-        if mechanisms.Mechanism.TELLING_SENT not in node.switched_off:
+        if feature_flags.Mechanism.TELLING_SENT not in node.switched_off:
             self._sent_calls = sent_call_broadcast.SentCallBroadcaster(
                 node.host, self._askers, self.peers, self.clock
             )
--- a/wrenspoke/node.py
+++ b/wrenspoke/node.py
@@ -13,7 +13,7 @@
 
 from wrenspoke import errors
 from wrenspoke import ids
-from wrenspoke import mechanisms
+from wrenspoke import feature_flags
 
 Port = typing.Annotated[int, msgspec.Meta(ge=1, le=65535)]
 Positive = typing.Annotated[int, msgspec.Meta(ge=1)]
@@ -148,7 +148,7 @@
     entry: EntryTimes = EntryTimes()
     retries: RetryTimes = RetryTimes()
     limits: LimitTimes = LimitTimes()
-    switched_off: frozenset[mechanisms.Mechanism] = frozenset()
+    switched_off: frozenset[feature_flags.Mechanism] = frozenset()
 
     @property
     def host(self) -> ids.HostId:
