--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -41,7 +41,7 @@
         probe: warmup_probe.WarmupProbe,
         engine_loads: engine_loads.EngineLoads,
         gate: endpoint_gate.EndpointGate,
-        switched_off: collections.abc.Set[feature_flags.Mechanism],
+        switched_off: collections.abc.Set[feature_flags.FeatureFlag],
         clock: clocks.Clock,
     ):
         self._region = region
@@ -99,7 +99,7 @@
             return
         for data_centre in restored:
             self._restored_at_ms[data_centre] = self._clock.mono_ms()
-        if not self._is_enabled(feature_flags.Mechanism.ASKING_WARMTH):
+        if not self._is_enabled(feature_flags.FeatureFlag.ASKING_WARMTH):
             return
         services = self._replica.current.routes.services
         self._warmup_probe.start_probes(
@@ -191,17 +191,17 @@
         """
         if self.is_ejected(found.said.address):
             return True
-        if not self._is_enabled(feature_flags.Mechanism.SETTING_ASIDE):
+        if not self._is_enabled(feature_flags.FeatureFlag.SETTING_ASIDE):
             return False
         return self._engine_loads.silent(found.said.endpoint)
 
     def is_ejected(self, place: str) -> bool:
         """Return whether an address is ejected by outlier detection."""
-        if not self._is_enabled(feature_flags.Mechanism.SETTING_ASIDE):
+        if not self._is_enabled(feature_flags.FeatureFlag.SETTING_ASIDE):
             return False
         return self._outlier_detector.is_ejected(place)
 
-    def _is_enabled(self, mechanism: feature_flags.Mechanism) -> bool:
+    def _is_enabled(self, mechanism: feature_flags.FeatureFlag) -> bool:
         return mechanism not in self._switched_off
 
 
--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -64,7 +64,7 @@
         local_replica: replica.Replica,
         selector: endpoint_selector.EndpointSelector,
         region_offers: remote_regions.RemoteRegions,
-        switched_off: collections.abc.Set[feature_flags.Mechanism],
+        switched_off: collections.abc.Set[feature_flags.FeatureFlag],
         clock: clocks.Clock,
     ):
         self._host = host
@@ -105,7 +105,7 @@
             )
         return self._endpoint_destination(context, local)
 
-    def _is_enabled(self, mechanism: feature_flags.Mechanism) -> bool:
+    def _is_enabled(self, mechanism: feature_flags.FeatureFlag) -> bool:
         return mechanism not in self._switched_off
 
     def _bounds(
@@ -137,7 +137,7 @@
         )
         if context.send_count or probability <= DEADLINE_MISS_LIMIT:
             return
-        if not self._is_enabled(feature_flags.Mechanism.REFUSING_HOPELESS):
+        if not self._is_enabled(feature_flags.FeatureFlag.REFUSING_HOPELESS):
             return
         logger.info(
             'deadline_unmeetable',
@@ -223,7 +223,7 @@
                 continue
             host = self._selector.select_host(region, context.attempted)
             if host is None and self._is_enabled(
-                feature_flags.Mechanism.RELAYS
+                feature_flags.FeatureFlag.RELAYS
             ):
                 host = self._find_relay_host(context, region)
             if host is None:
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -75,7 +75,7 @@
         estimator: estimate.Estimator,
         remotes: remote_hosts.RemoteHosts,
         endpoint_availability: availability.Availability,
-        switched_off: collections.abc.Set[feature_flags.Mechanism],
+        switched_off: collections.abc.Set[feature_flags.FeatureFlag],
         clock: clocks.Clock,
     ):
         self._region = region
@@ -162,7 +162,7 @@
             key=lambda item: (item.cost_ms, self._random.random()),
         )
 
-    def _is_enabled(self, mechanism: feature_flags.Mechanism) -> bool:
+    def _is_enabled(self, mechanism: feature_flags.FeatureFlag) -> bool:
         return mechanism not in self._switched_off
 
     def _cost_ms(
@@ -175,11 +175,11 @@
             bounds, item.first_ms, end_ms, expected.spread
         )
         cost_ms = latency_ms
-        if self._is_enabled(feature_flags.Mechanism.WEIGHING_PAUSES):
+        if self._is_enabled(feature_flags.FeatureFlag.WEIGHING_PAUSES):
             cost_ms += costs.pause_cost_ms(
                 bounds, expected.pause_ms, expected.delayed_streams
             )
-        if self._is_enabled(feature_flags.Mechanism.WEIGHING_READING):
+        if self._is_enabled(feature_flags.FeatureFlag.WEIGHING_READING):
             cost_ms += expected.prefill_ms
         return cost_ms
 
@@ -193,7 +193,7 @@
     ) -> list[EndpointSelection]:
         names = [found.said.endpoint for found in candidates]
         affinity_name = None
-        if self._is_enabled(feature_flags.Mechanism.USUAL_ENGINES):
+        if self._is_enabled(feature_flags.FeatureFlag.USUAL_ENGINES):
             affinity_name = prefix_index.affinity_endpoint(call.parts, names)
         holder = self._find_cache_holder(service, call, candidates)
         required = {affinity_name, None if holder is None else holder.endpoint}
@@ -251,7 +251,7 @@
         """Return whether engines can transfer KV cache to each other."""
         if service.batch is None or not service.batch.moves:
             return False
-        return self._is_enabled(feature_flags.Mechanism.TAKING_OVER)
+        return self._is_enabled(feature_flags.FeatureFlag.TAKING_OVER)
 
     def _plan_transfer(
         self,
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -76,7 +76,7 @@
         access_control: access.AccessControl,
         limiter: limiters.Limiter,
         guard: guards.Guard,
-        switched_off: collections.abc.Set[feature_flags.Mechanism],
+        switched_off: collections.abc.Set[feature_flags.FeatureFlag],
         clock: clocks.Clock,
     ):
         self._replica = local_replica
@@ -89,7 +89,7 @@
         self._limiter = limiter
         self._guard = guard
         self._waits = (
-            feature_flags.Mechanism.WAITING_AT_START not in switched_off
+            feature_flags.FeatureFlag.WAITING_AT_START not in switched_off
         )
         self._clock = clock
         self.in_flight = 0
--- a/wrenspoke/feature_flags.py
+++ b/wrenspoke/feature_flags.py
@@ -3,7 +3,7 @@
 import enum
 
 
-class Mechanism(enum.Enum):
+class FeatureFlag(enum.Enum):
     """Name what can be switched off, to measure what it is worth.
 
     Every one is on unless a host's settings say otherwise.
--- a/wrenspoke/node.py
+++ b/wrenspoke/node.py
@@ -148,7 +148,7 @@
     entry: EntryTimes = EntryTimes()
     retries: RetryTimes = RetryTimes()
     limits: LimitTimes = LimitTimes()
-    switched_off: frozenset[feature_flags.Mechanism] = frozenset()
+    switched_off: frozenset[feature_flags.FeatureFlag] = frozenset()
 
     @property
     def host(self) -> ids.HostId:
