--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -137,7 +137,7 @@
         )
         if context.send_count or probability <= DEADLINE_MISS_LIMIT:
             return
-        if not self._is_enabled(feature_flags.FeatureFlag.REFUSING_HOPELESS):
+        if not self._is_enabled(feature_flags.FeatureFlag.DEADLINE_REJECTION):
             return
         logger.info(
             'deadline_unmeetable',
--- a/wrenspoke/feature_flags.py
+++ b/wrenspoke/feature_flags.py
@@ -10,7 +10,7 @@
     """
 
     RELAYS = 'relays'
-    REFUSING_HOPELESS = 'refusing_hopeless'
+    DEADLINE_REJECTION = 'refusing_hopeless'
     TAKING_OVER = 'taking_over'
     ASKING_WARMTH = 'asking_warmth'
     USUAL_ENGINES = 'usual_engines'
