--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -251,7 +251,7 @@
         """Return whether engines can transfer KV cache to each other."""
         if service.batch is None or not service.batch.moves:
             return False
-        return self._is_enabled(feature_flags.FeatureFlag.TAKING_OVER)
+        return self._is_enabled(feature_flags.FeatureFlag.CACHE_TRANSFER)
 
     def _plan_transfer(
         self,
--- a/wrenspoke/feature_flags.py
+++ b/wrenspoke/feature_flags.py
@@ -11,7 +11,7 @@
 
     RELAYS = 'relays'
     DEADLINE_REJECTION = 'refusing_hopeless'
-    TAKING_OVER = 'taking_over'
+    CACHE_TRANSFER = 'taking_over'
     ASKING_WARMTH = 'asking_warmth'
     USUAL_ENGINES = 'usual_engines'
     WEIGHING_PAUSES = 'weighing_pauses'
