--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -99,7 +99,7 @@
             return
         for data_centre in restored:
             self._restored_at_ms[data_centre] = self._clock.mono_ms()
-        if not self._is_enabled(feature_flags.FeatureFlag.ASKING_WARMTH):
+        if not self._is_enabled(feature_flags.FeatureFlag.WARMUP_PROBES):
             return
         services = self._replica.current.routes.services
         self._warmup_probe.start_probes(
--- a/wrenspoke/feature_flags.py
+++ b/wrenspoke/feature_flags.py
@@ -12,7 +12,7 @@
     RELAYS = 'relays'
     DEADLINE_REJECTION = 'refusing_hopeless'
     CACHE_TRANSFER = 'taking_over'
-    ASKING_WARMTH = 'asking_warmth'
+    WARMUP_PROBES = 'asking_warmth'
     USUAL_ENGINES = 'usual_engines'
     WEIGHING_PAUSES = 'weighing_pauses'
     WEIGHING_READING = 'weighing_reading'
