--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -193,7 +193,7 @@
     ) -> list[EndpointSelection]:
         names = [found.said.endpoint for found in candidates]
         affinity_name = None
-        if self._is_enabled(feature_flags.FeatureFlag.USUAL_ENGINES):
+        if self._is_enabled(feature_flags.FeatureFlag.PREFIX_AFFINITY):
             affinity_name = prefix_index.affinity_endpoint(call.parts, names)
         holder = self._find_cache_holder(service, call, candidates)
         required = {affinity_name, None if holder is None else holder.endpoint}
--- a/wrenspoke/feature_flags.py
+++ b/wrenspoke/feature_flags.py
@@ -13,7 +13,7 @@
     DEADLINE_REJECTION = 'refusing_hopeless'
     CACHE_TRANSFER = 'taking_over'
     WARMUP_PROBES = 'asking_warmth'
-    USUAL_ENGINES = 'usual_engines'
+    PREFIX_AFFINITY = 'usual_engines'
     WEIGHING_PAUSES = 'weighing_pauses'
     WEIGHING_READING = 'weighing_reading'
     KEEPING_ENDPOINTS = 'keeping_endpoints'
