--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -175,7 +175,7 @@
             bounds, item.first_ms, end_ms, expected.spread
         )
         cost_ms = latency_ms
-        if self._is_enabled(feature_flags.FeatureFlag.WEIGHING_PAUSES):
+        if self._is_enabled(feature_flags.FeatureFlag.PAUSE_COST):
             cost_ms += costs.pause_cost_ms(
                 bounds, expected.pause_ms, expected.delayed_streams
             )
--- a/wrenspoke/feature_flags.py
+++ b/wrenspoke/feature_flags.py
@@ -14,7 +14,7 @@
     CACHE_TRANSFER = 'taking_over'
     WARMUP_PROBES = 'asking_warmth'
     PREFIX_AFFINITY = 'usual_engines'
-    WEIGHING_PAUSES = 'weighing_pauses'
+    PAUSE_COST = 'weighing_pauses'
     WEIGHING_READING = 'weighing_reading'
     KEEPING_ENDPOINTS = 'keeping_endpoints'
     WAITING_AT_START = 'waiting_at_start'
