--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -179,7 +179,7 @@
             cost_ms += costs.pause_cost_ms(
                 bounds, expected.pause_ms, expected.delayed_streams
             )
-        if self._is_enabled(feature_flags.FeatureFlag.WEIGHING_READING):
+        if self._is_enabled(feature_flags.FeatureFlag.PREFILL_COST):
             cost_ms += expected.prefill_ms
         return cost_ms
 
--- a/wrenspoke/feature_flags.py
+++ b/wrenspoke/feature_flags.py
@@ -15,7 +15,7 @@
     WARMUP_PROBES = 'asking_warmth'
     PREFIX_AFFINITY = 'usual_engines'
     PAUSE_COST = 'weighing_pauses'
-    WEIGHING_READING = 'weighing_reading'
+    PREFILL_COST = 'weighing_reading'
     KEEPING_ENDPOINTS = 'keeping_endpoints'
     WAITING_AT_START = 'waiting_at_start'
     SETTING_ASIDE = 'setting_aside'
