--- a/wrenspoke/control_node.py
+++ b/wrenspoke/control_node.py
@@ -93,7 +93,7 @@
         await self.peers.links.start(self.node.ip, self.node.link_port)
         self.voter.start()
         if (
-            feature_flags.FeatureFlag.KEEPING_ENDPOINTS
+            feature_flags.FeatureFlag.REGISTRY_SNAPSHOTS
             not in self.node.switched_off
         ):
             self._kept_registry.start()
--- a/wrenspoke/feature_flags.py
+++ b/wrenspoke/feature_flags.py
@@ -16,7 +16,7 @@
     PREFIX_AFFINITY = 'usual_engines'
     PAUSE_COST = 'weighing_pauses'
     PREFILL_COST = 'weighing_reading'
-    KEEPING_ENDPOINTS = 'keeping_endpoints'
+    REGISTRY_SNAPSHOTS = 'keeping_endpoints'
     WAITING_AT_START = 'waiting_at_start'
     SETTING_ASIDE = 'setting_aside'
     TELLING_SENT = 'telling_sent'
