--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -89,7 +89,7 @@
         self._limiter = limiter
         self._guard = guard
         self._waits = (
-            feature_flags.FeatureFlag.WAITING_AT_START not in switched_off
+            feature_flags.FeatureFlag.STARTUP_WAIT not in switched_off
         )
         self._clock = clock
         self.in_flight = 0
--- a/wrenspoke/feature_flags.py
+++ b/wrenspoke/feature_flags.py
@@ -17,6 +17,6 @@
     PAUSE_COST = 'weighing_pauses'
     PREFILL_COST = 'weighing_reading'
     REGISTRY_SNAPSHOTS = 'keeping_endpoints'
-    WAITING_AT_START = 'waiting_at_start'
+    STARTUP_WAIT = 'waiting_at_start'
     SETTING_ASIDE = 'setting_aside'
     TELLING_SENT = 'telling_sent'
