--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -191,13 +191,13 @@
         """
         if self.is_ejected(found.said.address):
             return True
-        if not self._is_enabled(feature_flags.FeatureFlag.SETTING_ASIDE):
+        if not self._is_enabled(feature_flags.FeatureFlag.OUTLIER_EJECTION):
             return False
         return self._engine_loads.silent(found.said.endpoint)
 
     def is_ejected(self, place: str) -> bool:
         """Return whether an address is ejected by outlier detection."""
-        if not self._is_enabled(feature_flags.FeatureFlag.SETTING_ASIDE):
+        if not self._is_enabled(feature_flags.FeatureFlag.OUTLIER_EJECTION):
             return False
         return self._outlier_detector.is_ejected(place)
 
--- a/wrenspoke/feature_flags.py
+++ b/wrenspoke/feature_flags.py
@@ -18,5 +18,5 @@
     PREFILL_COST = 'weighing_reading'
     REGISTRY_SNAPSHOTS = 'keeping_endpoints'
     STARTUP_WAIT = 'waiting_at_start'
-    SETTING_ASIDE = 'setting_aside'
+    OUTLIER_EJECTION = 'setting_aside'
     TELLING_SENT = 'telling_sent'
