--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -182,7 +182,10 @@
         )
         self._estimator = estimate.Estimator(self._gauges, self.clock)
         self._sent_calls = None
-        if feature_flags.FeatureFlag.TELLING_SENT not in node.switched_off:
+        if (
+            feature_flags.FeatureFlag.SENT_CALL_BROADCAST
+            not in node.switched_off
+        ):
             self._sent_calls = sent_call_broadcast.SentCallBroadcaster(
                 node.host, self._askers, self.peers, self.clock
             )
--- a/wrenspoke/feature_flags.py
+++ b/wrenspoke/feature_flags.py
@@ -19,4 +19,4 @@
     REGISTRY_SNAPSHOTS = 'keeping_endpoints'
     STARTUP_WAIT = 'waiting_at_start'
     OUTLIER_EJECTION = 'setting_aside'
-    TELLING_SENT = 'telling_sent'
+    SENT_CALL_BROADCAST = 'telling_sent'
