--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -84,7 +84,7 @@
             'control': FAST,
             **changes,
         }
-        return settings.Node(**fields)
+        return settings.NodeSettings(**fields)
 
     async def start_control(self, ip, first_start=True):
         """Start a control host on the disk of its number."""
--- a/wrenspoke/control_node.py
+++ b/wrenspoke/control_node.py
@@ -33,7 +33,7 @@
 class ControlNode:
     """Run a control host: agreement, registry, roster, directory."""
 
-    def __init__(self, node: nodes.Node):
+    def __init__(self, node: nodes.NodeSettings):
         self.node = node
         self.clock = clocks.Clock()
         self._traffic = node_peers.traffic_of(node, self.clock)
@@ -102,7 +102,7 @@
         self._tasks.start(self._traffic.keep_logging('control'))
         logger.info('started', host=self.node.host, seeds=self.node.seeds)
 
-    def reload(self, node: nodes.Node) -> None:
+    def reload(self, node: nodes.NodeSettings) -> None:
         """Take over changed settings; only seeds change in a life."""
         self.group.reseed(node.seed_hosts)
         logger.info('reloaded', seeds=node.seeds)
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        node: nodes.Node,
+        node: nodes.NodeSettings,
         dialect: dialects.Dialect,
         reports: engine_loads.ReportReader,
     ):
@@ -389,7 +389,7 @@
         await self._callers.start(node.callers_address)
         logger.info('started', host=node.host, seeds=node.seeds)
 
-    def reload(self, node: nodes.Node) -> None:
+    def reload(self, node: nodes.NodeSettings) -> None:
         """Take over changed settings; only seeds change in a life."""
         self.group.reseed(node.seed_hosts)
         logger.info('reloaded', seeds=node.seeds)
--- a/wrenspoke/node.py
+++ b/wrenspoke/node.py
@@ -117,7 +117,7 @@
     fixed: Amount = 0
 
 
-class Node(_Section):
+class NodeSettings(_Section):
     """Everything that one host has to know.
 
     ``ip`` and ``link_port`` name the host; links use one port on all
@@ -171,7 +171,7 @@
         return f'{host.rpartition(":")[0]}:{port}'
 
 
-def read(path: str | pathlib.Path) -> Node:
+def read(path: str | pathlib.Path) -> NodeSettings:
     """Read and check a host's settings.
 
     :raises NodeSettingsError: naming the field that is wrong
@@ -183,13 +183,13 @@
     return parse(text)
 
 
-def parse(text: bytes | str) -> Node:
+def parse(text: bytes | str) -> NodeSettings:
     """Check a host's settings given as JSON text.
 
     :raises NodeSettingsError: naming the field that is wrong
     """
     try:
-        node = msgspec.json.decode(text, type=Node)
+        node = msgspec.json.decode(text, type=NodeSettings)
     except msgspec.DecodeError as error:
         raise NodeSettingsError(str(error)) from error
     for problem in _problems(node):
@@ -197,7 +197,7 @@
     return node
 
 
-def _problems(node: Node) -> typing.Iterator[str]:
+def _problems(node: NodeSettings) -> typing.Iterator[str]:
     if node.data_centre not in node.regions:
         yield f'data_centre: found {node.data_centre!r}; not in regions'
     elif node.regions[node.data_centre] != node.region:
--- a/wrenspoke/node_peers.py
+++ b/wrenspoke/node_peers.py
@@ -11,14 +11,16 @@
 SILENCE = links.Silence(heartbeat_ms=700, timeout_ms=2_000)
 
 
-def traffic_of(node: nodes.Node, clock: clocks.Clock) -> traffic.Traffic:
+def traffic_of(
+    node: nodes.NodeSettings, clock: clocks.Clock
+) -> traffic.Traffic:
     """Return what counts the messages that a host sends."""
     own = locations.Location(node.region, node.data_centre)
     return traffic.Traffic(own, clock)
 
 
 def peers_of(
-    node: nodes.Node, sent: traffic.Traffic, clock: clocks.Clock
+    node: nodes.NodeSettings, sent: traffic.Traffic, clock: clocks.Clock
 ) -> peer_calls.Peers:
     """Return what a host calls others with; a name tells the address."""
     identity = links.Identity(node.cluster, node.host)
--- a/wrenspoke/reference.py
+++ b/wrenspoke/reference.py
@@ -40,7 +40,7 @@
 `deploy/node.json` is the template of it for the users' platform.
 """
 NODE_SECTIONS = (
-    ('the file of a host', node.Node),
+    ('the file of a host', node.NodeSettings),
     ('control of a host', node.ControlTimes),
     ('entry of a host', node.EntryTimes),
     ('retries of a host', node.RetryTimes),
