--- a/tests/group.py
+++ b/tests/group.py
@@ -295,7 +295,9 @@
 
     def __init__(self, seed=0, names=('a', 'b', 'c'), **limits):
         random.seed(seed)
-        self.limits = settings.ControlTimes(tolerated_losses=1, **limits)
+        self.limits = settings.NodeControlSettings(
+            tolerated_losses=1, **limits
+        )
         self.network = Network(seed)
         self.disks = {}
         self.running = {}
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -28,7 +28,7 @@
 # Every worker of a test run has its own numbers.
 _WORKER = os.environ.get('PYTEST_XDIST_WORKER', 'gw0').removeprefix('gw')
 _NUMBERS = itertools.count(1)
-FAST = settings.ControlTimes(
+FAST = settings.NodeControlSettings(
     beat_interval_ms=50, election_timeout_ms=300, tolerated_losses=1
 )
 
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -216,7 +216,7 @@
 
 
 async def test_new_control_host_takes_a_lost_ones_vote(tmp_path, monkeypatch):
-    patient = settings.ControlTimes(
+    patient = settings.NodeControlSettings(
         beat_interval_ms=50,
         election_timeout_ms=300,
         tolerated_losses=1,
--- a/wrenspoke/node.py
+++ b/wrenspoke/node.py
@@ -36,7 +36,7 @@
     pass
 
 
-class ControlTimes(_Section):
+class NodeControlSettings(_Section):
     """How control hosts agree.
 
     There are twice the tolerated losses and one voters; further control
@@ -144,7 +144,7 @@
     data_folder: str | None = None
     directory_ttl_ms: Positive = 2_000
     withdrawn_keys_ms: Positive | None = None
-    control: ControlTimes = ControlTimes()
+    control: NodeControlSettings = NodeControlSettings()
     entry: EntryTimes = EntryTimes()
     retries: RetryTimes = RetryTimes()
     limits: LimitTimes = LimitTimes()
