--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -107,7 +107,7 @@
             data_centre,
             callers_address=f'{ip}:{self.ports[2]}',
             passing_port=self.ports[3],
-            entry=settings.EntryTimes(
+            entry=settings.NodeEntrySettings(
                 **{'leave_delay_ms': 100, 'grace_ms': 2_000, **entry}
             ),
             **self.changes,
--- a/wrenspoke/node.py
+++ b/wrenspoke/node.py
@@ -61,7 +61,7 @@
         return 2 * self.tolerated_losses + 1
 
 
-class EntryTimes(_Section):
+class NodeEntrySettings(_Section):
     """How an entry host treats requests.
 
     Endpoints are near, so that a connection that takes longer than the
@@ -145,7 +145,7 @@
     directory_ttl_ms: Positive = 2_000
     withdrawn_keys_ms: Positive | None = None
     control: NodeControlSettings = NodeControlSettings()
-    entry: EntryTimes = EntryTimes()
+    entry: NodeEntrySettings = NodeEntrySettings()
     retries: RetryTimes = RetryTimes()
     limits: LimitTimes = LimitTimes()
     switched_off: frozenset[feature_flags.FeatureFlag] = frozenset()
--- a/wrenspoke/reference.py
+++ b/wrenspoke/reference.py
@@ -42,7 +42,7 @@
 NODE_SECTIONS = (
     ('the file of a host', node.NodeSettings),
     ('control of a host', node.NodeControlSettings),
-    ('entry of a host', node.EntryTimes),
+    ('entry of a host', node.NodeEntrySettings),
     ('retries of a host', node.RetryTimes),
 )
 
