--- a/wrenspoke/node.py
+++ b/wrenspoke/node.py
@@ -94,7 +94,7 @@
         return max(left_ms, 0)
 
 
-class RetryTimes(_Section):
+class RetryBudgetSettings(_Section):
     """Bound the repeats that a service is sent over all hosts.
 
     In any window: ``ratio`` times its requests, and ``fixed`` more.
@@ -146,7 +146,7 @@
     withdrawn_keys_ms: Positive | None = None
     control: NodeControlSettings = NodeControlSettings()
     entry: NodeEntrySettings = NodeEntrySettings()
-    retries: RetryTimes = RetryTimes()
+    retries: RetryBudgetSettings = RetryBudgetSettings()
     limits: LimitTimes = LimitTimes()
     switched_off: frozenset[feature_flags.FeatureFlag] = frozenset()
 
--- a/wrenspoke/reference.py
+++ b/wrenspoke/reference.py
@@ -43,7 +43,7 @@
     ('the file of a host', node.NodeSettings),
     ('control of a host', node.NodeControlSettings),
     ('entry of a host', node.NodeEntrySettings),
-    ('retries of a host', node.RetryTimes),
+    ('retries of a host', node.RetryBudgetSettings),
 )
 
 
