--- a/wrenspoke/node.py
+++ b/wrenspoke/node.py
@@ -105,7 +105,7 @@
     window_ms: Positive = 10_000
 
 
-class LimitTimes(_Section):
+class OvershootSettings(_Section):
     """Say how far teams' limits may be exceeded, over all hosts.
 
     In any window: ``share`` of what a limit allows in it, and ``fixed``
@@ -147,7 +147,7 @@
     control: NodeControlSettings = NodeControlSettings()
     entry: NodeEntrySettings = NodeEntrySettings()
     retries: RetryBudgetSettings = RetryBudgetSettings()
-    limits: LimitTimes = LimitTimes()
+    limits: OvershootSettings = OvershootSettings()
     switched_off: frozenset[feature_flags.FeatureFlag] = frozenset()
 
     @property
