--- a/wrenspoke/node_peers.py
+++ b/wrenspoke/node_peers.py
@@ -11,7 +11,7 @@
 SILENCE = links.Silence(heartbeat_ms=700, timeout_ms=2_000)
 
 
-def traffic_of(
+def build_traffic_counter(
     node: nodes.NodeSettings, clock: clocks.Clock
 ) -> traffic.Traffic:
     """Return what counts the messages that a host sends."""
