--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -68,7 +68,7 @@
         self.node = node
         self.clock = clocks.Clock()
         self._traffic = node_peers.build_traffic_counter(node, self.clock)
-        self.peers = node_peers.peers_of(node, self._traffic, self.clock)
+        self.peers = node_peers.build_peers(node, self._traffic, self.clock)
         self.group = control_group.ControlGroup(
             node.host, node.seed_hosts, self.clock
         )
--- a/wrenspoke/node_peers.py
+++ b/wrenspoke/node_peers.py
@@ -19,7 +19,7 @@
     return traffic.Traffic(own, clock)
 
 
-def peers_of(
+def build_peers(
     node: nodes.NodeSettings, sent: traffic.Traffic, clock: clocks.Clock
 ) -> peer_calls.Peers:
     """Return what a host calls others with; a name tells the address."""
