--- a/wrenspoke/node_peers.py
+++ b/wrenspoke/node_peers.py
@@ -8,7 +8,7 @@
 from wrenspoke.transport import links
 
 # A cut says nothing; a link is made anew soon after one heals.
-SILENCE = links.Silence(heartbeat_ms=700, timeout_ms=2_000)
+LINK_KEEPALIVE = links.Silence(heartbeat_ms=700, timeout_ms=2_000)
 
 
 def build_traffic_counter(
@@ -24,4 +24,6 @@
 ) -> peer_calls.Peers:
     """Return what a host calls others with; a name tells the address."""
     identity = links.Identity(node.cluster, node.host)
-    return peer_calls.Peers(identity, [], clock, SILENCE, sent.note_message)
+    return peer_calls.Peers(
+        identity, [], clock, LINK_KEEPALIVE, sent.note_message
+    )
