--- a/benches/overhead.py
+++ b/benches/overhead.py
@@ -28,7 +28,7 @@
 
 async def call(client: web.HttpClient, url: str, echo: bool) -> float:
     """Send one request and return its time in ms."""
-    sent = {headers.REQUEST: ids.new_unique()}
+    sent = {headers.REQUEST: ids.new_random_id()}
     if echo:
         sent[headers.ECHO] = 'direct'
     started = time.perf_counter()
--- a/benches/retries.py
+++ b/benches/retries.py
@@ -40,7 +40,7 @@
             caller = running.caller('north-1')
             asked = []
             for _number in range(count):
-                request = ids.new_unique()
+                request = ids.new_random_id()
                 asked.append(request)
                 await caller.call(
                     'GET',
--- a/features/steps/request_steps.py
+++ b/features/steps/request_steps.py
@@ -34,7 +34,7 @@
     'a member of "{home}" asks "{entry}" for a chat that must stay home'
 )
 def step_ask(context, home, entry):
-    context.request = ids.new_unique()
+    context.request = ids.new_random_id()
     sent = {
         headers.REQUEST: context.request,
         headers.HOME: home,
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -65,7 +65,7 @@
     await asyncio.gather(*warm)
     for number in (1, 2):
         await running.faults(f'north-records-{number}', **fault)
-    request = once_id() if once else ids.new_unique()
+    request = once_id() if once else ids.new_random_id()
     sent = {headers.REQUEST: request}
     result = await caller.call(method, 'records', path, sent)
     assert result.outcome == outcome, result
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -160,7 +160,7 @@
     chats = []
     for _number in range(CROWD):
         # A new session each time, as known ones stay on their engine.
-        sent = {headers.SESSION: ids.new_unique()}
+        sent = {headers.SESSION: ids.new_random_id()}
         body = {'messages': MESSAGES, 'stream': True}
         chats.append(caller.chat(body, sent))
     await asyncio.gather(*chats)
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -33,7 +33,7 @@
 async def test_chat_is_answered_whole(tmp_path, stream, home, bound):
     async with fleet.running(tmp_path, fleet.deployment()) as running:
         caller = running.caller('north-1')
-        sent = {headers.REQUEST: ids.new_unique()}
+        sent = {headers.REQUEST: ids.new_random_id()}
         if home:
             sent |= {headers.HOME: home, headers.BOUND: 'true'}
         body = {
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -25,7 +25,7 @@
     key = keys.read_cluster_key(running.folder / 'keys')
     signer = hops.HopSigner('test', key)
     head = requests.RequestHead(
-        request=ids.RequestId(ids.new_unique()),
+        request=ids.RequestId(ids.new_random_id()),
         kind=requests.RequestKind.PLAIN,
         method='GET',
         path='/map',
@@ -176,7 +176,7 @@
         running.start_standins('south')
 
         async def served_at_home():
-            request = ids.new_unique()
+            request = ids.new_random_id()
             await caller.chat(CHAT, {headers.REQUEST: request})
             explained = await caller.get(f'/explain/{request}')
             return 'forwarded' not in str(explained)
@@ -189,7 +189,7 @@
     """A stream resumes at the engine that has it, else it is reported."""
     made = fleet.deployment(regions=('north',), entries=2, engines=2)
     async with fleet.running(tmp_path, made, SLOW) as running:
-        request = ids.new_unique()
+        request = ids.new_random_id()
         seen = []
         first = asyncio.create_task(
             running.caller('north-1').chat(
@@ -200,7 +200,7 @@
         running.kill('north-1')
         await asyncio.gather(first, return_exceptions=True)
         sent = {
-            headers.REQUEST: request if known else ids.new_unique(),
+            headers.REQUEST: request if known else ids.new_random_id(),
             headers.ATTEMPT: '2',
             headers.LAST_EVENT_ID: str(len(seen)),
         }
--- a/wrenspoke/caller.py
+++ b/wrenspoke/caller.py
@@ -118,7 +118,7 @@
         )
 
     async def _ask(self, method, path, sent, body, on_text) -> Result:
-        sent.setdefault(headers.REQUEST, ids.new_unique())
+        sent.setdefault(headers.REQUEST, ids.new_random_id())
         attempt = int(sent.get(headers.ATTEMPT, '1'))
         total = Result('lost')
         for url in list(self._urls):
@@ -126,7 +126,7 @@
             attempt += 1
             data = _continued(body, total.text)
             if total.events:
-                sent[headers.REQUEST] = ids.new_unique()
+                sent[headers.REQUEST] = ids.new_random_id()
             total.hosts.append(url)
             try:
                 await self._ask_one(
--- a/wrenspoke/coordination/agreement/rollback_check.py
+++ b/wrenspoke/coordination/agreement/rollback_check.py
@@ -49,7 +49,7 @@
         self._peers = peers
         self._settings = control_settings
         self._clock = clock
-        self._start_id = ids.new_unique()
+        self._start_id = ids.new_random_id()
         self._start_counted = False
         self.passed = False
         with contextlib.suppress(state_errors.DiskFullError):
--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -118,7 +118,7 @@
         self._election_attempt_ms = self._leader_contact_ms
         self._pre_vote_running = False
         self._pre_vote_yielded = False
-        self._instance_id = ids.new_unique()
+        self._instance_id = ids.new_random_id()
         # Time on this host's clock up to which a leader has confirmed that
         # every accepted entry is committed here.
         self._confirmed_ms: int | None = None
--- a/wrenspoke/coordination/limiting/endpoint_buckets.py
+++ b/wrenspoke/coordination/limiting/endpoint_buckets.py
@@ -96,7 +96,7 @@
         self._gossip = gossip
         self._peers = peers
         self._clock = clock
-        self._life = ids.new_unique()
+        self._life = ids.new_random_id()
         self._buckets: dict[ids.EndpointId, _EndpointBucket] = {}
         # The largest recent number of hosts on the roster, and when it was.
         self._max_hosts = 0
--- a/wrenspoke/coordination/limiting/team_buckets.py
+++ b/wrenspoke/coordination/limiting/team_buckets.py
@@ -162,7 +162,7 @@
         self._overshoot = overshoot
         self._peers = peers
         self._clock = clock
-        self._life = ids.new_unique()
+        self._life = ids.new_random_id()
         self._numbers = itertools.count(1)
         self._buckets: dict[ids.TeamId, TeamBucket] = {}
         self._renew_now = asyncio.Event()
--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -60,7 +60,7 @@
         self._replica = config_replica
         self._peers = peers
         self._clock = clock
-        self._instance_id = ids.new_unique()
+        self._instance_id = ids.new_random_id()
         self._created_ms = clock.mono_ms()
         self._update_event = asyncio.Event()
         # When each entry host was last answered.
--- a/wrenspoke/coordination/quarantine/crash_aggregator.py
+++ b/wrenspoke/coordination/quarantine/crash_aggregator.py
@@ -75,7 +75,7 @@
         self._list_entry_hosts = list_entry_hosts
         self._peers = peers
         self._clock = clock
-        self._instance_id = ids.new_unique()
+        self._instance_id = ids.new_random_id()
         self._crash_history = crash_history.CrashHistory(clock)
         # Requests over the threshold without a committed decision, with the
         # time at which entry hosts were last notified.
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -68,7 +68,7 @@
         ] = collections.OrderedDict()
         # When this host first saw each committed decision.
         self._decision_seen_ms: dict[quarantine.Quarantined, int] = {}
-        self._instance_id = ids.new_unique()
+        self._instance_id = ids.new_random_id()
         self._tasks = runtime.Tasks()
         self.refused_count = 0
         reporter.set_hold_callback(self._hold_provisionally)
--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -85,7 +85,7 @@
     ticket: ClaimTicket | None = None
     extra_headers: dict[str, str] = dataclasses.field(default_factory=dict)
     attempt_id: ids.AttemptId = dataclasses.field(
-        default_factory=lambda: ids.AttemptId(ids.new_unique())
+        default_factory=lambda: ids.AttemptId(ids.new_random_id())
     )
 
     @property
--- a/wrenspoke/coordination/serving/once.py
+++ b/wrenspoke/coordination/serving/once.py
@@ -164,7 +164,7 @@
     async def _claim(
         self, head: requests.RequestHead, key: requests.OnceKey
     ) -> tuple[dispatch.ClaimTicket | None, registers.Claim]:
-        attempt_id = ids.AttemptId(ids.new_unique())
+        attempt_id = ids.AttemptId(ids.new_random_id())
         try:
             claim = await self._ledger.change(
                 key,
--- a/wrenspoke/demo.py
+++ b/wrenspoke/demo.py
@@ -176,7 +176,7 @@
         'stream': True,
         'messages': [{'role': 'user', 'content': 'Is bay 4 free?'}],
     }
-    request = ids.new_unique()
+    request = ids.new_random_id()
     sent = {headers.REQUEST: request}
     if bound:
         sent |= {headers.HOME: 'south', headers.BOUND: 'true'}
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -134,7 +134,7 @@
             node.data_centre,
             node.callers_address,
             f'{node.ip}:{node.passing_port}',
-            ids.new_unique(),
+            ids.new_random_id(),
             0,
             False,
         )
--- a/wrenspoke/ids.py
+++ b/wrenspoke/ids.py
@@ -21,6 +21,6 @@
 UNIQUE_BYTES = 8
 
 
-def new_unique() -> str:
+def new_random_id() -> str:
     """Return 16 random hexadecimal digits."""
     return secrets.token_hex(UNIQUE_BYTES)
--- a/wrenspoke/load.py
+++ b/wrenspoke/load.py
@@ -109,7 +109,7 @@
         urls = list(self._entries[region])
         self._random.shuffle(urls)
         asked = history.Asked(
-            request=ids.new_unique(),
+            request=ids.new_random_id(),
             kind=kind,
             entry=urls[0],
             home=home,
--- a/wrenspoke/protocol/requests.py
+++ b/wrenspoke/protocol/requests.py
@@ -99,7 +99,7 @@
 
 def new_once_key(region: str, issued_ms: int) -> OnceKey:
     """Make a key that nobody has used."""
-    return OnceKey(ids.RegionId(region), issued_ms, ids.new_unique())
+    return OnceKey(ids.RegionId(region), issued_ms, ids.new_random_id())
 
 
 class HeaderReader:
--- a/wrenspoke/protocol/surface.py
+++ b/wrenspoke/protocol/surface.py
@@ -215,7 +215,7 @@
             self._limits.deadline_limit_ms,
         )
         head = requests.RequestHead(
-            request=ids.RequestId(given or ids.new_unique()),
+            request=ids.RequestId(given or ids.new_random_id()),
             kind=kind,
             method=request.method,
             path=path,
--- a/wrenspoke/protocol/traffic.py
+++ b/wrenspoke/protocol/traffic.py
@@ -54,7 +54,7 @@
         self._own = own
         self._clock = clock
         self._began_ms = clock.mono_ms()
-        self._life = ids.new_unique()
+        self._life = ids.new_random_id()
         self._place_of: Places = _unknown_place
         self._decoder = msgspec.msgpack.Decoder(_Tagged)
         self.sent: dict[tuple[str, Distance], Sent] = {}
--- a/wrenspoke/state/storage.py
+++ b/wrenspoke/state/storage.py
@@ -87,7 +87,7 @@
             raise errors.CorruptLogError(
                 META, 0, 'missing beside a log or snapshot'
             )
-        meta = Meta(ids.Incarnation(ids.new_unique()))
+        meta = Meta(ids.Incarnation(ids.new_random_id()))
         logger.info('new_disk', incarnation=meta.incarnation)
         return meta
 
@@ -297,7 +297,7 @@
         """Become a new disk: another incarnation that holds nothing."""
         # The new name goes first: a log under a name that never voted
         # claims nothing, while an old name without its log would.
-        self.meta = Meta(ids.Incarnation(ids.new_unique()))
+        self.meta = Meta(ids.Incarnation(ids.new_random_id()))
         self.save_meta()
         self._disk.remove(LOG)
         self._disk.remove(SNAPSHOT)
--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -126,7 +126,7 @@
         self._handler = handler
         self._silence = silence
         self._offsets_ms: dict[tuple[str, str], int] = {}
-        self._epoch = ids.new_unique()
+        self._epoch = ids.new_random_id()
         self._context = zmq.asyncio.Context()
         self._authenticator = None
         self._router = None
