--- a/wrenspoke/ids.py
+++ b/wrenspoke/ids.py
@@ -18,9 +18,9 @@
 SessionId = typing.NewType('SessionId', str)
 TeamId = typing.NewType('TeamId', str)
 
-UNIQUE_BYTES = 8
+RANDOM_ID_BYTES = 8
 
 
 def new_random_id() -> str:
     """Return 16 random hexadecimal digits."""
-    return secrets.token_hex(UNIQUE_BYTES)
+    return secrets.token_hex(RANDOM_ID_BYTES)
