--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -146,7 +146,7 @@
         self.folder = folder
         self.path = folder / 'deployment.json'
         self.path.write_text(json.dumps(made))
-        keys.make(self.path)
+        keys.generate_keys(self.path)
         self.settings = settings.read(self.path)
         self.model = json.dumps(model or {'token_ms': 1})
         self.processes: dict[str, subprocess.Popen] = {}
--- a/wrenspoke/cli.py
+++ b/wrenspoke/cli.py
@@ -260,7 +260,7 @@
 @command('keys', 'make the keys of a deployment', parser_keys)
 async def run_keys(arguments: argparse.Namespace) -> int:
     """Make new keys and write the public ones into the settings."""
-    count = keys.make(arguments.file)
+    count = keys.generate_keys(arguments.file)
     print(f'{arguments.file}: new keys for {count} hosts')
     return OK
 
--- a/wrenspoke/demo.py
+++ b/wrenspoke/demo.py
@@ -116,7 +116,7 @@
     with tempfile.TemporaryDirectory() as name:
         path = pathlib.Path(name) / 'deployment.json'
         path.write_text(json.dumps(deployment_json()))
-        keys.make(path)
+        keys.generate_keys(path)
         deployment = settings.read(path)
         folder = path.parent / deployment.keys_folder
         model = engine.EngineModel(token_ms=30)
--- a/wrenspoke/keys.py
+++ b/wrenspoke/keys.py
@@ -16,7 +16,7 @@
 FOLDER_MODE = 0o700
 
 
-def make(path: pathlib.Path) -> int:
+def generate_keys(path: pathlib.Path) -> int:
     """Give every host of a settings file new keys; return how many.
 
     The file is rewritten with the public keys; the secret ones go into
