--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -88,8 +88,11 @@
         ],
         'rules': RULES,
         'operators': [
-            {'operator': 'ada', 'token_sha256': keys.digest(TOKEN)},
-            {'operator': 'ben', 'token_sha256': keys.digest(TOKEN + '2')},
+            {'operator': 'ada', 'token_sha256': keys.token_digest(TOKEN)},
+            {
+                'operator': 'ben',
+                'token_sha256': keys.token_digest(TOKEN + '2'),
+            },
         ],
     }
     for region in regions:
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -38,7 +38,7 @@
         endpoint['url'] = f'http://127.0.0.1:{next(ports)}'
     operator = {
         'operator': 'ada',
-        'token_sha256': keys.digest(fleet.TOKEN),
+        'token_sha256': keys.token_digest(fleet.TOKEN),
     }
     return {**made, **fleet.FAST, 'operators': [operator]}
 
--- a/wrenspoke/demo.py
+++ b/wrenspoke/demo.py
@@ -88,7 +88,9 @@
             {'service': 'records', 'kind': 'plain'},
         ],
         'endpoints': endpoints,
-        'operators': [{'operator': 'you', 'token_sha256': keys.digest(TOKEN)}],
+        'operators': [
+            {'operator': 'you', 'token_sha256': keys.token_digest(TOKEN)}
+        ],
         'control': {
             'beat_interval_ms': 100,
             'election_timeout_ms': 400,
--- a/wrenspoke/keys.py
+++ b/wrenspoke/keys.py
@@ -70,7 +70,7 @@
     )
 
 
-def digest(token: str) -> str:
+def token_digest(token: str) -> str:
     """Return what settings hold in place of an operator's token."""
     return hashlib.sha256(token.encode()).hexdigest()
 
