--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -451,7 +451,7 @@
         fleet.start_standins()
         controls = fleet.settings.with_role('control')
         if controls:
-            controld.found(fleet.path, controls[0].host)
+            controld.bootstrap_group(fleet.path, controls[0].host)
         for host in controls:
             fleet.start_control(host.host)
         for host in fleet.settings.with_role('entry'):
--- a/wrenspoke/cli.py
+++ b/wrenspoke/cli.py
@@ -420,7 +420,7 @@
 @command('found', 'begin a control group, once, on one host', parser_found)
 async def run_found(arguments: argparse.Namespace) -> int:
     """Write the first log entries on an empty disk."""
-    controld.found(arguments.file, arguments.host)
+    controld.bootstrap_group(arguments.file, arguments.host)
     print(f'{arguments.host}: founded; start its controld now')
     return OK
 
--- a/wrenspoke/controld.py
+++ b/wrenspoke/controld.py
@@ -141,7 +141,7 @@
         logger.info('stopped')
 
 
-def found(path: pathlib.Path, name: str) -> None:
+def bootstrap_group(path: pathlib.Path, name: str) -> None:
     """Begin a new group on one control host's empty disk.
 
     :raises InvalidChangeError: the disk holds a log already
--- a/wrenspoke/demo.py
+++ b/wrenspoke/demo.py
@@ -123,7 +123,7 @@
         folder = path.parent / deployment.keys_folder
         model = engine.EngineModel(token_ms=30)
         servers = await standins.start(deployment, [], model)
-        controld.found(path, CONTROL)
+        controld.bootstrap_group(path, CONTROL)
         control = controld.ControlDaemon(deployment, CONTROL, path.parent)
         await control.start()
         daemons = [
