--- a/wrenspoke/controld.py
+++ b/wrenspoke/controld.py
@@ -85,7 +85,7 @@
             self.peers,
             clock,
         )
-        self._gatherer = crash_aggregator.CrashAggregator(
+        self._crash_aggregator = crash_aggregator.CrashAggregator(
             self.voter, self.replica, self._entry_hosts, self.peers, clock
         )
         surface = operators.OperatorSurface(self.control, deployment.operators)
@@ -125,14 +125,14 @@
         self.voter.start()
         self._executor.start()
         self.control.start()
-        self._gatherer.start()
+        self._crash_aggregator.start()
         await self._web.start(ip, self._own.operator_port)
         logger.info('started', ip=ip, operator_port=self._own.operator_port)
 
     async def close(self) -> None:
         """End every task and close every socket."""
         await self._web.close()
-        await self._gatherer.close()
+        await self._crash_aggregator.close()
         await self.control.close()
         await self._executor.close()
         await self.voter.close()
