--- a/wrenspoke/controld.py
+++ b/wrenspoke/controld.py
@@ -41,25 +41,31 @@
         folder: pathlib.Path,
     ):
         self._deployment = deployment
-        self._own = deployment.host(name)
+        self._host_settings = deployment.host(name)
         host = ids.HostId(name)
         clock = clocks.Clock()
         self.peers = peer_calls.Peers(
             keys.read_identity(
-                folder / deployment.keys_folder, deployment, self._own
+                folder / deployment.keys_folder,
+                deployment,
+                self._host_settings,
             ),
             keys.link_peers(deployment),
             clock,
         )
         self.replica = replica.Replica()
         self._client = web.HttpClient(deployment.entry.connect_timeout_ms)
-        kept = storage.Storage(disk.Disk(folder / self._own.data_folder))
+        kept = storage.Storage(
+            disk.Disk(folder / self._host_settings.data_folder)
+        )
         hosts = [
             ids.HostId(other.host) for other in deployment.with_role('control')
         ]
         self.voter = voter.Voter(
             host,
-            locations.Location(self._own.region, self._own.data_centre),
+            locations.Location(
+                self._host_settings.region, self._host_settings.data_centre
+            ),
             control_group.ControlGroup(host, hosts, clock),
             deployment.control,
             kept,
@@ -69,7 +75,7 @@
         )
         dispatcher = dispatch.Dispatcher(
             host,
-            ids.RegionId(self._own.region),
+            ids.RegionId(self._host_settings.region),
             self.replica,
             self._client,
             clock,
@@ -99,7 +105,7 @@
         return [
             ids.HostId(entry.host)
             for entry in self._deployment.with_role('entry')
-            if everywhere or entry.region == self._own.region
+            if everywhere or entry.region == self._host_settings.region
         ]
 
     async def _show_metrics(
@@ -120,14 +126,16 @@
 
     async def start(self) -> None:
         """Listen and begin every task."""
-        ip = str(self._own.ip)
-        await self.peers.links.start(ip, self._own.link_port)
+        ip = str(self._host_settings.ip)
+        await self.peers.links.start(ip, self._host_settings.link_port)
         self.voter.start()
         self._executor.start()
         self.control.start()
         self._crash_aggregator.start()
-        await self._web.start(ip, self._own.operator_port)
-        logger.info('started', ip=ip, operator_port=self._own.operator_port)
+        await self._web.start(ip, self._host_settings.operator_port)
+        logger.info(
+            'started', ip=ip, operator_port=self._host_settings.operator_port
+        )
 
     async def close(self) -> None:
         """End every task and close every socket."""
