--- a/wrenspoke/controld.py
+++ b/wrenspoke/controld.py
@@ -97,7 +97,7 @@
         surface = operators.OperatorSurface(self.control, deployment.operators)
         self._metrics = metrics.Metrics(name)
         application = surface.application()
-        application.router.add_get('/metrics', self._show_metrics)
+        application.router.add_get('/metrics', self._handle_metrics)
         self._web = web.HttpServer(application)
 
     def _entry_hosts(self, everywhere: bool) -> list[ids.HostId]:
@@ -108,7 +108,7 @@
             if everywhere or entry.region == self._host_settings.region
         ]
 
-    async def _show_metrics(
+    async def _handle_metrics(
         self, request: aiohttp.web.Request
     ) -> aiohttp.web.Response:
         elected = self.voter
