--- a/wrenspoke/control_node.py
+++ b/wrenspoke/control_node.py
@@ -72,7 +72,7 @@
         self._allocator = allocator.Allocator(
             self.voter, self.peers, self.clock
         )
-        self._gatherer = crash_aggregator.CrashAggregator(
+        self._crash_aggregator = crash_aggregator.CrashAggregator(
             self.voter, self.replica, self._entry_hosts, self.peers, self.clock
         )
         self._tasks = runtime.Tasks()
@@ -98,7 +98,7 @@
         ):
             self._kept_registry.start()
         self.registrar.start()
-        self._gatherer.start()
+        self._crash_aggregator.start()
         self._tasks.start(self._traffic.keep_logging('control'))
         logger.info('started', host=self.node.host, seeds=self.node.seeds)
 
@@ -111,7 +111,7 @@
         """End every task and close every socket."""
         await self._tasks.close()
         await self._allocator.close()
-        await self._gatherer.close()
+        await self._crash_aggregator.close()
         await self.registrar.close()
         await self._kept_registry.close()
         await self.voter.close()
