--- a/wrenspoke/control_node.py
+++ b/wrenspoke/control_node.py
@@ -64,7 +64,7 @@
             self.clock,
         )
         self._traffic.tell_places(self.registrar.host_location)
-        self._kept_registry = registry_snapshot.RegistrySnapshot(
+        self._registry_snapshot = registry_snapshot.RegistrySnapshot(
             pathlib.Path(node.data_folder),
             self.registrar.registry,
             self.clock,
@@ -96,7 +96,7 @@
             feature_flags.FeatureFlag.REGISTRY_SNAPSHOTS
             not in self.node.switched_off
         ):
-            self._kept_registry.start()
+            self._registry_snapshot.start()
         self.registrar.start()
         self._crash_aggregator.start()
         self._tasks.start(self._traffic.keep_logging('control'))
@@ -113,7 +113,7 @@
         await self._allocator.close()
         await self._crash_aggregator.close()
         await self.registrar.close()
-        await self._kept_registry.close()
+        await self._registry_snapshot.close()
         await self.voter.close()
         await self.peers.links.close()
         self._traffic.log('control')
