--- a/tests/membership_fleet.py
+++ b/tests/membership_fleet.py
@@ -108,23 +108,23 @@
             0,
             False,
         )
-        self.attendance = discovery_client.DiscoveryClient(
+        self.discovery = discovery_client.DiscoveryClient(
             record,
             control_group.ControlGroup(name, seeds, clock),
             replica.Replica(),
             self.peers,
             clock,
         )
-        self.attendance.start()
+        self.discovery.start()
 
     @property
     def known_hosts(self):
         """Return the usable hosts in this host's roster."""
-        return {record.host for record in self.attendance.roster.usable()}
+        return {record.host for record in self.discovery.roster.usable()}
 
     async def close(self):
         await self.peers.close()
-        await self.attendance.close()
+        await self.discovery.close()
 
 
 class AttendingFleet:
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -170,7 +170,7 @@
         self.controls[0].registrar.register(said)
         await until(
             lambda: all(
-                (found := entry.attendance.registry.held.get(name))
+                (found := entry.discovery.registry.held.get(name))
                 and found.said.state is said.state
                 for entry in self.entries
             )
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -204,7 +204,7 @@
         )
         found.registrar.register(said)
         [entry] = system.entries
-        await nodes.until(lambda: 'e' in entry.attendance.registry.held)
+        await nodes.until(lambda: 'e' in entry.discovery.registry.held)
         # It also answers after a restart with a full disk.
         await found.close()
         system.controls.remove(found)
--- a/tests/test_membership_fleet.py
+++ b/tests/test_membership_fleet.py
@@ -178,7 +178,7 @@
 def sessions_of(fleet):
     """Return the control hosts of each entry host's sessions."""
     return {
-        name: {session.host for session in host.attendance._sessions}
+        name: {session.host for session in host.discovery._sessions}
         for name, host in fleet.entries.items()
     }
 
@@ -264,7 +264,7 @@
             host.registrar._replica.apply_delta(delta)
         await fleet.wait_ms(SETTLED_MS)
         for host in fleet.entries.values():
-            assert host.attendance._replica.current.routes.version == 1
+            assert host.discovery._replica.current.routes.version == 1
         await fleet.close()
 
     group.run(play())
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -76,7 +76,7 @@
         self.lease = lease.ConfigurationLease(
             node.withdrawn_keys_ms, self.clock
         )
-        self.attendance = discovery_client.DiscoveryClient(
+        self.discovery = discovery_client.DiscoveryClient(
             self._record(),
             self.group,
             self.replica,
@@ -84,7 +84,7 @@
             self.clock,
             self.lease,
         )
-        self._traffic.tell_places(self.attendance.host_location)
+        self._traffic.tell_places(self.discovery.host_location)
         self._client = web.HttpClient(
             node.entry.connect_timeout_ms, node.entry.endpoint_idle_ms
         )
@@ -106,12 +106,12 @@
         )
         self._views = region_views.RegionViews(self.clock)
         self._askers = region_pollers.RegionPollers(
-            node.region, node.host, self.attendance.roster, self.peers
+            node.region, node.host, self.discovery.roster, self.peers
         )
         self._partners = remote_hosts.RemoteHosts(
             node.host,
             node.region,
-            self.attendance.roster,
+            self.discovery.roster,
             self._reach,
             self._askers,
             self._views,
@@ -119,7 +119,7 @@
         )
         self._tasks = runtime.Tasks()
         self._access = access.AccessControl(
-            self.replica, self.attendance.roster, self.lease
+            self.replica, self.discovery.roster, self.lease
         )
         self._build_limits()
         self._build_guard()
@@ -141,9 +141,9 @@
 
     def _standing(self, ping: messages.Ping) -> messages.Pong:
         """Return what hosts elsewhere are told that may pass calls here."""
-        serving = self.replica.serving and self.attendance.recently_ran
+        serving = self.replica.serving and self.discovery.recently_ran
         return messages.Pong(
-            self.attendance.draining,
+            self.discovery.draining,
             serving,
             self.replica.current.index,
             self._choice.build_offers() if serving else [],
@@ -152,7 +152,7 @@
 
     def _host_heard(self, host: ids.HostId, asked_ms: int) -> None:
         """Note that a host elsewhere can be reached."""
-        record = self.attendance.roster.record(host)
+        record = self.discovery.roster.record(host)
         if record is not None:
             self._health.record_reachable(record.passing_address, asked_ms)
 
@@ -169,7 +169,7 @@
             node.regions,
             node.entry.report_interval_ms,
             reports,
-            self.attendance,
+            self.discovery,
             self.replica,
             self._client,
             self._askers,
@@ -193,7 +193,7 @@
 
     def _note_sent_by_another(self, sent: attending.SentCall) -> None:
         """Note what another host of this region sends to an engine."""
-        found = self.attendance.registry.held.get(sent.endpoint)
+        found = self.discovery.registry.held.get(sent.endpoint)
         if found is None:
             return
         service = self.replica.current.routes.service(found.said.service)
@@ -208,7 +208,7 @@
         )
         self._lender = team_buckets.TeamBuckets(
             self._access.limit_of,
-            lambda: self.attendance.leader,
+            lambda: self.discovery.leader,
             allowed,
             self.peers,
             self.clock,
@@ -231,14 +231,14 @@
         )
         self._askers.add_listener(self._gate.merge)
         self._gate.leaving.listen(
-            lambda life: self.attendance.mark_leaving(
+            lambda life: self.discovery.mark_leaving(
                 life.endpoint, life.born_ms
             )
         )
 
     def _lives(self, life: limiting.EndpointLife) -> bool:
         """Tell whether an endpoint is known, and in that life of it."""
-        found = self.attendance.registry.held.get(life.endpoint)
+        found = self.discovery.registry.held.get(life.endpoint)
         return found is not None and found.said.born_ms == life.born_ms
 
     def _build_guard(self) -> None:
@@ -255,14 +255,14 @@
 
     def _leaves(self, endpoint: ids.EndpointId) -> bool:
         """Tell whether an endpoint has said that it is about to end."""
-        found = self.attendance.registry.held.get(endpoint)
+        found = self.discovery.registry.held.get(endpoint)
         if found is None:
             return False
         return not found.takes_work
 
     def _forget_life(self, before: registry.Registration) -> None:
         """Forget what was learned of an endpoint that began anew."""
-        others = set(self.attendance.registry.held) - {before.endpoint}
+        others = set(self.discovery.registry.held) - {before.endpoint}
         self._estimator.keep_only(others)
         self._warmth.keep_only(others)
         self._gauges.evict(before.endpoint)
@@ -291,7 +291,7 @@
             node.region,
             self._askers,
             node.regions,
-            self.attendance,
+            self.discovery,
             self.replica,
             self._health,
             self._warmth,
@@ -303,7 +303,7 @@
         self._choice = endpoint_selector.EndpointSelector(
             node.region,
             node.regions,
-            self.attendance,
+            self.discovery,
             self.replica,
             self._health,
             self._estimator,
@@ -314,7 +314,7 @@
         )
         self.passthrough = passthrough.PassThrough(
             self.replica,
-            self.attendance,
+            self.discovery,
             self._choice,
             destinations.DestinationSelector(
                 node.host,
@@ -335,7 +335,7 @@
                     self._guard,
                     self._gate,
                 ),
-                self.attendance,
+                self.discovery,
                 self._choice,
                 self._health,
                 self._reach,
@@ -361,7 +361,7 @@
             ),
             self.clock,
         )
-        self.attendance.registry.tell_reborn(self._forget_life)
+        self.discovery.registry.tell_reborn(self._forget_life)
         self._callers = self._server(surface.handle_caller)
         self._hosts = self._server(surface.handle_host)
 
@@ -375,7 +375,7 @@
         """Listen for callers and hosts, and begin every task."""
         node = self.node
         await self.peers.links.start(node.ip, node.link_port)
-        self.attendance.start()
+        self.discovery.start()
         self._lender.start()
         self._gate.start()
         self._gauges.start()
@@ -397,17 +397,17 @@
     async def _keep_house(self) -> None:
         """Count who shares the budgets, and forget what is gone."""
         while True:
-            hosts = self.attendance.roster.usable()
+            hosts = self.discovery.roster.usable()
             self.spending.set_hosts(record.host for record in hosts)
-            near = self.attendance.roster.usable(self.node.region)
+            near = self.discovery.roster.usable(self.node.region)
             self._estimator.backlog.host_count = max(len(near), 1)
-            held = self.attendance.registry.held
+            held = self.discovery.registry.held
             self._estimator.keep_only(set(held))
             self._warmth.keep_only(set(held))
             places = {found.said.address for found in held.values()}
             places |= {record.passing_address for record in hosts}
             self._health.keep_only(places)
-            self.attendance.registry.forget_old()
+            self.discovery.registry.forget_old()
             await self.clock.sleep_ms(HOUSE_INTERVAL_MS)
 
     async def _watch_evacuations(self) -> None:
@@ -418,10 +418,10 @@
 
     async def drain(self) -> None:
         """Let callers go elsewhere, then wait for what is in flight."""
-        self.attendance.draining = True
+        self.discovery.draining = True
         self.passthrough.leaving = True
         logger.info('draining', in_flight=self.passthrough.in_flight)
-        await self.attendance.push_status()
+        await self.discovery.push_status()
         await self.clock.sleep_ms(self.node.entry.leave_delay_ms)
         drained = await self.passthrough.drain(self.node.entry.stop_timeout_ms)
         logger.info('drained', whole=drained)
@@ -439,7 +439,7 @@
         await self._partners.close()
         await self._warmth.close()
         await self._reach.close()
-        await self.attendance.close()
+        await self.discovery.close()
         await self._client.close()
         await self._hosts_client.close()
         await self.peers.links.close()
