--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -91,7 +91,7 @@
         self._hosts_client = web.HttpClient(
             node.entry.far_connect_timeout_ms, node.entry.host_idle_ms
         )
-        self.spending = shared_retry_budget.SharedRetryBudget(
+        self.retry_budget = shared_retry_budget.SharedRetryBudget(
             node.host,
             shared_retry_budget.RetryBounds(
                 node.retries.ratio, node.retries.fixed, node.retries.window_ms
@@ -344,7 +344,7 @@
                 self.clock,
                 self._sent_calls,
             ),
-            self.spending,
+            self.retry_budget,
             self._access,
             self._limiter,
             self._guard,
@@ -398,7 +398,7 @@
         """Count who shares the budgets, and forget what is gone."""
         while True:
             hosts = self.discovery.roster.usable()
-            self.spending.set_hosts(record.host for record in hosts)
+            self.retry_budget.set_hosts(record.host for record in hosts)
             near = self.discovery.roster.usable(self.node.region)
             self._estimator.backlog.host_count = max(len(near), 1)
             held = self.discovery.registry.held
