--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -163,7 +163,7 @@
         node = self.node
         self._health = outlier_detection.OutlierDetector(self.clock)
         self._reach.set_answer_callback(self._host_heard)
-        self._gauges = engine_loads.EngineLoads(
+        self._engine_loads = engine_loads.EngineLoads(
             node.region,
             node.host,
             node.regions,
@@ -180,7 +180,7 @@
             dialect,
             self.clock,
         )
-        self._estimator = estimate.Estimator(self._gauges, self.clock)
+        self._estimator = estimate.Estimator(self._engine_loads, self.clock)
         self._sent_calls = None
         if (
             feature_flags.FeatureFlag.SENT_CALL_BROADCAST
@@ -265,7 +265,7 @@
         others = set(self.discovery.registry.held) - {before.endpoint}
         self._estimator.keep_only(others)
         self._warmth.keep_only(others)
-        self._gauges.evict(before.endpoint)
+        self._engine_loads.evict(before.endpoint)
         self._health.reset_address(before.address)
 
     def _build_serving(self, dialect: dialects.Dialect) -> None:
@@ -295,7 +295,7 @@
             self.replica,
             self._health,
             self._warmth,
-            self._gauges,
+            self._engine_loads,
             self._gate,
             node.switched_off,
             self.clock,
@@ -378,7 +378,7 @@
         self.discovery.start()
         self._lender.start()
         self._gate.start()
-        self._gauges.start()
+        self._engine_loads.start()
         if self._sent_calls is not None:
             self._sent_calls.start()
         self._partners.start()
@@ -435,7 +435,7 @@
         await self._guard.close()
         if self._sent_calls is not None:
             await self._sent_calls.close()
-        await self._gauges.close()
+        await self._engine_loads.close()
         await self._partners.close()
         await self._warmth.close()
         await self._reach.close()
