--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -105,7 +105,7 @@
             self._standing,
         )
         self._views = region_views.RegionViews(self.clock)
-        self._askers = region_pollers.RegionPollers(
+        self._pollers = region_pollers.RegionPollers(
             node.region, node.host, self.discovery.roster, self.peers
         )
         self._partners = remote_hosts.RemoteHosts(
@@ -113,7 +113,7 @@
             node.region,
             self.discovery.roster,
             self._reach,
-            self._askers,
+            self._pollers,
             self._views,
             self.clock,
         )
@@ -172,7 +172,7 @@
             self.discovery,
             self.replica,
             self._client,
-            self._askers,
+            self._pollers,
             self._partners,
             self._views,
             self._health.record_reachable,
@@ -187,7 +187,7 @@
             not in node.switched_off
         ):
             self._sent_calls = sent_call_broadcast.SentCallBroadcaster(
-                node.host, self._askers, self.peers, self.clock
+                node.host, self._pollers, self.peers, self.clock
             )
             self._sent_calls.subscribe(self._note_sent_by_another)
 
@@ -215,7 +215,7 @@
         )
         self._limiter = limiter.Limiter(
             node.host,
-            self._askers.rendezvous_order,
+            self._pollers.rendezvous_order,
             self._lender,
             allowed,
             self.peers,
@@ -223,13 +223,13 @@
         )
         self._gate = endpoint_gate.EndpointGate(
             node.host,
-            self._askers.rendezvous_order,
+            self._pollers.rendezvous_order,
             self._lives,
-            self._askers.broadcast,
+            self._pollers.broadcast,
             self.peers,
             self.clock,
         )
-        self._askers.add_listener(self._gate.merge)
+        self._pollers.add_listener(self._gate.merge)
         self._gate.leaving.listen(
             lambda life: self.discovery.mark_leaving(
                 life.endpoint, life.born_ms
@@ -272,7 +272,7 @@
         """Build what serves requests and what listens for them."""
         node = self.node
         self._warmth = warmup_probe.WarmupProbe(
-            self._askers,
+            self._pollers,
             self.replica,
             dialect,
             self._client,
@@ -289,7 +289,7 @@
         )
         self._available = availability.Availability(
             node.region,
-            self._askers,
+            self._pollers,
             node.regions,
             self.discovery,
             self.replica,
