--- a/tests/test_far.py
+++ b/tests/test_far.py
@@ -56,7 +56,7 @@
     others = [other.node.host for other in system.entries[1:]]
 
     def answered_since(began_ms):
-        remotes = [north._reach.state_of(host) for host in others]
+        remotes = [north._pinger.state_of(host) for host in others]
         return all(
             remote is not None and (remote.answered_ms or 0) > began_ms
             for remote in remotes
@@ -121,7 +121,7 @@
     west = await system.start_entry('west-hall')
     north, *south = system.entries[:3]
     cut = {one.node.host for one in south}
-    ping = north._reach._ping
+    ping = north._pinger._ping
 
     async def ping_unless_cut(host, remote, timeout_ms):
         if host not in cut:
@@ -129,10 +129,10 @@
         remote.failed_ms = north.clock.mono_ms()
         return False
 
-    monkeypatch.setattr(north._reach, '_ping', ping_unless_cut)
+    monkeypatch.setattr(north._pinger, '_ping', ping_unless_cut)
 
     def knows_a_way():
-        remote = north._reach.state_of(west.node.host)
+        remote = north._pinger.state_of(west.node.host)
         return remote and remote.pong and 'south' in remote.pong.relayed
 
     await nodes.until(
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -98,7 +98,7 @@
             ),
             self.clock,
         )
-        self._reach = host_pinger.HostPinger(
+        self._pinger = host_pinger.HostPinger(
             node.entry,
             self.peers,
             self.clock,
@@ -112,7 +112,7 @@
             node.host,
             node.region,
             self.discovery.roster,
-            self._reach,
+            self._pinger,
             self._pollers,
             self._views,
             self.clock,
@@ -162,7 +162,7 @@
         """Build what knows how loaded engines are."""
         node = self.node
         self._health = outlier_detection.OutlierDetector(self.clock)
-        self._reach.set_answer_callback(self._host_heard)
+        self._pinger.set_answer_callback(self._host_heard)
         self._engine_loads = engine_loads.EngineLoads(
             node.region,
             node.host,
@@ -280,7 +280,7 @@
             self.clock,
         )
         self._regions = remote_regions.RemoteRegions(
-            self._reach,
+            self._pinger,
             self._partners,
             self._views,
             self.replica,
@@ -338,7 +338,7 @@
                 self.discovery,
                 self._choice,
                 self._health,
-                self._reach,
+                self._pinger,
                 self._estimator,
                 self._regions,
                 self.clock,
@@ -438,7 +438,7 @@
         await self._engine_loads.close()
         await self._partners.close()
         await self._warmth.close()
-        await self._reach.close()
+        await self._pinger.close()
         await self.discovery.close()
         await self._client.close()
         await self._hosts_client.close()
