--- a/tests/test_far.py
+++ b/tests/test_far.py
@@ -136,7 +136,7 @@
         return remote and remote.pong and 'south' in remote.pong.relayed
 
     await nodes.until(
-        lambda: north._partners.unreachable_regions() == ['south']
+        lambda: north._remote_hosts.unreachable_regions() == ['south']
     )
     await nodes.until(knows_a_way)
     return west
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -108,7 +108,7 @@
         self._pollers = region_pollers.RegionPollers(
             node.region, node.host, self.discovery.roster, self.peers
         )
-        self._partners = remote_hosts.RemoteHosts(
+        self._remote_hosts = remote_hosts.RemoteHosts(
             node.host,
             node.region,
             self.discovery.roster,
@@ -173,7 +173,7 @@
             self.replica,
             self._client,
             self._pollers,
-            self._partners,
+            self._remote_hosts,
             self._views,
             self._health.record_reachable,
             self._gate,
@@ -281,7 +281,7 @@
         )
         self._regions = remote_regions.RemoteRegions(
             self._pinger,
-            self._partners,
+            self._remote_hosts,
             self._views,
             self.replica,
             self.clock,
@@ -307,7 +307,7 @@
             self.replica,
             self._health,
             self._estimator,
-            self._partners,
+            self._remote_hosts,
             self._available,
             node.switched_off,
             self.clock,
@@ -381,7 +381,7 @@
         self._engine_loads.start()
         if self._sent_calls is not None:
             self._sent_calls.start()
-        self._partners.start()
+        self._remote_hosts.start()
         self._tasks.start(self._keep_house())
         self._tasks.start(self._watch_evacuations())
         self._tasks.start(self._traffic.keep_logging('entry'))
@@ -436,7 +436,7 @@
         if self._sent_calls is not None:
             await self._sent_calls.close()
         await self._engine_loads.close()
-        await self._partners.close()
+        await self._remote_hosts.close()
         await self._warmth.close()
         await self._pinger.close()
         await self.discovery.close()
