--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -147,7 +147,7 @@
             serving,
             self.replica.current.index,
             self._choice.build_offers() if serving else [],
-            self._regions.relay_offers(ping.cut_off) if serving else {},
+            self._remote_regions.relay_offers(ping.cut_off) if serving else {},
         )
 
     def _host_heard(self, host: ids.HostId, asked_ms: int) -> None:
@@ -279,7 +279,7 @@
             self._gate,
             self.clock,
         )
-        self._regions = remote_regions.RemoteRegions(
+        self._remote_regions = remote_regions.RemoteRegions(
             self._pinger,
             self._remote_hosts,
             self._views,
@@ -321,7 +321,7 @@
                 node.region,
                 self.replica,
                 self._choice,
-                self._regions,
+                self._remote_regions,
                 node.switched_off,
                 self.clock,
             ),
@@ -340,7 +340,7 @@
                 self._health,
                 self._pinger,
                 self._estimator,
-                self._regions,
+                self._remote_regions,
                 self.clock,
                 self._sent_calls,
             ),
