--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -226,12 +226,12 @@
     """Calls of other regions are routed to unlimited engines."""
     async with passing_system(tmp_path) as system:
         await wait_for_limits(system)
-        [offer] = system.entries[0]._choice.build_offers()
+        [offer] = system.entries[0]._selector.build_offers()
         assert offer.endpoints == 2
         for engine in system.engines:
             engine.text = '1000'
         await wait_for_limits(system)
-        [offer] = system.entries[0]._choice.build_offers()
+        [offer] = system.entries[0]._selector.build_offers()
         assert offer.endpoints > 0
 
 
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -146,7 +146,7 @@
             self.discovery.draining,
             serving,
             self.replica.current.index,
-            self._choice.build_offers() if serving else [],
+            self._selector.build_offers() if serving else [],
             self._remote_regions.relay_offers(ping.cut_off) if serving else {},
         )
 
@@ -300,7 +300,7 @@
             node.switched_off,
             self.clock,
         )
-        self._choice = endpoint_selector.EndpointSelector(
+        self._selector = endpoint_selector.EndpointSelector(
             node.region,
             node.regions,
             self.discovery,
@@ -315,12 +315,12 @@
         self.passthrough = passthrough.PassThrough(
             self.replica,
             self.discovery,
-            self._choice,
+            self._selector,
             destinations.DestinationSelector(
                 node.host,
                 node.region,
                 self.replica,
-                self._choice,
+                self._selector,
                 self._remote_regions,
                 node.switched_off,
                 self.clock,
@@ -336,7 +336,7 @@
                     self._gate,
                 ),
                 self.discovery,
-                self._choice,
+                self._selector,
                 self._health,
                 self._pinger,
                 self._estimator,
