--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -533,7 +533,7 @@
             lambda: ('north-hall' in current.current.evacuated) is evacuated
         )
         await system.ask(request())
-    warmth = entry._warmth
+    warmth = entry._warmup_probe
     await nodes.until(lambda: not warmth._tasks._tasks)
 
 
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -264,14 +264,14 @@
         """Forget what was learned of an endpoint that began anew."""
         others = set(self.discovery.registry.held) - {before.endpoint}
         self._estimator.keep_only(others)
-        self._warmth.keep_only(others)
+        self._warmup_probe.keep_only(others)
         self._engine_loads.evict(before.endpoint)
         self._health.reset_address(before.address)
 
     def _build_serving(self, dialect: dialects.Dialect) -> None:
         """Build what serves requests and what listens for them."""
         node = self.node
-        self._warmth = warmup_probe.WarmupProbe(
+        self._warmup_probe = warmup_probe.WarmupProbe(
             self._pollers,
             self.replica,
             dialect,
@@ -294,7 +294,7 @@
             self.discovery,
             self.replica,
             self._health,
-            self._warmth,
+            self._warmup_probe,
             self._engine_loads,
             self._gate,
             node.switched_off,
@@ -403,7 +403,7 @@
             self._estimator.backlog.host_count = max(len(near), 1)
             held = self.discovery.registry.held
             self._estimator.keep_only(set(held))
-            self._warmth.keep_only(set(held))
+            self._warmup_probe.keep_only(set(held))
             places = {found.said.address for found in held.values()}
             places |= {record.passing_address for record in hosts}
             self._health.keep_only(places)
@@ -437,7 +437,7 @@
             await self._sent_calls.close()
         await self._engine_loads.close()
         await self._remote_hosts.close()
-        await self._warmth.close()
+        await self._warmup_probe.close()
         await self._pinger.close()
         await self.discovery.close()
         await self._client.close()
