--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -154,14 +154,16 @@
         """Note that a host elsewhere can be reached."""
         record = self.discovery.roster.record(host)
         if record is not None:
-            self._health.record_reachable(record.passing_address, asked_ms)
+            self._outlier_detector.record_reachable(
+                record.passing_address, asked_ms
+            )
 
     def _build_gauges(
         self, reports: engine_loads.ReportReader, dialect: dialects.Dialect
     ) -> None:
         """Build what knows how loaded engines are."""
         node = self.node
-        self._health = outlier_detection.OutlierDetector(self.clock)
+        self._outlier_detector = outlier_detection.OutlierDetector(self.clock)
         self._pinger.set_answer_callback(self._host_heard)
         self._engine_loads = engine_loads.EngineLoads(
             node.region,
@@ -175,7 +177,7 @@
             self._pollers,
             self._remote_hosts,
             self._views,
-            self._health.record_reachable,
+            self._outlier_detector.record_reachable,
             self._gate,
             dialect,
             self.clock,
@@ -266,7 +268,7 @@
         self._estimator.keep_only(others)
         self._warmup_probe.keep_only(others)
         self._engine_loads.evict(before.endpoint)
-        self._health.reset_address(before.address)
+        self._outlier_detector.reset_address(before.address)
 
     def _build_serving(self, dialect: dialects.Dialect) -> None:
         """Build what serves requests and what listens for them."""
@@ -293,7 +295,7 @@
             node.regions,
             self.discovery,
             self.replica,
-            self._health,
+            self._outlier_detector,
             self._warmup_probe,
             self._engine_loads,
             self._gate,
@@ -305,7 +307,7 @@
             node.regions,
             self.discovery,
             self.replica,
-            self._health,
+            self._outlier_detector,
             self._estimator,
             self._remote_hosts,
             self._available,
@@ -337,7 +339,7 @@
                 ),
                 self.discovery,
                 self._selector,
-                self._health,
+                self._outlier_detector,
                 self._pinger,
                 self._estimator,
                 self._remote_regions,
@@ -406,7 +408,7 @@
             self._warmup_probe.keep_only(set(held))
             places = {found.said.address for found in held.values()}
             places |= {record.passing_address for record in hosts}
-            self._health.keep_only(places)
+            self._outlier_detector.keep_only(places)
             self.discovery.registry.forget_old()
             await self.clock.sleep_ms(HOUSE_INTERVAL_MS)
 
