--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -208,7 +208,7 @@
         allowed = bounds.OvershootBounds(
             node.limits.window_ms, node.limits.share, node.limits.fixed
         )
-        self._lender = team_buckets.TeamBuckets(
+        self._team_buckets = team_buckets.TeamBuckets(
             self._access.limit_of,
             lambda: self.discovery.leader,
             allowed,
@@ -218,7 +218,7 @@
         self._limiter = limiter.Limiter(
             node.host,
             self._pollers.rendezvous_order,
-            self._lender,
+            self._team_buckets,
             allowed,
             self.peers,
             self.clock,
@@ -378,7 +378,7 @@
         node = self.node
         await self.peers.links.start(node.ip, node.link_port)
         self.discovery.start()
-        self._lender.start()
+        self._team_buckets.start()
         self._gate.start()
         self._engine_loads.start()
         if self._sent_calls is not None:
@@ -432,7 +432,7 @@
         """End every task and close every socket."""
         await asyncio.gather(self._callers.close(), self._hosts.close())
         await self._tasks.close()
-        await self._lender.close()
+        await self._team_buckets.close()
         await self._gate.close()
         await self._guard.close()
         if self._sent_calls is not None:
