--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -364,7 +364,7 @@
             self.clock,
         )
         self.discovery.registry.tell_reborn(self._forget_life)
-        self._callers = self._server(surface.handle_caller)
+        self._caller_server = self._server(surface.handle_caller)
         self._hosts = self._server(surface.handle_host)
 
     def _server(self, handler: web.Handler) -> web.PlainServer:
@@ -388,7 +388,7 @@
         self._tasks.start(self._watch_evacuations())
         self._tasks.start(self._traffic.keep_logging('entry'))
         await self._hosts.start(f'{node.ip}:{node.passing_port}')
-        await self._callers.start(node.callers_address)
+        await self._caller_server.start(node.callers_address)
         logger.info('started', host=node.host, seeds=node.seeds)
 
     def reload(self, node: nodes.NodeSettings) -> None:
@@ -430,7 +430,7 @@
 
     async def close(self) -> None:
         """End every task and close every socket."""
-        await asyncio.gather(self._callers.close(), self._hosts.close())
+        await asyncio.gather(self._caller_server.close(), self._hosts.close())
         await self._tasks.close()
         await self._team_buckets.close()
         await self._gate.close()
