--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -365,7 +365,7 @@
         )
         self.discovery.registry.tell_reborn(self._forget_life)
         self._caller_server = self._server(surface.handle_caller)
-        self._hosts = self._server(surface.handle_host)
+        self._host_server = self._server(surface.handle_host)
 
     def _server(self, handler: web.Handler) -> web.PlainServer:
         entry = self.node.entry
@@ -387,7 +387,7 @@
         self._tasks.start(self._keep_house())
         self._tasks.start(self._watch_evacuations())
         self._tasks.start(self._traffic.keep_logging('entry'))
-        await self._hosts.start(f'{node.ip}:{node.passing_port}')
+        await self._host_server.start(f'{node.ip}:{node.passing_port}')
         await self._caller_server.start(node.callers_address)
         logger.info('started', host=node.host, seeds=node.seeds)
 
@@ -430,7 +430,9 @@
 
     async def close(self) -> None:
         """End every task and close every socket."""
-        await asyncio.gather(self._caller_server.close(), self._hosts.close())
+        await asyncio.gather(
+            self._caller_server.close(), self._host_server.close()
+        )
         await self._tasks.close()
         await self._team_buckets.close()
         await self._gate.close()
