--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -102,7 +102,7 @@
             node.entry,
             self.peers,
             self.clock,
-            self._standing,
+            self._answer_ping,
         )
         self._views = region_views.RegionViews(self.clock)
         self._pollers = region_pollers.RegionPollers(
@@ -139,7 +139,7 @@
             False,
         )
 
-    def _standing(self, ping: messages.Ping) -> messages.Pong:
+    def _answer_ping(self, ping: messages.Ping) -> messages.Pong:
         """Return what hosts elsewhere are told that may pass calls here."""
         serving = self.replica.serving and self.discovery.recently_ran
         return messages.Pong(
