--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -150,7 +150,7 @@
             self._remote_regions.relay_offers(ping.cut_off) if serving else {},
         )
 
-    def _host_heard(self, host: ids.HostId, asked_ms: int) -> None:
+    def _on_ping_reply(self, host: ids.HostId, asked_ms: int) -> None:
         """Note that a host elsewhere can be reached."""
         record = self.discovery.roster.record(host)
         if record is not None:
@@ -164,7 +164,7 @@
         """Build what knows how loaded engines are."""
         node = self.node
         self._outlier_detector = outlier_detection.OutlierDetector(self.clock)
-        self._pinger.set_answer_callback(self._host_heard)
+        self._pinger.set_answer_callback(self._on_ping_reply)
         self._engine_loads = engine_loads.EngineLoads(
             node.region,
             node.host,
