--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -191,9 +191,9 @@
             self._sent_calls = sent_call_broadcast.SentCallBroadcaster(
                 node.host, self._pollers, self.peers, self.clock
             )
-            self._sent_calls.subscribe(self._note_sent_by_another)
+            self._sent_calls.subscribe(self._on_peer_sent_call)
 
-    def _note_sent_by_another(self, sent: attending.SentCall) -> None:
+    def _on_peer_sent_call(self, sent: attending.SentCall) -> None:
         """Note what another host of this region sends to an engine."""
         found = self.discovery.registry.held.get(sent.endpoint)
         if found is None:
