--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -226,7 +226,7 @@
         self._gate = endpoint_gate.EndpointGate(
             node.host,
             self._pollers.rendezvous_order,
-            self._lives,
+            self._is_current_instance,
             self._pollers.broadcast,
             self.peers,
             self.clock,
@@ -238,7 +238,7 @@
             )
         )
 
-    def _lives(self, life: limiting.EndpointLife) -> bool:
+    def _is_current_instance(self, life: limiting.EndpointLife) -> bool:
         """Tell whether an endpoint is known, and in that life of it."""
         found = self.discovery.registry.held.get(life.endpoint)
         return found is not None and found.said.born_ms == life.born_ms
