--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -251,11 +251,11 @@
                 self.group.other_hosts, self.peers, self.clock
             ),
             self.peers,
-            self._leaves,
+            self._is_endpoint_leaving,
             self.clock,
         )
 
-    def _leaves(self, endpoint: ids.EndpointId) -> bool:
+    def _is_endpoint_leaving(self, endpoint: ids.EndpointId) -> bool:
         """Tell whether an endpoint has said that it is about to end."""
         found = self.discovery.registry.held.get(endpoint)
         if found is None:
