--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -262,7 +262,7 @@
             return False
         return not found.takes_work
 
-    def _forget_life(self, before: registry.Registration) -> None:
+    def _reset_endpoint_state(self, before: registry.Registration) -> None:
         """Forget what was learned of an endpoint that began anew."""
         others = set(self.discovery.registry.held) - {before.endpoint}
         self._estimator.keep_only(others)
@@ -363,7 +363,7 @@
             ),
             self.clock,
         )
-        self.discovery.registry.tell_reborn(self._forget_life)
+        self.discovery.registry.tell_reborn(self._reset_endpoint_state)
         self._caller_server = self._server(surface.handle_caller)
         self._host_server = self._server(surface.handle_host)
 
