--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -384,7 +384,7 @@
         if self._sent_calls is not None:
             self._sent_calls.start()
         self._remote_hosts.start()
-        self._tasks.start(self._keep_house())
+        self._tasks.start(self._run_housekeeping())
         self._tasks.start(self._watch_evacuations())
         self._tasks.start(self._traffic.keep_logging('entry'))
         await self._host_server.start(f'{node.ip}:{node.passing_port}')
@@ -396,7 +396,7 @@
         self.group.reseed(node.seed_hosts)
         logger.info('reloaded', seeds=node.seeds)
 
-    async def _keep_house(self) -> None:
+    async def _run_housekeeping(self) -> None:
         """Count who shares the budgets, and forget what is gone."""
         while True:
             hosts = self.discovery.roster.usable()
