--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -53,7 +53,7 @@
 logger = structlog.get_logger(__name__)
 
 # Hosts come and go in seconds; the budgets' window is ten.
-HOUSE_INTERVAL_MS = 1_000
+HOUSEKEEPING_INTERVAL_MS = 1_000
 
 
 class EntryNode:
@@ -410,7 +410,7 @@
             places |= {record.passing_address for record in hosts}
             self._outlier_detector.keep_only(places)
             self.discovery.registry.forget_old()
-            await self.clock.sleep_ms(HOUSE_INTERVAL_MS)
+            await self.clock.sleep_ms(HOUSEKEEPING_INTERVAL_MS)
 
     async def _watch_evacuations(self) -> None:
         """Look at once at what was taken back, also where no call comes."""
