--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -44,7 +44,7 @@
 MS_PER_S = 1_000
 # Nothing tells the lives of endpoints with configured names apart: one that
 # said that it leaves is tried again after it can have started anew.
-LEAVING_KEPT_MS = 60_000
+LEAVING_TTL_MS = 60_000
 
 logger = structlog.get_logger(__name__)
 
@@ -142,7 +142,7 @@
             self._askers.broadcast,
             self.peers,
             self._clock,
-            LEAVING_KEPT_MS,
+            LEAVING_TTL_MS,
         )
         self._askers.add_listener(self._gate.merge)
 
