--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -60,16 +60,16 @@
     ):
         self._deployment = deployment
         self._settings = deployment.entry
-        self._own = deployment.host(name)
+        self._host_settings = deployment.host(name)
         self._host = ids.HostId(name)
-        self._region = ids.RegionId(self._own.region)
+        self._region = ids.RegionId(self._host_settings.region)
         self._clock = clocks.Clock()
         self._signer = hops.HopSigner(
             deployment.cluster, keys.read_cluster_key(keys_folder)
         )
         self._client = web.HttpClient(self._settings.connect_timeout_ms)
         self.peers = peer_calls.Peers(
-            keys.read_identity(keys_folder, deployment, self._own),
+            keys.read_identity(keys_folder, deployment, self._host_settings),
             keys.link_peers(deployment),
             self._clock,
         )
@@ -89,7 +89,7 @@
         """Build what knows the other hosts and the configuration."""
         self.members = members.Members(
             self._deployment,
-            self._own,
+            self._host_settings,
             self.peers,
             self.replica,
             self.loads,
@@ -120,7 +120,7 @@
         )
         self._shares = team_rate_limits.TeamRateLimiter(
             self._deployment,
-            self._own,
+            self._host_settings,
             self.peers,
             self.members,
             self.replica,
@@ -188,7 +188,7 @@
         self._poller = load_poller.LoadPoller(
             self._settings,
             self._region,
-            self._own.data_centre,
+            self._host_settings.data_centre,
             dispatcher,
             self.members,
             self.replica,
@@ -254,7 +254,7 @@
         )
         self.gateway = gateway.Gateway(
             self._deployment,
-            self._own,
+            self._host_settings,
             self.replica,
             self.members,
             self._placer,
@@ -289,8 +289,8 @@
 
     async def start(self) -> None:
         """Listen and begin every task."""
-        ip = str(self._own.ip)
-        await self.peers.links.start(ip, self._own.link_port)
+        ip = str(self._host_settings.ip)
+        await self.peers.links.start(ip, self._host_settings.link_port)
         self.members.start()
         self.ledger.start()
         self._puller.start()
@@ -298,8 +298,8 @@
         self._leaving.start()
         self._shares.start()
         self._gate.start()
-        await self._web.start(ip, self._own.http_port)
-        logger.info('started', ip=ip, http_port=self._own.http_port)
+        await self._web.start(ip, self._host_settings.http_port)
+        logger.info('started', ip=ip, http_port=self._host_settings.http_port)
 
     async def _show_metrics(
         self, request: aiohttp.web.Request
