--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -164,11 +164,11 @@
                 lambda: gatherers, self.peers, self._clock
             ),
             self.peers,
-            self._leaves,
+            self._is_endpoint_leaving,
             self._clock,
         )
 
-    def _leaves(self, endpoint: ids.EndpointId) -> bool:
+    def _is_endpoint_leaving(self, endpoint: ids.EndpointId) -> bool:
         """Tell whether an endpoint is known to end soon."""
         found = self.replica.current.endpoints.get(endpoint)
         return found is not None and not self.replica.takes_work(found)
