--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -104,7 +104,7 @@
             self.replica,
             self._clock,
         )
-        self._leaving = host_list_poller.HostListPoller(
+        self._host_list_poller = host_list_poller.HostListPoller(
             self._settings.platform_url,
             self._host,
             self._client,
@@ -295,7 +295,7 @@
         self.ledger.start()
         self._puller.start()
         self._poller.start()
-        self._leaving.start()
+        self._host_list_poller.start()
         self._shares.start()
         self._gate.start()
         await self._web.start(ip, self._host_settings.http_port)
@@ -386,7 +386,7 @@
         await self._shares.close()
         await self._gate.close()
         await self._reach.close()
-        await self._leaving.close()
+        await self._host_list_poller.close()
         await self._poller.close()
         await self._puller.close()
         await self._guard.close()
