--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -118,7 +118,7 @@
             self._clock,
             lambda _ping: messages.Pong(self.members.draining),
         )
-        self._shares = team_rate_limits.TeamRateLimiter(
+        self._team_rate_limiter = team_rate_limits.TeamRateLimiter(
             self._deployment,
             self._host_settings,
             self.peers,
@@ -262,7 +262,7 @@
             self._streams,
             self._once,
             forwarder,
-            self._shares,
+            self._team_rate_limiter,
             self.ledger,
             self.decisions,
             self._guard,
@@ -296,7 +296,7 @@
         self._puller.start()
         self._poller.start()
         self._host_list_poller.start()
-        self._shares.start()
+        self._team_rate_limiter.start()
         self._gate.start()
         await self._web.start(ip, self._host_settings.http_port)
         logger.info('started', ip=ip, http_port=self._host_settings.http_port)
@@ -383,7 +383,7 @@
     async def close(self) -> None:
         """End every task and close every socket."""
         await self._web.close()
-        await self._shares.close()
+        await self._team_rate_limiter.close()
         await self._gate.close()
         await self._reach.close()
         await self._host_list_poller.close()
