--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -129,7 +129,7 @@
 
     def _build_limits(self) -> None:
         """Build what keeps to what endpoints say that they take."""
-        self._askers = region_pollers.RegionPollers(
+        self._pollers = region_pollers.RegionPollers(
             self._region,
             self._host,
             member_roster.MemberRoster(self._deployment, self.members),
@@ -137,14 +137,14 @@
         )
         self._gate = endpoint_gate.EndpointGate(
             self._host,
-            self._askers.rendezvous_order,
+            self._pollers.rendezvous_order,
             lambda life: life.endpoint in self.replica.current.endpoints,
-            self._askers.broadcast,
+            self._pollers.broadcast,
             self.peers,
             self._clock,
             LEAVING_TTL_MS,
         )
-        self._askers.add_listener(self._gate.merge)
+        self._pollers.add_listener(self._gate.merge)
 
     def _build_guard(self) -> None:
         """Build what holds back requests that end endpoints.
