--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -112,7 +112,7 @@
             self.replica,
             self._clock,
         )
-        self._reach = host_pinger.HostPinger(
+        self._pinger = host_pinger.HostPinger(
             self._settings,
             self.peers,
             self._clock,
@@ -246,7 +246,7 @@
             self._host,
             self._deployment,
             self.members,
-            self._reach,
+            self._pinger,
             self._client,
             self._signer,
             self.decisions,
@@ -385,7 +385,7 @@
         await self._web.close()
         await self._team_rate_limiter.close()
         await self._gate.close()
-        await self._reach.close()
+        await self._pinger.close()
         await self._host_list_poller.close()
         await self._poller.close()
         await self._puller.close()
