--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -196,7 +196,7 @@
             self._limits,
             self._clock,
         )
-        self._placer = placement.EndpointScheduler(
+        self._scheduler = placement.EndpointScheduler(
             self._region,
             self._settings,
             self.replica,
@@ -209,7 +209,7 @@
         self._server = local_server.LocalServer(
             self._settings,
             dispatcher,
-            self._placer,
+            self._scheduler,
             self.loads,
             self.decisions,
             self._clock,
@@ -257,7 +257,7 @@
             self._host_settings,
             self.replica,
             self.members,
-            self._placer,
+            self._scheduler,
             self._server,
             self._streams,
             self._once,
