--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -284,7 +284,7 @@
         self._shown: set[ids.EndpointId] = set()
         self.loads.on_first_token = self._metrics.observe_first_ms
         application = entry_surface.application()
-        application.router.add_get('/metrics', self._show_metrics)
+        application.router.add_get('/metrics', self._handle_metrics)
         self._web = web.HttpServer(application)
 
     async def start(self) -> None:
@@ -301,7 +301,7 @@
         await self._web.start(ip, self._host_settings.http_port)
         logger.info('started', ip=ip, http_port=self._host_settings.http_port)
 
-    async def _show_metrics(
+    async def _handle_metrics(
         self, request: aiohttp.web.Request
     ) -> aiohttp.web.Response:
         self._collect()
