--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -332,7 +332,7 @@
                 count,
                 endpoint=endpoint,
             )
-        self._put_backoffs()
+        self._set_endpoint_gauges()
         for life, count in backoffs.refused.items():
             put(
                 'wrenspoke_endpoint_backoff_refused_total',
@@ -346,7 +346,7 @@
         put('wrenspoke_peers_usable', sum(status['peers'].values()))
         self._metrics.put_links(self.peers.links)
 
-    def _put_backoffs(self) -> None:
+    def _set_endpoint_gauges(self) -> None:
         """Set the gauges of endpoints; those that ended go back to 0."""
         seconds = {
             endpoint: remaining_ms / MS_PER_S
