--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -281,7 +281,7 @@
         )
         self._metrics = metrics.Metrics(self._host)
         # Endpoints with gauges of backoffs and leaves.
-        self._shown: set[ids.EndpointId] = set()
+        self._gauged_endpoints: set[ids.EndpointId] = set()
         self.loads.on_first_token = self._metrics.observe_first_ms
         application = entry_surface.application()
         application.router.add_get('/metrics', self._handle_metrics)
@@ -353,8 +353,8 @@
             for endpoint, remaining_ms in self._gate.backoffs.active()
         }
         leaving = set(self._gate.leaving.active())
-        self._shown |= {*seconds, *leaving}
-        for endpoint in self._shown:
+        self._gauged_endpoints |= {*seconds, *leaving}
+        for endpoint in self._gauged_endpoints:
             backoff_s = seconds.get(endpoint, 0.0)
             self._metrics.set(
                 'wrenspoke_endpoint_backoff_s', backoff_s, endpoint=endpoint
