--- a/wrenspoke/controld.py
+++ b/wrenspoke/controld.py
@@ -121,7 +121,7 @@
             'wrenspoke_configuration_index',
             elected.state.configuration.index,
         )
-        self._metrics.put_links(self.peers.links)
+        self._metrics.set_link_metrics(self.peers.links)
         return self._metrics.response(request)
 
     async def start(self) -> None:
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -344,7 +344,7 @@
         put('wrenspoke_draining', status['draining'])
         put('wrenspoke_ledger_keys', status['ledger_keys'])
         put('wrenspoke_peers_usable', sum(status['peers'].values()))
-        self._metrics.put_links(self.peers.links)
+        self._metrics.set_link_metrics(self.peers.links)
 
     def _set_endpoint_gauges(self) -> None:
         """Set the gauges of endpoints; those that ended go back to 0."""
--- a/wrenspoke/metrics.py
+++ b/wrenspoke/metrics.py
@@ -76,7 +76,7 @@
             )
         gauge.set(labels, value)
 
-    def put_links(self, used: links.Links) -> None:
+    def set_link_metrics(self, used: links.Links) -> None:
         """Copy what links have sent and received."""
         self.set('wrenspoke_link_sent_bytes_total', used.sent_bytes)
         self.set('wrenspoke_link_received_bytes_total', used.received_bytes)
