--- a/benches/fatal_prompt.py
+++ b/benches/fatal_prompt.py
@@ -59,7 +59,7 @@
                 asked.create_task(ask('same', number, 'the same'))
                 await asyncio.sleep(INTERVAL_S)
         await running.wait_standins()
-        ends = await running.engine_ends()
+        ends = await running.engine_crash_count()
     print(f'engines ended: {ends}')
     for kind, counts in sorted(ended.items()):
         print(f'{kind}: {dict(counts)}')
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -398,7 +398,7 @@
         for engine in self.engines():
             await self.faults(engine, **fields)
 
-    async def engine_ends(self) -> int:
+    async def engine_crash_count(self) -> int:
         """Return how often engines have ended under what they were sent."""
         answers = [await self.runs(engine) for engine in self.engines()]
         return sum(answer['ends'] for answer in answers)
--- a/tests/test_fatal_requests.py
+++ b/tests/test_fatal_requests.py
@@ -132,4 +132,4 @@
         for number in range(COPIES):
             await callers[number % 2].chat(FATAL_CHAT)
             await running.wait_standins()
-        assert await running.engine_ends() <= MAX_SENDS
+        assert await running.engine_crash_count() <= MAX_SENDS
