--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -157,7 +157,7 @@
         self.paths: dict[str, pathlib.Path] = {}
         self._callers: list[callers.Caller] = []
 
-    async def lay_relays(self) -> None:
+    async def start_relays(self) -> None:
         """Put a relay between each two hosts, for links and HTTP."""
         hosts = self.settings.hosts
         pairs = [(a, b) for a in hosts for b in hosts if a is not b]
@@ -447,7 +447,7 @@
     fleet = Fleet(folder, made, model)
     try:
         if relays:
-            await fleet.lay_relays()
+            await fleet.start_relays()
         fleet.start_standins()
         controls = fleet.settings.with_role('control')
         if controls:
