--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -47,7 +47,7 @@
     assert drain(reader).decode() == ''.join(lines)
 
 
-def test_reader_that_stops_costs_lines_and_nothing_else(pipe):
+def test_stopped_reader_drops_info_lines_first(pipe):
     """Failures are left out last, and what is left out is counted."""
     reader, writer = pipe
     stream = logstream.BoundedStream(writer, logs.is_urgent, 8_000)
