--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -59,7 +59,7 @@
     assert set(readers) == {'dispatch.py'}
 
 
-def test_only_the_sender_lets_a_body_leave():
+def test_only_sender_sends_request_bodies():
     """All else that is asked of endpoints and hosts has no body."""
     senders = []
     for path in sorted((ROOT / 'coordination').rglob('*.py')):
