--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -89,6 +89,6 @@
     assert sorted(counts.values()) == [3, 6]
 
 
-def test_reference_is_what_the_settings_say():
+def test_settings_page_matches_reference():
     path = pathlib.Path(__file__).parent.parent / 'docs' / 'SETTINGS.md'
     assert path.read_text() == reference.text()
