--- a/tests/test_far.py
+++ b/tests/test_far.py
@@ -315,7 +315,7 @@
         for name in ('e1', 'e2'):
             engine = made[name] = ReportingEngine(b'0 1 9 90000')
             await system.register(name, await engine.endpoint.start())
-        gauges = system.entries[0]._gauges
+        gauges = system.entries[0]._engine_loads
         await nodes.until(lambda: gauges.load('e1') and gauges.load('e2'))
         asked = request(headers=['Wrenspoke-Tokens: 3100,10', parts])
         address = system.entries[0].node.callers_address
@@ -353,7 +353,7 @@
             )
         await wait_for_pongs(system)
         for entry, name in zip(system.entries, made):
-            await nodes.until(lambda e=entry, n=name: e._gauges.load(n))
+            await nodes.until(lambda e=entry, n=name: e._engine_loads.load(n))
         got = await endpoints.send_raw(
             system.entries[0].node.callers_address,
             request(headers=['Wrenspoke-Tokens: 100,10']),
@@ -375,7 +375,7 @@
             made[name] = ReportingEngine(load)
             endpoint = await made[name].endpoint.start()
             await system.register(name, endpoint)
-        gauges = system.entries[0]._gauges
+        gauges = system.entries[0]._engine_loads
         await nodes.until(lambda: gauges.load('full') and gauges.load('free'))
         headers = ['Wrenspoke-Tokens: 100,10']
         for number in range(6):
@@ -402,7 +402,7 @@
         await system.put(route(), batch=batch)
         engine = ReportingEngine(b'0 1 9 9000000')
         await system.register('e', await engine.endpoint.start())
-        gauges = system.entries[0]._gauges
+        gauges = system.entries[0]._engine_loads
         await nodes.until(lambda: gauges.load('e'))
         got = await endpoints.send_raw(
             system.entries[0].node.callers_address,
