--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -11,9 +11,9 @@
 BASE = {
     'clock',
     'errors',
-    'feature_flags',
     'ids',
     'logs',
+    'feature_flags',
     'runtime',
     'settings',
 }
--- a/wrenspoke/control_node.py
+++ b/wrenspoke/control_node.py
@@ -18,8 +18,8 @@
 from wrenspoke.coordination.membership import registry_snapshot
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.quarantine import crash_aggregator
-from wrenspoke import ids
 from wrenspoke import feature_flags
+from wrenspoke import ids
 from wrenspoke import node as nodes
 from wrenspoke import node_peers
 from wrenspoke import runtime
--- a/wrenspoke/coordination/serving/availability.py
+++ b/wrenspoke/coordination/serving/availability.py
@@ -15,8 +15,8 @@
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.serving import outlier_detection
 from wrenspoke.coordination.serving import warmup_probe
-from wrenspoke import ids
 from wrenspoke import feature_flags
+from wrenspoke import ids
 from wrenspoke.protocol import limiting
 from wrenspoke.state import registry
 from wrenspoke.state import routes
--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -19,8 +19,8 @@
 from wrenspoke.coordination.serving import remote_regions
 from wrenspoke.coordination.serving import retry_schedule
 from wrenspoke.coordination.serving import sending
-from wrenspoke import ids
 from wrenspoke import feature_flags
+from wrenspoke import ids
 from wrenspoke.protocol import attending
 from wrenspoke.protocol import passing
 
--- a/wrenspoke/coordination/serving/endpoint_selector.py
+++ b/wrenspoke/coordination/serving/endpoint_selector.py
@@ -20,8 +20,8 @@
 from wrenspoke.coordination.serving import prefix_index
 from wrenspoke.coordination.serving import retry_schedule
 from wrenspoke.coordination.serving import sampling
-from wrenspoke import ids
 from wrenspoke import feature_flags
+from wrenspoke import ids
 from wrenspoke.protocol import attending
 from wrenspoke.protocol import dialect as dialects
 from wrenspoke.protocol import messages
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -24,8 +24,8 @@
 from wrenspoke.coordination.serving import endpoint_selector
 from wrenspoke.coordination.serving import retry_schedule
 from wrenspoke.coordination.serving import shared_retry_budget
-from wrenspoke import ids
 from wrenspoke import feature_flags
+from wrenspoke import ids
 from wrenspoke.protocol import dialect as dialects
 from wrenspoke.protocol import errors as protocol_errors
 from wrenspoke.protocol import fingerprints
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -37,8 +37,8 @@
 from wrenspoke.coordination.serving import sent_call_broadcast
 from wrenspoke.coordination.serving import shared_retry_budget
 from wrenspoke.coordination.serving import warmup_probe
-from wrenspoke import ids
 from wrenspoke import feature_flags
+from wrenspoke import ids
 from wrenspoke import node as nodes
 from wrenspoke import node_peers
 from wrenspoke.protocol import attending
--- a/wrenspoke/node.py
+++ b/wrenspoke/node.py
@@ -12,8 +12,8 @@
 import msgspec
 
 from wrenspoke import errors
-from wrenspoke import ids
 from wrenspoke import feature_flags
+from wrenspoke import ids
 
 Port = typing.Annotated[int, msgspec.Meta(ge=1, le=65535)]
 Positive = typing.Annotated[int, msgspec.Meta(ge=1)]
