--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -88,8 +88,11 @@
         ],
         'rules': RULES,
         'operators': [
-            {'operator': 'ada', 'token_sha256': keys.digest(TOKEN)},
-            {'operator': 'ben', 'token_sha256': keys.digest(TOKEN + '2')},
+            {'operator': 'ada', 'token_sha256': keys.token_digest(TOKEN)},
+            {
+                'operator': 'ben',
+                'token_sha256': keys.token_digest(TOKEN + '2'),
+            },
         ],
     }
     for region in regions:
@@ -146,7 +149,7 @@
         self.folder = folder
         self.path = folder / 'deployment.json'
         self.path.write_text(json.dumps(made))
-        keys.make(self.path)
+        keys.generate_keys(self.path)
         self.settings = settings.read(self.path)
         self.model = json.dumps(model or {'token_ms': 1})
         self.processes: dict[str, subprocess.Popen] = {}
@@ -154,7 +157,7 @@
         self.paths: dict[str, pathlib.Path] = {}
         self._callers: list[callers.Caller] = []
 
-    async def lay_relays(self) -> None:
+    async def start_relays(self) -> None:
         """Put a relay between each two hosts, for links and HTTP."""
         hosts = self.settings.hosts
         pairs = [(a, b) for a in hosts for b in hosts if a is not b]
@@ -395,7 +398,7 @@
         for engine in self.engines():
             await self.faults(engine, **fields)
 
-    async def engine_ends(self) -> int:
+    async def engine_crash_count(self) -> int:
         """Return how often engines have ended under what they were sent."""
         answers = [await self.runs(engine) for engine in self.engines()]
         return sum(answer['ends'] for answer in answers)
@@ -444,11 +447,11 @@
     fleet = Fleet(folder, made, model)
     try:
         if relays:
-            await fleet.lay_relays()
+            await fleet.start_relays()
         fleet.start_standins()
         controls = fleet.settings.with_role('control')
         if controls:
-            controld.found(fleet.path, controls[0].host)
+            controld.bootstrap_group(fleet.path, controls[0].host)
         for host in controls:
             fleet.start_control(host.host)
         for host in fleet.settings.with_role('entry'):
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -28,7 +28,7 @@
 # Every worker of a test run has its own numbers.
 _WORKER = os.environ.get('PYTEST_XDIST_WORKER', 'gw0').removeprefix('gw')
 _NUMBERS = itertools.count(1)
-FAST = settings.ControlTimes(
+FAST = settings.NodeControlSettings(
     beat_interval_ms=50, election_timeout_ms=300, tolerated_losses=1
 )
 
@@ -84,7 +84,7 @@
             'control': FAST,
             **changes,
         }
-        return settings.Node(**fields)
+        return settings.NodeSettings(**fields)
 
     async def start_control(self, ip, first_start=True):
         """Start a control host on the disk of its number."""
@@ -107,7 +107,7 @@
             data_centre,
             callers_address=f'{ip}:{self.ports[2]}',
             passing_port=self.ports[3],
-            entry=settings.EntryTimes(
+            entry=settings.NodeEntrySettings(
                 **{'leave_delay_ms': 100, 'grace_ms': 2_000, **entry}
             ),
             **self.changes,
@@ -170,7 +170,7 @@
         self.controls[0].registrar.register(said)
         await until(
             lambda: all(
-                (found := entry.attendance.registry.entries.get(name))
+                (found := entry.discovery.registry.entries.get(name))
                 and found.registration.state is said.state
                 for entry in self.entries
             )
--- a/tests/test_far.py
+++ b/tests/test_far.py
@@ -56,7 +56,7 @@
     others = [other.node.host for other in system.entries[1:]]
 
     def answered_since(began_ms):
-        remotes = [north._reach.state_of(host) for host in others]
+        remotes = [north._pinger.state_of(host) for host in others]
         return all(
             remote is not None and (remote.answered_ms or 0) > began_ms
             for remote in remotes
@@ -121,7 +121,7 @@
     west = await system.start_entry('west-hall')
     north, *south = system.entries[:3]
     cut = {one.node.host for one in south}
-    ping = north._reach._ping
+    ping = north._pinger._ping
 
     async def ping_unless_cut(host, remote, timeout_ms):
         if host not in cut:
@@ -129,14 +129,14 @@
         remote.failed_ms = north.clock.mono_ms()
         return False
 
-    monkeypatch.setattr(north._reach, '_ping', ping_unless_cut)
+    monkeypatch.setattr(north._pinger, '_ping', ping_unless_cut)
 
     def knows_a_way():
-        remote = north._reach.state_of(west.node.host)
+        remote = north._pinger.state_of(west.node.host)
         return remote and remote.pong and 'south' in remote.pong.relayed
 
     await nodes.until(
-        lambda: north._partners.unreachable_regions() == ['south']
+        lambda: north._remote_hosts.unreachable_regions() == ['south']
     )
     await nodes.until(knows_a_way)
     return west
@@ -317,7 +317,7 @@
         for name in ('e1', 'e2'):
             engine = made[name] = ReportingEngine(b'0 1 9 90000')
             await system.register(name, await engine.endpoint.start())
-        gauges = system.entries[0]._gauges
+        gauges = system.entries[0]._engine_loads
         await nodes.until(lambda: gauges.load('e1') and gauges.load('e2'))
         asked = request(headers=['Wrenspoke-Tokens: 3100,10', parts])
         address = system.entries[0].node.callers_address
@@ -355,7 +355,7 @@
             )
         await wait_for_pongs(system)
         for entry, name in zip(system.entries, made):
-            await nodes.until(lambda e=entry, n=name: e._gauges.load(n))
+            await nodes.until(lambda e=entry, n=name: e._engine_loads.load(n))
         got = await endpoints.send_raw(
             system.entries[0].node.callers_address,
             request(headers=['Wrenspoke-Tokens: 100,10']),
@@ -377,7 +377,7 @@
             made[name] = ReportingEngine(load)
             endpoint = await made[name].endpoint.start()
             await system.register(name, endpoint)
-        gauges = system.entries[0]._gauges
+        gauges = system.entries[0]._engine_loads
         await nodes.until(lambda: gauges.load('full') and gauges.load('free'))
         headers = ['Wrenspoke-Tokens: 100,10']
         for number in range(6):
@@ -404,7 +404,7 @@
         await system.put(route(), batch=batch)
         engine = ReportingEngine(b'0 1 9 9000000')
         await system.register('e', await engine.endpoint.start())
-        gauges = system.entries[0]._gauges
+        gauges = system.entries[0]._engine_loads
         await nodes.until(lambda: gauges.load('e'))
         got = await endpoints.send_raw(
             system.entries[0].node.callers_address,
--- a/wrenspoke/cli.py
+++ b/wrenspoke/cli.py
@@ -260,7 +260,7 @@
 @command('keys', 'make the keys of a deployment', parser_keys)
 async def run_keys(arguments: argparse.Namespace) -> int:
     """Make new keys and write the public ones into the settings."""
-    count = keys.make(arguments.file)
+    count = keys.generate_keys(arguments.file)
     print(f'{arguments.file}: new keys for {count} hosts')
     return OK
 
@@ -420,7 +420,7 @@
 @command('found', 'begin a control group, once, on one host', parser_found)
 async def run_found(arguments: argparse.Namespace) -> int:
     """Write the first log entries on an empty disk."""
-    controld.found(arguments.file, arguments.host)
+    controld.bootstrap_group(arguments.file, arguments.host)
     print(f'{arguments.host}: founded; start its controld now')
     return OK
 
--- a/wrenspoke/control_node.py
+++ b/wrenspoke/control_node.py
@@ -18,8 +18,8 @@
 from wrenspoke.coordination.membership import registry_snapshot
 from wrenspoke.coordination.membership import replica
 from wrenspoke.coordination.quarantine import crash_aggregator
+from wrenspoke import feature_flags
 from wrenspoke import ids
-from wrenspoke import mechanisms
 from wrenspoke import node as nodes
 from wrenspoke import node_peers
 from wrenspoke import runtime
@@ -33,11 +33,11 @@
 class ControlNode:
     """Run a control host: agreement, registry, roster, directory."""
 
-    def __init__(self, node: nodes.Node):
+    def __init__(self, node: nodes.NodeSettings):
         self.node = node
         self.clock = clocks.Clock()
-        self._traffic = node_peers.traffic_of(node, self.clock)
-        self.peers = node_peers.peers_of(node, self._traffic, self.clock)
+        self._traffic = node_peers.build_traffic_counter(node, self.clock)
+        self.peers = node_peers.build_peers(node, self._traffic, self.clock)
         self.group = control_group.ControlGroup(
             node.host, node.seed_hosts, self.clock
         )
@@ -64,7 +64,7 @@
             self.clock,
         )
         self._traffic.set_location_lookup(self.registrar.host_location)
-        self._kept_registry = registry_snapshot.RegistrySnapshot(
+        self._registry_snapshot = registry_snapshot.RegistrySnapshot(
             pathlib.Path(node.data_folder),
             self.registrar.registry,
             self.clock,
@@ -72,7 +72,7 @@
         self._allocator = allocator.Allocator(
             self.voter, self.peers, self.clock
         )
-        self._gatherer = crash_aggregator.CrashAggregator(
+        self._crash_aggregator = crash_aggregator.CrashAggregator(
             self.voter, self.replica, self._entry_hosts, self.peers, self.clock
         )
         self._tasks = runtime.Tasks()
@@ -93,16 +93,16 @@
         await self.peers.links.start(self.node.ip, self.node.link_port)
         self.voter.start()
         if (
-            mechanisms.Mechanism.KEEPING_ENDPOINTS
+            feature_flags.FeatureFlag.REGISTRY_SNAPSHOTS
             not in self.node.switched_off
         ):
-            self._kept_registry.start()
+            self._registry_snapshot.start()
         self.registrar.start()
-        self._gatherer.start()
+        self._crash_aggregator.start()
         self._tasks.start(self._traffic.log_periodically('control'))
         logger.info('started', host=self.node.host, seeds=self.node.seeds)
 
-    def reload(self, node: nodes.Node) -> None:
+    def reload(self, node: nodes.NodeSettings) -> None:
         """Take over changed settings; only seeds change in a life."""
         self.group.reseed(node.seed_hosts)
         logger.info('reloaded', seeds=node.seeds)
@@ -111,9 +111,9 @@
         """End every task and close every socket."""
         await self._tasks.close()
         await self._allocator.close()
-        await self._gatherer.close()
+        await self._crash_aggregator.close()
         await self.registrar.close()
-        await self._kept_registry.close()
+        await self._registry_snapshot.close()
         await self.voter.close()
         await self.peers.links.close()
         self._traffic.log('control')
--- a/wrenspoke/controld.py
+++ b/wrenspoke/controld.py
@@ -41,25 +41,31 @@
         folder: pathlib.Path,
     ):
         self._deployment = deployment
-        self._own = deployment.host(name)
+        self._host_settings = deployment.host(name)
         host = ids.HostId(name)
         clock = clocks.Clock()
         self.peers = peer_calls.Peers(
             keys.read_identity(
-                folder / deployment.keys_folder, deployment, self._own
+                folder / deployment.keys_folder,
+                deployment,
+                self._host_settings,
             ),
             keys.link_peers(deployment),
             clock,
         )
         self.replica = replica.Replica()
         self._client = web.HttpClient(deployment.entry.connect_timeout_ms)
-        kept = storage.Storage(disk.Disk(folder / self._own.data_folder))
+        kept = storage.Storage(
+            disk.Disk(folder / self._host_settings.data_folder)
+        )
         hosts = [
             ids.HostId(other.host) for other in deployment.with_role('control')
         ]
         self.voter = voter.Voter(
             host,
-            locations.Location(self._own.region, self._own.data_centre),
+            locations.Location(
+                self._host_settings.region, self._host_settings.data_centre
+            ),
             control_group.ControlGroup(host, hosts, clock),
             deployment.control,
             kept,
@@ -69,7 +75,7 @@
         )
         dispatcher = dispatch.Dispatcher(
             host,
-            ids.RegionId(self._own.region),
+            ids.RegionId(self._host_settings.region),
             self.replica,
             self._client,
             clock,
@@ -85,13 +91,13 @@
             self.peers,
             clock,
         )
-        self._gatherer = crash_aggregator.CrashAggregator(
+        self._crash_aggregator = crash_aggregator.CrashAggregator(
             self.voter, self.replica, self._entry_hosts, self.peers, clock
         )
         surface = operator_api.OperatorApi(self.control, deployment.operators)
         self._metrics = metrics.Metrics(name)
         application = surface.application()
-        application.router.add_get('/metrics', self._show_metrics)
+        application.router.add_get('/metrics', self._handle_metrics)
         self._web = web.HttpServer(application)
 
     def _entry_hosts(self, everywhere: bool) -> list[ids.HostId]:
@@ -99,10 +105,10 @@
         return [
             ids.HostId(entry.host)
             for entry in self._deployment.with_role('entry')
-            if everywhere or entry.region == self._own.region
+            if everywhere or entry.region == self._host_settings.region
         ]
 
-    async def _show_metrics(
+    async def _handle_metrics(
         self, request: aiohttp.web.Request
     ) -> aiohttp.web.Response:
         elected = self.voter
@@ -115,24 +121,26 @@
             'wrenspoke_configuration_index',
             elected.state.configuration.index,
         )
-        self._metrics.put_links(self.peers.links)
+        self._metrics.set_link_metrics(self.peers.links)
         return self._metrics.response(request)
 
     async def start(self) -> None:
         """Listen and begin every task."""
-        ip = str(self._own.ip)
-        await self.peers.links.start(ip, self._own.link_port)
+        ip = str(self._host_settings.ip)
+        await self.peers.links.start(ip, self._host_settings.link_port)
         self.voter.start()
         self._executor.start()
         self.control.start()
-        self._gatherer.start()
-        await self._web.start(ip, self._own.operator_port)
-        logger.info('started', ip=ip, operator_port=self._own.operator_port)
+        self._crash_aggregator.start()
+        await self._web.start(ip, self._host_settings.operator_port)
+        logger.info(
+            'started', ip=ip, operator_port=self._host_settings.operator_port
+        )
 
     async def close(self) -> None:
         """End every task and close every socket."""
         await self._web.close()
-        await self._gatherer.close()
+        await self._crash_aggregator.close()
         await self.control.close()
         await self._executor.close()
         await self.voter.close()
@@ -141,7 +149,7 @@
         logger.info('stopped')
 
 
-def found(path: pathlib.Path, name: str) -> None:
+def bootstrap_group(path: pathlib.Path, name: str) -> None:
     """Begin a new group on one control host's empty disk.
 
     :raises InvalidChangeError: the disk holds a log already
--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -19,8 +19,8 @@
 from wrenspoke.coordination.serving import remote_regions
 from wrenspoke.coordination.serving import retry_schedule
 from wrenspoke.coordination.serving import sending
+from wrenspoke import feature_flags
 from wrenspoke import ids
-from wrenspoke import mechanisms
 from wrenspoke.protocol import discovery_messages
 from wrenspoke.protocol import passthrough_api
 
@@ -64,7 +64,7 @@
         local_replica: replica.Replica,
         selector: endpoint_selector.EndpointSelector,
         region_offers: remote_regions.RemoteRegions,
-        switched_off: collections.abc.Set[mechanisms.Mechanism],
+        switched_off: collections.abc.Set[feature_flags.FeatureFlag],
         clock: clocks.Clock,
     ):
         self._host = host
@@ -105,7 +105,7 @@
             )
         return self._endpoint_destination(context, local)
 
-    def _is_enabled(self, mechanism: mechanisms.Mechanism) -> bool:
+    def _is_enabled(self, mechanism: feature_flags.FeatureFlag) -> bool:
         return mechanism not in self._switched_off
 
     def _bounds(
@@ -137,7 +137,7 @@
         )
         if context.send_count or probability <= DEADLINE_MISS_LIMIT:
             return
-        if not self._is_enabled(mechanisms.Mechanism.REFUSING_HOPELESS):
+        if not self._is_enabled(feature_flags.FeatureFlag.DEADLINE_REJECTION):
             return
         logger.info(
             'deadline_unmeetable',
@@ -222,7 +222,7 @@
             if region in context.refusing_regions:
                 continue
             host = self._selector.select_host(region, context.attempted)
-            if host is None and self._is_enabled(mechanisms.Mechanism.RELAYS):
+            if host is None and self._is_enabled(feature_flags.FeatureFlag.RELAYS):
                 host = self._find_relay_host(context, region)
             if host is None:
                 continue
--- a/wrenspoke/demo.py
+++ b/wrenspoke/demo.py
@@ -88,7 +88,9 @@
             {'service': 'records', 'kind': 'plain'},
         ],
         'endpoints': endpoints,
-        'operators': [{'operator': 'you', 'token_sha256': keys.digest(TOKEN)}],
+        'operators': [
+            {'operator': 'you', 'token_sha256': keys.token_digest(TOKEN)}
+        ],
         'control': {
             'beat_interval_ms': 100,
             'election_timeout_ms': 400,
@@ -116,12 +118,12 @@
     with tempfile.TemporaryDirectory() as name:
         path = pathlib.Path(name) / 'deployment.json'
         path.write_text(json.dumps(deployment_json()))
-        keys.make(path)
+        keys.generate_keys(path)
         deployment = settings.read(path)
         folder = path.parent / deployment.keys_folder
         model = engine.EngineProfile(token_ms=30)
         servers = await standins.start(deployment, [], model)
-        controld.found(path, CONTROL)
+        controld.bootstrap_group(path, CONTROL)
         control = controld.ControlDaemon(deployment, CONTROL, path.parent)
         await control.start()
         daemons = [
@@ -176,7 +178,7 @@
         'stream': True,
         'messages': [{'role': 'user', 'content': 'Is bay 4 free?'}],
     }
-    request = ids.new_unique()
+    request = ids.new_random_id()
     sent = {headers.REQUEST: request}
     if bound:
         sent |= {headers.HOME: 'south', headers.BOUND: 'true'}
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -37,8 +37,8 @@
 from wrenspoke.coordination.serving import sent_call_broadcast
 from wrenspoke.coordination.serving import shared_retry_budget
 from wrenspoke.coordination.serving import warmup_probe
+from wrenspoke import feature_flags
 from wrenspoke import ids
-from wrenspoke import mechanisms
 from wrenspoke import node as nodes
 from wrenspoke import node_peers
 from wrenspoke.protocol import dialect as dialects
@@ -53,7 +53,7 @@
 logger = structlog.get_logger(__name__)
 
 # Hosts come and go in seconds; the budgets' window is ten.
-HOUSE_INTERVAL_MS = 1_000
+HOUSEKEEPING_INTERVAL_MS = 1_000
 
 
 class EntryNode:
@@ -61,14 +61,14 @@
 
     def __init__(
         self,
-        node: nodes.Node,
+        node: nodes.NodeSettings,
         dialect: dialects.Dialect,
         reports: engine_loads.ReportReader,
     ):
         self.node = node
         self.clock = clocks.Clock()
-        self._traffic = node_peers.traffic_of(node, self.clock)
-        self.peers = node_peers.peers_of(node, self._traffic, self.clock)
+        self._traffic = node_peers.build_traffic_counter(node, self.clock)
+        self.peers = node_peers.build_peers(node, self._traffic, self.clock)
         self.group = control_group.ControlGroup(
             node.host, node.seed_hosts, self.clock
         )
@@ -76,7 +76,7 @@
         self.lease = lease.ConfigurationLease(
             node.withdrawn_keys_ms, self.clock
         )
-        self.attendance = discovery_client.DiscoveryClient(
+        self.discovery = discovery_client.DiscoveryClient(
             self._record(),
             self.group,
             self.replica,
@@ -84,42 +84,42 @@
             self.clock,
             self.lease,
         )
-        self._traffic.set_location_lookup(self.attendance.host_location)
+        self._traffic.set_location_lookup(self.discovery.host_location)
         self._client = web.HttpClient(
             node.entry.connect_timeout_ms, node.entry.endpoint_idle_ms
         )
         self._hosts_client = web.HttpClient(
             node.entry.far_connect_timeout_ms, node.entry.host_idle_ms
         )
-        self.spending = shared_retry_budget.SharedRetryBudget(
+        self.retry_budget = shared_retry_budget.SharedRetryBudget(
             node.host,
             shared_retry_budget.RetryBounds(
                 node.retries.ratio, node.retries.fixed, node.retries.window_ms
             ),
             self.clock,
         )
-        self._reach = host_pinger.HostPinger(
+        self._pinger = host_pinger.HostPinger(
             node.entry,
             self.peers,
             self.clock,
-            self._standing,
+            self._answer_ping,
         )
         self._views = region_views.RegionViews(self.clock)
-        self._askers = region_pollers.RegionPollers(
-            node.region, node.host, self.attendance.roster, self.peers
+        self._pollers = region_pollers.RegionPollers(
+            node.region, node.host, self.discovery.roster, self.peers
         )
-        self._partners = remote_hosts.RemoteHosts(
+        self._remote_hosts = remote_hosts.RemoteHosts(
             node.host,
             node.region,
-            self.attendance.roster,
-            self._reach,
-            self._askers,
+            self.discovery.roster,
+            self._pinger,
+            self._pollers,
             self._views,
             self.clock,
         )
         self._tasks = runtime.Tasks()
         self._access = access.AccessControl(
-            self.replica, self.attendance.roster, self.lease
+            self.replica, self.discovery.roster, self.lease
         )
         self._build_limits()
         self._build_guard()
@@ -134,63 +134,63 @@
             node.data_centre,
             node.callers_address,
             f'{node.ip}:{node.passing_port}',
-            ids.new_unique(),
+            ids.new_random_id(),
             0,
             False,
         )
 
-    def _standing(self, ping: messages.Ping) -> messages.Pong:
+    def _answer_ping(self, ping: messages.Ping) -> messages.Pong:
         """Return what hosts elsewhere are told that may pass calls here."""
-        serving = self.replica.serving and self.attendance.recently_ran
+        serving = self.replica.serving and self.discovery.recently_ran
         return messages.Pong(
-            self.attendance.draining,
+            self.discovery.draining,
             serving,
             self.replica.current.index,
-            self._choice.build_offers() if serving else [],
-            self._regions.relay_offers(ping.cut_off) if serving else {},
+            self._selector.build_offers() if serving else [],
+            self._remote_regions.relay_offers(ping.cut_off) if serving else {},
         )
 
-    def _host_heard(self, host: ids.HostId, asked_ms: int) -> None:
+    def _on_ping_reply(self, host: ids.HostId, asked_ms: int) -> None:
         """Note that a host elsewhere can be reached."""
-        record = self.attendance.roster.record(host)
+        record = self.discovery.roster.record(host)
         if record is not None:
-            self._health.record_reachable(record.passing_address, asked_ms)
+            self._outlier_detector.record_reachable(record.passing_address, asked_ms)
 
     def _build_gauges(
         self, reports: engine_loads.ReportReader, dialect: dialects.Dialect
     ) -> None:
         """Build what knows how loaded engines are."""
         node = self.node
-        self._health = outlier_detection.OutlierDetector(self.clock)
-        self._reach.set_answer_callback(self._host_heard)
-        self._gauges = engine_loads.EngineLoads(
+        self._outlier_detector = outlier_detection.OutlierDetector(self.clock)
+        self._pinger.set_answer_callback(self._on_ping_reply)
+        self._engine_loads = engine_loads.EngineLoads(
             node.region,
             node.host,
             node.regions,
             node.entry.report_interval_ms,
             reports,
-            self.attendance,
+            self.discovery,
             self.replica,
             self._client,
-            self._askers,
-            self._partners,
+            self._pollers,
+            self._remote_hosts,
             self._views,
-            self._health.record_reachable,
+            self._outlier_detector.record_reachable,
             self._gate,
             dialect,
             self.clock,
         )
-        self._estimator = estimate.Estimator(self._gauges, self.clock)
+        self._estimator = estimate.Estimator(self._engine_loads, self.clock)
         self._sent_calls = None
-        if mechanisms.Mechanism.TELLING_SENT not in node.switched_off:
+        if feature_flags.FeatureFlag.SENT_CALL_BROADCAST not in node.switched_off:
             self._sent_calls = sent_call_broadcast.SentCallBroadcaster(
-                node.host, self._askers, self.peers, self.clock
+                node.host, self._pollers, self.peers, self.clock
             )
-            self._sent_calls.subscribe(self._note_sent_by_another)
+            self._sent_calls.subscribe(self._on_peer_sent_call)
 
-    def _note_sent_by_another(self, sent: discovery_messages.SentCall) -> None:
+    def _on_peer_sent_call(self, sent: discovery_messages.SentCall) -> None:
         """Note what another host of this region sends to an engine."""
-        found = self.attendance.registry.entries.get(sent.endpoint)
+        found = self.discovery.registry.entries.get(sent.endpoint)
         if found is None:
             return
         service = self.replica.current.routes.service(
@@ -205,39 +205,39 @@
         allowed = bounds.OvershootBounds(
             node.limits.window_ms, node.limits.share, node.limits.fixed
         )
-        self._lender = team_buckets.TeamBuckets(
+        self._team_buckets = team_buckets.TeamBuckets(
             self._access.limit_of,
-            lambda: self.attendance.leader,
+            lambda: self.discovery.leader,
             allowed,
             self.peers,
             self.clock,
         )
         self._limiter = limiter.Limiter(
             node.host,
-            self._askers.rendezvous_order,
-            self._lender,
+            self._pollers.rendezvous_order,
+            self._team_buckets,
             allowed,
             self.peers,
             self.clock,
         )
         self._gate = endpoint_gate.EndpointGate(
             node.host,
-            self._askers.rendezvous_order,
-            self._lives,
-            self._askers.broadcast,
+            self._pollers.rendezvous_order,
+            self._is_current_instance,
+            self._pollers.broadcast,
             self.peers,
             self.clock,
         )
-        self._askers.add_listener(self._gate.merge)
+        self._pollers.add_listener(self._gate.merge)
         self._gate.leaving.listen(
-            lambda life: self.attendance.mark_leaving(
+            lambda life: self.discovery.mark_leaving(
                 life.endpoint, life.born_ms
             )
         )
 
-    def _lives(self, life: limiting.EndpointInstance) -> bool:
+    def _is_current_instance(self, life: limiting.EndpointInstance) -> bool:
         """Tell whether an endpoint is known, and in that life of it."""
-        found = self.attendance.registry.entries.get(life.endpoint)
+        found = self.discovery.registry.entries.get(life.endpoint)
         return found is not None and found.registration.born_ms == life.born_ms
 
     def _build_guard(self) -> None:
@@ -248,39 +248,39 @@
                 self.group.other_hosts, self.peers, self.clock
             ),
             self.peers,
-            self._leaves,
+            self._is_endpoint_leaving,
             self.clock,
         )
 
-    def _leaves(self, endpoint: ids.EndpointId) -> bool:
+    def _is_endpoint_leaving(self, endpoint: ids.EndpointId) -> bool:
         """Tell whether an endpoint has said that it is about to end."""
-        found = self.attendance.registry.entries.get(endpoint)
+        found = self.discovery.registry.entries.get(endpoint)
         if found is None:
             return False
         return not found.takes_work
 
-    def _forget_life(self, before: registry.Registration) -> None:
+    def _reset_endpoint_state(self, before: registry.Registration) -> None:
         """Forget what was learned of an endpoint that began anew."""
-        others = set(self.attendance.registry.entries) - {before.endpoint}
+        others = set(self.discovery.registry.entries) - {before.endpoint}
         self._estimator.keep_only(others)
-        self._warmth.keep_only(others)
-        self._gauges.evict(before.endpoint)
-        self._health.reset_address(before.address)
+        self._warmup_probe.keep_only(others)
+        self._engine_loads.evict(before.endpoint)
+        self._outlier_detector.reset_address(before.address)
 
     def _build_serving(self, dialect: dialects.Dialect) -> None:
         """Build what serves requests and what listens for them."""
         node = self.node
-        self._warmth = warmup_probe.WarmupProbe(
-            self._askers,
+        self._warmup_probe = warmup_probe.WarmupProbe(
+            self._pollers,
             self.replica,
             dialect,
             self._client,
             self._gate,
             self.clock,
         )
-        self._regions = remote_regions.RemoteRegions(
-            self._reach,
-            self._partners,
+        self._remote_regions = remote_regions.RemoteRegions(
+            self._pinger,
+            self._remote_hosts,
             self._views,
             self.replica,
             self.clock,
@@ -288,39 +288,39 @@
         )
         self._available = availability.Availability(
             node.region,
-            self._askers,
+            self._pollers,
             node.regions,
-            self.attendance,
+            self.discovery,
             self.replica,
-            self._health,
-            self._warmth,
-            self._gauges,
+            self._outlier_detector,
+            self._warmup_probe,
+            self._engine_loads,
             self._gate,
             node.switched_off,
             self.clock,
         )
-        self._choice = endpoint_selector.EndpointSelector(
+        self._selector = endpoint_selector.EndpointSelector(
             node.region,
             node.regions,
-            self.attendance,
+            self.discovery,
             self.replica,
-            self._health,
+            self._outlier_detector,
             self._estimator,
-            self._partners,
+            self._remote_hosts,
             self._available,
             node.switched_off,
             self.clock,
         )
         self.passthrough = passthrough.PassThrough(
             self.replica,
-            self.attendance,
-            self._choice,
+            self.discovery,
+            self._selector,
             destinations.DestinationSelector(
                 node.host,
                 node.region,
                 self.replica,
-                self._choice,
-                self._regions,
+                self._selector,
+                self._remote_regions,
                 node.switched_off,
                 self.clock,
             ),
@@ -334,16 +334,16 @@
                     self._guard,
                     self._gate,
                 ),
-                self.attendance,
-                self._choice,
-                self._health,
-                self._reach,
+                self.discovery,
+                self._selector,
+                self._outlier_detector,
+                self._pinger,
                 self._estimator,
-                self._regions,
+                self._remote_regions,
                 self.clock,
                 self._sent_calls,
             ),
-            self.spending,
+            self.retry_budget,
             self._access,
             self._limiter,
             self._guard,
@@ -360,9 +360,9 @@
             ),
             self.clock,
         )
-        self.attendance.registry.add_restart_listener(self._forget_life)
-        self._callers = self._server(surface.handle_caller)
-        self._hosts = self._server(surface.handle_host)
+        self.discovery.registry.add_restart_listener(self._reset_endpoint_state)
+        self._caller_server = self._server(surface.handle_caller)
+        self._host_server = self._server(surface.handle_host)
 
     def _server(self, handler: web.Handler) -> web.LowLevelServer:
         entry = self.node.entry
@@ -374,40 +374,40 @@
         """Listen for callers and hosts, and begin every task."""
         node = self.node
         await self.peers.links.start(node.ip, node.link_port)
-        self.attendance.start()
-        self._lender.start()
+        self.discovery.start()
+        self._team_buckets.start()
         self._gate.start()
-        self._gauges.start()
+        self._engine_loads.start()
         if self._sent_calls is not None:
             self._sent_calls.start()
-        self._partners.start()
-        self._tasks.start(self._keep_house())
+        self._remote_hosts.start()
+        self._tasks.start(self._run_housekeeping())
         self._tasks.start(self._watch_evacuations())
         self._tasks.start(self._traffic.log_periodically('entry'))
-        await self._hosts.start(f'{node.ip}:{node.passing_port}')
-        await self._callers.start(node.callers_address)
+        await self._host_server.start(f'{node.ip}:{node.passing_port}')
+        await self._caller_server.start(node.callers_address)
         logger.info('started', host=node.host, seeds=node.seeds)
 
-    def reload(self, node: nodes.Node) -> None:
+    def reload(self, node: nodes.NodeSettings) -> None:
         """Take over changed settings; only seeds change in a life."""
         self.group.reseed(node.seed_hosts)
         logger.info('reloaded', seeds=node.seeds)
 
-    async def _keep_house(self) -> None:
+    async def _run_housekeeping(self) -> None:
         """Count who shares the budgets, and forget what is gone."""
         while True:
-            hosts = self.attendance.roster.usable()
-            self.spending.set_hosts(record.host for record in hosts)
-            near = self.attendance.roster.usable(self.node.region)
+            hosts = self.discovery.roster.usable()
+            self.retry_budget.set_hosts(record.host for record in hosts)
+            near = self.discovery.roster.usable(self.node.region)
             self._estimator.backlog.host_count = max(len(near), 1)
-            held = self.attendance.registry.entries
+            held = self.discovery.registry.entries
             self._estimator.keep_only(set(held))
-            self._warmth.keep_only(set(held))
+            self._warmup_probe.keep_only(set(held))
             places = {found.registration.address for found in held.values()}
             places |= {record.passing_address for record in hosts}
-            self._health.keep_only(places)
-            self.attendance.registry.evict_expired()
-            await self.clock.sleep_ms(HOUSE_INTERVAL_MS)
+            self._outlier_detector.keep_only(places)
+            self.discovery.registry.evict_expired()
+            await self.clock.sleep_ms(HOUSEKEEPING_INTERVAL_MS)
 
     async def _watch_evacuations(self) -> None:
         """Look at once at what was taken back, also where no call comes."""
@@ -417,28 +417,28 @@
 
     async def drain(self) -> None:
         """Let callers go elsewhere, then wait for what is in flight."""
-        self.attendance.draining = True
+        self.discovery.draining = True
         self.passthrough.leaving = True
         logger.info('draining', in_flight=self.passthrough.in_flight)
-        await self.attendance.push_status()
+        await self.discovery.push_status()
         await self.clock.sleep_ms(self.node.entry.leave_delay_ms)
         drained = await self.passthrough.drain(self.node.entry.stop_timeout_ms)
         logger.info('drained', whole=drained)
 
     async def close(self) -> None:
         """End every task and close every socket."""
-        await asyncio.gather(self._callers.close(), self._hosts.close())
+        await asyncio.gather(self._caller_server.close(), self._host_server.close())
         await self._tasks.close()
-        await self._lender.close()
+        await self._team_buckets.close()
         await self._gate.close()
         await self._guard.close()
         if self._sent_calls is not None:
             await self._sent_calls.close()
-        await self._gauges.close()
-        await self._partners.close()
-        await self._warmth.close()
-        await self._reach.close()
-        await self.attendance.close()
+        await self._engine_loads.close()
+        await self._remote_hosts.close()
+        await self._warmup_probe.close()
+        await self._pinger.close()
+        await self.discovery.close()
         await self._client.close()
         await self._hosts_client.close()
         await self.peers.links.close()
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -44,7 +44,7 @@
 MS_PER_S = 1_000
 # Nothing tells the lives of endpoints with configured names apart: one that
 # said that it leaves is tried again after it can have started anew.
-LEAVING_KEPT_MS = 60_000
+LEAVING_TTL_MS = 60_000
 
 logger = structlog.get_logger(__name__)
 
@@ -60,16 +60,16 @@
     ):
         self._deployment = deployment
         self._settings = deployment.entry
-        self._own = deployment.host(name)
+        self._host_settings = deployment.host(name)
         self._host = ids.HostId(name)
-        self._region = ids.RegionId(self._own.region)
+        self._region = ids.RegionId(self._host_settings.region)
         self._clock = clocks.Clock()
         self._signer = hops.HopSigner(
             deployment.cluster, keys.read_cluster_key(keys_folder)
         )
         self._client = web.HttpClient(self._settings.connect_timeout_ms)
         self.peers = peer_calls.Peers(
-            keys.read_identity(keys_folder, deployment, self._own),
+            keys.read_identity(keys_folder, deployment, self._host_settings),
             keys.link_peers(deployment),
             self._clock,
         )
@@ -89,7 +89,7 @@
         """Build what knows the other hosts and the configuration."""
         self.members = members.Members(
             self._deployment,
-            self._own,
+            self._host_settings,
             self.peers,
             self.replica,
             self.loads,
@@ -104,7 +104,7 @@
             self.replica,
             self._clock,
         )
-        self._leaving = host_list_poller.HostListPoller(
+        self._host_list_poller = host_list_poller.HostListPoller(
             self._settings.platform_url,
             self._host,
             self._client,
@@ -112,15 +112,15 @@
             self.replica,
             self._clock,
         )
-        self._reach = host_pinger.HostPinger(
+        self._pinger = host_pinger.HostPinger(
             self._settings,
             self.peers,
             self._clock,
             lambda _ping: messages.Pong(self.members.draining),
         )
-        self._shares = team_rate_limits.TeamRateLimiter(
+        self._team_rate_limiter = team_rate_limits.TeamRateLimiter(
             self._deployment,
-            self._own,
+            self._host_settings,
             self.peers,
             self.members,
             self.replica,
@@ -129,7 +129,7 @@
 
     def _build_limits(self) -> None:
         """Build what keeps to what endpoints say that they take."""
-        self._askers = region_pollers.RegionPollers(
+        self._pollers = region_pollers.RegionPollers(
             self._region,
             self._host,
             member_roster.MemberRoster(self._deployment, self.members),
@@ -137,14 +137,14 @@
         )
         self._gate = endpoint_gate.EndpointGate(
             self._host,
-            self._askers.rendezvous_order,
+            self._pollers.rendezvous_order,
             lambda life: life.endpoint in self.replica.current.endpoints,
-            self._askers.broadcast,
+            self._pollers.broadcast,
             self.peers,
             self._clock,
-            LEAVING_KEPT_MS,
+            LEAVING_TTL_MS,
         )
-        self._askers.add_listener(self._gate.merge)
+        self._pollers.add_listener(self._gate.merge)
 
     def _build_guard(self) -> None:
         """Build what holds back requests that end endpoints.
@@ -164,11 +164,11 @@
                 lambda: gatherers, self.peers, self._clock
             ),
             self.peers,
-            self._leaves,
+            self._is_endpoint_leaving,
             self._clock,
         )
 
-    def _leaves(self, endpoint: ids.EndpointId) -> bool:
+    def _is_endpoint_leaving(self, endpoint: ids.EndpointId) -> bool:
         """Tell whether an endpoint is known to end soon."""
         found = self.replica.current.endpoints.get(endpoint)
         return found is not None and not self.replica.takes_work(found)
@@ -188,7 +188,7 @@
         self._poller = load_poller.LoadPoller(
             self._settings,
             self._region,
-            self._own.data_centre,
+            self._host_settings.data_centre,
             dispatcher,
             self.members,
             self.replica,
@@ -196,7 +196,7 @@
             self._limits,
             self._clock,
         )
-        self._placer = placement.EndpointScheduler(
+        self._scheduler = placement.EndpointScheduler(
             self._region,
             self._settings,
             self.replica,
@@ -209,7 +209,7 @@
         self._server = local_server.LocalServer(
             self._settings,
             dispatcher,
-            self._placer,
+            self._scheduler,
             self.loads,
             self.decisions,
             self._clock,
@@ -246,7 +246,7 @@
             self._host,
             self._deployment,
             self.members,
-            self._reach,
+            self._pinger,
             self._client,
             self._signer,
             self.decisions,
@@ -254,15 +254,15 @@
         )
         self.gateway = gateway.Gateway(
             self._deployment,
-            self._own,
+            self._host_settings,
             self.replica,
             self.members,
-            self._placer,
+            self._scheduler,
             self._server,
             self._streams,
             self._once,
             forwarder,
-            self._shares,
+            self._team_rate_limiter,
             self.ledger,
             self.decisions,
             self._guard,
@@ -281,27 +281,27 @@
         )
         self._metrics = metrics.Metrics(self._host)
         # Endpoints with gauges of backoffs and leaves.
-        self._shown: set[ids.EndpointId] = set()
+        self._gauged_endpoints: set[ids.EndpointId] = set()
         self.loads.on_first_token = self._metrics.observe_first_ms
         application = entry_surface.application()
-        application.router.add_get('/metrics', self._show_metrics)
+        application.router.add_get('/metrics', self._handle_metrics)
         self._web = web.HttpServer(application)
 
     async def start(self) -> None:
         """Listen and begin every task."""
-        ip = str(self._own.ip)
-        await self.peers.links.start(ip, self._own.link_port)
+        ip = str(self._host_settings.ip)
+        await self.peers.links.start(ip, self._host_settings.link_port)
         self.members.start()
         self.ledger.start()
         self._puller.start()
         self._poller.start()
-        self._leaving.start()
-        self._shares.start()
+        self._host_list_poller.start()
+        self._team_rate_limiter.start()
         self._gate.start()
-        await self._web.start(ip, self._own.http_port)
-        logger.info('started', ip=ip, http_port=self._own.http_port)
+        await self._web.start(ip, self._host_settings.http_port)
+        logger.info('started', ip=ip, http_port=self._host_settings.http_port)
 
-    async def _show_metrics(
+    async def _handle_metrics(
         self, request: aiohttp.web.Request
     ) -> aiohttp.web.Response:
         self._collect()
@@ -332,7 +332,7 @@
                 count,
                 endpoint=endpoint,
             )
-        self._put_backoffs()
+        self._set_endpoint_gauges()
         for life, count in backoffs.refused.items():
             put(
                 'wrenspoke_endpoint_backoff_refused_total',
@@ -344,17 +344,17 @@
         put('wrenspoke_draining', status['draining'])
         put('wrenspoke_ledger_keys', status['ledger_keys'])
         put('wrenspoke_peers_usable', sum(status['peers'].values()))
-        self._metrics.put_links(self.peers.links)
+        self._metrics.set_link_metrics(self.peers.links)
 
-    def _put_backoffs(self) -> None:
+    def _set_endpoint_gauges(self) -> None:
         """Set the gauges of endpoints; those that ended go back to 0."""
         seconds = {
             endpoint: remaining_ms / MS_PER_S
             for endpoint, remaining_ms in self._gate.backoffs.active()
         }
         leaving = set(self._gate.leaving.active())
-        self._shown |= {*seconds, *leaving}
-        for endpoint in self._shown:
+        self._gauged_endpoints |= {*seconds, *leaving}
+        for endpoint in self._gauged_endpoints:
             backoff_s = seconds.get(endpoint, 0.0)
             self._metrics.set(
                 'wrenspoke_endpoint_backoff_s', backoff_s, endpoint=endpoint
@@ -383,10 +383,10 @@
     async def close(self) -> None:
         """End every task and close every socket."""
         await self._web.close()
-        await self._shares.close()
+        await self._team_rate_limiter.close()
         await self._gate.close()
-        await self._reach.close()
-        await self._leaving.close()
+        await self._pinger.close()
+        await self._host_list_poller.close()
         await self._poller.close()
         await self._puller.close()
         await self._guard.close()
--- a/wrenspoke/node.py
+++ b/wrenspoke/node.py
@@ -12,8 +12,8 @@
 import msgspec
 
 from wrenspoke import errors
+from wrenspoke import feature_flags
 from wrenspoke import ids
-from wrenspoke import mechanisms
 
 Port = typing.Annotated[int, msgspec.Meta(ge=1, le=65535)]
 Positive = typing.Annotated[int, msgspec.Meta(ge=1)]
@@ -36,7 +36,7 @@
     pass
 
 
-class ControlTimes(_Section):
+class NodeControlSettings(_Section):
     """How control hosts agree.
 
     There are twice the tolerated losses and one voters; further control
@@ -61,7 +61,7 @@
         return 2 * self.tolerated_losses + 1
 
 
-class EntryTimes(_Section):
+class NodeEntrySettings(_Section):
     """How an entry host treats requests.
 
     Endpoints are near, so that a connection that takes longer than the
@@ -94,7 +94,7 @@
         return max(left_ms, 0)
 
 
-class RetryTimes(_Section):
+class RetryBudgetSettings(_Section):
     """Bound the repeats that a service is sent over all hosts.
 
     In any window: ``ratio`` times its requests, and ``fixed`` more.
@@ -105,7 +105,7 @@
     window_ms: Positive = 10_000
 
 
-class LimitTimes(_Section):
+class OvershootSettings(_Section):
     """Say how far teams' limits may be exceeded, over all hosts.
 
     In any window: ``share`` of what a limit allows in it, and ``fixed``
@@ -117,7 +117,7 @@
     fixed: Amount = 0
 
 
-class Node(_Section):
+class NodeSettings(_Section):
     """Everything that one host has to know.
 
     ``ip`` and ``link_port`` name the host; links use one port on all
@@ -144,11 +144,11 @@
     data_folder: str | None = None
     directory_ttl_ms: Positive = 2_000
     withdrawn_keys_ms: Positive | None = None
-    control: ControlTimes = ControlTimes()
-    entry: EntryTimes = EntryTimes()
-    retries: RetryTimes = RetryTimes()
-    limits: LimitTimes = LimitTimes()
-    switched_off: frozenset[mechanisms.Mechanism] = frozenset()
+    control: NodeControlSettings = NodeControlSettings()
+    entry: NodeEntrySettings = NodeEntrySettings()
+    retries: RetryBudgetSettings = RetryBudgetSettings()
+    limits: OvershootSettings = OvershootSettings()
+    switched_off: frozenset[feature_flags.FeatureFlag] = frozenset()
 
     @property
     def host(self) -> ids.HostId:
@@ -171,7 +171,7 @@
         return f'{host.rpartition(":")[0]}:{port}'
 
 
-def read(path: str | pathlib.Path) -> Node:
+def read(path: str | pathlib.Path) -> NodeSettings:
     """Read and check a host's settings.
 
     :raises NodeSettingsError: naming the field that is wrong
@@ -183,13 +183,13 @@
     return parse(text)
 
 
-def parse(text: bytes | str) -> Node:
+def parse(text: bytes | str) -> NodeSettings:
     """Check a host's settings given as JSON text.
 
     :raises NodeSettingsError: naming the field that is wrong
     """
     try:
-        node = msgspec.json.decode(text, type=Node)
+        node = msgspec.json.decode(text, type=NodeSettings)
     except msgspec.DecodeError as error:
         raise NodeSettingsError(str(error)) from error
     for problem in _problems(node):
@@ -197,7 +197,7 @@
     return node
 
 
-def _problems(node: Node) -> typing.Iterator[str]:
+def _problems(node: NodeSettings) -> typing.Iterator[str]:
     if node.data_centre not in node.regions:
         yield f'data_centre: found {node.data_centre!r}; not in regions'
     elif node.regions[node.data_centre] != node.region:
--- a/wrenspoke/node_peers.py
+++ b/wrenspoke/node_peers.py
@@ -8,20 +8,20 @@
 from wrenspoke.transport import links
 
 # A cut says nothing; a link is made anew soon after one heals.
-SILENCE = links.HeartbeatOptions(heartbeat_ms=700, timeout_ms=2_000)
+LINK_KEEPALIVE = links.HeartbeatOptions(heartbeat_ms=700, timeout_ms=2_000)
 
 
-def traffic_of(
-    node: nodes.Node, clock: clocks.Clock
+def build_traffic_counter(
+    node: nodes.NodeSettings, clock: clocks.Clock
 ) -> traffic.TrafficCounter:
     """Return what counts the messages that a host sends."""
     own = locations.Location(node.region, node.data_centre)
     return traffic.TrafficCounter(own, clock)
 
 
-def peers_of(
-    node: nodes.Node, sent: traffic.TrafficCounter, clock: clocks.Clock
+def build_peers(
+    node: nodes.NodeSettings, sent: traffic.TrafficCounter, clock: clocks.Clock
 ) -> peer_calls.Peers:
     """Return what a host calls others with; a name tells the address."""
     identity = links.Identity(node.cluster, node.host)
-    return peer_calls.Peers(identity, [], clock, SILENCE, sent.count_message)
+    return peer_calls.Peers(identity, [], clock, LINK_KEEPALIVE, sent.count_message)
