--- a/wrenspoke/coordination/serving/destinations.py
+++ b/wrenspoke/coordination/serving/destinations.py
@@ -222,7 +222,9 @@
             if region in context.refusing_regions:
                 continue
             host = self._selector.select_host(region, context.attempted)
-            if host is None and self._is_enabled(feature_flags.FeatureFlag.RELAYS):
+            if host is None and self._is_enabled(
+                feature_flags.FeatureFlag.RELAYS
+            ):
                 host = self._find_relay_host(context, region)
             if host is None:
                 continue
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -154,7 +154,9 @@
         """Note that a host elsewhere can be reached."""
         record = self.discovery.roster.record(host)
         if record is not None:
-            self._outlier_detector.record_reachable(record.passing_address, asked_ms)
+            self._outlier_detector.record_reachable(
+                record.passing_address, asked_ms
+            )
 
     def _build_gauges(
         self, reports: engine_loads.ReportReader, dialect: dialects.Dialect
@@ -182,7 +184,10 @@
         )
         self._estimator = estimate.Estimator(self._engine_loads, self.clock)
         self._sent_calls = None
-        if feature_flags.FeatureFlag.SENT_CALL_BROADCAST not in node.switched_off:
+        if (
+            feature_flags.FeatureFlag.SENT_CALL_BROADCAST
+            not in node.switched_off
+        ):
             self._sent_calls = sent_call_broadcast.SentCallBroadcaster(
                 node.host, self._pollers, self.peers, self.clock
             )
@@ -360,7 +365,9 @@
             ),
             self.clock,
         )
-        self.discovery.registry.add_restart_listener(self._reset_endpoint_state)
+        self.discovery.registry.add_restart_listener(
+            self._reset_endpoint_state
+        )
         self._caller_server = self._server(surface.handle_caller)
         self._host_server = self._server(surface.handle_host)
 
@@ -427,7 +434,9 @@
 
     async def close(self) -> None:
         """End every task and close every socket."""
-        await asyncio.gather(self._caller_server.close(), self._host_server.close())
+        await asyncio.gather(
+            self._caller_server.close(), self._host_server.close()
+        )
         await self._tasks.close()
         await self._team_buckets.close()
         await self._gate.close()
--- a/wrenspoke/node_peers.py
+++ b/wrenspoke/node_peers.py
@@ -24,4 +24,6 @@
 ) -> peer_calls.Peers:
     """Return what a host calls others with; a name tells the address."""
     identity = links.Identity(node.cluster, node.host)
-    return peer_calls.Peers(identity, [], clock, LINK_KEEPALIVE, sent.count_message)
+    return peer_calls.Peers(
+        identity, [], clock, LINK_KEEPALIVE, sent.count_message
+    )
