--- a/benches/faults.py
+++ b/benches/faults.py
@@ -95,7 +95,7 @@
 
 async def measure(
     folder: pathlib.Path, plan: load.Plan, seed: int
-) -> tuple[dict, list[history.Asked]]:
+) -> tuple[dict, list[history.RequestRecord]]:
     """Run it all; return the report and the history."""
     async with fleet.running(folder, deployment(), relays=True) as running:
         await running.wait_voters(3)
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -26,7 +26,7 @@
         'outcome': outcome,
         'whole': outcome == 'whole',
     }
-    return history.Asked(**{**line, **fields})
+    return history.RequestRecord(**{**line, **fields})
 
 
 @pytest.mark.parametrize(
--- a/wrenspoke/history.py
+++ b/wrenspoke/history.py
@@ -11,7 +11,7 @@
 import msgspec
 
 
-class Asked(msgspec.Struct):
+class RequestRecord(msgspec.Struct):
     """Be one line of a history.
 
     ``outcome`` is ``lost`` where the caller was told nothing, ``whole``
@@ -48,7 +48,7 @@
         }
 
 
-Check = collections.abc.Callable[[Asked, Ran], bool]
+Check = collections.abc.Callable[[RequestRecord, Ran], bool]
 CHECKS: dict[str, Check] = {}
 
 
@@ -63,31 +63,31 @@
 
 
 @check('doubled')
-def is_doubled(asked: Asked, ran: Ran) -> bool:
+def is_doubled(asked: RequestRecord, ran: Ran) -> bool:
     """Tell whether a once-only request ran more than once."""
     return asked.once and len(ran.endpoints.get(asked.request, [])) > 1
 
 
 @check('outside_home')
-def is_outside_home(asked: Asked, ran: Ran) -> bool:
+def is_outside_home(asked: RequestRecord, ran: Ran) -> bool:
     """Tell whether a bound request ran outside its home."""
     return asked.bound and bool(ran.regions_of(asked.request) - {asked.home})
 
 
 @check('not_run_but_ran')
-def is_not_run_but_ran(asked: Asked, ran: Ran) -> bool:
+def is_not_run_but_ran(asked: RequestRecord, ran: Ran) -> bool:
     """Tell whether a request told as not run was run."""
     return asked.outcome == 'not_run' and asked.request in ran.endpoints
 
 
 @check('cut_short_as_whole')
-def is_cut_short(asked: Asked, _ran: Ran) -> bool:
+def is_cut_short(asked: RequestRecord, _ran: Ran) -> bool:
     """Tell whether a wrong answer was passed off as whole."""
     return asked.outcome == 'whole' and not asked.whole
 
 
 def violations(
-    history: collections.abc.Iterable[Asked], ran: Ran
+    history: collections.abc.Iterable[RequestRecord], ran: Ran
 ) -> dict[str, list[str]]:
     """Return, by check, the requests that broke it."""
     found: dict[str, list[str]] = {name: [] for name in CHECKS}
@@ -112,14 +112,14 @@
 
 
 def write(
-    path: pathlib.Path, history: collections.abc.Iterable[Asked]
+    path: pathlib.Path, history: collections.abc.Iterable[RequestRecord]
 ) -> None:
     """Write a history, a line a request."""
     lines = [msgspec.json.encode(asked) for asked in history]
     path.write_bytes(b'\n'.join(lines) + b'\n')
 
 
-def read(path: pathlib.Path) -> list[Asked]:
+def read(path: pathlib.Path) -> list[RequestRecord]:
     """Read a history."""
     lines = path.read_bytes().splitlines()
-    return [msgspec.json.decode(line, type=Asked) for line in lines]
+    return [msgspec.json.decode(line, type=RequestRecord) for line in lines]
--- a/wrenspoke/load.py
+++ b/wrenspoke/load.py
@@ -75,9 +75,9 @@
         self._plain = kinds.get(configuration.ServiceKind.PLAIN)
         once = [rule for rule in deployment.rules if rule.once]
         self._once_path = once[0].path_prefix if once else None
-        self.history: list[history.Asked] = []
+        self.history: list[history.RequestRecord] = []
 
-    async def run(self) -> list[history.Asked]:
+    async def run(self) -> list[history.RequestRecord]:
         """Send everything and wait for every end."""
         tasks = set()
         started_ms = self._clock.mono_ms()
@@ -108,7 +108,7 @@
             region = self._random.choice(list(self._entries))
         urls = list(self._entries[region])
         self._random.shuffle(urls)
-        asked = history.Asked(
+        asked = history.RequestRecord(
             request=ids.new_unique(),
             kind=kind,
             entry=urls[0],
@@ -131,7 +131,7 @@
             self._callers['shared'] = callers.Caller([])
         return self._callers['shared'].client
 
-    def _sent(self, asked: history.Asked) -> dict[str, str]:
+    def _sent(self, asked: history.RequestRecord) -> dict[str, str]:
         sent = {
             headers.REQUEST: asked.request,
             headers.HOME: asked.home,
@@ -142,7 +142,7 @@
         return sent
 
     async def ask_chat(
-        self, caller: callers.Caller, asked: history.Asked
+        self, caller: callers.Caller, asked: history.RequestRecord
     ) -> None:
         """Ask for a streamed chat of a session."""
         number = self._random.randrange(self._plan.sessions)
@@ -159,7 +159,7 @@
         _note(asked, result, result.text == ''.join(words))
 
     async def ask_lookup(
-        self, caller: callers.Caller, asked: history.Asked
+        self, caller: callers.Caller, asked: history.RequestRecord
     ) -> None:
         """Look something up that may be repeated."""
         result = await caller.call(
@@ -168,7 +168,7 @@
         _note(asked, result, _is_own(result, asked))
 
     async def ask_once(
-        self, caller: callers.Caller, asked: history.Asked
+        self, caller: callers.Caller, asked: history.RequestRecord
     ) -> None:
         """Ask for what may run once; some callers ask twice at once."""
         asked.request = callers.once_id(asked.home, self._clock)
@@ -204,7 +204,9 @@
 }
 
 
-def _note(asked: history.Asked, result: callers.Result, whole: bool) -> None:
+def _note(
+    asked: history.RequestRecord, result: callers.Result, whole: bool
+) -> None:
     asked.outcome = result.outcome
     asked.reason = result.reason
     asked.whole = whole
@@ -212,7 +214,7 @@
     asked.hosts = result.hosts
 
 
-def _is_own(result: callers.Result, asked: history.Asked) -> bool:
+def _is_own(result: callers.Result, asked: history.RequestRecord) -> bool:
     try:
         return msgspec.json.decode(result.body)['request'] == asked.request
     except (msgspec.DecodeError, KeyError, TypeError):
@@ -267,7 +269,7 @@
 
 def report(
     deployment: settings.Deployment,
-    asked: list[history.Asked],
+    asked: list[history.RequestRecord],
     runs: dict[str, EndpointRuns],
 ) -> dict:
     """Return the figures of a run: ends, times, cost, places, attempts."""
@@ -304,7 +306,7 @@
     }
 
 
-def _percentiles(asked: list[history.Asked]) -> dict[str, float]:
+def _percentiles(asked: list[history.RequestRecord]) -> dict[str, float]:
     recorded = histogram.HdrHistogram(LOWEST_MS, HIGHEST_MS, DIGITS)
     for one in asked:
         if one.first_ms is not None and one.outcome == 'whole':
