--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -6,7 +6,7 @@
 from wrenspoke import history
 from wrenspoke import load
 
-RAN = history.Ran(
+RAN = history.Executions(
     {'r1': ['n1'], 'r2': ['n1', 's1'], 'r3': ['s1']},
     {'n1': 'north', 's1': 'south'},
 )
--- a/wrenspoke/history.py
+++ b/wrenspoke/history.py
@@ -34,7 +34,7 @@
 
 
 @dataclasses.dataclass
-class Ran:
+class Executions:
     """Hold where requests ran: by request, the endpoints in turn."""
 
     endpoints: dict[str, list[str]]
@@ -48,7 +48,7 @@
         }
 
 
-Check = collections.abc.Callable[[RequestRecord, Ran], bool]
+Check = collections.abc.Callable[[RequestRecord, Executions], bool]
 CHECKS: dict[str, Check] = {}
 
 
@@ -63,31 +63,31 @@
 
 
 @check('doubled')
-def is_doubled(asked: RequestRecord, ran: Ran) -> bool:
+def is_doubled(asked: RequestRecord, ran: Executions) -> bool:
     """Tell whether a once-only request ran more than once."""
     return asked.once and len(ran.endpoints.get(asked.request, [])) > 1
 
 
 @check('outside_home')
-def is_outside_home(asked: RequestRecord, ran: Ran) -> bool:
+def is_outside_home(asked: RequestRecord, ran: Executions) -> bool:
     """Tell whether a bound request ran outside its home."""
     return asked.bound and bool(ran.regions_of(asked.request) - {asked.home})
 
 
 @check('not_run_but_ran')
-def is_not_run_but_ran(asked: RequestRecord, ran: Ran) -> bool:
+def is_not_run_but_ran(asked: RequestRecord, ran: Executions) -> bool:
     """Tell whether a request told as not run was run."""
     return asked.outcome == 'not_run' and asked.request in ran.endpoints
 
 
 @check('cut_short_as_whole')
-def is_cut_short(asked: RequestRecord, _ran: Ran) -> bool:
+def is_cut_short(asked: RequestRecord, _ran: Executions) -> bool:
     """Tell whether a wrong answer was passed off as whole."""
     return asked.outcome == 'whole' and not asked.whole
 
 
 def violations(
-    history: collections.abc.Iterable[RequestRecord], ran: Ran
+    history: collections.abc.Iterable[RequestRecord], ran: Executions
 ) -> dict[str, list[str]]:
     """Return, by check, the requests that broke it."""
     found: dict[str, list[str]] = {name: [] for name in CHECKS}
--- a/wrenspoke/load.py
+++ b/wrenspoke/load.py
@@ -257,14 +257,14 @@
 
 def where_ran(
     deployment: settings.Deployment, runs: dict[str, EndpointRuns]
-) -> history.Ran:
+) -> history.Executions:
     """Return the stand-ins' counts in the form that checks use."""
     endpoints: dict[str, list[str]] = {}
     for endpoint, told in runs.items():
         for request, count in told.runs.items():
             endpoints.setdefault(request, []).extend([endpoint] * count)
     regions = {item.endpoint: item.region for item in deployment.endpoints}
-    return history.Ran(endpoints, regions)
+    return history.Executions(endpoints, regions)
 
 
 def report(
