--- a/wrenspoke/history.py
+++ b/wrenspoke/history.py
@@ -52,7 +52,7 @@
 CHECKS: dict[str, Check] = {}
 
 
-def check(name: str) -> collections.abc.Callable[[Check], Check]:
+def register_check(name: str) -> collections.abc.Callable[[Check], Check]:
     """Return a decorator that registers what may never be so."""
 
     def register(function: Check) -> Check:
@@ -62,25 +62,25 @@
     return register
 
 
-@check('doubled')
+@register_check('doubled')
 def is_doubled(asked: RequestRecord, ran: Executions) -> bool:
     """Tell whether a once-only request ran more than once."""
     return asked.once and len(ran.endpoints.get(asked.request, [])) > 1
 
 
-@check('outside_home')
+@register_check('outside_home')
 def is_outside_home(asked: RequestRecord, ran: Executions) -> bool:
     """Tell whether a bound request ran outside its home."""
     return asked.bound and bool(ran.regions_of(asked.request) - {asked.home})
 
 
-@check('not_run_but_ran')
+@register_check('not_run_but_ran')
 def is_not_run_but_ran(asked: RequestRecord, ran: Executions) -> bool:
     """Tell whether a request told as not run was run."""
     return asked.outcome == 'not_run' and asked.request in ran.endpoints
 
 
-@check('cut_short_as_whole')
+@register_check('cut_short_as_whole')
 def is_cut_short(asked: RequestRecord, _ran: Executions) -> bool:
     """Tell whether a wrong answer was passed off as whole."""
     return asked.outcome == 'whole' and not asked.whole
