--- a/benches/faults.py
+++ b/benches/faults.py
@@ -117,7 +117,7 @@
             running.log(host.host).count('event=unhandled_error')
             for host in running.settings.hosts
         )
-        found['index_went_back'] = len(history.indexes_went_back(seen))
+        found['index_went_back'] = len(history.find_index_regressions(seen))
         return found, asked
 
 
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -56,7 +56,7 @@
     ],
 )
 def test_checker_finds_an_index_that_went_back(seen, count):
-    assert len(history.indexes_went_back(seen)) == count
+    assert len(history.find_index_regressions(seen)) == count
 
 
 def test_history_reads_back_as_written(tmp_path):
--- a/wrenspoke/history.py
+++ b/wrenspoke/history.py
@@ -98,7 +98,7 @@
     return found
 
 
-def indexes_went_back(
+def find_index_regressions(
     seen: collections.abc.Iterable[tuple[str, int]],
 ) -> list[tuple[str, int, int]]:
     """Return where a host showed a lower index than it had before."""
