--- a/benches/faults.py
+++ b/benches/faults.py
@@ -106,7 +106,7 @@
             asyncio.create_task(watch_indexes(running, seen, ended)),
             asyncio.create_task(change_limits(running, ended)),
         ]
-        asked = await load.Load(running.settings, plan).run()
+        asked = await load.LoadGenerator(running.settings, plan).run()
         ended.set()
         done, _none, changes = await asyncio.gather(*others)
         runs = await load.collect_runs(running.settings)
--- a/benches/policy.py
+++ b/benches/policy.py
@@ -90,7 +90,7 @@
             change = asyncio.create_task(
                 CONDITIONS[condition](running, plan.duration_ms / 1000)
             )
-            asked = await load.Load(running.settings, plan).run()
+            asked = await load.LoadGenerator(running.settings, plan).run()
             await change
             runs = await load.collect_runs(running.settings)
             return load.report(running.settings, asked, runs)
--- a/wrenspoke/load.py
+++ b/wrenspoke/load.py
@@ -58,7 +58,7 @@
     homes: tuple[str, ...] = ()
 
 
-class Load:
+class LoadGenerator:
     """Ask a deployment's entry hosts by a plan."""
 
     def __init__(self, deployment: settings.Deployment, plan: Plan):
@@ -197,10 +197,10 @@
 
 
 KINDS = {
-    'chat': Load.ask_chat,
-    'bound': Load.ask_chat,
-    'lookup': Load.ask_lookup,
-    'once': Load.ask_once,
+    'chat': LoadGenerator.ask_chat,
+    'bound': LoadGenerator.ask_chat,
+    'lookup': LoadGenerator.ask_lookup,
+    'once': LoadGenerator.ask_once,
 }
 
 
@@ -327,7 +327,7 @@
         sessions=arguments.sessions,
         deadline_ms=arguments.deadline_ms,
     )
-    load = Load(deployment, plan)
+    load = LoadGenerator(deployment, plan)
     asked = await load.run()
     if arguments.history:
         history.write(arguments.history, asked)
