--- a/wrenspoke/load.py
+++ b/wrenspoke/load.py
@@ -72,7 +72,7 @@
             url = f'http://{host.ip}:{host.http_port}'
             self._entries.setdefault(host.region, []).append(url)
         kinds = {item.kind: item.service for item in deployment.services}
-        self._plain = kinds.get(configuration.ServiceKind.PLAIN)
+        self._plain_service = kinds.get(configuration.ServiceKind.PLAIN)
         once = [rule for rule in deployment.rules if rule.once]
         self._once_path = once[0].path_prefix if once else None
         self.history: list[history.RequestRecord] = []
@@ -163,7 +163,7 @@
     ) -> None:
         """Look something up that may be repeated."""
         result = await caller.call(
-            'GET', self._plain, '/map', self._sent(asked)
+            'GET', self._plain_service, '/map', self._sent(asked)
         )
         _note(asked, result, _is_own(result, asked))
 
@@ -174,7 +174,7 @@
         asked.request = callers.once_id(asked.home, self._clock)
         method = self._random.choice(['GET', 'POST'])
         sent = self._sent(asked)
-        first = caller.call(method, self._plain, self._once_path, sent)
+        first = caller.call(method, self._plain_service, self._once_path, sent)
         if self._random.random() >= RESEND_SHARE:
             result = await first
             _note(asked, result, _is_own(result, asked))
@@ -182,7 +182,7 @@
         again = {**sent, headers.ATTEMPT: '2'}
         result, second = await asyncio.gather(
             first,
-            caller.call(method, self._plain, self._once_path, again),
+            caller.call(method, self._plain_service, self._once_path, again),
         )
         _note(asked, result, _is_own(result, asked))
         other = msgspec.structs.replace(asked, hosts=[])
