--- a/wrenspoke/load.py
+++ b/wrenspoke/load.py
@@ -131,7 +131,7 @@
             self._callers['shared'] = callers.Caller([])
         return self._callers['shared'].client
 
-    def _sent(self, asked: history.RequestRecord) -> dict[str, str]:
+    def _build_headers(self, asked: history.RequestRecord) -> dict[str, str]:
         sent = {
             headers.REQUEST: asked.request,
             headers.HOME: asked.home,
@@ -153,7 +153,7 @@
             'stream': True,
             'max_tokens': self._plan.tokens,
         }
-        sent = {**self._sent(asked), headers.SESSION: session}
+        sent = {**self._build_headers(asked), headers.SESSION: session}
         result = await caller.chat(body, sent)
         words = engine.answer_words(messages, self._plan.tokens)
         _note(asked, result, result.text == ''.join(words))
@@ -163,7 +163,7 @@
     ) -> None:
         """Look something up that may be repeated."""
         result = await caller.call(
-            'GET', self._plain_service, '/map', self._sent(asked)
+            'GET', self._plain_service, '/map', self._build_headers(asked)
         )
         _note(asked, result, _is_own(result, asked))
 
@@ -173,7 +173,7 @@
         """Ask for what may run once; some callers ask twice at once."""
         asked.request = callers.once_id(asked.home, self._clock)
         method = self._random.choice(['GET', 'POST'])
-        sent = self._sent(asked)
+        sent = self._build_headers(asked)
         first = caller.call(method, self._plain_service, self._once_path, sent)
         if self._random.random() >= RESEND_SHARE:
             result = await first
