--- a/wrenspoke/load.py
+++ b/wrenspoke/load.py
@@ -119,14 +119,14 @@
             ended_ms=0,
             outcome='lost',
         )
-        caller = callers.Caller(urls, client=self._client())
+        caller = callers.Caller(urls, client=self._shared_client())
         try:
             await KINDS[kind](self, caller, asked)
         finally:
             asked.ended_ms = self._clock.wall_ms()
             self.history.append(asked)
 
-    def _client(self) -> web.HttpClient:
+    def _shared_client(self) -> web.HttpClient:
         if 'shared' not in self._callers:
             self._callers['shared'] = callers.Caller([])
         return self._callers['shared'].client
