--- a/wrenspoke/load.py
+++ b/wrenspoke/load.py
@@ -156,7 +156,7 @@
         sent = {**self._build_headers(asked), headers.SESSION: session}
         result = await caller.chat(body, sent)
         words = engine.answer_words(messages, self._plan.tokens)
-        _note(asked, result, result.text == ''.join(words))
+        _record_result(asked, result, result.text == ''.join(words))
 
     async def ask_lookup(
         self, caller: callers.Caller, asked: history.RequestRecord
@@ -165,7 +165,7 @@
         result = await caller.call(
             'GET', self._plain_service, '/map', self._build_headers(asked)
         )
-        _note(asked, result, _is_own(result, asked))
+        _record_result(asked, result, _is_own(result, asked))
 
     async def ask_once(
         self, caller: callers.Caller, asked: history.RequestRecord
@@ -177,16 +177,16 @@
         first = caller.call(method, self._plain_service, self._once_path, sent)
         if self._random.random() >= RESEND_SHARE:
             result = await first
-            _note(asked, result, _is_own(result, asked))
+            _record_result(asked, result, _is_own(result, asked))
             return
         again = {**sent, headers.ATTEMPT: '2'}
         result, second = await asyncio.gather(
             first,
             caller.call(method, self._plain_service, self._once_path, again),
         )
-        _note(asked, result, _is_own(result, asked))
+        _record_result(asked, result, _is_own(result, asked))
         other = msgspec.structs.replace(asked, hosts=[])
-        _note(other, second, _is_own(second, asked))
+        _record_result(other, second, _is_own(second, asked))
         # The two were on their way together: one may truthfully be told
         # that it was not run while the other was.
         if 'not_run' not in (asked.outcome, other.outcome):
@@ -204,7 +204,7 @@
 }
 
 
-def _note(
+def _record_result(
     asked: history.RequestRecord, result: callers.Result, whole: bool
 ) -> None:
     asked.outcome = result.outcome
