--- a/wrenspoke/load.py
+++ b/wrenspoke/load.py
@@ -255,7 +255,7 @@
     return found
 
 
-def where_ran(
+def build_executions(
     deployment: settings.Deployment, runs: dict[str, EndpointRuns]
 ) -> history.Executions:
     """Return the stand-ins' counts in the form that checks use."""
@@ -273,7 +273,7 @@
     runs: dict[str, EndpointRuns],
 ) -> dict:
     """Return the figures of a run: ends, times, cost, places, attempts."""
-    ran = where_ran(deployment, runs)
+    ran = build_executions(deployment, runs)
     ends = collections.Counter(one.outcome for one in asked)
     reasons = collections.Counter(
         one.reason for one in asked if one.outcome != 'whole'
