--- a/wrenspoke/load.py
+++ b/wrenspoke/load.py
@@ -35,7 +35,7 @@
 DIGITS = 3
 PERCENTILES = (50, 99, 99.9)
 RESEND_SHARE = 0.2
-END_WAIT_MS = 30_000
+DRAIN_TIMEOUT_MS = 30_000
 MS_PER_S = 1000
 TOKENS_PER_PRICE = 1_000_000
 
@@ -91,7 +91,7 @@
             gap_s = self._random.expovariate(self._plan.rate_per_s)
             due_ms += gap_s * MS_PER_S
         if tasks:
-            await asyncio.wait(tasks, timeout=END_WAIT_MS / MS_PER_S)
+            await asyncio.wait(tasks, timeout=DRAIN_TIMEOUT_MS / MS_PER_S)
         await runtime.cancel(tasks)
         for caller in self._callers.values():
             await caller.close()
