--- a/wrenspoke/load.py
+++ b/wrenspoke/load.py
@@ -37,7 +37,7 @@
 RESEND_SHARE = 0.2
 DRAIN_TIMEOUT_MS = 30_000
 MS_PER_S = 1000
-TOKENS_PER_PRICE = 1_000_000
+TOKENS_PER_MTOK = 1_000_000
 
 DEFAULT_MIX = {'chat': 6, 'bound': 2, 'lookup': 1, 'once': 1}
 
@@ -285,7 +285,7 @@
         item.endpoint: item.price_per_mtok for item in deployment.endpoints
     }
     cost = sum(
-        prices[endpoint] * told.tokens / TOKENS_PER_PRICE
+        prices[endpoint] * told.tokens / TOKENS_PER_MTOK
         for endpoint, told in runs.items()
     )
     broken = history.violations(asked, ran)
