--- a/wrenspoke/report.py
+++ b/wrenspoke/report.py
@@ -119,7 +119,7 @@
             tuple[str, str, str], dict[tuple[str, str], _Sent]
         ] = collections.defaultdict(dict)
 
-    def take(self, line: logread.LogLine) -> None:
+    def add_line(self, line: logread.LogLine) -> None:
         """Take one line; what is not told of is left out."""
         take = _TAKERS.get(line.event)
         if take is not None:
@@ -313,7 +313,7 @@
     collector = Collector()
     with logread.progress_bar(files) as bar:
         for line in logread.lines(files, bar.update):
-            collector.take(line)
+            collector.add_line(line)
     return collector.report()
 
 
