--- a/wrenspoke/report.py
+++ b/wrenspoke/report.py
@@ -121,7 +121,7 @@
 
     def add_line(self, line: logread.LogLine) -> None:
         """Take one line; what is not told of is left out."""
-        take = _TAKERS.get(line.event)
+        take = _LINE_HANDLERS.get(line.event)
         if take is not None:
             take(self, line)
 
@@ -229,7 +229,7 @@
         )
 
 
-_TAKERS: dict[
+_LINE_HANDLERS: dict[
     str, collections.abc.Callable[[Collector, logread.LogLine], None]
 ] = {
     'answered': Collector._take_answered,
