--- a/wrenspoke/report.py
+++ b/wrenspoke/report.py
@@ -125,7 +125,7 @@
         if take is not None:
             take(self, line)
 
-    def _take_answered(self, line: logread.LogLine) -> None:
+    def _on_answered(self, line: logread.LogLine) -> None:
         fields = line.fields
         self._note_ratio(fields)
         first_ms = _number(fields.get('first_ms'))
@@ -232,7 +232,7 @@
 _LINE_HANDLERS: dict[
     str, collections.abc.Callable[[Collector, logread.LogLine], None]
 ] = {
-    'answered': Collector._take_answered,
+    'answered': Collector._on_answered,
     'gave_up': Collector._take_gave_up,
     'request_refused': Collector._take_refused,
     'passed_on': Collector._take_passed_on,
