--- a/wrenspoke/report.py
+++ b/wrenspoke/report.py
@@ -151,7 +151,7 @@
             max(expected_ms, 1.0) / max(took_ms, 1.0)
         )
 
-    def _take_gave_up(self, line: logread.LogLine) -> None:
+    def _on_gave_up(self, line: logread.LogLine) -> None:
         fields = line.fields
         reason = fields.get('cause', '').partition(':')[0]
         if fields.get('status') != UNAVAILABLE:
@@ -233,7 +233,7 @@
     str, collections.abc.Callable[[Collector, logread.LogLine], None]
 ] = {
     'answered': Collector._on_answered,
-    'gave_up': Collector._take_gave_up,
+    'gave_up': Collector._on_gave_up,
     'request_refused': Collector._take_refused,
     'passed_on': Collector._take_passed_on,
     'relayed': Collector._take_relayed,
