--- a/wrenspoke/report.py
+++ b/wrenspoke/report.py
@@ -164,7 +164,7 @@
         if _number(fields.get('free_places')):
             self._with_free_places += 1
 
-    def _take_refused(self, line: logread.LogLine) -> None:
+    def _on_refused(self, line: logread.LogLine) -> None:
         self._end(line, Outcome.REFUSED, line.fields.get('reason', ''))
 
     def _take_passed_on(self, line: logread.LogLine) -> None:
@@ -234,7 +234,7 @@
 ] = {
     'answered': Collector._on_answered,
     'gave_up': Collector._on_gave_up,
-    'request_refused': Collector._take_refused,
+    'request_refused': Collector._on_refused,
     'passed_on': Collector._take_passed_on,
     'relayed': Collector._take_relayed,
     'passed_back': Collector._take_passed_back,
