--- a/wrenspoke/report.py
+++ b/wrenspoke/report.py
@@ -167,7 +167,7 @@
     def _on_refused(self, line: logread.LogLine) -> None:
         self._end(line, Outcome.REFUSED, line.fields.get('reason', ''))
 
-    def _take_passed_on(self, line: logread.LogLine) -> None:
+    def _on_passed_on(self, line: logread.LogLine) -> None:
         fields = line.fields
         self._passed_on += 1
         self._relayed += fields.get('relayed') == 'true'
@@ -235,7 +235,7 @@
     'answered': Collector._on_answered,
     'gave_up': Collector._on_gave_up,
     'request_refused': Collector._on_refused,
-    'passed_on': Collector._take_passed_on,
+    'passed_on': Collector._on_passed_on,
     'relayed': Collector._take_relayed,
     'passed_back': Collector._take_passed_back,
     'traffic': Collector._take_traffic,
