--- a/wrenspoke/report.py
+++ b/wrenspoke/report.py
@@ -173,7 +173,7 @@
         self._relayed += fields.get('relayed') == 'true'
         self._taken_over.add((fields['request'], fields.get('peer', '')))
 
-    def _take_relayed(self, line: logread.LogLine) -> None:
+    def _on_relayed(self, line: logread.LogLine) -> None:
         fields = line.fields
         self._taken_over.add((fields['request'], fields.get('peer', '')))
 
@@ -236,7 +236,7 @@
     'gave_up': Collector._on_gave_up,
     'request_refused': Collector._on_refused,
     'passed_on': Collector._on_passed_on,
-    'relayed': Collector._take_relayed,
+    'relayed': Collector._on_relayed,
     'passed_back': Collector._take_passed_back,
     'traffic': Collector._take_traffic,
 }
