--- a/wrenspoke/report.py
+++ b/wrenspoke/report.py
@@ -177,7 +177,7 @@
         fields = line.fields
         self._taken_over.add((fields['request'], fields.get('peer', '')))
 
-    def _take_passed_back(self, _line: logread.LogLine) -> None:
+    def _on_passed_back(self, _line: logread.LogLine) -> None:
         self._turned_back += 1
 
     def _take_traffic(self, line: logread.LogLine) -> None:
@@ -237,7 +237,7 @@
     'request_refused': Collector._on_refused,
     'passed_on': Collector._on_passed_on,
     'relayed': Collector._on_relayed,
-    'passed_back': Collector._take_passed_back,
+    'passed_back': Collector._on_passed_back,
     'traffic': Collector._take_traffic,
 }
 
