--- a/wrenspoke/report.py
+++ b/wrenspoke/report.py
@@ -180,7 +180,7 @@
     def _on_passed_back(self, _line: logread.LogLine) -> None:
         self._turned_back += 1
 
-    def _take_traffic(self, line: logread.LogLine) -> None:
+    def _on_traffic(self, line: logread.LogLine) -> None:
         fields = line.fields
         key = tuple(fields.get(name, '') for name in TRAFFIC_KEY)
         numbers = [_number(fields.get(name)) for name in TRAFFIC_NUMBERS]
@@ -238,7 +238,7 @@
     'passed_on': Collector._on_passed_on,
     'relayed': Collector._on_relayed,
     'passed_back': Collector._on_passed_back,
-    'traffic': Collector._take_traffic,
+    'traffic': Collector._on_traffic,
 }
 
 
