--- a/wrenspoke/report.py
+++ b/wrenspoke/report.py
@@ -127,7 +127,7 @@
 
     def _on_answered(self, line: logread.LogLine) -> None:
         fields = line.fields
-        self._note_ratio(fields)
+        self._record_calibration(fields)
         first_ms = _number(fields.get('first_ms'))
         target_ms = _number(fields.get('target_ms'))
         pause_ms = _number(fields.get('longest_pause_ms')) or 0.0
@@ -142,7 +142,7 @@
         else:
             self._end(line, Outcome.IN_TIME, 'in time')
 
-    def _note_ratio(self, fields: dict[str, str]) -> None:
+    def _record_calibration(self, fields: dict[str, str]) -> None:
         expected_ms = _number(fields.get('expected_ms'))
         took_ms = _number(fields.get('took_ms'))
         if expected_ms is None or took_ms is None:
