--- a/wrenspoke/report.py
+++ b/wrenspoke/report.py
@@ -134,13 +134,13 @@
         pause_target_ms = _number(fields.get('pause_target_ms'))
         status = fields.get('status', '')
         if not status.startswith(OK_STATUS):
-            self._end(line, Outcome.FAILED, f'status {status}')
+            self._record_end(line, Outcome.FAILED, f'status {status}')
         elif first_ms is not None and target_ms and first_ms > target_ms:
-            self._end(line, Outcome.LATE, 'first piece')
+            self._record_end(line, Outcome.LATE, 'first piece')
         elif pause_target_ms and pause_ms > pause_target_ms:
-            self._end(line, Outcome.LATE, 'pause')
+            self._record_end(line, Outcome.LATE, 'pause')
         else:
-            self._end(line, Outcome.IN_TIME, 'in time')
+            self._record_end(line, Outcome.IN_TIME, 'in time')
 
     def _record_calibration(self, fields: dict[str, str]) -> None:
         expected_ms = _number(fields.get('expected_ms'))
@@ -155,9 +155,9 @@
         fields = line.fields
         reason = fields.get('cause', '').partition(':')[0]
         if fields.get('status') != UNAVAILABLE:
-            self._end(line, Outcome.FAILED, reason)
+            self._record_end(line, Outcome.FAILED, reason)
             return
-        self._end(line, Outcome.REFUSED, reason)
+        self._record_end(line, Outcome.REFUSED, reason)
         held_ms = _number(fields.get('held_ms'))
         if held_ms is not None:
             self._held_ms.append(held_ms)
@@ -165,7 +165,7 @@
             self._with_free_places += 1
 
     def _on_refused(self, line: logread.LogLine) -> None:
-        self._end(line, Outcome.REFUSED, line.fields.get('reason', ''))
+        self._record_end(line, Outcome.REFUSED, line.fields.get('reason', ''))
 
     def _on_passed_on(self, line: logread.LogLine) -> None:
         fields = line.fields
@@ -192,7 +192,7 @@
         if known is None or known.lived_ms < sent.lived_ms:
             self._traffic[key][life] = sent
 
-    def _end(
+    def _record_end(
         self, line: logread.LogLine, outcome: Outcome, reason: str
     ) -> None:
         key = (line.fields.get('request', ''), line.host)
