--- a/wrenspoke/report.py
+++ b/wrenspoke/report.py
@@ -109,7 +109,7 @@
 
     def __init__(self):
         self._ends: dict[tuple[str, str], _End] = {}
-        self._taken_over: set[tuple[str, str]] = set()
+        self._forwarded: set[tuple[str, str]] = set()
         self._ratios: dict[str, list[float]] = collections.defaultdict(list)
         self._held_ms: list[float] = []
         self._passed_on = self._relayed = self._turned_back = 0
@@ -171,11 +171,11 @@
         fields = line.fields
         self._passed_on += 1
         self._relayed += fields.get('relayed') == 'true'
-        self._taken_over.add((fields['request'], fields.get('peer', '')))
+        self._forwarded.add((fields['request'], fields.get('peer', '')))
 
     def _on_relayed(self, line: logread.LogLine) -> None:
         fields = line.fields
-        self._taken_over.add((fields['request'], fields.get('peer', '')))
+        self._forwarded.add((fields['request'], fields.get('peer', '')))
 
     def _on_passed_back(self, _line: logread.LogLine) -> None:
         self._turned_back += 1
@@ -204,7 +204,7 @@
         ends = [
             end
             for key, end in self._ends.items()
-            if key not in self._taken_over
+            if key not in self._forwarded
         ]
         counted = collections.Counter(
             (end.outcome.value, end.route, end.reason) for end in ends
