--- a/wrenspoke/report.py
+++ b/wrenspoke/report.py
@@ -87,7 +87,7 @@
     traffic: list[SentKind] = []
 
 
-class _End(msgspec.Struct):
+class _CallEnd(msgspec.Struct):
     """Hold how one host ended its part of a call."""
 
     at: str
@@ -108,7 +108,7 @@
     """Take log lines in any order, and make a report of them."""
 
     def __init__(self):
-        self._ends: dict[tuple[str, str], _End] = {}
+        self._ends: dict[tuple[str, str], _CallEnd] = {}
         self._forwarded: set[tuple[str, str]] = set()
         self._ratios: dict[str, list[float]] = collections.defaultdict(list)
         self._held_ms: list[float] = []
@@ -197,7 +197,7 @@
     ) -> None:
         key = (line.fields.get('request', ''), line.host)
         route = line.fields.get('route', '')
-        self._ends[key] = _End(line.timestamp, outcome, route, reason)
+        self._ends[key] = _CallEnd(line.timestamp, outcome, route, reason)
 
     def report(self) -> Report:
         """Return what the lines told."""
@@ -281,7 +281,7 @@
     return f'{lower} to {BANDS_MS[place + 1]}'
 
 
-def _by_second(ends: list[_End]) -> list[dict[str, int]]:
+def _by_second(ends: list[_CallEnd]) -> list[dict[str, int]]:
     if not ends:
         return []
     times = [datetime.datetime.fromisoformat(end.at) for end in ends]
