--- a/wrenspoke/report.py
+++ b/wrenspoke/report.py
@@ -96,7 +96,7 @@
     reason: str
 
 
-class _Sent(msgspec.Struct):
+class _TrafficSample(msgspec.Struct):
     """Hold what a host sent of a kind, so far, in one of its lives."""
 
     messages: float
@@ -116,7 +116,7 @@
         self._with_free_places = 0
         # By role, kind and distance: what each life of each host sent.
         self._traffic: dict[
-            tuple[str, str, str], dict[tuple[str, str], _Sent]
+            tuple[str, str, str], dict[tuple[str, str], _TrafficSample]
         ] = collections.defaultdict(dict)
 
     def add_line(self, line: logread.LogLine) -> None:
@@ -186,7 +186,7 @@
         numbers = [_number(fields.get(name)) for name in TRAFFIC_NUMBERS]
         if None in numbers or not numbers[-1]:
             return
-        sent = _Sent(*numbers)
+        sent = _TrafficSample(*numbers)
         life = (line.host, fields.get('life', ''))
         known = self._traffic[key].get(life)
         if known is None or known.lived_ms < sent.lived_ms:
@@ -243,7 +243,7 @@
 
 
 def _traffic(
-    found: dict[tuple[str, str, str], dict[tuple[str, str], _Sent]],
+    found: dict[tuple[str, str, str], dict[tuple[str, str], _TrafficSample]],
 ) -> list[SentKind]:
     """Return what hosts sent, the most bytes first.
 
