--- a/wrenspoke/report.py
+++ b/wrenspoke/report.py
@@ -55,7 +55,7 @@
     reason: str
 
 
-class SentKind(msgspec.Struct, frozen=True, order=True):
+class TrafficRate(msgspec.Struct, frozen=True, order=True):
     """Say what hosts of a role sent of a kind, a second and host."""
 
     bytes_per_s: float
@@ -84,7 +84,7 @@
     turned_back: int
     held_ms: Spread | None
     refused_with_free_places: int
-    traffic: list[SentKind] = []
+    traffic: list[TrafficRate] = []
 
 
 class _CallEnd(msgspec.Struct):
@@ -244,7 +244,7 @@
 
 def _traffic(
     found: dict[tuple[str, str, str], dict[tuple[str, str], _TrafficSample]],
-) -> list[SentKind]:
+) -> list[TrafficRate]:
     """Return what hosts sent, the most bytes first.
 
     Hosts that sent nothing of a kind count in its mean as well.
@@ -260,7 +260,7 @@
     for (role, kind, distance), by_life in found.items():
         total_s = sum(lived_ms[role].values()) / MS_PER_S
         kinds.append(
-            SentKind(
+            TrafficRate(
                 sum(sent.bytes for sent in by_life.values()) / total_s,
                 sum(sent.messages for sent in by_life.values()) / total_s,
                 role,
