--- a/wrenspoke/report.py
+++ b/wrenspoke/report.py
@@ -19,7 +19,7 @@
 
 # The bands of expected first pieces for which the error is told.
 BANDS_MS = (0, 25, 50, 100, 200, 400, 1_000)
-PERCENTILES = 10
+QUANTILE_COUNT = 10
 OK_STATUS = '2'
 UNAVAILABLE = '503'
 TRAFFIC_KEY = ('role', 'kind', 'distance')
@@ -297,7 +297,7 @@
 def _spread(values: list[float]) -> Spread:
     if len(values) == 1:
         return Spread(1, values[0], values[0], values[0])
-    cuts = statistics.quantiles(values, n=PERCENTILES, method='inclusive')
+    cuts = statistics.quantiles(values, n=QUANTILE_COUNT, method='inclusive')
     return Spread(len(values), cuts[0], statistics.median(values), cuts[-1])
 
 
