--- a/wrenspoke/logread.py
+++ b/wrenspoke/logread.py
@@ -33,7 +33,7 @@
     host: str
     fields: dict[str, str]
 
-    def tells_of(self, subject: str) -> bool:
+    def mentions(self, subject: str) -> bool:
         """Tell whether the line is about a request, host or endpoint."""
         return subject == self.host or subject in self.fields.values()
 
@@ -115,7 +115,7 @@
                 if wanted not in raw:
                     continue
                 line = parse(raw.decode('utf-8', 'replace'))
-                if line is not None and line.tells_of(subject):
+                if line is not None and line.mentions(subject):
                     found.append(line)
     return ordered(found)
 
