--- a/wrenspoke/logread.py
+++ b/wrenspoke/logread.py
@@ -20,7 +20,7 @@
 FIELD = re.compile(r'([\w.]+)=("(?:[^"\\]|\\.)*"|\S*)')
 # A collector may have put something before our line.
 START = 'timestamp='
-PASSED_ON = 'passed_on'
+FORWARD_EVENT = 'passed_on'
 Progress = collections.abc.Callable[[int], None]
 
 
@@ -138,7 +138,7 @@
     called = {
         line.fields['peer']
         for line in lines
-        if line.event == PASSED_ON and 'peer' in line.fields
+        if line.event == FORWARD_EVENT and 'peer' in line.fields
     }
     first = [
         line
@@ -149,7 +149,7 @@
     result: list[LogLine] = []
     for line in sorted(first, key=lambda line: line.timestamp):
         result.append(line)
-        if line.event == PASSED_ON:
+        if line.event == FORWARD_EVENT:
             result += by_host.pop(line.fields.get('peer', ''), [])
     placed = set(map(id, result))
     # What nobody passed on, as where a log is missing, goes by time.
