--- a/wrenspoke/logread.py
+++ b/wrenspoke/logread.py
@@ -117,7 +117,7 @@
                 line = parse(raw.decode('utf-8', 'replace'))
                 if line is not None and line.mentions(subject):
                     found.append(line)
-    return ordered(found)
+    return sort_causally(found)
 
 
 def _opened(path: str) -> typing.BinaryIO:
@@ -126,7 +126,7 @@
     return open(path, 'rb')
 
 
-def ordered(lines: list[LogLine]) -> list[LogLine]:
+def sort_causally(lines: list[LogLine]) -> list[LogLine]:
     """Put lines in the order of causes, else of time.
 
     Lines of one host keep the order of its clock. A host that a request
