--- a/wrenspoke/logstream.py
+++ b/wrenspoke/logstream.py
@@ -10,7 +10,7 @@
 import typing
 
 # A few hundred lines: a reader that pauses for a moment loses none.
-KEPT_BYTES = 256 * 1024
+MAX_BUFFERED_BYTES = 256 * 1024
 WRITE_BYTES = 16 * 1024
 
 
@@ -25,7 +25,7 @@
         self,
         descriptor: int,
         urgent: typing.Callable[[str], bool],
-        kept_bytes: int = KEPT_BYTES,
+        kept_bytes: int = MAX_BUFFERED_BYTES,
     ):
         self._descriptor = descriptor
         self._urgent = urgent
