--- a/wrenspoke/logstream.py
+++ b/wrenspoke/logstream.py
@@ -29,7 +29,7 @@
     ):
         self._descriptor = descriptor
         self._urgent = urgent
-        self._kept_bytes = kept_bytes
+        self._max_buffered_bytes = kept_bytes
         self._kept: collections.deque[bytes] = collections.deque()
         self._size_bytes = 0
         self._left_out = 0
@@ -38,7 +38,7 @@
 
     def write(self, text: str) -> int:
         """Keep a text for writing, or leave it out."""
-        limit = self._kept_bytes
+        limit = self._max_buffered_bytes
         if not self._urgent(text):
             limit //= 2
         data = text.encode('utf-8', 'replace')
