--- a/wrenspoke/logstream.py
+++ b/wrenspoke/logstream.py
@@ -25,11 +25,11 @@
         self,
         descriptor: int,
         urgent: typing.Callable[[str], bool],
-        kept_bytes: int = MAX_BUFFERED_BYTES,
+        max_buffered_bytes: int = MAX_BUFFERED_BYTES,
     ):
         self._descriptor = descriptor
         self._urgent = urgent
-        self._max_buffered_bytes = kept_bytes
+        self._max_buffered_bytes = max_buffered_bytes
         self._kept: collections.deque[bytes] = collections.deque()
         self._size_bytes = 0
         self._left_out = 0
