--- a/wrenspoke/logstream.py
+++ b/wrenspoke/logstream.py
@@ -30,7 +30,7 @@
         self._descriptor = descriptor
         self._urgent = urgent
         self._max_buffered_bytes = max_buffered_bytes
-        self._kept: collections.deque[bytes] = collections.deque()
+        self._buffer: collections.deque[bytes] = collections.deque()
         self._size_bytes = 0
         self._left_out = 0
         self.left_out = 0
@@ -50,20 +50,20 @@
         return len(text)
 
     def _keep(self, data: bytes) -> None:
-        self._kept.append(data)
+        self._buffer.append(data)
         self._size_bytes += len(data)
 
     def flush(self) -> None:
         """Write what the reader takes now."""
-        while self._kept:
-            data = b''.join(self._kept)[:WRITE_BYTES]
+        while self._buffer:
+            data = b''.join(self._buffer)[:WRITE_BYTES]
             try:
                 written = os.write(self._descriptor, data)
             except BlockingIOError:
                 return
             except OSError:
                 # Nobody reads any more; requests go on.
-                self._kept.clear()
+                self._buffer.clear()
                 self._size_bytes = 0
                 return
             self._drop_written(written)
@@ -76,8 +76,8 @@
     def _drop_written(self, written: int) -> None:
         self._size_bytes -= written
         while written:
-            first = self._kept.popleft()
+            first = self._buffer.popleft()
             if len(first) > written:
-                self._kept.appendleft(first[written:])
+                self._buffer.appendleft(first[written:])
                 return
             written -= len(first)
