--- a/wrenspoke/logstream.py
+++ b/wrenspoke/logstream.py
@@ -32,7 +32,7 @@
         self._max_buffered_bytes = max_buffered_bytes
         self._buffer: collections.deque[bytes] = collections.deque()
         self._size_bytes = 0
-        self._left_out = 0
+        self._unreported_drops = 0
         self.left_out = 0
         os.set_blocking(descriptor, False)
 
@@ -43,7 +43,7 @@
             limit //= 2
         data = text.encode('utf-8', 'replace')
         if self._size_bytes + len(data) > limit:
-            self._left_out += 1
+            self._unreported_drops += 1
             self.left_out += 1
         else:
             self._keep(data)
@@ -67,8 +67,8 @@
                 self._size_bytes = 0
                 return
             self._drop_written(written)
-        if self._left_out:
-            count, self._left_out = self._left_out, 0
+        if self._unreported_drops:
+            count, self._unreported_drops = self._unreported_drops, 0
             line = f'level=warning event=log_lines_left_out count={count}\n'
             self._keep(line.encode())
             self.flush()
