--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -54,12 +54,12 @@
     for _number in range(3_000):
         stream.write(INFO)
         stream.flush()
-    before = stream.left_out
+    before = stream.dropped_lines
     assert before > 0
     for _number in range(20):
         stream.write(WARNING)
         stream.flush()
-    assert stream.left_out == before, 'warnings still had room'
+    assert stream.dropped_lines == before, 'warnings still had room'
     seen = b''
     while True:
         stream.flush()
--- a/wrenspoke/logstream.py
+++ b/wrenspoke/logstream.py
@@ -33,7 +33,7 @@
         self._buffer: collections.deque[bytes] = collections.deque()
         self._size_bytes = 0
         self._unreported_drops = 0
-        self.left_out = 0
+        self.dropped_lines = 0
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> int:
@@ -44,7 +44,7 @@
         data = text.encode('utf-8', 'replace')
         if self._size_bytes + len(data) > limit:
             self._unreported_drops += 1
-            self.left_out += 1
+            self.dropped_lines += 1
         else:
             self._keep(data)
         return len(text)
