--- a/wrenspoke/logstream.py
+++ b/wrenspoke/logstream.py
@@ -46,10 +46,10 @@
             self._unreported_drops += 1
             self.dropped_lines += 1
         else:
-            self._keep(data)
+            self._enqueue(data)
         return len(text)
 
-    def _keep(self, data: bytes) -> None:
+    def _enqueue(self, data: bytes) -> None:
         self._buffer.append(data)
         self._size_bytes += len(data)
 
@@ -70,7 +70,7 @@
         if self._unreported_drops:
             count, self._unreported_drops = self._unreported_drops, 0
             line = f'level=warning event=log_lines_left_out count={count}\n'
-            self._keep(line.encode())
+            self._enqueue(line.encode())
             self.flush()
 
     def _drop_written(self, written: int) -> None:
