--- a/wrenspoke/caller.py
+++ b/wrenspoke/caller.py
@@ -22,7 +22,7 @@
 CONNECT_TIMEOUT_MS = 1_000
 OK = 200
 UNAVAILABLE = 503
-ONCE_MARK = ':'
+ONCE_KEY_SEPARATOR = ':'
 EVENT_STREAM = 'text/event-stream'
 
 
@@ -144,7 +144,7 @@
                 break
             # Told that nothing was run, so the next one is no resend; a
             # refused once-only attempt needs a higher number all the same.
-            if ONCE_MARK not in sent[headers.REQUEST]:
+            if ONCE_KEY_SEPARATOR not in sent[headers.REQUEST]:
                 attempt -= 1
         return total
 
