--- a/wrenspoke/caller.py
+++ b/wrenspoke/caller.py
@@ -96,7 +96,7 @@
         on_text: collections.abc.Callable[[str], None] | None = None,
     ) -> Result:
         """Ask for a chat; go on at other hosts when one fails."""
-        return await self._ask(
+        return await self._send_with_failover(
             'POST', surface.CHAT_PATH, dict(sent or {}), body, on_text
         )
 
@@ -109,7 +109,7 @@
         body: bytes = b'',
     ) -> Result:
         """Call a plain service; a resend carries the same request id."""
-        return await self._ask(
+        return await self._send_with_failover(
             method,
             f'/services/{service}{path}',
             dict(sent or {}),
@@ -117,7 +117,9 @@
             None,
         )
 
-    async def _ask(self, method, path, sent, body, on_text) -> Result:
+    async def _send_with_failover(
+        self, method, path, sent, body, on_text
+    ) -> Result:
         sent.setdefault(headers.REQUEST, ids.new_unique())
         attempt = int(sent.get(headers.ATTEMPT, '1'))
         total = Result('lost')
