--- a/wrenspoke/caller.py
+++ b/wrenspoke/caller.py
@@ -131,7 +131,7 @@
                 sent[headers.REQUEST] = ids.new_unique()
             total.hosts.append(url)
             try:
-                await self._ask_one(
+                await self._send_attempt(
                     method, url + path, sent, data, total, on_text
                 )
             except transport_errors.TransportError as error:
@@ -150,7 +150,7 @@
                 attempt -= 1
         return total
 
-    async def _ask_one(
+    async def _send_attempt(
         self,
         method: str,
         url: str,
