--- a/wrenspoke/caller.py
+++ b/wrenspoke/caller.py
@@ -126,7 +126,7 @@
         for url in list(self._urls):
             sent[headers.ATTEMPT] = str(attempt)
             attempt += 1
-            data = _continued(body, total.text)
+            data = _continuation_body(body, total.text)
             if total.events:
                 sent[headers.REQUEST] = ids.new_unique()
             total.hosts.append(url)
@@ -204,7 +204,7 @@
         raise transport_errors.MaybeSentError('stream ended early')
 
 
-def _continued(body: dict | bytes, text: str) -> bytes:
+def _continuation_body(body: dict | bytes, text: str) -> bytes:
     if isinstance(body, bytes):
         return body
     if not text:
