--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -239,19 +239,21 @@
         port = self.settings.host(host).operator_port
         return f'http://127.0.0.1:{port}'
 
-    def operator(self, token=TOKEN, hosts=()) -> operators.Operator:
+    def operator(self, token=TOKEN, hosts=()) -> operators.OperatorClient:
         """Return an operator who asks the control hosts."""
         names = hosts or [
             host.host for host in self.settings.with_role('control')
         ]
         urls = [self.control_url(name) for name in names]
-        made = operators.Operator(urls, token, int(WAIT_S * 1000))
+        made = operators.OperatorClient(urls, token, int(WAIT_S * 1000))
         self._callers.append(made)
         return made
 
     async def control_status(self, host: str) -> dict | None:
         """Return a control host's status, or None if it gives none."""
-        client = operators.Operator([self.control_url(host)], TOKEN, 2000)
+        client = operators.OperatorClient(
+            [self.control_url(host)], TOKEN, 2000
+        )
         try:
             return (await client.show('/status')).body
         except operators.OperatorError:
--- a/wrenspoke/cli.py
+++ b/wrenspoke/cli.py
@@ -402,7 +402,7 @@
 
 async def _operate(arguments: argparse.Namespace, ask) -> int:
     token = operators.read_token(arguments.token_file)
-    client = operators.Operator(arguments.control, token)
+    client = operators.OperatorClient(arguments.control, token)
     try:
         answer = await ask(client)
     finally:
--- a/wrenspoke/demo.py
+++ b/wrenspoke/demo.py
@@ -216,7 +216,7 @@
     """Plan a drain, confirm it and wait until it is done."""
     control = deployment.host(CONTROL)
     url = f'http://{control.ip}:{control.operator_port}'
-    operator = operators.Operator([url], TOKEN)
+    operator = operators.OperatorClient([url], TOKEN)
     try:
         planned = await operator.plan(
             1, {'type': 'drain', 'endpoint': 'north-chat-1'}
--- a/wrenspoke/operator.py
+++ b/wrenspoke/operator.py
@@ -21,7 +21,7 @@
     """Say that no control host that leads could be reached."""
 
 
-class Operator:
+class OperatorClient:
     """Ask control hosts until the leader answers.
 
     A request carries the operator's number, so that asking again after a
