--- a/wrenspoke/operator.py
+++ b/wrenspoke/operator.py
@@ -50,20 +50,20 @@
     ) -> operators.OperatorAnswer:
         """Ask for a plan."""
         body = {'number': number, 'intent': intent}
-        return await self._ask('POST', '/plans', body)
+        return await self._send_to_leader('POST', '/plans', body)
 
     async def confirm(
         self, number: int, plan: str
     ) -> operators.OperatorAnswer:
         """Confirm a plan."""
         path = f'/plans/{plan}/confirm'
-        return await self._ask('POST', path, {'number': number})
+        return await self._send_to_leader('POST', path, {'number': number})
 
     async def show(self, path: str) -> operators.OperatorAnswer:
         """Look at something: a plan, the configuration, the status."""
-        return await self._ask('GET', path, None)
+        return await self._send_to_leader('GET', path, None)
 
-    async def _ask(
+    async def _send_to_leader(
         self, method: str, path: str, body: dict | None
     ) -> operators.OperatorAnswer:
         data = None if body is None else msgspec.json.encode(body)
