--- a/wrenspoke/cli.py
+++ b/wrenspoke/cli.py
@@ -344,7 +344,7 @@
     'remove_endpoint': ['endpoint'],
 }
 JSON_FIELDS = {'rule', 'limit', 'item'}
-SENT_AS = {'name': 'rule', 'item': 'endpoint'}
+INTENT_FIELD_NAMES = {'name': 'rule', 'item': 'endpoint'}
 
 
 @command('plan', 'make a plan from an intent; nothing changes', parser_plan)
@@ -353,7 +353,9 @@
     name = arguments.intent.replace('-', '_')
     intent = {'type': name}
     for field in INTENTS[name]:
-        intent[SENT_AS.get(field, field)] = getattr(arguments, field)
+        intent[INTENT_FIELD_NAMES.get(field, field)] = getattr(
+            arguments, field
+        )
     number = _number(arguments)
     return await _operate(arguments, lambda it: it.plan(number, intent))
 
