--- a/wrenspoke/cli.py
+++ b/wrenspoke/cli.py
@@ -357,7 +357,9 @@
             arguments, field
         )
     number = _number(arguments)
-    return await _operate(arguments, lambda it: it.plan(number, intent))
+    return await _run_operator_request(
+        arguments, lambda it: it.plan(number, intent)
+    )
 
 
 def parser_confirm(parser: argparse.ArgumentParser) -> None:
@@ -371,7 +373,7 @@
 async def run_confirm(arguments: argparse.Namespace) -> int:
     """Confirm a plan."""
     number = _number(arguments)
-    return await _operate(
+    return await _run_operator_request(
         arguments, lambda it: it.confirm(number, arguments.plan)
     )
 
@@ -390,7 +392,7 @@
     what = arguments.what
     known = ('status', 'configuration', 'plans')
     path = f'/{what}' if what in known else f'/plans/{what}'
-    return await _operate(arguments, lambda it: it.show(path))
+    return await _run_operator_request(arguments, lambda it: it.show(path))
 
 
 def _number(arguments: argparse.Namespace) -> int:
@@ -402,7 +404,7 @@
     return number
 
 
-async def _operate(arguments: argparse.Namespace, ask) -> int:
+async def _run_operator_request(arguments: argparse.Namespace, ask) -> int:
     token = operators.read_token(arguments.token_file)
     client = operators.OperatorClient(arguments.control, token)
     try:
