--- a/wrenspoke/demo.py
+++ b/wrenspoke/demo.py
@@ -106,7 +106,7 @@
     }
 
 
-def say(text: str) -> None:
+def print_line(text: str) -> None:
     """Print one line for the person who runs the demo."""
     print(text, flush=True)
 
@@ -147,13 +147,13 @@
     caller = callers.Caller([f'http://{entry.ip}:{entry.http_port}'])
     try:
         await wait_until_serving(caller)
-        say('# A chat bound to south, asked for at north:')
+        print_line('# A chat bound to south, asked for at north:')
         await show_chat(caller)
-        say('# A release that may run once, sent twice with one id:')
+        print_line('# A release that may run once, sent twice with one id:')
         await show_once(caller, deployment)
-        say('# A drain of the engine in north, by plan and confirm:')
+        print_line('# A drain of the engine in north, by plan and confirm:')
         await show_drain(deployment)
-        say('# The same chat, unbound, asked for at north:')
+        print_line('# The same chat, unbound, asked for at north:')
         await show_chat(caller, bound=False)
     finally:
         await caller.close()
@@ -181,13 +181,13 @@
     if bound:
         sent |= {headers.HOME: 'south', headers.BOUND: 'true'}
     result = await caller.chat(body, sent, _print_text)
-    say(
+    print_line(
         f'\n# ended: {result.outcome}, {result.events} events, first after '
         f'{result.first_ms} ms'
     )
     explained = await caller.get(f'/explain/{request}')
     for decision in explained['decisions']:
-        say(f'#   {decision}')
+        print_line(f'#   {decision}')
 
 
 def _print_text(text: str) -> None:
@@ -209,7 +209,9 @@
             '/release/pack-7',
             {headers.HOME: 'south', headers.REQUEST: key},
         )
-        say(f'# {result.status} {result.outcome} {result.body.decode()}')
+        print_line(
+            f'# {result.status} {result.outcome} {result.body.decode()}'
+        )
 
 
 async def show_drain(deployment: settings.Deployment) -> None:
@@ -222,14 +224,18 @@
             1, {'type': 'drain', 'endpoint': 'north-chat-1'}
         )
         plan = planned.body['plan']
-        say(f'# plan {plan["plan"]}: {plan["summary"]}; {plan["costs"]}')
+        print_line(
+            f'# plan {plan["plan"]}: {plan["summary"]}; {plan["costs"]}'
+        )
         await operator.confirm(2, plan['plan'])
         for _round in range(READY_ROUNDS):
             shown = await operator.show(f'/plans/{plan["plan"]}')
             if shown.body['plan']['state'] == 'done':
                 break
             await asyncio.sleep(READY_INTERVAL_S)
-        say(f'# {shown.body["plan"]["state"]}: {shown.body["plan"]["ends"]}')
+        print_line(
+            f'# {shown.body["plan"]["state"]}: {shown.body["plan"]["ends"]}'
+        )
     finally:
         await operator.close()
 
