--- a/wrenspoke/demo.py
+++ b/wrenspoke/demo.py
@@ -131,7 +131,7 @@
         for daemon in daemons:
             await daemon.start()
         try:
-            await show(deployment)
+            await run_scenario(deployment)
         finally:
             for daemon in daemons:
                 await daemon.drain()
@@ -141,7 +141,7 @@
                 await server.close()
 
 
-async def show(deployment: settings.Deployment) -> None:
+async def run_scenario(deployment: settings.Deployment) -> None:
     """Ask as a caller would and print what comes back."""
     entry = deployment.with_role('entry')[0]
     caller = callers.Caller([f'http://{entry.ip}:{entry.http_port}'])
