--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -19,7 +19,7 @@
     cause: str
     issue: str
 
-    def names(self, node: str) -> bool:
+    def matches(self, node: str) -> bool:
         """Tell whether a test or one of its rows is meant."""
         return node == self.test or node.startswith(f'{self.test}[')
 
