--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -28,7 +28,7 @@
     for listed in known_red.read():
         reason = f'{listed.cause} ({listed.issue})'
         for item in items:
-            if listed.names(item.nodeid):
+            if listed.matches(item.nodeid):
                 item.add_marker(pytest.mark.xfail(reason=reason))
 
 
@@ -39,7 +39,7 @@
     for listed in known_red.read():
         terminalreporter.write_line(
             f'KNOWN RED {listed.test}: '
-            f'{sum(map(listed.names, failed))} failed, '
-            f'{sum(map(listed.names, passed))} passed; '
+            f'{sum(map(listed.matches, failed))} failed, '
+            f'{sum(map(listed.matches, passed))} passed; '
             f'{listed.cause} ({listed.issue})'
         )
