--- a/wrenspoke/operator.py
+++ b/wrenspoke/operator.py
@@ -72,7 +72,7 @@
         while self._clock.mono_ms() < until_ms:
             for url in self._urls:
                 try:
-                    answer = await self._send_request(method, url + path, data)
+                    answer = await self._send_to_host(method, url + path, data)
                 except (
                     transport_errors.TransportError,
                     TimeoutError,
@@ -86,7 +86,7 @@
             await self._clock.sleep_ms(ROUND_INTERVAL_MS)
         raise OperatorError(f'no control host that leads: {problem}')
 
-    async def _send_request(
+    async def _send_to_host(
         self, method: str, url: str, data: bytes | None
     ) -> operators.OperatorAnswer:
         async with clocks.timeout_ms(self._timeout_ms / 4):
