--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -16,9 +16,9 @@
         'a cause, with a comma',
         'issue 7',
     )
-    assert found.names('tests/test_a.py::test_b')
-    assert found.names('tests/test_a.py::test_b[row]')
-    assert not found.names('tests/test_a.py::test_bc')
+    assert found.matches('tests/test_a.py::test_b')
+    assert found.matches('tests/test_a.py::test_b[row]')
+    assert not found.matches('tests/test_a.py::test_bc')
 
 
 @pytest.mark.parametrize('text', ['tests/a.py::b, cause', f'{ROW}\n' * 4])
