--- a/benches/faults.py
+++ b/benches/faults.py
@@ -95,7 +95,7 @@
 
 async def measure(
     folder: pathlib.Path, plan: load.Plan, seed: int
-) -> tuple[dict, list[history.Asked]]:
+) -> tuple[dict, list[history.RequestRecord]]:
     """Run it all; return the report and the history."""
     async with fleet.running(folder, deployment(), relays=True) as running:
         await running.wait_voters(3)
@@ -106,7 +106,7 @@
             asyncio.create_task(watch_indexes(running, seen, ended)),
             asyncio.create_task(change_limits(running, ended)),
         ]
-        asked = await load.Load(running.settings, plan).run()
+        asked = await load.LoadGenerator(running.settings, plan).run()
         ended.set()
         done, _none, changes = await asyncio.gather(*others)
         runs = await load.collect_runs(running.settings)
@@ -117,7 +117,7 @@
             running.log(host.host).count('event=unhandled_error')
             for host in running.settings.hosts
         )
-        found['index_went_back'] = len(history.indexes_went_back(seen))
+        found['index_went_back'] = len(history.find_index_regressions(seen))
         return found, asked
 
 
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -6,7 +6,7 @@
 from wrenspoke import history
 from wrenspoke import load
 
-RAN = history.Ran(
+RAN = history.Executions(
     {'r1': ['n1'], 'r2': ['n1', 's1'], 'r3': ['s1']},
     {'n1': 'north', 's1': 'south'},
 )
@@ -26,7 +26,7 @@
         'outcome': outcome,
         'whole': outcome == 'whole',
     }
-    return history.Asked(**{**line, **fields})
+    return history.RequestRecord(**{**line, **fields})
 
 
 @pytest.mark.parametrize(
@@ -56,7 +56,7 @@
     ],
 )
 def test_checker_finds_an_index_that_went_back(seen, count):
-    assert len(history.indexes_went_back(seen)) == count
+    assert len(history.find_index_regressions(seen)) == count
 
 
 def test_history_reads_back_as_written(tmp_path):
--- a/wrenspoke/caller.py
+++ b/wrenspoke/caller.py
@@ -22,7 +22,7 @@
 CONNECT_TIMEOUT_MS = 1_000
 OK = 200
 UNAVAILABLE = 503
-ONCE_MARK = ':'
+ONCE_KEY_SEPARATOR = ':'
 EVENT_STREAM = 'text/event-stream'
 
 
@@ -96,7 +96,7 @@
         on_text: collections.abc.Callable[[str], None] | None = None,
     ) -> Result:
         """Ask for a chat; go on at other hosts when one fails."""
-        return await self._ask(
+        return await self._send_with_failover(
             'POST', entry_api.CHAT_PATH, dict(sent or {}), body, on_text
         )
 
@@ -109,7 +109,7 @@
         body: bytes = b'',
     ) -> Result:
         """Call a plain service; a resend carries the same request id."""
-        return await self._ask(
+        return await self._send_with_failover(
             method,
             f'/services/{service}{path}',
             dict(sent or {}),
@@ -117,19 +117,19 @@
             None,
         )
 
-    async def _ask(self, method, path, sent, body, on_text) -> Result:
+    async def _send_with_failover(self, method, path, sent, body, on_text) -> Result:
         sent.setdefault(headers.REQUEST, ids.new_random_id())
         attempt = int(sent.get(headers.ATTEMPT, '1'))
         total = Result('lost')
         for url in list(self._urls):
             sent[headers.ATTEMPT] = str(attempt)
             attempt += 1
-            data = _continued(body, total.text)
+            data = _continuation_body(body, total.text)
             if total.events:
                 sent[headers.REQUEST] = ids.new_random_id()
             total.hosts.append(url)
             try:
-                await self._ask_one(
+                await self._send_attempt(
                     method, url + path, sent, data, total, on_text
                 )
             except transport_errors.TransportError as error:
@@ -144,11 +144,11 @@
                 break
             # Told that nothing was run, so the next one is no resend; a
             # refused once-only attempt needs a higher number all the same.
-            if ONCE_MARK not in sent[headers.REQUEST]:
+            if ONCE_KEY_SEPARATOR not in sent[headers.REQUEST]:
                 attempt -= 1
         return total
 
-    async def _ask_one(
+    async def _send_attempt(
         self,
         method: str,
         url: str,
@@ -202,7 +202,7 @@
         raise transport_errors.MaybeSentError('stream ended early')
 
 
-def _continued(body: dict | bytes, text: str) -> bytes:
+def _continuation_body(body: dict | bytes, text: str) -> bytes:
     if isinstance(body, bytes):
         return body
     if not text:
--- a/wrenspoke/cli.py
+++ b/wrenspoke/cli.py
@@ -344,7 +344,7 @@
     'remove_endpoint': ['endpoint'],
 }
 JSON_FIELDS = {'rule', 'limit', 'item'}
-SENT_AS = {'name': 'rule', 'item': 'endpoint'}
+INTENT_FIELD_NAMES = {'name': 'rule', 'item': 'endpoint'}
 
 
 @command('plan', 'make a plan from an intent; nothing changes', parser_plan)
@@ -353,9 +353,13 @@
     name = arguments.intent.replace('-', '_')
     intent = {'type': name}
     for field in INTENTS[name]:
-        intent[SENT_AS.get(field, field)] = getattr(arguments, field)
+        intent[INTENT_FIELD_NAMES.get(field, field)] = getattr(
+            arguments, field
+        )
     number = _number(arguments)
-    return await _operate(arguments, lambda it: it.plan(number, intent))
+    return await _run_operator_request(
+        arguments, lambda it: it.plan(number, intent)
+    )
 
 
 def parser_confirm(parser: argparse.ArgumentParser) -> None:
@@ -369,7 +373,7 @@
 async def run_confirm(arguments: argparse.Namespace) -> int:
     """Confirm a plan."""
     number = _number(arguments)
-    return await _operate(
+    return await _run_operator_request(
         arguments, lambda it: it.confirm(number, arguments.plan)
     )
 
@@ -388,7 +392,7 @@
     what = arguments.what
     known = ('status', 'configuration', 'plans')
     path = f'/{what}' if what in known else f'/plans/{what}'
-    return await _operate(arguments, lambda it: it.show(path))
+    return await _run_operator_request(arguments, lambda it: it.show(path))
 
 
 def _number(arguments: argparse.Namespace) -> int:
@@ -400,9 +404,9 @@
     return number
 
 
-async def _operate(arguments: argparse.Namespace, ask) -> int:
+async def _run_operator_request(arguments: argparse.Namespace, ask) -> int:
     token = operators.read_token(arguments.token_file)
-    client = operators.Operator(arguments.control, token)
+    client = operators.OperatorClient(arguments.control, token)
     try:
         answer = await ask(client)
     finally:
--- a/wrenspoke/load.py
+++ b/wrenspoke/load.py
@@ -35,9 +35,9 @@
 DIGITS = 3
 PERCENTILES = (50, 99, 99.9)
 RESEND_SHARE = 0.2
-END_WAIT_MS = 30_000
+DRAIN_TIMEOUT_MS = 30_000
 MS_PER_S = 1000
-TOKENS_PER_PRICE = 1_000_000
+TOKENS_PER_MTOK = 1_000_000
 
 DEFAULT_MIX = {'chat': 6, 'bound': 2, 'lookup': 1, 'once': 1}
 
@@ -58,7 +58,7 @@
     homes: tuple[str, ...] = ()
 
 
-class Load:
+class LoadGenerator:
     """Ask a deployment's entry hosts by a plan."""
 
     def __init__(self, deployment: settings.Deployment, plan: Plan):
@@ -72,12 +72,12 @@
             url = f'http://{host.ip}:{host.http_port}'
             self._entries.setdefault(host.region, []).append(url)
         kinds = {item.kind: item.service for item in deployment.services}
-        self._plain = kinds.get(configuration.ServiceKind.PLAIN)
+        self._plain_service = kinds.get(configuration.ServiceKind.PLAIN)
         once = [rule for rule in deployment.rules if rule.once]
         self._once_path = once[0].path_prefix if once else None
-        self.history: list[history.Asked] = []
+        self.history: list[history.RequestRecord] = []
 
-    async def run(self) -> list[history.Asked]:
+    async def run(self) -> list[history.RequestRecord]:
         """Send everything and wait for every end."""
         tasks = set()
         started_ms = self._clock.mono_ms()
@@ -91,7 +91,7 @@
             gap_s = self._random.expovariate(self._plan.rate_per_s)
             due_ms += gap_s * MS_PER_S
         if tasks:
-            await asyncio.wait(tasks, timeout=END_WAIT_MS / MS_PER_S)
+            await asyncio.wait(tasks, timeout=DRAIN_TIMEOUT_MS / MS_PER_S)
         await runtime.cancel(tasks)
         for caller in self._callers.values():
             await caller.close()
@@ -108,7 +108,7 @@
             region = self._random.choice(list(self._entries))
         urls = list(self._entries[region])
         self._random.shuffle(urls)
-        asked = history.Asked(
+        asked = history.RequestRecord(
             request=ids.new_random_id(),
             kind=kind,
             entry=urls[0],
@@ -119,19 +119,19 @@
             ended_ms=0,
             outcome='lost',
         )
-        caller = callers.Caller(urls, client=self._client())
+        caller = callers.Caller(urls, client=self._shared_client())
         try:
             await KINDS[kind](self, caller, asked)
         finally:
             asked.ended_ms = self._clock.wall_ms()
             self.history.append(asked)
 
-    def _client(self) -> web.HttpClient:
+    def _shared_client(self) -> web.HttpClient:
         if 'shared' not in self._callers:
             self._callers['shared'] = callers.Caller([])
         return self._callers['shared'].client
 
-    def _sent(self, asked: history.Asked) -> dict[str, str]:
+    def _build_headers(self, asked: history.RequestRecord) -> dict[str, str]:
         sent = {
             headers.REQUEST: asked.request,
             headers.HOME: asked.home,
@@ -142,7 +142,7 @@
         return sent
 
     async def ask_chat(
-        self, caller: callers.Caller, asked: history.Asked
+        self, caller: callers.Caller, asked: history.RequestRecord
     ) -> None:
         """Ask for a streamed chat of a session."""
         number = self._random.randrange(self._plan.sessions)
@@ -153,40 +153,40 @@
             'stream': True,
             'max_tokens': self._plan.tokens,
         }
-        sent = {**self._sent(asked), headers.SESSION: session}
+        sent = {**self._build_headers(asked), headers.SESSION: session}
         result = await caller.chat(body, sent)
         words = engine.answer_words(messages, self._plan.tokens)
-        _note(asked, result, result.text == ''.join(words))
+        _record_result(asked, result, result.text == ''.join(words))
 
     async def ask_lookup(
-        self, caller: callers.Caller, asked: history.Asked
+        self, caller: callers.Caller, asked: history.RequestRecord
     ) -> None:
         """Look something up that may be repeated."""
         result = await caller.call(
-            'GET', self._plain, '/map', self._sent(asked)
+            'GET', self._plain_service, '/map', self._build_headers(asked)
         )
-        _note(asked, result, _is_own(result, asked))
+        _record_result(asked, result, _is_own(result, asked))
 
     async def ask_once(
-        self, caller: callers.Caller, asked: history.Asked
+        self, caller: callers.Caller, asked: history.RequestRecord
     ) -> None:
         """Ask for what may run once; some callers ask twice at once."""
         asked.request = callers.once_id(asked.home, self._clock)
         method = self._random.choice(['GET', 'POST'])
-        sent = self._sent(asked)
-        first = caller.call(method, self._plain, self._once_path, sent)
+        sent = self._build_headers(asked)
+        first = caller.call(method, self._plain_service, self._once_path, sent)
         if self._random.random() >= RESEND_SHARE:
             result = await first
-            _note(asked, result, _is_own(result, asked))
+            _record_result(asked, result, _is_own(result, asked))
             return
         again = {**sent, headers.ATTEMPT: '2'}
         result, second = await asyncio.gather(
             first,
-            caller.call(method, self._plain, self._once_path, again),
+            caller.call(method, self._plain_service, self._once_path, again),
         )
-        _note(asked, result, _is_own(result, asked))
+        _record_result(asked, result, _is_own(result, asked))
         other = msgspec.structs.replace(asked, hosts=[])
-        _note(other, second, _is_own(second, asked))
+        _record_result(other, second, _is_own(second, asked))
         # The two were on their way together: one may truthfully be told
         # that it was not run while the other was.
         if 'not_run' not in (asked.outcome, other.outcome):
@@ -197,14 +197,14 @@
 
 
 KINDS = {
-    'chat': Load.ask_chat,
-    'bound': Load.ask_chat,
-    'lookup': Load.ask_lookup,
-    'once': Load.ask_once,
+    'chat': LoadGenerator.ask_chat,
+    'bound': LoadGenerator.ask_chat,
+    'lookup': LoadGenerator.ask_lookup,
+    'once': LoadGenerator.ask_once,
 }
 
 
-def _note(asked: history.Asked, result: callers.Result, whole: bool) -> None:
+def _record_result(asked: history.RequestRecord, result: callers.Result, whole: bool) -> None:
     asked.outcome = result.outcome
     asked.reason = result.reason
     asked.whole = whole
@@ -212,7 +212,7 @@
     asked.hosts = result.hosts
 
 
-def _is_own(result: callers.Result, asked: history.Asked) -> bool:
+def _is_own(result: callers.Result, asked: history.RequestRecord) -> bool:
     try:
         return msgspec.json.decode(result.body)['request'] == asked.request
     except (msgspec.DecodeError, KeyError, TypeError):
@@ -253,25 +253,25 @@
     return found
 
 
-def where_ran(
+def build_executions(
     deployment: settings.Deployment, runs: dict[str, EndpointRuns]
-) -> history.Ran:
+) -> history.Executions:
     """Return the stand-ins' counts in the form that checks use."""
     endpoints: dict[str, list[str]] = {}
     for endpoint, told in runs.items():
         for request, count in told.runs.items():
             endpoints.setdefault(request, []).extend([endpoint] * count)
     regions = {item.endpoint: item.region for item in deployment.endpoints}
-    return history.Ran(endpoints, regions)
+    return history.Executions(endpoints, regions)
 
 
 def report(
     deployment: settings.Deployment,
-    asked: list[history.Asked],
+    asked: list[history.RequestRecord],
     runs: dict[str, EndpointRuns],
 ) -> dict:
     """Return the figures of a run: ends, times, cost, places, attempts."""
-    ran = where_ran(deployment, runs)
+    ran = build_executions(deployment, runs)
     ends = collections.Counter(one.outcome for one in asked)
     reasons = collections.Counter(
         one.reason for one in asked if one.outcome != 'whole'
@@ -283,7 +283,7 @@
         item.endpoint: item.price_per_mtok for item in deployment.endpoints
     }
     cost = sum(
-        prices[endpoint] * told.tokens / TOKENS_PER_PRICE
+        prices[endpoint] * told.tokens / TOKENS_PER_MTOK
         for endpoint, told in runs.items()
     )
     broken = history.violations(asked, ran)
@@ -304,7 +304,7 @@
     }
 
 
-def _percentiles(asked: list[history.Asked]) -> dict[str, float]:
+def _percentiles(asked: list[history.RequestRecord]) -> dict[str, float]:
     recorded = histogram.HdrHistogram(LOWEST_MS, HIGHEST_MS, DIGITS)
     for one in asked:
         if one.first_ms is not None and one.outcome == 'whole':
@@ -325,7 +325,7 @@
         sessions=arguments.sessions,
         deadline_ms=arguments.deadline_ms,
     )
-    load = Load(deployment, plan)
+    load = LoadGenerator(deployment, plan)
     asked = await load.run()
     if arguments.history:
         history.write(arguments.history, asked)
--- a/wrenspoke/logread.py
+++ b/wrenspoke/logread.py
@@ -20,7 +20,7 @@
 FIELD = re.compile(r'([\w.]+)=("(?:[^"\\]|\\.)*"|\S*)')
 # A collector may have put something before our line.
 START = 'timestamp='
-PASSED_ON = 'passed_on'
+FORWARD_EVENT = 'passed_on'
 Progress = collections.abc.Callable[[int], None]
 
 
@@ -33,7 +33,7 @@
     host: str
     fields: dict[str, str]
 
-    def tells_of(self, subject: str) -> bool:
+    def mentions(self, subject: str) -> bool:
         """Tell whether the line is about a request, host or endpoint."""
         return subject == self.host or subject in self.fields.values()
 
@@ -115,9 +115,9 @@
                 if wanted not in raw:
                     continue
                 line = parse(raw.decode('utf-8', 'replace'))
-                if line is not None and line.tells_of(subject):
+                if line is not None and line.mentions(subject):
                     found.append(line)
-    return ordered(found)
+    return sort_causally(found)
 
 
 def _opened(path: str) -> typing.BinaryIO:
@@ -126,7 +126,7 @@
     return open(path, 'rb')
 
 
-def ordered(lines: list[LogLine]) -> list[LogLine]:
+def sort_causally(lines: list[LogLine]) -> list[LogLine]:
     """Put lines in the order of causes, else of time.
 
     Lines of one host keep the order of its clock. A host that a request
@@ -138,7 +138,7 @@
     called = {
         line.fields['peer']
         for line in lines
-        if line.event == PASSED_ON and 'peer' in line.fields
+        if line.event == FORWARD_EVENT and 'peer' in line.fields
     }
     first = [
         line
@@ -149,7 +149,7 @@
     result: list[LogLine] = []
     for line in sorted(first, key=lambda line: line.timestamp):
         result.append(line)
-        if line.event == PASSED_ON:
+        if line.event == FORWARD_EVENT:
             result += by_host.pop(line.fields.get('peer', ''), [])
     placed = set(map(id, result))
     # What nobody passed on, as where a log is missing, goes by time.
--- a/wrenspoke/logstream.py
+++ b/wrenspoke/logstream.py
@@ -10,7 +10,7 @@
 import typing
 
 # A few hundred lines: a reader that pauses for a moment loses none.
-KEPT_BYTES = 256 * 1024
+MAX_BUFFERED_BYTES = 256 * 1024
 WRITE_BYTES = 16 * 1024
 
 
@@ -25,59 +25,59 @@
         self,
         descriptor: int,
         urgent: typing.Callable[[str], bool],
-        kept_bytes: int = KEPT_BYTES,
+        max_buffered_bytes: int = MAX_BUFFERED_BYTES,
     ):
         self._descriptor = descriptor
         self._urgent = urgent
-        self._kept_bytes = kept_bytes
-        self._kept: collections.deque[bytes] = collections.deque()
+        self._max_buffered_bytes = max_buffered_bytes
+        self._buffer: collections.deque[bytes] = collections.deque()
         self._size_bytes = 0
-        self._left_out = 0
-        self.left_out = 0
+        self._unreported_drops = 0
+        self.dropped_lines = 0
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> int:
         """Keep a text for writing, or leave it out."""
-        limit = self._kept_bytes
+        limit = self._max_buffered_bytes
         if not self._urgent(text):
             limit //= 2
         data = text.encode('utf-8', 'replace')
         if self._size_bytes + len(data) > limit:
-            self._left_out += 1
-            self.left_out += 1
+            self._unreported_drops += 1
+            self.dropped_lines += 1
         else:
-            self._keep(data)
+            self._enqueue(data)
         return len(text)
 
-    def _keep(self, data: bytes) -> None:
-        self._kept.append(data)
+    def _enqueue(self, data: bytes) -> None:
+        self._buffer.append(data)
         self._size_bytes += len(data)
 
     def flush(self) -> None:
         """Write what the reader takes now."""
-        while self._kept:
-            data = b''.join(self._kept)[:WRITE_BYTES]
+        while self._buffer:
+            data = b''.join(self._buffer)[:WRITE_BYTES]
             try:
                 written = os.write(self._descriptor, data)
             except BlockingIOError:
                 return
             except OSError:
                 # Nobody reads any more; requests go on.
-                self._kept.clear()
+                self._buffer.clear()
                 self._size_bytes = 0
                 return
             self._drop_written(written)
-        if self._left_out:
-            count, self._left_out = self._left_out, 0
+        if self._unreported_drops:
+            count, self._unreported_drops = self._unreported_drops, 0
             line = f'level=warning event=log_lines_left_out count={count}\n'
-            self._keep(line.encode())
+            self._enqueue(line.encode())
             self.flush()
 
     def _drop_written(self, written: int) -> None:
         self._size_bytes -= written
         while written:
-            first = self._kept.popleft()
+            first = self._buffer.popleft()
             if len(first) > written:
-                self._kept.appendleft(first[written:])
+                self._buffer.appendleft(first[written:])
                 return
             written -= len(first)
--- a/wrenspoke/operator.py
+++ b/wrenspoke/operator.py
@@ -21,7 +21,7 @@
     """Say that no control host that leads could be reached."""
 
 
-class Operator:
+class OperatorClient:
     """Ask control hosts until the leader answers.
 
     A request carries the operator's number, so that asking again after a
@@ -50,20 +50,20 @@
     ) -> operator_api.OperatorResponse:
         """Ask for a plan."""
         body = {'number': number, 'intent': intent}
-        return await self._ask('POST', '/plans', body)
+        return await self._send_to_leader('POST', '/plans', body)
 
     async def confirm(
         self, number: int, plan: str
     ) -> operator_api.OperatorResponse:
         """Confirm a plan."""
         path = f'/plans/{plan}/confirm'
-        return await self._ask('POST', path, {'number': number})
+        return await self._send_to_leader('POST', path, {'number': number})
 
     async def show(self, path: str) -> operator_api.OperatorResponse:
         """Look at something: a plan, the configuration, the status."""
-        return await self._ask('GET', path, None)
+        return await self._send_to_leader('GET', path, None)
 
-    async def _ask(
+    async def _send_to_leader(
         self, method: str, path: str, body: dict | None
     ) -> operator_api.OperatorResponse:
         data = None if body is None else msgspec.json.encode(body)
@@ -72,7 +72,7 @@
         while self._clock.mono_ms() < until_ms:
             for url in self._urls:
                 try:
-                    answer = await self._ask_one(method, url + path, data)
+                    answer = await self._send_to_host(method, url + path, data)
                 except (
                     transport_errors.TransportError,
                     TimeoutError,
@@ -86,7 +86,7 @@
             await self._clock.sleep_ms(ROUND_INTERVAL_MS)
         raise OperatorError(f'no control host that leads: {problem}')
 
-    async def _ask_one(
+    async def _send_to_host(
         self, method: str, url: str, data: bytes | None
     ) -> operator_api.OperatorResponse:
         async with clocks.timeout_ms(self._timeout_ms / 4):
--- a/wrenspoke/report.py
+++ b/wrenspoke/report.py
@@ -19,7 +19,7 @@
 
 # The bands of expected first pieces for which the error is told.
 BANDS_MS = (0, 25, 50, 100, 200, 400, 1_000)
-PERCENTILES = 10
+QUANTILE_COUNT = 10
 OK_STATUS = '2'
 UNAVAILABLE = '503'
 TRAFFIC_KEY = ('role', 'kind', 'distance')
@@ -55,7 +55,7 @@
     reason: str
 
 
-class SentKind(msgspec.Struct, frozen=True, order=True):
+class TrafficRate(msgspec.Struct, frozen=True, order=True):
     """Say what hosts of a role sent of a kind, a second and host."""
 
     bytes_per_s: float
@@ -84,10 +84,10 @@
     turned_back: int
     held_ms: Spread | None
     refused_with_free_places: int
-    traffic: list[SentKind] = []
+    traffic: list[TrafficRate] = []
 
 
-class _End(msgspec.Struct):
+class _CallEnd(msgspec.Struct):
     """Hold how one host ended its part of a call."""
 
     at: str
@@ -96,7 +96,7 @@
     reason: str
 
 
-class _Sent(msgspec.Struct):
+class _TrafficSample(msgspec.Struct):
     """Hold what a host sent of a kind, so far, in one of its lives."""
 
     messages: float
@@ -108,41 +108,41 @@
     """Take log lines in any order, and make a report of them."""
 
     def __init__(self):
-        self._ends: dict[tuple[str, str], _End] = {}
-        self._taken_over: set[tuple[str, str]] = set()
+        self._ends: dict[tuple[str, str], _CallEnd] = {}
+        self._forwarded: set[tuple[str, str]] = set()
         self._ratios: dict[str, list[float]] = collections.defaultdict(list)
         self._held_ms: list[float] = []
         self._passed_on = self._relayed = self._turned_back = 0
         self._with_free_places = 0
         # By role, kind and distance: what each life of each host sent.
         self._traffic: dict[
-            tuple[str, str, str], dict[tuple[str, str], _Sent]
+            tuple[str, str, str], dict[tuple[str, str], _TrafficSample]
         ] = collections.defaultdict(dict)
 
-    def take(self, line: logread.LogLine) -> None:
+    def add_line(self, line: logread.LogLine) -> None:
         """Take one line; what is not told of is left out."""
-        take = _TAKERS.get(line.event)
+        take = _LINE_HANDLERS.get(line.event)
         if take is not None:
             take(self, line)
 
-    def _take_answered(self, line: logread.LogLine) -> None:
+    def _on_answered(self, line: logread.LogLine) -> None:
         fields = line.fields
-        self._note_ratio(fields)
+        self._record_calibration(fields)
         first_ms = _number(fields.get('first_ms'))
         target_ms = _number(fields.get('target_ms'))
         pause_ms = _number(fields.get('longest_pause_ms')) or 0.0
         pause_target_ms = _number(fields.get('pause_target_ms'))
         status = fields.get('status', '')
         if not status.startswith(OK_STATUS):
-            self._end(line, Outcome.FAILED, f'status {status}')
+            self._record_end(line, Outcome.FAILED, f'status {status}')
         elif first_ms is not None and target_ms and first_ms > target_ms:
-            self._end(line, Outcome.LATE, 'first piece')
+            self._record_end(line, Outcome.LATE, 'first piece')
         elif pause_target_ms and pause_ms > pause_target_ms:
-            self._end(line, Outcome.LATE, 'pause')
+            self._record_end(line, Outcome.LATE, 'pause')
         else:
-            self._end(line, Outcome.IN_TIME, 'in time')
+            self._record_end(line, Outcome.IN_TIME, 'in time')
 
-    def _note_ratio(self, fields: dict[str, str]) -> None:
+    def _record_calibration(self, fields: dict[str, str]) -> None:
         expected_ms = _number(fields.get('expected_ms'))
         took_ms = _number(fields.get('took_ms'))
         if expected_ms is None or took_ms is None:
@@ -151,60 +151,60 @@
             max(expected_ms, 1.0) / max(took_ms, 1.0)
         )
 
-    def _take_gave_up(self, line: logread.LogLine) -> None:
+    def _on_gave_up(self, line: logread.LogLine) -> None:
         fields = line.fields
         reason = fields.get('cause', '').partition(':')[0]
         if fields.get('status') != UNAVAILABLE:
-            self._end(line, Outcome.FAILED, reason)
+            self._record_end(line, Outcome.FAILED, reason)
             return
-        self._end(line, Outcome.REFUSED, reason)
+        self._record_end(line, Outcome.REFUSED, reason)
         held_ms = _number(fields.get('held_ms'))
         if held_ms is not None:
             self._held_ms.append(held_ms)
         if _number(fields.get('free_places')):
             self._with_free_places += 1
 
-    def _take_refused(self, line: logread.LogLine) -> None:
-        self._end(line, Outcome.REFUSED, line.fields.get('reason', ''))
+    def _on_refused(self, line: logread.LogLine) -> None:
+        self._record_end(line, Outcome.REFUSED, line.fields.get('reason', ''))
 
-    def _take_passed_on(self, line: logread.LogLine) -> None:
+    def _on_passed_on(self, line: logread.LogLine) -> None:
         fields = line.fields
         self._passed_on += 1
         self._relayed += fields.get('relayed') == 'true'
-        self._taken_over.add((fields['request'], fields.get('peer', '')))
+        self._forwarded.add((fields['request'], fields.get('peer', '')))
 
-    def _take_relayed(self, line: logread.LogLine) -> None:
+    def _on_relayed(self, line: logread.LogLine) -> None:
         fields = line.fields
-        self._taken_over.add((fields['request'], fields.get('peer', '')))
+        self._forwarded.add((fields['request'], fields.get('peer', '')))
 
-    def _take_passed_back(self, _line: logread.LogLine) -> None:
+    def _on_passed_back(self, _line: logread.LogLine) -> None:
         self._turned_back += 1
 
-    def _take_traffic(self, line: logread.LogLine) -> None:
+    def _on_traffic(self, line: logread.LogLine) -> None:
         fields = line.fields
         key = tuple(fields.get(name, '') for name in TRAFFIC_KEY)
         numbers = [_number(fields.get(name)) for name in TRAFFIC_NUMBERS]
         if None in numbers or not numbers[-1]:
             return
-        sent = _Sent(*numbers)
+        sent = _TrafficSample(*numbers)
         life = (line.host, fields.get('life', ''))
         known = self._traffic[key].get(life)
         if known is None or known.lived_ms < sent.lived_ms:
             self._traffic[key][life] = sent
 
-    def _end(
+    def _record_end(
         self, line: logread.LogLine, outcome: Outcome, reason: str
     ) -> None:
         key = (line.fields.get('request', ''), line.host)
         route = line.fields.get('route', '')
-        self._ends[key] = _End(line.timestamp, outcome, route, reason)
+        self._ends[key] = _CallEnd(line.timestamp, outcome, route, reason)
 
     def report(self) -> Report:
         """Return what the lines told."""
         ends = [
             end
             for key, end in self._ends.items()
-            if key not in self._taken_over
+            if key not in self._forwarded
         ]
         counted = collections.Counter(
             (end.outcome.value, end.route, end.reason) for end in ends
@@ -229,22 +229,22 @@
         )
 
 
-_TAKERS: dict[
+_LINE_HANDLERS: dict[
     str, collections.abc.Callable[[Collector, logread.LogLine], None]
 ] = {
-    'answered': Collector._take_answered,
-    'gave_up': Collector._take_gave_up,
-    'request_refused': Collector._take_refused,
-    'passed_on': Collector._take_passed_on,
-    'relayed': Collector._take_relayed,
-    'passed_back': Collector._take_passed_back,
-    'traffic': Collector._take_traffic,
+    'answered': Collector._on_answered,
+    'gave_up': Collector._on_gave_up,
+    'request_refused': Collector._on_refused,
+    'passed_on': Collector._on_passed_on,
+    'relayed': Collector._on_relayed,
+    'passed_back': Collector._on_passed_back,
+    'traffic': Collector._on_traffic,
 }
 
 
 def _traffic(
-    found: dict[tuple[str, str, str], dict[tuple[str, str], _Sent]],
-) -> list[SentKind]:
+    found: dict[tuple[str, str, str], dict[tuple[str, str], _TrafficSample]],
+) -> list[TrafficRate]:
     """Return what hosts sent, the most bytes first.
 
     Hosts that sent nothing of a kind count in its mean as well.
@@ -260,7 +260,7 @@
     for (role, kind, distance), by_life in found.items():
         total_s = sum(lived_ms[role].values()) / MS_PER_S
         kinds.append(
-            SentKind(
+            TrafficRate(
                 sum(sent.bytes for sent in by_life.values()) / total_s,
                 sum(sent.messages for sent in by_life.values()) / total_s,
                 role,
@@ -281,7 +281,7 @@
     return f'{lower} to {BANDS_MS[place + 1]}'
 
 
-def _by_second(ends: list[_End]) -> list[dict[str, int]]:
+def _by_second(ends: list[_CallEnd]) -> list[dict[str, int]]:
     if not ends:
         return []
     times = [datetime.datetime.fromisoformat(end.at) for end in ends]
@@ -297,7 +297,7 @@
 def _spread(values: list[float]) -> Spread:
     if len(values) == 1:
         return Spread(1, values[0], values[0], values[0])
-    cuts = statistics.quantiles(values, n=PERCENTILES, method='inclusive')
+    cuts = statistics.quantiles(values, n=QUANTILE_COUNT, method='inclusive')
     return Spread(len(values), cuts[0], statistics.median(values), cuts[-1])
 
 
@@ -313,7 +313,7 @@
     collector = Collector()
     with logread.progress_bar(files) as bar:
         for line in logread.lines(files, bar.update):
-            collector.take(line)
+            collector.add_line(line)
     return collector.report()
 
 
