--- a/wrenspoke/caller.py
+++ b/wrenspoke/caller.py
@@ -117,7 +117,9 @@
             None,
         )
 
-    async def _send_with_failover(self, method, path, sent, body, on_text) -> Result:
+    async def _send_with_failover(
+        self, method, path, sent, body, on_text
+    ) -> Result:
         sent.setdefault(headers.REQUEST, ids.new_random_id())
         attempt = int(sent.get(headers.ATTEMPT, '1'))
         total = Result('lost')
--- a/wrenspoke/load.py
+++ b/wrenspoke/load.py
@@ -204,7 +204,9 @@
 }
 
 
-def _record_result(asked: history.RequestRecord, result: callers.Result, whole: bool) -> None:
+def _record_result(
+    asked: history.RequestRecord, result: callers.Result, whole: bool
+) -> None:
     asked.outcome = result.outcome
     asked.reason = result.reason
     asked.whole = whole
