--- a/tests/test_membership_fleet.py
+++ b/tests/test_membership_fleet.py
@@ -35,7 +35,7 @@
         fleet = await settled_fleet(entries)
         for host in fleet.entries.values():
             assert host.known_hosts == {*fleet.entry_names}
-        told = fleet.sent(fleet.controls, 'Attended')
+        told = fleet.sent(fleet.controls, 'AttendReply')
         await fleet.close()
         assert told.messages / entries <= 30
         things = entries + fleet.endpoints
@@ -65,9 +65,9 @@
 def test_calm_host_is_told_as_little_in_a_large_fleet(entries):
     async def play():
         fleet = await settled_fleet(entries)
-        before = fleet.sent(fleet.controls, 'Attended')
+        before = fleet.sent(fleet.controls, 'AttendReply')
         await fleet.wait_ms(CALM_MS)
-        told = fleet.sent(fleet.controls, 'Attended')
+        told = fleet.sent(fleet.controls, 'AttendReply')
         await fleet.close()
         seconds = CALM_MS / group.MS_PER_S
         assert (told.messages - before.messages) / entries / seconds <= 3.2
@@ -82,16 +82,16 @@
         fleet = await settled_fleet(entries)
         # The traffic of a fleet without changes is subtracted.
         await fleet.wait_ms(CALM_MS)
-        before = fleet.sent(fleet.controls, 'Attended').bytes
+        before = fleet.sent(fleet.controls, 'AttendReply').bytes
         await fleet.wait_ms(CALM_MS)
-        calm = fleet.sent(fleet.controls, 'Attended').bytes - before
+        calm = fleet.sent(fleet.controls, 'AttendReply').bytes - before
         fleet.entry_names.append('10.7.7.7:7000')
         fleet.start_entry(entries)
         before += calm
         newcomer = '10.7.7.7:7000'
         await fleet.wait_ms(CALM_MS)
-        told = fleet.sent(fleet.controls, 'Attended').bytes - before
-        told -= fleet.sent(fleet.controls, 'Attended', newcomer).bytes
+        told = fleet.sent(fleet.controls, 'AttendReply').bytes - before
+        told -= fleet.sent(fleet.controls, 'AttendReply', newcomer).bytes
         known = [
             newcomer in host.known_hosts for host in fleet.entries.values()
         ]
--- a/tests/test_quarantined_fleet.py
+++ b/tests/test_quarantined_fleet.py
@@ -65,7 +65,7 @@
         fleet = await quarantined_fleet.Fleet(hosts).start()
         await crash_three_endpoints(fleet)
         await fleet.wait_ms(1_000)
-        counts.append(fleet.sent_totals()['RunsEnded'].messages)
+        counts.append(fleet.sent_totals()['ReportCrashes'].messages)
         await fleet.close()
 
     for hosts in (20, 200):
--- a/tests/test_sent_calls.py
+++ b/tests/test_sent_calls.py
@@ -113,12 +113,15 @@
         await fleet.send_calls()
         for host in fleet.hosts:
             sent = host.peers.sent
-            told = sent['TellSent'].messages + sent['TellRegion'].messages
+            told = (
+                sent['ReportSentCalls'].messages
+                + sent['RegionGossip'].messages
+            )
             # Its own calls, and relays of 40 broadcasts a second.
             parts = 2 * 40 * hosts**0.5
             assert told / (SIMULATED_MS / 1_000) < CALLS_PER_S + parts
         whole = sum(
-            host.peers.sent['TellRegion'].messages for host in fleet.hosts
+            host.peers.sent['RegionGossip'].messages for host in fleet.hosts
         )
         assert whole / hosts / (SIMULATED_MS / 1_000) < 45
         await fleet.close()
