--- a/wrenspoke/protocol/__init__.py
+++ b/wrenspoke/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""What is said over the transports: callers, hosts, endpoints."""
+"""Messages, headers and HTTP APIs of callers, hosts and endpoints."""
--- a/wrenspoke/protocol/discovery_messages.py
+++ b/wrenspoke/protocol/discovery_messages.py
@@ -1,4 +1,4 @@
-"""The messages by which hosts find each other and endpoints at run time."""
+"""Messages for discovery of hosts and endpoints, and for region gossip."""
 
 import zlib
 
@@ -13,20 +13,20 @@
 from wrenspoke.state import registry
 
 
-# Tables of routes shrink to a tenth at the lowest level.
+# Route tables are repetitive: the fastest level compresses them well.
 COMPRESSION_LEVEL = 1
 _DELTA_DECODER = msgspec.msgpack.Decoder(messages.ConfigurationDelta)
 
-# The field of that name hides the module in the message below.
+# The field ``loads`` of RegionGossip shadows the module.
 EngineLoad = loads.EngineLoad
 
 
 class HostRecord(msgspec.Struct, array_like=True, frozen=True):
-    """Describe an entry host, as it told ``age_ms`` ago.
+    """State of an entry host as reported by it ``age_ms`` ago.
 
-    Callers use ``callers_address``, other hosts ``passing_address``; the
-    link of a host is its name. ``start`` tells one life of the host from
-    another, ``number`` rises with each telling.
+    Callers connect to ``callers_address``, other hosts forward requests to
+    ``passing_address``; ``host`` is also the address of the host's link.
+    ``start`` identifies the process, ``number`` increases with each report.
     """
 
     host: ids.HostId
@@ -41,9 +41,9 @@
 
 
 class HostChanges(msgspec.Struct, array_like=True, frozen=True):
-    """Tell which entry hosts were found, changed or lost.
+    """Entry hosts that were added, changed or removed.
 
-    ``whole`` says that hosts that are not named are not there any more.
+    With ``whole`` the message lists all hosts: any other is removed.
     """
 
     found: list[HostRecord]
@@ -52,11 +52,11 @@
 
 
 class Renewal(msgspec.Struct, array_like=True, frozen=True):
-    """Say that a host or an endpoint lives on, unchanged.
+    """Renewal of the lease of an unchanged host or endpoint.
 
-    ``number`` is the one of what it last told, ``age_ms`` ago; ``life``
-    tells one life from another: of a host a number of its own, of an
-    endpoint when it was born.
+    ``number`` is that of its latest report, ``age_ms`` ago. ``life``
+    identifies the instance: an arbitrary number for a host, the start time
+    for an endpoint.
     """
 
     name: str
@@ -66,11 +66,11 @@
 
 
 class Attend(msgspec.Struct, tag='attend'):
-    """Tell a control host that this entry host lives; ask what is new.
+    """Renew an entry host's lease and long-poll for changes.
 
-    The answer comes once there is something newer than what is held, or
-    after ``wait_ms``. Revisions count within the control host's
-    ``life``.
+    A control host replies once it has something newer than ``index`` and
+    the revisions, or after ``wait_ms``. Revisions are valid for one
+    instance of the control host, identified by ``life``.
     """
 
     record: HostRecord
@@ -82,17 +82,17 @@
 
 
 class AttendReply(msgspec.Struct, tag='attended'):
-    """Answer an attending host with what it does not hold yet.
-
-    ``confirmed`` says that nothing accepted was newer when this was sent,
-    ``led`` that the control host leads or hears who does. ``news`` holds
-    changes of the configuration, packed (see ``pack``): one packing serves
-    every host that asks for the same. They lead up to ``index``, which was
-    the newest ``confirmed_age_ms`` before this was sent, by a leader's
-    word; None without one. The question was held back for ``held_ms``.
-    ``leader`` is the control host that leads in ``term``, as far as is known.
-    ``hosts`` is None where nothing changed; ``near`` names the control
-    hosts that stand in the region of the one that asks.
+    """Reply to an ``Attend`` with the changes since what its sender holds.
+
+    ``confirmed`` is set if no newer configuration was committed when the
+    reply was sent, ``led`` if the control host leads or is in contact with
+    the leader. ``news`` holds configuration changes up to ``index``, encoded
+    by ``pack_delta``, so that equal replies are encoded only once. A leader
+    confirmed ``index`` as the latest ``confirmed_age_ms`` before the reply
+    was sent; None if no leader did. ``held_ms`` is how long the control host
+    delayed the reply. ``leader`` is the last known leader, in ``term``.
+    ``hosts`` is None if no host changed. ``near`` lists the control hosts in
+    the region of the entry host.
     """
 
     confirmed: bool
@@ -113,7 +113,7 @@
 
 
 def pack_delta(delta: messages.ConfigurationDelta) -> bytes:
-    """Return the changes of a delta as bytes for ``Attended.news``."""
+    """Encode a configuration delta for ``AttendReply.news``."""
     body = msgspec.msgpack.encode(_without_route_documents(delta))
     return zlib.compress(body, COMPRESSION_LEVEL)
 
@@ -121,7 +121,7 @@
 def _without_route_documents(
     delta: messages.ConfigurationDelta,
 ) -> messages.ConfigurationDelta:
-    """Leave out what only control hosts need of tables of routes."""
+    """Drop the source documents of route tables, which entry hosts ignore."""
     whole = delta.whole
     if whole is not None:
         whole = msgspec.structs.replace(
@@ -136,9 +136,9 @@
 
 
 def unpack_delta(news: bytes) -> messages.ConfigurationDelta:
-    """Return the changes that were packed.
+    """Decode a configuration delta that ``pack_delta`` encoded.
 
-    :raises MalformedMessageError: they can't be read
+    :raises MalformedMessageError: the bytes can't be decoded
     """
     try:
         return _DELTA_DECODER.decode(zlib.decompress(news))
@@ -147,10 +147,10 @@
 
 
 class Exchange(msgspec.Struct, tag='exchange'):
-    """Tell another control host what changed, and who lives on unchanged.
+    """Synchronize discovery state with another control host.
 
-    What changed is told whole, once. Of the rest the number of the last
-    renewal is enough, and only from who heard it.
+    Changed records are sent in full, once. Unchanged ones are sent as
+    renewals, and only by the control host that received the renewal.
     """
 
     endpoints: list[registry.Registration]
@@ -161,11 +161,11 @@
 
 
 class ExchangeReply(msgspec.Struct, tag='exchanged'):
-    """Answer an exchange: everything in it has been taken.
+    """Reply to an ``Exchange`` once all of it has been merged.
 
-    ``life`` tells one life of the control host from another, ``heard``
-    names those that it hears itself, and ``unknown`` says that something
-    was renewed that it does not know, so that all should be told again.
+    ``life`` identifies the instance of the control host, ``heard`` lists the
+    control hosts that it is in contact with. ``unknown`` is set if a renewal
+    was for a record that it does not hold: the sender then resends all.
     """
 
     life: str = ''
@@ -174,20 +174,20 @@
 
 
 class ConfirmIndex(msgspec.Struct, tag='confirm_index'):
-    """Ask a leader up to which index everything was accepted."""
+    """Ask the leader for its commit index, as Raft's ReadIndex does."""
 
 
 class ConfirmIndexReply(msgspec.Struct, tag='index_confirmed'):
-    """Answer with the index, None from a host that does not lead."""
+    """Reply with the commit index, None if the host does not lead."""
 
     index: int | None
 
 
 class RegionStatus(msgspec.Struct, array_like=True, frozen=True):
-    """Tell what a host of another region said ``age_ms`` ago.
+    """Latest pong of a host in another region, received ``age_ms`` ago.
 
-    ``travel_ms`` is the round trip to it. ``said`` is None where none of
-    that region's hosts answers.
+    ``travel_ms`` is the round-trip time to it. ``said`` is None if no host
+    of the region responds.
     """
 
     region: ids.RegionId
@@ -197,18 +197,18 @@
 
 
 class WarmupStatus(msgspec.Struct, array_like=True, frozen=True):
-    """Tell for how long an endpoint stays cold, by its own answer."""
+    """Remaining warmup of an endpoint, as reported by the endpoint."""
 
     endpoint: ids.EndpointId
     left_ms: int
 
 
 class SentCall(msgspec.Struct, array_like=True, frozen=True):
-    """Tell of a call that a host sent to an engine ``age_ms`` ago.
+    """Call that a host sent to an engine ``age_ms`` ago.
 
-    ``host`` is a short number of it. ``tokens`` of the prompt are to be
-    read there; ``parts`` are those that other prompts may have, too, and
-    ``own_tokens`` what else it leaves in the engine's memory.
+    ``host`` is a short number for the host. ``tokens`` is the length of the
+    prompt to prefill. ``parts`` are the prefixes that other prompts can
+    share, ``own_tokens`` the other tokens that it adds to the engine's cache.
     """
 
     host: int
@@ -220,18 +220,18 @@
 
 
 class ReportSentCalls(msgspec.Struct, tag='tell_sent'):
-    """Tell the host that collects them which calls were sent."""
+    """Report sent calls to the host that collects them."""
 
     calls: list[SentCall]
 
 
 class RegionGossip(msgspec.Struct, tag='tell_region'):
-    """Tell the entry hosts of the region what one of them found out.
+    """Gossip to the entry hosts of a region.
 
-    That is what engines reported, what other regions offer, which
-    endpoints that were taken back are warm, what hosts sent to engines, and
-    what endpoints advertise: limits, backoffs, and that they leave.
-    Who gets it tells the hosts of ``pass_on``.
+    Carries engine loads, the state of other regions, the warmup of readmitted
+    endpoints, calls sent to engines, and what endpoints advertise: limits,
+    backoffs and shutdown. The receiver forwards it to the hosts in
+    ``pass_on``.
     """
 
     loads: list[EngineLoad] = []
@@ -245,9 +245,9 @@
 
 
 class ReportLeaving(msgspec.Struct, tag='endpoint_leaves'):
-    """Tell a control host that an endpoint says in answers that it leaves.
+    """Report an endpoint that advertises its shutdown in responses.
 
-    ``born_ms`` names the life that is about to end.
+    ``born_ms`` identifies the instance that shuts down.
     """
 
     endpoint: ids.EndpointId
@@ -255,10 +255,9 @@
 
 
 class WithdrawEndpoint(msgspec.Struct, tag='withdraw'):
-    """Tell a control host that an endpoint is not there any more.
+    """Deregister an endpoint after another one answered at its address.
 
-    Another one answered at its address. ``born_ms`` names the life that
-    has ended.
+    ``born_ms`` identifies the instance that ended.
     """
 
     endpoint: ids.EndpointId
