--- a/wrenspoke/protocol/messages.py
+++ b/wrenspoke/protocol/messages.py
@@ -1,4 +1,4 @@
-"""The messages that hosts send each other over links."""
+"""Messages between hosts: heartbeats, configuration, ledger and consensus."""
 
 import enum
 import typing
@@ -14,7 +14,7 @@
 
 
 class LoadReport(msgspec.Struct, array_like=True, frozen=True):
-    """State an engine's load; ``age_ms`` grows from host to host."""
+    """Load of an engine; each host that relays it increases ``age_ms``."""
 
     endpoint: ids.EndpointId
     running: int
@@ -23,16 +23,16 @@
 
 
 class EndpointInFlight(msgspec.Struct, array_like=True, frozen=True):
-    """State how many requests are at an endpoint that is to finish."""
+    """Number of requests in flight at an endpoint that is draining."""
 
     endpoint: ids.EndpointId
     in_flight: int
 
 
 class Heartbeat(msgspec.Struct, tag='beat'):
-    """Tell the peers of a data centre that this host lives.
+    """Heartbeat to the peers in the data centre.
 
-    ``interval_ms`` is when the next one is due at the latest.
+    The next one follows within ``interval_ms``.
     """
 
     draining: bool
@@ -44,9 +44,9 @@
 
 
 class DataCentreStatus(msgspec.Struct, array_like=True, frozen=True):
-    """State how far a data centre's entry hosts have come.
+    """Progress of a data centre's entry hosts.
 
-    ``low_index`` is the lowest configuration in force at any of them.
+    ``low_index`` is the lowest index of the configurations they have applied.
     """
 
     data_centre: ids.DataCentreId
@@ -56,52 +56,53 @@
 
 
 class ForwardStatus(msgspec.Struct, tag='standing'):
-    """Pass what a relay told on to the leader, while a plan needs it."""
+    """Forward a relay's status to the leader while a plan is running."""
 
     standing: DataCentreStatus
 
 
 class UpdateAvailable(msgspec.Struct, tag='news'):
-    """Tell a relay that there is something newer to pull."""
+    """Notify a relay that a newer configuration can be pulled."""
 
     index: int
 
 
 class TeamRate(msgspec.Struct, array_like=True, frozen=True):
-    """State a rate of one team, wanted or granted."""
+    """Requested or granted rate of one team."""
 
     team: str
     rate_per_s: float
 
 
 class AskLeases(msgspec.Struct, tag='ask_leases'):
-    """Ask a lender for parts of teams' limits, by what is wanted."""
+    """Request leases on teams' limits, at the wanted rates."""
 
     wanted: list[TeamRate]
 
 
 class Leases(msgspec.Struct, tag='leases'):
-    """Answer with what is granted for a while."""
+    """Reply with the granted rates, which expire."""
 
     granted: list[TeamRate]
 
 
 class Ping(msgspec.Struct, tag='ping'):
-    """Ask a host elsewhere whether it can be reached.
+    """Probe a host in another region.
 
-    ``cut_off`` are the regions that the asking host can't reach itself.
+    ``cut_off`` lists the regions that the sender can't reach itself.
     """
 
     cut_off: list[ids.RegionId] = []
 
 
 class ServiceOffer(msgspec.Struct, array_like=True, frozen=True):
-    """State what a call to a service would find in a region.
+    """Expected latency of calls to a service in a region.
 
-    ``wait_ms`` is when a call without a prompt is expected to give its
-    first piece at the best endpoint, ``token_ms`` what each token that is
-    to be read adds. Between two events of a stream lie ``usual_ms`` as a
-    rule and ``present_ms`` in the present crowd; ``endpoints`` take work.
+    ``wait_ms`` is the expected time to first token at the best endpoint for
+    an empty prompt, ``token_ms`` the time that each token to prefill adds.
+    The interval between two events of a stream is ``usual_ms`` typically and
+    ``present_ms`` under the current load. ``endpoints`` is the number of
+    endpoints that accept requests.
     """
 
     service: ids.ServiceId
@@ -113,11 +114,12 @@
 
 
 class Pong(msgspec.Struct, tag='pong'):
-    """Answer a ping with what calls that are passed on would find.
+    """Reply to a ping with the expected latency of forwarded calls.
 
-    ``index`` is the configuration in force, ``serving`` whether the host
-    serves by it. ``offers`` is None from hosts that make none. What it
-    can pass on to the regions that were asked for stands in ``relayed``.
+    ``index`` is that of the host's configuration, ``serving`` whether the
+    host serves with it. ``offers`` is None from hosts without offers.
+    ``relayed`` holds the offers of the regions in ``Ping.cut_off`` that the
+    host can forward to.
     """
 
     draining: bool
@@ -128,19 +130,19 @@
 
 
 class PullConfiguration(msgspec.Struct, tag='pull'):
-    """Ask for the changes after an index; relays tell their standing."""
+    """Request the changes after an index; relays add their status."""
 
     after: int
     standing: DataCentreStatus | None = None
 
 
 class ConfigurationDelta(msgspec.Struct, tag='delta'):
-    """Answer a pull.
+    """Reply to a pull with the changes since the requested index.
 
-    ``changes`` follow each other from the index that was asked for;
-    where that is no longer known, ``whole`` stands in their place.
-    ``confirmed`` says that nothing accepted was newer when this was sent,
-    ``serving`` that the sender serves by what it holds.
+    If the log no longer reaches back to that index, ``whole`` holds the full
+    configuration instead of ``changes``. ``confirmed`` is set if no newer
+    configuration was committed when the reply was sent, ``serving`` if the
+    sender serves with the configuration that it holds.
     """
 
     index: int
@@ -152,7 +154,7 @@
 
 
 class Prepare(msgspec.Struct, tag='prepare'):
-    """Ask for a promise on a ledger key."""
+    """Request a promise for a ballot on a ledger key, as in Paxos."""
 
     key: str
     issued_ms: int
@@ -160,7 +162,7 @@
 
 
 class Accept(msgspec.Struct, tag='accept'):
-    """Ask to accept a claim on a ledger key."""
+    """Request acceptance of a claim on a ledger key, as in Paxos."""
 
     key: str
     issued_ms: int
@@ -169,15 +171,15 @@
 
 
 class LedgerVote(msgspec.Struct, tag='vote'):
-    """Answer a prepare or accept."""
+    """Reply to a ``Prepare`` or ``Accept``."""
 
     vote: registers.Vote
 
 
 class RecoverLedger(msgspec.Struct, tag='recall'):
-    """Ask for a part of the ledger's memory after a restart.
+    """Request a chunk of a ledger replica's state after a restart.
 
-    The part follows the key ``after``, given by issue time and name.
+    The chunk starts after the key ``after``, given by issue time and name.
     """
 
     epoch: int
@@ -185,16 +187,16 @@
 
 
 class RecoverLedgerReply(msgspec.Struct, tag='recollection'):
-    """Answer a recall."""
+    """Reply with a chunk of the ledger's state."""
 
     memory: registers.Memory
 
 
 class Hello(msgspec.Struct, tag='hello'):
-    """Tell which disk a control host starts on.
+    """Announce the start of a control host on its disk.
 
-    ``boot`` counts the starts, ``start`` tells this one from another of
-    the same number.
+    ``boot`` counts the starts on that disk, ``start`` distinguishes two
+    starts with the same count.
     """
 
     incarnation: ids.Incarnation
@@ -203,13 +205,13 @@
 
 
 class HelloReply(msgspec.Struct, tag='hello_reply'):
-    """Answer a hello with the highest start known before of that disk."""
+    """Reply with the highest ``boot`` previously seen for that disk."""
 
     known_boot: int
 
 
 class RequestVote(msgspec.Struct, tag='ask_vote'):
-    """Ask for a vote; ``pre`` only asks whether it would be given."""
+    """Raft's RequestVote; with ``pre`` a pre-vote that changes no state."""
 
     term: int
     incarnation: ids.Incarnation
@@ -219,7 +221,7 @@
 
 
 class VoteRefusal(enum.Enum):
-    """Say why a vote was not given."""
+    """Reason why a vote was not granted."""
 
     NOT_CLEARED = 'not_cleared'
     NO_VOTE = 'no_vote'
@@ -231,7 +233,7 @@
 
 
 class VoteReply(msgspec.Struct, tag='vote_reply'):
-    """Answer a call for votes; ``refused`` says why none is given."""
+    """Reply to a vote request; ``refused`` is the reason of a rejection."""
 
     term: int
     granted: bool
@@ -240,9 +242,9 @@
 
 
 class LocalTimestamp(msgspec.Struct, array_like=True, frozen=True):
-    """Name a moment by a host's own clock, in one of its lives.
+    """Reading of a host's monotonic clock in one instance of the host.
 
-    It means nothing to others, who give it back as it was.
+    Other hosts treat it as opaque and return it unchanged.
     """
 
     life: str
@@ -250,11 +252,11 @@
 
 
 class AppendEntries(msgspec.Struct, tag='append'):
-    """Send log entries, or just a heartbeat, from the leader.
+    """Raft's AppendEntries: log entries or a heartbeat from the leader.
 
-    ``confirmed`` is a moment that the follower told before: nothing was
-    accepted up to then that goes beyond ``commit``. None from a leader
-    without a lease.
+    ``confirmed`` is a timestamp that the follower sent before: up to then
+    nothing beyond ``commit`` was committed. None from a leader without a
+    lease.
     """
 
     term: int
@@ -266,11 +268,11 @@
 
 
 class AppendReply(msgspec.Struct, tag='append_reply'):
-    """Answer an append.
+    """Reply to ``AppendEntries``.
 
-    ``last_index`` is the highest index that is synced and equal to the
-    leader's if ``matched``; otherwise the next one to try from. ``moment``
-    is when this was sent.
+    If ``matched``, ``last_index`` is the highest index that is synced to disk
+    and equal to the leader's, otherwise the index to retry from. ``moment``
+    is the time of the reply on the follower's clock.
     """
 
     term: int
@@ -282,14 +284,14 @@
 
 
 class InstallSnapshot(msgspec.Struct, tag='install'):
-    """Send a whole snapshot in place of entries that are gone."""
+    """Raft's InstallSnapshot, in place of entries that were compacted."""
 
     term: int
     snapshot: storage.Snapshot
 
 
 class Refusal(msgspec.Struct, tag='refusal'):
-    """Say why a message was not acted on."""
+    """Reply that a message was rejected, with the reason."""
 
     reason: str
 
--- a/wrenspoke/protocol/peers.py
+++ b/wrenspoke/protocol/peers.py
@@ -1,4 +1,4 @@
-"""Typed calls between hosts, and the table of who answers which."""
+"""Typed messages between hosts, and their handlers."""
 
 import collections.abc
 import typing
@@ -49,7 +49,7 @@
 
 
 class Peers:
-    """Call other hosts with messages and answer theirs."""
+    """Sends messages to other hosts and dispatches received ones."""
 
     def __init__(
         self,
@@ -69,7 +69,7 @@
     def handles(
         self, kind: type
     ) -> collections.abc.Callable[[MessageHandler], MessageHandler]:
-        """Return a decorator that registers who answers a message."""
+        """Return a decorator that registers the handler of a message."""
 
         def register(handler: MessageHandler) -> MessageHandler:
             self._handlers[kind] = handler
@@ -80,10 +80,10 @@
     async def call(
         self, host: ids.HostId, message: Message, timeout_ms: float
     ) -> Message:
-        """Send a message and return the answer.
+        """Send a message and return the reply.
 
-        :raises NoAnswerError: none came in time
-        :raises MalformedMessageError: the answer can't be read
+        :raises NoResponseError: the host did not reply in time
+        :raises MalformedMessageError: the reply can't be decoded
         """
         try:
             body = await self.links.call(
@@ -96,9 +96,9 @@
         return self._decode(body)
 
     async def send_oneway(self, host: ids.HostId, message: Message) -> int:
-        """Send a message that has no answer; return the bytes sent.
+        """Send a message without a reply; return the bytes sent.
 
-        It may be lost.
+        The message may be lost.
         """
         return await self.links.tell(host, self._encoder.encode(message))
 
