--- a/wrenspoke/protocol/limiting.py
+++ b/wrenspoke/protocol/limiting.py
@@ -1,4 +1,4 @@
-"""The messages by which teams' limits are parted and spent."""
+"""Messages for the rate limits of teams and endpoints."""
 
 import msgspec
 
@@ -6,12 +6,12 @@
 
 
 class ShareRequest(msgspec.Struct, array_like=True, frozen=True):
-    """Ask for a share of one team's limit.
+    """Request for a share of one team's limit.
 
-    The lender goes on with ``held`` of it and could use ``wanted``.
-    Amounts are milliseconds of the limit's whole rate: ``returned_ms``
-    comes back with what is held no longer, and all levels of the team
-    together hold ``depth_ms`` at the most.
+    The holder keeps ``held`` of the limit and could use ``wanted``. Token
+    amounts are in milliseconds of the full rate: ``returned_ms`` are returned
+    with the share that is given up, and ``depth_ms`` is the capacity of all
+    the team's buckets together.
     """
 
     team: ids.TeamId
@@ -22,7 +22,7 @@
 
 
 class ShareGrant(msgspec.Struct, array_like=True, frozen=True):
-    """Grant a share of a team's limit, with the level that goes with it."""
+    """Granted share of a team's limit, with the tokens of that share."""
 
     team: ids.TeamId
     share: float
@@ -30,12 +30,11 @@
 
 
 class AskShares(msgspec.Struct, tag='ask_shares'):
-    """Ask for shares of teams' limits.
+    """Request shares of teams' limits for a holder.
 
-    A control host that does not lead passes it on to the one that does,
-    with the name of the ``lender``. ``number`` rises within one ``life`` of
-    the lender: a question that was held up on its way says what the lender
-    held then.
+    A follower forwards it to the leader with the name of the holder in
+    ``lender``. ``number`` increases within one instance of the holder,
+    ``life``, so that delayed requests with outdated shares can be rejected.
     """
 
     shares: list[ShareRequest]
@@ -45,10 +44,10 @@
 
 
 class AskSharesReply(msgspec.Struct, tag='shares_granted'):
-    """Answer with what is held from now on, for as long as a lease.
+    """Reply with the shares that the holder holds for one lease.
 
-    For ``unsettled_ms`` shares that older leaders granted may still be
-    held, and less than the whole can be parted.
+    For ``unsettled_ms`` shares granted by previous leaders may still be
+    leased, so that less than the full limit can be allocated.
     """
 
     granted: list[ShareGrant]
@@ -56,16 +55,16 @@
 
 
 class AskAmount(msgspec.Struct, tag='ask_amount'):
-    """Ask a team's lender in this region for what one call needs."""
+    """Request tokens for one call from a team's bucket owner."""
 
     team: ids.TeamId
     amount: float
 
 
 class AskAmountReply(msgspec.Struct, tag='amount_granted'):
-    """Answer whether a call may go on, after ``wait_ms``.
+    """Reply whether a call is admitted, after a delay of ``wait_ms``.
 
-    One that may not should come back after that time.
+    A call that is not admitted can be retried after that time.
     """
 
     granted: bool
@@ -73,17 +72,17 @@
 
 
 class EndpointInstance(msgspec.Struct, array_like=True, frozen=True):
-    """Name one life of an endpoint; ``born_ms`` is 0 where it has but one."""
+    """Instance of an endpoint; ``born_ms`` is 0 if it has only one."""
 
     endpoint: ids.EndpointId
     born_ms: int = 0
 
 
 class EndpointLimit(msgspec.Struct, array_like=True, frozen=True):
-    """Tell how many requests a second an endpoint takes, by its own word.
+    """Rate limit that an endpoint advertises, in requests per second.
 
-    ``rate_per_s`` is None where it takes what comes. Of two of one life the
-    higher ``version`` is newer.
+    ``rate_per_s`` is None without a limit. For one instance the limit with
+    the higher ``version`` is newer.
     """
 
     life: EndpointInstance
@@ -94,8 +93,8 @@
 class EndpointBackoff(msgspec.Struct, array_like=True, frozen=True):
     """Gossip that an endpoint refused a host's request, or serves again.
 
-    ``left_ms`` is the rest of the time that it named; 0 if it has served a
-    request of the host since.
+    ``left_ms`` is the remaining backoff that the endpoint requested; 0 if it
+    has served a request of the host since.
     """
 
     life: EndpointInstance
@@ -104,7 +103,7 @@
 
 
 class GrantId(msgspec.Struct, array_like=True, frozen=True):
-    """Name a leave to send: the lender, its life, and a rising number."""
+    """Id of a send permit: the owner, its instance, a rising number."""
 
     lender: ids.HostId
     life: str
@@ -112,10 +111,10 @@
 
 
 class AskSend(msgspec.Struct, tag='ask_send'):
-    """Ask who lends an endpoint's limit whether a request may be sent.
+    """Request a send permit from the owner of an endpoint's bucket.
 
-    ``known`` is what the asking host knows of the limit. The lowest
-    ``rank`` goes first.
+    ``known`` is the limit as the sender holds it. Requests with the lowest
+    ``rank`` are granted first.
     """
 
     known: EndpointLimit
@@ -123,10 +122,10 @@
 
 
 class AskSendReply(msgspec.Struct, tag='send_answered'):
-    """Answer whether it may, with what is known of the limit.
+    """Reply to a request for a send permit, with the owner's limit.
 
-    ``grant`` is None where it may not, nor is worth asking again before
-    ``wait_ms``, and where there is no limit any more.
+    Without a permit ``grant`` is None: the sender retries after ``wait_ms``,
+    unless the endpoint has no limit any more.
     """
 
     known: EndpointLimit
@@ -135,10 +134,11 @@
 
 
 class ReportLimit(msgspec.Struct, tag='limit_heard'):
-    """Tell a lender which rate an endpoint's answer named, None if none.
+    """Report the rate in an endpoint's response to its bucket owner.
 
-    ``known`` is what the host knows of the limit after it, ``grant`` the
-    leave under which the request was sent; None if that was without.
+    ``rate_per_s`` is None if the response advertised none. ``known`` is the
+    host's limit updated by the response, ``grant`` the permit of the request;
+    None if it was sent without one.
     """
 
     known: EndpointLimit
--- a/wrenspoke/protocol/quarantining.py
+++ b/wrenspoke/protocol/quarantining.py
@@ -1,4 +1,4 @@
-"""The messages by which hosts learn which requests end endpoints."""
+"""Messages about requests that crash endpoints."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class EndpointCrash(msgspec.Struct, array_like=True, frozen=True):
-    """Tell that an endpoint ended under a request, ``age_ms`` ago."""
+    """Crash of an endpoint while it ran a request, ``age_ms`` ago."""
 
     digest: ids.RequestDigest
     endpoint: ids.EndpointId
@@ -14,9 +14,9 @@
 
 
 class Hold(msgspec.Struct, array_like=True, frozen=True):
-    """Say that a request is not to be sent for a while.
+    """Hold on a request, which must not be sent for ``for_ms``.
 
-    ``ends`` is how many endpoints ended under it.
+    ``ends`` is the number of endpoints that crashed while they ran it.
     """
 
     digest: ids.RequestDigest
@@ -25,9 +25,9 @@
 
 
 class ReportCrashes(msgspec.Struct, tag='runs_ended'):
-    """Tell which runs ended endpoints, and which requests ran to an end.
+    """Report crashes of endpoints.
 
-    What is in ``cleared`` some endpoint ran to a good end.
+    ``cleared`` lists requests that an endpoint has completed.
     """
 
     ends: list[EndpointCrash]
@@ -35,10 +35,10 @@
 
 
 class ReportCrashesReply(msgspec.Struct, tag='runs_noted'):
-    """Answer what was told of runs.
+    """Reply to a report of crashes.
 
-    ``life`` tells one life of the answering host from another, ``holds`` is
-    what it holds off of what was told.
+    ``life`` identifies the instance of the replying host. ``holds`` are its
+    holds on the reported requests.
     """
 
     life: str
@@ -46,16 +46,16 @@
 
 
 class UpdateHolds(msgspec.Struct, tag='hold_off'):
-    """Tell entry hosts which requests not to send, and which to send again."""
+    """Set and release holds at entry hosts."""
 
     holds: list[Hold]
     released: list[ids.RequestDigest] = []
 
 
 class UpdateHoldsReply(msgspec.Struct, tag='hold_taken'):
-    """Answer what was told of holds.
+    """Reply to an update of holds.
 
-    What is in ``cleared`` ran to a good end of late.
+    ``cleared`` lists requests that were recently completed.
     """
 
     cleared: list[ids.RequestDigest] = []
