--- a/wrenspoke/protocol/dialect.py
+++ b/wrenspoke/protocol/dialect.py
@@ -1,8 +1,8 @@
-"""Which headers of a passed-through request say what.
+"""Header names of pass-through requests, and the parser of their heads.
 
-Requests that are passed through keep their method, path, body and
-headers. What the gateway needs of them, and what it tells endpoints, goes
-by the names of a ``Dialect``: our own below, or those of a platform.
+Pass-through requests keep their method, path, body and headers. A
+``Dialect`` holds the names of the headers that the gateway reads and adds:
+the defaults below, or those of a platform.
 """
 
 import collections.abc
@@ -16,8 +16,8 @@
 from wrenspoke.protocol import headers
 from wrenspoke.protocol import numerals
 
-# Headers that belong to one connection, by RFC 9110, and those by which
-# the body is framed, which each connection states anew.
+# Hop-by-hop headers of RFC 9110, and the headers that frame the body on one
+# connection.
 CONNECTION_FIELDS = frozenset(
     [
         'connection',
@@ -34,31 +34,30 @@
     ]
 )
 REQUEST_ID_PATTERN = re.compile(r'[!-~]{1,128}\Z')
-# As the callers' own interface allows (entry.deadline_limit_ms).
+# Same as the default of entry.deadline_limit_ms.
 DEADLINE_LIMIT_MS = 600_000
-# Prompts have a few parts; more would only cost time to look at.
+# Bounds the cost of parsing a caller's header.
 MAX_PROMPT_PARTS = 256
 
 Fields = list[tuple[str, str]]
 
 
 class Dialect(msgspec.Struct, frozen=True):
-    """Name the headers that the gateway reads and sets.
-
-    ``endpoint`` makes an endpoint refuse what is meant for another one,
-    ``not_run`` in its answer says that it did not run the request.
-    ``tokens`` gives those of the prompt and the most that may come out,
-    ``length_hint`` how many the caller expects to come.
-    ``fetch_from`` names the address of an endpoint that hands over what
-    it keeps of the prompt.
-    A health answer names its endpoint by ``instance`` and tells by
-    ``warmup_ms`` how much longer it bears few requests only.
-    In answers ``limit`` names the requests a second that an endpoint takes
-    from all hosts together; ``leaving`` says that the endpoint is about to
-    end.
-    ``authorization`` holds a team's key behind the word ``scheme``;
-    ``team`` tells endpoints whose call it is.
-    ``reserved`` headers are never passed on from callers.
+    """Names of the headers that the gateway reads and sets.
+
+    An endpoint rejects a request whose ``endpoint`` is not its own name;
+    ``not_run`` in a response means that it did not run the request.
+    ``tokens`` holds the prompt's tokens and the maximum number of output
+    tokens, ``length_hint`` the number that the caller expects.
+    ``fetch_from`` is the address of an endpoint from which the prompt's
+    cached prefix can be copied.
+    A health response carries the endpoint's name in ``instance`` and its
+    remaining warmup in ``warmup_ms``.
+    ``limit`` in responses is the rate in requests per second that an endpoint
+    accepts from all hosts; ``leaving`` announces its shutdown.
+    ``authorization`` holds the ``scheme`` followed by a team's key; ``team``
+    is the name of the team, for endpoints.
+    ``reserved`` headers of callers are never forwarded.
     """
 
     request: str = 'Wrenspoke-Request-Id'
@@ -81,7 +80,7 @@
     reserved: tuple[str, ...] = ()
 
     def stripped_headers(self) -> frozenset[str]:
-        """Return, in lower case, what is not passed on to endpoints."""
+        """Return the lower-case headers that are not sent to endpoints."""
         own = (
             self.deadline_ms,
             self.endpoint,
@@ -92,23 +91,23 @@
         return CONNECTION_FIELDS | {name.lower() for name in names}
 
     def credentials(self) -> tuple[str, str]:
-        """Return the headers that say on whose behalf a call is made."""
+        """Return the names of the headers that identify the team."""
         return (self.authorization, self.team)
 
 
 class PromptPart(msgspec.Struct, frozen=True, array_like=True):
-    """Name a part of a prompt and say how many tokens it has."""
+    """Named part of a prompt, with its length in tokens."""
 
     part: str
     tokens: int
 
 
 class Call(msgspec.Struct):
-    """Hold one request that is to be passed through.
+    """Pass-through request of a caller.
 
-    ``fields`` are the headers to be passed on, in their order, without
-    ``credentials``: the caller's word on its team. ``key`` is its team's.
-    ``digest`` names what is asked for, whatever the request is called.
+    ``fields`` are the headers to forward, in their order, without the
+    ``credentials`` that the caller sent. ``key`` is the team's key.
+    ``digest`` identifies the request by its content, whatever its id.
     """
 
     request: ids.RequestId
@@ -130,7 +129,7 @@
 
     @property
     def tokens(self) -> int:
-        """Return the tokens that the call may need, 0 if it says none."""
+        """Return the maximum of prompt and output tokens, 0 if unknown."""
         return self.tokens_in + self.tokens_out
 
     @property
@@ -140,7 +139,7 @@
 
 
 class CallReader:
-    """Read the head of a request by a dialect."""
+    """Parses the heads of requests by the header names of a dialect."""
 
     def __init__(self, dialect: Dialect, default_deadline_ms: int):
         self._dialect = dialect
@@ -155,9 +154,9 @@
         raw: collections.abc.Iterable[tuple[bytes, bytes]],
         now_ms: int,
     ) -> Call:
-        """Return the call that a head describes.
+        """Return the call that a request's head describes, without a body.
 
-        :raises BadRequestError: naming the header that is wrong
+        :raises BadRequestError: a header is malformed or repeated
         """
         found: dict[str, str] = {}
         fields: Fields = []
@@ -211,7 +210,7 @@
         return ids.RequestId(value)
 
     def _key(self, found: dict[str, str]) -> str:
-        """Return the key that a caller shows, empty if it shows none."""
+        """Return the key that the caller presents, empty if none."""
         text = found.get(self._dialect.authorization.lower(), '')
         scheme, _, key = text.strip().partition(' ')
         if scheme.lower() != self._dialect.scheme.lower():
@@ -232,9 +231,10 @@
         return left_ms
 
     def _parts(self, found: dict[str, str]) -> tuple[PromptPart, ...]:
-        """Return the prompt's parts; none where they can't be read.
+        """Return the prompt's parts, without those that are malformed.
 
-        They only steer the choice of an endpoint, which judges them.
+        They are a hint for the choice of an endpoint, so a malformed one is
+        no reason to reject the call.
         """
         text = found.get(self._dialect.prompt_parts.lower(), '')
         parts = []
@@ -246,7 +246,7 @@
         return tuple(parts)
 
     def _tokens_expected(self, found: dict[str, str]) -> int:
-        """Return how many tokens should come: the hint, else the most."""
+        """Return the length hint, capped by the maximum, else the maximum."""
         text = found.get(self._dialect.length_hint.lower(), '')
         hint = numerals.parse_whole(text.strip())
         most = self._tokens(found)[1]
@@ -280,7 +280,7 @@
 def response_fields(
     raw: collections.abc.Iterable[tuple[bytes, bytes]],
 ) -> Fields:
-    """Return the headers of an endpoint's answer that go to the caller."""
+    """Return the headers of an endpoint's response for the caller."""
     fields = [
         (
             istr(name.decode('utf-8', 'surrogateescape')),
--- a/wrenspoke/protocol/passthrough_api.py
+++ b/wrenspoke/protocol/passthrough_api.py
@@ -1,7 +1,7 @@
-"""The HTTP surface for requests that are passed through unaltered.
+"""HTTP API for requests that are passed through unaltered.
 
-Callers use one address, other entry hosts another: what they pass on
-carries a hop, which says what the first host decided.
+Callers and other entry hosts connect to different addresses. Requests that
+an entry host forwards carry a hop with the routing decision of that host.
 """
 
 import enum
@@ -23,18 +23,18 @@
 
 HOP_HEADER = 'Wrenspoke-Hop'
 REFUSED_HEADER = 'Wrenspoke-Refused'
-# How many endpoints may have run it, in an answer to the host that passed
-# it on.
+# Number of endpoints that may have run the request, for the host that
+# forwarded it.
 RUNS_HEADER = 'Wrenspoke-Runs'
 EXPECT = 'Expect'
 CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
 MS_PER_S = 1000
-# Nobody reads it; the name that proxies use for a caller who left.
+# nginx's status for a client that disconnected; it is never sent.
 CLIENT_CLOSED_STATUS = 499
 
 
 class Refusal(enum.Enum):
-    """Say why the gateway answers a call by its own word."""
+    """Reason why the gateway itself rejects a call."""
 
     NO_ROUTE = 'no_route'
     NO_CONFIGURATION = 'no_configuration'
@@ -48,8 +48,8 @@
     QUARANTINED = 'quarantined'
 
 
-# What a host says that sent nothing to an endpoint: its word costs the
-# budget of repeats nothing.
+# Refusals by a host that sent nothing to an endpoint: they don't consume the
+# retry budget.
 UNSENT_REFUSALS = frozenset(
     [
         Refusal.BUSY,
@@ -64,14 +64,14 @@
 
 
 class Hop(msgspec.Struct, frozen=True):
-    """Say what the host that passes a request on has decided.
-
-    ``index`` is the configuration it went by, ``attempts_left`` how many
-    endpoints may still run it. There is one hop, or two by way of a
-    third region. With ``limit_ms`` the call is to be refused where its
-    first piece would take longer, since the first host could do better
-    itself. With ``region`` it goes on to that region, which the first host
-    can't reach.
+    """Routing decision of the host that forwards a request.
+
+    ``index`` is that of the host's configuration, ``attempts_left`` the
+    number of endpoints that may still run the request. A request takes one
+    hop, or two by way of a third region. The receiver rejects the call if its
+    expected time to first byte exceeds ``limit_ms``, as the first host can
+    serve it faster. With ``region`` the receiver forwards it to that region,
+    which the first host can't reach.
     """
 
     host: ids.HostId
@@ -84,7 +84,7 @@
 
 
 class PassthroughLimits(msgspec.Struct, frozen=True):
-    """Bound what the surface reads of a request."""
+    """Limits on the size and duration of requests."""
 
     body_bytes: int
     body_timeout_ms: int
@@ -92,9 +92,9 @@
 
 
 class Reply:
-    """Answer one request, whole or piece by piece.
+    """Response to one request, sent at once or streamed.
 
-    ``runs`` is told to a host that passed the request on.
+    ``runs`` is reported to the host that forwarded the request.
     """
 
     def __init__(self, request: web.BaseRequest, close: bool):
@@ -106,13 +106,13 @@
 
     @property
     def started(self) -> bool:
-        """Tell whether a head has been sent."""
+        """Return whether the response head has been sent."""
         return self.response is not None
 
     async def send_response(
         self, status: int, fields: dialects.Fields, body: bytes
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         response = web.Response(
             status=status,
             headers=multidict.CIMultiDict(fields),
@@ -122,7 +122,7 @@
         await self._write_eof(response)
 
     async def send_head(self, status: int, fields: dialects.Fields) -> None:
-        """Send the head of an answer whose body comes in pieces."""
+        """Send the head of a response whose body is streamed."""
         response = web.StreamResponse(
             status=status, headers=multidict.CIMultiDict(fields)
         )
@@ -145,9 +145,9 @@
             raise errors.CallerDisconnectedError(repr(error)) from error
 
     async def write(self, data: bytes) -> None:
-        """Send a piece of the body.
+        """Send a chunk of the body.
 
-        :raises CallerGoneError: the caller has left
+        :raises CallerDisconnectedError: the caller has disconnected
         """
         try:
             await self.response.write(data)
@@ -165,7 +165,7 @@
             raise errors.CallerDisconnectedError(repr(error)) from error
 
     def abort(self) -> None:
-        """Break the connection, so that no end of the body is seen."""
+        """Abort the connection, so that the body is visibly incomplete."""
         transport.abort(self._request)
 
     async def refuse(
@@ -174,9 +174,9 @@
         reason: Refusal | str,
         retry_after_ms: int | None = None,
     ) -> None:
-        """Answer by the gateway's own word, at once.
+        """Reject the request.
 
-        ``reason`` is a text where the call itself is wrong.
+        ``reason`` is a message if the request is malformed.
         """
         if isinstance(reason, Refusal):
             reason = reason.value
@@ -192,24 +192,24 @@
 
 
 class PassthroughServer(typing.Protocol):
-    """Serve what the surface has read and checked."""
+    """Serves the calls that the API has parsed."""
 
     async def serve(
         self, call: dialects.Call, reply: Reply, hop: Hop | None
     ) -> None:
-        """Answer one request."""
+        """Serve one call and send its response."""
 
     @property
     def leaving(self) -> bool:
-        """Tell whether callers should close their connections."""
+        """Return whether callers should close their connections."""
 
     @property
     def body_limit_bytes(self) -> int:
-        """Return how large a body may be."""
+        """Return the maximum size of a request body."""
 
 
 class PassthroughApi:
-    """Turn HTTP requests into calls and hand them over."""
+    """Parses HTTP requests into calls for a server."""
 
     def __init__(
         self,
@@ -232,7 +232,7 @@
     async def handle_host(
         self, request: web.BaseRequest
     ) -> web.StreamResponse:
-        """Serve a request that another entry host passes on."""
+        """Serve a request that another entry host forwards."""
         return await self._handle(request, forwarded=True)
 
     async def _handle(
@@ -305,6 +305,6 @@
 def _without_hop(
     raw: typing.Iterable[tuple[bytes, bytes]],
 ) -> list[tuple[bytes, bytes]]:
-    """Leave out what only hosts may say."""
+    """Drop the hop, which only entry hosts may set."""
     hop = HOP_HEADER.lower().encode()
     return [item for item in raw if item[0].lower() != hop]
