--- a/wrenspoke/protocol/entry_api.py
+++ b/wrenspoke/protocol/entry_api.py
@@ -1,4 +1,4 @@
-"""The HTTP surface of an entry host, for callers and other hosts."""
+"""HTTP API of entry hosts for callers and other hosts."""
 
 import collections.abc
 import typing
@@ -26,7 +26,7 @@
 
 
 class ChatBody(msgspec.Struct):
-    """Name the fields of a chat request that wrenspoke itself reads."""
+    """Fields of a chat request that wrenspoke reads."""
 
     messages: list[dict[str, typing.Any]]
     model: str | None = None
@@ -35,31 +35,31 @@
 
 
 class Gateway(typing.Protocol):
-    """Serve what the surface has read and checked."""
+    """Serves the requests that the API has parsed."""
 
     async def serve(
         self, head: requests.RequestHead, body: bytes, reply: replies.Reply
     ) -> None:
-        """Answer one request."""
+        """Serve one request and send its response."""
 
     def directory(self, region: str | None) -> dict[str, typing.Any]:
-        """Return which entry hosts to use, nearest first."""
+        """Return the entry hosts for callers of a region, nearest first."""
 
     def models(self) -> list[str]:
-        """Return the model versions that can be asked for."""
+        """Return the available model versions."""
 
     def explain(self, request: str) -> list[dict[str, typing.Any]]:
-        """Return the decisions on one request."""
+        """Return the recorded decisions on one request."""
 
     def status(self) -> dict[str, typing.Any]:
-        """Return what this host knows of itself and its peers."""
+        """Return the state of this host and its peers."""
 
     def service_of_model(self, model: str | None) -> str | None:
-        """Return the engine service that answers for a model."""
+        """Return the engine service of a model, None if it has none."""
 
 
 class EntryApi:
-    """Turn HTTP requests into typed ones and hand them over."""
+    """Parses HTTP requests for a gateway."""
 
     def __init__(
         self,
@@ -78,7 +78,7 @@
         self._skew_ms = skew_ms
 
     def application(self) -> web.Application:
-        """Return the application to be served."""
+        """Return the aiohttp application."""
         application = web.Application(
             client_max_size=self._limits.body_limit_bytes
         )
--- a/wrenspoke/protocol/operator_api.py
+++ b/wrenspoke/protocol/operator_api.py
@@ -1,4 +1,4 @@
-"""The HTTP surface of a control host, for operators."""
+"""HTTP API of control hosts for operators."""
 
 import hashlib
 import hmac
@@ -21,32 +21,32 @@
 
 
 class PlanRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Ask for a plan; ``number`` tells a resend from a new request."""
+    """Request for a plan; a resend has the same ``number``."""
 
     number: int
     intent: plans.Intent
 
 
 class ConfirmRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Confirm a plan."""
+    """Request to confirm a plan; a resend has the same ``number``."""
 
     number: int
 
 
 class OperatorResponse(msgspec.Struct, frozen=True):
-    """Hold the status and body of an answer to an operator."""
+    """Status and JSON body of a response to an operator."""
 
     status: int
     body: typing.Any
 
 
 class OperatorBackend(typing.Protocol):
-    """Do what operators ask, once the surface has read it."""
+    """Handles the requests that the API has parsed."""
 
     async def plan(
         self, operator: ids.OperatorId, request: PlanRequest
     ) -> OperatorResponse:
-        """Make a plan."""
+        """Create a plan."""
 
     async def confirm(
         self,
@@ -54,23 +54,23 @@
         plan: ids.PlanId,
         request: ConfirmRequest,
     ) -> OperatorResponse:
-        """Put a plan in force."""
+        """Confirm a plan, which puts it in force."""
 
     def show_plan(self, plan: ids.PlanId) -> OperatorResponse:
-        """Tell what a plan is and how far it has come."""
+        """Return a plan and its progress."""
 
     def list_plans(self) -> OperatorResponse:
-        """List the plans that are kept."""
+        """Return the stored plans."""
 
     def show_configuration(self) -> OperatorResponse:
         """Return the configuration."""
 
     def show_status(self) -> OperatorResponse:
-        """Tell what this control host knows."""
+        """Return the state of this control host."""
 
 
 class OperatorApi:
-    """Turn operators' HTTP requests into typed ones."""
+    """Authenticates and parses operators' requests."""
 
     def __init__(
         self,
@@ -81,7 +81,7 @@
         self._operators = list(operators)
 
     def application(self) -> web.Application:
-        """Return the application to be served."""
+        """Return the aiohttp application."""
         application = web.Application(client_max_size=BODY_LIMIT_BYTES)
         router = application.router
         router.add_post('/plans', self._plan)
