--- a/wrenspoke/protocol/outcomes.py
+++ b/wrenspoke/protocol/outcomes.py
@@ -1,4 +1,4 @@
-"""The four ends that a request can have."""
+"""Outcomes of requests, and their HTTP status codes."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class Outcome(enum.Enum):
-    """Say how a request ended."""
+    """How a request ended."""
 
     WHOLE = 'whole'
     NOT_RUN = 'not_run'
@@ -15,7 +15,7 @@
 
 
 class Reason(enum.Enum):
-    """Say why a request did not get a whole answer."""
+    """Reason why a request did not get a complete response."""
 
     BAD_REQUEST = 'bad_request'
     CLAIM_EXISTS = 'claim_exists'
@@ -38,7 +38,7 @@
 
 
 class Ending(msgspec.Struct, frozen=True):
-    """Tell a caller how its request ended when there is no answer."""
+    """Outcome that is sent to a caller in place of a response."""
 
     outcome: Outcome
     reason: Reason
@@ -63,7 +63,7 @@
 
 
 def http_status(ending: Ending) -> int:
-    """Return the HTTP status that goes with an ending."""
+    """Return the HTTP status code for an ending."""
     found = REASON_STATUSES.get(ending.reason)
     if found is not None:
         return found
--- a/wrenspoke/protocol/replies.py
+++ b/wrenspoke/protocol/replies.py
@@ -1,4 +1,4 @@
-"""Write to one caller: a whole answer, a stream, or how it ended."""
+"""Responses to callers: complete, streamed, or the outcome of a failure."""
 
 import collections.abc
 
@@ -15,8 +15,8 @@
 OUTCOME_EVENT = 'outcome'
 MS_PER_S = 1000
 
-# Headers of an endpoint's answer that are about its connection only, or
-# that this side writes itself.
+# Headers of an endpoint's response that apply to its connection only, or that
+# the host sets itself.
 HOP_BY_HOP = frozenset(
     [
         'connection',
@@ -35,7 +35,7 @@
 
 
 class Reply:
-    """Answer one request, once."""
+    """Sends the response to one request."""
 
     def __init__(self, request: web.Request, host: ids.HostId):
         self._request = request
@@ -47,7 +47,7 @@
 
     @property
     def started(self) -> bool:
-        """Tell whether a stream has been opened."""
+        """Return whether a stream has been started."""
         return self._stream is not None
 
     async def send_response(
@@ -57,7 +57,7 @@
         body: bytes,
         outcome: outcomes.Outcome = outcomes.Outcome.WHOLE,
     ) -> None:
-        """Send an answer of which every byte is here."""
+        """Send a complete response."""
         self.response = web.Response(
             status=status,
             headers=self._headers(found, outcome),
@@ -66,7 +66,7 @@
         await self._send_response()
 
     async def send_ending(self, ending: outcomes.Ending) -> None:
-        """Tell how the request ended, in place of an answer."""
+        """Send the outcome of a request, as the last event of a stream."""
         if self.started:
             await self._abort_stream(ending)
             return
@@ -88,7 +88,7 @@
     async def start_stream(
         self, found: collections.abc.Mapping[str, str]
     ) -> None:
-        """Begin a stream of events."""
+        """Send the head of a stream of events."""
         kept = self._headers(found, None)
         kept['Content-Type'] = 'text/event-stream'
         kept['Cache-Control'] = 'no-store'
@@ -101,11 +101,11 @@
         await self._await_write(self._stream.write(sse.encode(event)))
 
     async def send_chunk(self, chunk: bytes) -> None:
-        """Send bytes of a stream that another host has written."""
+        """Send bytes of a stream that another host has encoded."""
         await self._await_write(self._stream.write(chunk))
 
     async def finish_stream(self) -> None:
-        """End a stream of which every event was sent."""
+        """Finish a stream after its last event."""
         await self._await_write(self._stream.write_eof())
         self.response = self._stream
 
@@ -145,12 +145,12 @@
 
 
 def format_retry_after(delay_ms: int) -> str:
-    """Return whole seconds, rounded up, for Retry-After."""
+    """Return a ``Retry-After`` value: whole seconds, rounded up, from 1."""
     return str(max(1, -(-delay_ms // MS_PER_S)))
 
 
 def encode_ending(ending: outcomes.Ending) -> bytes:
-    """Return the JSON that tells an ending."""
+    """Return the JSON body for an ending."""
     return msgspec.json.encode(
         {
             'error': {
--- a/wrenspoke/protocol/requests.py
+++ b/wrenspoke/protocol/requests.py
@@ -1,4 +1,4 @@
-"""What a caller's request carries, read and checked from its headers."""
+"""Heads of callers' requests, and the parser of their headers."""
 
 import collections.abc
 import enum
@@ -15,7 +15,7 @@
 
 
 class Priority(enum.IntEnum):
-    """Order requests that wait; a higher one goes first."""
+    """Priority of queued requests; higher values are served first."""
 
     LOW = 0
     NORMAL = 1
@@ -23,14 +23,14 @@
 
 
 class RequestKind(enum.Enum):
-    """Tell the surfaces that callers use apart."""
+    """API that a request was made with."""
 
     CHAT = 'chat'
     PLAIN = 'plain'
 
 
 class OnceKey(msgspec.Struct, frozen=True):
-    """Name a once-only request: its ledger's region and issue time."""
+    """Key of a once-only request: its ledger's region and issue time."""
 
     region: ids.RegionId
     issued_ms: int
@@ -41,13 +41,13 @@
 
 
 class RequestHead(msgspec.Struct, frozen=True):
-    """Hold everything about a request but its body.
+    """Everything about a request except its body.
 
-    ``deadline_ms`` is on this host's clock. ``resend`` says that an
-    earlier attempt may exist, as far as the caller let us know; ``minted``
-    that the caller gave no id and this host made one. ``key`` is
-    what the caller proves its team by; it goes no further than this host.
-    ``digest`` names what is asked for, whatever the request is called.
+    ``deadline_ms`` is on this host's clock. ``resend`` is set if, by the
+    caller's headers, an earlier attempt may exist, ``minted`` if the caller
+    sent no id and this host generated one. ``key`` authenticates the caller's
+    team and is never forwarded. ``digest`` identifies the request by its
+    content, whatever its id.
     """
 
     request: ids.RequestId
@@ -75,12 +75,12 @@
 
     @property
     def forwarded(self) -> bool:
-        """Tell whether another host passed this request on."""
+        """Return whether another host forwarded this request."""
         return bool(self.path_of_hosts)
 
 
 def parse_once_key(text: str) -> OnceKey:
-    """Read a once-only key.
+    """Parse a once-only key.
 
     :raises BadRequestError: it is not ``REGION:ISSUED_MS:UNIQUE``
     """
@@ -98,18 +98,18 @@
 
 
 def new_once_key(region: str, issued_ms: int) -> OnceKey:
-    """Make a key that nobody has used."""
+    """Return a new unique key."""
     return OnceKey(ids.RegionId(region), issued_ms, ids.new_unique())
 
 
 class HeaderReader:
-    """Read wrenspoke's own headers, each with a clear error."""
+    """Parses wrenspoke's headers; raises BadRequestError if malformed."""
 
     def __init__(self, found: collections.abc.Mapping[str, str]):
         self._found = found
 
     def token(self, name: str, default: str = '') -> str:
-        """Return a short printable text without spaces."""
+        """Return a header of printable ASCII characters without spaces."""
         value = self._found.get(name, default)
         if len(value) > MAX_TOKEN_CHARS or any(
             not char.isascii() or not char.isprintable() or char == ' '
@@ -125,7 +125,7 @@
     def number(
         self, name: str, default: int | None, low: int, high: int
     ) -> int | None:
-        """Return a whole number between ``low`` and ``high``."""
+        """Return an integer header from ``low`` to ``high``."""
         value = self._found.get(name)
         if value is None:
             return default
@@ -139,7 +139,7 @@
         return found
 
     def flag(self, name: str) -> bool:
-        """Return whether a header says true."""
+        """Return a boolean header, False if it is absent."""
         value = self._found.get(name, 'false').lower()
         if value not in ('true', 'false'):
             raise errors.BadRequestError(
@@ -148,13 +148,13 @@
         return value == 'true'
 
     def key(self) -> str:
-        """Return the key that a caller shows, empty if it shows none."""
+        """Return the key that the caller presents, empty if none."""
         text = self._found.get(headers.AUTHORIZATION, '').strip()
         scheme, _, key = text.partition(' ')
         return key.strip() if scheme.lower() == headers.SCHEME else ''
 
     def priority(self) -> Priority:
-        """Return the priority, normal where there is none."""
+        """Return the priority, ``NORMAL`` if the header is absent."""
         value = self._found.get(headers.PRIORITY, 'normal').upper()
         if value not in Priority.__members__:
             raise errors.BadRequestError(
