--- a/wrenspoke/protocol/fingerprints.py
+++ b/wrenspoke/protocol/fingerprints.py
@@ -1,14 +1,14 @@
-"""Name a request by what it asks for, so that it is known again.
+"""Digests that identify a request by its content.
 
-A caller that asks again uses another request id, and may ask another host.
-What stays the same is who asks, the method, the target and the body.
+A caller that resends a request can use another request id and another host.
+The caller, the method, the target and the body stay the same.
 """
 
 import hashlib
 
 from wrenspoke import ids
 
-# Nobody finds two requests of one digest by trying.
+# Long enough for collision resistance.
 DIGEST_BYTES = 16
 LENGTH_BYTES = 8
 
@@ -18,9 +18,9 @@
 ) -> ids.RequestDigest:
     """Return a request's digest as hexadecimal digits.
 
-    ``caller`` is the team, or what the caller shows of itself, ``host`` the
-    name that it asks, ``target`` the path and query. Each part goes with its
-    length, so that no two requests run into one another.
+    ``caller`` is the team or the caller's credentials, ``host`` the requested
+    host name, ``target`` the path and query. Each part is prefixed with its
+    length, so that different requests never hash the same bytes.
     """
     hasher = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for text in (caller, method, host, target):
--- a/wrenspoke/protocol/hops.py
+++ b/wrenspoke/protocol/hops.py
@@ -1,8 +1,8 @@
-"""The signed header that goes with a request from host to host.
+"""Signed header of requests that one host forwards to another.
 
-It carries what the first host decided, so that the next one need not
-trust a caller's headers: the path so far, the time left and the rules
-that applied. A caller can't write it, as it is signed by the cluster.
+It carries the routing state of the first host, so that the next host need
+not trust a caller's headers: the path of hosts so far, the remaining time and
+the request's constraints. It is signed with the cluster's key.
 """
 
 import base64
@@ -20,7 +20,7 @@
 
 
 class Hop(msgspec.Struct, array_like=True, frozen=True):
-    """State what a forwarded request brings along."""
+    """Routing state of a forwarded request."""
 
     cluster: str
     path_of_hosts: tuple[ids.HostId, ...]
@@ -37,7 +37,7 @@
 
 
 class HopSigner:
-    """Write and read hop headers with the cluster's key."""
+    """Signs and verifies hop headers with the cluster's key."""
 
     def __init__(self, cluster: str, key: bytes):
         self._cluster = cluster
@@ -50,7 +50,7 @@
         wall_ms: int,
         left_ms: int,
     ) -> str:
-        """Return the header's text for a request that ``host`` sends."""
+        """Return the header value for a request that ``host`` forwards."""
         hop = Hop(
             cluster=self._cluster,
             path_of_hosts=(*head.path_of_hosts, host),
@@ -69,10 +69,10 @@
         return base64.urlsafe_b64encode(self._mac(body) + body).decode()
 
     def verify(self, text: str, wall_ms: int, skew_ms: int) -> Hop:
-        """Return what a header says.
+        """Return the hop in a header value, after checking its signature.
 
-        :raises ForgedHopError: no host of this cluster wrote it, or it
-            is too old
+        :raises InvalidHopError: no host of this cluster signed it, or it
+            has expired
         """
         try:
             raw = base64.urlsafe_b64decode(text.encode())
@@ -80,10 +80,10 @@
             raise errors.InvalidHopError('hop is not base64') from error
         mac, body = raw[:SIGNATURE_BYTES], raw[SIGNATURE_BYTES:]
         if not hmac.compare_digest(mac, self._mac(body)):
-            raise errors.InvalidHopError('hop has a wrong signature')
+            raise errors.InvalidHopError('hop has an invalid signature')
         hop = msgspec.msgpack.decode(body, type=Hop)
         if hop.cluster != self._cluster:
-            raise errors.InvalidHopError('hop is of another cluster')
+            raise errors.InvalidHopError('hop belongs to another cluster')
         if hop.expires_ms + skew_ms < wall_ms:
             raise errors.InvalidHopError('hop has expired')
         return hop
