--- a/wrenspoke/protocol/advertised.py
+++ b/wrenspoke/protocol/advertised.py
@@ -1,4 +1,4 @@
-"""What the head of an endpoint's response says about the endpoint itself."""
+"""Headers with which endpoints advertise limits, backoff and shutdown."""
 
 import collections.abc
 import enum
@@ -18,7 +18,7 @@
 
 
 class HeaderMultiMap(typing.Protocol):
-    """The headers of a response."""
+    """Case-insensitive response headers with repeated values."""
 
     def get(self, name: str) -> str | None:
         """Return the first value of a header."""
@@ -30,10 +30,11 @@
 
 
 class Origin(enum.Enum):
-    """Whose response it is.
+    """How a response is attributed to the endpoint that was called.
 
-    ``ECHOED`` names the request it answers, ``UNNAMED`` none, and
-    ``FOREIGN`` comes from another endpoint or answers another request.
+    ``ECHOED`` responses carry the id of the request, ``UNNAMED`` ones carry
+    none. ``FOREIGN`` ones were sent by another endpoint or carry the id of
+    another request.
     """
 
     ECHOED = 'echoed'
@@ -42,7 +43,7 @@
 
 
 class AdvertisedHeaders(msgspec.Struct, frozen=True):
-    """The header values of one response, unparsed."""
+    """Unparsed header values of one response."""
 
     origin: Origin
     status: int
@@ -53,13 +54,15 @@
 
     @property
     def is_from_endpoint(self) -> bool:
-        """Return whether the response may be the endpoint's own."""
+        """Return whether the response can be from the called endpoint."""
         return self.origin is not Origin.FOREIGN
 
     def backoff_ms(self, now_ms: int) -> int:
-        """Return the backoff that the endpoint asks for, 0 without one.
+        """Return the backoff requested in ``Retry-After``, 0 if none.
 
-        :raises MalformedRetryAfterError: it can't be read
+        Only responses with a refusal status request a backoff.
+
+        :raises MalformedRetryAfterError: the value is malformed
         """
         if self.status not in REFUSAL_STATUSES:
             return 0
@@ -69,7 +72,7 @@
         return found_ms or 0
 
     def is_leaving(self) -> bool:
-        """Return whether the endpoint says that it leaves.
+        """Return whether the endpoint advertises that it is shutting down.
 
         :raises MalformedLeavingError: a value is neither 0 nor 1
         """
@@ -85,7 +88,7 @@
 
 
 def classify_origin(status: int, expected: str, found: str | None) -> Origin:
-    """Return whose response it is, by the name that it echoes."""
+    """Attribute a response by its status and the request id it echoes."""
     if status == MISDIRECTED:
         return Origin.FOREIGN
     if found is None:
@@ -99,7 +102,7 @@
     found: HeaderMultiMap,
     dialect: dialects.Dialect,
 ) -> AdvertisedHeaders:
-    """Return what the head of a response advertises."""
+    """Extract the advertised header values from a response's headers."""
     return AdvertisedHeaders(
         origin,
         status,
--- a/wrenspoke/protocol/errors.py
+++ b/wrenspoke/protocol/errors.py
@@ -1,14 +1,14 @@
-"""The errors of the protocol layer."""
+"""Errors of the protocol layer."""
 
 from wrenspoke import errors
 
 
 class ProtocolError(errors.WrenspokeError):
-    """Base of the errors of messages."""
+    """Base class of protocol errors."""
 
 
 class BadRequestError(ProtocolError):
-    """Say which field of a request is wrong, and with which status."""
+    """Raised for an invalid field of a request, with an HTTP status."""
 
     def __init__(self, field: str, problem: str, status: int = 400):
         super().__init__(f'{field}: {problem}')
@@ -18,33 +18,36 @@
 
 
 class InvalidHopError(ProtocolError):
-    """Say that a hop header was not written by a host of the cluster."""
+    """Raised for a hop header that is forged, malformed or expired."""
 
 
 class CallerDisconnectedError(ProtocolError):
-    """Say that the caller left before the end of its answer."""
+    """Raised if the caller disconnects before the response is complete."""
 
 
 class MalformedMessageError(ProtocolError):
-    """Say that a message between hosts can't be read."""
+    """Raised for a message or event that can't be decoded."""
 
 
 class NoResponseError(ProtocolError):
-    """Say that a host gave no answer; ``sent`` if it may have acted."""
+    """Raised if a host does not respond.
+
+    ``sent`` is set if the message may have been delivered and handled.
+    """
 
     def __init__(self, host: str, sent: bool):
-        super().__init__(f'{host} gave no answer')
+        super().__init__(f'host {host} did not respond')
         self.host = host
         self.sent = sent
 
 
 class MalformedRateError(ProtocolError):
-    """Say that an endpoint's word on its rate can't be read, and why."""
+    """Raised for an advertised rate limit that is malformed."""
 
 
 class MalformedRetryAfterError(ProtocolError):
-    """Say that a ``Retry-After`` can't be read, and why."""
+    """Raised for a malformed ``Retry-After`` header."""
 
 
 class MalformedLeavingError(ProtocolError):
-    """Say that an endpoint's word that it leaves can't be read, and why."""
+    """Raised for a malformed header that advertises a shutdown."""
--- a/wrenspoke/protocol/headers.py
+++ b/wrenspoke/protocol/headers.py
@@ -10,9 +10,9 @@
 HOP = 'Wrenspoke-Hop'
 HOST = 'Wrenspoke-Host'
 LAST_EVENT_ID = 'Last-Event-ID'
-# Requests a second that an overloaded endpoint takes from all hosts.
+# Requests per second that an endpoint accepts from all hosts together.
 LIMIT = 'Server-Limit'
-# An endpoint that is about to end says so in all its responses.
+# Set by an endpoint in all responses before it shuts down.
 LEAVING = 'Server-Leaving'
 ONCE = 'Wrenspoke-Once'
 OUTCOME = 'Wrenspoke-Outcome'
@@ -24,7 +24,7 @@
 RETRY_OWNED = 'Wrenspoke-Retry-Owned'
 SESSION = 'Wrenspoke-Session'
 TEAM = 'Wrenspoke-Team'
-# A team's key stands behind the scheme.
+# The scheme is followed by the team's key.
 AUTHORIZATION = 'Authorization'
 SCHEME = 'bearer'
 ECHOED_REQUEST_ID = 'X-Request-Id'
--- a/wrenspoke/protocol/numerals.py
+++ b/wrenspoke/protocol/numerals.py
@@ -1,6 +1,6 @@
-"""Read whole numbers that others wrote, in ASCII digits alone.
+"""Parse numbers of untrusted input, in ASCII digits only.
 
-``str.isdigit`` takes more than ``int`` reads: superscripts, for one.
+``str.isdigit`` accepts characters that ``int`` rejects, such as superscripts.
 """
 
 import re
@@ -11,10 +11,10 @@
 
 
 def parse_whole(text: str) -> int | None:
-    """Return a whole number of 0 or more, None if the text is none."""
+    """Return a non-negative integer, None if the text is not one."""
     return int(text) if _WHOLE.match(text) else None
 
 
 def parse_decimal(text: str) -> float | None:
-    """Return a decimal number of 0 or more, None if the text is none."""
+    """Return a non-negative decimal number, None if the text is not one."""
     return float(text) if _DECIMAL.match(text) else None
--- a/wrenspoke/protocol/rates.py
+++ b/wrenspoke/protocol/rates.py
@@ -1,20 +1,20 @@
-"""Read how many requests a second an endpoint says that it takes."""
+"""Parse the rate limits that endpoints advertise."""
 
 import collections.abc
 
 from wrenspoke.protocol import errors
 from wrenspoke.protocol import numerals
 
-# More is as good as no limit, and keeps what is reckoned with it finite.
+# Caps the rate, so that calculations with it stay finite.
 MAX_RATE_PER_S = 1_000_000.0
 
 
 def parse_rate(texts: collections.abc.Sequence[str]) -> float | None:
-    """Return the rate that an answer's headers name, None without any.
+    """Return the lowest rate in the header values, None if there is none.
 
-    Where several are named the lowest counts.
+    Rates are in requests per second.
 
-    :raises MalformedRateError: one of them is no decimal number
+    :raises MalformedRateError: a value is not a decimal number
     """
     rates = [
         _parse_single(part.strip())
@@ -28,6 +28,6 @@
     rate_per_s = numerals.parse_decimal(text)
     if rate_per_s is None:
         raise errors.MalformedRateError(
-            f'found {text[:40]!r}; must be a decimal number of 0 or more'
+            f'rate {text[:40]!r} is not a decimal number of 0 or more'
         )
     return min(rate_per_s, MAX_RATE_PER_S)
--- a/wrenspoke/protocol/retry_after.py
+++ b/wrenspoke/protocol/retry_after.py
@@ -1,4 +1,4 @@
-"""Read ``Retry-After``: decimal seconds or an HTTP date (RFC 9110)."""
+"""Parse ``Retry-After``: decimal seconds or an HTTP date (RFC 9110)."""
 
 import collections.abc
 import datetime
@@ -16,10 +16,10 @@
 def parse_delay_ms(
     texts: collections.abc.Sequence[str], now_ms: int, date: str | None = None
 ) -> int | None:
-    """Return the requested delay in milliseconds, None without one.
+    """Return the longest requested delay in milliseconds, None if none.
 
-    Of several values the longest counts. A date counts from ``date``, the
-    response's own, else from ``now_ms`` of the time of day.
+    A date is relative to ``date``, the response's own date, or else to
+    ``now_ms``, the wall-clock time.
 
     :raises MalformedRetryAfterError: a value is neither
     """
