--- a/wrenspoke/protocol/sse.py
+++ b/wrenspoke/protocol/sse.py
@@ -1,4 +1,4 @@
-"""Server-sent events: read from engines, write to callers."""
+"""Encoder and decoder of server-sent events."""
 
 import collections.abc
 
@@ -12,7 +12,7 @@
 
 
 class SseEvent(msgspec.Struct, frozen=True):
-    """Hold one event of a stream."""
+    """Event of a stream; ``number`` is its id."""
 
     data: str
     event: str = ''
@@ -20,7 +20,7 @@
 
 
 def encode(event: SseEvent) -> bytes:
-    """Return an event as it goes over the wire."""
+    """Return an event in its wire format."""
     lines = []
     if event.event:
         lines.append(f'event: {event.event}')
@@ -33,7 +33,7 @@
 async def decode(
     chunks: collections.abc.AsyncIterable[bytes],
 ) -> collections.abc.AsyncIterator[SseEvent]:
-    """Yield the events of a stream; a cut last event is left out.
+    """Yield the events of a stream, without a truncated last event.
 
     :raises MalformedMessageError: an event is too long or not UTF-8
     """
@@ -46,7 +46,9 @@
             if event is not None:
                 yield event
         if len(buffer) > EVENT_LIMIT_BYTES:
-            raise errors.MalformedMessageError('event is too long')
+            raise errors.MalformedMessageError(
+                f'event exceeds {EVENT_LIMIT_BYTES} bytes'
+            )
 
 
 def _parse(block: bytes) -> SseEvent | None:
--- a/wrenspoke/protocol/traffic.py
+++ b/wrenspoke/protocol/traffic.py
@@ -1,9 +1,8 @@
-"""What a host sends to other hosts, counted by kind and by how far it goes.
+"""Counters of the traffic to other hosts, by message kind and distance.
 
-Bytes between data centres and regions are paid for, and what grows with
-the number of hosts shows here first. Counting is a few dictionary entries
-a host. What was counted so far is written as it stops, and now and then
-before, as a host that loses power writes no last line.
+Traffic between data centres and regions is billed, and some of it grows with
+the number of hosts. The totals are logged on shutdown, and periodically as
+well, since a host that loses power does not shut down.
 """
 
 import collections.abc
@@ -19,13 +18,11 @@
 logger = structlog.get_logger(__name__)
 
 UNREADABLE = 'unreadable'
-# Some twenty lines each time, for a table that misses the last half minute
-# of a host that loses power.
 LOG_INTERVAL_MS = 30_000
 
 
 class Distance(enum.Enum):
-    """Say how far a message goes."""
+    """Network distance between the sender and receiver of a message."""
 
     DATA_CENTRE = 'data_centre'
     REGION = 'region'
@@ -34,7 +31,7 @@
 
 
 class SentTotals(msgspec.Struct):
-    """Count messages and their bytes on the wire, without framing below."""
+    """Number of messages and of their bytes, without transport framing."""
 
     messages: int = 0
     bytes: int = 0
@@ -50,7 +47,7 @@
 
 
 class TrafficCounter:
-    """Count what this host sends."""
+    """Counts the messages that this host sends."""
 
     def __init__(self, own: locations.Location, clock: clocks.Clock):
         self._own_location = own
@@ -62,13 +59,13 @@
         self.sent: dict[tuple[str, Distance], SentTotals] = {}
 
     def set_location_lookup(self, lookup: LocationLookup) -> None:
-        """Say how it is known where other hosts stand."""
+        """Set the function that returns the location of a host."""
         self._location_of = lookup
 
     def count_message(
         self, host: ids.HostId, body: bytes, size_bytes: int
     ) -> None:
-        """Count a message on a link; its kind is read from it."""
+        """Count an encoded message to a host, by the kind in its tag."""
         try:
             kind = self._decoder.decode(body).type
         except msgspec.DecodeError:
@@ -78,7 +75,7 @@
     def count_bytes(
         self, kind: str, location: locations.Location | None, size_bytes: int
     ) -> None:
-        """Count something that was sent to a place."""
+        """Count a message to a location, None if that is unknown."""
         key = (kind, self._distance(location))
         found = self.sent.get(key)
         if found is None:
@@ -96,13 +93,13 @@
         return Distance.DATA_CENTRE
 
     async def log_periodically(self, role: str) -> None:
-        """Write what was counted so far, again and again."""
+        """Log the totals periodically, until cancelled."""
         while True:
             await self._clock.sleep_ms(LOG_INTERVAL_MS)
             self.log(role)
 
     def log(self, role: str) -> None:
-        """Write a line for each kind and distance."""
+        """Log the totals of each kind and distance."""
         lived_ms = self._clock.mono_ms() - self._counting_since_ms
         for (kind, distance), found in sorted(
             self.sent.items(), key=lambda item: -item[1].bytes
