--- a/tests/test_advertised.py
+++ b/tests/test_advertised.py
@@ -1,4 +1,4 @@
-"""What endpoints say of themselves in response headers is read safely."""
+"""Tests for the parsing of headers that endpoints advertise."""
 
 import datetime
 import email.utils
@@ -23,7 +23,7 @@
 
 
 def date(offset_s):
-    """Return an HTTP date so many seconds from now."""
+    """Return the HTTP date ``offset_s`` seconds after ``NOW_MS``."""
     at = datetime.datetime.fromtimestamp(
         NOW_MS / 1000 + offset_s, datetime.UTC
     )
@@ -127,7 +127,7 @@
 
 
 def head(origin=advertised.Origin.ECHOED, status=503, **fields):
-    """Return the head of a response."""
+    """Return the advertised headers of a response."""
     return advertised.AdvertisedHeaders(origin, status, **fields)
 
 
@@ -138,7 +138,7 @@
         (503, 'q', advertised.Origin.ECHOED),
         (503, None, advertised.Origin.UNNAMED),
         (200, 'p', advertised.Origin.FOREIGN),
-        # Another endpoint has the address now.
+        # 421: another endpoint has taken over the address.
         (421, 'q', advertised.Origin.FOREIGN),
         (421, None, advertised.Origin.FOREIGN),
     ],
--- a/tests/test_numerals.py
+++ b/tests/test_numerals.py
@@ -1,4 +1,4 @@
-"""Numbers that others wrote are read in ASCII digits, or not at all."""
+"""Tests for the parsing of numbers in untrusted input."""
 
 import hypothesis
 from hypothesis import strategies
@@ -11,7 +11,7 @@
 from wrenspoke.protocol import requests
 from wrenspoke.protocol import sse
 
-# Digits to ``str.isdigit``; ``int`` refuses the first two.
+# Digits to ``str.isdigit``; ``int`` rejects the first two.
 ODD_DIGITS = ['²', '①', '٣', '3²', '9' * 5_000]
 DIALECT = dialects.Dialect()
 
@@ -46,7 +46,7 @@
 
 
 def read_call(**fields):
-    """Read the head of a passed-through call."""
+    """Parse the head of a pass-through call."""
     found = {'Host': 'h', DIALECT.request: 'q', **fields}
     raw = [(n.encode(), v.encode()) for n, v in found.items()]
     return dialects.CallReader(DIALECT, 1_000).read('GET', '/', raw, 0)
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -1,4 +1,4 @@
-"""What hosts send is counted by kind and distance, and reported."""
+"""Tests for the counters of traffic between hosts, and their report."""
 
 import msgspec
 import pytest
@@ -56,7 +56,7 @@
 
 
 def test_report_tells_what_a_host_of_each_role_sends(tmp_path):
-    """The newest line of a life counts, and who sent nothing does too."""
+    """Guards against counting older lines of one host instance twice."""
     path = tmp_path / 'log'
 
     def sent(host, kind, size, lived_ms=10_000, life='first'):
