--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -561,7 +561,7 @@
     Switch(
         'headers of the connection passed on',
         'wrenspoke/protocol/dialect.py',
-        ('        left_out = self._stripped_headers | named'),
+        ('        left_out = self._stripped_headers | connection_options'),
         ('        left_out = self._stripped_headers'),
         (
             'tests/test_passing.py::test_gateway_headers_from_callers_are_dropped'
--- a/wrenspoke/protocol/dialect.py
+++ b/wrenspoke/protocol/dialect.py
@@ -170,8 +170,8 @@
                 f'{found[lower]}, {value}' if lower in found else value
             )
             fields.append((name, value))
-        named = _connection_options(found.get('connection', ''))
-        left_out = self._stripped_headers | named
+        connection_options = _connection_options(found.get('connection', ''))
+        left_out = self._stripped_headers | connection_options
         return Call(
             request=self._request(found),
             method=method,
@@ -190,7 +190,7 @@
             credentials=[
                 item
                 for item in fields
-                if item[0].lower() in self._credentials - named
+                if item[0].lower() in self._credentials - connection_options
             ],
             key=self._key(found),
         )
