--- a/wrenspoke/protocol/dialect.py
+++ b/wrenspoke/protocol/dialect.py
@@ -158,41 +158,41 @@
 
         :raises BadRequestError: a header is malformed or repeated
         """
-        found: dict[str, str] = {}
+        values: dict[str, str] = {}
         fields: Fields = []
         for raw_name, raw_value in raw:
             name = raw_name.decode('utf-8', 'surrogateescape')
             value = raw_value.decode('utf-8', 'surrogateescape')
             lower = name.lower()
-            if lower in found and lower in self._single_valued_headers():
+            if lower in values and lower in self._single_valued_headers():
                 raise errors.BadRequestError(name, 'may be given once only')
-            found[lower] = (
-                f'{found[lower]}, {value}' if lower in found else value
+            values[lower] = (
+                f'{values[lower]}, {value}' if lower in values else value
             )
             fields.append((name, value))
-        connection_options = _connection_options(found.get('connection', ''))
+        connection_options = _connection_options(values.get('connection', ''))
         left_out = self._stripped_headers | connection_options
         return Call(
-            request=self._request(found),
+            request=self._request(values),
             method=method,
-            host=found.get('host', '').partition(':')[0],
+            host=values.get('host', '').partition(':')[0],
             target=_checked_target(target),
             fields=[
                 item for item in fields if item[0].lower() not in left_out
             ],
             arrived_ms=now_ms,
-            left_ms=self._left_ms(found),
-            parts=self._parts(found),
-            tokens_in=self._tokens(found)[0],
-            tokens_out=self._tokens(found)[1],
-            tokens_expected=self._tokens_expected(found),
-            last_event=found.get(self._dialect.last_event.lower()),
+            left_ms=self._left_ms(values),
+            parts=self._parts(values),
+            tokens_in=self._tokens(values)[0],
+            tokens_out=self._tokens(values)[1],
+            tokens_expected=self._tokens_expected(values),
+            last_event=values.get(self._dialect.last_event.lower()),
             credentials=[
                 item
                 for item in fields
                 if item[0].lower() in self._credentials - connection_options
             ],
-            key=self._key(found),
+            key=self._key(values),
         )
 
     def _single_valued_headers(self) -> frozenset[str]:
