--- a/wrenspoke/protocol/dialect.py
+++ b/wrenspoke/protocol/dialect.py
@@ -200,9 +200,9 @@
         names = ('host', dialect.request, dialect.deadline_ms)
         return frozenset(name.lower() for name in names)
 
-    def _request(self, found: dict[str, str]) -> ids.RequestId:
+    def _request(self, values: dict[str, str]) -> ids.RequestId:
         name = self._dialect.request
-        value = found.get(name.lower(), '')
+        value = values.get(name.lower(), '')
         if not REQUEST_ID_PATTERN.match(value):
             raise errors.BadRequestError(
                 name, 'required: 1 to 128 visible characters'
