--- a/wrenspoke/protocol/dialect.py
+++ b/wrenspoke/protocol/dialect.py
@@ -209,9 +209,9 @@
             )
         return ids.RequestId(value)
 
-    def _key(self, found: dict[str, str]) -> str:
+    def _key(self, values: dict[str, str]) -> str:
         """Return the key that the caller presents, empty if none."""
-        text = found.get(self._dialect.authorization.lower(), '')
+        text = values.get(self._dialect.authorization.lower(), '')
         scheme, _, key = text.strip().partition(' ')
         if scheme.lower() != self._dialect.scheme.lower():
             return ''
