--- a/wrenspoke/protocol/dialect.py
+++ b/wrenspoke/protocol/dialect.py
@@ -217,9 +217,9 @@
             return ''
         return key.strip()
 
-    def _left_ms(self, found: dict[str, str]) -> int:
+    def _left_ms(self, values: dict[str, str]) -> int:
         name = self._dialect.deadline_ms
-        value = found.get(name.lower())
+        value = values.get(name.lower())
         if value is None:
             return self._default_deadline_ms
         left_ms = numerals.parse_whole(value)
