--- a/wrenspoke/protocol/dialect.py
+++ b/wrenspoke/protocol/dialect.py
@@ -230,13 +230,13 @@
             )
         return left_ms
 
-    def _parts(self, found: dict[str, str]) -> tuple[PromptPart, ...]:
+    def _parts(self, values: dict[str, str]) -> tuple[PromptPart, ...]:
         """Return the prompt's parts, without those that are malformed.
 
         They are a hint for the choice of an endpoint, so a malformed one is
         no reason to reject the call.
         """
-        text = found.get(self._dialect.prompt_parts.lower(), '')
+        text = values.get(self._dialect.prompt_parts.lower(), '')
         parts = []
         for item in text.split(',')[:MAX_PROMPT_PARTS]:
             name, _, tokens = item.strip().partition(':')
