--- a/wrenspoke/protocol/dialect.py
+++ b/wrenspoke/protocol/dialect.py
@@ -245,11 +245,11 @@
                 parts.append(PromptPart(name, count))
         return tuple(parts)
 
-    def _tokens_expected(self, found: dict[str, str]) -> int:
+    def _tokens_expected(self, values: dict[str, str]) -> int:
         """Return the length hint, capped by the maximum, else the maximum."""
-        text = found.get(self._dialect.length_hint.lower(), '')
+        text = values.get(self._dialect.length_hint.lower(), '')
         hint = numerals.parse_whole(text.strip())
-        most = self._tokens(found)[1]
+        most = self._tokens(values)[1]
         if hint is None:
             return most
         return min(hint, most) if most else hint
