--- a/wrenspoke/protocol/dialect.py
+++ b/wrenspoke/protocol/dialect.py
@@ -254,8 +254,8 @@
             return most
         return min(hint, most) if most else hint
 
-    def _tokens(self, found: dict[str, str]) -> tuple[int, int]:
-        text = found.get(self._dialect.tokens.lower(), '')
+    def _tokens(self, values: dict[str, str]) -> tuple[int, int]:
+        text = values.get(self._dialect.tokens.lower(), '')
         before, _, behind = text.partition(',')
         tokens_in = numerals.parse_whole(before.strip())
         tokens_out = numerals.parse_whole(behind.strip())
