--- a/wrenspoke/protocol/dialect.py
+++ b/wrenspoke/protocol/dialect.py
@@ -249,10 +249,10 @@
         """Return the length hint, capped by the maximum, else the maximum."""
         text = values.get(self._dialect.length_hint.lower(), '')
         hint = numerals.parse_whole(text.strip())
-        most = self._tokens(values)[1]
+        max_tokens = self._tokens(values)[1]
         if hint is None:
-            return most
-        return min(hint, most) if most else hint
+            return max_tokens
+        return min(hint, max_tokens) if max_tokens else hint
 
     def _tokens(self, values: dict[str, str]) -> tuple[int, int]:
         text = values.get(self._dialect.tokens.lower(), '')
