--- a/wrenspoke/protocol/dialect.py
+++ b/wrenspoke/protocol/dialect.py
@@ -256,8 +256,8 @@
 
     def _tokens(self, values: dict[str, str]) -> tuple[int, int]:
         text = values.get(self._dialect.tokens.lower(), '')
-        before, _, behind = text.partition(',')
-        tokens_in = numerals.parse_whole(before.strip())
+        tokens_in_text, _, behind = text.partition(',')
+        tokens_in = numerals.parse_whole(tokens_in_text.strip())
         tokens_out = numerals.parse_whole(behind.strip())
         if tokens_in is None or tokens_out is None:
             return 0, 0
