--- a/benches/switches_hosts.py
+++ b/benches/switches_hosts.py
@@ -561,8 +561,8 @@
     Switch(
         'headers of the connection passed on',
         'wrenspoke/protocol/dialect.py',
-        ('        left_out = self._stripped_headers | connection_options'),
-        ('        left_out = self._stripped_headers'),
+        ('        dropped = self._stripped_headers | connection_options'),
+        ('        dropped = self._stripped_headers'),
         (
             'tests/test_passing.py::test_gateway_headers_from_callers_are_dropped'
         ),
--- a/wrenspoke/protocol/dialect.py
+++ b/wrenspoke/protocol/dialect.py
@@ -171,15 +171,13 @@
             )
             fields.append((name, value))
         connection_options = _connection_options(values.get('connection', ''))
-        left_out = self._stripped_headers | connection_options
+        dropped = self._stripped_headers | connection_options
         return Call(
             request=self._request(values),
             method=method,
             host=values.get('host', '').partition(':')[0],
             target=_checked_target(target),
-            fields=[
-                item for item in fields if item[0].lower() not in left_out
-            ],
+            fields=[item for item in fields if item[0].lower() not in dropped],
             arrived_ms=now_ms,
             left_ms=self._left_ms(values),
             parts=self._parts(values),
