--- a/wrenspoke/protocol/entry_api.py
+++ b/wrenspoke/protocol/entry_api.py
@@ -265,8 +265,8 @@
 
 def _reject_repeated_headers(request: web.Request) -> None:
     for name in set(request.headers.keys()):
-        ours = name.lower().startswith(headers.PREFIX.lower())
-        if ours and len(request.headers.getall(name)) > 1:
+        is_own = name.lower().startswith(headers.PREFIX.lower())
+        if is_own and len(request.headers.getall(name)) > 1:
             raise errors.BadRequestError(name, 'may be given once only')
 
 
