--- a/wrenspoke/protocol/replies.py
+++ b/wrenspoke/protocol/replies.py
@@ -89,10 +89,10 @@
         self, found: collections.abc.Mapping[str, str]
     ) -> None:
         """Send the head of a stream of events."""
-        kept = self._headers(found, None)
-        kept['Content-Type'] = 'text/event-stream'
-        kept['Cache-Control'] = 'no-store'
-        self._stream = web.StreamResponse(status=200, headers=kept)
+        stream_headers = self._headers(found, None)
+        stream_headers['Content-Type'] = 'text/event-stream'
+        stream_headers['Cache-Control'] = 'no-store'
+        self._stream = web.StreamResponse(status=200, headers=stream_headers)
         await self._await_write(self._stream.prepare(self._request))
 
     async def send_event(self, event: sse.SseEvent) -> None:
