--- a/wrenspoke/protocol/replies.py
+++ b/wrenspoke/protocol/replies.py
@@ -132,16 +132,16 @@
         found: collections.abc.Mapping[str, str],
         outcome: outcomes.Outcome | None,
     ) -> dict[str, str]:
-        kept = {
+        sent_headers = {
             name: value
             for name, value in found.items()
             if name.lower() not in HOP_BY_HOP
         }
-        kept[headers.REQUEST] = self.request_id
-        kept.setdefault(headers.HOST, self._host)
+        sent_headers[headers.REQUEST] = self.request_id
+        sent_headers.setdefault(headers.HOST, self._host)
         if outcome is not None:
-            kept[headers.OUTCOME] = outcome.value
-        return kept
+            sent_headers[headers.OUTCOME] = outcome.value
+        return sent_headers
 
 
 def format_retry_after(delay_ms: int) -> str:
