--- a/wrenspoke/protocol/retry_after.py
+++ b/wrenspoke/protocol/retry_after.py
@@ -47,12 +47,12 @@
 
 def _parse_date_ms(text: str) -> int:
     try:
-        found = email.utils.parsedate_to_datetime(text)
+        parsed = email.utils.parsedate_to_datetime(text)
     except (ValueError, IndexError, TypeError, OverflowError) as error:
         raise _malformed_error(text) from error
-    if found.tzinfo is None:
-        found = found.replace(tzinfo=datetime.UTC)
-    return round(found.timestamp() * MS_PER_S)
+    if parsed.tzinfo is None:
+        parsed = parsed.replace(tzinfo=datetime.UTC)
+    return round(parsed.timestamp() * MS_PER_S)
 
 
 def _malformed_error(text: str) -> errors.MalformedRetryAfterError:
