--- a/wrenspoke/protocol/traffic.py
+++ b/wrenspoke/protocol/traffic.py
@@ -77,11 +77,11 @@
     ) -> None:
         """Count a message to a location, None if that is unknown."""
         key = (kind, self._distance(location))
-        found = self.sent.get(key)
-        if found is None:
-            found = self.sent[key] = SentTotals()
-        found.messages += 1
-        found.bytes += size_bytes
+        totals = self.sent.get(key)
+        if totals is None:
+            totals = self.sent[key] = SentTotals()
+        totals.messages += 1
+        totals.bytes += size_bytes
 
     def _distance(self, location: locations.Location | None) -> Distance:
         if location is None:
