--- a/wrenspoke/protocol/traffic.py
+++ b/wrenspoke/protocol/traffic.py
@@ -101,7 +101,7 @@
     def log(self, role: str) -> None:
         """Log the totals of each kind and distance."""
         lived_ms = self._clock.mono_ms() - self._counting_since_ms
-        for (kind, distance), found in sorted(
+        for (kind, distance), totals in sorted(
             self.sent.items(), key=lambda item: -item[1].bytes
         ):
             logger.info(
@@ -110,8 +110,8 @@
                 life=self._host_instance_id,
                 kind=kind,
                 distance=distance,
-                messages=found.messages,
-                bytes=found.bytes,
+                messages=totals.messages,
+                bytes=totals.bytes,
                 lived_ms=lived_ms,
             )
 
