--- a/wrenspoke/protocol/advertised.py
+++ b/wrenspoke/protocol/advertised.py
@@ -66,10 +66,10 @@
         """
         if self.status not in REFUSAL_STATUSES:
             return 0
-        found_ms = retry_after.parse_delay_ms(
+        delay_ms = retry_after.parse_delay_ms(
             self.retry_after, now_ms, self.date
         )
-        return found_ms or 0
+        return delay_ms or 0
 
     def is_leaving(self) -> bool:
         """Return whether the endpoint advertises that it is shutting down.
