--- a/wrenspoke/protocol/advertised.py
+++ b/wrenspoke/protocol/advertised.py
@@ -76,15 +76,15 @@
 
         :raises MalformedLeavingError: a value is neither 0 nor 1
         """
-        found = False
+        leaving = False
         for text in self.leaving:
             value = LEAVING_VALUES.get(text.strip())
             if value is None:
                 raise errors.MalformedLeavingError(
                     f'{text[:MAX_QUOTED_CHARS]!r} is neither 0 nor 1'
                 )
-            found |= value
-        return found
+            leaving |= value
+        return leaving
 
 
 def classify_origin(status: int, expected: str, found: str | None) -> Origin:
