--- a/wrenspoke/protocol/operator_api.py
+++ b/wrenspoke/protocol/operator_api.py
@@ -107,10 +107,10 @@
     async def _plan(self, request: web.Request) -> web.Response:
         try:
             operator = self._authenticate_operator(request)
-            read = await _decode_body(request, PlanRequest)
+            plan_request = await _decode_body(request, PlanRequest)
         except errors.BadRequestError as error:
             return _error_response(error)
-        return _response(await self._control.plan(operator, read))
+        return _response(await self._control.plan(operator, plan_request))
 
     async def _confirm(self, request: web.Request) -> web.Response:
         try:
