--- a/wrenspoke/protocol/operator_api.py
+++ b/wrenspoke/protocol/operator_api.py
@@ -115,11 +115,13 @@
     async def _confirm(self, request: web.Request) -> web.Response:
         try:
             operator = self._authenticate_operator(request)
-            read = await _decode_body(request, ConfirmRequest)
+            confirm_request = await _decode_body(request, ConfirmRequest)
         except errors.BadRequestError as error:
             return _error_response(error)
         plan = ids.PlanId(request.match_info['plan'])
-        return _response(await self._control.confirm(operator, plan, read))
+        return _response(
+            await self._control.confirm(operator, plan, confirm_request)
+        )
 
     async def _show(self, request: web.Request) -> web.Response:
         plan = ids.PlanId(request.match_info['plan'])
