--- a/wrenspoke/protocol/dialect.py
+++ b/wrenspoke/protocol/dialect.py
@@ -247,10 +247,10 @@
         """Return the length hint, capped by the maximum, else the maximum."""
         text = values.get(self._dialect.length_hint.lower(), '')
         hint = numerals.parse_whole(text.strip())
-        max_tokens = self._tokens(values)[1]
+        output_limit = self._tokens(values)[1]
         if hint is None:
-            return max_tokens
-        return min(hint, max_tokens) if max_tokens else hint
+            return output_limit
+        return min(hint, output_limit) if output_limit else hint
 
     def _tokens(self, values: dict[str, str]) -> tuple[int, int]:
         text = values.get(self._dialect.tokens.lower(), '')
