--- a/wrenspoke/protocol/retry_after.py
+++ b/wrenspoke/protocol/retry_after.py
@@ -1,4 +1,4 @@
-"""Read ``Retry-After``: decimal seconds or an HTTP date (RFC 9110)."""
+"""Parse ``Retry-After``: decimal seconds or an HTTP date (RFC 9110)."""
 
 import collections.abc
 import datetime
@@ -16,10 +16,10 @@
 def parse_delay_ms(
     texts: collections.abc.Sequence[str], now_ms: int, date: str | None = None
 ) -> int | None:
-    """Return the requested delay in milliseconds, None without one.
+    """Return the longest requested delay in milliseconds, None if none.
 
-    Of several values the longest counts. A date counts from ``date``, the
-    response's own, else from ``now_ms`` of the time of day.
+    A date is relative to ``date``, the response's own date, or else to
+    ``now_ms``, the wall-clock time.
 
     :raises MalformedRetryAfterError: a value is neither
     """
@@ -47,12 +47,12 @@
 
 def _parse_date_ms(text: str) -> int:
     try:
-        found = email.utils.parsedate_to_datetime(text)
+        parsed = email.utils.parsedate_to_datetime(text)
     except (ValueError, IndexError, TypeError, OverflowError) as error:
         raise _malformed_error(text) from error
-    if found.tzinfo is None:
-        found = found.replace(tzinfo=datetime.UTC)
-    return round(found.timestamp() * MS_PER_S)
+    if parsed.tzinfo is None:
+        parsed = parsed.replace(tzinfo=datetime.UTC)
+    return round(parsed.timestamp() * MS_PER_S)
 
 
 def _malformed_error(text: str) -> errors.MalformedRetryAfterError:
