--- a/wrenspoke/state/__init__.py
+++ b/wrenspoke/state/__init__.py
@@ -1,1 +1,1 @@
-"""What the system remembers: configuration, log, plans and ledger."""
+"""Stored and replicated state: configuration, log, plans and ledger."""
--- a/wrenspoke/state/configuration.py
+++ b/wrenspoke/state/configuration.py
@@ -1,8 +1,7 @@
-"""The configuration that operators decide on, and changes to it.
+"""The operator-managed configuration and the changes that apply to it.
 
-A configuration is a value: applying a change returns a new one with a
-higher index and leaves the old one as it was, so that a request works
-on one configuration from its first step to its last.
+Configurations are immutable: applying a change returns a new one with a
+higher index, so a request uses one consistent configuration throughout.
 """
 
 import enum
@@ -17,19 +16,19 @@
 from wrenspoke.state import routes
 from wrenspoke.state import teams
 
-# How digests of keys are written down.
+# Format of the digests of API keys: lower-case hexadecimal.
 DIGEST = re.compile(f'[0-9a-f]{{{2 * teams.DIGEST_BYTES}}}')
 
 
 class ServiceKind(enum.Enum):
-    """Tell model engines from other HTTP services."""
+    """Distinguishes model engines from other HTTP services."""
 
     ENGINE = 'engine'
     PLAIN = 'plain'
 
 
 class EndpointState(enum.Enum):
-    """Say whether an endpoint may be given new work."""
+    """Administrative state: whether an endpoint accepts new requests."""
 
     ACTIVE = 'active'
     DRAINING = 'draining'
@@ -37,7 +36,7 @@
 
 
 class EngineRole(enum.Enum):
-    """Say which part of the work an engine does."""
+    """Inference phases that an engine runs."""
 
     MIXED = 'mixed'
     PREFILL = 'prefill'
@@ -45,7 +44,7 @@
 
 
 class Service(msgspec.Struct, frozen=True):
-    """Name a service that callers ask for."""
+    """Defines a service that callers can request."""
 
     service: ids.ServiceId
     kind: ServiceKind
@@ -54,7 +53,7 @@
 
 
 class Endpoint(msgspec.Struct, frozen=True):
-    """Describe one running copy of a service."""
+    """Describes one instance of a service."""
 
     endpoint: ids.EndpointId
     service: ids.ServiceId
@@ -72,7 +71,7 @@
 
 
 class Rule(msgspec.Struct, frozen=True):
-    """Say how requests to a path of a service have to be treated."""
+    """Defines how requests to a path prefix of a service are handled."""
 
     rule: str
     service: ids.ServiceId
@@ -82,16 +81,17 @@
     once: bool = False
 
     def matches(self, service: str, method: str, path: str) -> bool:
-        """Tell whether a request falls under this rule."""
+        """Return whether the rule applies to a request."""
         if service != self.service or not path.startswith(self.path_prefix):
             return False
         return not self.methods or method in self.methods
 
 
 class TeamLimit(msgspec.Struct, frozen=True):
-    """Bound what one team may ask for, over the whole system.
+    """Global rate limit of one team.
 
-    ``regions`` weighs the regions' parts; without it they are equal.
+    ``regions`` holds the weights of the regions' shares; if empty, all
+    regions get equal shares.
     """
 
     team: str
@@ -100,17 +100,17 @@
     regions: dict[ids.RegionId, float] = {}
 
 
-# The fields of these names hide the modules in the body below.
+# Aliases: fields of Configuration shadow the modules of the same names.
 RouteTable = routes.RouteTable
 Quarantine = quarantine.Quarantine
 
 
 class Configuration(msgspec.Struct, frozen=True):
-    """Hold everything that operators decide; ``index`` grows only.
+    """Complete operator configuration; ``index`` never decreases.
 
-    ``keys`` tells the team of each key, by the key's digest. Until the
-    first one is issued callers name their teams themselves; from then on
-    they are ``proved``, also once no key is left.
+    ``keys`` maps the digest of each key to its team. Until the first key
+    is issued, callers state their team themselves; from then on ``proved``
+    is set and a key is required, even after all keys are withdrawn.
     """
 
     index: int = 0
@@ -125,9 +125,9 @@
     quarantine: Quarantine = {}
 
     def endpoint(self, endpoint: ids.EndpointId) -> Endpoint:
-        """Return one endpoint.
+        """Return an endpoint by its name.
 
-        :raises UnknownItemError: there is none of that name
+        :raises UnknownItemError: no endpoint has that name
         """
         found = self.endpoints.get(endpoint)
         if found is None:
@@ -135,7 +135,7 @@
         return found
 
     def endpoints_at(self, address: str) -> list[ids.EndpointId]:
-        """Return the endpoints at an IP number and port."""
+        """Return the names of the endpoints at an ``ip:port`` address."""
         return [
             endpoint.endpoint
             for endpoint in self.endpoints.values()
@@ -144,26 +144,26 @@
 
 
 class SetEndpointState(msgspec.Struct, frozen=True, tag='endpoint_state'):
-    """Let an endpoint take new work, or not."""
+    """Sets the administrative state of an endpoint."""
 
     endpoint: ids.EndpointId
     state: EndpointState
 
 
 class AddEndpoint(msgspec.Struct, frozen=True, tag='add_endpoint'):
-    """Add an endpoint or replace the one of the same name."""
+    """Adds an endpoint, or replaces the one of the same name."""
 
     endpoint: Endpoint
 
 
 class RemoveEndpoint(msgspec.Struct, frozen=True, tag='remove_endpoint'):
-    """Forget an endpoint that is drained."""
+    """Removes an endpoint that is not active."""
 
     endpoint: ids.EndpointId
 
 
 class SetModel(msgspec.Struct, frozen=True, tag='model'):
-    """Add a model version to an engine's models, or take it away."""
+    """Adds a model version to an engine, or removes it."""
 
     endpoint: ids.EndpointId
     model: str
@@ -171,7 +171,7 @@
 
 
 class SetAdapter(msgspec.Struct, frozen=True, tag='adapter'):
-    """Add an adapter to an engine's adapters, or take it away."""
+    """Adds an adapter to an engine, or removes it."""
 
     endpoint: ids.EndpointId
     adapter: str
@@ -179,65 +179,65 @@
 
 
 class SetRole(msgspec.Struct, frozen=True, tag='role'):
-    """Give an engine another role."""
+    """Changes the role of an engine."""
 
     endpoint: ids.EndpointId
     role: EngineRole
 
 
 class SetRule(msgspec.Struct, frozen=True, tag='rule'):
-    """Add a rule or replace the one of the same name."""
+    """Adds a rule, or replaces the one of the same name."""
 
     rule: Rule
 
 
 class RemoveRule(msgspec.Struct, frozen=True, tag='remove_rule'):
-    """Take a rule away."""
+    """Removes a rule."""
 
     rule: str
 
 
 class SetLimit(msgspec.Struct, frozen=True, tag='limit'):
-    """Add a team's limit or replace it."""
+    """Adds or replaces the limit of a team."""
 
     limit: TeamLimit
 
 
 class IssueKey(msgspec.Struct, frozen=True, tag='issue_key'):
-    """Let a team call by a key, of which only the digest is told."""
+    """Registers an API key of a team by its digest."""
 
     team: ids.TeamId
     digest: str
 
 
 class WithdrawKey(msgspec.Struct, frozen=True, tag='withdraw_key'):
-    """Let nobody call by a key any more."""
+    """Revokes an API key."""
 
     digest: str
 
 
 class SetRoutes(msgspec.Struct, frozen=True, tag='routes'):
-    """Replace the table of routes by a newer one."""
+    """Replaces the route table with a newer version."""
 
     table: routes.RouteTable
 
 
 class SetEvacuation(msgspec.Struct, frozen=True, tag='evacuation'):
-    """Keep requests away from a data centre's endpoints, or let them."""
+    """Starts or ends the evacuation of a data centre."""
 
     data_centre: ids.DataCentreId
     evacuated: bool
 
 
 class SetQuarantine(msgspec.Struct, frozen=True, tag='quarantine'):
-    """Let some requests be sent no more, and others again."""
+    """Adds request digests to the quarantine, and clears others."""
 
     entered: tuple[quarantine.QuarantineEntry, ...] = ()
     cleared: tuple[ids.RequestDigest, ...] = ()
 
 
 class SetAll(msgspec.Struct, frozen=True, tag='all'):
-    """Replace everything; the first change of every log."""
+    """Replaces the whole configuration; the first change of every log."""
 
     configuration: Configuration
 
@@ -262,7 +262,7 @@
 
 
 class ChangeBatch(msgspec.Struct, frozen=True, tag='several'):
-    """Make several changes in force together, at one index."""
+    """Applies several changes atomically, at one index."""
 
     changes: tuple[SingleChange, ...]
 
@@ -283,10 +283,12 @@
 def apply(old: Configuration, change: Change, index: int) -> Configuration:
     """Return ``old`` with one change applied at ``index``.
 
-    :raises StateError: the change does not fit ``old``
+    :raises StateError: the change is not valid for ``old``
     """
     if index < old.index:
-        raise errors.InvalidChangeError(f'index {index} is below {old.index}')
+        raise errors.InvalidChangeError(
+            f'index {index} is below configuration index {old.index}'
+        )
     fields = _APPLIERS[type(change)](old, change)
     return msgspec.structs.replace(old, index=index, **fields)
 
@@ -374,11 +376,13 @@
 def _set_limit(old: Configuration, change: SetLimit):
     if change.limit.requests_per_s <= 0:
         raise errors.InvalidChangeError(
-            'limit.requests_per_s must be more than 0'
+            f'limit.requests_per_s: found {change.limit.requests_per_s}; '
+            'must be more than 0'
         )
     if any(weight < 0 for weight in change.limit.regions.values()):
         raise errors.InvalidChangeError(
-            'limit.regions: a weight must not be below 0'
+            'limit.regions: weights must not be negative: '
+            f'found {change.limit.regions}'
         )
     return {'limits': {**old.limits, change.limit.team: change.limit}}
 
@@ -393,8 +397,8 @@
     holder = old.keys.get(change.digest, change.team)
     if holder != change.team:
         raise errors.InvalidChangeError(
-            f'digest: team {holder} holds this key; team {change.team} '
-            'needs another'
+            f'digest: key is already issued to team {holder}; team '
+            f'{change.team} needs another key'
         )
     keys = {**old.keys, change.digest: change.team}
     return {'keys': keys, 'proved': True}
@@ -404,7 +408,7 @@
 def _withdraw_key(old: Configuration, change: WithdrawKey):
     if change.digest not in old.keys:
         raise errors.UnknownItemError(
-            f'no team holds the key of digest {change.digest[:40]!r}'
+            f'key with digest {change.digest[:40]!r} is not issued'
         )
     keys = dict(old.keys)
     del keys[change.digest]
@@ -415,7 +419,8 @@
 def _set_routes(old: Configuration, change: SetRoutes):
     if change.table.version <= old.routes.version:
         raise errors.InvalidChangeError(
-            f'version {change.table.version} is not above {old.routes.version}'
+            f'route table version {change.table.version} is not above '
+            f'{old.routes.version}'
         )
     return {'routes': change.table}
 
