--- a/wrenspoke/state/disk.py
+++ b/wrenspoke/state/disk.py
@@ -1,7 +1,7 @@
-"""Files in one folder that last once they are synced.
+"""Durable files in one directory.
 
-A disk without room refuses a write and holds what it held before; it is
-used again once there is room. Any other failure is final.
+A write that runs out of disk space is rolled back and may be retried once
+there is space. Any other failed write or sync is permanent.
 """
 
 import collections.abc
@@ -22,7 +22,10 @@
 
 
 class Disk:
-    """Read and write files of one folder; a failed sync is final."""
+    """Reads and writes files of one directory.
+
+    After a failed write or sync all further writes are rejected.
+    """
 
     def __init__(self, folder: pathlib.Path):
         self._folder = folder
@@ -36,10 +39,10 @@
             raise errors.DiskError(f'{folder}: {error}') from error
 
     def check(self) -> None:
-        """Refuse to go on after a failure.
+        """Raise an error if an earlier write or sync failed.
 
-        What a failed sync left on the disk is not known, so nothing may
-        be acknowledged after it.
+        After a failed sync the state on disk is undefined, so nothing may
+        be acknowledged any more.
 
         :raises DiskError: a write or sync failed before
         """
@@ -62,9 +65,9 @@
     def _roll_back_if_full(
         self, name: str, undo: collections.abc.Callable[[], None]
     ) -> collections.abc.Iterator[None]:
-        """Take a write back for which there was no room.
+        """Call ``undo`` if a write runs out of disk space.
 
-        :raises DiskFullError: the files are as they were
+        :raises DiskFullError: no space; the files are unchanged
         """
         try:
             yield
@@ -78,7 +81,7 @@
             raise errors.DiskFullError(f'{name}: {error}') from error
 
     def read(self, name: str) -> bytes | None:
-        """Return a file's content, or None if it is not there."""
+        """Return the content of a file, or None if it does not exist."""
         try:
             return (self._folder / name).read_bytes()
         except FileNotFoundError:
@@ -87,7 +90,7 @@
             raise errors.DiskError(f'{name}: {error}') from error
 
     def append(self, name: str, data: bytes) -> None:
-        """Add to a file and sync it; a new file's name is synced too."""
+        """Append to a file and sync it; sync the directory if it is new."""
         path = self._folder / name
         with self._fail_on_error(name):
             is_new = not path.exists()
@@ -108,7 +111,7 @@
                 self._sync_folder(self._folder)
 
     def truncate(self, name: str, size_bytes: int) -> None:
-        """Cut a file to a size and sync it."""
+        """Truncate a file to a size in bytes and sync it."""
         with self._fail_on_error(name):
             with open(self._folder / name, 'r+b') as file:
                 file.truncate(size_bytes)
@@ -116,7 +119,7 @@
                 os.fsync(file.fileno())
 
     def replace(self, name: str, data: bytes) -> None:
-        """Put a whole file in place of the old one, or change nothing."""
+        """Replace a file atomically and sync it."""
         path = self._folder / name
         temporary = path.with_name(name + TEMPORARY_SUFFIX)
         with self._fail_on_error(name):
@@ -133,15 +136,17 @@
             self._sync_folder(self._folder)
 
     def write_unsynced(self, name: str, data: bytes) -> None:
-        """Write a file that may be lost, without waiting for the disk."""
+        """Write a file without syncing it; failures are only logged."""
         self.check()
         try:
             (self._folder / name).write_bytes(data)
         except OSError as error:
-            logger.warning('note_lost', file=name, reason=str(error))
+            logger.warning(
+                'unsynced_write_failed', file=name, reason=str(error)
+            )
 
     def remove(self, name: str) -> None:
-        """Remove a file, if it is there."""
+        """Remove a file if it exists."""
         with self._fail_on_error(name):
             (self._folder / name).unlink(missing_ok=True)
             self._sync_folder(self._folder)
--- a/wrenspoke/state/errors.py
+++ b/wrenspoke/state/errors.py
@@ -1,22 +1,22 @@
-"""The errors of the state layer."""
+"""Errors of the state layer."""
 
 from wrenspoke import errors
 
 
 class StateError(errors.WrenspokeError):
-    """Base of the errors of stored state."""
+    """Base class of errors of stored state."""
 
 
 class UnknownItemError(StateError):
-    """Say that a change or question names something that is not there."""
+    """A change or query names an item that does not exist."""
 
 
 class InvalidChangeError(StateError):
-    """Say that a change makes no sense, and which field of it."""
+    """A change is invalid; the message names the field."""
 
 
 class CorruptLogError(StateError):
-    """Say that a file is damaged elsewhere than at its torn end."""
+    """A file is corrupt other than by a torn write at its end."""
 
     def __init__(self, file: str, offset_bytes: int, reason: str):
         super().__init__(f'{file} at byte {offset_bytes}: {reason}')
@@ -25,8 +25,8 @@
 
 
 class DiskError(StateError):
-    """Say that a write or sync failed; nothing more may be acknowledged."""
+    """A write or sync failed; nothing more may be acknowledged."""
 
 
 class DiskFullError(DiskError):
-    """Say that there was no room for a write, which changed nothing."""
+    """A write ran out of disk space; the files are unchanged."""
