--- a/wrenspoke/state/electorates.py
+++ b/wrenspoke/state/electorates.py
@@ -1,4 +1,4 @@
-"""Who votes in a group, and what a majority of them has reached."""
+"""Voters of a Raft group, and what a majority of them has reached."""
 
 import collections.abc
 import typing
@@ -11,18 +11,17 @@
 
 
 def majority(voters: typing.Sized) -> int:
-    """Return how many of some voters are a majority."""
+    """Return how many votes make a majority of ``voters``."""
     return len(voters) // 2 + 1
 
 
 class Electorate(msgspec.Struct, frozen=True):
-    """Hold the disks that vote, by their hosts.
+    """Voting hosts, each with the incarnation of its disk.
 
-    While one takes another's place ``before`` holds the voters until then,
-    and what is decided needs a majority of both sets. So no two decisions
-    are made without a disk in common, and until the change is over neither
-    the one that leaves nor the one that comes is needed: a third may be
-    lost meanwhile. Joint consensus; Ongaro and Ousterhout, 2014.
+    During a replacement ``before`` holds the previous voters, and decisions
+    need a majority of both sets (joint consensus; Ongaro and Ousterhout,
+    2014). So any two decisions share a disk, and until the change is complete
+    no single voter is required, neither the leaving nor the joining one.
     """
 
     voters: Voters = {}
@@ -30,26 +29,26 @@
 
     @property
     def voter_sets(self) -> list[Voters]:
-        """Return the sets that each have to agree."""
+        """Return the non-empty voter sets; each must reach a majority."""
         return [found for found in (self.voters, self.before) if found]
 
     @property
     def hosts(self) -> set[ids.HostId]:
-        """Return every host whose vote may be asked for."""
+        """Return all hosts that have a vote in either set."""
         return {*self.voters, *self.before}
 
     def has_voter(self, host: ids.HostId, disk: ids.Incarnation) -> bool:
-        """Tell whether a host has a vote on a disk."""
+        """Return whether a host votes with the given disk incarnation."""
         return any(found.get(host) == disk for found in self.voter_sets)
 
     def majority_value(
         self,
         value_of: collections.abc.Callable[[ids.HostId, ids.Incarnation], int],
     ) -> int:
-        """Return what a majority of each set has reached.
+        """Return the highest value that a majority of each set has reached.
 
-        ``known`` tells how far a voter is known to be, on the disk that
-        was admitted. Without voters nothing is reached: 0.
+        ``value_of`` returns the value that a voter has reached with the
+        given disk incarnation. Without voters the result is 0.
         """
         least = []
         for voters in self.voter_sets:
--- a/wrenspoke/state/entries.py
+++ b/wrenspoke/state/entries.py
@@ -1,4 +1,4 @@
-"""What control hosts write into their replicated log."""
+"""Entries of the control hosts' replicated log."""
 
 import typing
 
@@ -12,17 +12,17 @@
 
 
 class LeaderStart(msgspec.Struct, frozen=True, tag='leader_start'):
-    """Begin a leader's term; nothing of it commits before this."""
+    """First entry of a leader's term; nothing of the term commits before."""
 
     host: ids.HostId
 
 
 class SetVoters(msgspec.Struct, frozen=True, tag='voters'):
-    """Replace the set of voters.
+    """Replaces the set of voters.
 
-    One is added or taken away at a time; where one takes another's place
-    ``before`` is the set until then, which another entry leaves out once
-    this one is committed.
+    Each entry adds, removes or replaces one voter. For a replacement
+    ``before`` holds the previous set; a second entry drops it once this one
+    is committed.
     """
 
     voters: electorates.Voters
@@ -31,18 +31,18 @@
 
     @property
     def electorate(self) -> electorates.Electorate:
-        """Return who decides from this entry on."""
+        """Return the electorate in force from this entry on."""
         return electorates.Electorate(self.voters, self.before)
 
 
 class Bootstrap(msgspec.Struct, frozen=True, tag='found'):
-    """Be the first entry: the settings' configuration."""
+    """First entry of the log, with the configuration from the settings."""
 
     configuration: configuration.Configuration
 
 
 class MakePlan(msgspec.Struct, frozen=True, tag='make_plan'):
-    """Keep a plan, and the answer for when it is asked again."""
+    """Stores a plan, and the answer for resends of the request."""
 
     operator: ids.OperatorId
     number: int
@@ -51,7 +51,7 @@
 
 
 class ConfirmPlan(msgspec.Struct, frozen=True, tag='confirm_plan'):
-    """Put a plan in force if the configuration is still its base."""
+    """Starts a plan if the configuration is still at its base index."""
 
     operator: ids.OperatorId
     number: int
@@ -61,9 +61,9 @@
 
 
 class IssueOrder(msgspec.Struct, frozen=True, tag='issue_order'):
-    """Allow the current step's order to be sent, by this leader.
+    """Authorizes this leader to send the order of the current step.
 
-    The entry's index is the order's fencing number.
+    The index of the entry is the fencing token of the order.
     """
 
     plan: ids.PlanId
@@ -73,7 +73,7 @@
 
 
 class EndStep(msgspec.Struct, frozen=True, tag='end_step'):
-    """Say how the current step of a plan ended."""
+    """Records the result of the current step of a plan."""
 
     plan: ids.PlanId
     step: int
@@ -83,30 +83,30 @@
 
 
 class ReplaceRoutes(msgspec.Struct, frozen=True, tag='replace_routes'):
-    """Put a table of routes in force, unless a newer one is."""
+    """Replaces the route table unless a newer version is in force."""
 
     table: routes.RouteTable
 
 
 class Evacuate(msgspec.Struct, frozen=True, tag='evacuate'):
-    """Empty a data centre's endpoints of requests, or take them back."""
+    """Starts or ends the evacuation of a data centre."""
 
     data_centre: ids.DataCentreId
     evacuated: bool
 
 
 class SetShareHolders(msgspec.Struct, frozen=True, tag='lenders'):
-    """Say which entry hosts may hold shares of teams' limits.
+    """Sets the entry hosts that may hold shares of team limits.
 
-    None is granted one before an entry that names it is committed, so that
-    a new leader knows whom to hear from.
+    A host is granted shares only after an entry that lists it is committed,
+    so a new leader has the full list of holders.
     """
 
     hosts: tuple[ids.HostId, ...]
 
 
 class SetQuarantine(msgspec.Struct, frozen=True, tag='quarantine'):
-    """Put requests that end endpoints into quarantine, or let them out."""
+    """Adds requests that crash endpoints to the quarantine, or clears them."""
 
     change: configuration.SetQuarantine
 
@@ -127,10 +127,10 @@
 
 
 class LogEntry(msgspec.Struct, frozen=True, array_like=True):
-    """Hold an entry with its place in the log.
+    """Log entry with its index and term.
 
-    Up to ``committed`` the leader knew entries to be committed when it
-    wrote this one, which a restart may go by.
+    ``committed`` is the leader's commit index when it wrote the entry; a
+    restarted voter may apply entries up to it.
     """
 
     index: int
