--- a/wrenspoke/state/plans.py
+++ b/wrenspoke/state/plans.py
@@ -1,8 +1,8 @@
-"""Operators' intents, and the plans that carry them out.
+"""Operators' intents and the plans that implement them.
 
-A plan is a row of steps. Changes of the configuration come into force
-with the log entry that reaches them; orders and waits are carried out by
-the leader, which then ends the step.
+A plan is a sequence of steps. Configuration changes take effect with the
+log entry that advances the plan to them; orders and waits are executed by
+the leader, which then records the result of the step.
 """
 
 import enum
@@ -20,97 +20,97 @@
 
 
 class Drain(msgspec.Struct, frozen=True, tag='drain'):
-    """Give an endpoint no new work and wait for what it has."""
+    """Stops new requests to an endpoint and waits for those in flight."""
 
     endpoint: ids.EndpointId
 
 
 class Undrain(msgspec.Struct, frozen=True, tag='undrain'):
-    """Give an endpoint work again."""
+    """Reactivates a drained endpoint."""
 
     endpoint: ids.EndpointId
 
 
 class LoadModel(msgspec.Struct, frozen=True, tag='load_model'):
-    """Load a model version into an engine."""
+    """Loads a model version into an engine."""
 
     endpoint: ids.EndpointId
     model: str
 
 
 class RetireModel(msgspec.Struct, frozen=True, tag='retire_model'):
-    """Take a model version out of an engine."""
+    """Unloads a model version from an engine."""
 
     endpoint: ids.EndpointId
     model: str
 
 
 class LoadAdapter(msgspec.Struct, frozen=True, tag='load_adapter'):
-    """Load an adapter into an engine."""
+    """Loads an adapter into an engine."""
 
     endpoint: ids.EndpointId
     adapter: str
 
 
 class RetireAdapter(msgspec.Struct, frozen=True, tag='retire_adapter'):
-    """Take an adapter out of an engine."""
+    """Unloads an adapter from an engine."""
 
     endpoint: ids.EndpointId
     adapter: str
 
 
 class ChangeRole(msgspec.Struct, frozen=True, tag='change_role'):
-    """Give an engine another role, without work in flight."""
+    """Drains an engine, then changes its role."""
 
     endpoint: ids.EndpointId
     role: configuration.EngineRole
 
 
 class ChangeRule(msgspec.Struct, frozen=True, tag='change_rule'):
-    """Add or replace a rule."""
+    """Adds or replaces a rule."""
 
     rule: configuration.Rule
 
 
 class DropRule(msgspec.Struct, frozen=True, tag='drop_rule'):
-    """Take a rule away."""
+    """Removes a rule."""
 
     rule: str
 
 
 class ChangeLimit(msgspec.Struct, frozen=True, tag='change_limit'):
-    """Add or replace a team's limit."""
+    """Adds or replaces the limit of a team."""
 
     limit: configuration.TeamLimit
 
 
 class IssueKey(msgspec.Struct, frozen=True, tag='issue_key'):
-    """Let a team call by a key, of which only the digest is told."""
+    """Registers an API key of a team by its digest."""
 
     team: ids.TeamId
     digest: str
 
 
 class WithdrawKey(msgspec.Struct, frozen=True, tag='withdraw_key'):
-    """Let nobody call by a key any more."""
+    """Revokes an API key."""
 
     digest: str
 
 
 class ClearQuarantine(msgspec.Struct, frozen=True, tag='clear_quarantine'):
-    """Let a request be sent again that endpoints had ended under."""
+    """Removes a request from the quarantine."""
 
     digest: ids.RequestDigest
 
 
 class AddEndpoint(msgspec.Struct, frozen=True, tag='add_endpoint'):
-    """Add an endpoint."""
+    """Adds an endpoint."""
 
     endpoint: configuration.Endpoint
 
 
 class RemoveEndpoint(msgspec.Struct, frozen=True, tag='remove_endpoint'):
-    """Forget a drained endpoint."""
+    """Removes an endpoint that is not active."""
 
     endpoint: ids.EndpointId
 
@@ -135,13 +135,16 @@
 
 
 class Change(msgspec.Struct, frozen=True, tag='change'):
-    """Change the configuration."""
+    """Step that changes the configuration."""
 
     change: configuration.Change
 
 
 class Order(msgspec.Struct, frozen=True, tag='order'):
-    """Send an order to an engine; ``loads`` takes from the weight store."""
+    """Step that sends an order to an engine.
+
+    ``loads`` is set if the engine fetches from the weight store.
+    """
 
     endpoint: ids.EndpointId
     kind: str
@@ -152,7 +155,7 @@
 
 
 class WaitIdle(msgspec.Struct, frozen=True, tag='wait_idle'):
-    """Wait until an endpoint has no work and can be given none."""
+    """Step that waits until a draining endpoint has no requests."""
 
     endpoint: ids.EndpointId
 
@@ -161,7 +164,7 @@
 
 
 class PlanState(enum.Enum):
-    """Say how far a plan has come."""
+    """Progress of a plan."""
 
     PROPOSED = 'proposed'
     RUNNING = 'running'
@@ -170,7 +173,10 @@
 
 
 class Costs(msgspec.Struct, frozen=True):
-    """Tell what a plan costs while it runs and after."""
+    """Expected costs of a plan.
+
+    ``capacity_lost`` is a share of the service's slots in the region.
+    """
 
     capacity_lost: float = 0.0
     caches_cold: int = 0
@@ -179,7 +185,7 @@
 
 
 class StepResult(msgspec.Struct, frozen=True):
-    """Tell how one step ended."""
+    """Result of one step."""
 
     step: int
     succeeded: bool
@@ -188,7 +194,7 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """Hold an intent, how it is carried out and how far it has come."""
+    """An intent with its steps, expected costs and progress."""
 
     plan: ids.PlanId
     operator: ids.OperatorId
@@ -207,7 +213,7 @@
 
     @property
     def current(self) -> Step | None:
-        """Return the step that waits to be carried out."""
+        """Return the step to execute next, or None if it is not running."""
         if self.state is not PlanState.RUNNING:
             return None
         return self.steps[self.reached]
@@ -225,7 +231,7 @@
 
 
 class _Draft(msgspec.Struct):
-    """Hold what a planner says of an intent."""
+    """Result of a planner, before validation."""
 
     steps: list[Step]
     summary: str
@@ -245,9 +251,9 @@
 ) -> Plan:
     """Return the plan for an intent on the current configuration.
 
-    ``load_wait_ms`` is how long the weight store makes a load wait.
+    ``load_wait_ms`` is the expected wait for the weight store.
 
-    :raises StateError: the intent makes no sense as things are
+    :raises StateError: the intent is not valid for the configuration
     """
     draft = _PLANNERS[type(intent)](intent, current)
     loads = any(isinstance(step, Order) and step.loads for step in draft.steps)
@@ -272,7 +278,7 @@
 def _validate_changes(
     draft: _Draft, current: configuration.Configuration
 ) -> None:
-    """Apply the changes to a copy, so that a bad one is refused now."""
+    """Apply the changes to a copy, to reject invalid ones before storing."""
     for step in draft.steps:
         if isinstance(step, Change):
             current = configuration.apply(current, step.change, current.index)
@@ -303,7 +309,7 @@
     endpoint = current.endpoint(intent.endpoint)
     if endpoint.state is not configuration.EndpointState.ACTIVE:
         raise errors.InvalidChangeError(
-            f'endpoint {intent.endpoint} is {endpoint.state.value} already'
+            f'endpoint {intent.endpoint} is already {endpoint.state.value}'
         )
     states = configuration.EndpointState
     return _Draft(
@@ -324,7 +330,7 @@
     endpoint = current.endpoint(intent.endpoint)
     if endpoint.state is configuration.EndpointState.ACTIVE:
         raise errors.InvalidChangeError(
-            f'endpoint {intent.endpoint} is active already'
+            f'endpoint {intent.endpoint} is already active'
         )
     active = configuration.EndpointState.ACTIVE
     return _Draft(
@@ -340,7 +346,7 @@
     endpoint = current.endpoint(name)
     service = current.services[endpoint.service]
     if service.kind is not configuration.ServiceKind.ENGINE:
-        raise errors.InvalidChangeError(f'endpoint {name} is no engine')
+        raise errors.InvalidChangeError(f'endpoint {name} is not an engine')
     return endpoint
 
 
@@ -349,7 +355,7 @@
     endpoint = _engine_endpoint(intent.endpoint, current)
     if intent.model in endpoint.models:
         raise errors.InvalidChangeError(
-            f'{intent.endpoint} has {intent.model} already'
+            f'endpoint {intent.endpoint} already has model {intent.model}'
         )
     return _Draft(
         steps=[
@@ -369,7 +375,7 @@
     endpoint = _engine_endpoint(intent.endpoint, current)
     if intent.model not in endpoint.models:
         raise errors.InvalidChangeError(
-            f'{intent.endpoint} has no {intent.model}'
+            f'endpoint {intent.endpoint} does not have model {intent.model}'
         )
     return _Draft(
         steps=[
@@ -394,7 +400,7 @@
     endpoint = _engine_endpoint(intent.endpoint, current)
     if intent.adapter in endpoint.adapters:
         raise errors.InvalidChangeError(
-            f'{intent.endpoint} has {intent.adapter} already'
+            f'endpoint {intent.endpoint} already has adapter {intent.adapter}'
         )
     name = intent.adapter
     return _Draft(
@@ -415,7 +421,8 @@
     endpoint = _engine_endpoint(intent.endpoint, current)
     if intent.adapter not in endpoint.adapters:
         raise errors.InvalidChangeError(
-            f'{intent.endpoint} has no {intent.adapter}'
+            f'endpoint {intent.endpoint} does not have adapter '
+            f'{intent.adapter}'
         )
     name = intent.adapter
     return _Draft(
@@ -497,7 +504,7 @@
     found = current.quarantine.get(intent.digest)
     if found is None:
         raise errors.UnknownItemError(
-            f'no request of digest {intent.digest[:40]!r} is in quarantine'
+            f'no request with digest {intent.digest[:40]!r} is in quarantine'
         )
     change = configuration.SetQuarantine(cleared=(intent.digest,))
     return _Draft(
@@ -513,7 +520,7 @@
 def _plan_add(intent: AddEndpoint, current: configuration.Configuration):
     name = intent.endpoint.endpoint
     if name in current.endpoints:
-        raise errors.InvalidChangeError(f'endpoint {name} is there already')
+        raise errors.InvalidChangeError(f'endpoint {name} already exists')
     return _Draft(
         steps=[Change(configuration.AddEndpoint(intent.endpoint))],
         summary=f'add endpoint {name}',
