--- a/wrenspoke/state/loads.py
+++ b/wrenspoke/state/loads.py
@@ -1,4 +1,4 @@
-"""What engines report of their load, with its age."""
+"""Load reports of engines."""
 
 import msgspec
 
@@ -6,9 +6,10 @@
 
 
 class EngineLoad(msgspec.Struct, array_like=True, frozen=True):
-    """State an engine's load as it reported ``age_ms`` ago.
+    """Load of an engine as of ``age_ms`` ago.
 
-    ``held_tokens`` of its memory can't give way to new work.
+    ``held_tokens`` counts tokens in its memory that cannot be evicted for
+    new requests.
     """
 
     endpoint: ids.EndpointId
--- a/wrenspoke/state/locations.py
+++ b/wrenspoke/state/locations.py
@@ -1,4 +1,4 @@
-"""Where a host stands."""
+"""Location of a host."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class Location(msgspec.Struct, frozen=True, array_like=True):
-    """Name a host's region and data centre."""
+    """Region and data centre of a host."""
 
     region: ids.RegionId
     data_centre: ids.DataCentreId
--- a/wrenspoke/state/quarantine.py
+++ b/wrenspoke/state/quarantine.py
@@ -1,19 +1,19 @@
-"""Requests that no endpoint is sent, as endpoints ended under them."""
+"""Quarantine of requests that crash endpoints."""
 
 import msgspec
 
 from wrenspoke import ids
 
-# Each takes three ends of endpoints or more. Beyond this those on probation
-# go first, then the oldest; 0.2 KB each on every host.
+# Beyond this entries on probation are evicted first, then the oldest. Every
+# host stores all entries.
 MAX_QUARANTINED = 1_000
 
 
 class QuarantineEntry(msgspec.Struct, frozen=True):
-    """Say that ``ends`` endpoints ended under a request.
+    """A request that crashed ``ends`` endpoints.
 
-    On probation it is sent again; what ends one more endpoint then is back
-    at once, for longer.
+    A request on probation is sent again; if it crashes another endpoint it
+    is quarantined again at once, for longer.
     """
 
     digest: ids.RequestDigest
@@ -27,7 +27,7 @@
 def blocking_entry(
     all_known: Quarantine, digest: ids.RequestDigest
 ) -> QuarantineEntry | None:
-    """Return what says that a request is not to be sent, None if it may."""
+    """Return the entry that blocks a request, or None if it may be sent."""
     found = all_known.get(digest)
     if found is None or found.on_probation:
         return None
@@ -39,7 +39,7 @@
     entered: tuple[QuarantineEntry, ...],
     cleared: tuple[ids.RequestDigest, ...],
 ) -> Quarantine:
-    """Return a quarantine with some requests entered or cleared."""
+    """Return a copy with entries added and cleared, within the size limit."""
     new = {
         digest: found for digest, found in old.items() if digest not in cleared
     }
--- a/wrenspoke/state/records.py
+++ b/wrenspoke/state/records.py
@@ -1,7 +1,7 @@
-"""Records with a checksum, one behind the other in a file.
+"""Encoding of a file as a sequence of records with checksums.
 
-A record is its length and the CRC-32C of its body, four bytes each and
-little-endian, then the body.
+A record is the length of its body and the CRC-32C of the body, each as a
+little-endian 32-bit integer, followed by the body.
 """
 
 import struct
@@ -16,7 +16,7 @@
 
 
 class Record(typing.NamedTuple):
-    """Hold a record's body and where the record starts and ends."""
+    """Body of a record and the byte offsets of its start and end."""
 
     start: int
     end: int
@@ -24,17 +24,17 @@
 
 
 def encode(body: bytes) -> bytes:
-    """Return a record for a body."""
+    """Return a body encoded as a record."""
     return HEADER.pack(len(body), crc32c.crc32c(body)) + body
 
 
 def decode(name: str, data: bytes) -> tuple[list[Record], int]:
-    """Return the records of a file and the size of its good part.
+    """Return the records of a file and the size in bytes of its valid part.
 
-    A write that a crash cut short leaves a bad end with no good record
-    behind it; that end is left out.
+    A write that a crash interrupted leaves an invalid tail without a valid
+    record after it; the tail is skipped.
 
-    :raises CorruptLogError: a bad record has a good one behind it
+    :raises CorruptLogError: a valid record follows an invalid one
     """
     records = []
     offset = 0
@@ -46,7 +46,7 @@
             continue
         if _has_record_after(data, offset):
             raise errors.CorruptLogError(
-                name, offset, 'damaged record with good ones behind it'
+                name, offset, 'invalid record followed by a valid one'
             )
         break
     return records, offset
@@ -67,6 +67,6 @@
 
 
 def _has_record_after(data: bytes, offset: int) -> bool:
-    """Tell whether a good record starts anywhere after ``offset``."""
+    """Return whether a valid record starts anywhere after ``offset``."""
     last = len(data) - HEADER.size
     return any(_record_at(data, other) for other in range(offset + 1, last))
