--- a/wrenspoke/state/registers.py
+++ b/wrenspoke/state/registers.py
@@ -1,16 +1,16 @@
-"""The ledger of once-only requests: one write-once register per key.
+"""Ledger of once-only requests: one replicated register per request key.
 
-Each ledger host holds a copy in memory. A register is changed by two
-rounds in the manner of CASPaxos (Rystsov, 2018): a majority promises a
-ballot and tells what it had accepted, then a majority accepts the next
+Each ledger host holds its copies in memory. A register is updated in two
+phases as in CASPaxos (Rystsov, 2018): a majority promises a ballot and
+returns the value that it accepted last, then a majority accepts the next
 value under that ballot.
 
-A host that restarts has forgotten its promises. Two rules keep that from
-mattering. It votes only on keys that were issued after its memory begins
-(``trusted_since_ms``), which reading back a majority moves to the past.
-And each start has a higher epoch; every reply tells the epochs that its
-sender knows, so that a quorum never counts a vote given before a restart
-(crash vectors, after Michael et al., DISC 2017).
+A host loses its promises when it restarts. Two rules keep this safe. It
+votes only on keys issued after ``trusted_since_ms``, which recovery from a
+majority of the hosts moves back. And each start has a higher epoch: every
+reply carries the epochs known to its sender, so that a quorum never counts
+a vote given before a restart (crash vectors, after Michael et al., DISC
+2017).
 """
 
 import enum
@@ -28,7 +28,7 @@
 
 
 class ClaimState(enum.Enum):
-    """Say what is known of a once-only request."""
+    """State of a once-only request."""
 
     FREE = 'free'
     REFUSED = 'refused'
@@ -37,7 +37,7 @@
 
 
 class StoredResponse(msgspec.Struct, frozen=True):
-    """Hold an answer for a caller that asks again."""
+    """Response kept for a caller that retries the request."""
 
     status: int
     headers: dict[str, str]
@@ -45,10 +45,10 @@
 
 
 class Claim(msgspec.Struct, frozen=True):
-    """Hold a register's value.
+    """Value of a register.
 
-    ``attempt`` is the caller's number of the attempt that was dispatched,
-    or the highest that was refused.
+    ``attempt`` is the caller's number of the dispatched attempt, or the
+    highest number of a refused one.
     """
 
     state: ClaimState = ClaimState.FREE
@@ -62,7 +62,7 @@
 
 
 class Ballot(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """Order proposals; the host's name makes them unique."""
+    """Ballot number of a proposal; the host name makes it unique."""
 
     number: int = 0
     host: str = ''
@@ -72,7 +72,7 @@
 
 
 class Register(msgspec.Struct):
-    """Hold one host's copy of one key."""
+    """Copy of the register of one key on one host."""
 
     promised: Ballot = NO_BALLOT
     accepted: Ballot = NO_BALLOT
@@ -80,10 +80,10 @@
 
 
 class Vote(msgspec.Struct, frozen=True):
-    """Answer one round on one key.
+    """Reply of a host to one phase on one key.
 
-    ``granted`` is False under a higher promise, and for a key that this
-    host may have forgotten (``forgotten``).
+    ``granted`` is False if a higher ballot was promised, and if this host
+    may have lost the key in a restart or expired it (``forgotten``).
     """
 
     granted: bool
@@ -95,9 +95,9 @@
 
 
 class LedgerSnapshot(msgspec.Struct):
-    """Hold a part of what a ledger host tells one that has restarted.
+    """Chunk of a host's registers, sent to a host that restarted.
 
-    ``more`` says that keys follow after the last of ``registers``.
+    ``more`` is set if keys follow after the last of ``registers``.
     """
 
     epoch_known: int
@@ -108,7 +108,7 @@
 
 
 class Registers:
-    """Hold one ledger host's copies of all keys."""
+    """Holds the copies of all registers on one ledger host."""
 
     def __init__(self, host: ids.HostId, epoch: int, trusted_since_ms: int):
         self.host = host
@@ -122,11 +122,11 @@
 
     @property
     def epoch(self) -> int:
-        """Return the number of this start."""
+        """Return the epoch of this start of the host."""
         return self.epochs[self.host]
 
     def prepare(self, key: str, issued_ms: int, ballot: Ballot) -> Vote:
-        """Promise ``ballot`` on a key unless a higher one was promised."""
+        """Promise ``ballot`` on a key unless one as high was promised."""
         if issued_ms < self.trusted_since_ms:
             return self._reject_forgotten()
         register = self._get_or_create(key, issued_ms)
@@ -142,7 +142,7 @@
         ballot: Ballot,
         claim: Claim,
     ) -> Vote:
-        """Accept a value under ``ballot``, promised by a majority."""
+        """Accept a value under a ballot that a majority has promised."""
         if issued_ms < self.trusted_since_ms:
             return self._reject_forgotten()
         register = self._get_or_create(key, issued_ms)
@@ -160,10 +160,10 @@
         after: tuple[int, str] = START_CURSOR,
         chunk_bytes: int = SNAPSHOT_CHUNK_BYTES,
     ) -> LedgerSnapshot:
-        """Note that ``host`` restarted and tell it a part of what is here.
+        """Record a restart of ``host`` and return a chunk of the registers.
 
-        A key that changes after its part was told does so by votes that
-        know of the restart.
+        A key that changes after its chunk was read changes through votes
+        that carry the new epoch.
         """
         known = self.epochs.get(host, 0)
         if epoch > known:
@@ -188,7 +188,7 @@
         )
 
     def restore(self, snapshots: typing.Sequence[LedgerSnapshot]) -> None:
-        """Take over what a majority of the other hosts remember."""
+        """Merge the snapshots of a majority of the hosts."""
         for snapshot in snapshots:
             self.merge_epochs(snapshot.epochs)
             for issued_ms, key, theirs in snapshot.registers:
@@ -197,13 +197,13 @@
         self.trusted_since_ms = min(self.trusted_since_ms, since_ms)
 
     def merge_epochs(self, epochs: typing.Mapping[str, int]) -> None:
-        """Keep the highest epoch that is known of each host."""
+        """Record the highest known epoch of each host."""
         for host, epoch in epochs.items():
             if epoch > self.epochs.get(host, 0):
                 self.epochs[host] = epoch
 
     def expire(self, before_ms: int) -> int:
-        """Forget keys issued before ``before_ms``; return how many."""
+        """Evict keys issued before ``before_ms`` and return their number."""
         count = 0
         while self._by_age and self._by_age[0][0] < before_ms:
             _issued_ms, key = self._by_age.pop(0)
@@ -256,10 +256,10 @@
 def consistent_votes(
     votes: typing.Mapping[ids.HostId, Vote], quorum: int
 ) -> dict[ids.HostId, Vote] | None:
-    """Return the votes that count, or None if they are too few.
+    """Return the valid votes, or None if they are fewer than ``quorum``.
 
-    One that was given before a restart of its host does not, once
-    another voter knows of that restart: the host may have forgotten it.
+    A vote given before a restart of its host is invalid once another voter
+    has recorded that restart: the host may have lost its promise.
     """
     newest: dict[str, int] = {}
     for vote in votes.values():
@@ -276,7 +276,10 @@
 def with_claim(
     old: Claim, attempt: int, host: ids.HostId, attempt_id: ids.AttemptId
 ) -> Claim:
-    """Return ``old`` after a claim; it is ours if the attempt id is."""
+    """Return ``old`` after a claim.
+
+    The claim succeeded if the result has the given ``attempt_id``.
+    """
     free = old.state is ClaimState.FREE
     refused_before = old.state is ClaimState.REFUSED and old.attempt < attempt
     if not free and not refused_before:
@@ -285,7 +288,7 @@
 
 
 def with_refusal(old: Claim, attempt: int) -> Claim:
-    """Return ``old`` after a refusal of all attempts up to one."""
+    """Return ``old`` after all attempts up to ``attempt`` are refused."""
     if old.state is ClaimState.FREE:
         return Claim(ClaimState.REFUSED, attempt)
     if old.state is ClaimState.REFUSED and old.attempt < attempt:
@@ -294,7 +297,7 @@
 
 
 def with_release(old: Claim, attempt_id: ids.AttemptId) -> Claim:
-    """Return ``old`` with a claim given back that was never sent."""
+    """Return ``old`` after the release of a claim that was never sent."""
     ours = old.attempt_id == attempt_id
     if old.state is ClaimState.DISPATCHED and ours:
         return Claim(ClaimState.REFUSED, old.attempt)
@@ -304,7 +307,7 @@
 def with_answer(
     old: Claim, attempt_id: ids.AttemptId, answer: StoredResponse | None
 ) -> Claim:
-    """Return ``old`` with the answer to the attempt that ran."""
+    """Return ``old`` with the response to the dispatched attempt."""
     ours = old.attempt_id == attempt_id
     if old.state is ClaimState.DISPATCHED and ours:
         return msgspec.structs.replace(
