--- a/wrenspoke/state/registry.py
+++ b/wrenspoke/state/registry.py
@@ -1,12 +1,12 @@
-"""Endpoints that register themselves: soft state with leases.
-
-A registration is renewed again and again and numbered by its endpoint,
-so that a late one is told from a new one. An endpoint may start again
-under its name: it then tells a later birth, counts from the start, and
-nothing holds of it that did before. It is kept apart from the replicated
-log: any control host may take it, one without a majority too, and what all
-have heard is merged. Ages travel, never times of day; a birth only orders
-the lives of one endpoint.
+"""Registry of endpoints that register themselves: soft state with leases.
+
+An endpoint renews its registration periodically and numbers the renewals,
+so that delayed ones are detected. If it restarts under the same name it
+reports a later ``born_ms`` and counts from the start again; state of the
+previous instance no longer applies. Registrations bypass the replicated
+log: any control host accepts them, even without a majority, and the hosts
+merge them. Messages carry ages instead of wall-clock times; ``born_ms``
+only orders the instances of one endpoint.
 """
 
 import collections.abc
@@ -21,21 +21,21 @@
 
 logger = structlog.get_logger(__name__)
 
-# An endpoint renews about every 1.2 s and may come seconds late; after
-# four renewals and some delay were missed, others are used before it.
+# Endpoints renew about every 1.2 s, at times with seconds of delay. After
+# this time without a renewal other endpoints are preferred.
 RENEWAL_TIMEOUT_MS = 6_000
-# Who renewed at an address within this time still runs there: longer than
-# the time between two renewals (1.2 s) and most of their delays, no longer
-# than it takes until another may get the address (2 s).
+# An endpoint that renewed within this time still owns its address. Longer
+# than the renewal interval, and no longer than the time until the address
+# may be reused (2 s).
 ADDRESS_HOLD_MS = 2_000
-# Longer than any word of a life that ended is under way.
+# Longer than any delayed message about an ended instance can take.
 ENTRY_TTL_MS = 120_000
-# Smaller moves of the end of a warm-up are not worth telling.
+# Smaller changes of the end of a warm-up are not gossiped.
 MIN_WARMUP_CHANGE_MS = 400
 
 
 class RegistrationState(enum.Enum):
-    """Say whether an endpoint wants new work."""
+    """Whether an endpoint accepts new requests, as it reports."""
 
     READY = 'ready'
     DRAINING = 'draining'
@@ -43,13 +43,14 @@
 
 
 class Registration(msgspec.Struct, frozen=True, array_like=True):
-    """State what an endpoint last said of itself.
-
-    ``number`` rises with each renewal of one life. ``warmup_left_ms`` and
-    ``ends_in_ms`` count from when it was said, ``age_ms`` ago.
-    ``born_ms`` is when the life began, by the endpoint's time of day; 0
-    where endpoints never start again under their names. ``leaving`` says
-    that the endpoint was heard to leave, by its answers to requests.
+    """Latest report of an endpoint about itself.
+
+    ``number`` increases with each renewal of one instance.
+    ``warmup_left_ms`` and ``ends_in_ms`` are relative to the time of the
+    report, ``age_ms`` ago. ``born_ms`` is the start time of the instance by
+    the endpoint's wall clock; 0 where endpoints never restart under the
+    same name. ``leaving`` is set once responses of the endpoint announced
+    that it leaves.
     """
 
     endpoint: ids.EndpointId
@@ -68,9 +69,10 @@
 
 @dataclasses.dataclass(slots=True)
 class EndpointEntry:
-    """Hold a registration with when it was said and last changed.
+    """A registration with the time of its report and its last revision.
 
-    ``relayed_by`` is the control host that heard it, None for this one.
+    ``relayed_by`` is the control host that received it, None for this one.
+    ``is_stale`` is set once renewals are overdue.
     """
 
     registration: Registration
@@ -81,12 +83,12 @@
 
     @property
     def warm_ms(self) -> int:
-        """Return when the endpoint is warm, in this host's time."""
+        """Return the end of the warm-up, on this host's monotonic clock."""
         return self.reported_ms + self.registration.warmup_left_ms
 
     @property
     def takes_work(self) -> bool:
-        """Tell whether it may be given new work."""
+        """Return whether new requests may be sent to the endpoint."""
         return (
             self.registration.state is RegistrationState.READY
             and not self.registration.leaving
@@ -97,7 +99,7 @@
 
 
 class Registry:
-    """Merge what is heard of endpoints, and number the changes."""
+    """Merges registrations and assigns a revision to each change."""
 
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
@@ -107,13 +109,13 @@
         self.revision = 0
 
     def add_restart_listener(self, listener: 'RestartListener') -> None:
-        """Call a listener with what an endpoint said before it began anew."""
+        """Call a listener with the previous registration on each restart."""
         self._restart_listeners.append(listener)
 
     def merge_registration(
         self, said: Registration, relayed_by: ids.HostId | None = None
     ) -> bool:
-        """Take what is newer; return whether it changes routing."""
+        """Merge a registration; return whether it affects routing."""
         reported_ms = self._clock.mono_ms() - said.age_ms
         old = self.entries.get(said.endpoint)
         if old is not None and said.born_ms < old.registration.born_ms:
@@ -129,11 +131,11 @@
                 old.registration, state=said.state, number=said.number
             )
         elif said.number <= old.registration.number:
-            # The same again, from who noticed that no newer one comes.
+            # A repeat may come from a host that saw the renewals stop.
             old.is_stale |= said.age_ms > RENEWAL_TIMEOUT_MS
             return said.leaving and self._set_leaving(old)
         if old.registration.leaving:
-            # Reports may still call it ready; it leaves all the same.
+            # Later reports may still say ready; leaving is permanent.
             said = msgspec.structs.replace(said, leaving=True)
         changed = old.is_stale or _affects_routing(old, said, reported_ms)
         old.registration = said
@@ -151,7 +153,7 @@
         reported_ms: int,
         relayed_by: ids.HostId | None,
     ) -> None:
-        """Hold a life of an endpoint that was not known before."""
+        """Add an endpoint, or a new instance of a known one."""
         before = self.entries.get(said.endpoint)
         self.revision += 1
         self.entries[said.endpoint] = EndpointEntry(
@@ -160,7 +162,7 @@
         if before is None:
             return
         logger.info(
-            'endpoint_reborn',
+            'endpoint_restarted',
             endpoint=said.endpoint,
             born_ms=said.born_ms,
             before_ms=before.registration.born_ms,
@@ -171,9 +173,9 @@
             listener(before.registration)
 
     def mark_leaving(self, endpoint: ids.EndpointId, born_ms: int) -> bool:
-        """Note that an endpoint leaves in one of its lives, for good.
+        """Mark one instance of an endpoint as leaving, permanently.
 
-        Return whether that changes routing.
+        Return whether that affects routing.
         """
         old = self.entries.get(endpoint)
         if old is None or old.registration.born_ms != born_ms:
@@ -201,15 +203,16 @@
         relayed_by: ids.HostId,
         born_ms: int = 0,
     ) -> bool:
-        """Take a renewal without change; return False if it is not known.
+        """Apply a renewal without other changes.
 
-        The end of a warm-up stays where it was.
+        The end of a warm-up stays as it was. Return False if the instance
+        is unknown here.
         """
         old = self.entries.get(endpoint)
         if old is None or old.registration.born_ms < born_ms:
             return False
         if old.registration.born_ms > born_ms:
-            # Of a life that has ended: nothing of it is to be told again.
+            # The instance has ended; no full registration is needed.
             return True
         left_ms = old.registration.warmup_left_ms
         if left_ms > 0:
@@ -225,11 +228,11 @@
         return True
 
     def occupant(self, said: Registration) -> EndpointEntry | None:
-        """Return who else renewed lately at a registration's address.
+        """Return another endpoint that recently renewed at the address.
 
-        Only one endpoint runs at an address. A registration that was held
-        up on its way may come after its sender crashed and another one
-        began there; who renews is the one to believe.
+        Only one endpoint runs at an address. A delayed registration may
+        arrive after its sender crashed and another endpoint started there;
+        the endpoint that keeps renewing takes precedence.
         """
         if said.state is RegistrationState.GONE:
             return None
@@ -239,7 +242,7 @@
         return None
 
     def displace(self, said: Registration) -> None:
-        """Use others before those that ran at the address until now."""
+        """Mark the other endpoints at a registration's address as stale."""
         for found in self._others_at(said):
             if found.is_stale:
                 continue
@@ -262,9 +265,10 @@
     def final_registration(
         self, endpoint: ids.EndpointId, born_ms: int | None = None
     ) -> Registration:
-        """Return the last registration of an endpoint that leaves.
+        """Return the registration that withdraws an endpoint.
 
-        ``born_ms`` names the life that ends, None the one that is known.
+        ``born_ms`` selects the instance that ends; None selects the known
+        one.
         """
         old = self.entries.get(endpoint)
         if old is not None and born_ms not in (None, old.registration.born_ms):
@@ -288,9 +292,10 @@
         )
 
     def mark_stale(self) -> bool:
-        """Mark those that have not renewed for long; tell if any is new.
+        """Mark endpoints with overdue renewals; return whether any is new.
 
-        Only who hears the renewals can tell; others are told.
+        Only a host that receives the renewals can call this; others
+        receive the mark.
         """
         now_ms = self._clock.mono_ms()
         marked = False
@@ -306,12 +311,12 @@
         return marked
 
     def is_stale(self, endpoint: ids.EndpointId) -> bool:
-        """Tell whether an endpoint has not renewed for long."""
+        """Return whether an endpoint is unknown or its renewal is overdue."""
         found = self.entries.get(endpoint)
         return found is None or found.is_stale
 
     def registrations_since(self, revision: int) -> list[Registration]:
-        """Return what changed after a revision, with its age."""
+        """Return the registrations that changed after a revision."""
         return [
             self.with_age(found)
             for found in self.entries.values()
@@ -319,16 +324,16 @@
         ]
 
     def with_age(self, found: EndpointEntry) -> Registration:
-        """Return a registration with its age of now."""
+        """Return a registration with its current ``age_ms``."""
         age_ms = self._clock.mono_ms() - found.reported_ms
         return msgspec.structs.replace(
             found.registration, age_ms=max(age_ms, 0)
         )
 
     def evict_expired(self) -> None:
-        """Drop what left or fell silent too long ago to matter.
+        """Evict endpoints that left or went stale long ago.
 
-        Age alone says nothing where only changes are heard.
+        Age alone is no criterion: entry hosts receive changes only.
         """
         now_ms = self._clock.mono_ms()
         for endpoint, found in list(self.entries.items()):
