--- a/wrenspoke/state/replicated.py
+++ b/wrenspoke/state/replicated.py
@@ -1,4 +1,4 @@
-"""The state that the log's entries make, the same on every voter."""
+"""State machine of the replicated log, the same on every voter."""
 
 import enum
 
@@ -11,7 +11,7 @@
 from wrenspoke.state import plans
 from wrenspoke.state import routes
 
-# The fields of the state below hide these modules in its own body.
+# Aliases: fields of ReplicatedState shadow the modules of the same names.
 Change = configuration.Change
 Configuration = configuration.Configuration
 Plan = plans.Plan
@@ -23,7 +23,7 @@
 
 
 class Verdict(enum.Enum):
-    """Say what became of an operator's request."""
+    """Outcome of an operator's request."""
 
     ACCEPTED = 'accepted'
     CONFLICT = 'conflict'
@@ -33,7 +33,7 @@
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """Answer an operator's request; the same again gets the same."""
+    """Answer to an operator's request; resends get the same answer."""
 
     verdict: Verdict
     plan: ids.PlanId
@@ -42,21 +42,21 @@
 
 
 class StoredAnswer(msgspec.Struct, frozen=True):
-    """Hold an answer with the digest of what was asked."""
+    """An answer with the digest of its request."""
 
     digest: str
     answer: Answer
 
 
 class ApplyResult(msgspec.Struct, frozen=True):
-    """Tell what applying an entry did."""
+    """Result of applying an entry."""
 
     answer: Answer | None = None
     change: configuration.Change | None = None
 
 
 class ReplicatedState(msgspec.Struct):
-    """Hold what operators decided and what became of it."""
+    """Configuration, plans and stored answers."""
 
     index: int = 0
     configuration: Configuration = Configuration()
@@ -66,7 +66,7 @@
     lenders: tuple[ids.HostId, ...] = ()
 
     def apply(self, index: int, entry: entries.Entry) -> ApplyResult:
-        """Apply the entry at ``index``; the same on every voter."""
+        """Apply the entry at ``index``; deterministic."""
         self.index = index
         applier = _APPLIERS.get(type(entry))
         return (
@@ -76,7 +76,7 @@
     def find_answer(
         self, operator: ids.OperatorId, number: int, digest: str
     ) -> Answer | None:
-        """Return the answer to a request that was made before."""
+        """Return the stored answer to a resent request, or None."""
         kept = self.answers.get(operator, {})
         found = kept.get(number)
         if found is None:
@@ -102,7 +102,7 @@
         digest: str,
         answer: Answer,
     ) -> ApplyResult:
-        """Keep an answer for a resend and return it."""
+        """Store an answer for resends and return it as a result."""
         kept = self.answers.setdefault(operator, {})
         kept[number] = StoredAnswer(digest, answer)
         while len(kept) > MAX_STORED_ANSWERS:
@@ -116,7 +116,10 @@
         reached: int,
         ends: tuple[StepResult, ...],
     ) -> Change | None:
-        """Move a plan on, putting the changes that it reaches in force."""
+        """Advance a plan to ``reached`` and apply the changes from there.
+
+        Return the applied changes, or None if there are none.
+        """
         changes = []
         current = self.configuration
         while reached < len(plan.steps):
@@ -143,7 +146,7 @@
         return configuration.ChangeBatch(tuple(changes))
 
     def running_plans(self) -> list[Plan]:
-        """Return the plans that wait for a step."""
+        """Return the plans that have a step to execute."""
         return [
             plan for plan in self.plans.values() if plan.current is not None
         ]
@@ -219,8 +222,8 @@
         confirmed = msgspec.structs.replace(plan, confirmed_index=index)
         change = state.advance_plan(confirmed, index, 0, ())
         if change is None:
-            # A plan that begins with an order changes nothing yet, but
-            # no other made on the same index may be confirmed beside it.
+            # A plan that starts with an order changes nothing yet. Raise
+            # the index to invalidate other plans with the same base.
             change = configuration.ChangeBatch(())
             state.configuration = configuration.apply(
                 state.configuration, change, index
@@ -262,7 +265,7 @@
     try:
         change = state.advance_plan(plan, index, plan.reached + 1, ends)
     except errors.StateError as error:
-        # What the plan was made on has been changed by another since.
+        # Another plan changed what this one is based on.
         failed = msgspec.structs.replace(end, detail=str(error))
         state.plans[entry.plan] = msgspec.structs.replace(
             plan, state=plans.PlanState.FAILED, ends=(*plan.ends, failed)
@@ -290,7 +293,10 @@
 def routes_verdict(
     held: routes.RouteTable, offered: routes.RouteTable
 ) -> Verdict:
-    """Say what becomes of a table; an old one is taken and not used."""
+    """Return the verdict on a route table.
+
+    An older version is accepted but not applied.
+    """
     if offered.version == held.version and offered.digest != held.digest:
         return Verdict.CONFLICT
     return Verdict.ACCEPTED
--- a/wrenspoke/state/routes.py
+++ b/wrenspoke/state/routes.py
@@ -1,7 +1,6 @@
-"""Routes: which service answers which host and path, and how.
+"""Route tables: which service handles which host and path, and how.
 
-Operators replace a table of routes as a whole. A table with a higher
-version is newer, whatever came in between.
+Operators replace the whole table; the highest version wins.
 """
 
 import enum
@@ -16,14 +15,14 @@
 
 
 BITS_PER_BYTE = 8
-# What a link of one megabit a second carries in a millisecond.
+# Bits that a link of one megabit per second carries in a millisecond.
 BITS_PER_MS_OF_MBPS = 1_000
-# Homes of what no region may serve; a name that no region has.
+# Homes of a route that no region may serve: a name that no region has.
 NO_REGION = (ids.RegionId(''),)
 
 
 class RouteKind(enum.Enum):
-    """Say what may be repeated, and in which shape answers come."""
+    """Retry semantics and response format of a route."""
 
     REPEATABLE = 'repeatable'
     ONCE = 'once'
@@ -31,20 +30,19 @@
 
 
 class Target(msgspec.Struct, frozen=True, array_like=True):
-    """Name a service that takes a share of a route's requests."""
+    """A service that receives a weighted share of a route's requests."""
 
     service: ids.ServiceId
     weight: float = 1.0
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Describe how requests to a host and path prefix are served.
+    """Defines how requests to a host and path prefix are served.
 
-    ``target_ms`` is the time in which an answer has its full worth (of a
-    stream: its first event), ``pause_target_ms`` the longest pause
-    between two events that keeps a stream in time. Without ``homes``
-    every region may serve it. Priority 0 is the most urgent. An ``open``
-    route serves callers without a key, too.
+    ``target_ms`` is the latency objective (of a stream: for its first
+    event), ``pause_target_ms`` the objective for the gap between two
+    events. Without ``homes`` every region may serve the route. Priority 0
+    is the most urgent. An ``open`` route needs no API key.
     """
 
     name: str
@@ -64,19 +62,20 @@
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether a request may run more than once."""
+        """Return whether a request may run more than once."""
         if self.kind is RouteKind.STREAM:
             return self.resumable
         return self.kind is RouteKind.REPEATABLE
 
     def allows(self, region: ids.RegionId) -> bool:
-        """Tell whether endpoints of a region may serve it."""
+        """Return whether endpoints of a region may serve the route."""
         return not self.homes or region in self.homes
 
     def restricted_to(self, homes: tuple[ids.RegionId, ...]) -> 'Route':
-        """Return the route as it is for a team that has homes.
+        """Return the route restricted to the home regions of a team.
 
-        Both bind: what is left is where both may be served.
+        The result allows the regions that both the route and the team
+        allow, which may be none.
         """
         if not homes:
             return self
@@ -87,11 +86,11 @@
 
 
 class Batch(msgspec.Struct, frozen=True):
-    """Say what an engine's memory holds and how it works in batches.
+    """Cache capacity and batching parameters of an engine.
 
-    With ``moves`` an engine can take what another keeps of a prompt, at
-    ``token_bytes`` a token over a link of ``link_mbps``. An event of a
-    stream holds ``event_tokens``.
+    With ``moves`` an engine can fetch the cached prefix of a prompt from
+    another one, ``token_bytes`` per token over a link of ``link_mbps``. A
+    stream event holds ``event_tokens``.
     """
 
     slots: int
@@ -102,7 +101,7 @@
     event_tokens: int = 1
 
     def cache_transfer_ms(self, tokens: float) -> float:
-        """Return how long the memory of some tokens is on its way."""
+        """Return the time to transfer the cache of ``tokens`` tokens."""
         if self.link_mbps <= 0:
             return 0.0
         bits = tokens * self.token_bytes * BITS_PER_BYTE
@@ -110,9 +109,9 @@
 
 
 class RoutedService(msgspec.Struct, frozen=True):
-    """Describe a service that routes lead to.
+    """Defines a service that routes can target.
 
-    A cold endpoint bears ``warmup_per_s`` requests a second.
+    An endpoint in warm-up accepts ``warmup_per_s`` requests per second.
     """
 
     service: ids.ServiceId
@@ -124,7 +123,7 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True):
-    """Bound what a caller may send and how long it may take."""
+    """Size limits and timeouts for requests of callers."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 4 * 1024 * 1024
@@ -133,11 +132,11 @@
 
 
 class RouteTable(msgspec.Struct, frozen=True):
-    """Hold all routes at one version.
+    """All routes at one version.
 
-    ``document`` is what the operator sent, given back as it was; only
-    control hosts hold it. ``digest`` tells whether two documents say the
-    same. With ``teams`` callers need a key.
+    ``document`` is the operator's document, returned unchanged; only
+    control hosts hold it. Documents with equal content have the same
+    ``digest``. If ``teams`` is set, callers need an API key.
     """
 
     version: int = 0
@@ -153,23 +152,23 @@
         return self.services.get(service)
 
     def without_document(self) -> 'RouteTable':
-        """Return what hosts need that serve callers.
+        """Return the table as sent to entry hosts.
 
-        The document is as large as all else, and holds keys as they are.
+        The document doubles the size and contains API keys in plain text.
         """
         return msgspec.structs.replace(self, document=b'')
 
 
 def digest_of(document: typing.Any) -> str:
-    """Return a digest that ignores white space and the order of fields."""
+    """Return a digest that ignores whitespace and the order of fields."""
     canonical = msgspec.json.encode(document, order='sorted')
     return hashlib.sha256(canonical).hexdigest()
 
 
 def check(table: RouteTable) -> None:
-    """Refuse a table that can't be served.
+    """Validate a route table.
 
-    :raises InvalidChangeError: naming the field that is wrong
+    :raises InvalidChangeError: a field is invalid; the message names it
     """
     if table.version < 1:
         raise errors.InvalidChangeError(
@@ -181,8 +180,8 @@
         place = (route.host, route.path_prefix)
         if place in places:
             raise errors.InvalidChangeError(
-                f'routes.{route.name}: host and prefix {place} are taken '
-                f'by {places[place]}'
+                f'routes.{route.name}: host and prefix {place} are already '
+                f'taken by {places[place]}'
             )
         places[place] = route.name
     if table.teams is not None:
@@ -206,15 +205,21 @@
                 f'{where}: weight {target.weight} is below 0'
             )
     if sum(target.weight for target in route.targets) <= 0:
-        raise errors.InvalidChangeError(f'{where}: the weights sum to 0')
+        raise errors.InvalidChangeError(
+            f'{where}: the target weights sum to 0'
+        )
     if route.timeout_ms <= 0:
-        raise errors.InvalidChangeError(f'{where}: the time-out is 0')
+        raise errors.InvalidChangeError(
+            f'{where}: time-out {route.timeout_ms} ms is not above 0'
+        )
     if route.attempts_limit < 1:
-        raise errors.InvalidChangeError(f'{where}: no attempt is allowed')
+        raise errors.InvalidChangeError(
+            f'{where}: attempts_limit {route.attempts_limit} is below 1'
+        )
 
 
 class RouteIndex:
-    """Find the route of a request, by host and longest prefix."""
+    """Looks up routes by host and longest matching path prefix."""
 
     def __init__(self, table: RouteTable):
         self.table = table
@@ -225,7 +230,7 @@
             routes.sort(key=lambda route: -len(route.path_prefix))
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix, None without one."""
+        """Return the route with the longest matching prefix, or None."""
         for route in self._by_host.get(host.lower(), ()):
             if path.startswith(route.path_prefix):
                 return route
