--- a/wrenspoke/state/storage.py
+++ b/wrenspoke/state/storage.py
@@ -1,9 +1,9 @@
-"""A voter's durable state: who it is, its snapshot and its log.
+"""Durable state of a voter: its identity and vote, snapshot and log.
 
-Everything is synced before the call returns, so that what was
-acknowledged survives. The folder holds three files: ``meta``, replaced
-whole; ``snapshot``, replaced whole; ``log``, appended to. A fourth,
-``committed``, only helps a restart and may be lost.
+Writes are synced before the call returns, so that acknowledged data
+survives a crash. The directory holds three files: ``meta`` and
+``snapshot``, which are replaced atomically, and ``log``, which is appended
+to. A fourth, ``committed``, speeds up a restart and may be lost.
 """
 
 import itertools
@@ -25,16 +25,17 @@
 SNAPSHOT = 'snapshot'
 LOG = 'log'
 COMMITTED = 'committed'
-# Begins a record of several entries; no encoded value begins with it.
+# Prefix of a record with several entries; no MessagePack value starts with
+# this byte.
 MULTI_ENTRY_MARKER = b'\xc1'
 
 
 class Meta(msgspec.Struct):
-    """Say which disk this is, and hold its vote.
+    """Identity and vote of a voter.
 
-    ``boot`` counts the starts of this incarnation; ``boots`` holds the
-    highest that was heard of others, by which a disk put back from an
-    old copy gives itself away.
+    ``boot`` counts the starts of this incarnation. ``boots`` holds the
+    highest boot number seen of each other incarnation, to detect a disk
+    restored from an old copy.
     """
 
     incarnation: ids.Incarnation
@@ -45,7 +46,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """Hold the state up to an index, and who voted then."""
+    """State up to an index, with the voters at that index."""
 
     index: int = 0
     term: int = 0
@@ -55,12 +56,12 @@
 
     @property
     def electorate(self) -> electorates.Electorate:
-        """Return who decided then."""
+        """Return the electorate at the index of the snapshot."""
         return electorates.Electorate(self.voters, self.before)
 
 
 class Storage:
-    """Keep a voter's state on its disk."""
+    """Durable storage of one voter."""
 
     def __init__(self, opened: disk.Disk):
         self._disk = opened
@@ -73,7 +74,7 @@
         self._index_electorates()
 
     def check(self) -> None:
-        """Stop the voter if its disk has failed.
+        """Raise an error if the disk has failed.
 
         :raises DiskError: a write or sync failed before
         """
@@ -85,7 +86,7 @@
             return msgspec.msgpack.decode(body, type=Meta)
         if self._disk.read(LOG) or self._disk.read(SNAPSHOT):
             raise errors.CorruptLogError(
-                META, 0, 'missing beside a log or snapshot'
+                META, 0, 'missing, but a log or snapshot exists'
             )
         meta = Meta(ids.Incarnation(ids.new_unique()))
         logger.info('new_disk', incarnation=meta.incarnation)
@@ -103,7 +104,9 @@
             return None
         found, _size = records.decode(name, data)
         if len(found) != 1 or found[0].end != len(data):
-            raise errors.CorruptLogError(name, 0, 'not one good record')
+            raise errors.CorruptLogError(
+                name, 0, 'expected exactly one valid record'
+            )
         return found[0].body
 
     def _read_log(self) -> None:
@@ -123,76 +126,76 @@
         self, entry: entries.LogEntry, record: records.Record
     ) -> None:
         if not self._entries and entry.index <= self.snapshot.index:
-            # Written before the snapshot that covers it.
+            # Already covered by the snapshot.
             self._end_offsets = [record.end]
             return
         if entry.index != self.last_index + 1:
             raise errors.CorruptLogError(
                 LOG,
                 record.start,
-                f'entry {entry.index} follows {self.last_index}',
+                f'entry {entry.index} follows entry {self.last_index}',
             )
         self._entries.append(entry)
         self._end_offsets.append(record.end)
 
     @property
     def first_index(self) -> int:
-        """Return the lowest index that the log still holds."""
+        """Return the index that follows the snapshot."""
         return self.snapshot.index + 1
 
     @property
     def last_index(self) -> int:
-        """Return the highest index that is synced here."""
+        """Return the highest index that is synced to this disk."""
         if self._entries:
             return self._entries[-1].index
         return self.snapshot.index
 
     @property
     def last_term(self) -> int:
-        """Return the term of the last entry."""
+        """Return the term of the last entry, or of the snapshot."""
         if self._entries:
             return self._entries[-1].term
         return self.snapshot.term
 
     @property
     def log_bytes(self) -> int:
-        """Return the size of the log on the disk."""
+        """Return the size of the log file in bytes."""
         return self._end_offsets[-1] if self._end_offsets else 0
 
     def term_at(self, index: int) -> int | None:
-        """Return the term at an index, or None if it is not held."""
+        """Return the term at an index, or None if it is not in the log."""
         if index == self.snapshot.index:
             return self.snapshot.term
         entry = self.entry(index)
         return None if entry is None else entry.term
 
     def entry(self, index: int) -> entries.LogEntry | None:
-        """Return the entry at an index, or None if it is not held."""
+        """Return the entry at an index, or None if it is not in the log."""
         place = index - self.first_index
         if 0 <= place < len(self._entries):
             return self._entries[place]
         return None
 
     def entries_from(self, index: int, limit: int) -> list:
-        """Return up to ``limit`` entries from an index on."""
+        """Return up to ``limit`` entries, starting at an index."""
         place = index - self.first_index
         return self._entries[place : place + limit]
 
     def electorate(self) -> electorates.Electorate:
-        """Return who decides by the newest entry, committed or not."""
+        """Return the electorate of the last entry, committed or not."""
         return self.electorate_at(self.last_index)
 
     def electorate_at(self, index: int) -> electorates.Electorate:
-        """Return who decides by the entries up to an index."""
+        """Return the electorate in force at an index."""
         for changed, found in reversed(self._electorates):
             if changed <= index:
                 return found
         return self.snapshot.electorate
 
     def _index_electorates(self) -> None:
-        """Remember which entries change who decides.
+        """Index the entries that change the electorate.
 
-        It is asked for with each beat, the log is up to 500 entries long.
+        The electorate is read on every heartbeat.
         """
         self._electorates = [
             (entry.index, entry.entry.electorate)
@@ -201,11 +204,11 @@
         ]
 
     def append(self, added: typing.Sequence[entries.LogEntry]) -> None:
-        """Add entries behind the last one and sync them.
+        """Append entries after the last one and sync them.
 
-        They are one record, which a power loss leaves whole or bad: of
-        several, a later one could be there without an earlier one, which
-        looks as if the disk had lost what was synced.
+        The entries form one record, which is valid or invalid as a whole
+        after a power loss. With several records a later one could survive
+        without an earlier one, which looks like corruption of synced data.
         """
         body = _encode_entries(added)
         if len(body) > records.RECORD_LIMIT_BYTES and len(added) > 1:
@@ -222,7 +225,7 @@
             self._index_electorates()
 
     def truncate_from(self, index: int) -> None:
-        """Drop the entries from an index on, which never committed."""
+        """Drop the uncommitted entries from an index on."""
         place = index - self.first_index
         if place >= len(self._entries):
             return
@@ -230,7 +233,7 @@
         keep = place + skipped
         size_bytes = self._end_offsets[keep - 1] if keep else 0
         if size_bytes == self._end_offsets[keep]:
-            # What is kept stands in one record with what is dropped.
+            # The record at the cut also holds entries that are kept.
             self._rewrite_log(self._entries[:place])
             return
         self._disk.truncate(LOG, size_bytes)
@@ -239,9 +242,9 @@
         self._index_electorates()
 
     def save_meta(self) -> None:
-        """Sync who this voter is and whom it voted for.
+        """Write and sync ``meta``.
 
-        :raises DiskFullError: ``meta`` is again what was synced last
+        :raises DiskFullError: ``meta`` is reset to its last synced value
         """
         body = msgspec.msgpack.encode(self.meta)
         try:
@@ -252,7 +255,7 @@
         self._synced_meta = body
 
     def save_snapshot(self, snapshot: Snapshot) -> None:
-        """Sync a snapshot, then drop the entries that it covers."""
+        """Write and sync a snapshot, then drop the entries that it covers."""
         body = msgspec.msgpack.encode(snapshot)
         self._disk.replace(SNAPSHOT, records.encode(body))
         rest = []
@@ -266,7 +269,7 @@
         self._rewrite_log(rest)
 
     def _rewrite_log(self, kept: list[entries.LogEntry]) -> None:
-        """Put a log of some entries in place of the log, at once."""
+        """Replace the log atomically with the given entries."""
         encoded = [records.encode(_encode_entries([entry])) for entry in kept]
         self._disk.replace(LOG, b''.join(encoded))
         self._entries = kept
@@ -274,13 +277,13 @@
         self._index_electorates()
 
     def save_committed(self, index: int) -> None:
-        """Write down, unsynced, up to where entries are committed."""
+        """Write the commit index without syncing it."""
         noted = (self.meta.incarnation, index)
         body = msgspec.msgpack.encode(noted)
         self._disk.write_unsynced(COMMITTED, records.encode(body))
 
     def read_committed(self) -> int:
-        """Return up to where entries were surely committed."""
+        """Return an index up to which entries are known to be committed."""
         least = self.snapshot.index
         if self._entries:
             told = max(entry.committed for entry in self._entries)
@@ -296,9 +299,10 @@
         return max(least, min(index, self.last_index))
 
     def reset_identity(self) -> None:
-        """Become a new disk: another incarnation that holds nothing."""
-        # The new name goes first: a log under a name that never voted
-        # claims nothing, while an old name without its log would.
+        """Start over as a new incarnation with an empty log."""
+        # Write the new incarnation first: after a crash in between, an old
+        # incarnation without its log would break the promises it made; a
+        # new one has never voted.
         self.meta = Meta(ids.Incarnation(ids.new_unique()))
         self.save_meta()
         self._disk.remove(LOG)
@@ -310,14 +314,14 @@
 
 
 def _encode_entries(added: typing.Sequence[entries.LogEntry]) -> bytes:
-    """Return the body of the record that holds some entries."""
+    """Return the body of a record with the given entries."""
     if len(added) == 1:
         return msgspec.msgpack.encode(added[0])
     return MULTI_ENTRY_MARKER + msgspec.msgpack.encode(added)
 
 
 def _decode_entries(body: bytes) -> list[entries.LogEntry]:
-    """Return the entries that a record holds."""
+    """Return the entries in the body of a record."""
     if not body.startswith(MULTI_ENTRY_MARKER):
         return [msgspec.msgpack.decode(body, type=entries.LogEntry)]
     return msgspec.msgpack.decode(
--- a/wrenspoke/state/teams.py
+++ b/wrenspoke/state/teams.py
@@ -1,8 +1,8 @@
-"""Teams: who may call, by which keys, how urgently, where and how much.
+"""Teams: API keys, priorities, home regions and rate limits of callers.
 
-A team proves itself by one of its keys. Only keyed digests of keys are
-held: what a host, a log entry or a disk knows of a key can't be used to
-call, and digests made under one secret say nothing under another.
+A team authenticates with one of its API keys. Only keyed digests of keys
+are stored, so hosts, log entries and disks contain nothing that could be
+used to call, and digests made with one secret are useless with another.
 """
 
 import enum
@@ -21,17 +21,17 @@
 
 
 class LimitUnit(enum.Enum):
-    """Say what a team's limit counts."""
+    """Unit of a team's limit."""
 
     CALLS = 'calls'
     TOKENS = 'tokens'
 
 
 class TeamLimit(msgspec.Struct, frozen=True):
-    """Bound what a team may ask for, over all hosts together.
+    """Rate limit of a team, over all hosts together.
 
-    Calls or tokens, ``rate_per_s`` of them and ``burst`` on top. A call
-    that does not say how many tokens it needs counts ``plain_amount``.
+    ``rate_per_s`` and ``burst`` are in calls or tokens. A call that states
+    no number of tokens costs ``plain_amount``.
     """
 
     rate_per_s: float
@@ -40,17 +40,17 @@
     plain_amount: float = 1.0
 
     def amount(self, tokens: int) -> float:
-        """Return how much a call counts that needs so many tokens."""
+        """Return the cost of a call that needs ``tokens`` tokens."""
         if self.unit is LimitUnit.CALLS:
             return 1.0
         return float(tokens) if tokens > 0 else self.plain_amount
 
 
 class Team(msgspec.Struct, frozen=True):
-    """Describe a team.
+    """A team of callers.
 
-    ``keys`` are digests. Priority 0 is the most urgent. Without ``homes``
-    every region may serve it, without ``limit`` it may ask for any amount.
+    ``keys`` holds digests. Priority 0 is the most urgent. Without ``homes``
+    every region may serve the team; without ``limit`` it is not limited.
     """
 
     team: ids.TeamId
@@ -61,33 +61,33 @@
 
 
 class TeamTable(msgspec.Struct, frozen=True):
-    """Hold all teams, and the secret that their keys' digests are made by."""
+    """All teams, and the secret of the digests of their keys."""
 
     secret: bytes
     teams: tuple[Team, ...] = ()
 
 
 def new_secret() -> bytes:
-    """Return a secret to make digests by."""
+    """Return a random secret for key digests."""
     return secrets.token_bytes(SECRET_BYTES)
 
 
 def derive_secret(cluster: str) -> bytes:
-    """Return the secret of a deployment whose keys are drawn by ``new_key``.
+    """Return the digest secret of a deployment that uses ``new_key``.
 
-    Such keys can't be guessed; the secret keeps digests of one deployment
-    from saying anything in another.
+    Such keys cannot be guessed; the secret only makes the digests of one
+    deployment useless in another.
     """
     return hashlib.blake2b(cluster.encode(), digest_size=SECRET_BYTES).digest()
 
 
 def new_key() -> str:
-    """Return a key that nobody has."""
+    """Return a new random API key."""
     return secrets.token_urlsafe(KEY_BYTES)
 
 
 def digest_of(key: str, secret: bytes) -> bytes:
-    """Return what is held in place of a key."""
+    """Return the keyed digest of an API key."""
     return hashlib.blake2b(
         key.encode('utf-8', 'surrogateescape'),
         digest_size=DIGEST_BYTES,
@@ -96,16 +96,16 @@
 
 
 def check(table: TeamTable) -> None:
-    """Refuse teams that can't be told apart, or whose fields are wrong.
+    """Validate a team table: unique names and keys, valid limits.
 
-    :raises InvalidChangeError: naming the teams and the field
+    :raises InvalidChangeError: the message names the teams and the field
     """
     names: set[ids.TeamId] = set()
     holders: dict[bytes, ids.TeamId] = {}
     for team in table.teams:
         where = f'teams.{team.team}'
         if team.team in names:
-            raise errors.InvalidChangeError(f'{where}: there are two of it')
+            raise errors.InvalidChangeError(f'{where}: duplicate team')
         names.add(team.team)
         for key in team.keys:
             holder = holders.setdefault(key, team.team)
@@ -128,7 +128,7 @@
 
 
 class TeamIndex:
-    """Find the team that holds a key."""
+    """Looks up teams by API key or name."""
 
     def __init__(self, table: TeamTable):
         self.table = table
@@ -136,11 +136,11 @@
         self._by_name = {team.team: team for team in table.teams}
 
     def find(self, key: str) -> Team | None:
-        """Return the team that holds a key, None if none does."""
+        """Return the team that holds an API key, or None."""
         if not key:
             return None
         return self._by_key.get(digest_of(key, self.table.secret))
 
     def find_by_name(self, team: ids.TeamId) -> Team | None:
-        """Return a team by its name, None if there is none."""
+        """Return the team with a name, or None."""
         return self._by_name.get(team)
