--- a/tests/test_electorates.py
+++ b/tests/test_electorates.py
@@ -1,4 +1,4 @@
-"""What a majority of one or of two sets of voters has reached."""
+"""Majorities of one voter set, and of two during joint consensus."""
 
 import pytest
 
@@ -16,12 +16,12 @@
         (THREE, {}, {'A': 9, 'B': 5, 'C': 1}, 5),
         (THREE, {}, {'A': 9}, 0),
         ({**THREE, 'd': 'D'}, {}, {'A': 9, 'B': 8, 'D': 3}, 3),
-        # The one that left and the one that comes are each not needed.
+        # Neither the leaving nor the joining voter is required.
         (OTHER, THREE, {'A': 9, 'B': 5}, 5),
-        # Neither makes up for a majority of the other set.
+        # A majority of one set does not replace one of the other set.
         (OTHER, THREE, {'A': 9, 'D': 9}, 0),
         (OTHER, THREE, {'A': 9, 'C': 7, 'D': 6}, 6),
-        # The same host on two disks counts once in each set.
+        # A host with a new disk is a different voter in each set.
         ({**THREE, 'c': 'new'}, THREE, {'A': 9, 'new': 9}, 0),
         ({**THREE, 'c': 'new'}, THREE, {'A': 9, 'B': 2, 'new': 9}, 2),
     ],
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -1,4 +1,4 @@
-"""Plans and answers under generated orders, resends and restarts."""
+"""Plans stay deterministic under generated requests, resends, restarts."""
 
 import hypothesis
 from hypothesis import stateful
@@ -43,7 +43,7 @@
 
 
 class PlanMachine(stateful.RuleBasedStateMachine):
-    """Apply entries to two copies, one of which is restarted at times."""
+    """Applies entries to two copies; one is restored from snapshots."""
 
     def __init__(self):
         super().__init__()
@@ -105,7 +105,7 @@
             self.won[base] = name
 
     def check_resend(self, key, digest, answer):
-        """Compare with what the same number was told before."""
+        """Assert that a resend gets the answer of the first request."""
         if key not in self.asked:
             self.asked[key] = (digest, answer)
             return
@@ -133,7 +133,7 @@
 
     @stateful.rule()
     def restart(self):
-        """Come back from a snapshot."""
+        """Replace one copy by its decoded snapshot."""
         encoded = msgspec.msgpack.encode(self.other)
         self.other = msgspec.msgpack.decode(
             encoded, type=replicated.ReplicatedState
--- a/tests/test_registers.py
+++ b/tests/test_registers.py
@@ -1,4 +1,4 @@
-"""The ledger's registers under generated interleavings and restarts."""
+"""At most one attempt is dispatched per key, also across restarts."""
 
 import pickle
 
@@ -20,7 +20,7 @@
 
 
 class Proposal:
-    """Hold one attempt of one host, step by step."""
+    """State of one proposer's round."""
 
     def __init__(self, host, ballot, attempt):
         self.host = host
@@ -33,12 +33,12 @@
 
 
 def consistent(votes):
-    """Return the votes that count, if they are a majority."""
+    """Return the valid votes if they are a majority, else None."""
     return registers.consistent_votes(votes, QUORUM)
 
 
 class Cluster:
-    """Hold three copies of the ledger, and rounds under way."""
+    """Three ledger hosts, with the values chosen so far."""
 
     def __init__(self):
         self.copies = {
@@ -48,7 +48,7 @@
         self.chosen = []
 
     def prepare(self, one, hosts):
-        """Let a round's prepare reach hosts."""
+        """Deliver the prepare of a round to hosts."""
         for host in hosts:
             if one.claim is not None or host in one.promises:
                 continue
@@ -58,7 +58,7 @@
                 self.settle(one)
 
     def settle(self, one):
-        """Choose a round's value once a majority has promised."""
+        """Choose the value of a round once a majority has promised."""
         quorum = consistent(one.promises)
         if quorum is None:
             return
@@ -68,7 +68,7 @@
         )
 
     def accept(self, one, hosts):
-        """Let a round's accept reach hosts."""
+        """Deliver the accept of a round to hosts."""
         for host in hosts:
             if one.claim is None or host in one.accepts:
                 continue
@@ -82,7 +82,7 @@
                 self.chosen.append(one.claim)
 
     def restart(self, host):
-        """Forget everything; at most one host is without its memory."""
+        """Restart a host without its registers, one host at a time."""
         if self.recovering:
             return
         epoch = self.copies[host].epoch + 1
@@ -91,21 +91,21 @@
         self.recovering = {host: {}}
 
     def recall(self, others):
-        """Read the memory back from other hosts."""
+        """Recover the registers of the restarted host from others."""
         ((host, memories),) = self.recovering.items()
         copy = self.copies[host]
         for other in others:
             if other == host:
                 continue
             told = self.copies[other].on_recovery_request(host, copy.epoch)
-            # What is told was true then; it arrives as a copy.
+            # Copied: the snapshot must not change after it was sent.
             memories[other] = pickle.loads(pickle.dumps(told))
         if len(memories) >= QUORUM:
             copy.restore(list(memories.values()))
             self.recovering = {}
 
     def winners(self):
-        """Return the attempts that were let through."""
+        """Return the attempts that were dispatched."""
         return {
             claim.attempt_id
             for claim in self.chosen
@@ -113,7 +113,7 @@
         }
 
 
-# Steps by round number and hosts; rounds are given with their ballots.
+# Ballots by round number, then the steps with round number and hosts.
 INTERLEAVINGS = {
     'votes without its memory': (
         {1: 1, 2: 2},
@@ -183,7 +183,7 @@
 
 
 class LedgerMachine(stateful.RuleBasedStateMachine):
-    """Deliver prepares and accepts in any order; restart hosts."""
+    """Delivers prepares and accepts in any order and restarts hosts."""
 
     def __init__(self):
         super().__init__()
@@ -197,7 +197,7 @@
         reached=SOME_HOSTS,
     )
     def propose(self, host, number, reached):
-        """Begin a round that reaches some hosts at first."""
+        """Start a round and deliver its prepare to some hosts."""
         ballot = registers.Ballot(number, host)
         if len(self.proposals) >= 5 or ballot in self.ballots:
             return
@@ -246,7 +246,7 @@
 
 
 def claim(state, attempt=0, name=''):
-    """Return a claim in some state."""
+    """Return a claim in the given state."""
     return registers.Claim(
         registers.ClaimState(state), attempt, ids.HostId('a'), name
     )
@@ -293,7 +293,7 @@
 def test_snapshot_is_complete_across_chunks(count, part_bytes):
     copy = registers.Registers(ids.HostId('a'), 1, 0)
     for number in range(count):
-        # Some keys share an issue time.
+        # Three keys share each issue time.
         copy.prepare(f'k{number}', number // 3, registers.Ballot(1, 'a'))
     told = []
     after = registers.START_CURSOR
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Tables of routes: what is refused, what is found, which one prevails."""
+"""Route tables: validation, lookup and versioning."""
 
 import msgspec
 import pytest
@@ -11,7 +11,7 @@
 
 
 def route(name='r', prefix='/a/', host='h', **changes):
-    """Return a sound route."""
+    """Return a valid route."""
     fields = {
         'kind': routes.RouteKind.ONCE,
         'targets': (routes.Target('s'),),
@@ -22,7 +22,7 @@
 
 
 def table(*found, version=1, digest='x'):
-    """Return a table with one service."""
+    """Return a route table with one service."""
     services = {'s': routes.RoutedService('s', '/health', 10)}
     return routes.RouteTable(version, found, services, digest=digest)
 
@@ -118,7 +118,7 @@
 
 
 def test_whole_configuration_carries_routes_and_evacuations():
-    """What a replica is brought whole must lose neither."""
+    """Replacing the whole configuration must keep both."""
     whole = configuration.Configuration(
         index=4, routes=table(version=2), evacuated=('north',)
     )
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,4 +1,4 @@
-"""The log, snapshots and meta survive crashes; damage is told."""
+"""Log, snapshots and meta survive crashes; corruption is detected."""
 
 import errno
 
@@ -17,7 +17,7 @@
 
 
 class FakeDisk:
-    """Be a disk that a crash may interrupt in the middle of a write."""
+    """In-memory disk that can crash in the middle of a write."""
 
     def __init__(self):
         self.files = {}
@@ -33,10 +33,10 @@
         return self.files.get(name)
 
     def _write(self, name, old, new):
-        """Write, or crash and leave what was there plus a part.
+        """Write, or crash and leave a partial write after the old content.
 
-        Blocks of a write reach the disk in any order: its beginning may
-        be missing where more of it is there.
+        Blocks of a write reach the disk in any order, so the beginning may
+        be missing where later bytes are present.
         """
         if self.crash_after is not None:
             if new.startswith(old):
@@ -65,18 +65,18 @@
 
 
 class Crash(Exception):
-    """Stand for the end of the process."""
+    """Simulated crash of the process."""
 
 
 def entry(index, term=1):
-    """Return a log entry that names its place."""
+    """Return a log entry that contains its index and term."""
     return entries.LogEntry(
         index, term, entries.LeaderStart(ids.HostId(f'h{index}-{term}'))
     )
 
 
 class StorageMachine(stateful.RuleBasedStateMachine):
-    """Compare storage with a plain list through crashes."""
+    """Compares storage with a list as the model, across crashes."""
 
     def __init__(self):
         super().__init__()
@@ -111,7 +111,7 @@
         with pytest.raises(Crash):
             self.kept.append(added)
         self.reopen()
-        # What was not acknowledged may be there, as a prefix of it.
+        # A prefix of the unacknowledged entries may have survived.
         extra = self.kept.last_index - (first - 1)
         assert 0 <= extra <= count
         self.model += added[:extra]
@@ -217,7 +217,7 @@
     with pytest.raises(errors.DiskError):
         opened.append('log', b'second')
     monkeypatch.undo()
-    # The disk works again, but what it holds is not known any more.
+    # The disk works again, but its content is undefined after the failure.
     with pytest.raises(errors.DiskError):
         opened.append('log', b'third')
     with pytest.raises(errors.DiskError):
@@ -296,7 +296,7 @@
 
 @pytest.mark.parametrize('lost', range(1, 40, 6))
 def test_partly_lost_append_is_dropped_whole(lost):
-    """It was not synced, whatever of it is on the disk."""
+    """An unsynced append is dropped, whichever parts of it survived."""
     made = FakeDisk()
     kept = storage.Storage(made)
     kept.save_meta()
@@ -333,7 +333,7 @@
 
 @pytest.mark.parametrize('append', [1, 3])
 def test_damage_before_a_later_append_is_reported(append):
-    """What was synced and is damaged must not be taken for a torn end."""
+    """Corruption of synced data must not be taken for a torn write."""
     made = FakeDisk()
     kept = storage.Storage(made)
     kept.save_meta()
