--- a/wrenspoke/state/storage.py
+++ b/wrenspoke/state/storage.py
@@ -103,7 +103,9 @@
             return None
         found, _size = records.decode(name, data)
         if len(found) != 1 or found[0].end != len(data):
-            raise errors.CorruptLogError(name, 0, 'expected exactly one valid record')
+            raise errors.CorruptLogError(
+                name, 0, 'expected exactly one valid record'
+            )
         return found[0].body
 
     def _read_log(self) -> None:
