--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -137,7 +137,7 @@
     assert (said.returncode, told in said.stderr) == (code, True)
 
 
-def test_a_clock_without_meaning_gives_no_time():
+def test_unparsable_timestamp_shows_zero_offset():
     odd = logread.LogLine('?', 'info', 'started', 'a:1', {})
     [text] = explain.as_text([odd])
     assert text.split() == ['+0', 'ms', 'a:1', 'started']
