--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -128,9 +128,7 @@
     ],
     ids=['unknown', 'no file', 'nobody asked', 'both asked'],
 )
-def test_command_says_what_is_wrong(
-    tmp_path, monkeypatch, arguments, code, told
-):
+def test_command_reports_errors(tmp_path, monkeypatch, arguments, code, told):
     monkeypatch.chdir(tmp_path)
     (tmp_path / 'a.log').write_text(''.join(HOME))
     said = run(*arguments)
