--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -109,12 +109,12 @@
     for name, texts in (('a.log', HOME), ('b.log', AWAY)):
         (tmp_path / name).write_text(''.join(texts))
     files = [str(tmp_path / 'a.log'), str(tmp_path / 'b.log')]
-    said = run('q1', '--log', *files)
-    assert said.returncode == cli.OK
-    times = [text.split()[0] for text in said.stdout.splitlines()]
+    completed = run('q1', '--log', *files)
+    assert completed.returncode == cli.OK
+    times = [text.split()[0] for text in completed.stdout.splitlines()]
     assert times == ['+0', '+0', '+300', '+500']
-    said = run('q1', '--json', '--log', *files)
-    first = json.loads(said.stdout.splitlines()[0])
+    completed = run('q1', '--json', '--log', *files)
+    first = json.loads(completed.stdout.splitlines()[0])
     assert first['event'] == 'passed_on'
 
 
