--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -131,8 +131,8 @@
 def test_command_reports_errors(tmp_path, monkeypatch, arguments, code, told):
     monkeypatch.chdir(tmp_path)
     (tmp_path / 'a.log').write_text(''.join(HOME))
-    said = run(*arguments)
-    assert (said.returncode, told in said.stderr) == (code, True)
+    completed = run(*arguments)
+    assert (completed.returncode, told in completed.stderr) == (code, True)
 
 
 def test_unparsable_timestamp_shows_zero_offset():
