--- a/tests/test_report.py
+++ b/tests/test_report.py
@@ -79,7 +79,7 @@
     assert [sum(second.values()) for second in found.seconds] == [1, 1]
 
 
-def test_calibration_is_told_by_band(tmp_path):
+def test_calibration_is_grouped_by_band(tmp_path):
     path = tmp_path / 'log'
     ratios = [0.5, 1.0, 1.0, 2.0]
     path.write_text(
