--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -65,7 +65,7 @@
     assert history.read(tmp_path / 'history.jsonl') == lines
 
 
-async def test_no_promise_is_broken_under_faults(tmp_path):
+async def test_no_violations_under_faults(tmp_path):
     plan = load.Plan(rate_per_s=40, duration_ms=15_000, deadline_ms=5_000)
     found, lines = await faults.measure(tmp_path, plan, seed=3)
     assert len(lines) > 400
