--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -42,7 +42,7 @@
         (asked('r1', whole=False), {'cut_short_as_whole'}),
     ],
 )
-def test_checker_finds_what_is_broken(line, broken):
+def test_violation_checks(line, broken):
     found = history.violations([line], RAN)
     assert {name for name, ids in found.items() if ids} == broken
 
