--- a/wrenspoke/load.py
+++ b/wrenspoke/load.py
@@ -246,9 +246,9 @@
                     )
             except transport_errors.TransportError:
                 continue
-            told = msgspec.json.decode(body)
+            counts = msgspec.json.decode(body)
             found[endpoint.endpoint] = EndpointRuns(
-                told['runs'], told.get('tokens', 0)
+                counts['runs'], counts.get('tokens', 0)
             )
     finally:
         await client.close()
