--- a/wrenspoke/load.py
+++ b/wrenspoke/load.py
@@ -260,8 +260,8 @@
 ) -> history.Executions:
     """Return the stand-ins' counts in the form that checks use."""
     endpoints: dict[str, list[str]] = {}
-    for endpoint, told in runs.items():
-        for request, count in told.runs.items():
+    for endpoint, counts in runs.items():
+        for request, count in counts.runs.items():
             endpoints.setdefault(request, []).extend([endpoint] * count)
     regions = {item.endpoint: item.region for item in deployment.endpoints}
     return history.Executions(endpoints, regions)
