--- a/wrenspoke/load.py
+++ b/wrenspoke/load.py
@@ -285,8 +285,8 @@
         item.endpoint: item.price_per_mtok for item in deployment.endpoints
     }
     cost = sum(
-        prices[endpoint] * told.tokens / TOKENS_PER_MTOK
-        for endpoint, told in runs.items()
+        prices[endpoint] * counts.tokens / TOKENS_PER_MTOK
+        for endpoint, counts in runs.items()
     )
     broken = history.violations(asked, ran)
     return {
