--- a/wrenspoke/logread.py
+++ b/wrenspoke/logread.py
@@ -1,8 +1,8 @@
-"""Read log files of many hosts, and put what they tell in order.
+"""Read the log files of several hosts and merge their lines in causal order.
 
-Files are read line by line, so that their size does not matter. Clocks of
-hosts may disagree: what a host did for another one stands behind the line
-by which the other passed the request on, whatever the times say.
+Files are read line by line, so memory use does not grow with their size.
+Host clocks may be skewed: the lines of a host that received a forwarded
+request follow the line that forwarded it, whatever their timestamps.
 """
 
 import collections.abc
@@ -15,17 +15,20 @@
 import tqdm
 
 STANDARD_INPUT = '-'
-# A field as structlog's LogfmtRenderer writes it: quoted where it holds
-# blanks, with quotes in it escaped as in JSON.
+# A field as written by structlog's LogfmtRenderer: values with spaces are
+# quoted, and quotes inside them are escaped as in JSON.
 FIELD = re.compile(r'([\w.]+)=("(?:[^"\\]|\\.)*"|\S*)')
-# A collector may have put something before our line.
+# Log collectors may prepend a prefix to each line.
 START = 'timestamp='
 FORWARD_EVENT = 'passed_on'
 Progress = collections.abc.Callable[[int], None]
 
 
 class LogLine(msgspec.Struct, frozen=True):
-    """Hold one line: when and where, what happened, and all else."""
+    """A parsed log line.
+
+    ``fields`` holds everything except the timestamp, level, event and host.
+    """
 
     timestamp: str
     level: str
@@ -34,12 +37,12 @@
     fields: dict[str, str]
 
     def mentions(self, subject: str) -> bool:
-        """Tell whether the line is about a request, host or endpoint."""
+        """Return whether a field or the host equals ``subject``."""
         return subject == self.host or subject in self.fields.values()
 
 
 def parse(text: str) -> LogLine | None:
-    """Return the line that a text holds, None if it is none of ours."""
+    """Return the parsed line, or None if ``text`` is not a log line."""
     start = text.find(START)
     if start < 0:
         return None
@@ -63,12 +66,15 @@
     try:
         return msgspec.json.decode(value, type=str)
     except msgspec.DecodeError:
-        # Escapes that JSON does not know stay as they are.
+        # The value has escapes that are not valid JSON; keep them.
         return value[1:-1]
 
 
 def progress_bar(files: collections.abc.Iterable[str]) -> tqdm.tqdm:
-    """Return a bar over the bytes of some files, seen on a terminal only."""
+    """Return a progress bar over the bytes of the files.
+
+    It is disabled when standard error is not a terminal.
+    """
     sizes = [
         pathlib.Path(path).stat().st_size
         for path in files
@@ -87,7 +93,10 @@
     files: collections.abc.Iterable[str],
     progress: Progress = lambda _bytes: None,
 ) -> collections.abc.Iterator[LogLine]:
-    """Yield every line of ours in some files, in their order."""
+    """Yield the log lines of the files in file order, skipping other text.
+
+    ``progress`` is called with the size in bytes of each line read.
+    """
     for path in files:
         with _opened(path) as opened:
             for raw in opened:
@@ -102,9 +111,9 @@
     subject: str,
     progress: Progress = lambda _bytes: None,
 ) -> list[LogLine]:
-    """Return the lines of some files that tell of a subject, in order.
+    """Return the lines that mention ``subject``, in causal order.
 
-    ``progress`` is told the bytes of each line that was read.
+    ``progress`` is called with the size in bytes of each line read.
     """
     found = []
     wanted = subject.encode()
@@ -127,10 +136,10 @@
 
 
 def sort_causally(lines: list[LogLine]) -> list[LogLine]:
-    """Put lines in the order of causes, else of time.
+    """Sort lines in causal order, and by timestamp otherwise.
 
-    Lines of one host keep the order of its clock. A host that a request
-    was passed to speaks right behind the line that names it.
+    Lines of one host are ordered by its clock. The lines of a host that a
+    request was forwarded to follow the line that forwarded it.
     """
     by_host: dict[str, list[LogLine]] = {}
     for line in sorted(lines, key=lambda line: line.timestamp):
@@ -152,7 +161,8 @@
         if line.event == FORWARD_EVENT:
             result += by_host.pop(line.fields.get('peer', ''), [])
     placed = set(map(id, result))
-    # What nobody passed on, as where a log is missing, goes by time.
+    # Without a forwarding line, as when a log is missing, the timestamp
+    # decides.
     result += [
         line
         for its_lines in by_host.values()
--- a/wrenspoke/logstream.py
+++ b/wrenspoke/logstream.py
@@ -1,24 +1,23 @@
-"""Write log lines without ever waiting for who reads them.
+"""Write log lines without blocking on the reader.
 
-What can't be written at once is kept, up to a bound; beyond it the
-lines of single requests that went well go first, and what was left out
-is counted in a line of its own.
+Lines that cannot be written immediately are buffered up to a limit. When
+the buffer fills, lines of successful requests are dropped first, and the
+number of dropped lines is reported in a line of its own.
 """
 
 import collections
 import os
 import typing
 
-# A few hundred lines: a reader that pauses for a moment loses none.
 MAX_BUFFERED_BYTES = 256 * 1024
 WRITE_BYTES = 16 * 1024
 
 
 class BoundedStream:
-    """Be a text stream on a file descriptor that never blocks.
+    """A text stream on a file descriptor that never blocks.
 
-    ``urgent`` says which lines may use the whole bound; others may use
-    half of it, so that failures are the last to be left out.
+    Lines for which ``urgent`` returns true may fill the whole buffer;
+    others may fill half of it, so that failures are dropped last.
     """
 
     def __init__(
@@ -37,7 +36,10 @@
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> int:
-        """Keep a text for writing, or leave it out."""
+        """Buffer ``text``, or drop it if the buffer is full.
+
+        Returns the length of ``text`` in characters in both cases.
+        """
         limit = self._max_buffered_bytes
         if not self._urgent(text):
             limit //= 2
@@ -54,7 +56,7 @@
         self._size_bytes += len(data)
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
+        """Write as much of the buffer as the descriptor accepts."""
         while self._buffer:
             data = b''.join(self._buffer)[:WRITE_BYTES]
             try:
@@ -62,7 +64,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads any more; requests go on.
+                # The reader has closed its end; serving must continue.
                 self._buffer.clear()
                 self._size_bytes = 0
                 return
