--- a/wrenspoke/explain.py
+++ b/wrenspoke/explain.py
@@ -1,4 +1,4 @@
-"""Tell one subject's history from log files: ``wrenspoke explain``."""
+"""List the log lines on a request, host or endpoint: ``wrenspoke explain``."""
 
 import datetime
 
@@ -10,15 +10,21 @@
 
 
 def read(files: list[str], subject: str) -> list[logread.LogLine]:
-    """Return the lines on a subject; show progress on a terminal."""
+    """Return the lines that mention ``subject``, in causal order.
+
+    Shows a progress bar on a terminal.
+
+    :raises OSError: a file cannot be read
+    """
     with logread.progress_bar(files) as bar:
         return logread.find(files, subject, bar.update)
 
 
 def as_text(lines: list[logread.LogLine]) -> list[str]:
-    """Return a line of text each, with the time since the host's first.
+    """Return one line of text per log line.
 
-    Times of different hosts can't be compared, those of one host can.
+    Times are in ms since the first line of the same host, because host
+    clocks may be skewed.
     """
     began: dict[str, str] = {}
     texts = []
@@ -33,7 +39,7 @@
 
 
 def as_json(lines: list[logread.LogLine]) -> list[str]:
-    """Return a JSON object each."""
+    """Return one JSON object per log line."""
     return [msgspec.json.encode(line).decode() for line in lines]
 
 
--- a/wrenspoke/history.py
+++ b/wrenspoke/history.py
@@ -1,7 +1,7 @@
-"""Histories of concurrent runs: one JSON line a request, and their check.
+"""Request histories of concurrent runs, as JSON Lines, and their checks.
 
-A line says what one caller asked and what it was told. Together with
-what the endpoints ran, it shows whether a promise was broken.
+A line records one caller's request and its response. Compared with the
+requests that the endpoints ran, it shows whether a guarantee was violated.
 """
 
 import collections.abc
@@ -12,10 +12,10 @@
 
 
 class RequestRecord(msgspec.Struct):
-    """Be one line of a history.
+    """One request of a history, as its caller saw it.
 
-    ``outcome`` is ``lost`` where the caller was told nothing, ``whole``
-    is told by the caller's own comparison with the expected answer.
+    ``outcome`` is ``lost`` if the caller received no outcome. ``whole`` is
+    whether the response equals the one that the caller expected.
     """
 
     request: str
@@ -35,13 +35,16 @@
 
 @dataclasses.dataclass
 class Executions:
-    """Hold where requests ran: by request, the endpoints in turn."""
+    """The endpoints that ran each request, one entry per execution.
+
+    ``endpoints`` is keyed by request id, ``regions`` by endpoint.
+    """
 
     endpoints: dict[str, list[str]]
     regions: dict[str, str]
 
     def regions_of(self, request: str) -> set[str]:
-        """Return the regions that ran a request."""
+        """Return the regions that ran a request; empty if none did."""
         return {
             self.regions[endpoint]
             for endpoint in self.endpoints.get(request, [])
@@ -53,7 +56,7 @@
 
 
 def register_check(name: str) -> collections.abc.Callable[[Check], Check]:
-    """Return a decorator that registers what may never be so."""
+    """Return a decorator that registers a violation check by name."""
 
     def register(function: Check) -> Check:
         CHECKS[name] = function
@@ -64,32 +67,32 @@
 
 @register_check('doubled')
 def is_doubled(asked: RequestRecord, ran: Executions) -> bool:
-    """Tell whether a once-only request ran more than once."""
+    """Return whether a once-only request ran more than once."""
     return asked.once and len(ran.endpoints.get(asked.request, [])) > 1
 
 
 @register_check('outside_home')
 def is_outside_home(asked: RequestRecord, ran: Executions) -> bool:
-    """Tell whether a bound request ran outside its home."""
+    """Return whether a bound request ran outside its home region."""
     return asked.bound and bool(ran.regions_of(asked.request) - {asked.home})
 
 
 @register_check('not_run_but_ran')
 def is_not_run_but_ran(asked: RequestRecord, ran: Executions) -> bool:
-    """Tell whether a request told as not run was run."""
+    """Return whether a request reported as not run did run."""
     return asked.outcome == 'not_run' and asked.request in ran.endpoints
 
 
 @register_check('cut_short_as_whole')
 def is_cut_short(asked: RequestRecord, _ran: Executions) -> bool:
-    """Tell whether a wrong answer was passed off as whole."""
+    """Return whether a response reported as complete was not."""
     return asked.outcome == 'whole' and not asked.whole
 
 
 def violations(
     history: collections.abc.Iterable[RequestRecord], ran: Executions
 ) -> dict[str, list[str]]:
-    """Return, by check, the requests that broke it."""
+    """Return the ids of the requests that failed each check."""
     found: dict[str, list[str]] = {name: [] for name in CHECKS}
     for asked in history:
         for name, broken in CHECKS.items():
@@ -101,7 +104,10 @@
 def find_index_regressions(
     seen: collections.abc.Iterable[tuple[str, int]],
 ) -> list[tuple[str, int, int]]:
-    """Return where a host showed a lower index than it had before."""
+    """Return (host, highest index, index) for each index that decreased.
+
+    ``seen`` holds (host, index) pairs in order of observation.
+    """
     highest: dict[str, int] = {}
     found = []
     for host, index in seen:
@@ -114,12 +120,12 @@
 def write(
     path: pathlib.Path, history: collections.abc.Iterable[RequestRecord]
 ) -> None:
-    """Write a history, a line a request."""
+    """Write a history as JSON Lines, one request per line."""
     lines = [msgspec.json.encode(asked) for asked in history]
     path.write_bytes(b'\n'.join(lines) + b'\n')
 
 
 def read(path: pathlib.Path) -> list[RequestRecord]:
-    """Read a history."""
+    """Read a history written by ``write``."""
     lines = path.read_bytes().splitlines()
     return [msgspec.json.decode(line, type=RequestRecord) for line in lines]
