--- a/wrenspoke/caller.py
+++ b/wrenspoke/caller.py
@@ -1,4 +1,4 @@
-"""A caller's side: ask the directory, ask a host, go on at another."""
+"""Client of entry hosts: host discovery, requests and failover."""
 
 import collections.abc
 import dataclasses
@@ -27,15 +27,16 @@
 
 
 class CallerError(errors.WrenspokeError):
-    """Say that no entry host gave an answer."""
+    """No entry host answered."""
 
 
 @dataclasses.dataclass
 class Result:
-    """Hold how one request ended for its caller.
+    """The result of one request, over all of its attempts.
 
-    ``outcome`` is ``lost`` when the caller was told nothing: the
-    connection broke before an answer or an end.
+    ``outcome`` is ``lost`` if the connection failed before a response or
+    before the end of a stream. ``first_ms`` is the time to the first piece
+    of the response, None if there was none. ``hosts`` lists the URLs tried.
     """
 
     outcome: str
@@ -50,7 +51,12 @@
 
 
 class Caller:
-    """Ask entry hosts as a well-behaved client would."""
+    """Client that sends requests to entry hosts and fails over between them.
+
+    Hosts are tried in the order of ``urls``. A resend keeps the request id
+    and increments the attempt number. The continuation of a broken stream
+    gets a new id, and a refusal before the run is not counted as an attempt.
+    """
 
     def __init__(
         self,
@@ -63,13 +69,13 @@
         self.client = client or web.HttpClient(CONNECT_TIMEOUT_MS)
 
     async def close(self) -> None:
-        """Close every connection."""
+        """Close all connections."""
         await self.client.close()
 
     async def get(self, path: str) -> dict:
-        """Return the JSON of the first host that answers.
+        """Return the decoded JSON body of the first host that answers.
 
-        :raises CallerError: none did
+        :raises CallerError: no host answered
         """
         problems = []
         for url in self._urls:
@@ -82,7 +88,12 @@
         raise CallerError('; '.join(problems))
 
     async def refresh(self, region: str | None = None) -> list[str]:
-        """Ask the directory and keep to the hosts it names."""
+        """Fetch the directory and use the hosts that it lists.
+
+        Returns their URLs; an empty directory leaves the hosts unchanged.
+
+        :raises CallerError: no host answered
+        """
         query = f'?region={region}' if region else ''
         found = await self.get(f'/directory{query}')
         urls = [host['url'] for host in found['hosts']]
@@ -95,7 +106,12 @@
         sent: collections.abc.Mapping[str, str] | None = None,
         on_text: collections.abc.Callable[[str], None] | None = None,
     ) -> Result:
-        """Ask for a chat; go on at other hosts when one fails."""
+        """Request a chat completion, with failover to other hosts.
+
+        ``sent`` holds request headers. ``on_text`` is called with each piece
+        of a streamed response. After a broken stream the next host continues
+        from the text received so far.
+        """
         return await self._send_with_failover(
             'POST', entry_api.CHAT_PATH, dict(sent or {}), body, on_text
         )
@@ -108,7 +124,10 @@
         sent: collections.abc.Mapping[str, str] | None = None,
         body: bytes = b'',
     ) -> Result:
-        """Call a plain service; a resend carries the same request id."""
+        """Call a plain service, with failover to other hosts.
+
+        ``sent`` holds request headers. Resends carry the same request id.
+        """
         return await self._send_with_failover(
             method,
             f'/services/{service}{path}',
@@ -144,8 +163,8 @@
                 continue
             if total.outcome != 'not_run' or total.status != UNAVAILABLE:
                 break
-            # Told that nothing was run, so the next one is no resend; a
-            # refused once-only attempt needs a higher number all the same.
+            # The host ran nothing, so the next request is not a resend. An
+            # attempt of a once-only request needs a higher number even so.
             if ONCE_KEY_SEPARATOR not in sent[headers.REQUEST]:
                 attempt -= 1
         return total
@@ -229,5 +248,5 @@
 
 
 def once_id(region: str, clock: clocks.Clock) -> str:
-    """Return a new id for a request that may run at most once."""
+    """Return a new request id that marks a request as once-only."""
     return str(requests.new_once_key(region, clock.wall_ms()))
--- a/wrenspoke/operator.py
+++ b/wrenspoke/operator.py
@@ -1,4 +1,4 @@
-"""An operator's side: plan, confirm and look, at whichever host leads."""
+"""Client of the operator API, which finds the control group's leader."""
 
 import pathlib
 import typing
@@ -18,14 +18,15 @@
 
 
 class OperatorError(errors.WrenspokeError):
-    """Say that no control host that leads could be reached."""
+    """No leader answered before the timeout, or the token is unreadable."""
 
 
 class OperatorClient:
-    """Ask control hosts until the leader answers.
+    """Sends operator requests to the control hosts until the leader answers.
 
-    A request carries the operator's number, so that asking again after a
-    lost answer changes nothing and gets the same answer.
+    Requests that change state carry a number chosen by the operator, which
+    makes them idempotent: a retry with the same number changes nothing and
+    returns the same response.
     """
 
     def __init__(
@@ -42,25 +43,34 @@
         self._client = web.HttpClient(CONNECT_TIMEOUT_MS)
 
     async def close(self) -> None:
-        """Close every connection."""
+        """Close all connections."""
         await self._client.close()
 
     async def plan(
         self, number: int, intent: dict[str, typing.Any]
     ) -> operator_api.OperatorResponse:
-        """Ask for a plan."""
+        """Request a plan for an intent, without applying it.
+
+        :raises OperatorError: no leader answered before the timeout
+        """
         body = {'number': number, 'intent': intent}
         return await self._send_to_leader('POST', '/plans', body)
 
     async def confirm(
         self, number: int, plan: str
     ) -> operator_api.OperatorResponse:
-        """Confirm a plan."""
+        """Confirm a plan, which applies it.
+
+        :raises OperatorError: no leader answered before the timeout
+        """
         path = f'/plans/{plan}/confirm'
         return await self._send_to_leader('POST', path, {'number': number})
 
     async def show(self, path: str) -> operator_api.OperatorResponse:
-        """Look at something: a plan, the configuration, the status."""
+        """Return a resource: a plan, all plans, the configuration or status.
+
+        :raises OperatorError: no leader answered before the timeout
+        """
         return await self._send_to_leader('GET', path, None)
 
     async def _send_to_leader(
@@ -84,7 +94,7 @@
                     continue
                 return answer
             await self._clock.sleep_ms(ROUND_INTERVAL_MS)
-        raise OperatorError(f'no control host that leads: {problem}')
+        raise OperatorError(f'no control host answered as leader: {problem}')
 
     async def _send_to_host(
         self, method: str, url: str, data: bytes | None
@@ -99,7 +109,10 @@
 
 
 def read_token(path: pathlib.Path) -> str:
-    """Return the token in a file."""
+    """Return the token in a file, without surrounding whitespace.
+
+    :raises OperatorError: the file cannot be read
+    """
     try:
         return path.read_text().strip()
     except OSError as error:
