--- a/wrenspoke/load.py
+++ b/wrenspoke/load.py
@@ -44,7 +44,11 @@
 
 @dataclasses.dataclass
 class Plan:
-    """Say how much of what is to be asked."""
+    """Rate, duration and request mix of a load run.
+
+    ``mix`` weights the request kinds; ``homes`` lists the callers' home
+    regions, all regions with entry hosts if empty.
+    """
 
     rate_per_s: float
     duration_ms: int
@@ -59,7 +63,7 @@
 
 
 class LoadGenerator:
-    """Ask a deployment's entry hosts by a plan."""
+    """Sends open-loop load to the entry hosts and records a history."""
 
     def __init__(self, deployment: settings.Deployment, plan: Plan):
         self._deployment = deployment
@@ -78,7 +82,11 @@
         self.history: list[history.RequestRecord] = []
 
     async def run(self) -> list[history.RequestRecord]:
-        """Send everything and wait for every end."""
+        """Send the load, wait for all requests to end, return the history.
+
+        Requests still running ``DRAIN_TIMEOUT_MS`` after the last one was
+        sent are cancelled.
+        """
         tasks = set()
         started_ms = self._clock.mono_ms()
         due_ms = float(started_ms)
@@ -102,7 +110,7 @@
         kind = self._random.choices(list(mix), list(mix.values()))[0]
         homes = self._plan.homes or tuple(self._entries)
         home = self._random.choice(homes)
-        # Some callers ask a region that is not their home.
+        # Some callers send to a region other than their home.
         region = home
         if self._random.random() < 0.1:
             region = self._random.choice(list(self._entries))
@@ -144,7 +152,7 @@
     async def ask_chat(
         self, caller: callers.Caller, asked: history.RequestRecord
     ) -> None:
-        """Ask for a streamed chat of a session."""
+        """Request a streamed chat completion in a random session."""
         number = self._random.randrange(self._plan.sessions)
         session = f'{asked.home}-{number}'
         messages = [{'role': 'user', 'content': f'hello from {session}'}]
@@ -161,7 +169,7 @@
     async def ask_lookup(
         self, caller: callers.Caller, asked: history.RequestRecord
     ) -> None:
-        """Look something up that may be repeated."""
+        """Send an idempotent request to the plain service."""
         result = await caller.call(
             'GET', self._plain_service, '/map', self._build_headers(asked)
         )
@@ -170,7 +178,7 @@
     async def ask_once(
         self, caller: callers.Caller, asked: history.RequestRecord
     ) -> None:
-        """Ask for what may run once; some callers ask twice at once."""
+        """Send a once-only request, sometimes twice concurrently."""
         asked.request = callers.once_id(asked.home, self._clock)
         method = self._random.choice(['GET', 'POST'])
         sent = self._build_headers(asked)
@@ -187,8 +195,8 @@
         _record_result(asked, result, _is_own(result, asked))
         other = msgspec.structs.replace(asked, hosts=[])
         _record_result(other, second, _is_own(second, asked))
-        # The two were on their way together: one may truthfully be told
-        # that it was not run while the other was.
+        # Of two concurrent attempts one may correctly be reported as not
+        # run while the other ran, so they are recorded as one request.
         if 'not_run' not in (asked.outcome, other.outcome):
             self.history.append(other)
         elif asked.outcome == 'not_run':
@@ -223,7 +231,7 @@
 
 @dataclasses.dataclass
 class EndpointRuns:
-    """Hold what one stand-in says that it ran."""
+    """Executions by request id, and tokens, reported by a stand-in."""
 
     runs: dict[str, int]
     tokens: int = 0
@@ -232,7 +240,7 @@
 async def collect_runs(
     deployment: settings.Deployment,
 ) -> dict[str, EndpointRuns]:
-    """Ask every stand-in that answers what it ran."""
+    """Fetch the executions of each stand-in, skipping unreachable ones."""
     found = {}
     client = web.HttpClient(callers.CONNECT_TIMEOUT_MS)
     try:
@@ -258,7 +266,7 @@
 def build_executions(
     deployment: settings.Deployment, runs: dict[str, EndpointRuns]
 ) -> history.Executions:
-    """Return the stand-ins' counts in the form that checks use."""
+    """Return the stand-ins' counts in the form that the checks use."""
     endpoints: dict[str, list[str]] = {}
     for endpoint, counts in runs.items():
         for request, count in counts.runs.items():
@@ -272,7 +280,11 @@
     asked: list[history.RequestRecord],
     runs: dict[str, EndpointRuns],
 ) -> dict:
-    """Return the figures of a run: ends, times, cost, places, attempts."""
+    """Return the outcomes, latencies, cost and violations of a run.
+
+    ``away_share`` is the share of served requests that did not run in
+    their home region only; ``cost`` is in the unit of the endpoints' prices.
+    """
     ran = build_executions(deployment, runs)
     ends = collections.Counter(one.outcome for one in asked)
     reasons = collections.Counter(
@@ -336,7 +348,7 @@
 
 
 def main() -> None:
-    """Parse arguments, configure logs and hand over."""
+    """Run the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--settings', required=True, type=pathlib.Path)
     parser.add_argument('--rate', type=float, default=50.0)
--- a/wrenspoke/report.py
+++ b/wrenspoke/report.py
@@ -1,9 +1,9 @@
-"""Tell from log files how well a deployment decided: ``wrenspoke report``.
+"""Summarise scheduling decisions from log files: ``wrenspoke report``.
 
-Reads what entry hosts logged of passed-through calls, from any deployment:
-outcomes over time and by reason, expected against real first pieces, calls
-passed on and turned back, how long calls were held before they were
-refused, and places that stood empty meanwhile.
+Reads the logs of entry hosts on passed-through calls: outcomes over time
+and by reason, predicted against actual time to first piece, calls forwarded
+and sent back, how long calls were queued before they were refused, and
+refusals while endpoints had free places.
 """
 
 import collections
@@ -17,7 +17,7 @@
 
 from wrenspoke import logread
 
-# The bands of expected first pieces for which the error is told.
+# Lower bounds of the bands of predicted time to first piece.
 BANDS_MS = (0, 25, 50, 100, 200, 400, 1_000)
 QUANTILE_COUNT = 10
 OK_STATUS = '2'
@@ -29,7 +29,7 @@
 
 
 class Outcome(enum.Enum):
-    """Say how a call ended, as its caller saw it."""
+    """The outcome of a call, as seen by its caller."""
 
     IN_TIME = 'in_time'
     LATE = 'late'
@@ -38,7 +38,7 @@
 
 
 class Spread(msgspec.Struct, frozen=True):
-    """Give the number of some values, their median and outer tenths."""
+    """Count, median, and 10th and 90th percentile of a sample."""
 
     count: int
     tenth: float
@@ -47,7 +47,7 @@
 
 
 class Reason(msgspec.Struct, frozen=True, order=True):
-    """Count the calls of a route that ended alike."""
+    """Number of calls of a route with the same outcome and reason."""
 
     count: int
     outcome: str
@@ -56,7 +56,7 @@
 
 
 class TrafficRate(msgspec.Struct, frozen=True, order=True):
-    """Say what hosts of a role sent of a kind, a second and host."""
+    """Messages of a kind sent by hosts of a role, per second and host."""
 
     bytes_per_s: float
     messages_per_s: float
@@ -67,12 +67,13 @@
 
 
 class Report(msgspec.Struct):
-    """Hold everything that a report tells.
+    """The figures of a report.
 
-    ``seconds`` gives, for each second since the first line, the calls by
-    outcome; ``calibration`` the ratio of expected over real first piece by
-    band of what was expected; ``held_ms`` how long refused calls were
-    held; ``free_places`` counts refusals by the places that were free.
+    ``seconds`` has the number of calls by outcome for each second since the
+    first end of a call; ``calibration`` the ratio of predicted to actual time
+    to first piece, by band of the prediction; ``held_ms`` the time that
+    refused calls were queued; ``refused_with_free_places`` the refusals while
+    endpoints had free places.
     """
 
     calls: dict[str, int]
@@ -88,7 +89,7 @@
 
 
 class _CallEnd(msgspec.Struct):
-    """Hold how one host ended its part of a call."""
+    """The outcome of a call at one host."""
 
     at: str
     outcome: Outcome
@@ -97,7 +98,7 @@
 
 
 class _TrafficSample(msgspec.Struct):
-    """Hold what a host sent of a kind, so far, in one of its lives."""
+    """Cumulative traffic of one kind since a host process started."""
 
     messages: float
     bytes: float
@@ -105,7 +106,7 @@
 
 
 class Collector:
-    """Take log lines in any order, and make a report of them."""
+    """Builds a report from log lines in any order."""
 
     def __init__(self):
         self._ends: dict[tuple[str, str], _CallEnd] = {}
@@ -114,13 +115,13 @@
         self._held_ms: list[float] = []
         self._passed_on = self._relayed = self._turned_back = 0
         self._with_free_places = 0
-        # By role, kind and distance: what each life of each host sent.
+        # (role, kind, distance) -> (host, life) -> latest sample.
         self._traffic: dict[
             tuple[str, str, str], dict[tuple[str, str], _TrafficSample]
         ] = collections.defaultdict(dict)
 
     def add_line(self, line: logread.LogLine) -> None:
-        """Take one line; what is not told of is left out."""
+        """Add one line; events that are not reported are ignored."""
         take = _LINE_HANDLERS.get(line.event)
         if take is not None:
             take(self, line)
@@ -200,7 +201,7 @@
         self._ends[key] = _CallEnd(line.timestamp, outcome, route, reason)
 
     def report(self) -> Report:
-        """Return what the lines told."""
+        """Return the report on the lines added so far."""
         ends = [
             end
             for key, end in self._ends.items()
@@ -245,9 +246,10 @@
 def _traffic(
     found: dict[tuple[str, str, str], dict[tuple[str, str], _TrafficSample]],
 ) -> list[TrafficRate]:
-    """Return what hosts sent, the most bytes first.
+    """Return traffic rates by role, kind and distance, highest first.
 
-    Hosts that sent nothing of a kind count in its mean as well.
+    Rates are averaged over all hosts of the role, including those that sent
+    nothing of the kind.
     """
     lived_ms: dict[str, dict[tuple[str, str], float]] = (
         collections.defaultdict(dict)
@@ -273,7 +275,7 @@
 
 
 def band(expected_ms: float) -> str:
-    """Return the name of the band that an expected time lies in."""
+    """Return the label of the band that contains a predicted time."""
     lower = max(edge for edge in BANDS_MS if edge <= max(expected_ms, 0))
     place = BANDS_MS.index(lower)
     if place + 1 == len(BANDS_MS):
@@ -309,7 +311,10 @@
 
 
 def read(files: list[str]) -> Report:
-    """Return the report on some log files; show progress on a terminal."""
+    """Return the report on the files; shows progress on a terminal.
+
+    :raises OSError: a file cannot be read
+    """
     collector = Collector()
     with logread.progress_bar(files) as bar:
         for line in logread.lines(files, bar.update):
@@ -318,7 +323,7 @@
 
 
 def as_text(found: Report) -> typing.Iterator[str]:
-    """Yield a report as lines of text."""
+    """Yield the lines of a report as plain text."""
     calls = sum(found.calls.values())
     yield f'{calls} calls: ' + ', '.join(
         f'{count} {name}' for name, count in found.calls.items()
@@ -371,9 +376,10 @@
 
 
 def plot(found: Report, path: str) -> None:
-    """Draw a report to a file, as SVG or PNG by its name.
+    """Plot a report to a file, as SVG or PNG depending on its suffix.
 
-    :raises ImportError: the library for plots is not installed
+    :raises ImportError: matplotlib is not installed
+    :raises ValueError: the suffix is not supported
     """
     from matplotlib import figure
 
