--- a/wrenspoke/demo.py
+++ b/wrenspoke/demo.py
@@ -1,9 +1,9 @@
-"""``wrenspoke demo``: every role in one process, with stand-ins.
+"""``wrenspoke demo``: a deployment in one process, with stand-in endpoints.
 
-Two regions with an entry host each, one control host, four stand-in
-endpoints. It asks for a streamed answer at the wrong region, which is
-passed on to its home, sends a once-only request twice, and drains an
-engine by plan and confirm.
+Starts two regions with one entry host each, one control host and four
+stand-in endpoints. Sends a bound chat to the other region, which forwards
+it to its home, sends a once-only request twice, and drains an engine by
+planning and confirming.
 """
 
 import asyncio
@@ -35,7 +35,7 @@
 
 
 def deployment_json() -> dict:
-    """Return settings for the demo, on free ports of loopback."""
+    """Return the demo's settings, with free ports on the loopback address."""
     ports = iter(web.free_ports(15))
     hosts, endpoints = [], []
     hosts.append(
@@ -109,12 +109,12 @@
 
 
 def print_line(text: str) -> None:
-    """Print one line for the person who runs the demo."""
+    """Print one line and flush standard output."""
     print(text, flush=True)
 
 
 async def run() -> None:
-    """Start everything, show it, end."""
+    """Start the deployment, run the scenario and stop the deployment."""
     with tempfile.TemporaryDirectory() as name:
         path = pathlib.Path(name) / 'deployment.json'
         path.write_text(json.dumps(deployment_json()))
@@ -144,7 +144,7 @@
 
 
 async def run_scenario(deployment: settings.Deployment) -> None:
-    """Ask as a caller would and print what comes back."""
+    """Send the demo's requests and print the responses."""
     entry = deployment.with_role('entry')[0]
     caller = callers.Caller([f'http://{entry.ip}:{entry.http_port}'])
     try:
@@ -162,17 +162,20 @@
 
 
 async def wait_until_serving(caller: callers.Caller) -> None:
-    """Wait until the host that is asked serves."""
+    """Wait until the entry host is serving.
+
+    :raises CallerError: it is not serving after all polls
+    """
     for _round in range(READY_ROUNDS):
         status = await caller.get('/status')
         if status['serving']:
             return
         await asyncio.sleep(READY_INTERVAL_S)
-    raise callers.CallerError('the entry host does not serve')
+    raise callers.CallerError('entry host did not become ready to serve')
 
 
 async def show_chat(caller: callers.Caller, bound: bool = True) -> None:
-    """Stream one answer."""
+    """Stream one chat completion and print how it was decided."""
     body = {
         'model': MODEL,
         'stream': True,
@@ -199,9 +202,9 @@
 async def show_once(
     caller: callers.Caller, deployment: settings.Deployment
 ) -> None:
-    """Send one request twice; it runs once."""
-    # Ledger hosts vote on keys issued after their start and the margin
-    # for differing clocks.
+    """Send one once-only request twice, to show that it runs once."""
+    # Ledger hosts vote only on keys issued after their start plus the
+    # allowed clock skew.
     await asyncio.sleep(3 * deployment.ledger.clock_skew_ms / 1000)
     key = f'south:{_wall_ms()}:demo'
     for _time in range(2):
@@ -217,7 +220,7 @@
 
 
 async def show_drain(deployment: settings.Deployment) -> None:
-    """Plan a drain, confirm it and wait until it is done."""
+    """Plan a drain, confirm it and wait until it completes."""
     control = deployment.host(CONTROL)
     url = f'http://{control.ip}:{control.operator_port}'
     operator = operators.OperatorClient([url], TOKEN)
@@ -247,6 +250,6 @@
 
 
 def main() -> None:
-    """Run the demo on the daemons' event loop."""
+    """Run the demo on the event loop that the daemons use."""
     runtime.run(run())
     sys.stdout.flush()
--- a/wrenspoke/reference.py
+++ b/wrenspoke/reference.py
@@ -1,4 +1,4 @@
-"""Write docs/SETTINGS.md from the settings themselves."""
+"""Generate docs/SETTINGS.md from the settings models."""
 
 import inspect
 
@@ -48,7 +48,7 @@
 
 
 def text() -> str:
-    """Return the whole page."""
+    """Return the page as Markdown."""
     parts = [HEAD]
     for title, model in SECTIONS:
         parts.append(f'## {title}\n')
