--- a/wrenspoke/cli.py
+++ b/wrenspoke/cli.py
@@ -42,7 +42,7 @@
 
 
 def add_entry(parser: argparse.ArgumentParser) -> None:
-    """Add the argument that says where entry hosts are."""
+    """Add the argument for the URLs of entry hosts."""
     parser.add_argument(
         '--entry',
         action='append',
@@ -66,7 +66,7 @@
 
 @command('ask', 'ask for a streamed chat answer', parser_ask)
 async def run_ask(arguments: argparse.Namespace) -> int:
-    """Stream one answer to standard output."""
+    """Stream one chat completion to standard output."""
     caller = callers.Caller(arguments.entry)
     body = {
         'stream': True,
@@ -154,7 +154,7 @@
 
 @command('explain', 'show the decisions on one request', parser_explain)
 async def run_explain(arguments: argparse.Namespace) -> int:
-    """Print the decisions that hosts remember or that logs tell."""
+    """Print the decisions on a request, from hosts or from log files."""
     if arguments.log:
         return _explain_logs(arguments)
     found = []
@@ -191,7 +191,7 @@
 
 @command('report', 'tell from logs how well calls were decided', parser_report)
 async def run_report(arguments: argparse.Namespace) -> int:
-    """Print, and draw, how a deployment decided by its logs."""
+    """Print, and optionally plot, a report on log files."""
     try:
         found = report.read(arguments.log)
     except OSError as error:
@@ -242,7 +242,7 @@
 
 @command('settings', 'check a settings file', parser_settings)
 async def run_settings(arguments: argparse.Namespace) -> int:
-    """Check a settings file whole and print every problem."""
+    """Validate a settings file and print every problem."""
     deployment = settings.read(arguments.file)
     print(
         f'{arguments.file}: good; {len(deployment.hosts)} hosts, '
@@ -259,7 +259,7 @@
 
 @command('keys', 'make the keys of a deployment', parser_keys)
 async def run_keys(arguments: argparse.Namespace) -> int:
-    """Make new keys and write the public ones into the settings."""
+    """Generate key pairs and write the public keys to the settings."""
     count = keys.generate_keys(arguments.file)
     print(f'{arguments.file}: new keys for {count} hosts')
     return OK
@@ -279,7 +279,10 @@
     'team-key', "make a team's key, or tell a key's digest", parser_team_key
 )
 async def run_team_key(arguments: argparse.Namespace) -> int:
-    """Print a key once, and its digest for ``plan issue-key``."""
+    """Print a new key and its digest, or the digest of a given key.
+
+    The digest is the argument of ``plan issue-key``.
+    """
     deployment = settings.read(arguments.file)
     key = sys.stdin.readline().strip() if arguments.of else teams.new_key()
     if not key:
@@ -293,7 +296,7 @@
 
 
 def add_control(parser: argparse.ArgumentParser) -> None:
-    """Add the arguments that say where control hosts are."""
+    """Add the arguments for the control hosts and the operator's token."""
     parser.add_argument(
         '--control',
         action='append',
@@ -305,7 +308,7 @@
 
 
 def add_number(parser: argparse.ArgumentParser) -> None:
-    """Add the operator's number of a request."""
+    """Add the argument for the number that makes a request idempotent."""
     parser.add_argument(
         '--number',
         type=int,
@@ -349,7 +352,7 @@
 
 @command('plan', 'make a plan from an intent; nothing changes', parser_plan)
 async def run_plan(arguments: argparse.Namespace) -> int:
-    """Make a plan and print what it would do."""
+    """Request a plan for an intent and print it."""
     name = arguments.intent.replace('-', '_')
     intent = {'type': name}
     for field in INTENTS[name]:
@@ -371,7 +374,7 @@
 
 @command('confirm', 'put a plan in force', parser_confirm)
 async def run_confirm(arguments: argparse.Namespace) -> int:
-    """Confirm a plan."""
+    """Confirm a plan, which applies it."""
     number = _number(arguments)
     return await _run_operator_request(
         arguments, lambda it: it.confirm(number, arguments.plan)
@@ -388,7 +391,7 @@
 
 @command('show', 'show a plan, the plans or the control group', parser_show)
 async def run_show(arguments: argparse.Namespace) -> int:
-    """Look at what control hosts know."""
+    """Print a resource of the control group."""
     what = arguments.what
     known = ('status', 'configuration', 'plans')
     path = f'/{what}' if what in known else f'/plans/{what}'
@@ -396,7 +399,7 @@
 
 
 def _number(arguments: argparse.Namespace) -> int:
-    """Return the request's number, told for the case of a lost answer."""
+    """Return the request's number, and print it for use in a retry."""
     number = arguments.number
     if number is None:
         number = clocks.Clock().wall_ms()
@@ -423,7 +426,7 @@
 
 @command('found', 'begin a control group, once, on one host', parser_found)
 async def run_found(arguments: argparse.Namespace) -> int:
-    """Write the first log entries on an empty disk."""
+    """Bootstrap a control group by writing its first log entries."""
     controld.bootstrap_group(arguments.file, arguments.host)
     print(f'{arguments.host}: founded; start its controld now')
     return OK
@@ -431,7 +434,7 @@
 
 @command('demo', 'run every role in one process and show it')
 async def run_demo(_arguments: argparse.Namespace) -> int:
-    """Run the demo."""
+    """Run the demo deployment."""
     await demo.run()
     return OK
 
@@ -456,7 +459,7 @@
 
 
 def main() -> None:
-    """Parse arguments, configure logs and hand over."""
+    """Run the command line, and exit with the command's code."""
     arguments = build_parser().parse_args()
     logs.configure(arguments.log_level)
     codes: list[int] = []
