--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,7 @@
-"""Tests that are known to fail, listed in ``KNOWN-RED.txt``.
+"""Parse ``KNOWN-RED.txt``, the list of tests that are known to fail.
 
-A line names a test (all of its rows, or one), the cause and the issue.
-Their failures are passed over and printed; all others count.
+A line names a test (all of its parameters, or one), the cause and the
+issue. Failures of listed tests are reported as expected failures.
 """
 
 import pathlib
@@ -13,21 +13,21 @@
 
 
 class KnownRed(typing.NamedTuple):
-    """Hold one line of the list."""
+    """One entry of the list."""
 
     test: str
     cause: str
     issue: str
 
     def matches(self, node: str) -> bool:
-        """Tell whether a test or one of its rows is meant."""
+        """Return whether ``node`` is the test or one of its parameters."""
         return node == self.test or node.startswith(f'{self.test}[')
 
 
 def read(path: pathlib.Path = LIST) -> list[KnownRed]:
-    """Return the listed tests.
+    """Return the entries of the list.
 
-    :raises ValueError: a line says too little, or there are too many
+    :raises ValueError: a line lacks a field, or there are too many lines
     """
     found = []
     for line in path.read_text().splitlines():
@@ -35,9 +35,11 @@
             continue
         fields = [field.strip() for field in line.split(', ')]
         if len(fields) < FIELDS:
-            raise ValueError(f'{path.name}: test, cause, issue: {line!r}')
+            raise ValueError(
+                f'{path.name}: expected "test, cause, issue": {line!r}'
+            )
         cause = ', '.join(fields[1:-1])
         found.append(KnownRed(fields[0], cause, fields[-1]))
     if len(found) > LINES_LIMIT:
-        raise ValueError(f'{path.name}: more than {LINES_LIMIT} lines')
+        raise ValueError(f'{path.name}: more than {LINES_LIMIT} entries')
     return found
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail is short and complete."""
+"""Tests of the list of known failures: its format and its length limit."""
 
 import pytest
 
