--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""Both users' deployments run whole, at their real counts of processes."""
+"""The example deployments serve with their full number of processes."""
 
 import asyncio
 import json
@@ -26,7 +26,7 @@
 
 
 def on_loopback(name):
-    """Return an example's settings on free ports, with short intervals."""
+    """Return an example's settings with free ports and short intervals."""
     made = json.loads((EXAMPLES / f'{name}.json').read_text())
     ports = iter(web.free_ports(60))
     for host in made['hosts']:
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""What log files tell of one request, host or endpoint."""
+"""Tests of ``wrenspoke explain`` on log files of several hosts."""
 
 import json
 import subprocess
@@ -14,7 +14,7 @@
 
 
 def line(at_s, host, event, **fields):
-    """Return a log line as a daemon writes it."""
+    """Return a log line in the format that daemons write."""
     said = ' '.join(f'{name}={value}' for name, value in fields.items())
     return (
         f'timestamp=2026-01-01T00:00:{at_s:06.3f}Z level=info '
@@ -26,7 +26,7 @@
     line(1.0, 'a:1', 'passed_on', request='q1', peer='b:1'),
     line(1.5, 'a:1', 'answered', request='q1', place='b:1', status=200),
 ]
-# The other host's clock is seconds ahead, or behind.
+# The other host's clock is seconds ahead.
 AWAY = [
     line(9.0, 'b:1', 'endpoint_chosen', request='q1', endpoint='e1'),
     line(9.3, 'b:1', 'answered', request='q1', place='e1', status=200),
@@ -97,7 +97,7 @@
 
 
 def run(*arguments):
-    """Run the command line in a process of its own."""
+    """Run ``wrenspoke explain`` and return the completed process."""
     return subprocess.run(
         [sys.executable, '-m', 'wrenspoke.cli', 'explain', *arguments],
         capture_output=True,
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -1,4 +1,4 @@
-"""Histories of concurrent runs under faults keep every promise."""
+"""Tests of the history checks, and of histories recorded under faults."""
 
 import pytest
 
@@ -13,7 +13,7 @@
 
 
 def asked(request, outcome='whole', **fields):
-    """Return a line of a history."""
+    """Return a record of a history, of a complete chat by default."""
     line = {
         'request': request,
         'kind': 'chat',
--- a/tests/test_report.py
+++ b/tests/test_report.py
@@ -1,4 +1,4 @@
-"""What a report tells of log files."""
+"""Tests of ``wrenspoke report``, which summarises log files."""
 
 import subprocess
 import sys
@@ -13,13 +13,13 @@
 
 
 def answered(at_s, request='q', host='a:1', **fields):
-    """Return the line of an answered call."""
+    """Return the log line of an answered call."""
     fields = {'route': 'r', 'status': 200, 'target_ms': 800, **fields}
     return line(at_s, host, 'answered', request=request, **fields)
 
 
 def gave_up(at_s, request='q', **fields):
-    """Return the line of a call that was given up."""
+    """Return the log line of a call that failed or was refused."""
     return line(at_s, 'a:1', 'gave_up', request=request, route='r', **fields)
 
 
@@ -57,7 +57,7 @@
 
 
 def test_call_that_was_passed_on_counts_where_its_caller_sent_it(tmp_path):
-    """The other host's part, and its clock, do not count."""
+    """The outcome at the host that received a forwarded call is ignored."""
     path = tmp_path / 'log'
     path.write_text(
         answered(9.0, host='b:1', first_ms=50)
@@ -99,7 +99,7 @@
 
 
 def run(*arguments):
-    """Run the command and return what it prints."""
+    """Run ``wrenspoke report`` and return the completed process."""
     return subprocess.run(
         [
             sys.executable,
