--- a/wrenspoke/load.py
+++ b/wrenspoke/load.py
@@ -196,7 +196,7 @@
         other = msgspec.structs.replace(asked, hosts=[])
         _record_result(other, second, _is_own(second, asked))
         # Of two concurrent attempts one may correctly be reported as not
-        # run while the other ran, so they are recorded as one request.
+        # run while the other ran; such a pair is recorded as one request.
         if 'not_run' not in (asked.outcome, other.outcome):
             self.history.append(other)
         elif asked.outcome == 'not_run':
