--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""What log files tell of one request, host or endpoint."""
+"""Tests of ``wrenspoke explain`` on log files of several hosts."""
 
 import json
 import subprocess
@@ -14,7 +14,7 @@
 
 
 def line(at_s, host, event, **fields):
-    """Return a log line as a daemon writes it."""
+    """Return a log line in the format that daemons write."""
     said = ' '.join(f'{name}={value}' for name, value in fields.items())
     return (
         f'timestamp=2026-01-01T00:00:{at_s:06.3f}Z level=info '
@@ -26,7 +26,7 @@
     line(1.0, 'a:1', 'passed_on', request='q1', peer='b:1'),
     line(1.5, 'a:1', 'answered', request='q1', place='b:1', status=200),
 ]
-# The other host's clock is seconds ahead, or behind.
+# The other host's clock is seconds ahead.
 AWAY = [
     line(9.0, 'b:1', 'endpoint_chosen', request='q1', endpoint='e1'),
     line(9.3, 'b:1', 'answered', request='q1', place='e1', status=200),
@@ -97,7 +97,7 @@
 
 
 def run(*arguments):
-    """Run the command line in a process of its own."""
+    """Run ``wrenspoke explain`` and return the completed process."""
     return subprocess.run(
         [sys.executable, '-m', 'wrenspoke.cli', 'explain', *arguments],
         capture_output=True,
@@ -109,12 +109,12 @@
     for name, texts in (('a.log', HOME), ('b.log', AWAY)):
         (tmp_path / name).write_text(''.join(texts))
     files = [str(tmp_path / 'a.log'), str(tmp_path / 'b.log')]
-    said = run('q1', '--log', *files)
-    assert said.returncode == cli.OK
-    times = [text.split()[0] for text in said.stdout.splitlines()]
+    completed = run('q1', '--log', *files)
+    assert completed.returncode == cli.OK
+    times = [text.split()[0] for text in completed.stdout.splitlines()]
     assert times == ['+0', '+0', '+300', '+500']
-    said = run('q1', '--json', '--log', *files)
-    first = json.loads(said.stdout.splitlines()[0])
+    completed = run('q1', '--json', '--log', *files)
+    first = json.loads(completed.stdout.splitlines()[0])
     assert first['event'] == 'passed_on'
 
 
@@ -128,16 +128,14 @@
     ],
     ids=['unknown', 'no file', 'nobody asked', 'both asked'],
 )
-def test_command_says_what_is_wrong(
-    tmp_path, monkeypatch, arguments, code, told
-):
+def test_command_reports_errors(tmp_path, monkeypatch, arguments, code, told):
     monkeypatch.chdir(tmp_path)
     (tmp_path / 'a.log').write_text(''.join(HOME))
-    said = run(*arguments)
-    assert (said.returncode, told in said.stderr) == (code, True)
+    completed = run(*arguments)
+    assert (completed.returncode, told in completed.stderr) == (code, True)
 
 
-def test_a_clock_without_meaning_gives_no_time():
+def test_unparsable_timestamp_shows_zero_offset():
     odd = logread.LogLine('?', 'info', 'started', 'a:1', {})
     [text] = explain.as_text([odd])
     assert text.split() == ['+0', 'ms', 'a:1', 'started']
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -1,4 +1,4 @@
-"""Histories of concurrent runs under faults keep every promise."""
+"""Tests of the history checks, and of histories recorded under faults."""
 
 import pytest
 
@@ -13,7 +13,7 @@
 
 
 def asked(request, outcome='whole', **fields):
-    """Return a line of a history."""
+    """Return a record of a history, of a complete chat by default."""
     line = {
         'request': request,
         'kind': 'chat',
@@ -42,7 +42,7 @@
         (asked('r1', whole=False), {'cut_short_as_whole'}),
     ],
 )
-def test_checker_finds_what_is_broken(line, broken):
+def test_violation_checks(line, broken):
     found = history.violations([line], RAN)
     assert {name for name, ids in found.items() if ids} == broken
 
@@ -65,7 +65,7 @@
     assert history.read(tmp_path / 'history.jsonl') == lines
 
 
-async def test_no_promise_is_broken_under_faults(tmp_path):
+async def test_no_violations_under_faults(tmp_path):
     plan = load.Plan(rate_per_s=40, duration_ms=15_000, deadline_ms=5_000)
     found, lines = await faults.measure(tmp_path, plan, seed=3)
     assert len(lines) > 400
