--- a/wrenspoke/transport/__init__.py
+++ b/wrenspoke/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Bytes between processes: HTTP by aiohttp and keyed links by pyzmq."""
+"""Transport between processes: HTTP over aiohttp, links over pyzmq."""
--- a/wrenspoke/transport/connector.py
+++ b/wrenspoke/transport/connector.py
@@ -1,4 +1,4 @@
-"""Make connections, and let none be harmed by a caller that leaves."""
+"""An aiohttp connector that is safe to cancel, and TCP keepalive."""
 
 import asyncio
 import collections.abc
@@ -13,31 +13,29 @@
 
 from wrenspoke.transport import errors
 
-# A peer without power says nothing, and a connection may fall silent while
-# new ones work. Probes after a second of silence and one second later find
-# that out within three; a peer that lives answers them whatever its
-# program does. A second is the least that the system lets one state.
+# TCP keepalive detects a dead peer or a black-holed connection within 3 s.
+# The peer's kernel answers the probes even while its process is stalled.
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_COUNT = 2
-# What is not acknowledged for so long is lost: many times the 110 ms of a
-# far round trip, and four resends of a packet in the system's doubling
-# steps from 200 ms.
+# Closes a connection whose sent data stays unacknowledged for this long;
+# leaves time for several TCP retransmissions.
 USER_TIMEOUT_MS = 3_000
 
 
 class CancellationSafeConnector(aiohttp.TCPConnector):
-    """Let nothing cancel a socket as it becomes a connection.
+    """Shields connection setup from the cancellation of its caller.
 
-    Where that happens, uvloop (0.22.1) closes the socket's number and
-    aiohttp (3.14.5) drops the socket, which closes the number again once it
-    is collected: by then another connection may have it, and a caller is
-    given another's answer.
+    If create_connection is cancelled, uvloop (0.22.1) closes the socket's
+    file descriptor and aiohttp (3.14.5) drops the socket object, which
+    closes the descriptor again when it is garbage collected. By then the
+    descriptor may belong to another connection, and a caller could get the
+    response to another request.
 
-    A socket that has connected is made a connection to its end; if nobody
-    waits for it any more it is closed then.
+    Once a socket is connected, its setup runs to completion; the connection
+    is closed afterwards if its caller was cancelled or timed out.
 
-    And let a request that may not leave any more have no connection.
+    Requests that are no longer permitted to be sent get no connection.
     """
 
     async def connect(
@@ -47,7 +45,7 @@
         may_send = _MAY_SEND.get()
         if may_send is not None and not may_send():
             found.release()
-            raise errors.SendAbortedError('it may not leave any more')
+            raise errors.SendAbortedError('send no longer permitted')
         return found
 
     async def _wrap_create_connection(
@@ -76,11 +74,12 @@
             raise
 
 
-# Asked as a request is given its connection; a body asks once more.
+# Checked when a request gets its connection, and again before its body is
+# sent.
 _MAY_SEND: contextvars.ContextVar[
     collections.abc.Callable[[], bool] | None
 ] = contextvars.ContextVar('may_leave', default=None)
-# The sockets that the connecting task has opened.
+# Sockets opened by the current connect task.
 _OPENED_SOCKETS: contextvars.ContextVar[list[socket.socket]] = (
     contextvars.ContextVar('opened')
 )
@@ -90,7 +89,7 @@
 def guard_sends(
     may_send: collections.abc.Callable[[], bool] | None,
 ) -> collections.abc.Iterator[None]:
-    """Have what is sent within the block leave only if it still may."""
+    """Send requests within the block only while ``may_send`` returns true."""
     asked = _MAY_SEND.set(may_send)
     try:
         yield
@@ -107,7 +106,7 @@
 
 
 def _close_unused(made: asyncio.Future) -> None:
-    """Close a connection that nobody waits for any more."""
+    """Close a connection that its caller stopped waiting for."""
     if made.cancelled() or made.exception() is not None:
         return
     transport, _protocol = made.result()
@@ -115,7 +114,7 @@
 
 
 def create_keepalive_socket(address: tuple) -> socket.socket:
-    """Return a socket that notices a peer that is no longer there."""
+    """Return a non-blocking socket with TCP keepalive enabled."""
     family, kind, protocol, _name, _address = address
     made = socket.socket(family, kind, protocol)
     made.setblocking(False)
@@ -125,7 +124,7 @@
 
 
 def enable_keepalive(opened: socket.socket) -> None:
-    """Let the system find out when the other end is gone."""
+    """Enable TCP keepalive and a user timeout on a socket."""
     tcp = socket.IPPROTO_TCP
     opened.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     opened.setsockopt(tcp, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
--- a/wrenspoke/transport/errors.py
+++ b/wrenspoke/transport/errors.py
@@ -1,19 +1,19 @@
-"""The errors of the transport layer."""
+"""Errors of the transport layer."""
 
 from wrenspoke import errors
 
 
 class TransportError(errors.WrenspokeError):
-    """Base of the errors of the transport layer."""
+    """Base class of the errors of the transport layer."""
 
 
 class NotSentError(TransportError):
-    """Say that no byte of the message left this process."""
+    """No byte of the message was sent."""
 
 
 class SendAbortedError(NotSentError):
-    """Say that the message may not leave any more, and did not."""
+    """The message was no longer permitted to be sent, and was not sent."""
 
 
 class MaybeSentError(TransportError):
-    """Say that the message may have arrived, though no answer came."""
+    """The message may have been delivered, but no response arrived."""
--- a/wrenspoke/transport/port_probe.py
+++ b/wrenspoke/transport/port_probe.py
@@ -1,4 +1,4 @@
-"""Ask the system of another host whether a program listens there."""
+"""Check whether a process listens at a TCP address."""
 
 import asyncio
 import socket
@@ -7,10 +7,11 @@
 
 
 async def is_connection_refused(address: str, timeout_ms: int) -> bool:
-    """Tell whether nobody listens at an ``IP:PORT``.
+    """Return whether a connection to an ``IP:PORT`` is refused.
 
-    A system that lives refuses connections for a program that has ended. No
-    answer, as of a host that is cut off or too busy, says nothing.
+    The kernel of a live host refuses connections to a port on which no
+    process listens. False if the connection is accepted, or if it times
+    out or fails otherwise, as on a partitioned or overloaded host.
     """
     ip, _, port = address.rpartition(':')
     loop = asyncio.get_running_loop()
