--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -1,13 +1,14 @@
-"""Request and reply links between hosts, by pyzmq, keyed with CURVE.
+"""Request-reply links between hosts over pyzmq, with CURVE keys.
 
-ZeroMQ keeps messages for a peer that is cut off and delivers them minutes
-later. Links therefore queue nothing for an absent peer, and every message
-carries its cluster, its sender's epoch and how long it is good for. Its
-age is told by the sender's clock against the quickest message
-of that sender and epoch: times of day may jump.
+By default ZeroMQ queues messages for a disconnected peer and delivers them
+minutes later. Links therefore queue nothing for a peer that is not
+connected, and every message carries its cluster, its sender's epoch and a
+time to live. The age of a message is its clock offset minus the smallest
+offset received from the same sender and epoch, so that steps of the wall
+clock don't affect it.
 
-Where hosts find each other at run time there are no keys; a host is then
-named by the IP number and port of its link.
+Hosts that discover each other at run time use no keys; a host's id is then
+the ``IP:PORT`` of its link.
 """
 
 import asyncio
@@ -28,32 +29,31 @@
 logger = structlog.get_logger(__name__)
 
 SEND_HIGH_WATER_MARK = 64
-# So many that libzmq goes on reading a link while a host is behind. Where one
-# ends that is not read, libzmq (4.3.5) ends the process as a heartbeat is due
-# there, or is found among what had been read. Some hundred bytes each; what
-# comes late has expired and costs next to nothing.
+# High enough that libzmq keeps reading a link while this host is behind.
+# libzmq (4.3.5) aborts the process when a link is reset while reading from it
+# is paused and a heartbeat is due or buffered.
 RECEIVE_HIGH_WATER_MARK = 20_000
 ONEWAY_NUMBER = 0
 CONNECT_POLL_S = 0.005
 ONEWAY_TTL_MS = 2000
 HEARTBEAT_IVL_MS = 2000
 HEARTBEAT_TIMEOUT_MS = 6000
-# Hosts that start together find each other within a fraction of their own
-# start of 0.3 s; one that stays away costs ten packets a second.
+# Short, so that hosts that start together connect quickly.
 RECONNECT_MS = 30
 MAX_RECONNECT_MS = 100
 MAX_MESSAGE_BYTES = 16 * 1024 * 1024
-# Tables of routes shrink to a tenth; shorter messages are not worth it.
+# Shorter messages are sent uncompressed.
 MIN_COMPRESS_BYTES = 2_048
 COMPRESSION_LEVEL = 1
-# A message whose end hardly shrinks was packed before it came here.
+# A body whose last bytes compress worse than this is sent as is; it was
+# probably compressed by the sender.
 MAX_COMPRESSION_RATIO = 0.9
 PLAIN, COMPRESSED = b'\0', b'\1'
 MAX_TRACKED_EPOCHS = 4_096
 
 
 class Envelope(msgspec.Struct, array_like=True):
-    """Wrap one message on a link."""
+    """One message on a link."""
 
     cluster: str
     sender: str
@@ -66,7 +66,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Peer:
-    """Say where a host listens for links and which key it has."""
+    """The link address and public key of a host."""
 
     host: ids.HostId
     ip: str
@@ -76,7 +76,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Identity:
-    """Hold what this host shows and expects on its links."""
+    """The cluster, id and CURVE keys of this host."""
 
     cluster: str
     host: ids.HostId
@@ -85,19 +85,19 @@
 
     @property
     def has_keys(self) -> bool:
-        """Tell whether links show and ask for keys."""
+        """Return whether links authenticate with CURVE keys."""
         return self.secret_key is not None
 
 
 @dataclasses.dataclass(frozen=True)
 class HeartbeatOptions:
-    """Say how soon a link that has fallen silent is given up."""
+    """Heartbeat interval of a link, and its timeout without traffic."""
 
     heartbeat_ms: int = HEARTBEAT_IVL_MS
     timeout_ms: int = HEARTBEAT_TIMEOUT_MS
 
 
-# Told of each message that was sent: to whom, what, and the bytes it took.
+# Called for each message sent with the peer, the body and the frame's size.
 SendListener = collections.abc.Callable[[ids.HostId, bytes, int], None]
 Handler = collections.abc.Callable[
     [ids.HostId, bytes], collections.abc.Awaitable[bytes | None]
@@ -105,7 +105,7 @@
 
 
 class Links:
-    """Call other hosts of the cluster and answer their calls."""
+    """Sends messages to other hosts of the cluster and serves theirs."""
 
     def __init__(
         self,
@@ -139,7 +139,7 @@
         self.received_bytes = 0
 
     async def start(self, ip: str, port: int) -> None:
-        """Listen for the calls of known hosts, of all without keys."""
+        """Listen for messages; with keys, only of known hosts."""
         router = self._context.socket(zmq.ROUTER)
         _set_options(router, self._heartbeat_options)
         router.setsockopt(zmq.ROUTER_MANDATORY, 1)
@@ -165,7 +165,7 @@
         opened.curve_publickey = self._identity.public_key.encode()
 
     def callback(self, _domain: str, key: bytes) -> bool:
-        """Tell pyzmq whether a key belongs to a known host."""
+        """Return whether a key belongs to a known host; called by pyzmq."""
         known = key.decode() in self._hosts_by_key
         if not known:
             logger.warning('link_refused', reason='unknown_key')
@@ -174,10 +174,10 @@
     async def call(
         self, host: ids.HostId, body: bytes, timeout_ms: float
     ) -> bytes:
-        """Send ``body`` to ``host`` and return its answer.
+        """Send ``body`` to ``host`` and return its reply.
 
-        :raises NotSentError: the host is unknown or not connected
-        :raises MaybeSentError: no answer came within ``timeout_ms``
+        :raises NotSentError: the host is unknown or sending failed
+        :raises MaybeSentError: no reply within ``timeout_ms``
         """
         dealer = self._get_or_connect(host)
         self._number += 1
@@ -191,23 +191,25 @@
                 self._on_message_sent(host, body, frame)
                 return await future
         except TimeoutError as error:
-            raise errors.MaybeSentError(f'no answer from {host}') from error
+            raise errors.MaybeSentError(
+                f'no reply from {host} within {timeout_ms} ms'
+            ) from error
         except zmq.ZMQError as error:
             raise errors.NotSentError(str(error)) from error
         finally:
             self._pending.pop(number, None)
 
     async def send_oneway(self, host: ids.HostId, body: bytes) -> int:
-        """Send ``body`` without an answer; return the bytes sent.
+        """Send ``body`` without waiting for a reply; return the bytes sent.
 
-        It is dropped, as 0 bytes, if nobody listens.
+        Returns 0 if the host is not connected; the message is dropped.
         """
         try:
             dealer = self._get_or_connect(host)
             frame = self._encode_envelope(ONEWAY_NUMBER, body, ONEWAY_TTL_MS)
             await dealer.send(frame, zmq.NOBLOCK)
         except (zmq.ZMQError, errors.NotSentError):
-            logger.debug('tell_dropped', peer=host)
+            logger.debug('oneway_message_dropped', peer=host)
             return 0
         self._on_message_sent(host, body, frame)
         return len(frame)
@@ -237,7 +239,7 @@
         return dealer
 
     def _find_peer(self, host: ids.HostId) -> Peer:
-        """Return where a host listens; a name without a key tells it."""
+        """Return the peer of a host id; without keys the id is its address."""
         peer = self._peers.get(host)
         if peer is not None:
             return peer
@@ -248,7 +250,7 @@
         return Peer(host, ip, int(port))
 
     def disconnect(self, host: ids.HostId) -> None:
-        """Close the link to a host that is gone."""
+        """Close the link to a host, if there is one."""
         dealer = self._dealers.pop(host, None)
         if dealer is None:
             return
@@ -302,7 +304,7 @@
             )
 
     def _authenticated_host(self, frame: zmq.Frame) -> ids.HostId | None:
-        """Return whose key a message came with."""
+        """Return the host whose key authenticated a frame."""
         if not self._identity.has_keys:
             return None
         return self._hosts_by_key.get(frame.get('User-Id'))
@@ -333,7 +335,7 @@
         return None
 
     def _age_ms(self, envelope: Envelope) -> int:
-        """Return how much longer it took than the quickest before it."""
+        """Return the delay of a message over its epoch's fastest message."""
         key = (envelope.sender, envelope.epoch)
         offset_ms = self._clock.mono_ms() - envelope.sent_ms
         quickest_ms = self._min_offsets_ms.get(key)
@@ -358,10 +360,10 @@
             await self._router.send_multipart([route, frame], zmq.NOBLOCK)
             self._on_message_sent(sender, answer, frame)
         except zmq.ZMQError:
-            logger.info('answer_dropped', peer=sender)
+            logger.info('reply_dropped', peer=sender)
 
     async def close(self) -> None:
-        """Close every socket at once."""
+        """Close all sockets, and drop messages that are still queued."""
         await self._tasks.close()
         for dealer in self._dealers.values():
             dealer.close(linger=0)
@@ -379,10 +381,10 @@
 async def _send_when_connected(
     dealer: zmq.asyncio.Socket, frame: bytes
 ) -> None:
-    """Send as soon as there is a connection; queue nothing until then.
+    """Send once the socket is connected; queue nothing until then.
 
-    A send or poll that waits inside pyzmq holds up every later send on
-    the socket, those with NOBLOCK too, so the wait is outside of it.
+    Polls outside of pyzmq: a pending send or poll in pyzmq blocks every
+    later send on the socket, even with NOBLOCK.
     """
     while True:
         try:
@@ -425,6 +427,6 @@
 
 
 def new_keys() -> tuple[str, str]:
-    """Return a new public and secret key, both in Z85 text."""
+    """Return a new public and secret key, both Z85-encoded."""
     public_key, secret_key = zmq.curve_keypair()
     return public_key.decode(), secret_key.decode()
