--- a/wrenspoke/transport/web.py
+++ b/wrenspoke/transport/web.py
@@ -1,4 +1,4 @@
-"""HTTP on both sides by aiohttp, with its surprises switched off."""
+"""HTTP client and servers over aiohttp, without its implicit retries."""
 
 import asyncio
 import collections.abc
@@ -23,16 +23,16 @@
 MAX_CONNECTIONS_PER_HOST = 256
 MAX_LINE_BYTES = 8190
 BACKLOG = 4096
-# Whoever closes a plain server has waited for what was in flight.
+# Short, as in-flight requests are drained before a server is closed.
 SHUTDOWN_TIMEOUT_S = 0.1
 IDLE_TIMEOUT_MS = 15_000
-# What aiohttp adds by itself, none of which the caller asked for.
+# Headers that aiohttp adds by default.
 AUTO_HEADERS = frozenset(
     ['Accept', 'Accept-Encoding', 'User-Agent', 'Content-Type']
 )
 PORT_RANGE = range(10_000, 32_000)
 _ALLOCATED_PORTS: set[int] = set()
-# Held open for as long as the process lives.
+# Descriptors of lock files, kept open until the process exits.
 _PORT_LOCKS: list[int] = []
 
 
@@ -42,15 +42,15 @@
 
 
 class ResetAwareHandler(client_proto.ResponseHandler):
-    """Tell a reset from the end of an answer that states no length.
+    """Fails response bodies without a length on a connection reset.
 
-    aiohttp takes the end of the connection, however it came, for the end
-    of such an answer (3.14.5). And libuv reports a reset that comes with
-    the last bytes as an end of file; the socket still holds the error.
+    aiohttp (3.14.5) treats any end of the connection as the end of such a
+    body. libuv reports a reset that arrives together with the last bytes
+    as an end of file; SO_ERROR of the socket still holds the error.
     """
 
     def eof_received(self) -> None:
-        """Fail an answer whose end of file hides a reset."""
+        """Fail a body whose end of file was a connection reset."""
         opened = self.transport.get_extra_info('socket')
         found = opened.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if found:
@@ -58,7 +58,7 @@
         super().eof_received()
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Fail an answer whose connection did not end as it should."""
+        """Fail a body whose connection ended with an error."""
         if exc is not None:
             self._fail_payload(exc)
         super().connection_lost(exc)
@@ -70,9 +70,10 @@
 
 
 class _ConditionalPayload(aiohttp.BytesPayload):
-    """Leave only if it still may, at the moment of the first byte.
+    """Body that checks ``may_send`` immediately before its first byte.
 
-    A connection may have been waited for since that was looked at last.
+    The permission may have expired while the request waited for a
+    connection.
     """
 
     def __init__(
@@ -87,18 +88,16 @@
     ) -> None:
         if not self._is_permitted():
             self.aborted = True
-            raise errors.SendAbortedError('it may not leave any more')
+            raise errors.SendAbortedError('send no longer permitted')
         await super().write_with_length(writer, length)
 
 
 class HttpClient:
-    """Send HTTP requests without redirects or silent repeats.
+    """Sends HTTP requests without redirects or implicit retries.
 
-    aiohttp sends an idempotent request again by itself when a connection
-    drops, a new connection too (3.14.5). ``_once_only`` stands
-    between and keeps the failure from its sight. ``fresh`` requests go
-    over a connection of their own besides, as a reused one may have been
-    closed by the other side a moment ago.
+    aiohttp (3.14.5) retries an idempotent request when its connection
+    drops, even a new one. The middleware ``_disable_retries`` converts the
+    failure into an error that aiohttp does not retry.
     """
 
     def __init__(
@@ -145,15 +144,16 @@
         new_connection: bool = False,
         may_send: collections.abc.Callable[[], bool] | None = None,
     ) -> collections.abc.AsyncIterator[aiohttp.ClientResponse]:
-        """Send one request and yield its answer once the head is here.
+        """Send one request and yield its response when the head arrived.
 
         Leaving the block before the body has been read closes the
-        connection, which cancels the work on the other side. ``may_leave``
-        is asked once there is a connection.
+        connection, which cancels the request at the server. ``may_send``
+        is checked once a connection is available. ``new_connection``
+        avoids a pooled connection that the server may just have closed.
 
-        :raises NotSentError: no connection was made
-        :raises HeldBackError: it may not leave any more
-        :raises MaybeSentError: the connection ended before the head came
+        :raises NotSentError: no connection was established
+        :raises SendAbortedError: ``may_send`` returned false
+        :raises MaybeSentError: the connection ended before the head arrived
         """
         session = self._unpooled if new_connection else self._pooled
         try:
@@ -184,13 +184,13 @@
         body: bytes | None,
         may_send: collections.abc.Callable[[], bool] | None = None,
     ) -> collections.abc.AsyncIterator[aiohttp.ClientResponse]:
-        """Send a request as its caller wrote it; see ``send``.
+        """Send a request without normalising its target; see ``send``.
 
         ``target`` is the path and query of the request line, ``fields``
-        all headers but those of the connection. ``may_leave`` is asked as
-        the first byte is about to leave.
+        all headers but the hop-by-hop ones. ``may_send`` is checked again
+        immediately before the first byte of a body.
 
-        :raises HeldBackError: it said no
+        :raises SendAbortedError: ``may_send`` returned false
         """
         url = yarl.URL(f'http://{address}{target}', encoded=True)
         guarded = None
@@ -216,13 +216,13 @@
             response.close()
 
     async def close(self) -> None:
-        """Close every connection."""
+        """Close all connections."""
         await self._pooled.close()
         await self._unpooled.close()
 
 
 def _listening_socket(ip: str, port: int) -> socket.socket:
-    """Return a socket whose accepted connections probe their peers too."""
+    """Return a bound socket whose accepted connections use keepalive."""
     made = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     made.setblocking(False)
     made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -234,7 +234,7 @@
 async def _disable_retries(
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
-    """Turn a failed send into an error that aiohttp does not repeat."""
+    """Convert a failed send into an error that aiohttp does not retry."""
     try:
         return await handler(request)
     except (
@@ -249,9 +249,9 @@
 async def read_body(
     response: aiohttp.ClientResponse, limit_bytes: int
 ) -> bytes:
-    """Read a body to its stated end, or fail.
+    """Return the complete body of a response.
 
-    :raises MaybeSentError: it was cut short or is over ``limit_bytes``
+    :raises MaybeSentError: it is truncated or exceeds ``limit_bytes``
     """
     chunks = []
     size_bytes = 0
@@ -271,9 +271,9 @@
 async def read_chunks(
     response: aiohttp.ClientResponse,
 ) -> collections.abc.AsyncIterator[bytes]:
-    """Yield a body as it comes.
+    """Yield the chunks of a body as they arrive.
 
-    :raises MaybeSentError: it ended before its stated end
+    :raises MaybeSentError: the body is truncated
     """
     try:
         async for chunk in response.content.iter_any():
@@ -283,7 +283,7 @@
 
 
 class HttpServer:
-    """Serve an aiohttp application on one IP number and port."""
+    """Serves an aiohttp application at one IP address and port."""
 
     def __init__(self, application: web.Application):
         self._runner = web.AppRunner(
@@ -297,17 +297,17 @@
         )
 
     async def start(self, ip: str, port: int) -> None:
-        """Listen; the port must be free."""
+        """Start listening; the port must be free."""
         await self._runner.setup()
         site = web.TCPSite(self._runner, ip, port, backlog=BACKLOG)
         await site.start()
 
     async def close(self) -> None:
-        """Stop listening and end what is left."""
+        """Stop listening and close the remaining connections."""
         await self._runner.cleanup()
 
     async def abort(self) -> None:
-        """Break every connection off, as the end of a process does."""
+        """Abort all connections, as a process crash does."""
         for site in list(self._runner.sites):
             await site.stop()
         for connection in self._runner.server.connections:
@@ -317,10 +317,9 @@
 
 
 class LowLevelServer:
-    """Serve a handler on one IP number and port, without routes.
+    """Serves a handler at one IP address and port, without routing.
 
-    Nothing is read from a request but what the handler asks for: no
-    path is decoded and no expectation answered.
+    Paths are not decoded, and ``Expect`` headers are not answered.
     """
 
     def __init__(
@@ -335,7 +334,7 @@
         self._runner: web.ServerRunner | None = None
 
     async def start(self, address: str) -> None:
-        """Listen on an ``IP:PORT``; the port must be free."""
+        """Start listening on an ``IP:PORT``; the port must be free."""
         ip, _, port = address.rpartition(':')
         server = web.Server(
             self._handler,
@@ -356,23 +355,24 @@
         await site.start()
 
     async def close(self) -> None:
-        """Stop listening and end what is left."""
+        """Stop listening and close the remaining connections."""
         if self._runner is not None:
             await self._runner.cleanup()
 
 
 def abort(request: web.BaseRequest) -> None:
-    """Close a caller's connection so that no end of body is seen."""
+    """Abort a caller's connection, so that its response is truncated."""
     if request.transport is not None:
         request.transport.abort()
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports of loopback that were free a moment ago.
+    """Return ``count`` free loopback ports from ``PORT_RANGE``.
 
-    They lie below those that the system gives to outgoing connections,
-    so that none of these takes one before its server starts, and none
-    is returned twice, nor to another process while this one lives.
+    The range lies below the ephemeral ports, so that no outgoing
+    connection takes a port before its server starts. A port is returned
+    only once, and to no other process while this one runs. The list is
+    shorter if the range is exhausted.
     """
     found: list[int] = []
     for port in random.sample(PORT_RANGE, len(PORT_RANGE)):
@@ -391,7 +391,7 @@
 
 
 def _try_lock_port(port: int) -> bool:
-    """Reserve a port among the processes that ask for free ones."""
+    """Lock a port against other processes; return whether that succeeded."""
     path = pathlib.Path(tempfile.gettempdir()) / f'wrenspoke-port-{port}'
     lock = os.open(path, os.O_CREAT | os.O_RDWR, 0o600)
     try:
