--- a/wrenspoke/standin/engine.py
+++ b/wrenspoke/standin/engine.py
@@ -1,7 +1,8 @@
-"""A stand-in for a model engine: batching, prefix cache, lagging load.
+"""A fake inference engine with batching, a prefix cache and load reports.
 
-Its answer is a function of the prompt, so that a test can tell a whole
-answer from any other. All times are simulated by waiting.
+Its response is a function of the prompt, so that a test can check that a
+response is complete and belongs to its request. Processing times are
+simulated by sleeping, and load reports lag behind.
 """
 
 import asyncio
@@ -28,7 +29,7 @@
 
 
 class EngineProfile(msgspec.Struct):
-    """Set how fast a stand-in engine is and how much it remembers."""
+    """Processing times, capacity and cache size of a fake engine."""
 
     slots: int = 8
     cold_first_ms: float = 60.0
@@ -43,7 +44,7 @@
 
 
 class _Stream:
-    """Hold one answer while it is generated and shortly after."""
+    """One response while it is generated, and for resumption afterwards."""
 
     def __init__(self, name: str, model: str, words: list[str], first: int):
         self.name = name
@@ -61,14 +62,14 @@
 
 
 def answer_words(messages: list[dict], count: int) -> list[str]:
-    """Return the words that any stand-in engine answers a prompt with."""
+    """Return the ``count`` words that every fake engine generates."""
     text = msgspec.json.encode(messages)
     seed = xxhash.xxh32_hexdigest(text)
     return [f'{seed}-{number} ' for number in range(count)]
 
 
 def _unavailable(name: str, retry_after: str) -> web.Response:
-    """Return the answer by which an engine turns a chat away."""
+    """Return a 503 response with a ``Retry-After``."""
     return web.Response(
         status=503,
         headers={
@@ -79,7 +80,7 @@
 
 
 class Engine:
-    """Serve one engine's HTTP surface."""
+    """A fake inference engine and its HTTP API."""
 
     def __init__(self, name: str, profile: EngineProfile, models: list[str]):
         self.name = name
@@ -93,7 +94,7 @@
         self.runs: collections.Counter[str] = collections.Counter()
         self.tokens = 0
         self.cancels = 0
-        # What ends this engine for a while, and how often that was done.
+        # Called with a restart delay in ms to simulate a crash.
         self.on_crash: collections.abc.Callable[[int], None] | None = None
         self.crashes = 0
         self._arrivals_s: collections.deque[float] = collections.deque(
@@ -114,7 +115,7 @@
         self._tasks: set[asyncio.Task] = set()
 
     def application(self) -> web.Application:
-        """Return the application to be served."""
+        """Return an aiohttp application that serves this engine."""
         application = web.Application(client_max_size=64 * 1024 * 1024)
         application.on_response_prepare.append(self._advertise)
         router = application.router
@@ -455,7 +456,7 @@
 async def send_truncated(
     request: web.Request, body: bytes, echo: str
 ) -> web.StreamResponse:
-    """Send half of a body whose full length was stated, and close."""
+    """Send half of a body under its full Content-Length, then abort."""
     response = web.StreamResponse(
         headers={
             headers.ECHOED_REQUEST_ID: echo,
--- a/wrenspoke/standin/faults.py
+++ b/wrenspoke/standin/faults.py
@@ -1,22 +1,27 @@
-"""Faults that a stand-in shows when a test asks for them."""
+"""Faults that tests inject into fake engines and services."""
 
 import msgspec
 
 
 class Faults(msgspec.Struct):
-    """Say how a stand-in misbehaves; the default is not at all.
+    """The faults to inject; none by default.
 
-    ``break_after_events`` closes a stream after so many events, with
-    ``end_early`` as if it were whole but for its end mark,
-    ``truncate`` states a longer body than it sends, ``crossed`` answers
-    with another request's id, ``close_after_read`` counts a request and
-    closes, ``status`` answers with that status, ``slow_factor``
-    stretches all times, ``delay_ms`` holds every answer back.
-    ``limit_text`` is advertised in each answer as the engine's limit, and
-    ``leaving_text`` that it leaves. With ``retry_after_text`` each chat gets
-    503 with that ``Retry-After``.
-    ``fatal_text`` in a body ends an engine ``fatal_after_ms`` after it began
-    to run it; it is back ``back_after_ms`` later.
+    * ``break_after_events``: abort a stream after this many events, at
+      most ``break_times`` times; with ``end_early`` the response ends
+      cleanly, but without the end marker
+    * ``truncate``: send less of a body than its Content-Length
+    * ``crossed``: echo the id of another request
+    * ``close_after_read``: count a request, then abort its connection
+    * ``status``: respond with this status
+    * ``slow_factor``: multiply all processing times
+    * ``delay_ms``: delay every response
+    * ``redirect_to``: respond with this ``Location``
+    * ``limit_text``, ``leaving_text``: headers that advertise the
+      engine's rate limit and that it is leaving
+    * ``retry_after_text``: reject each chat with 503 and this
+      ``Retry-After``
+    * ``fatal_text``: a request whose body contains it crashes the engine
+      after ``fatal_after_ms``; it restarts ``back_after_ms`` later
     """
 
     break_after_events: int = 0
