--- a/wrenspoke/standin/__init__.py
+++ b/wrenspoke/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the systems that wrenspoke meets, for tests and benches."""
+"""Fake engines, services and networks for tests and benchmarks."""
--- a/wrenspoke/standin/host_list.py
+++ b/wrenspoke/standin/host_list.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's lagging list of hosts."""
+"""A fake of the platform's host list, which lags behind."""
 
 import asyncio
 
@@ -7,7 +7,7 @@
 
 
 class HostListService:
-    """Tell which addresses are leaving, some time after it is so."""
+    """Lists leaving addresses with a delay of ``lag_ms``."""
 
     def __init__(self, lag_ms: int = 500):
         self._lag_ms = lag_ms
@@ -15,17 +15,17 @@
         self._tasks: set[asyncio.Task] = set()
 
     def application(self) -> web.Application:
-        """Return the application to be served."""
+        """Return an aiohttp application that serves the list."""
         application = web.Application()
         application.router.add_get('/hosts', self._hosts)
         return application
 
     def add_leaving(self, address: str) -> None:
-        """Say that a host is leaving; the list shows it later."""
+        """List an address as leaving, after the lag."""
         self._apply_after_lag(self._leaving.add, address)
 
     def remove_leaving(self, address: str) -> None:
-        """Say that a host lives, as a wrong list would."""
+        """Remove an address from the list, after the lag."""
         self._apply_after_lag(self._leaving.discard, address)
 
     def _apply_after_lag(self, function, address: str) -> None:
--- a/wrenspoke/standin/main.py
+++ b/wrenspoke/standin/main.py
@@ -22,7 +22,7 @@
     endpoint: settings.EndpointSettings,
     profile: engine.EngineProfile,
 ) -> engine.Engine | plain_service.PlainService:
-    """Return the stand-in that fits an endpoint's service."""
+    """Return a fake service or engine, by the kind of the service."""
     for service in deployment.services:
         if service.service != endpoint.service:
             continue
@@ -39,7 +39,7 @@
     names: list[str],
     profile: engine.EngineProfile,
 ) -> dict[str, restartable.RestartableServer]:
-    """Start stand-ins; without names, for all endpoints."""
+    """Start servers for the endpoints in ``names``; if empty, for all."""
     servers = {}
     for endpoint in deployment.endpoints:
         if names and endpoint.endpoint not in names:
@@ -55,7 +55,7 @@
 
 
 async def serve(arguments: argparse.Namespace) -> None:
-    """Run until told to stop."""
+    """Run the servers until a stop signal."""
     deployment = settings.read(arguments.settings)
     profile = msgspec.json.decode(arguments.model, type=engine.EngineProfile)
     servers = await start(deployment, arguments.endpoint, profile)
@@ -66,7 +66,7 @@
 
 
 def main() -> None:
-    """Parse arguments, configure logs and hand over."""
+    """Run the ``wrenspoke-standin`` command."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--settings', required=True, metavar='FILE')
     parser.add_argument(
--- a/wrenspoke/standin/plain_service.py
+++ b/wrenspoke/standin/plain_service.py
@@ -1,4 +1,4 @@
-"""A stand-in for a plain service that counts what it runs."""
+"""A fake plain HTTP service that counts its requests by id."""
 
 import asyncio
 import collections
@@ -13,7 +13,7 @@
 
 
 class PlainService:
-    """Answer any method on any path, and tell what was run."""
+    """Responds to any method and path; ``/runs`` returns the counts."""
 
     def __init__(self, name: str):
         self.name = name
@@ -21,7 +21,7 @@
         self.runs: collections.Counter[str] = collections.Counter()
 
     def application(self) -> web.Application:
-        """Return the application to be served."""
+        """Return an aiohttp application that serves this service."""
         application = web.Application(client_max_size=64 * 1024 * 1024)
         application.router.add_get('/runs', self._runs)
         application.router.add_post('/faults', self._set_faults)
--- a/wrenspoke/standin/relay.py
+++ b/wrenspoke/standin/relay.py
@@ -1,8 +1,7 @@
-"""A loopback relay that stands in for a wide-area link.
+"""A loopback TCP relay that simulates a wide-area link.
 
-It passes TCP bytes on with a delay, and can be cut: then bytes are held
-back without a word, as a partition does, until it heals or the end of
-the connection.
+Adds a delay, and can simulate a partition: connections then stay open, but
+nothing is forwarded until the partition heals or the connection ends.
 """
 
 import asyncio
@@ -15,7 +14,7 @@
 
 
 class Relay:
-    """Pass connections on from one port to another."""
+    """Forwards TCP connections from a local port to a target."""
 
     def __init__(self, target_ip: str, target_port: int):
         self._target = (target_ip, target_port)
@@ -29,21 +28,21 @@
         self.passed_bytes = 0
 
     async def start(self, port: int) -> None:
-        """Listen on a port of loopback."""
+        """Start listening on a loopback port."""
         self._server = await asyncio.start_server(
             self._accept, LOCALHOST, port
         )
 
     def cut(self) -> None:
-        """Hold back everything from now on."""
+        """Start a partition: stop forwarding."""
         self._link_up.clear()
 
     def heal(self) -> None:
-        """Let everything through again."""
+        """End a partition: resume forwarding."""
         self._link_up.set()
 
     async def close(self) -> None:
-        """End every connection."""
+        """Stop listening and close all connections."""
         if self._server is not None:
             self._server.close()
         self._closing = True
--- a/wrenspoke/standin/restartable.py
+++ b/wrenspoke/standin/restartable.py
@@ -1,4 +1,4 @@
-"""Let a stand-in end and be back, as a process that is started again."""
+"""A server that simulates the crash and restart of a process."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 
 
 class RestartableServer:
-    """Serve a stand-in at one IP number and port, life after life."""
+    """Serves a fake engine or service at one address across restarts."""
 
     def __init__(
         self,
@@ -26,12 +26,12 @@
             standin.on_crash = self.crash
 
     async def start(self) -> None:
-        """Listen; the port must be free."""
+        """Start listening; the port must be free."""
         self._server = web.HttpServer(self._standin.application())
         await self._server.start(self._ip, self._port)
 
     def crash(self, back_after_ms: int) -> None:
-        """Break all connections off, and listen again after a while."""
+        """Abort all connections, and restart after ``back_after_ms``."""
         if self._server is None:
             return
         ended, self._server = self._server, None
@@ -45,7 +45,7 @@
         await self.start()
 
     async def close(self) -> None:
-        """Stop listening for good."""
+        """Stop the server and cancel a pending restart."""
         await self._tasks.close()
         if self._server is not None:
             await self._server.close()
