--- a/deploy/days.py
+++ b/deploy/days.py
@@ -16,7 +16,7 @@
 
 FIRST_S, SECOND_S = 6.0, 19.0
 CHANGE = '{ at = 8.0, kind = "config_change", how = "route" }'
-# Kind, its fields, and whether it is planned work.
+# Kind, fields, and whether the event is planned maintenance.
 FAULT_SCENARIOS = [
     ('burst', 'x = 2.0, for_s = 4.0', False),
     ('shift', 'share = 0.5, for_s = 6.0', False),
@@ -102,7 +102,7 @@
 
 
 def build_day(site: str, kind: str, fields: str, planned: bool) -> str:
-    """Return a day with one trouble, twice, beside one change."""
+    """Return a day with one fault injected twice and one config change."""
     found = re.search(r'(?ms)^\[\[day\]\]\n(.*?)(?=^\[\[day\]\]|\Z)', site)
     text = found.group(1)
     text = re.sub(r'(?m)^faults = \[\]\n', '', text)
@@ -119,7 +119,7 @@
 
 
 def run_day(bench: str, path: str, row: tuple[str, str, bool]) -> str:
-    """Play one day and return its line."""
+    """Run one day in the bench and return its summary line."""
     kind, fields, planned = row
     site = pathlib.Path(path).read_text()
     with tempfile.TemporaryDirectory(dir=pathlib.Path.cwd().parent) as folder:
@@ -141,7 +141,7 @@
 
 
 def main() -> None:
-    """Play the days that were asked for."""
+    """Run the days of the selected kinds, or of all."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('bench')
     parser.add_argument('site')
