--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Give each worker its own ports, and pass over what is known to fail."""
+"""Separate port ranges per test worker, and the known failing tests."""
 
 import os
 
@@ -7,16 +7,16 @@
 from tests import known_red
 from wrenspoke.transport import web
 
-# As many as the Makefile starts; more share ranges, and locks keep them apart.
-# Ports are kept to a run's end, and two runs side by side share the ranges:
-# they were seen to take up to 2,213 ports of one.
+# The number of workers that the Makefile starts. Further workers and parallel
+# runs share the ranges; lock files keep their ports apart. Ports are not
+# reused within a run, so a range must hold all ports of two runs.
 WORKERS = 4
 FIRST_PORT = 10_000
 PORTS_EACH = 5_400
 
 
 def pytest_configure():
-    """Set the range that free ports are taken from."""
+    """Set the range from which ``web.free_ports`` allocates."""
     worker = os.environ.get('PYTEST_XDIST_WORKER', 'gw0')
     number = int(worker.removeprefix('gw')) % WORKERS
     start = FIRST_PORT + number * PORTS_EACH
@@ -24,7 +24,7 @@
 
 
 def pytest_collection_modifyitems(items):
-    """Let the tests fail that are listed as known to."""
+    """Mark the tests listed in KNOWN-RED.txt as expected failures."""
     for listed in known_red.read():
         reason = f'{listed.cause} ({listed.issue})'
         for item in items:
@@ -33,7 +33,7 @@
 
 
 def pytest_terminal_summary(terminalreporter):
-    """Print what is known to fail, and how its rows ended."""
+    """Print the results of the known failing tests."""
     failed = [found.nodeid for found in terminalreporter.getreports('xfailed')]
     passed = [found.nodeid for found in terminalreporter.getreports('xpassed')]
     for listed in known_red.read():
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The users' platform's words, decoded once, and its calls answered."""
+"""The adapter decodes the platform's messages and serves its APIs."""
 
 import json
 import pathlib
@@ -64,7 +64,7 @@
 
 
 def document(version=7, **changes):
-    """Return a whole configuration as the operator sends it."""
+    """Return a complete configuration as the operator sends it."""
     made = {
         'version': version,
         'routes': [ROUTE],
@@ -144,7 +144,7 @@
 
 
 def heartbeat(body, endpoint='i-1'):
-    """Return what a heartbeat says, in a system of one zone and service."""
+    """Decode a heartbeat in a system with one zone and one service."""
     return registrations.decode(endpoint, body, {'hall'}, {'chat'})
 
 
@@ -254,7 +254,7 @@
     )
 )
 def test_invalid_heartbeat_keeps_known_endpoints(body):
-    """Whatever comes is taken for what it says, or refused."""
+    """An arbitrary heartbeat is decoded or rejected."""
     held = registry.Registry(test_registry.FakeClock())
     held.merge_registration(
         heartbeat(json.dumps(HEARTBEAT).encode(), 'i-true')
@@ -303,7 +303,7 @@
 
 @pytest.fixture
 async def surfaces(tmp_path):
-    """Run three control hosts behind the platform's surface."""
+    """Run three control hosts with the platform's control API."""
     async with nodes.running(tmp_path, controls=3) as system:
         servers = []
         for one in system.controls:
@@ -320,7 +320,7 @@
 
 
 async def send(system, one, path, body=None, method='POST'):
-    """Call a control host without following; return status and body."""
+    """Call a control host; return status, body and headers."""
     url = f'http://{one.node.control_address}{path}'
     async with system.session.request(
         method, url, data=body, allow_redirects=False
@@ -417,7 +417,7 @@
 
 
 async def test_held_up_heartbeat_displaces_no_successor(surfaces):
-    """Its sender crashed, and another one runs at the address."""
+    """A delayed heartbeat of a crashed engine whose address is reused."""
     one = surfaces.controls[0]
     body = json.dumps({**HEARTBEAT, 'zone': 'north-hall'}).encode()
     for name in ('new', 'old'):
@@ -456,7 +456,7 @@
 
 
 def filled(given):
-    """Fill the template as the platform's pages say, as far as it is used."""
+    """Render deploy/node.json with the template syntax that it uses."""
     text = (ROOT / 'deploy' / 'node.json').read_text()
 
     def value(path):
@@ -532,7 +532,7 @@
 
 
 def test_folder_hides_no_library():
-    """A module named platform is the standard library's, always."""
+    """``import platform`` must import the standard library's module."""
     code = (
         f'import sys; sys.path.insert(0, {str(ROOT)!r}); '
         'import platform; print(platform.python_version())'
--- a/tests/test_connecting.py
+++ b/tests/test_connecting.py
@@ -1,4 +1,4 @@
-"""Calls that are cancelled as their connection is made harm no other."""
+"""Cancelling a request during connection setup is safe for others."""
 
 import asyncio
 import gc
@@ -17,14 +17,14 @@
 
 @pytest.fixture(scope='module')
 def event_loop_policy():
-    """Run on the loop that daemons run on."""
+    """Run on uvloop, as daemons do."""
     os.environ[runtime.URING_VARIABLE] = '0'
     return uvloop.EventLoopPolicy()
 
 
 @pytest.fixture
 async def address():
-    """Accept connections and say nothing on them."""
+    """Accept connections and never respond."""
     opened = []
 
     async def accept(_reader, writer):
@@ -39,7 +39,7 @@
 
 
 async def test_cancelled_connect_closes_descriptor_once(address, monkeypatch):
-    """Its number may be another's by the time it is collected."""
+    """A second close could hit another connection's descriptor."""
     start = aiohappyeyeballs.start_connection
     client = web.HttpClient(CONNECT_TIMEOUT_MS)
     seen = {}
@@ -60,7 +60,7 @@
     try:
         await asking
     except asyncio.CancelledError as error:
-        # Its traceback holds the socket, as that of a logged failure does.
+        # The traceback keeps the socket alive, as that of a logged error does.
         kept = error
     await asyncio.sleep(0.01)
     taken = [os.open(os.devnull, os.O_RDONLY)]
@@ -120,7 +120,7 @@
 
 
 class _Loop:
-    """Be a loop that makes connections in another way."""
+    """Wraps a loop and replaces how it creates connections."""
 
     def __init__(self, loop, create, connect=None):
         self._wrapped = loop
@@ -134,7 +134,7 @@
 async def test_connection_that_takes_too_long_is_given_up(
     address, monkeypatch
 ):
-    """Its socket, which has not connected, is closed at once."""
+    """The socket is closed when the connect timeout expires."""
     client = web.HttpClient(connect_timeout_ms=50)
     loop = asyncio.get_running_loop()
     opened = []
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Links between hosts, on their own."""
+"""Links between hosts: calls, one-way messages and absent peers."""
 
 import asyncio
 import subprocess
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 async def ends():
-    """Run two hosts that answer; a third is known but absent."""
+    """Run two hosts that reply; a third is configured but not running."""
     keys = {name: links.new_keys() for name in NAMES}
     ports = dict(zip(NAMES, web.free_ports(len(NAMES))))
     peers = [
@@ -50,7 +50,7 @@
 
 
 async def test_waiting_call_holds_nothing_else_back(ends):
-    """pyzmq queues a send behind one that waits, NOBLOCK or not."""
+    """pyzmq queues sends behind a pending one, even with NOBLOCK."""
     waiting = asyncio.create_task(ends['a'].call('absent', b'x', 20_000))
     await asyncio.sleep(0.1)
     await ends['a'].send_oneway('absent', b'y')
@@ -73,7 +73,7 @@
 
 
 async def test_nothing_is_queued_for_an_absent_host(ends):
-    """What was sent while it was away must not arrive when it is back."""
+    """Messages sent to an absent host must not arrive once it is back."""
     one = ends['a']
     for _number in range(5):
         await one.send_oneway('absent', b'old')
@@ -93,7 +93,7 @@
 
 
 def test_ports_are_not_given_to_two_processes(monkeypatch):
-    """Two runs of the tests side by side take other ports."""
+    """Parallel test runs get different ports."""
     first = web.free_ports(1)[0]
     monkeypatch.setattr(web, 'PORT_RANGE', range(first, first + 20))
     mine = set(web.free_ports(5)) | {first}
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,4 +1,4 @@
-"""Connections that fall silent for good are found on both sides."""
+"""TCP keepalive detects dead connections on both sides."""
 
 import asyncio
 import socket
@@ -8,13 +8,12 @@
 
 from wrenspoke.transport import web
 
-# A caller gives a stream up after some such silence; what hangs on a
-# connection has to end before that.
+# Dead connections must be detected before callers time out.
 MAX_DETECTION_MS = 3_000
 
 
 def detection_time_ms(opened):
-    """Return after which silence the system ends a connection."""
+    """Return the time after which the kernel closes a dead connection."""
     assert opened.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE)
 
     def option(name):
--- a/tests/test_thawed_links.py
+++ b/tests/test_thawed_links.py
@@ -1,19 +1,7 @@
-"""A host that stood still while others went on sending, and gave it up.
+"""A suspended host must survive a link reset when it resumes.
 
-Seen: an entry host that had stood still for some seconds ended by itself 11
-ms after it went on: ``Assertion failed: !_io_error`` in libzmq.
-
-How: what others had sent meanwhile was more than its socket takes in at once,
-so libzmq stopped reading the link; the link was reset, which it noted; then
-its heartbeat was due, as it had been for seconds, and was to be sent there.
-So was the answer to a heartbeat of the other side, among what it had read.
-
-Cause: links were read only as far as a host keeps up with them. One that is
-not read may have ended, and libzmq (4.3.5) bears no heartbeat on it then.
-
-Proof: a receiver that stands still while it is sent more than it takes in,
-and whose link is reset before it goes on. Without heartbeats of the receiver
-alone it ends all the same, by those of the sender.
+libzmq (4.3.5) aborts with ``Assertion failed: !_io_error`` when a link is
+reset while reading is paused at the high-water mark and a heartbeat is due.
 """
 
 import asyncio
@@ -31,11 +19,11 @@
 
 ROUNDS = 3
 HEARTBEAT_MS = 100
-# So often that some lie among what was read as reading stops.
+# Short, so that heartbeats are among the buffered messages.
 SENT_HEARTBEAT_MS = 5
-# Only the relay ends its links.
+# Long, so that only the relay closes the sender's links.
 SENDER_TIMEOUT_MS = 60_000
-# More than a socket takes in at once, by far.
+# Far more than libzmq reads at once.
 MESSAGES = 400
 BUSY_S = 0.01
 RECEIVER = f"""
@@ -69,7 +57,7 @@
 
 
 class ResettingRelay:
-    """Pass bytes on to a receiver, and reset its connections when told."""
+    """Forwards bytes to a receiver; ``reset`` resets its connections."""
 
     def __init__(self, port):
         self._port = port
@@ -113,7 +101,7 @@
 
 
 async def flood(sender, receiver, relay):
-    """Tell a receiver that stands still more than it takes in."""
+    """Send a suspended receiver more than libzmq reads at once."""
     sent = 0
     begun_bytes = relay.passed_bytes
     for _number in range(MESSAGES):
@@ -150,10 +138,10 @@
             receiver.send_signal(signal.SIGSTOP)
             await flood(sender, name, relay)
             relay.reset()
-            # Its heartbeats are due by then.
+            # Wait until the receiver's heartbeats are due.
             await asyncio.sleep(5 * HEARTBEAT_MS / 1000)
             receiver.send_signal(signal.SIGCONT)
-            # Some heartbeats while it is still behind.
+            # Wait for heartbeats while the receiver still has a backlog.
             await asyncio.sleep(5 * HEARTBEAT_MS / 1000)
             assert receiver.poll() is None
     finally:
