--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -10,11 +10,6 @@
 import hypothesis
 import pytest
 
-from adapter import control  # noqa: E402
-from adapter import header_names  # noqa: E402
-from adapter import registrations  # noqa: E402
-from adapter import reports  # noqa: E402
-from adapter import routes as decoder  # noqa: E402
 from tests import nodes
 from tests import test_registry
 from wrenspoke import node as settings
@@ -27,6 +22,11 @@
 FOLDER = ROOT / 'platform'
 sys.path.append(str(FOLDER))
 
+from adapter import control  # noqa: E402
+from adapter import header_names  # noqa: E402
+from adapter import registrations  # noqa: E402
+from adapter import reports  # noqa: E402
+from adapter import routes as decoder  # noqa: E402
 
 ROUTE = {
     'name': 'r-1',
