--- a/deploy/days.py
+++ b/deploy/days.py
@@ -125,12 +125,12 @@
     with tempfile.TemporaryDirectory(dir=pathlib.Path.cwd().parent) as folder:
         day = pathlib.Path(folder) / 'day.toml'
         day.write_text(build_day(site, kind, fields, planned))
-        ended = subprocess.run(
+        process = subprocess.run(
             [bench, 'run', path, str(day), '--why', f'{kind} {fields}, twice'],
             capture_output=True,
             text=True,
         )
-    lines = (ended.stdout + ended.stderr).splitlines()
+    lines = (process.stdout + process.stderr).splitlines()
     broken = [line for line in lines if line.startswith('rules broken')]
     row_line = next(
         (line for line in lines if re.match(r'\S+ +\d+/\d+ ', line)),
@@ -147,15 +147,16 @@
     parser.add_argument('site')
     parser.add_argument('kinds', nargs='*')
     parser.add_argument('--jobs', type=int, default=3)
-    found = parser.parse_args()
+    arguments = parser.parse_args()
     rows = [
         row
         for row in FAULT_SCENARIOS
-        if not found.kinds or row[0] in found.kinds
+        if not arguments.kinds or row[0] in arguments.kinds
     ]
-    with concurrent.futures.ThreadPoolExecutor(found.jobs) as pool:
+    with concurrent.futures.ThreadPoolExecutor(arguments.jobs) as pool:
         played = [
-            pool.submit(run_day, found.bench, found.site, row) for row in rows
+            pool.submit(run_day, arguments.bench, arguments.site, row)
+            for row in rows
         ]
         for one in concurrent.futures.as_completed(played):
             print(one.result(), flush=True)
--- a/wrenspoke/standin/engine.py
+++ b/wrenspoke/standin/engine.py
@@ -182,13 +182,13 @@
         self, request: web.Request, body: dict, name: str
     ) -> _Stream:
         messages = body['messages']
-        said = 0
+        start_index = 0
         if body.get('continue_final_message'):
-            said = len(messages[-1]['content'].split())
+            start_index = len(messages[-1]['content'].split())
             messages = messages[:-1]
         count = body.get('max_tokens') or DEFAULT_TOKENS
         words = answer_words(messages, count)
-        stream = _Stream(name, body.get('model') or '', words, said)
+        stream = _Stream(name, body.get('model') or '', words, start_index)
         request_id = request.headers.get(headers.REQUEST, name)
         self.runs[request_id] += 1
         self._streams[request_id] = stream
--- a/wrenspoke/standin/plain_service.py
+++ b/wrenspoke/standin/plain_service.py
@@ -30,8 +30,8 @@
 
     async def _serve(self, request: web.Request) -> web.StreamResponse:
         body = await request.read()
-        run = request.headers.get(headers.REQUEST, '')
-        self.runs[run] += 1
+        request_id = request.headers.get(headers.REQUEST, '')
+        self.runs[request_id] += 1
         if self.faults.close_after_read:
             transport_web.abort(request)
             return web.Response()
@@ -40,15 +40,15 @@
         echo = request.headers.get(headers.ECHOED_REQUEST_ID, '')
         if self.faults.crossed:
             echo = 'another/request'
-        kept = {headers.ECHOED_REQUEST_ID: echo}
+        response_headers = {headers.ECHOED_REQUEST_ID: echo}
         if self.faults.redirect_to:
-            kept['Location'] = self.faults.redirect_to
+            response_headers['Location'] = self.faults.redirect_to
         answer = msgspec.json.encode(
             {
                 'endpoint': self.name,
                 'method': request.method,
                 'path': request.raw_path,
-                'request': run,
+                'request': request_id,
                 'received_bytes': len(body),
             }
         )
@@ -57,7 +57,7 @@
         return web.Response(
             body=answer,
             status=self.faults.status or 200,
-            headers=kept,
+            headers=response_headers,
             content_type='application/json',
         )
 
--- a/wrenspoke/standin/relay.py
+++ b/wrenspoke/standin/relay.py
@@ -68,9 +68,13 @@
         except OSError:
             writer.transport.abort()
             return
-        there = self._tasks.start(self._forward(reader, target_writer), False)
-        back = self._tasks.start(self._forward(target_reader, writer), False)
-        await asyncio.wait([there, back])
+        upstream = self._tasks.start(
+            self._forward(reader, target_writer), False
+        )
+        downstream = self._tasks.start(
+            self._forward(target_reader, writer), False
+        )
+        await asyncio.wait([upstream, downstream])
 
     async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
--- a/wrenspoke/transport/connector.py
+++ b/wrenspoke/transport/connector.py
@@ -41,12 +41,12 @@
     async def connect(
         self, *arguments: typing.Any, **named: typing.Any
     ) -> connectors.Connection:
-        found = await super().connect(*arguments, **named)
+        connection = await super().connect(*arguments, **named)
         may_send = _MAY_SEND.get()
         if may_send is not None and not may_send():
-            found.release()
+            connection.release()
             raise errors.SendAbortedError('send no longer permitted')
-        return found
+        return connection
 
     async def _wrap_create_connection(
         self,
@@ -55,7 +55,7 @@
         **named: typing.Any,
     ) -> tuple[asyncio.Transport, client_proto.ResponseHandler]:
         opened: list[socket.socket] = []
-        noted = _OPENED_SOCKETS.set(opened)
+        token = _OPENED_SOCKETS.set(opened)
         making = asyncio.ensure_future(
             super()._wrap_create_connection(
                 *arguments,
@@ -63,7 +63,7 @@
                 **named,
             )
         )
-        _OPENED_SOCKETS.reset(noted)
+        _OPENED_SOCKETS.reset(token)
         try:
             async with asyncio.timeout(timeout.sock_connect):
                 return await asyncio.shield(making)
@@ -90,44 +90,44 @@
     may_send: collections.abc.Callable[[], bool] | None,
 ) -> collections.abc.Iterator[None]:
     """Send requests within the block only while ``may_send`` returns true."""
-    asked = _MAY_SEND.set(may_send)
+    token = _MAY_SEND.set(may_send)
     try:
         yield
     finally:
-        _MAY_SEND.reset(asked)
+        _MAY_SEND.reset(token)
 
 
-def _is_connected(opened: socket.socket) -> bool:
+def _is_connected(sock: socket.socket) -> bool:
     try:
-        opened.getpeername()
+        sock.getpeername()
     except OSError:
         return False
     return True
 
 
-def _close_unused(made: asyncio.Future) -> None:
+def _close_unused(connect_task: asyncio.Future) -> None:
     """Close a connection that its caller stopped waiting for."""
-    if made.cancelled() or made.exception() is not None:
+    if connect_task.cancelled() or connect_task.exception() is not None:
         return
-    transport, _protocol = made.result()
+    transport, _protocol = connect_task.result()
     transport.abort()
 
 
 def create_keepalive_socket(address: tuple) -> socket.socket:
     """Return a non-blocking socket with TCP keepalive enabled."""
     family, kind, protocol, _name, _address = address
-    made = socket.socket(family, kind, protocol)
-    made.setblocking(False)
-    enable_keepalive(made)
-    _OPENED_SOCKETS.get([]).append(made)
-    return made
+    sock = socket.socket(family, kind, protocol)
+    sock.setblocking(False)
+    enable_keepalive(sock)
+    _OPENED_SOCKETS.get([]).append(sock)
+    return sock
 
 
-def enable_keepalive(opened: socket.socket) -> None:
+def enable_keepalive(sock: socket.socket) -> None:
     """Enable TCP keepalive and a user timeout on a socket."""
     tcp = socket.IPPROTO_TCP
-    opened.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    opened.setsockopt(tcp, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
-    opened.setsockopt(tcp, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
-    opened.setsockopt(tcp, socket.TCP_KEEPCNT, KEEPALIVE_COUNT)
-    opened.setsockopt(tcp, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    sock.setsockopt(tcp, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
+    sock.setsockopt(tcp, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
+    sock.setsockopt(tcp, socket.TCP_KEEPCNT, KEEPALIVE_COUNT)
+    sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -160,9 +160,9 @@
             domain='*', credentials_provider=self
         )
 
-    def _set_curve_keys(self, opened: zmq.asyncio.Socket) -> None:
-        opened.curve_secretkey = self._identity.secret_key.encode()
-        opened.curve_publickey = self._identity.public_key.encode()
+    def _set_curve_keys(self, sock: zmq.asyncio.Socket) -> None:
+        sock.curve_secretkey = self._identity.secret_key.encode()
+        sock.curve_publickey = self._identity.public_key.encode()
 
     def callback(self, _domain: str, key: bytes) -> bool:
         """Return whether a key belongs to a known host; called by pyzmq."""
@@ -413,17 +413,17 @@
 
 
 def _set_options(
-    opened: zmq.asyncio.Socket, heartbeat_options: HeartbeatOptions
+    sock: zmq.asyncio.Socket, heartbeat_options: HeartbeatOptions
 ) -> None:
-    opened.setsockopt(zmq.LINGER, 0)
-    opened.setsockopt(zmq.SNDHWM, SEND_HIGH_WATER_MARK)
-    opened.setsockopt(zmq.RCVHWM, RECEIVE_HIGH_WATER_MARK)
-    opened.setsockopt(zmq.HEARTBEAT_IVL, heartbeat_options.heartbeat_ms)
-    opened.setsockopt(zmq.HEARTBEAT_TIMEOUT, heartbeat_options.timeout_ms)
-    opened.setsockopt(zmq.MAXMSGSIZE, MAX_MESSAGE_BYTES)
-    opened.setsockopt(zmq.CONNECT_TIMEOUT, heartbeat_options.timeout_ms)
-    opened.setsockopt(zmq.RECONNECT_IVL, RECONNECT_MS)
-    opened.setsockopt(zmq.RECONNECT_IVL_MAX, MAX_RECONNECT_MS)
+    sock.setsockopt(zmq.LINGER, 0)
+    sock.setsockopt(zmq.SNDHWM, SEND_HIGH_WATER_MARK)
+    sock.setsockopt(zmq.RCVHWM, RECEIVE_HIGH_WATER_MARK)
+    sock.setsockopt(zmq.HEARTBEAT_IVL, heartbeat_options.heartbeat_ms)
+    sock.setsockopt(zmq.HEARTBEAT_TIMEOUT, heartbeat_options.timeout_ms)
+    sock.setsockopt(zmq.MAXMSGSIZE, MAX_MESSAGE_BYTES)
+    sock.setsockopt(zmq.CONNECT_TIMEOUT, heartbeat_options.timeout_ms)
+    sock.setsockopt(zmq.RECONNECT_IVL, RECONNECT_MS)
+    sock.setsockopt(zmq.RECONNECT_IVL_MAX, MAX_RECONNECT_MS)
 
 
 def new_keys() -> tuple[str, str]:
--- a/wrenspoke/transport/port_probe.py
+++ b/wrenspoke/transport/port_probe.py
@@ -15,11 +15,11 @@
     """
     ip, _, port = address.rpartition(':')
     loop = asyncio.get_running_loop()
-    with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as opened:
-        opened.setblocking(False)
+    with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as sock:
+        sock.setblocking(False)
         try:
             async with clocks.timeout_ms(timeout_ms):
-                await loop.sock_connect(opened, (ip, int(port)))
+                await loop.sock_connect(sock, (ip, int(port)))
         except ConnectionRefusedError:
             return True
         except (OSError, TimeoutError):
--- a/wrenspoke/transport/web.py
+++ b/wrenspoke/transport/web.py
@@ -51,8 +51,8 @@
 
     def eof_received(self) -> None:
         """Fail a body whose end of file was a connection reset."""
-        opened = self.transport.get_extra_info('socket')
-        found = opened.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        sock = self.transport.get_extra_info('socket')
+        found = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if found:
             self._fail_payload(OSError(found, os.strerror(found)))
         super().eof_received()
@@ -223,12 +223,12 @@
 
 def _listening_socket(ip: str, port: int) -> socket.socket:
     """Return a bound socket whose accepted connections use keepalive."""
-    made = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    made.setblocking(False)
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    connector.enable_keepalive(made)
-    made.bind((ip, port))
-    return made
+    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    sock.setblocking(False)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    connector.enable_keepalive(sock)
+    sock.bind((ip, port))
+    return sock
 
 
 async def _disable_retries(
@@ -374,30 +374,30 @@
     only once, and to no other process while this one runs. The list is
     shorter if the range is exhausted.
     """
-    found: list[int] = []
+    ports: list[int] = []
     for port in random.sample(PORT_RANGE, len(PORT_RANGE)):
         if port in _ALLOCATED_PORTS or not _try_lock_port(port):
             continue
-        with socket.socket() as tried:
+        with socket.socket() as sock:
             try:
-                tried.bind(('127.0.0.1', port))
+                sock.bind(('127.0.0.1', port))
             except OSError:
                 continue
-        found.append(port)
+        ports.append(port)
         _ALLOCATED_PORTS.add(port)
-        if len(found) == count:
+        if len(ports) == count:
             break
-    return found
+    return ports
 
 
 def _try_lock_port(port: int) -> bool:
     """Lock a port against other processes; return whether that succeeded."""
     path = pathlib.Path(tempfile.gettempdir()) / f'wrenspoke-port-{port}'
-    lock = os.open(path, os.O_CREAT | os.O_RDWR, 0o600)
+    descriptor = os.open(path, os.O_CREAT | os.O_RDWR, 0o600)
     try:
-        fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError:
-        os.close(lock)
+        os.close(descriptor)
         return False
-    _PORT_LOCKS.append(lock)
+    _PORT_LOCKS.append(descriptor)
     return True
