--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -328,7 +328,7 @@
         return response.status, await response.read(), response.headers
 
 
-async def test_operators_orders_are_taken_once_and_for_all(surfaces):
+async def test_configuration_version_is_accepted_once(surfaces):
     leader = await surfaces.leader()
     first = document(version=7)
     other = document(version=7, routes=[])
@@ -416,7 +416,7 @@
     assert status == 400
 
 
-async def test_held_up_heartbeat_displaces_no_successor(surfaces):
+async def test_delayed_heartbeat_keeps_successor(surfaces):
     """A delayed heartbeat of a crashed engine whose address is reused."""
     one = surfaces.controls[0]
     body = json.dumps({**HEARTBEAT, 'zone': 'north-hall'}).encode()
--- a/tests/test_connecting.py
+++ b/tests/test_connecting.py
@@ -77,9 +77,7 @@
     await client.close()
 
 
-async def test_connection_that_nobody_waits_for_is_closed(
-    address, monkeypatch
-):
+async def test_connection_of_cancelled_request_is_closed(address, monkeypatch):
     start = aiohappyeyeballs.start_connection
     client = web.HttpClient(CONNECT_TIMEOUT_MS)
     go_on = asyncio.Event()
@@ -131,9 +129,7 @@
         return getattr(self._wrapped, name)
 
 
-async def test_connection_that_takes_too_long_is_given_up(
-    address, monkeypatch
-):
+async def test_connect_timeout_closes_socket(address, monkeypatch):
     """The socket is closed when the connect timeout expires."""
     client = web.HttpClient(connect_timeout_ms=50)
     loop = asyncio.get_running_loop()
@@ -163,7 +159,7 @@
     await client.close()
 
 
-async def test_connection_that_is_refused_is_told_as_not_sent():
+async def test_refused_connection_raises_not_sent():
     client = web.HttpClient(CONNECT_TIMEOUT_MS)
     [port] = web.free_ports(1)
     with pytest.raises(errors.NotSentError):
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -41,7 +41,7 @@
         await one.close()
 
 
-async def test_calls_are_answered_each_with_its_own(ends):
+async def test_concurrent_calls_get_their_own_replies(ends):
     bodies = [b'%d' % number for number in range(50)]
     answers = await asyncio.gather(
         *(ends['a'].call('b', body, 10_000) for body in bodies)
--- a/wrenspoke/transport/web.py
+++ b/wrenspoke/transport/web.py
@@ -260,7 +260,7 @@
             size_bytes += len(chunk)
             if size_bytes > limit_bytes:
                 raise errors.MaybeSentError(
-                    f'answer is over {limit_bytes} bytes'
+                    f'response body exceeds {limit_bytes} bytes'
                 )
             chunks.append(chunk)
     except (aiohttp.ClientError, OSError) as error:
