--- a/wrenspoke/transport/port_probe.py
+++ b/wrenspoke/transport/port_probe.py
@@ -1,4 +1,4 @@
-"""Ask the system of another host whether a program listens there."""
+"""Check whether a process listens at a TCP address."""
 
 import asyncio
 import socket
@@ -7,18 +7,19 @@
 
 
 async def is_connection_refused(address: str, timeout_ms: int) -> bool:
-    """Tell whether nobody listens at an ``IP:PORT``.
+    """Return whether a connection to an ``IP:PORT`` is refused.
 
-    A system that lives refuses connections for a program that has ended. No
-    answer, as of a host that is cut off or too busy, says nothing.
+    The kernel of a live host refuses connections to a port on which no
+    process listens. False if the connection is accepted, or if it times
+    out or fails otherwise, as on a partitioned or overloaded host.
     """
     ip, _, port = address.rpartition(':')
     loop = asyncio.get_running_loop()
-    with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as opened:
-        opened.setblocking(False)
+    with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as sock:
+        sock.setblocking(False)
         try:
             async with clocks.timeout_ms(timeout_ms):
-                await loop.sock_connect(opened, (ip, int(port)))
+                await loop.sock_connect(sock, (ip, int(port)))
         except ConnectionRefusedError:
             return True
         except (OSError, TimeoutError):
