--- a/wrenspoke/controld.py
+++ b/wrenspoke/controld.py
@@ -55,7 +55,7 @@
         )
         self.replica = replica.Replica()
         self._client = web.HttpClient(deployment.entry.connect_timeout_ms)
-        kept = storage.Storage(
+        log_storage = storage.Storage(
             disk.Disk(folder / self._host_settings.data_folder)
         )
         hosts = [
@@ -68,7 +68,7 @@
             ),
             control_group.ControlGroup(host, hosts, clock),
             deployment.control,
-            kept,
+            log_storage,
             self.peers,
             self.replica,
             clock,
