--- a/wrenspoke/controld.py
+++ b/wrenspoke/controld.py
@@ -156,9 +156,9 @@
     """
     deployment = settings.read(path)
     folder = path.parent / deployment.host(name).data_folder
-    kept = storage.Storage(disk.Disk(folder))
+    log_storage = storage.Storage(disk.Disk(folder))
     first = entries.Bootstrap(deployment.first_configuration())
-    bootstrap.bootstrap_single(kept, ids.HostId(name), first)
+    bootstrap.bootstrap_single(log_storage, ids.HostId(name), first)
 
 
 async def serve(path: pathlib.Path, name: str) -> None:
