--- a/wrenspoke/control_node.py
+++ b/wrenspoke/control_node.py
@@ -42,15 +42,17 @@
             node.host, node.seed_hosts, self.clock
         )
         self.replica = replica.Replica()
-        kept = storage.Storage(disk.Disk(pathlib.Path(node.data_folder)))
+        log_storage = storage.Storage(
+            disk.Disk(pathlib.Path(node.data_folder))
+        )
         if node.first_start:
-            bootstrap.bootstrap_seeds(kept, node.host, node.seed_hosts)
+            bootstrap.bootstrap_seeds(log_storage, node.host, node.seed_hosts)
         self.voter = voter.Voter(
             node.host,
             locations.Location(node.region, node.data_centre),
             self.group,
             node.control,
-            kept,
+            log_storage,
             self.peers,
             self.replica,
             self.clock,
