--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -152,12 +152,12 @@
         Without control hosts the entry hosts tell each other.
         """
         deployment = self._deployment
-        told = deployment.with_role('control') or [
+        report_hosts = deployment.with_role('control') or [
             host
             for host in deployment.with_role('entry')
             if host.host != self._host
         ]
-        gatherers = [ids.HostId(host.host) for host in told]
+        gatherers = [ids.HostId(host.host) for host in report_hosts]
         self._guard = guard.Guard(
             self.replica,
             crash_reporter.CrashReporter(
