--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -157,11 +157,11 @@
             for host in deployment.with_role('entry')
             if host.host != self._host
         ]
-        gatherers = [ids.HostId(host.host) for host in report_hosts]
+        report_host_ids = [ids.HostId(host.host) for host in report_hosts]
         self._guard = guard.Guard(
             self.replica,
             crash_reporter.CrashReporter(
-                lambda: gatherers, self.peers, self._clock
+                lambda: report_host_ids, self.peers, self._clock
             ),
             self.peers,
             self._is_endpoint_leaving,
