--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -207,13 +207,13 @@
     def _build_limits(self) -> None:
         """Build what keeps teams to their limits."""
         node = self.node
-        allowed = bounds.OvershootBounds(
+        overshoot = bounds.OvershootBounds(
             node.limits.window_ms, node.limits.share, node.limits.fixed
         )
         self._team_buckets = team_buckets.TeamBuckets(
             self._access.limit_of,
             lambda: self.discovery.leader,
-            allowed,
+            overshoot,
             self.peers,
             self.clock,
         )
@@ -221,7 +221,7 @@
             node.host,
             self._pollers.rendezvous_order,
             self._team_buckets,
-            allowed,
+            overshoot,
             self.peers,
             self.clock,
         )
