--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -407,10 +407,10 @@
             self.retry_budget.set_hosts(record.host for record in hosts)
             near = self.discovery.roster.usable(self.node.region)
             self._estimator.backlog.host_count = max(len(near), 1)
-            held = self.discovery.registry.entries
-            self._estimator.keep_only(set(held))
-            self._warmup_probe.keep_only(set(held))
-            places = {found.registration.address for found in held.values()}
+            entries = self.discovery.registry.entries
+            self._estimator.keep_only(set(entries))
+            self._warmup_probe.keep_only(set(entries))
+            places = {found.registration.address for found in entries.values()}
             places |= {record.passing_address for record in hosts}
             self._outlier_detector.keep_only(places)
             self.discovery.registry.evict_expired()
