--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -405,8 +405,8 @@
         while True:
             hosts = self.discovery.roster.usable()
             self.retry_budget.set_hosts(record.host for record in hosts)
-            near = self.discovery.roster.usable(self.node.region)
-            self._estimator.backlog.host_count = max(len(near), 1)
+            region_hosts = self.discovery.roster.usable(self.node.region)
+            self._estimator.backlog.host_count = max(len(region_hosts), 1)
             entries = self.discovery.registry.entries
             self._estimator.keep_only(set(entries))
             self._warmup_probe.keep_only(set(entries))
