--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -410,9 +410,11 @@
             entries = self.discovery.registry.entries
             self._estimator.keep_only(set(entries))
             self._warmup_probe.keep_only(set(entries))
-            places = {found.registration.address for found in entries.values()}
-            places |= {record.passing_address for record in hosts}
-            self._outlier_detector.keep_only(places)
+            addresses = {
+                found.registration.address for found in entries.values()
+            }
+            addresses |= {record.passing_address for record in hosts}
+            self._outlier_detector.keep_only(addresses)
             self.discovery.registry.evict_expired()
             await self.clock.sleep_ms(HOUSEKEEPING_INTERVAL_MS)
 
