--- a/wrenspoke/node_peers.py
+++ b/wrenspoke/node_peers.py
@@ -20,10 +20,12 @@
 
 
 def build_peers(
-    node: nodes.NodeSettings, sent: traffic.TrafficCounter, clock: clocks.Clock
+    node: nodes.NodeSettings,
+    traffic_counter: traffic.TrafficCounter,
+    clock: clocks.Clock,
 ) -> peer_calls.Peers:
     """Return what a host calls others with; a name tells the address."""
     identity = links.Identity(node.cluster, node.host)
     return peer_calls.Peers(
-        identity, [], clock, LINK_KEEPALIVE, sent.count_message
+        identity, [], clock, LINK_KEEPALIVE, traffic_counter.count_message
     )
