--- a/wrenspoke/runtime.py
+++ b/wrenspoke/runtime.py
@@ -63,7 +63,7 @@
         task = loop.create_task(coroutine)
         self._tasks.add(task)
 
-        def done(ended: asyncio.Task) -> None:
+        def on_done(ended: asyncio.Task) -> None:
             self._tasks.discard(ended)
             if ended.cancelled() or ended.exception() is None:
                 return
@@ -75,7 +75,7 @@
                 }
             )
 
-        task.add_done_callback(done)
+        task.add_done_callback(on_done)
         return task
 
     async def wait(self) -> None:
