--- a/wrenspoke/keys.py
+++ b/wrenspoke/keys.py
@@ -37,8 +37,8 @@
 
 def _write_secret(path: pathlib.Path, text: str) -> None:
     path.unlink(missing_ok=True)
-    opened = os.open(path, os.O_WRONLY | os.O_CREAT, SECRET_MODE)
-    with os.fdopen(opened, 'w') as file:
+    descriptor = os.open(path, os.O_WRONLY | os.O_CREAT, SECRET_MODE)
+    with os.fdopen(descriptor, 'w') as file:
         file.write(text + '\n')
 
 
