--- a/wrenspoke/arguments.py
+++ b/wrenspoke/arguments.py
@@ -27,10 +27,10 @@
     parser.add_argument(
         '--log-level', default='info', choices=sorted(logs.LEVELS)
     )
-    found = parser.parse_args()
-    logs.configure(found.log_level, found.host)
+    parsed = parser.parse_args()
+    logs.configure(parsed.log_level, parsed.host)
     try:
-        runtime.run(serve(found.settings, found.host))
+        runtime.run(serve(parsed.settings, parsed.host))
     except errors.WrenspokeError as error:
         logger.error('not_started', reason=str(error))
         sys.exit(str(error))
