--- a/wrenspoke/metrics.py
+++ b/wrenspoke/metrics.py
@@ -84,5 +84,5 @@
     def response(self, request: web.Request) -> web.Response:
         """Return the answer to a scraper."""
         accepts = request.headers.getall('Accept', [])
-        body, sent = renderer.render(self._registry, list(accepts))
-        return web.Response(body=body, headers=sent)
+        body, response_headers = renderer.render(self._registry, list(accepts))
+        return web.Response(body=body, headers=response_headers)
