--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -77,7 +77,7 @@
     hosts = len(regions) * entries + controls
     count = 3 * hosts + len(regions) * (engines + plains)
     ports = iter(web.free_ports(count))
-    made = {
+    settings_map = {
         'cluster': 'test',
         'hosts': [],
         'links': [],
@@ -98,11 +98,13 @@
     for region in regions:
         for number in range(1, entries + 1):
             roles = ['entry', 'ledger']
-            made['hosts'].append(_host(region, number, roles, ports))
+            settings_map['hosts'].append(_host(region, number, roles, ports))
         for number in range(1, engines + 1):
-            made['endpoints'].append(_endpoint(region, 'chat', number, ports))
+            settings_map['endpoints'].append(
+                _endpoint(region, 'chat', number, ports)
+            )
         for number in range(1, plains + 1):
-            made['endpoints'].append(
+            settings_map['endpoints'].append(
                 _endpoint(region, 'records', number, ports)
             )
     for number in range(controls):
@@ -111,10 +113,10 @@
         host['host'] = f'control-{number + 1}'
         host['operator_port'] = next(ports)
         host['data_folder'] = f'data/control-{number + 1}'
-        made['hosts'].append(host)
+        settings_map['hosts'].append(host)
     for section, fields in FAST.items():
-        made[section] = {**fields, **changes.pop(section, {})}
-    return {**made, **changes}
+        settings_map[section] = {**fields, **changes.pop(section, {})}
+    return {**settings_map, **changes}
 
 
 def _host(region, number, roles, ports):
