--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings are checked whole, and every problem is named."""
+"""Invalid settings are rejected, with a message for every problem."""
 
 import json
 import pathlib
@@ -15,19 +15,19 @@
 
 
 def changed(change):
-    """Return settings as text after a change."""
+    """Return changed settings as JSON."""
     made = fleet.deployment()
     change(made)
     return json.dumps(made)
 
 
 def drop(name):
-    """Return a change that takes a field away."""
+    """Return a change that removes a field."""
     return lambda made: made.pop(name)
 
 
 def put(value, *path):
-    """Return a change that puts a value at a path."""
+    """Return a change that sets the value at a path."""
 
     def change(made):
         for part in path[:-1]:
@@ -51,7 +51,7 @@
     (put('nope', 'endpoints', 0, 'service'), 'endpoints.0.service'),
     (put('moon', 'endpoints', 0, 'region'), 'endpoints.0.region'),
     (put('ftp://a', 'endpoints', 0, 'url'), 'endpoints.0.url'),
-    (put('north-1', 'hosts', 1, 'host'), "'north-1' is there 2 times"),
+    (put('north-1', 'hosts', 1, 'host'), "'north-1' occurs 2 times"),
     (put('x', 'operators', 0, 'token_sha256'), 'operators.0.token_sha256'),
     (put(['control'], 'hosts', 0, 'roles'), 'hosts.0.data_folder: required'),
 ]  # fmt: skip
--- a/wrenspoke/settings.py
+++ b/wrenspoke/settings.py
@@ -1,7 +1,7 @@
-"""Settings: one JSON file for a deployment, read and checked whole.
+"""Settings of a deployment: one JSON file, validated as a whole.
 
-The models below are the table of defaults. Every process of a deployment
-reads the same file and is told on its command line which host it is.
+The models below define the defaults. Every process of a deployment reads the
+same file; its command line names the host that it runs.
 """
 
 import collections
@@ -23,7 +23,7 @@
 
 
 class SettingsError(errors.WrenspokeError):
-    """List everything that is wrong with a settings file."""
+    """Lists every problem found in a settings file."""
 
     def __init__(self, problems: list[str]):
         super().__init__('\n'.join(problems))
@@ -71,7 +71,7 @@
 
 
 class EntrySettings(_Section):
-    """How entry hosts treat requests."""
+    """Request handling of entry hosts."""
 
     body_limit_bytes: Positive = pydantic.Field(
         default=8 * 1024 * 1024, description='largest body of a request'
@@ -157,7 +157,7 @@
 
 
 class LedgerSettings(_Section):
-    """How once-only requests are remembered."""
+    """Settings of the ledger of once-only requests."""
 
     claim_retention_ms: Positive = pydantic.Field(
         default=900_000, description='age at which a key is refused'
@@ -174,7 +174,7 @@
 
 
 class ControlSettings(_Section):
-    """How control hosts agree and act."""
+    """Consensus and plan execution of control hosts."""
 
     beat_interval_ms: Positive = pydantic.Field(
         default=500, description='time between heartbeats of the leader'
@@ -206,7 +206,7 @@
 
 
 class OperatorSettings(_Section):
-    """Someone who may decide."""
+    """An operator who may change the configuration."""
 
     operator: Name = pydantic.Field(description='name, unique')
     token_sha256: typing.Annotated[
@@ -290,7 +290,7 @@
 
 
 class Deployment(_Section):
-    """Everything that the processes of one deployment have to know."""
+    """Settings that all processes of one deployment share."""
 
     cluster: Name = pydantic.Field(description='name of the deployment')
     keys_folder: str = pydantic.Field(
@@ -328,21 +328,21 @@
     )
 
     def host(self, name: str) -> HostSettings:
-        """Return one host.
+        """Return the settings of a host.
 
-        :raises SettingsError: there is none of that name
+        :raises SettingsError: no host has that name
         """
         for host in self.hosts:
             if host.host == name:
                 return host
-        raise SettingsError([f'hosts: there is no host named {name!r}'])
+        raise SettingsError([f'hosts: no host is named {name!r}'])
 
     def with_role(self, role: str) -> list[HostSettings]:
-        """Return the hosts that have a role, in their order."""
+        """Return the hosts that have a role, in the order of the file."""
         return [host for host in self.hosts if role in host.roles]
 
     def one_way_ms(self, one: str, other: str) -> float:
-        """Return the delay between two regions, 0 within one."""
+        """Return the one-way delay between two regions, 0 within one."""
         if one == other:
             return 0.0
         for link in self.links:
@@ -351,7 +351,7 @@
         return DEFAULT_ONE_WAY_MS
 
     def first_configuration(self) -> configuration.Configuration:
-        """Return the configuration that a founding starts from."""
+        """Return the configuration that a new control group starts with."""
         return configuration.Configuration(
             services={
                 item.service: configuration.Service(**item.model_dump())
@@ -376,9 +376,9 @@
 
 
 def read(path: str | pathlib.Path) -> Deployment:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
-    :raises SettingsError: with every problem found
+    :raises SettingsError: listing every problem found
     """
     try:
         text = pathlib.Path(path).read_bytes()
@@ -388,9 +388,9 @@
 
 
 def parse(text: bytes | str) -> Deployment:
-    """Check settings given as JSON text.
+    """Parse and validate settings, given as JSON.
 
-    :raises SettingsError: with every problem found
+    :raises SettingsError: listing every problem found
     """
     try:
         deployment = Deployment.model_validate_json(text)
@@ -410,9 +410,9 @@
 def _describe(problem: dict) -> str:
     path = '.'.join(str(part) for part in problem['loc']) or 'file'
     if problem['type'] == 'extra_forbidden':
-        return f'{path}: unknown field; remove it or mend its name'
+        return f'{path}: unknown field; remove it or correct its name'
     if problem['type'] == 'missing':
-        return f'{path}: required, but not there'
+        return f'{path}: required, but missing'
     found = repr(problem['input'])[:FOUND_LIMIT]
     return f'{path}: found {found}; {problem["msg"]}'
 
@@ -451,8 +451,7 @@
 def _duplicates(section: str, field: str, items: typing.Iterable) -> list:
     counts = collections.Counter(getattr(item, field) for item in items)
     return [
-        f'{section}: {field} {name!r} is there {count} times; '
-        'it must be unique'
+        f'{section}: {field} {name!r} occurs {count} times; it must be unique'
         for name, count in counts.items()
         if count > 1
     ]
@@ -496,5 +495,5 @@
                 )
     for (ip, port), count in addresses.items():
         if count > 1:
-            problems.append(f'hosts: {ip} port {port} is given {count} times')
+            problems.append(f'hosts: {ip} port {port} occurs {count} times')
     return problems
