--- a/wrenspoke/node.py
+++ b/wrenspoke/node.py
@@ -1,9 +1,9 @@
-"""Settings of one host where hosts find each other at run time.
+"""Settings of one host in a deployment with host discovery.
 
-A JSON file a host, beside the deployment file of ``wrenspoke.settings``:
-the host knows its own addresses and a few seeds, nothing of the others.
-Read once at the start and again when it changes. The structures below
-are the table of defaults.
+Each host has a JSON file, in place of the deployment file that
+``wrenspoke.settings`` reads. It contains the host's own addresses and a few
+seeds, but no other hosts. It is read at the start and again when it changes.
+The structures below define the defaults.
 """
 
 import pathlib
@@ -23,13 +23,13 @@
 ]
 
 
-# Closing what is left after a stop's work is done.
+# Time that remains for closing connections after the drain.
 STOP_MARGIN_MS = 700
 Losses = typing.Annotated[int, msgspec.Meta(ge=0)]
 
 
 class NodeSettingsError(errors.WrenspokeError):
-    """Say which field of a host's settings is wrong, and how."""
+    """Names the field of a host's settings that is invalid, and why."""
 
 
 class _Section(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -37,14 +37,14 @@
 
 
 class NodeControlSettings(_Section):
-    """How control hosts agree.
-
-    There are twice the tolerated losses and one voters; further control
-    hosts stand by. The election time-out is some round trips between far
-    regions (160 ms each) and a slow disk's syncs. A host that stands by
-    takes the place of a voter that was silent for as long as makes a
-    leader count as lost: until then one more lost disk may end the group,
-    while one that comes back after all stands by and costs two entries.
+    """Consensus settings of control hosts.
+
+    There are ``2 * tolerated_losses + 1`` voters, and further control hosts
+    are learners; null makes every control host a voter. The election timeout
+    allows for several round trips between distant regions and for slow disk
+    syncs. After ``replace_after_ms`` of silence a learner replaces a voter.
+    Until then the loss of one more disk may cost the group its quorum. A
+    replaced voter that returns becomes a learner.
     """
 
     beat_interval_ms: Positive = 200
@@ -55,22 +55,23 @@
 
     @property
     def voters_limit(self) -> int | None:
-        """Return how many voters there are at the most."""
+        """Return the maximum number of voters, None if there is none."""
         if self.tolerated_losses is None:
             return None
         return 2 * self.tolerated_losses + 1
 
 
 class NodeEntrySettings(_Section):
-    """How an entry host treats requests.
-
-    Endpoints are near, so that a connection that takes longer than the
-    connect time-out will not come. Theirs rest a while less than the
-    shortest time after which endpoints close them, those to hosts less
-    than callers' do. A far connection takes a round trip of 160 ms, and
-    one lost packet costs some more. A host elsewhere is
-    suspected after the silence of some round trips. Engines report with a
-    lag of some hundred ms, so that asking more often tells little.
+    """Request handling of an entry host.
+
+    Endpoints are near, so a connection that exceeds the connect timeout is
+    unlikely to succeed. ``endpoint_idle_ms`` is below the shortest idle
+    timeout of endpoints, and ``host_idle_ms`` below ``caller_idle_ms``, so
+    that no request is sent on a connection that the peer is closing.
+    ``far_connect_timeout_ms`` covers a round trip between distant regions
+    and the retransmission of a lost packet. A host in another region is
+    suspected after several round trips of silence. Engine reports lag by
+    some hundred ms, so shorter report intervals yield little.
     """
 
     connect_timeout_ms: Positive = 400
@@ -89,15 +90,15 @@
 
     @property
     def stop_timeout_ms(self) -> int:
-        """Return the time for work in flight, so that a stop is in time."""
+        """Return the time to drain in, so that a stop ends in ``grace_ms``."""
         left_ms = self.grace_ms - self.leave_delay_ms - STOP_MARGIN_MS
         return max(left_ms, 0)
 
 
 class RetryBudgetSettings(_Section):
-    """Bound the repeats that a service is sent over all hosts.
+    """Bounds the retries of a service, over all hosts.
 
-    In any window: ``ratio`` times its requests, and ``fixed`` more.
+    In any window: ``ratio`` times its requests, plus ``fixed``.
     """
 
     ratio: Amount = 0.1
@@ -106,10 +107,10 @@
 
 
 class OvershootSettings(_Section):
-    """Say how far teams' limits may be exceeded, over all hosts.
+    """Bounds how far teams may exceed their limits, over all hosts.
 
-    In any window: ``share`` of what a limit allows in it, and ``fixed``
-    more. The more, the larger the calls that find their amount at once.
+    In any window: ``share`` of what a limit allows in it, plus ``fixed``.
+    Higher bounds let larger calls start without waiting for tokens.
     """
 
     window_ms: Positive = 8_000
@@ -118,14 +119,15 @@
 
 
 class NodeSettings(_Section):
-    """Everything that one host has to know.
-
-    ``ip`` and ``link_port`` name the host; links use one port on all
-    hosts. ``regions`` tells the region of each data centre. ``seeds`` are
-    control addresses to begin with, ``first_start`` is true only at the
-    first start of all. Addresses that are null are not listened to.
-    ``withdrawn_keys_ms`` after a key was withdrawn it runs nothing on any
-    host, not even on one that is cut off; null lets those go on.
+    """All settings of one host.
+
+    ``ip`` and ``link_port`` identify the host; all hosts use the same link
+    port. ``regions`` maps each data centre to its region. ``seeds`` are
+    addresses of control hosts to join; ``first_start`` is true only at the
+    first start of the deployment. A listener whose address is null is
+    disabled. Once ``withdrawn_keys_ms`` have passed since a key was withdrawn,
+    no host runs requests under it, not even a partitioned one; with null,
+    partitioned hosts continue to run them.
     """
 
     cluster: str
@@ -152,19 +154,19 @@
 
     @property
     def host(self) -> ids.HostId:
-        """Return this host's name: where its link listens."""
+        """Return this host's name, which is the address of its links."""
         return ids.HostId(f'{self.ip}:{self.link_port}')
 
     @property
     def seed_hosts(self) -> list[ids.HostId]:
-        """Return the seeds' names; links use one port everywhere."""
+        """Return the host names of the seeds."""
         return [
             ids.HostId(f'{seed.rpartition(":")[0]}:{self.link_port}')
             for seed in self.seeds
         ]
 
     def control_address_of(self, host: ids.HostId) -> str | None:
-        """Return where operators reach a control host, if they can."""
+        """Return a control host's address for operators, None if disabled."""
         if self.control_address is None:
             return None
         port = self.control_address.rpartition(':')[2]
@@ -172,9 +174,9 @@
 
 
 def read(path: str | pathlib.Path) -> NodeSettings:
-    """Read and check a host's settings.
+    """Read and validate a host's settings file.
 
-    :raises NodeSettingsError: naming the field that is wrong
+    :raises NodeSettingsError: naming the first invalid field
     """
     try:
         text = pathlib.Path(path).read_bytes()
@@ -184,9 +186,9 @@
 
 
 def parse(text: bytes | str) -> NodeSettings:
-    """Check a host's settings given as JSON text.
+    """Parse and validate a host's settings, given as JSON.
 
-    :raises NodeSettingsError: naming the field that is wrong
+    :raises NodeSettingsError: naming the first invalid field
     """
     try:
         node = msgspec.json.decode(text, type=NodeSettings)
@@ -201,15 +203,15 @@
     if node.data_centre not in node.regions:
         yield f'data_centre: found {node.data_centre!r}; not in regions'
     elif node.regions[node.data_centre] != node.region:
-        yield f'region: found {node.region!r}; regions says another'
+        yield f'region: found {node.region!r}; regions maps to another one'
     if not node.seeds:
-        yield 'seeds: at least one control host is needed'
+        yield 'seeds: at least one control host is required'
     if node.callers_address is not None and node.passing_port is None:
         yield 'passing_port: required on an entry host'
     if node.control_address is not None and not node.data_folder:
         yield 'data_folder: required on a control host'
     if node.callers_address is None and node.control_address is None:
-        yield 'callers_address: this host has neither that nor a control one'
+        yield 'callers_address: required, unless control_address is set'
     least_ms = 3 * node.control.beat_interval_ms
     if node.control.election_timeout_ms < least_ms:
         yield (
