--- a/wrenspoke/controld.py
+++ b/wrenspoke/controld.py
@@ -32,7 +32,7 @@
 
 
 class ControlDaemon:
-    """Build the parts of a control host, start and stop them."""
+    """Builds, starts and stops the components of a control host."""
 
     def __init__(
         self,
@@ -101,7 +101,7 @@
         self._web = web.HttpServer(application)
 
     def _entry_hosts(self, everywhere: bool) -> list[ids.HostId]:
-        """Return the entry hosts of this region, or of all."""
+        """Return the entry hosts of this region, or of all regions."""
         return [
             ids.HostId(entry.host)
             for entry in self._deployment.with_role('entry')
@@ -125,7 +125,7 @@
         return self._metrics.response(request)
 
     async def start(self) -> None:
-        """Listen and begin every task."""
+        """Start the listeners and the background tasks."""
         ip = str(self._host_settings.ip)
         await self.peers.links.start(ip, self._host_settings.link_port)
         self.voter.start()
@@ -138,7 +138,7 @@
         )
 
     async def close(self) -> None:
-        """End every task and close every socket."""
+        """Cancel every task and close every socket."""
         await self._web.close()
         await self._crash_aggregator.close()
         await self.control.close()
@@ -150,9 +150,9 @@
 
 
 def bootstrap_group(path: pathlib.Path, name: str) -> None:
-    """Begin a new group on one control host's empty disk.
+    """Bootstrap a new control group on one host's empty disk.
 
-    :raises InvalidChangeError: the disk holds a log already
+    :raises InvalidChangeError: the disk already holds a log
     """
     deployment = settings.read(path)
     folder = path.parent / deployment.host(name).data_folder
@@ -162,7 +162,7 @@
 
 
 async def serve(path: pathlib.Path, name: str) -> None:
-    """Run one control host until it is told to stop."""
+    """Run one control host until a stop signal."""
     deployment = settings.read(path)
     daemon = ControlDaemon(deployment, name, path.parent)
     await daemon.start()
@@ -171,7 +171,7 @@
 
 
 def main() -> None:
-    """Hand over to the control host that the arguments name."""
+    """Run the control host that the command line names."""
     arguments.run_daemon(__doc__, serve)
 
 
--- a/wrenspoke/entryd.py
+++ b/wrenspoke/entryd.py
@@ -42,15 +42,15 @@
 from wrenspoke.transport import web
 
 MS_PER_S = 1_000
-# Nothing tells the lives of endpoints with configured names apart: one that
-# said that it leaves is tried again after it can have started anew.
+# Configured endpoints have no instance id that would show a restart: the mark
+# of one that announced its shutdown expires after this time.
 LEAVING_TTL_MS = 60_000
 
 logger = structlog.get_logger(__name__)
 
 
 class EntryDaemon:
-    """Build the parts of an entry host, start and stop them."""
+    """Builds, starts and stops the components of an entry host."""
 
     def __init__(
         self,
@@ -86,7 +86,7 @@
         self._build_surface()
 
     def _build_membership(self) -> None:
-        """Build what knows the other hosts and the configuration."""
+        """Build host membership and configuration replication."""
         self.members = members.Members(
             self._deployment,
             self._host_settings,
@@ -128,7 +128,7 @@
         )
 
     def _build_limits(self) -> None:
-        """Build what keeps to what endpoints say that they take."""
+        """Build the enforcement of limits that endpoints advertise."""
         self._pollers = region_pollers.RegionPollers(
             self._region,
             self._host,
@@ -147,9 +147,9 @@
         self._pollers.add_listener(self._gate.merge)
 
     def _build_guard(self) -> None:
-        """Build what holds back requests that end endpoints.
+        """Build the quarantine of requests that crash endpoints.
 
-        Without control hosts the entry hosts tell each other.
+        Without control hosts, entry hosts report crashes to each other.
         """
         deployment = self._deployment
         report_hosts = deployment.with_role('control') or [
@@ -169,12 +169,12 @@
         )
 
     def _is_endpoint_leaving(self, endpoint: ids.EndpointId) -> bool:
-        """Tell whether an endpoint is known to end soon."""
+        """Return whether a known endpoint accepts no more work."""
         found = self.replica.current.endpoints.get(endpoint)
         return found is not None and not self.replica.takes_work(found)
 
     def _build_serving(self) -> None:
-        """Build what sends to this region's endpoints."""
+        """Build load polling of, and dispatch to, this region's endpoints."""
         dispatcher = dispatch.Dispatcher(
             self._host,
             self._region,
@@ -217,7 +217,7 @@
         self._streams = streams.StreamServer(self._server)
 
     def _build_ledger(self) -> None:
-        """Build what serves once-only requests."""
+        """Build the ledger and the server of once-only requests."""
         hosts = [
             ids.HostId(entry.host)
             for entry in self._deployment.with_role('ledger')
@@ -241,7 +241,7 @@
         )
 
     def _build_gateway(self) -> None:
-        """Build what decides where a request is served."""
+        """Build the gateway, which selects where a request is served."""
         forwarder = forwarding.Forwarder(
             self._host,
             self._deployment,
@@ -270,7 +270,7 @@
         )
 
     def _build_surface(self) -> None:
-        """Build what callers and scrapers talk to."""
+        """Build the HTTP server for callers and metrics scrapers."""
         entry_surface = entry_api.EntryApi(
             self.gateway,
             self._host,
@@ -280,7 +280,7 @@
             self._deployment.ledger.clock_skew_ms,
         )
         self._metrics = metrics.Metrics(self._host)
-        # Endpoints with gauges of backoffs and leaves.
+        # Endpoints that have had a backoff or leaving gauge.
         self._gauged_endpoints: set[ids.EndpointId] = set()
         self.loads.on_first_token = self._metrics.observe_first_ms
         application = entry_surface.application()
@@ -288,7 +288,7 @@
         self._web = web.HttpServer(application)
 
     async def start(self) -> None:
-        """Listen and begin every task."""
+        """Start the listeners and the background tasks."""
         ip = str(self._host_settings.ip)
         await self.peers.links.start(ip, self._host_settings.link_port)
         self.members.start()
@@ -308,7 +308,7 @@
         return self._metrics.response(request)
 
     def _collect(self) -> None:
-        """Copy what the parts count into the metrics."""
+        """Copy the counters of the components into the metrics."""
         status = self.gateway.status()
         put = self._metrics.set
         for outcome, count in status['ended'].items():
@@ -347,7 +347,7 @@
         self._metrics.set_link_metrics(self.peers.links)
 
     def _set_endpoint_gauges(self) -> None:
-        """Set the gauges of endpoints; those that ended go back to 0."""
+        """Set the backoff and leaving gauges, to 0 once they have ended."""
         seconds = {
             endpoint: remaining_ms / MS_PER_S
             for endpoint, remaining_ms in self._gate.backoffs.active()
@@ -366,11 +366,11 @@
             )
 
     async def drain(self) -> bool:
-        """Let callers go elsewhere, then wait for what is in flight.
+        """Drain this host; return whether all requests in flight ended.
 
-        The directories leave this host out at once. It goes on serving
-        for a while, since callers keep a directory for its time to live;
-        after that it turns new work away, unrun.
+        Directories omit this host at once. It keeps serving for
+        ``leave_delay_ms``, as callers may still use a cached directory;
+        after that it refuses new requests without running them.
         """
         self.members.draining = True
         await self.members.broadcast_beat()
@@ -381,7 +381,7 @@
         return drained
 
     async def close(self) -> None:
-        """End every task and close every socket."""
+        """Cancel every task and close every socket."""
         await self._web.close()
         await self._team_rate_limiter.close()
         await self._gate.close()
@@ -399,7 +399,7 @@
 
 
 async def serve(path: pathlib.Path, name: str) -> None:
-    """Run one entry host until it is told to stop."""
+    """Run one entry host until a stop signal, then drain it."""
     deployment = settings.read(path)
     folder = path.parent / deployment.keys_folder
     daemon = EntryDaemon(deployment, name, folder)
@@ -410,7 +410,7 @@
 
 
 def main() -> None:
-    """Hand over to the entry host that the arguments name."""
+    """Run the entry host that the command line names."""
     arguments.run_daemon(__doc__, serve)
 
 
