--- a/wrenspoke/control_node.py
+++ b/wrenspoke/control_node.py
@@ -1,7 +1,7 @@
-"""The control daemon of hosts that find each other at run time.
+"""Control host of a deployment with host discovery.
 
-Library parts put together: what listens to operators and endpoints is
-given by whoever starts it, and speaks their protocol.
+The process that starts it provides the servers for operators and endpoints,
+whose protocols depend on the platform.
 """
 
 import pathlib
@@ -31,7 +31,7 @@
 
 
 class ControlNode:
-    """Run a control host: agreement, registry, roster, directory."""
+    """Runs a control host: consensus, endpoint registry, host roster."""
 
     def __init__(self, node: nodes.NodeSettings):
         self.node = node
@@ -83,7 +83,7 @@
         )
 
     def _entry_hosts(self, everywhere: bool) -> list[ids.HostId]:
-        """Return the entry hosts of this region, or of all."""
+        """Return the entry hosts of this region, or of all regions."""
         return [
             record.host
             for record in self.registrar.roster.records()
@@ -91,7 +91,7 @@
         ]
 
     async def start(self) -> None:
-        """Listen for other hosts and begin every task."""
+        """Start the link listener and the background tasks."""
         await self.peers.links.start(self.node.ip, self.node.link_port)
         self.voter.start()
         if (
@@ -105,12 +105,12 @@
         logger.info('started', host=self.node.host, seeds=self.node.seeds)
 
     def reload(self, node: nodes.NodeSettings) -> None:
-        """Take over changed settings; only seeds change in a life."""
+        """Apply changed settings; only the seeds can change at run time."""
         self.group.reseed(node.seed_hosts)
         logger.info('reloaded', seeds=node.seeds)
 
     async def close(self) -> None:
-        """End every task and close every socket."""
+        """Cancel every task and close every socket."""
         await self._tasks.close()
         await self._allocator.close()
         await self._crash_aggregator.close()
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -1,7 +1,7 @@
-"""The entry daemon of hosts that find each other at run time.
+"""Entry host of a deployment with host discovery.
 
-Library parts put together; callers are spoken to by a dialect that is
-given by whoever starts it. Nothing of agreement is imported here.
+The process that starts it provides the dialect that callers use. This module
+does not import consensus code.
 """
 
 import asyncio
@@ -52,12 +52,12 @@
 
 logger = structlog.get_logger(__name__)
 
-# Hosts come and go in seconds; the budgets' window is ten.
+# Well below the window of the retry budgets, which hosts share.
 HOUSEKEEPING_INTERVAL_MS = 1_000
 
 
 class EntryNode:
-    """Run an entry host: attendance, routing, passing requests on."""
+    """Runs an entry host: discovery, routing, forwarding of requests."""
 
     def __init__(
         self,
@@ -140,7 +140,7 @@
         )
 
     def _answer_ping(self, ping: messages.Ping) -> messages.Pong:
-        """Return what hosts elsewhere are told that may pass calls here."""
+        """Return the ping reply for hosts that may forward calls here."""
         serving = self.replica.serving and self.discovery.recently_ran
         return messages.Pong(
             self.discovery.draining,
@@ -151,7 +151,7 @@
         )
 
     def _on_ping_reply(self, host: ids.HostId, asked_ms: int) -> None:
-        """Note that a host elsewhere can be reached."""
+        """Record that a host in another region is reachable."""
         record = self.discovery.roster.record(host)
         if record is not None:
             self._outlier_detector.record_reachable(
@@ -161,7 +161,7 @@
     def _build_gauges(
         self, reports: engine_loads.ReportReader, dialect: dialects.Dialect
     ) -> None:
-        """Build what knows how loaded engines are."""
+        """Build outlier detection and the tracking of engine loads."""
         node = self.node
         self._outlier_detector = outlier_detection.OutlierDetector(self.clock)
         self._pinger.set_answer_callback(self._on_ping_reply)
@@ -194,7 +194,7 @@
             self._sent_calls.subscribe(self._on_peer_sent_call)
 
     def _on_peer_sent_call(self, sent: discovery_messages.SentCall) -> None:
-        """Note what another host of this region sends to an engine."""
+        """Record a call that another host of this region sent to an engine."""
         found = self.discovery.registry.entries.get(sent.endpoint)
         if found is None:
             return
@@ -205,7 +205,7 @@
             self._estimator.record_peer_sent(sent, service)
 
     def _build_limits(self) -> None:
-        """Build what keeps teams to their limits."""
+        """Build the enforcement of team limits and endpoint limits."""
         node = self.node
         overshoot = bounds.OvershootBounds(
             node.limits.window_ms, node.limits.share, node.limits.fixed
@@ -241,12 +241,12 @@
         )
 
     def _is_current_instance(self, life: limiting.EndpointInstance) -> bool:
-        """Tell whether an endpoint is known, and in that life of it."""
+        """Return whether this is the registered instance of an endpoint."""
         found = self.discovery.registry.entries.get(life.endpoint)
         return found is not None and found.registration.born_ms == life.born_ms
 
     def _build_guard(self) -> None:
-        """Build what holds back requests that end endpoints."""
+        """Build the quarantine of requests that crash endpoints."""
         self._guard = guard.Guard(
             self.replica,
             crash_reporter.CrashReporter(
@@ -258,14 +258,14 @@
         )
 
     def _is_endpoint_leaving(self, endpoint: ids.EndpointId) -> bool:
-        """Tell whether an endpoint has said that it is about to end."""
+        """Return whether a registered endpoint accepts no more work."""
         found = self.discovery.registry.entries.get(endpoint)
         if found is None:
             return False
         return not found.takes_work
 
     def _reset_endpoint_state(self, before: registry.Registration) -> None:
-        """Forget what was learned of an endpoint that began anew."""
+        """Discard the state of an endpoint's previous instance."""
         others = set(self.discovery.registry.entries) - {before.endpoint}
         self._estimator.keep_only(others)
         self._warmup_probe.keep_only(others)
@@ -273,7 +273,7 @@
         self._outlier_detector.reset_address(before.address)
 
     def _build_serving(self, dialect: dialects.Dialect) -> None:
-        """Build what serves requests and what listens for them."""
+        """Build request routing and the servers for callers and hosts."""
         node = self.node
         self._warmup_probe = warmup_probe.WarmupProbe(
             self._pollers,
@@ -378,7 +378,7 @@
         )
 
     async def start(self) -> None:
-        """Listen for callers and hosts, and begin every task."""
+        """Start the servers for callers and hosts and the background tasks."""
         node = self.node
         await self.peers.links.start(node.ip, node.link_port)
         self.discovery.start()
@@ -396,12 +396,12 @@
         logger.info('started', host=node.host, seeds=node.seeds)
 
     def reload(self, node: nodes.NodeSettings) -> None:
-        """Take over changed settings; only seeds change in a life."""
+        """Apply changed settings; only the seeds can change at run time."""
         self.group.reseed(node.seed_hosts)
         logger.info('reloaded', seeds=node.seeds)
 
     async def _run_housekeeping(self) -> None:
-        """Count who shares the budgets, and forget what is gone."""
+        """Update host counts and evict the state of absent endpoints."""
         while True:
             hosts = self.discovery.roster.usable()
             self.retry_budget.set_hosts(record.host for record in hosts)
@@ -419,13 +419,13 @@
             await self.clock.sleep_ms(HOUSEKEEPING_INTERVAL_MS)
 
     async def _watch_evacuations(self) -> None:
-        """Look at once at what was taken back, also where no call comes."""
+        """Apply changed evacuations at once, even if no call arrives."""
         while True:
             await self.replica.changed.wait()
             self._available.update_evacuations()
 
     async def drain(self) -> None:
-        """Let callers go elsewhere, then wait for what is in flight."""
+        """Announce the shutdown, then wait for the requests in flight."""
         self.discovery.draining = True
         self.passthrough.leaving = True
         logger.info('draining', in_flight=self.passthrough.in_flight)
@@ -435,7 +435,7 @@
         logger.info('drained', whole=drained)
 
     async def close(self) -> None:
-        """End every task and close every socket."""
+        """Cancel every task and close every socket."""
         await asyncio.gather(
             self._caller_server.close(), self._host_server.close()
         )
--- a/wrenspoke/node_peers.py
+++ b/wrenspoke/node_peers.py
@@ -1,4 +1,4 @@
-"""The calls between hosts that find each other at run time."""
+"""Messaging between hosts in a deployment with host discovery."""
 
 from wrenspoke import clock as clocks
 from wrenspoke import node as nodes
@@ -7,14 +7,14 @@
 from wrenspoke.state import locations
 from wrenspoke.transport import links
 
-# A cut says nothing; a link is made anew soon after one heals.
+# A partition raises no socket error: only missing heartbeats show it.
 LINK_KEEPALIVE = links.HeartbeatOptions(heartbeat_ms=700, timeout_ms=2_000)
 
 
 def build_traffic_counter(
     node: nodes.NodeSettings, clock: clocks.Clock
 ) -> traffic.TrafficCounter:
-    """Return what counts the messages that a host sends."""
+    """Return a counter of the messages that a host sends."""
     own = locations.Location(node.region, node.data_centre)
     return traffic.TrafficCounter(own, clock)
 
@@ -24,7 +24,7 @@
     traffic_counter: traffic.TrafficCounter,
     clock: clocks.Clock,
 ) -> peer_calls.Peers:
-    """Return what a host calls others with; a name tells the address."""
+    """Return a host's messaging; host names are link addresses."""
     identity = links.Identity(node.cluster, node.host)
     return peer_calls.Peers(
         identity, [], clock, LINK_KEEPALIVE, traffic_counter.count_message
