--- a/wrenspoke/clock.py
+++ b/wrenspoke/clock.py
@@ -1,9 +1,8 @@
-"""The one clock: whole milliseconds, since the boot and of the day.
+"""Clock in whole milliseconds: time since boot and wall-clock time.
 
-Time goes on while a machine is suspended, and leases and ages go on with
-it: what was heard before is old afterwards. The steady clock that timers go
-by stands still then, so that they fire late; what may be done is looked at
-as it is done.
+The time since boot includes time that the machine was suspended, so leases
+and ages expire meanwhile. The monotonic clock of asyncio's timers excludes
+it, so timers fire late: expiry is checked at each use, not left to a timer.
 """
 
 import asyncio
@@ -13,21 +12,21 @@
 
 
 class Clock:
-    """Tell the time in milliseconds; tests replace it by a fake."""
+    """Returns the time in milliseconds; tests replace it by a fake."""
 
     def mono_ms(self) -> int:
-        """Return time that only grows, for durations and leases."""
+        """Return the time since boot, for durations and leases."""
         return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // NS_PER_MS
 
     def wall_ms(self) -> int:
-        """Return time since the epoch, for issue times and expiries."""
+        """Return the time since the epoch, for issue and expiry times."""
         return time.time_ns() // NS_PER_MS
 
     async def sleep_ms(self, delay_ms: float) -> None:
-        """Wait for ``delay_ms``."""
+        """Sleep for ``delay_ms``; a negative delay counts as 0."""
         await asyncio.sleep(max(delay_ms, 0) / 1000)
 
 
 def timeout_ms(delay_ms: float | None) -> asyncio.Timeout:
-    """Return an ``asyncio.timeout`` of so many milliseconds."""
+    """Return an ``asyncio.timeout``; None means no timeout."""
     return asyncio.timeout(None if delay_ms is None else delay_ms / 1000)
--- a/wrenspoke/errors.py
+++ b/wrenspoke/errors.py
@@ -1,5 +1,5 @@
-"""The root of every error that the library raises on purpose."""
+"""Base class of the errors of the library."""
 
 
 class WrenspokeError(Exception):
-    """Base of all errors of wrenspoke."""
+    """Base class of all errors that wrenspoke raises itself."""
--- a/wrenspoke/feature_flags.py
+++ b/wrenspoke/feature_flags.py
@@ -1,12 +1,12 @@
-"""What of the decisions can be switched off, to measure its worth."""
+"""Flags that switch off single features, to measure their effect."""
 
 import enum
 
 
 class FeatureFlag(enum.Enum):
-    """Name what can be switched off, to measure what it is worth.
+    """A feature that can be switched off to measure its effect.
 
-    Every one is on unless a host's settings say otherwise.
+    All are enabled, except those in ``switched_off`` of a host's settings.
     """
 
     RELAYS = 'relays'
--- a/wrenspoke/ids.py
+++ b/wrenspoke/ids.py
@@ -11,7 +11,7 @@
 OperatorId = typing.NewType('OperatorId', str)
 PlanId = typing.NewType('PlanId', str)
 RegionId = typing.NewType('RegionId', str)
-# Names what a request asks for, the same each time it comes.
+# Identifies the content of a request; resends have the same digest.
 RequestDigest = typing.NewType('RequestDigest', str)
 RequestId = typing.NewType('RequestId', str)
 ServiceId = typing.NewType('ServiceId', str)
--- a/wrenspoke/runtime.py
+++ b/wrenspoke/runtime.py
@@ -1,4 +1,4 @@
-"""Start a daemon: event loop, signals and the end of its tasks."""
+"""Runtime of the daemons: event loop, signals, background tasks."""
 
 import asyncio
 import collections.abc
@@ -14,10 +14,10 @@
 
 
 def run(main: collections.abc.Coroutine) -> None:
-    """Run ``main`` on uvloop, which is told to leave io_uring alone.
+    """Run ``main`` on uvloop without io_uring.
 
-    The variable has to be set before libuv makes its first loop, so the
-    import stands here and nowhere else.
+    libuv reads the variable when it creates its first loop, so uvloop must
+    not be imported before it is set.
     """
     os.environ[URING_VARIABLE] = '0'
     import uvloop
@@ -26,10 +26,10 @@
 
 
 async def wait_for_stop() -> None:
-    """Return when the process is to end.
+    """Wait until the process should stop.
 
-    That is on SIGTERM or SIGINT, or when a task of a ``Tasks`` failed: a
-    daemon that lost a part of itself is better replaced.
+    That is on SIGTERM or SIGINT, or when a fatal task of a ``Tasks`` fails:
+    a daemon that has lost a component should be restarted.
     """
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -50,7 +50,7 @@
 
 
 class Tasks:
-    """Hold the tasks of one part of a daemon, and tell when one fails."""
+    """Owns the tasks of one component and reports those that fail."""
 
     def __init__(self):
         self._tasks: set[asyncio.Task] = set()
@@ -58,7 +58,7 @@
     def start(
         self, coroutine: collections.abc.Coroutine, fatal: bool = True
     ) -> asyncio.Task:
-        """Run ``coroutine`` as a task; its failure ends the daemon."""
+        """Run ``coroutine``; if it is fatal, its failure stops the daemon."""
         loop = asyncio.get_running_loop()
         task = loop.create_task(coroutine)
         self._tasks.add(task)
@@ -79,17 +79,17 @@
         return task
 
     async def wait(self) -> None:
-        """Wait until every task has ended by itself."""
+        """Wait until every task has ended, without cancelling any."""
         if self._tasks:
             await asyncio.wait(self._tasks)
 
     async def close(self) -> None:
-        """Cancel every task and wait for its end."""
+        """Cancel every task and wait until all have ended."""
         await cancel(self._tasks)
 
 
 async def cancel(tasks: collections.abc.Iterable[asyncio.Task]) -> None:
-    """Cancel ``tasks`` and wait until every one has ended."""
+    """Cancel ``tasks`` and wait until all have ended."""
     tasks = list(tasks)
     for task in tasks:
         task.cancel()
