--- a/wrenspoke/arguments.py
+++ b/wrenspoke/arguments.py
@@ -1,4 +1,4 @@
-"""The command line that all daemons share."""
+"""Command line of the daemons."""
 
 import argparse
 import asyncio
@@ -20,7 +20,7 @@
 
 
 def run_daemon(description: str, serve: Serve) -> None:
-    """Parse arguments, configure logs and hand over to ``serve``."""
+    """Parse the command line, configure logging and run ``serve``."""
     parser = argparse.ArgumentParser(description=description)
     parser.add_argument('--settings', required=True, type=pathlib.Path)
     parser.add_argument('--host', required=True, help='name in the file')
--- a/wrenspoke/keys.py
+++ b/wrenspoke/keys.py
@@ -1,4 +1,4 @@
-"""Secret keys of a deployment: made once, read at each start."""
+"""Secret keys of a deployment: generated once, read at each start."""
 
 import hashlib
 import json
@@ -17,10 +17,10 @@
 
 
 def generate_keys(path: pathlib.Path) -> int:
-    """Give every host of a settings file new keys; return how many.
+    """Generate keys for every host of a settings file; return their number.
 
-    The file is rewritten with the public keys; the secret ones go into
-    its keys folder, readable by their owner only.
+    The public keys are written to the file, the secret keys to its keys
+    folder, readable by the owner only.
     """
     deployment = json.loads(path.read_text())
     folder = path.parent / deployment.get('keys_folder', 'keys')
@@ -61,7 +61,7 @@
     deployment: settings.Deployment,
     host: settings.HostSettings,
 ) -> links.Identity:
-    """Return what a host shows on its links."""
+    """Return the identity by which a host authenticates on its links."""
     return links.Identity(
         cluster=deployment.cluster,
         host=host.host,
@@ -71,12 +71,12 @@
 
 
 def token_digest(token: str) -> str:
-    """Return what settings hold in place of an operator's token."""
+    """Return the hash of an operator's token, as stored in settings."""
     return hashlib.sha256(token.encode()).hexdigest()
 
 
 def link_peers(deployment: settings.Deployment) -> list[links.Peer]:
-    """Return where every host of a deployment listens for links."""
+    """Return the link address and the public key of every host."""
     return [
         links.Peer(
             ids.HostId(entry.host),
--- a/wrenspoke/logs.py
+++ b/wrenspoke/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one key=value line an event, on standard error."""
+"""Structured logs: one key=value line per event, on standard error."""
 
 import logging
 import sys
@@ -17,7 +17,7 @@
 
 
 def configure(level: str, host: str = '', stream=None) -> None:
-    """Send every event at or above ``level`` to ``stream`` as one line."""
+    """Write every event at or above ``level`` to ``stream`` as one line."""
     structlog.configure(
         processors=[
             structlog.contextvars.merge_contextvars,
@@ -36,7 +36,7 @@
 
 
 def is_urgent(line: str) -> bool:
-    """Tell whether a line is to be left out last."""
+    """Return whether a line is dropped only after all others."""
     return 'level=warning' in line or 'level=error' in line
 
 
--- a/wrenspoke/metrics.py
+++ b/wrenspoke/metrics.py
@@ -47,7 +47,7 @@
 
 
 class Metrics:
-    """Hold the metrics of one daemon."""
+    """Registry of the metrics of one daemon."""
 
     def __init__(self, host: str):
         self._registry = aioprometheus.Registry()
@@ -61,11 +61,11 @@
         )
 
     def observe_first_ms(self, endpoint: str, first_ms: float) -> None:
-        """Note the time to a first token or whole answer."""
+        """Record the time to the first token or to a whole response."""
         self._first.observe({'endpoint': endpoint}, first_ms)
 
     def set(self, name: str, value: float, **labels: str) -> None:
-        """Set a metric of the table above."""
+        """Set a metric; ``name`` is a key of ``NAMES``."""
         gauge = self._gauges.get(name)
         if gauge is None:
             gauge = self._gauges[name] = aioprometheus.Gauge(
@@ -77,12 +77,12 @@
         gauge.set(labels, value)
 
     def set_link_metrics(self, used: links.Links) -> None:
-        """Copy what links have sent and received."""
+        """Copy the byte counters of the links into the metrics."""
         self.set('wrenspoke_link_sent_bytes_total', used.sent_bytes)
         self.set('wrenspoke_link_received_bytes_total', used.received_bytes)
 
     def response(self, request: web.Request) -> web.Response:
-        """Return the answer to a scraper."""
+        """Return the metrics in a format that the scraper accepts."""
         accepts = request.headers.getall('Accept', [])
         body, response_headers = renderer.render(self._registry, list(accepts))
         return web.Response(body=body, headers=response_headers)
