--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,4 +1,4 @@
-"""Start real processes of a small deployment on loopback, for tests."""
+"""Runs the processes of a small deployment on loopback, for tests."""
 
 import asyncio
 import contextlib
@@ -73,7 +73,7 @@
     controls=0,
     **changes,
 ):
-    """Return a deployment's settings as a map, on free ports."""
+    """Return a deployment's settings as a dict, on free ports."""
     hosts = len(regions) * entries + controls
     count = 3 * hosts + len(regions) * (engines + plains)
     ports = iter(web.free_ports(count))
@@ -145,7 +145,7 @@
 
 
 class Fleet:
-    """Hold the processes of one deployment."""
+    """Runs the processes of one deployment."""
 
     def __init__(self, folder: pathlib.Path, made: dict, model=None):
         self.folder = folder
@@ -160,7 +160,7 @@
         self._callers: list[callers.Caller] = []
 
     async def start_relays(self) -> None:
-        """Put a relay between each two hosts, for links and HTTP."""
+        """Start relays for links and HTTP between every two hosts."""
         hosts = self.settings.hosts
         pairs = [(a, b) for a in hosts for b in hosts if a is not b]
         ports = iter(web.free_ports(2 * len(pairs)))
@@ -174,7 +174,7 @@
             self._write_view(one.host)
 
     def _write_view(self, name: str) -> None:
-        """Write a settings file in which others stand behind relays."""
+        """Write a settings file in which other hosts have relay addresses."""
         view = json.loads(self.path.read_text())
         for host in view['hosts']:
             for field in ('http_port', 'link_port'):
@@ -186,7 +186,7 @@
         self.paths[name] = path
 
     def cut(self, one: str, other: str, ways: int = 2) -> None:
-        """Cut what one host sends to another, or both ways."""
+        """Cut the relays from one host to another, or both ways."""
         for (a, b, _field), (_port, made) in self.relays.items():
             if (a, b) == (one, other):
                 made.cut()
@@ -199,14 +199,14 @@
             made.heal()
 
     def isolate(self, *names: str) -> None:
-        """Cut some hosts off from all the others."""
+        """Partition some hosts from all others."""
         for host in self.settings.hosts:
             for name in names:
                 if host.host not in names:
                     self.cut(name, host.host)
 
     def spawn(self, name: str, module: str, *arguments: str) -> None:
-        """Start a process; its output goes to a file."""
+        """Start a process that writes its output to a log file."""
         log = open(self.folder / f'{name}.log', 'ab')
         command = [sys.executable, '-m', module, *arguments]
         command += ['--settings', str(self.paths.get(name, self.path))]
@@ -216,7 +216,7 @@
             )
 
     def start_standins(self, *regions: str) -> None:
-        """Start one process of stand-ins for each region."""
+        """Start one stand-in process for each region, by default for all."""
         every = {e.region for e in self.settings.endpoints}
         for region in regions or sorted(every):
             arguments = ['--model', self.model]
@@ -236,16 +236,16 @@
         self.spawn(host, 'wrenspoke.controld', '--host', host)
 
     def wipe(self, host: str) -> None:
-        """Lose a control host's disk."""
+        """Delete a control host's data folder."""
         shutil.rmtree(self.folder / self.settings.host(host).data_folder)
 
     def control_url(self, host: str) -> str:
-        """Return where operators reach a control host."""
+        """Return a control host's URL for operators."""
         port = self.settings.host(host).operator_port
         return f'http://127.0.0.1:{port}'
 
     def operator(self, token=TOKEN, hosts=()) -> operators.Operator:
-        """Return an operator who asks the control hosts."""
+        """Return an operator client of the control hosts."""
         names = hosts or [
             host.host for host in self.settings.with_role('control')
         ]
@@ -255,7 +255,7 @@
         return made
 
     async def control_status(self, host: str) -> dict | None:
-        """Return a control host's status, or None if it gives none."""
+        """Return a control host's status, or None if the request fails."""
         client = operators.Operator([self.control_url(host)], TOKEN, 2000)
         try:
             return (await client.show('/status')).body
@@ -265,7 +265,7 @@
             await client.close()
 
     async def leader(self, *among: str) -> str:
-        """Return the control host that leads, once one does."""
+        """Wait for a leader and return its name."""
         names = among or [
             host.host for host in self.settings.with_role('control')
         ]
@@ -282,7 +282,7 @@
         return await until(found, 'a leader')
 
     async def wait_voters(self, count: int) -> dict:
-        """Wait until the leader counts so many voters; return its status."""
+        """Wait for ``count`` voters; return the leader's status."""
 
         async def found():
             status = await self.control_status(await self.leader())
@@ -293,17 +293,17 @@
         return await until(found, f'{count} voters')
 
     def log(self, name: str) -> str:
-        """Return what a process has logged."""
+        """Return the log of a process."""
         return (self.folder / f'{name}.log').read_text()
 
     def show_logs(self) -> None:
-        """Print the ends of all logs, for whoever reads a failure."""
+        """Print the last lines of all logs."""
         for name in sorted(self.processes):
             lines = self.log(name).splitlines()[-SHOWN_LINES:]
             print(f'--- {name}', *lines, sep='\n')
 
     def kill(self, name: str) -> None:
-        """End a process with SIGKILL and reap it."""
+        """Kill a process and reap it."""
         process = self.processes.pop(name)
         process.kill()
         process.wait()
@@ -313,38 +313,38 @@
         os.kill(self.processes[name].pid, number)
 
     def freeze(self, name: str) -> None:
-        """Stop a process without ending it."""
+        """Suspend a process."""
         self.signal(name, signal.SIGSTOP)
 
     def thaw(self, name: str) -> None:
-        """Let a frozen process go on."""
+        """Resume a suspended process."""
         self.signal(name, signal.SIGCONT)
 
     def stop(self, name: str) -> int:
-        """End a process with SIGTERM; return its exit status."""
+        """Terminate a process; return its exit status."""
         process = self.processes.pop(name)
         process.terminate()
         return process.wait(WAIT_S)
 
     def url(self, host: str) -> str:
-        """Return where callers reach an entry host."""
+        """Return an entry host's URL for callers."""
         return f'http://127.0.0.1:{self.settings.host(host).http_port}'
 
     def endpoint_url(self, name: str) -> str:
-        """Return where an endpoint's stand-in listens."""
+        """Return the URL of an endpoint's stand-in."""
         for endpoint in self.settings.endpoints:
             if endpoint.endpoint == name:
                 return endpoint.url
         raise KeyError(name)
 
     def caller(self, *hosts: str) -> callers.Caller:
-        """Return a caller that asks these hosts in turn."""
+        """Return a caller that tries these hosts in turn."""
         caller = callers.Caller([self.url(host) for host in hosts])
         self._callers.append(caller)
         return caller
 
     async def status(self, host: str) -> dict | None:
-        """Return an entry host's status, or None if it gives none."""
+        """Return an entry host's status, or None if the request fails."""
         caller = callers.Caller([self.url(host)])
         try:
             async with asyncio.timeout(2):
@@ -355,7 +355,7 @@
             await caller.close()
 
     async def wait_serving(self, *hosts: str) -> None:
-        """Wait until entry hosts serve and their ledger votes."""
+        """Wait until entry hosts serve and their ledgers may vote."""
         names = hosts or [
             host.host for host in self.settings.with_role('entry')
         ]
@@ -365,7 +365,7 @@
         await asyncio.sleep(margin_ms / 1000)
 
     async def wait_standins(self) -> None:
-        """Wait until every stand-in listens."""
+        """Wait until every stand-in accepts requests."""
         for endpoint in self.settings.endpoints:
             name = endpoint.endpoint
             await until(lambda name=name: self._listens(name), name)
@@ -384,7 +384,7 @@
         return all(status['peers'].values())
 
     async def faults(self, endpoint: str, **fields) -> None:
-        """Make a stand-in misbehave."""
+        """Inject faults into a stand-in."""
         await self._standin(endpoint, 'POST', '/faults', fields)
 
     def engines(self) -> list[str]:
@@ -396,21 +396,21 @@
         ]
 
     async def engine_faults(self, **fields) -> None:
-        """Make every engine misbehave; without fields, none any more."""
+        """Inject faults into every engine; without fields, clear them."""
         for engine in self.engines():
             await self.faults(engine, **fields)
 
     async def engine_crash_count(self) -> int:
-        """Return how often engines have ended under what they were sent."""
+        """Return how often requests have crashed engines."""
         answers = [await self.runs(engine) for engine in self.engines()]
         return sum(answer['ends'] for answer in answers)
 
     async def runs(self, endpoint: str) -> dict:
-        """Return what a stand-in has run."""
+        """Return the requests that a stand-in has run."""
         return await self._standin(endpoint, 'GET', '/runs', None)
 
     async def all_runs(self, service: str) -> dict[str, list[str]]:
-        """Return, by request, the endpoints of a service that ran it."""
+        """Return the endpoints that ran each request to a service."""
         found: dict[str, list[str]] = {}
         for endpoint in self.settings.endpoints:
             if endpoint.service != service:
@@ -434,7 +434,7 @@
             await client.close()
 
     async def close(self) -> None:
-        """End every process."""
+        """Close all clients and relays and kill all processes."""
         for caller in self._callers:
             await caller.close()
         for name in list(self.processes):
@@ -479,5 +479,5 @@
         if found:
             return found
         if time.monotonic() > end:
-            raise AssertionError(f'waited {wait_s} s in vain for {what}')
+            raise AssertionError(f'timed out after {wait_s} s: {what}')
         await asyncio.sleep(0.05)
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -1,6 +1,6 @@
-"""Hosts that find each other at run time, in this process, on loopback.
+"""Runs hosts with host discovery in this process, on loopback.
 
-Every host has a loopback number of its own, as all use the same ports.
+Every host has its own loopback address, as all use the same ports.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
     'south-hall': 'south',
     'west-hall': 'west',
 }
-# Every worker of a test run has its own numbers.
+# Each pytest-xdist worker uses its own range of addresses.
 _WORKER = os.environ.get('PYTEST_XDIST_WORKER', 'gw0').removeprefix('gw')
 _NUMBERS = itertools.count(1)
 FAST = settings.NodeControlSettings(
@@ -34,13 +34,13 @@
 
 
 def new_ip():
-    """Return a loopback number that no other host here has."""
+    """Return an unused loopback address."""
     number = next(_NUMBERS)
     return f'127.{10 + int(_WORKER)}.{number // 250}.{1 + number % 250}'
 
 
 class NoReports:
-    """Find no report readable: endpoints of these tests give none."""
+    """Rejects every load report, for endpoints that provide none."""
 
     path = '/load'
 
@@ -49,7 +49,7 @@
 
 
 class Reports:
-    """Read the load that a test states as plain numbers."""
+    """Parses load reports of numbers separated by blanks."""
 
     path = '/load'
 
@@ -58,7 +58,7 @@
 
 
 class Nodes:
-    """Hold the hosts of one small system."""
+    """Runs the hosts of a small deployment."""
 
     def __init__(self, folder, controls=1, reports=None):
         self.folder = folder
@@ -68,7 +68,7 @@
         self.controls = []
         self.entries = []
         self.numbers = itertools.count(1)
-        # Of every entry host's settings.
+        # Overrides of the settings of every entry host.
         self.changes = {}
 
     def node(self, ip, data_centre='north-hall', **changes):
@@ -87,7 +87,7 @@
         return settings.NodeSettings(**fields)
 
     async def start_control(self, ip, first_start=True):
-        """Start a control host on the disk of its number."""
+        """Start a control host on the data folder of its address."""
         node = self.node(
             ip,
             control_address=f'{ip}:{self.ports[1]}',
@@ -126,13 +126,13 @@
         return self
 
     async def leader(self):
-        """Return the control host that leads."""
+        """Wait for a leader and return its control host."""
         return await until(
             lambda: next((c for c in self.controls if c.voter.has_lease), None)
         )
 
     async def put(self, *found, version=None, teams=None, **service):
-        """Put a table in force, and wait until every entry host has it."""
+        """Commit a route table and wait until every entry host has it."""
         leader = await self.leader()
         table = routes.RouteTable(
             version or next(self.numbers),
@@ -156,7 +156,7 @@
     async def register(
         self, name, endpoint, service='s', data_centre='north-hall', **changes
     ):
-        """Register an endpoint, and wait until entry hosts know of it."""
+        """Register an endpoint and wait until every entry host lists it."""
         said = registry.Registration(
             name,
             service,
@@ -184,7 +184,7 @@
 
 @contextlib.asynccontextmanager
 async def running(folder, controls=1, entries=1, reports=None):
-    """Run a small system for as long as the block lasts."""
+    """Run a small deployment for the duration of the block."""
     made = Nodes(folder, controls, reports)
     try:
         yield await made.start(entries)
@@ -193,7 +193,7 @@
 
 
 async def until(condition):
-    """Wait until a condition holds, and return what it gives."""
+    """Wait until ``condition`` returns something true, and return it."""
     async with asyncio.timeout(WAIT_S):
         while not (found := condition()):
             await asyncio.sleep(0.02)
