--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -50,7 +50,7 @@
 
 
 def test_only_dispatch_reads_an_endpoints_address():
-    """Nothing else can send to an endpoint past the checks."""
+    """Other modules can't send to endpoints without the checks of dispatch."""
     readers = []
     for path in sorted((ROOT / 'coordination').rglob('*.py')):
         for node in ast.walk(ast.parse(path.read_text())):
@@ -60,7 +60,7 @@
 
 
 def test_only_sender_sends_request_bodies():
-    """All else that is asked of endpoints and hosts has no body."""
+    """All other requests to endpoints and hosts are sent without a body."""
     senders = []
     for path in sorted((ROOT / 'coordination').rglob('*.py')):
         for node in ast.walk(ast.parse(path.read_text())):
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines are bounded and block nothing."""
+"""Buffered log lines are bounded, and writing them does not block."""
 
 import os
 
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def pipe():
-    """Return the two ends of a pipe."""
+    """Yield the read end and the write end of a pipe."""
     ends = os.pipe()
     yield ends
     for end in ends:
@@ -24,7 +24,7 @@
 
 
 def drain(reader):
-    """Return all that a pipe holds now."""
+    """Return all bytes that are in a pipe now."""
     os.set_blocking(reader, False)
     found = b''
     while True:
@@ -48,7 +48,7 @@
 
 
 def test_stopped_reader_drops_info_lines_first(pipe):
-    """Failures are left out last, and what is left out is counted."""
+    """Warnings are dropped last, and dropped lines are counted."""
     reader, writer = pipe
     stream = logstream.BoundedStream(writer, logs.is_urgent, 8_000)
     for _number in range(3_000):
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics are given, and each is one that the pages name."""
+"""Metrics are served, and every metric is documented."""
 
 import pathlib
 import re
--- a/tests/test_switches.py
+++ b/tests/test_switches.py
@@ -1,4 +1,4 @@
-"""Each row of ``benches.switched_off`` still finds what it replaces."""
+"""The text that each row of ``benches.switched_off`` replaces exists."""
 
 import pathlib
 
