--- a/wrenspoke/settings.py
+++ b/wrenspoke/settings.py
@@ -404,7 +404,7 @@
     return deployment
 
 
-FOUND_LIMIT = 80
+MAX_SHOWN_INPUT_CHARS = 80
 
 
 def _describe(problem: dict) -> str:
@@ -413,7 +413,7 @@
         return f'{path}: unknown field; remove it or correct its name'
     if problem['type'] == 'missing':
         return f'{path}: required, but missing'
-    found = repr(problem['input'])[:FOUND_LIMIT]
+    found = repr(problem['input'])[:MAX_SHOWN_INPUT_CHARS]
     return f'{path}: found {found}; {problem["msg"]}'
 
 
