--- a/wrenspoke/controld.py
+++ b/wrenspoke/controld.py
@@ -111,15 +111,15 @@
     async def _handle_metrics(
         self, request: aiohttp.web.Request
     ) -> aiohttp.web.Response:
-        elected = self.voter
+        local_voter = self.voter
         put = self._metrics.set
-        put('wrenspoke_term', elected.term)
-        put('wrenspoke_leading', elected.has_lease)
-        put('wrenspoke_commit_index', elected.commit_index)
-        put('wrenspoke_voters', len(elected.committed_electorate.voters))
+        put('wrenspoke_term', local_voter.term)
+        put('wrenspoke_leading', local_voter.has_lease)
+        put('wrenspoke_commit_index', local_voter.commit_index)
+        put('wrenspoke_voters', len(local_voter.committed_electorate.voters))
         put(
             'wrenspoke_configuration_index',
-            elected.state.configuration.index,
+            local_voter.state.configuration.index,
         )
         self._metrics.set_link_metrics(self.peers.links)
         return self._metrics.response(request)
