--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -195,11 +195,11 @@
 
     def _on_peer_sent_call(self, sent: discovery_messages.SentCall) -> None:
         """Record a call that another host of this region sent to an engine."""
-        found = self.discovery.registry.entries.get(sent.endpoint)
-        if found is None:
+        entry = self.discovery.registry.entries.get(sent.endpoint)
+        if entry is None:
             return
         service = self.replica.current.routes.service(
-            found.registration.service
+            entry.registration.service
         )
         if service is not None:
             self._estimator.record_peer_sent(sent, service)
