--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -242,8 +242,8 @@
 
     def _is_current_instance(self, life: limiting.EndpointInstance) -> bool:
         """Return whether this is the registered instance of an endpoint."""
-        found = self.discovery.registry.entries.get(life.endpoint)
-        return found is not None and found.registration.born_ms == life.born_ms
+        entry = self.discovery.registry.entries.get(life.endpoint)
+        return entry is not None and entry.registration.born_ms == life.born_ms
 
     def _build_guard(self) -> None:
         """Build the quarantine of requests that crash endpoints."""
