--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -259,10 +259,10 @@
 
     def _is_endpoint_leaving(self, endpoint: ids.EndpointId) -> bool:
         """Return whether a registered endpoint accepts no more work."""
-        found = self.discovery.registry.entries.get(endpoint)
-        if found is None:
+        entry = self.discovery.registry.entries.get(endpoint)
+        if entry is None:
             return False
-        return not found.takes_work
+        return not entry.takes_work
 
     def _reset_endpoint_state(self, before: registry.Registration) -> None:
         """Discard the state of an endpoint's previous instance."""
