--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -94,10 +94,10 @@
             data_folder=str(self.folder / ip),
             first_start=first_start,
         )
-        made = control_node.ControlNode(node)
-        await made.start()
-        self.controls.append(made)
-        return made
+        control_host = control_node.ControlNode(node)
+        await control_host.start()
+        self.controls.append(control_host)
+        return control_host
 
     async def start_entry(self, data_centre='north-hall', **entry):
         """Start an entry host and wait until it serves."""
