--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -112,10 +112,12 @@
             ),
             **self.changes,
         )
-        made = entry_node.EntryNode(node, dialects.Dialect(), self.reports)
-        await made.start()
-        self.entries.append(made)
-        return made
+        entry_host = entry_node.EntryNode(
+            node, dialects.Dialect(), self.reports
+        )
+        await entry_host.start()
+        self.entries.append(entry_host)
+        return entry_host
 
     async def start(self, entries=1):
         """Start every control host and some entry hosts."""
