--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -159,7 +159,7 @@
         self, name, endpoint, service='s', data_centre='north-hall', **changes
     ):
         """Register an endpoint and wait until every entry host lists it."""
-        said = registry.Registration(
+        registration = registry.Registration(
             name,
             service,
             endpoint.address,
@@ -169,11 +169,11 @@
             next(self.numbers),
             changes.get('warmup_left_ms', 0),
         )
-        self.controls[0].registrar.register(said)
+        self.controls[0].registrar.register(registration)
         await until(
             lambda: all(
                 (found := entry.discovery.registry.entries.get(name))
-                and found.registration.state is said.state
+                and found.registration.state is registration.state
                 for entry in self.entries
             )
         )
