--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -187,11 +187,11 @@
 @contextlib.asynccontextmanager
 async def running(folder, controls=1, entries=1, reports=None):
     """Run a small deployment for the duration of the block."""
-    made = Nodes(folder, controls, reports)
+    system = Nodes(folder, controls, reports)
     try:
-        yield await made.start(entries)
+        yield await system.start(entries)
     finally:
-        await made.close()
+        await system.close()
 
 
 async def until(condition):
