--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -147,10 +147,10 @@
 class Fleet:
     """Runs the processes of one deployment."""
 
-    def __init__(self, folder: pathlib.Path, made: dict, model=None):
+    def __init__(self, folder: pathlib.Path, settings_map: dict, model=None):
         self.folder = folder
         self.path = folder / 'deployment.json'
-        self.path.write_text(json.dumps(made))
+        self.path.write_text(json.dumps(settings_map))
         keys.generate_keys(self.path)
         self.settings = settings.read(self.path)
         self.model = json.dumps(model or {'token_ms': 1})
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -23,7 +23,7 @@
 
 def drop(name):
     """Return a change that removes a field."""
-    return lambda made: made.pop(name)
+    return lambda settings_map: settings_map.pop(name)
 
 
 def put(value, *path):
