--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -167,9 +167,9 @@
         for one, other in pairs:
             for field in ('http_port', 'link_port'):
                 port = next(ports)
-                made = relay.Relay('127.0.0.1', getattr(other, field))
-                await made.start(port)
-                self.relays[(one.host, other.host, field)] = (port, made)
+                host_relay = relay.Relay('127.0.0.1', getattr(other, field))
+                await host_relay.start(port)
+                self.relays[(one.host, other.host, field)] = (port, host_relay)
         for one in hosts:
             self._write_view(one.host)
 
