--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -250,9 +250,9 @@
             host.host for host in self.settings.with_role('control')
         ]
         urls = [self.control_url(name) for name in names]
-        made = operators.Operator(urls, token, int(WAIT_S * 1000))
-        self._callers.append(made)
-        return made
+        client = operators.Operator(urls, token, int(WAIT_S * 1000))
+        self._callers.append(client)
+        return client
 
     async def control_status(self, host: str) -> dict | None:
         """Return a control host's status, or None if the request fails."""
