--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -270,7 +270,7 @@
             host.host for host in self.settings.with_role('control')
         ]
 
-        async def found():
+        async def find_leader():
             for name in names:
                 if name not in self.processes:
                     continue
@@ -279,7 +279,7 @@
                     return name
             return None
 
-        return await until(found, 'a leader')
+        return await until(find_leader, 'a leader')
 
     async def wait_voters(self, count: int) -> dict:
         """Wait for ``count`` voters; return the leader's status."""
