--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -284,13 +284,13 @@
     async def wait_voters(self, count: int) -> dict:
         """Wait for ``count`` voters; return the leader's status."""
 
-        async def found():
+        async def leader_status():
             status = await self.control_status(await self.leader())
             if not status or status['voters_before']:
                 return None
             return status if len(status['voters']) == count else None
 
-        return await until(found, f'{count} voters')
+        return await until(leader_status, f'{count} voters')
 
     def log(self, name: str) -> str:
         """Return the log of a process."""
