--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -411,16 +411,16 @@
 
     async def all_runs(self, service: str) -> dict[str, list[str]]:
         """Return the endpoints that ran each request to a service."""
-        found: dict[str, list[str]] = {}
+        runs_by_request: dict[str, list[str]] = {}
         for endpoint in self.settings.endpoints:
             if endpoint.service != service:
                 continue
             answer = await self.runs(endpoint.endpoint)
             for request, count in answer['runs'].items():
-                found.setdefault(request, []).extend(
+                runs_by_request.setdefault(request, []).extend(
                     [endpoint.endpoint] * count
                 )
-        return found
+        return runs_by_request
 
     async def _standin(self, endpoint, method, path, body):
         client = web.HttpClient(1000)
