--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -427,8 +427,8 @@
         data = None if body is None else msgspec.json.encode(body)
         url = self.endpoint_url(endpoint) + path
         try:
-            async with client.send(method, url, {}, data) as found:
-                raw = await web.read_body(found, 1 << 26)
+            async with client.send(method, url, {}, data) as response:
+                raw = await web.read_body(response, 1 << 26)
                 return msgspec.json.decode(raw) if raw else {}
         finally:
             await client.close()
