--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -444,9 +444,11 @@
 
 
 @contextlib.asynccontextmanager
-async def running(folder, made, model=None, entries=None, relays=False):
+async def running(
+    folder, settings_map, model=None, entries=None, relays=False
+):
     """Run stand-ins and entry hosts; yield the fleet."""
-    fleet = Fleet(folder, made, model)
+    fleet = Fleet(folder, settings_map, model)
     try:
         if relays:
             await fleet.start_relays()
