--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -17,8 +17,8 @@
 
 
 async def test_entry_host_gives_its_metrics(tmp_path):
-    made = fleet.deployment(regions=('north',))
-    async with fleet.running(tmp_path, made) as running:
+    settings_map = fleet.deployment(regions=('north',))
+    async with fleet.running(tmp_path, settings_map) as running:
         async with aiohttp.ClientSession() as session:
             async with session.get(running.url('north-1') + '/metrics') as got:
                 assert got.status == 200
