--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -20,7 +20,9 @@
     settings_map = fleet.deployment(regions=('north',))
     async with fleet.running(tmp_path, settings_map) as running:
         async with aiohttp.ClientSession() as session:
-            async with session.get(running.url('north-1') + '/metrics') as got:
-                assert got.status == 200
-                text = await got.text()
+            async with session.get(
+                running.url('north-1') + '/metrics'
+            ) as response:
+                assert response.status == 200
+                text = await response.text()
     assert 'wrenspoke_requests_in_quarantine{' in text
