--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -16,9 +16,9 @@
 
 def changed(change):
     """Return changed settings as JSON."""
-    made = fleet.deployment()
-    change(made)
-    return json.dumps(made)
+    settings_map = fleet.deployment()
+    change(settings_map)
+    return json.dumps(settings_map)
 
 
 def drop(name):
