--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -26,15 +26,15 @@
 def drain(reader):
     """Return all bytes that are in a pipe now."""
     os.set_blocking(reader, False)
-    found = b''
+    received = b''
     while True:
         try:
             chunk = os.read(reader, 65536)
         except BlockingIOError:
-            return found
+            return received
         if not chunk:
-            return found
-        found += chunk
+            return received
+        received += chunk
 
 
 def test_lines_pass_whole_and_in_order(pipe):
