--- a/tests/test_region_pollers.py
+++ b/tests/test_region_pollers.py
@@ -51,17 +51,13 @@
         self._region.sent[self._host] += 1
         self._region.told[host] += 1
         if message.pass_on:
-            await self._region.settings_map[host].relay(message)
+            await self._region.made[host].relay(message)
         return 1
 
 
 def asking_hosts(region):
     """Return the polling hosts."""
-    return [
-        host
-        for host, settings_map in region.settings_map.items()
-        if settings_map.is_poller()
-    ]
+    return [host for host, made in region.made.items() if made.is_poller()]
 
 
 @pytest.mark.parametrize('count', SIZES)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -29,10 +29,10 @@
 def put(value, *path):
     """Return a change that sets the value at a path."""
 
-    def change(made):
+    def change(settings_map):
         for part in path[:-1]:
-            made = made[part]
-        made[path[-1]] = value
+            settings_map = settings_map[part]
+        settings_map[path[-1]] = value
 
     return change
 
@@ -67,10 +67,10 @@
 
 
 def test_every_problem_is_told_at_once():
-    def change(made):
-        made.pop('cluster')
-        made['hosts'][0]['http_port'] = 0
-        made['extra'] = 1
+    def change(settings_map):
+        settings_map.pop('cluster')
+        settings_map['hosts'][0]['http_port'] = 0
+        settings_map['extra'] = 1
 
     with pytest.raises(settings.SettingsError) as caught:
         settings.parse(changed(change))
