--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings are checked whole, and every problem is named."""
+"""Invalid settings are rejected, with a message for every problem."""
 
 import json
 import pathlib
@@ -15,24 +15,24 @@
 
 
 def changed(change):
-    """Return settings as text after a change."""
-    made = fleet.deployment()
-    change(made)
-    return json.dumps(made)
+    """Return changed settings as JSON."""
+    settings_map = fleet.deployment()
+    change(settings_map)
+    return json.dumps(settings_map)
 
 
 def drop(name):
-    """Return a change that takes a field away."""
-    return lambda made: made.pop(name)
+    """Return a change that removes a field."""
+    return lambda settings_map: settings_map.pop(name)
 
 
 def put(value, *path):
-    """Return a change that puts a value at a path."""
+    """Return a change that sets the value at a path."""
 
-    def change(made):
+    def change(settings_map):
         for part in path[:-1]:
-            made = made[part]
-        made[path[-1]] = value
+            settings_map = settings_map[part]
+        settings_map[path[-1]] = value
 
     return change
 
@@ -51,7 +51,7 @@
     (put('nope', 'endpoints', 0, 'service'), 'endpoints.0.service'),
     (put('moon', 'endpoints', 0, 'region'), 'endpoints.0.region'),
     (put('ftp://a', 'endpoints', 0, 'url'), 'endpoints.0.url'),
-    (put('north-1', 'hosts', 1, 'host'), "'north-1' is there 2 times"),
+    (put('north-1', 'hosts', 1, 'host'), "'north-1' occurs 2 times"),
     (put('x', 'operators', 0, 'token_sha256'), 'operators.0.token_sha256'),
     (put(['control'], 'hosts', 0, 'roles'), 'hosts.0.data_folder: required'),
 ]  # fmt: skip
@@ -67,10 +67,10 @@
 
 
 def test_every_problem_is_told_at_once():
-    def change(made):
-        made.pop('cluster')
-        made['hosts'][0]['http_port'] = 0
-        made['extra'] = 1
+    def change(settings_map):
+        settings_map.pop('cluster')
+        settings_map['hosts'][0]['http_port'] = 0
+        settings_map['extra'] = 1
 
     with pytest.raises(settings.SettingsError) as caught:
         settings.parse(changed(change))
--- a/wrenspoke/arguments.py
+++ b/wrenspoke/arguments.py
@@ -1,4 +1,4 @@
-"""The command line that all daemons share."""
+"""Command line of the daemons."""
 
 import argparse
 import asyncio
@@ -20,17 +20,17 @@
 
 
 def run_daemon(description: str, serve: Serve) -> None:
-    """Parse arguments, configure logs and hand over to ``serve``."""
+    """Parse the command line, configure logging and run ``serve``."""
     parser = argparse.ArgumentParser(description=description)
     parser.add_argument('--settings', required=True, type=pathlib.Path)
     parser.add_argument('--host', required=True, help='name in the file')
     parser.add_argument(
         '--log-level', default='info', choices=sorted(logs.LEVELS)
     )
-    found = parser.parse_args()
-    logs.configure(found.log_level, found.host)
+    parsed = parser.parse_args()
+    logs.configure(parsed.log_level, parsed.host)
     try:
-        runtime.run(serve(found.settings, found.host))
+        runtime.run(serve(parsed.settings, parsed.host))
     except errors.WrenspokeError as error:
         logger.error('not_started', reason=str(error))
         sys.exit(str(error))
--- a/wrenspoke/controld.py
+++ b/wrenspoke/controld.py
@@ -32,7 +32,7 @@
 
 
 class ControlDaemon:
-    """Build the parts of a control host, start and stop them."""
+    """Builds, starts and stops the components of a control host."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         )
         self.replica = replica.Replica()
         self._client = web.HttpClient(deployment.entry.connect_timeout_ms)
-        kept = storage.Storage(
+        log_storage = storage.Storage(
             disk.Disk(folder / self._host_settings.data_folder)
         )
         hosts = [
@@ -68,7 +68,7 @@
             ),
             control_group.ControlGroup(host, hosts, clock),
             deployment.control,
-            kept,
+            log_storage,
             self.peers,
             self.replica,
             clock,
@@ -101,7 +101,7 @@
         self._web = web.HttpServer(application)
 
     def _entry_hosts(self, everywhere: bool) -> list[ids.HostId]:
-        """Return the entry hosts of this region, or of all."""
+        """Return the entry hosts of this region, or of all regions."""
         return [
             ids.HostId(entry.host)
             for entry in self._deployment.with_role('entry')
@@ -111,21 +111,21 @@
     async def _handle_metrics(
         self, request: aiohttp.web.Request
     ) -> aiohttp.web.Response:
-        elected = self.voter
+        local_voter = self.voter
         put = self._metrics.set
-        put('wrenspoke_term', elected.term)
-        put('wrenspoke_leading', elected.has_lease)
-        put('wrenspoke_commit_index', elected.commit_index)
-        put('wrenspoke_voters', len(elected.committed_electorate.voters))
+        put('wrenspoke_term', local_voter.term)
+        put('wrenspoke_leading', local_voter.has_lease)
+        put('wrenspoke_commit_index', local_voter.commit_index)
+        put('wrenspoke_voters', len(local_voter.committed_electorate.voters))
         put(
             'wrenspoke_configuration_index',
-            elected.state.configuration.index,
+            local_voter.state.configuration.index,
         )
         self._metrics.set_link_metrics(self.peers.links)
         return self._metrics.response(request)
 
     async def start(self) -> None:
-        """Listen and begin every task."""
+        """Start the listeners and the background tasks."""
         ip = str(self._host_settings.ip)
         await self.peers.links.start(ip, self._host_settings.link_port)
         self.voter.start()
@@ -138,7 +138,7 @@
         )
 
     async def close(self) -> None:
-        """End every task and close every socket."""
+        """Cancel every task and close every socket."""
         await self._web.close()
         await self._crash_aggregator.close()
         await self.control.close()
@@ -150,19 +150,19 @@
 
 
 def bootstrap_group(path: pathlib.Path, name: str) -> None:
-    """Begin a new group on one control host's empty disk.
+    """Bootstrap a new control group on one host's empty disk.
 
-    :raises InvalidChangeError: the disk holds a log already
+    :raises InvalidChangeError: the disk already holds a log
     """
     deployment = settings.read(path)
     folder = path.parent / deployment.host(name).data_folder
-    kept = storage.Storage(disk.Disk(folder))
+    log_storage = storage.Storage(disk.Disk(folder))
     first = entries.Bootstrap(deployment.first_configuration())
-    bootstrap.bootstrap_single(kept, ids.HostId(name), first)
+    bootstrap.bootstrap_single(log_storage, ids.HostId(name), first)
 
 
 async def serve(path: pathlib.Path, name: str) -> None:
-    """Run one control host until it is told to stop."""
+    """Run one control host until a stop signal."""
     deployment = settings.read(path)
     daemon = ControlDaemon(deployment, name, path.parent)
     await daemon.start()
@@ -171,7 +171,7 @@
 
 
 def main() -> None:
-    """Hand over to the control host that the arguments name."""
+    """Run the control host that the command line names."""
     arguments.run_daemon(__doc__, serve)
 
 
