--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -100,7 +100,9 @@
             roles = ['entry', 'ledger']
             settings_map['hosts'].append(_host(region, number, roles, ports))
         for number in range(1, engines + 1):
-            settings_map['endpoints'].append(_endpoint(region, 'chat', number, ports))
+            settings_map['endpoints'].append(
+                _endpoint(region, 'chat', number, ports)
+            )
         for number in range(1, plains + 1):
             settings_map['endpoints'].append(
                 _endpoint(region, 'records', number, ports)
@@ -444,7 +446,9 @@
 
 
 @contextlib.asynccontextmanager
-async def running(folder, settings_map, model=None, entries=None, relays=False):
+async def running(
+    folder, settings_map, model=None, entries=None, relays=False
+):
     """Run stand-ins and entry hosts; yield the fleet."""
     fleet = Fleet(folder, settings_map, model)
     try:
