--- a/wrenspoke/coordination/membership/directory.py
+++ b/wrenspoke/coordination/membership/directory.py
@@ -41,7 +41,7 @@
             'directory_fallback',
             region=region,
             regions=sorted({record.region for record in usable}),
-            host_roster=len(host_roster.hosts()),
+            known=len(host_roster.hosts()),
         )
     same_data_centre = [
         record for record in usable if record.data_centre == data_centre
