--- a/benches/decisions.py
+++ b/benches/decisions.py
@@ -42,7 +42,9 @@
                     running.kill(victim)
                     running.start_control(victim)
                     kills += 1
-                intent = test_control.limit_intent(f'team-{number}', number + 1)
+                intent = test_control.limit_intent(
+                    f'team-{number}', number + 1
+                )
                 answer = await test_control.apply_intent(
                     operator, 2 * number, intent
                 )
--- a/benches/fatal_requests.py
+++ b/benches/fatal_requests.py
@@ -52,14 +52,14 @@
     """Say when a request is refused; at no number of ends without one."""
 
     ends: int | None
-    by_looks: bool = True
+    confirmed_only: bool = True
     cleared: bool = True
     repeated: bool = True
 
     def __str__(self) -> str:
         if self.ends is None:
             return 'never refused'
-        evidence = 'ends' if self.by_looks else 'broken connections'
+        evidence = 'ends' if self.confirmed_only else 'broken connections'
         cleared = '' if self.cleared else ', good ends ignored'
         repeated = '' if self.repeated else ', not sent on after an end'
         return f'{self.ends} {evidence}{cleared}{repeated}'
@@ -70,7 +70,7 @@
     Way(2),
     Way(3),
     Way(4),
-    Way(3, by_looks=False),
+    Way(3, confirmed_only=False),
     Way(3, cleared=False),
     Way(3, repeated=False),
 )
@@ -202,7 +202,7 @@
         lost = 'lost' in self._trouble
         if lost and began_ms <= self._time.now_ms < ended_ms:
             if self._random.random() < LOST_SHARE:
-                if not self._way.by_looks:
+                if not self._way.confirmed_only:
                     self._note(call, engine)
                 self._send(call)
                 return
@@ -237,7 +237,9 @@
         good_ms = self._good.get(digest, -crash_history.RETENTION_MS)
         if good_ms > ended_ms - recent_successes.RETENTION_MS:
             return
-        count = self._book.record_crash(digest, f'{engine}-{ended_ms}', ended_ms)
+        count = self._book.record_crash(
+            digest, f'{engine}-{ended_ms}', ended_ms
+        )
         if self._way.ends is not None and count >= self._way.ends:
             self._refused.add(digest)
 
@@ -269,7 +271,8 @@
 def count_messages() -> None:
     """Print what one end costs, told to all or to control hosts."""
     ends = [
-        quarantining.EndpointCrash('0' * 32, 'engine-12345', 5) for _ in range(CALLS)
+        quarantining.EndpointCrash('0' * 32, 'engine-12345', 5)
+        for _ in range(CALLS)
     ]
     print('| hosts | told to all: messages, KB | to control hosts |')
     print('| --- | --- | --- |')
--- a/benches/limits.py
+++ b/benches/limits.py
@@ -32,7 +32,10 @@
     def __init__(self, fleet, name):
         limit = fleet.limit
         hosts = len(fleet.names)
-        burst = limit.burst + FILLED_SHARE * team_limit_fleet.BOUNDS.max_overshoot(limit)
+        burst = (
+            limit.burst
+            + FILLED_SHARE * team_limit_fleet.BOUNDS.max_overshoot(limit)
+        )
         self.clock = group.LoopClock()
         self.peers = team_limit_fleet.membership_fleet.CountingPeers(
             name, fleet.network
