--- a/benches/fatal_requests.py
+++ b/benches/fatal_requests.py
@@ -53,14 +53,14 @@
 
     ends: int | None
     confirmed_only: bool = True
-    cleared: bool = True
+    cleared_by_success: bool = True
     repeated: bool = True
 
     def __str__(self) -> str:
         if self.ends is None:
             return 'never refused'
         evidence = 'ends' if self.confirmed_only else 'broken connections'
-        cleared = '' if self.cleared else ', good ends ignored'
+        cleared = '' if self.cleared_by_success else ', good ends ignored'
         repeated = '' if self.repeated else ', not sent on after an end'
         return f'{self.ends} {evidence}{cleared}{repeated}'
 
