--- a/benches/fatal_requests.py
+++ b/benches/fatal_requests.py
@@ -54,15 +54,17 @@
     ends: int | None
     confirmed_only: bool = True
     cleared_by_success: bool = True
-    repeated: bool = True
+    retried_after_crash: bool = True
 
     def __str__(self) -> str:
         if self.ends is None:
             return 'never refused'
         evidence = 'ends' if self.confirmed_only else 'broken connections'
         cleared = '' if self.cleared_by_success else ', good ends ignored'
-        repeated = '' if self.repeated else ', not sent on after an end'
-        return f'{self.ends} {evidence}{cleared}{repeated}'
+        retried_after_crash = (
+            '' if self.retried_after_crash else ', not sent on after an end'
+        )
+        return f'{self.ends} {evidence}{cleared}{retried_after_crash}'
 
 
 WAYS = (
@@ -72,7 +74,7 @@
     Way(4),
     Way(3, confirmed_only=False),
     Way(3, cleared=False),
-    Way(3, repeated=False),
+    Way(3, retried_after_crash=False),
 )
 
 
@@ -224,7 +226,7 @@
         for call in broken:
             self._note(call, engine)
         for call in broken:
-            if self._way.repeated:
+            if self._way.retried_after_crash:
                 self._send(call)
             else:
                 self._fail(call)
