--- a/benches/fatal_requests.py
+++ b/benches/fatal_requests.py
@@ -233,9 +233,17 @@
 
     def _note(self, call: Call, engine: int) -> None:
         at_ms = self._time.now_ms
-        self._at(at_ms + SPREAD_MS, self._learn, call.digest, engine, at_ms)
+        self._at(
+            at_ms + SPREAD_MS,
+            self._apply_crash_report,
+            call.digest,
+            engine,
+            at_ms,
+        )
 
-    def _learn(self, digest: str, engine: int, ended_ms: int) -> None:
+    def _apply_crash_report(
+        self, digest: str, engine: int, ended_ms: int
+    ) -> None:
         good_ms = self._good.get(digest, -crash_history.RETENTION_MS)
         if good_ms > ended_ms - recent_successes.RETENTION_MS:
             return
