--- a/benches/fatal_requests.py
+++ b/benches/fatal_requests.py
@@ -205,7 +205,7 @@
         if lost and began_ms <= self._time.now_ms < ended_ms:
             if self._random.random() < LOST_SHARE:
                 if not self._way.confirmed_only:
-                    self._note(call, engine)
+                    self._schedule_crash_report(call, engine)
                 self._send(call)
                 return
         if self._way.cleared:
@@ -224,14 +224,14 @@
         broken = list(running.values())
         running.clear()
         for call in broken:
-            self._note(call, engine)
+            self._schedule_crash_report(call, engine)
         for call in broken:
             if self._way.retried_after_crash:
                 self._send(call)
             else:
                 self._fail(call)
 
-    def _note(self, call: Call, engine: int) -> None:
+    def _schedule_crash_report(self, call: Call, engine: int) -> None:
         at_ms = self._time.now_ms
         self._at(
             at_ms + SPREAD_MS,
