--- a/benches/fatal_requests.py
+++ b/benches/fatal_requests.py
@@ -153,11 +153,11 @@
             for engine in range(ENGINES // 3):
                 for at_ms in range(began_ms, ended_ms, 5_000):
                     late_ms = self._random.randrange(1_000)
-                    self._at(at_ms + late_ms, self._end, engine)
+                    self._at(at_ms + late_ms, self._crash_engine, engine)
         if 'crashes' in self._trouble:
             for at_ms in range(began_ms, ended_ms, 10_000):
                 for engine in self._random.sample(range(ENGINES), 6):
-                    self._at(at_ms, self._end, engine)
+                    self._at(at_ms, self._crash_engine, engine)
 
     def _ask(self, call: Call) -> None:
         call.asked += 1
@@ -182,7 +182,7 @@
         run = next(self._number)
         self._running[engine][run] = call
         if call.fatal:
-            self._at(now_ms + FATAL_AFTER_MS, self._end, engine, run)
+            self._at(now_ms + FATAL_AFTER_MS, self._crash_engine, engine, run)
             return
         took_ms = self._random.randint(*RUN_MS)
         self._at(now_ms + took_ms, self._answer, engine, run)
@@ -214,7 +214,7 @@
                 self._time.now_ms + SPREAD_MS, self._book.clear, call.digest
             )
 
-    def _end(self, engine: int, run: int | None = None) -> None:
+    def _crash_engine(self, engine: int, run: int | None = None) -> None:
         running = self._running[engine]
         if run is not None and run not in running:
             return
