--- a/benches/fatal_requests.py
+++ b/benches/fatal_requests.py
@@ -138,14 +138,14 @@
             content = f'own-{next(self._number)}'
             if self._random.random() < COMMON_SHARE:
                 content = f'common-{self._random.randrange(COMMON_CONTENTS)}'
-            self._at(at_ms, self._ask, Call(content, fatal=False))
+            self._at(at_ms, self._submit_call, Call(content, fatal=False))
         if 'fatal' not in self._trouble:
             return
         for content in ('fatal-1', 'fatal-2'):
             at_ms, end_ms = FATAL_SPAN_MS
             while at_ms < end_ms:
                 at_ms += self._random.expovariate(1 / FATAL_INTERVAL_MS)
-                self._at(at_ms, self._ask, Call(content, fatal=True))
+                self._at(at_ms, self._submit_call, Call(content, fatal=True))
 
     def _plan_trouble(self) -> None:
         began_ms, ended_ms = TROUBLE_SPAN_MS
@@ -159,7 +159,7 @@
                 for engine in self._random.sample(range(ENGINES), 6):
                     self._at(at_ms, self._crash_engine, engine)
 
-    def _ask(self, call: Call) -> None:
+    def _submit_call(self, call: Call) -> None:
         call.asked += 1
         call.sent = 0
         if not call.fatal and call.asked == 1:
@@ -192,7 +192,7 @@
             return
         if call.asked == 1:
             at_ms = self._time.now_ms + ASK_AGAIN_MS
-            self._at(at_ms, self._ask, call)
+            self._at(at_ms, self._submit_call, call)
             return
         self.counts['unanswered'] += 1
 
