--- a/benches/fatal_requests.py
+++ b/benches/fatal_requests.py
@@ -114,7 +114,7 @@
             engine: {} for engine in self._up
         }
         self._refused: set[str] = set()
-        self._good: dict[str, int] = {}
+        self._succeeded_ms: dict[str, int] = {}
         self.counts: collections.Counter[str] = collections.Counter()
 
     def play(self) -> collections.Counter[str]:
@@ -209,7 +209,7 @@
                 self._send(call)
                 return
         if self._way.cleared:
-            self._good[call.digest] = self._time.now_ms
+            self._succeeded_ms[call.digest] = self._time.now_ms
             self._at(
                 self._time.now_ms + SPREAD_MS, self._book.clear, call.digest
             )
@@ -244,7 +244,7 @@
     def _apply_crash_report(
         self, digest: str, engine: int, ended_ms: int
     ) -> None:
-        good_ms = self._good.get(digest, -crash_history.RETENTION_MS)
+        good_ms = self._succeeded_ms.get(digest, -crash_history.RETENTION_MS)
         if good_ms > ended_ms - recent_successes.RETENTION_MS:
             return
         count = self._book.record_crash(
