--- a/benches/fatal_requests.py
+++ b/benches/fatal_requests.py
@@ -120,7 +120,7 @@
     def play(self) -> collections.Counter[str]:
         """Return what was counted."""
         self._plan_calls()
-        self._plan_trouble()
+        self._schedule_faults()
         while self._events:
             at_ms, _number, function, arguments = heapq.heappop(self._events)
             self._time.now_ms = at_ms
@@ -147,7 +147,7 @@
                 at_ms += self._random.expovariate(1 / FATAL_INTERVAL_MS)
                 self._at(at_ms, self._submit_call, Call(content, fatal=True))
 
-    def _plan_trouble(self) -> None:
+    def _schedule_faults(self) -> None:
         began_ms, ended_ms = TROUBLE_SPAN_MS
         if 'flapping' in self._trouble:
             for engine in range(ENGINES // 3):
