--- a/benches/fatal_requests.py
+++ b/benches/fatal_requests.py
@@ -119,7 +119,7 @@
 
     def play(self) -> collections.Counter[str]:
         """Return what was counted."""
-        self._plan_calls()
+        self._schedule_calls()
         self._schedule_faults()
         while self._events:
             at_ms, _number, function, arguments = heapq.heappop(self._events)
@@ -131,7 +131,7 @@
         event = (int(at_ms), next(self._number), function, arguments)
         heapq.heappush(self._events, event)
 
-    def _plan_calls(self) -> None:
+    def _schedule_calls(self) -> None:
         at_ms = 0.0
         while at_ms < LENGTH_MS:
             at_ms += self._random.expovariate(CALLS_PER_S / 1_000)
