--- a/benches/fatal_requests.py
+++ b/benches/fatal_requests.py
@@ -48,7 +48,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Way:
+class RefusalPolicy:
     """Say when a request is refused; at no number of ends without one."""
 
     ends: int | None
@@ -68,13 +68,13 @@
 
 
 WAYS = (
-    Way(None),
-    Way(2),
-    Way(3),
-    Way(4),
-    Way(3, confirmed_only=False),
-    Way(3, cleared=False),
-    Way(3, retried_after_crash=False),
+    RefusalPolicy(None),
+    RefusalPolicy(2),
+    RefusalPolicy(3),
+    RefusalPolicy(4),
+    RefusalPolicy(3, confirmed_only=False),
+    RefusalPolicy(3, cleared=False),
+    RefusalPolicy(3, retried_after_crash=False),
 )
 
 
@@ -101,7 +101,7 @@
 class Played:
     """Play one seed of one way beside one trouble."""
 
-    def __init__(self, way: Way, trouble: str, seed: int):
+    def __init__(self, way: RefusalPolicy, trouble: str, seed: int):
         self._way = way
         self._trouble = trouble
         self._random = random.Random(seed)
