--- a/benches/fatal_requests.py
+++ b/benches/fatal_requests.py
@@ -78,7 +78,7 @@
 )
 
 
-class Time:
+class ManualClock:
     """Be a clock that the bench moves."""
 
     now_ms = 0
@@ -105,7 +105,7 @@
         self._way = way
         self._trouble = trouble
         self._random = random.Random(seed)
-        self._time = Time()
+        self._time = ManualClock()
         self._book = crash_history.CrashHistory(self._time)
         self._events: list[tuple] = []
         self._number = itertools.count()
