--- a/benches/fatal_requests.py
+++ b/benches/fatal_requests.py
@@ -98,7 +98,7 @@
     asked: int = 0
 
 
-class Played:
+class Simulation:
     """Play one seed of one way beside one trouble."""
 
     def __init__(self, way: RefusalPolicy, trouble: str, seed: int):
@@ -263,7 +263,7 @@
         for trouble in TROUBLES:
             counts: collections.Counter[str] = collections.Counter()
             for seed in range(seeds):
-                counts += Played(way, trouble, seed).play()
+                counts += Simulation(way, trouble, seed).play()
             share = TEN_THOUSAND / counts['calls']
             cells.append(
                 f'{counts["ended"] / seeds:.1f}, '
