--- a/benches/fatal_requests.py
+++ b/benches/fatal_requests.py
@@ -30,7 +30,7 @@
 CALLS_PER_S = 40
 LENGTH_MS = 90_000
 RUN_MS = (300, 4_000)
-BACK_MS = 3_000
+RESTART_MS = 3_000
 FATAL_AFTER_MS = 100
 FATAL_SPAN_MS = (20_000, 60_000)
 FATAL_INTERVAL_MS = 1_000
@@ -220,7 +220,7 @@
             return
         if run is not None:
             self.counts['ended'] += 1
-        self._up[engine] = self._time.now_ms + BACK_MS
+        self._up[engine] = self._time.now_ms + RESTART_MS
         broken = list(running.values())
         running.clear()
         for call in broken:
