--- a/benches/fatal_requests.py
+++ b/benches/fatal_requests.py
@@ -36,7 +36,7 @@
 FATAL_INTERVAL_MS = 1_000
 TROUBLE_SPAN_MS = (20_000, 60_000)
 # Until all hosts know of an end.
-SPREAD_MS = 150
+PROPAGATION_MS = 150
 ASK_AGAIN_MS = 300
 # Of all calls, those that say the same as others.
 COMMON_SHARE = 0.1
@@ -211,7 +211,9 @@
         if self._way.cleared:
             self._succeeded_ms[call.digest] = self._time.now_ms
             self._at(
-                self._time.now_ms + SPREAD_MS, self._book.clear, call.digest
+                self._time.now_ms + PROPAGATION_MS,
+                self._book.clear,
+                call.digest,
             )
 
     def _crash_engine(self, engine: int, run: int | None = None) -> None:
@@ -234,7 +236,7 @@
     def _schedule_crash_report(self, call: Call, engine: int) -> None:
         at_ms = self._time.now_ms
         self._at(
-            at_ms + SPREAD_MS,
+            at_ms + PROPAGATION_MS,
             self._apply_crash_report,
             call.digest,
             engine,
