--- a/benches/fatal_requests.py
+++ b/benches/fatal_requests.py
@@ -37,7 +37,7 @@
 TROUBLE_SPAN_MS = (20_000, 60_000)
 # Until all hosts know of an end.
 PROPAGATION_MS = 150
-ASK_AGAIN_MS = 300
+CALLER_RETRY_MS = 300
 # Of all calls, those that say the same as others.
 COMMON_SHARE = 0.1
 COMMON_CONTENTS = 4
@@ -191,7 +191,7 @@
         if call.fatal:
             return
         if call.asked == 1:
-            at_ms = self._time.now_ms + ASK_AGAIN_MS
+            at_ms = self._time.now_ms + CALLER_RETRY_MS
             self._at(at_ms, self._submit_call, call)
             return
         self.counts['unanswered'] += 1
