--- a/benches/elections.py
+++ b/benches/elections.py
@@ -26,7 +26,7 @@
 MISHAPS: dict[str, Mishap] = {}
 
 
-def mishap(name: str) -> collections.abc.Callable[[Mishap], Mishap]:
+def register_fault(name: str) -> collections.abc.Callable[[Mishap], Mishap]:
     """Return a decorator that registers a mishap under a name."""
 
     def register(function: Mishap) -> Mishap:
@@ -36,14 +36,14 @@
     return register
 
 
-@mishap('leader lost')
+@register_fault('leader lost')
 async def lose_leader(system: group.Group) -> None:
     """End the host that leads."""
     leader = await system.wait_for_leader()
     await system.stop_host(leader.name)
 
 
-@mishap('power lost')
+@register_fault('power lost')
 async def lose_power(system: group.Group) -> None:
     """Restart all hosts without what was not synced."""
     await system.restart_all()
