--- a/benches/elections.py
+++ b/benches/elections.py
@@ -22,14 +22,18 @@
 # So that hosts are at another step of their beats with each seed.
 STEP_MS = 7
 
-Mishap = collections.abc.Callable[[group.Group], collections.abc.Awaitable]
-MISHAPS: dict[str, Mishap] = {}
+FaultInjector = collections.abc.Callable[
+    [group.Group], collections.abc.Awaitable
+]
+MISHAPS: dict[str, FaultInjector] = {}
 
 
-def register_fault(name: str) -> collections.abc.Callable[[Mishap], Mishap]:
+def register_fault(
+    name: str,
+) -> collections.abc.Callable[[FaultInjector], FaultInjector]:
     """Return a decorator that registers a mishap under a name."""
 
-    def register(function: Mishap) -> Mishap:
+    def register(function: FaultInjector) -> FaultInjector:
         MISHAPS[name] = function
         return function
 
@@ -49,7 +53,7 @@
     await system.restart_all()
 
 
-def measure(seed: int, happen: Mishap) -> float:
+def measure(seed: int, happen: FaultInjector) -> float:
     """Return for how long nobody held a lease, in milliseconds."""
     took = []
 
