--- a/benches/elections.py
+++ b/benches/elections.py
@@ -25,7 +25,7 @@
 FaultInjector = collections.abc.Callable[
     [group.Group], collections.abc.Awaitable
 ]
-MISHAPS: dict[str, FaultInjector] = {}
+FAULT_INJECTORS: dict[str, FaultInjector] = {}
 
 
 def register_fault(
@@ -34,7 +34,7 @@
     """Return a decorator that registers a mishap under a name."""
 
     def register(function: FaultInjector) -> FaultInjector:
-        MISHAPS[name] = function
+        FAULT_INJECTORS[name] = function
         return function
 
     return register
@@ -80,7 +80,7 @@
     structlog.configure(
         wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL)
     )
-    for name, happen in MISHAPS.items():
+    for name, happen in FAULT_INJECTORS.items():
         took = sorted(measure(seed, happen) for seed in range(seeds))
         found = [round(took[int(len(took) * share)]) for share in SHARES]
         print(f'{name}: p50, p90, p99 {found} ms, longest {took[-1]:.0f} ms')
