--- a/benches/endpoint_limits.py
+++ b/benches/endpoint_limits.py
@@ -157,7 +157,7 @@
     )
 
 
-def found_out_ms(hosts, rate_per_s, seed):
+def removal_delay_ms(hosts, rate_per_s, seed):
     """Return when all hosts know that a limit has ended."""
     found = []
 
@@ -206,7 +206,9 @@
         )
     for hosts in (20, 60, 200):
         for rate_per_s in (0, 1.2, 3.3, 10):
-            took_ms = [found_out_ms(hosts, rate_per_s, seed) for seed in seeds]
+            took_ms = [
+                removal_delay_ms(hosts, rate_per_s, seed) for seed in seeds
+            ]
             tqdm.tqdm.write(
                 f'{hosts:3} hosts, {rate_per_s:4} a second: end known after '
                 f'{min(took_ms)} to {max(took_ms)} ms'
