--- a/benches/endpoint_limits.py
+++ b/benches/endpoint_limits.py
@@ -31,7 +31,7 @@
 WAYS = {}
 
 
-def way(name):
+def register_strategy(name):
     """Return a decorator that adds a way under a name."""
 
     def register(made):
@@ -41,7 +41,7 @@
     return register
 
 
-way('leave for each call')(endpoint_limit_fleet.SimulatedHost)
+register_strategy('leave for each call')(endpoint_limit_fleet.SimulatedHost)
 
 
 class SendPermit:
@@ -61,7 +61,7 @@
             host.rates[self._engine.life] = rate_per_s
 
 
-@way('equal parts')
+@register_strategy('equal parts')
 class EqualParts:
     """Give each host an equal part of each limit."""
 
@@ -106,7 +106,7 @@
         await self.peers.close()
 
 
-@way('parts leased by demand')
+@register_strategy('parts leased by demand')
 class LeasedParts(EqualParts):
     """Lease parts of a limit from one host, by what callers want here."""
 
