--- a/benches/faults.py
+++ b/benches/faults.py
@@ -34,7 +34,7 @@
     )
 
 
-async def trouble(running, seed: int, until: asyncio.Event) -> list[str]:
+async def inject_faults(running, seed: int, until: asyncio.Event) -> list[str]:
     """Kill, freeze and cut in turn; return what was done."""
     chance = random.Random(seed)
     entries = [host.host for host in running.settings.with_role('entry')]
@@ -102,7 +102,7 @@
         ended = asyncio.Event()
         seen: list[tuple[str, int]] = []
         others = [
-            asyncio.create_task(trouble(running, seed, ended)),
+            asyncio.create_task(inject_faults(running, seed, ended)),
             asyncio.create_task(watch_indexes(running, seen, ended)),
             asyncio.create_task(change_limits(running, ended)),
         ]
