--- a/benches/limits.py
+++ b/benches/limits.py
@@ -112,7 +112,7 @@
     def __init__(self, fleet, name):
         super().__init__(fleet, name)
         self._fleet = fleet
-        self._told = self.reports.setdefault(id(fleet), [])
+        self._reported_spends = self.reports.setdefault(id(fleet), [])
         self._own = []
         self._unseen = 0.0
         self._reported_ms = self.clock.mono_ms()
@@ -122,14 +122,14 @@
     async def admit(self, amount):
         now_ms = self.clock.mono_ms()
         if now_ms - self._reported_ms >= self.INTERVAL_MS:
-            self._told.extend((now_ms, one) for one in self._own)
+            self._reported_spends.extend((now_ms, one) for one in self._own)
             self._own, self._unseen = [], 0.0
             self._reported_ms = now_ms
             self.peers.sent['report'].messages += 1
         since_ms = now_ms - team_limit_fleet.WINDOW_MS
         seen = sum(
             spent
-            for at_ms, spent in self._told
+            for at_ms, spent in self._reported_spends
             if since_ms <= at_ms <= now_ms - self.LAG_MS
         )
         limit = self._fleet.limit
