--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -79,7 +79,7 @@
     return round(sorted(taken)[len(taken) // 2], 4)
 
 
-def held_mb(make) -> float:
+def allocated_mb(make) -> float:
     """Return the memory that what ``make`` returns holds."""
     tracemalloc.start()
     kept = make()
@@ -115,7 +115,7 @@
                 'endpoints': endpoints,
                 'limits': team_limits,
                 'bytes': len(encoded),
-                'memory_mb': held_mb(lambda made=made: decode(made)),
+                'memory_mb': allocated_mb(lambda made=made: decode(made)),
                 'change_endpoint_ms': timed_ms(
                     lambda: configuration.apply(made, state, 2)
                 ),
@@ -235,7 +235,7 @@
             return held
 
         started = time.process_time()
-        memory_mb = held_mb(fill)
+        memory_mb = allocated_mb(fill)
         used_s = time.process_time() - started
         held = fill()
         memory = held.on_recovery_request('other', 5, chunk_bytes=1 << 40)
@@ -316,7 +316,7 @@
                 held.record_use(f'team-17-session-{number}', 'engine-1')
             return held
 
-        found.append({'sessions': count, 'memory_mb': held_mb(fill)})
+        found.append({'sessions': count, 'memory_mb': allocated_mb(fill)})
     return found
 
 
