--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -161,7 +161,7 @@
     )
 
 
-def measure_beats() -> list[dict]:
+def measure_heartbeats() -> list[dict]:
     """Work out a host's beats by the peers of its data centre."""
     found = []
     for hosts in (3, 9, 11, 30, 90):
@@ -361,7 +361,7 @@
         log = measure_log(pathlib.Path(name))
     found = {
         'configuration': measure_configuration(),
-        'beats': measure_beats(),
+        'beats': measure_heartbeats(),
         'links': await measure_links(),
         'ledger': measure_ledger(),
         'log': log,
