--- a/benches/fatal_requests.py
+++ b/benches/fatal_requests.py
@@ -60,11 +60,15 @@
         if self.ends is None:
             return 'never refused'
         evidence = 'ends' if self.confirmed_only else 'broken connections'
-        cleared = '' if self.cleared_by_success else ', good ends ignored'
+        cleared_by_success = (
+            '' if self.cleared_by_success else ', good ends ignored'
+        )
         retried_after_crash = (
             '' if self.retried_after_crash else ', not sent on after an end'
         )
-        return f'{self.ends} {evidence}{cleared}{retried_after_crash}'
+        return (
+            f'{self.ends} {evidence}{cleared_by_success}{retried_after_crash}'
+        )
 
 
 WAYS = (
@@ -73,7 +77,7 @@
     RefusalPolicy(3),
     RefusalPolicy(4),
     RefusalPolicy(3, confirmed_only=False),
-    RefusalPolicy(3, cleared=False),
+    RefusalPolicy(3, cleared_by_success=False),
     RefusalPolicy(3, retried_after_crash=False),
 )
 
@@ -208,7 +212,7 @@
                     self._schedule_crash_report(call, engine)
                 self._send(call)
                 return
-        if self._way.cleared:
+        if self._way.cleared_by_success:
             self._succeeded_ms[call.digest] = self._time.now_ms
             self._at(
                 self._time.now_ms + PROPAGATION_MS,
