--- a/benches/endpoint_limits.py
+++ b/benches/endpoint_limits.py
@@ -121,8 +121,8 @@
         renewed_ms = self.renewed_ms.get(engine.life, -RENEW_MS)
         if now_ms - renewed_ms >= RENEW_MS:
             bucket = self.buckets[engine.life]
-            wanted_per_s = bucket.asked / (now_ms - renewed_ms) * MS_PER_S
-            bucket.asked = 0
+            wanted_per_s = bucket.request_count / (now_ms - renewed_ms) * MS_PER_S
+            bucket.request_count = 0
             self.renewed_ms[engine.life] = now_ms
             self.leased[engine.life] = self._lease(
                 engine, wanted_per_s, rate_per_s
