--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -1,9 +1,9 @@
-"""Measure the slopes that docs/CAPACITY.md is worked out from.
+"""Measure the cost figures that docs/CAPACITY.md extrapolates from.
 
     python -m benches.capacity
 
-Everything is measured in this process but the streams, which go through
-one entry host. Each slope has three points or more.
+Streams are measured through a running entry host, everything else in this
+process. Figures that depend on a size are measured at three sizes or more.
 """
 
 import argparse
@@ -43,7 +43,7 @@
 
 
 def config(endpoints: int, team_limits: int) -> configuration.Configuration:
-    """Return a configuration of some size."""
+    """Return a configuration of the given size."""
     return configuration.Configuration(
         index=1,
         services={
@@ -70,7 +70,7 @@
 
 
 def timed_ms(function, times: int = 20) -> float:
-    """Return the median time of a call."""
+    """Return the median duration of a call, in milliseconds."""
     taken = []
     for _number in range(times):
         started = time.perf_counter()
@@ -80,7 +80,7 @@
 
 
 def allocated_mb(make) -> float:
-    """Return the memory that what ``make`` returns holds."""
+    """Return the traced memory of the result of ``make``, in megabytes."""
     tracemalloc.start()
     kept = make()
     size, _peak = tracemalloc.get_traced_memory()
@@ -90,7 +90,7 @@
 
 
 def measure_configuration() -> list[dict]:
-    """Measure size, memory and the time of a change and of routing."""
+    """Measure size, memory, changes and routing by configuration size."""
     found = []
     for endpoints, team_limits in (
         (30, 100),
@@ -133,14 +133,14 @@
 
 
 def decode(made: configuration.Configuration) -> configuration.Configuration:
-    """Return a copy as a host gets it over a link."""
+    """Return a copy as decoded by a host that received it over a link."""
     return msgspec.msgpack.decode(
         msgspec.msgpack.encode(made), type=configuration.Configuration
     )
 
 
 def rank_ms(held: replica.Replica) -> float:
-    """Return the time to rank one region's engines for a request."""
+    """Return the time to rank one region's engines, in milliseconds."""
     clock = clocks.Clock()
     candidates = held.active_endpoints('s', 'region-1')
     view = routing.RankingContext(
@@ -162,7 +162,7 @@
 
 
 def measure_heartbeats() -> list[dict]:
-    """Work out a host's beats by the peers of its data centre."""
+    """Compute a host's heartbeat traffic by the hosts of its data centre."""
     found = []
     for hosts in (3, 9, 11, 30, 90):
         engines = max(1, round(3_300 / 67 / hosts))
@@ -184,7 +184,7 @@
 
 
 async def measure_links(count: int = 3_000) -> dict:
-    """Return the processor time and bytes of a call and its answer."""
+    """Measure the CPU time and the framing overhead of a link call."""
     keys = {name: links.new_keys() for name in ('a', 'b')}
     ports = dict(zip(keys, web.free_ports(2)))
     peers = [
@@ -215,7 +215,7 @@
 
 
 def measure_ledger() -> list[dict]:
-    """Measure a ledger host's memory and time by its keys."""
+    """Measure a ledger host's memory and CPU time by number of keys."""
     found = []
     for count in (1_000, 10_000, 50_000):
 
@@ -251,7 +251,7 @@
 
 
 def measure_log(folder: pathlib.Path) -> dict:
-    """Measure appends and snapshots of a voter."""
+    """Measure log appends and snapshots of a voter."""
     kept = storage.Storage(disk.Disk(folder / 'log'))
     kept.save_meta()
 
@@ -306,7 +306,7 @@
 
 
 def measure_sessions() -> list[dict]:
-    """Measure the memory of remembered sessions."""
+    """Measure the memory of session affinity by number of sessions."""
     found = []
     for count in (1_000, 10_000, 65_536):
 
@@ -321,7 +321,7 @@
 
 
 async def measure_streams() -> list[dict]:
-    """Measure the processor time of an entry host by stream events."""
+    """Measure an entry host's CPU time per event by concurrent streams."""
     found = []
     made = fleet.deployment(regions=('north',))
     made['endpoints'][0]['slots'] = 64
@@ -354,7 +354,7 @@
 
 
 async def main() -> None:
-    """Measure everything and print."""
+    """Run all measurements and print them as JSON."""
     argparse.ArgumentParser(description=__doc__).parse_args()
     logs.configure('error')
     with tempfile.TemporaryDirectory() as name:
--- a/benches/control.py
+++ b/benches/control.py
@@ -1,11 +1,11 @@
-"""Measure changes coming into force, and what an idle daemon costs.
+"""Measure the propagation of changes and the cost of idle daemons.
 
     python -m benches.control [--changes N] [--idle-seconds S]
 
-Three control hosts and nine entry hosts in three regions, with the
-intervals that are the defaults. Prints the time from accepted to in force
-at all nine hosts, steady and right after an election, then each role's
-processor time, link bytes and memory while nobody asks anything.
+Runs three control hosts and nine entry hosts in three regions at the default
+intervals. Prints the time until all entry hosts have applied a change, from
+its confirmation and from the kill of a leader just before it, and the CPU
+time, link bytes and memory of each host without requests.
 """
 
 import argparse
@@ -28,7 +28,7 @@
 
 
 def deployment() -> dict:
-    """Return a deployment of today's size at default intervals."""
+    """Return a deployment of nine entry hosts at default intervals."""
     made = fleet.deployment(regions=REGIONS, entries=3, engines=2, controls=3)
     for section in ('entry', 'control', 'ledger'):
         made[section] = {}
@@ -36,7 +36,7 @@
 
 
 async def in_force_ms(running, entries, index: int) -> float:
-    """Return how long until every entry host has an index."""
+    """Return the time until every entry host has an index, in ms."""
     started = time.perf_counter()
     waiting = dict(entries)
     while waiting:
@@ -49,7 +49,7 @@
 
 
 async def change(operator, number: int) -> tuple[int, float]:
-    """Make one change; return its index and how long the confirm took."""
+    """Make one change; return its index and the time to confirm, in ms."""
     limit = {'team': 'blue', 'requests_per_s': number + 1, 'burst': 5}
     planned = await operator.plan(
         2 * number, {'type': 'change_limit', 'limit': limit}
@@ -62,7 +62,7 @@
 
 
 def summary(times_ms: list[float]) -> dict[str, float]:
-    """Return the median and the highest."""
+    """Return the count, median and maximum of some durations."""
     return {
         'count': len(times_ms),
         'p50_ms': round(statistics.median(times_ms), 1),
@@ -71,7 +71,7 @@
 
 
 async def link_bytes(running, host: str) -> int:
-    """Return the link bytes that an entry host has sent and received."""
+    """Return the bytes that an entry host has sent and received on links."""
     client = web.HttpClient(1000)
     try:
         url = running.url(host) + '/metrics'
@@ -87,7 +87,7 @@
 
 
 async def idle(running, seconds: float) -> dict:
-    """Return what each daemon costs while nothing is asked."""
+    """Return CPU, memory and link traffic of each host without requests."""
     entries = [host.host for host in running.settings.with_role('entry')]
     names = entries + ['control-1', 'control-2', 'control-3']
     cpu = {
@@ -110,7 +110,7 @@
 
 
 async def main() -> None:
-    """Measure and print."""
+    """Run the benchmark and print its result as JSON."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--changes', type=int, default=20)
     parser.add_argument('--elections', type=int, default=3)
@@ -124,7 +124,7 @@
 
 
 async def measure(running, arguments: argparse.Namespace) -> dict:
-    """Return all figures."""
+    """Return the figures of idle hosts, changes and elections."""
     found = {'idle': await idle(running, arguments.idle_seconds)}
     entries = {
         host.host: callers.Caller([running.url(host.host)])
