--- a/benches/decisions.py
+++ b/benches/decisions.py
@@ -1,13 +1,13 @@
-"""Accept many changes while voters are killed; freeze a leader for long.
+"""Check for lost changes and stale orders under control host faults.
 
     python -m benches.decisions [--changes N] [--freeze-seconds S]
 
-Three control hosts. First: changes one behind the other, a random voter
-killed with SIGKILL and started again every 25; then all are killed and
-started, and each is asked for all of them. Second: a leader is stopped
-while it carries out loads at engines that check fencing numbers and
-engines that do not; another leads and finishes; the first is let go and
-every engine's orders are read.
+Runs three control hosts. The first part makes sequential changes, kills a
+random voter with SIGKILL every 25 changes and restarts it, then restarts all
+voters and counts the changes that each of them has. The second part suspends
+a leader while it loads models, at engines that check fencing numbers and at
+engines that do not, resumes it after another leader has taken over, and reads
+the orders that each engine executed.
 """
 
 import argparse
@@ -26,7 +26,7 @@
 
 
 async def accept(changes: int) -> dict:
-    """Accept changes through kills and count what every voter holds."""
+    """Make changes while voters are killed; count those each voter has."""
     chance = random.Random(1)
     made = fleet.deployment(
         regions=('north',), controls=3, control={'snapshot_entries': 200}
@@ -63,7 +63,7 @@
 
 
 async def freeze(seconds: float) -> dict:
-    """Stop a leader in the middle of its orders and let it go."""
+    """Suspend a leader while it issues orders, then resume it."""
     made = fleet.deployment(
         regions=('north',),
         engines=6,
@@ -106,7 +106,7 @@
 
 
 async def all_orders(running) -> dict[int, list[int]]:
-    """Return the numbers that each engine obeyed."""
+    """Return the fencing numbers of the orders each engine executed."""
     return {
         number: await test_control.fencing_numbers(running, number)
         for number in range(1, 7)
@@ -114,7 +114,7 @@
 
 
 async def main() -> None:
-    """Measure both and print."""
+    """Run both parts and print their results as JSON."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--changes', type=int, default=500)
     parser.add_argument('--freeze-seconds', type=float, default=30.0)
--- a/benches/elections.py
+++ b/benches/elections.py
@@ -1,10 +1,10 @@
-"""How long a group of control hosts is without a lease, simulated.
+"""Measure how long a simulated group of control hosts has no lease.
 
     python -m benches.elections [--seeds N]
 
-Groups of three run in time of their own (``tests.group``), a fifth of a
-second's round trip apart. Prints milliseconds until a host holds a lease,
-after the leader is lost and after all hosts lose power.
+Groups of three run in simulated time (``tests.group``) with a round trip of
+up to 200 ms. Prints the milliseconds until a host holds a lease, after the leader
+fails and after all hosts lose power.
 """
 
 import argparse
@@ -19,7 +19,7 @@
 SHARES = (0.5, 0.9, 0.99)
 SETTLE_MS = 3_000
 MS_PER_S = 1000
-# So that hosts are at another step of their beats with each seed.
+# Varies the phase of the heartbeats between seeds.
 STEP_MS = 7
 
 FaultInjector = collections.abc.Callable[
@@ -31,7 +31,7 @@
 def register_fault(
     name: str,
 ) -> collections.abc.Callable[[FaultInjector], FaultInjector]:
-    """Return a decorator that registers a mishap under a name."""
+    """Return a decorator that registers a fault under a name."""
 
     def register(function: FaultInjector) -> FaultInjector:
         FAULT_INJECTORS[name] = function
@@ -42,19 +42,19 @@
 
 @register_fault('leader lost')
 async def lose_leader(system: group.Group) -> None:
-    """End the host that leads."""
+    """Stop the leader."""
     leader = await system.wait_for_leader()
     await system.stop_host(leader.name)
 
 
 @register_fault('power lost')
 async def lose_power(system: group.Group) -> None:
-    """Restart all hosts without what was not synced."""
+    """Restart all hosts, discarding writes that were not synced."""
     await system.restart_all()
 
 
 def measure(seed: int, happen: FaultInjector) -> float:
-    """Return for how long nobody held a lease, in milliseconds."""
+    """Return the time without a lease after a fault, in milliseconds."""
     took = []
 
     async def play() -> None:
@@ -73,7 +73,7 @@
 
 
 def main() -> None:
-    """Print a line a mishap."""
+    """Print one line for each fault."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--seeds', type=int, default=400)
     seeds = parser.parse_args().seeds
