--- a/benches/endpoint_backoffs.py
+++ b/benches/endpoint_backoffs.py
@@ -1,14 +1,14 @@
-"""Compare ways to back off from engines that refuse requests with a time.
+"""Compare strategies to back off from engines that send Retry-After.
 
     python -m benches.endpoint_backoffs [--seeds N]
 
-Calls come for 24 s to hosts of one region with four engines, in simulated
-time (``tests.backoff_fleet``). For 10 s of them one engine refuses all
-requests, those of one host, or three in ten, or all engines refuse all, each
-time with 3 s of rest. Each row: refused requests, the part of calls that no
-engine served, how much of its fair share the engine got meanwhile, and in the
-first, second and fourth second afterwards, the busiest 100 ms of the 6 s
-after it over its share, and messages a second of all hosts.
+Hosts of one region with four engines receive calls for 24 s of simulated time
+(``tests.backoff_fleet``). For 10 s, one engine rejects all requests, those of
+one host, or three in ten, or all engines reject all, with a Retry-After of
+3 s. The columns of a row: rejected requests; the fraction of calls that no
+engine served; the engine's load relative to its fair share during the fault
+and in the first, second and fourth second after it; the highest such load in
+any 100 ms of the 6 s after it; messages per second of all hosts.
 """
 
 import argparse
@@ -41,7 +41,7 @@
 
 
 def play(made, name, hosts, calls_per_s, seed):
-    """Return the figures of one way in one play."""
+    """Return the figures of one strategy in one simulation."""
     refuses, engines = REFUSALS[name]
     fleet = backoff_fleet.simulate(
         test_backoff_fleet.refusing(refuses, engines),
@@ -54,7 +54,7 @@
     engine = fleet.engines[0]
 
     def share(since_ms, until_ms):
-        """Return what the engine got of its fair part of the calls."""
+        """Return the engine's calls relative to its fair share."""
         fair = calls_per_s / len(fleet.engines)
         got = engine.count(since_ms, until_ms)
         return got / (fair * (until_ms - since_ms) / MS_PER_S)
@@ -76,7 +76,7 @@
 
 
 def main() -> None:
-    """Print a row for each size, kind of refusal and way."""
+    """Print a row for each size, kind of rejection and strategy."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--seeds', type=int, default=2)
     seeds = range(1, parser.parse_args().seeds + 1)
--- a/benches/endpoint_limits.py
+++ b/benches/endpoint_limits.py
@@ -1,14 +1,14 @@
-"""Compare ways to keep what hosts send to an engine within what it names.
+"""Compare strategies to enforce the rate limits that engines advertise.
 
     python -m benches.endpoint_limits [--seeds N]
 
-Calls come for 30 s to hosts of one region with three engines, in time of
-their own (``tests.endpoint_limit_fleet``); one engine names a limit, or all do. Each
-row is a size and a limit, each column a way: the most that any 4 s held over
-what is allowed, which part of the limits was used, what was refused of all
-calls, messages a second over all hosts, and how long a call took until it
-was sent or refused, median and 99 of 100. Below: how long after the end of a
-limit all hosts knew of it.
+Hosts of one region with three engines receive calls for 30 s of simulated
+time (``tests.endpoint_limit_fleet``); one engine advertises a limit, or all
+do. Each line is a size, a limit and a strategy: the highest ratio of requests
+to the limit in any 4 s, the fraction of the limits that was used, the fraction
+of calls that was refused, messages per second of all hosts, and the median and
+99th percentile of the time until a call was sent or refused. The last lines
+are the times until all hosts have applied the removal of a limit.
 """
 
 import argparse
@@ -32,7 +32,7 @@
 
 
 def register_strategy(name):
-    """Return a decorator that adds a way under a name."""
+    """Return a decorator that registers a strategy under a name."""
 
     def register(made):
         WAYS[name] = made
@@ -45,7 +45,7 @@
 
 
 class SendPermit:
-    """Be a leave that this host gave itself."""
+    """Permit that a host issues to itself, without a bucket owner."""
 
     def __init__(self, host, engine):
         self._host = host
@@ -56,14 +56,14 @@
 
     def on_response(self, texts, _proved):
         rate_per_s = float(texts[0]) if texts else None
-        # The best case: all hosts know at once.
+        # The best case: a limit propagates to all hosts without delay.
         for host in self._host.fleet.hosts.values():
             host.rates[self._engine.life] = rate_per_s
 
 
 @register_strategy('equal parts')
 class EqualParts:
-    """Give each host an equal part of each limit."""
+    """Gives each host an equal share of each limit."""
 
     def __init__(self, fleet, name):
         self.fleet = fleet
@@ -81,7 +81,7 @@
         return self.clock.mono_ms() >= until_ms
 
     def part_per_s(self, engine, rate_per_s):
-        """Return how much of an engine's limit this host may send."""
+        """Return this host's share of an engine's limit, in requests/s."""
         return rate_per_s / len(self.fleet.names)
 
     async def admit(self, engine, _rank=0):
@@ -108,7 +108,7 @@
 
 @register_strategy('parts leased by demand')
 class LeasedParts(EqualParts):
-    """Lease parts of a limit from one host, by what callers want here."""
+    """Leases shares of a limit from one host by local demand."""
 
     def __init__(self, fleet, name):
         super().__init__(fleet, name)
@@ -121,7 +121,9 @@
         renewed_ms = self.renewed_ms.get(engine.life, -RENEW_MS)
         if now_ms - renewed_ms >= RENEW_MS:
             bucket = self.buckets[engine.life]
-            wanted_per_s = bucket.request_count / (now_ms - renewed_ms) * MS_PER_S
+            wanted_per_s = (
+                bucket.request_count / (now_ms - renewed_ms) * MS_PER_S
+            )
             bucket.request_count = 0
             self.renewed_ms[engine.life] = now_ms
             self.leased[engine.life] = self._lease(
@@ -131,7 +133,7 @@
 
     def _lease(self, engine, wanted_per_s, rate_per_s):
         lender = self.fleet.hosts[self.fleet.names[0]].lender
-        # A question and its answer.
+        # A request and its response.
         self.peers.sent['leases'].messages += 2
         return lender.grant(
             engine.life.endpoint, self.name, wanted_per_s, rate_per_s
@@ -139,7 +141,7 @@
 
 
 def play(made, hosts, rate_per_s, limited, seed):
-    """Return what one way does at one size."""
+    """Return the figures of one strategy at one size."""
     fleet = test_endpoint_limit_fleet.simulate(
         hosts, rate_per_s, limited=limited, seed=seed, make=made
     )
@@ -158,7 +160,7 @@
 
 
 def removal_delay_ms(hosts, rate_per_s, seed):
-    """Return when all hosts know that a limit has ended."""
+    """Return the time until all hosts apply the removal of a limit."""
     found = []
 
     async def end(fleet):
@@ -177,7 +179,7 @@
 
 
 def main() -> None:
-    """Print a row for each size and limit."""
+    """Print a line for each size, limit and strategy."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--seeds', type=int, default=3)
     seeds = range(parser.parse_args().seeds)
