--- a/benches/fatal_prompt.py
+++ b/benches/fatal_prompt.py
@@ -1,11 +1,12 @@
-"""Send a prompt that ends engines again and again, beside ordinary ones.
+"""Send a prompt that crashes engines along with ordinary prompts.
 
     python -m benches.fatal_prompt [--controls N]
 
-Two regions of an entry host and four engines each. The prompt ends an engine
-50 ms after it began to run it; the engine is back 2 s later. It comes 14 times
-in 14 s by turns at both hosts, beside 56 prompts of their own and 56 that say
-the same. Prints how many engines ended and how each kind was answered.
+Runs two regions with an entry host and four engines each. The prompt crashes
+an engine 50 ms after the engine starts on it; the engine restarts 2 s later.
+It is sent 14 times in 14 s, alternately to both hosts, along with 56 distinct
+and 56 identical ordinary prompts. Prints the number of crashes and the
+outcomes of each kind of prompt.
 """
 
 import argparse
@@ -21,18 +22,18 @@
 BACK_AFTER_MS = 2_000
 INTERVAL_S = 0.25
 PROMPTS = 56
-# Of the ordinary prompts, beside every so manieth the other one comes.
+# Number of ordinary prompts per fatal one.
 FATAL_EVERY = 4
 
 
 def chat(text: str) -> dict:
-    """Return the body of a prompt."""
+    """Return the body of a chat request."""
     message = {'role': 'user', 'content': text}
     return {'model': fleet.MODEL, 'messages': [message]}
 
 
 async def play(controls: int, folder: pathlib.Path) -> None:
-    """Run the hosts, send the prompts and print what became of them."""
+    """Run the hosts, send the prompts and print crashes and outcomes."""
     made = fleet.deployment(engines=4, controls=controls)
     ended: dict[str, collections.Counter] = collections.defaultdict(
         collections.Counter
@@ -66,7 +67,7 @@
 
 
 def main() -> None:
-    """Parse arguments and play."""
+    """Parse the arguments and run the benchmark."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--controls', type=int, default=3)
     controls = parser.parse_args().controls
--- a/benches/fatal_requests.py
+++ b/benches/fatal_requests.py
@@ -1,16 +1,16 @@
-"""Compare after how many ends a request is refused, and on what evidence.
+"""Compare the policies that refuse requests which crash engines.
 
     python -m benches.fatal_requests [--seeds N]
 
-Calls come for 90 s to 12 engines in time of their own; a call of an engine
-that ends is sent to another one, once, and its caller asks again, once. Two
-requests that end each engine 100 ms after it began them come once a second
-from 20 s on, for 40 s. Each row is a way, for each trouble beside it: the
-engines that were ended by requests, calls without an answer, and calls that
-did nothing and were refused, in ten thousand.
+Simulates 90 s of calls to 12 engines. A call whose engine crashes is retried
+once at another engine, and its caller retries once after a failure. From 20 s
+to 60 s, each of two requests that crash an engine within 100 ms arrives about
+once a second. Each row is a policy, each column a fault: engines crashed by
+requests per run, then harmless calls without an answer and harmless calls
+refused, both per 10 000.
 
-The last table tells what it costs to let other hosts know: messages and KB
-when one engine ends under 16 calls, by messages as they are sent.
+The last table is the cost of reporting one crash with 16 running calls to
+other hosts: messages and KB.
 """
 
 import argparse
@@ -35,13 +35,13 @@
 FATAL_SPAN_MS = (20_000, 60_000)
 FATAL_INTERVAL_MS = 1_000
 TROUBLE_SPAN_MS = (20_000, 60_000)
-# Until all hosts know of an end.
+# Time until all hosts have received a crash report.
 PROPAGATION_MS = 150
 CALLER_RETRY_MS = 300
-# Of all calls, those that say the same as others.
+# Fraction of calls whose content is shared with others.
 COMMON_SHARE = 0.1
 COMMON_CONTENTS = 4
-# Of answers, while they are lost on the way.
+# Fraction of responses lost during the fault.
 LOST_SHARE = 0.3
 TEN_THOUSAND = 10_000
 TROUBLES = ('none', 'fatal', 'flapping', 'crashes', 'lost', 'fatal+flapping')
@@ -49,7 +49,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class RefusalPolicy:
-    """Say when a request is refused; at no number of ends without one."""
+    """Conditions for refusing a request that crashed engines.
+
+    ``ends`` is the number of crashes; with None nothing is refused.
+    """
 
     ends: int | None
     confirmed_only: bool = True
@@ -83,18 +86,18 @@
 
 
 class ManualClock:
-    """Be a clock that the bench moves."""
+    """Monotonic clock that the simulation advances."""
 
     now_ms = 0
 
     def mono_ms(self) -> int:
-        """Return the time in the bench."""
+        """Return the simulated time, in milliseconds."""
         return self.now_ms
 
 
 @dataclasses.dataclass
 class Call:
-    """Hold one call and how often it was sent and asked."""
+    """A call with its number of sends and of submissions by its caller."""
 
     digest: str
     fatal: bool
@@ -103,7 +106,7 @@
 
 
 class Simulation:
-    """Play one seed of one way beside one trouble."""
+    """Simulates one policy under one fault with one seed."""
 
     def __init__(self, way: RefusalPolicy, trouble: str, seed: int):
         self._way = way
@@ -122,7 +125,7 @@
         self.counts: collections.Counter[str] = collections.Counter()
 
     def play(self) -> collections.Counter[str]:
-        """Return what was counted."""
+        """Run all events and return the counts of calls and crashes."""
         self._schedule_calls()
         self._schedule_faults()
         while self._events:
@@ -263,7 +266,7 @@
 
 
 def compare(seeds: int) -> None:
-    """Print what each way costs beside each trouble."""
+    """Print a row for each policy with a column for each fault."""
     print('| way | ' + ' | '.join(TROUBLES) + ' |')
     print('| --- |' + ' --- |' * len(TROUBLES))
     for way in WAYS:
@@ -287,7 +290,7 @@
 
 
 def count_messages() -> None:
-    """Print what one end costs, told to all or to control hosts."""
+    """Print the cost of reporting a crash to all or to control hosts."""
     ends = [
         quarantining.EndpointCrash('0' * 32, 'engine-12345', 5)
         for _ in range(CALLS)
@@ -309,7 +312,7 @@
 
 
 def main() -> None:
-    """Parse arguments and compare."""
+    """Parse the arguments and print both tables."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--seeds', type=int, default=10)
     compare(parser.parse_args().seeds)
