--- a/benches/faults.py
+++ b/benches/faults.py
@@ -1,11 +1,11 @@
-"""Run mixed requests under kills, freezes and cuts, and check the history.
+"""Run mixed requests under host and network faults; check the history.
 
     python -m benches.faults [--rate R] [--seconds S] [--history FILE]
 
-Both users' size: nine entry hosts in three regions, three control hosts,
-six engines and three plain services. While requests arrive, one entry
-host is killed and started again, one is frozen and let go, and one region
-is cut off and healed. Prints the report with the count of violations.
+Runs nine entry hosts in three regions, three control hosts, six engines and
+three plain services. During the load, random entry hosts are killed and
+restarted or suspended and resumed, and random regions are partitioned and
+healed, in turn. Prints the report with the number of violations.
 """
 
 import argparse
@@ -28,14 +28,14 @@
 
 
 def deployment() -> dict:
-    """Return a deployment of today's size with short intervals."""
+    """Return a deployment of nine entry hosts with short intervals."""
     return fleet.deployment(
         regions=REGIONS, entries=3, engines=2, plains=1, controls=3
     )
 
 
 async def inject_faults(running, seed: int, until: asyncio.Event) -> list[str]:
-    """Kill, freeze and cut in turn; return what was done."""
+    """Kill, suspend and partition in turn; return the faults injected."""
     chance = random.Random(seed)
     entries = [host.host for host in running.settings.with_role('entry')]
     done = []
@@ -67,7 +67,7 @@
 
 
 async def watch_indexes(running, seen: list, until: asyncio.Event) -> None:
-    """Note the configuration index of every host while it serves."""
+    """Append the configuration index of each serving host to ``seen``."""
     entries = [host.host for host in running.settings.with_role('entry')]
     while not until.is_set():
         for host in entries:
@@ -78,7 +78,7 @@
 
 
 async def change_limits(running, until: asyncio.Event) -> int:
-    """Accept a change now and then; return how many."""
+    """Make changes until the event is set; return their number."""
     operator = running.operator()
     count = 0
     while not until.is_set():
@@ -96,7 +96,7 @@
 async def measure(
     folder: pathlib.Path, plan: load.Plan, seed: int
 ) -> tuple[dict, list[history.RequestRecord]]:
-    """Run it all; return the report and the history."""
+    """Run the load with all faults; return the report and the history."""
     async with fleet.running(folder, deployment(), relays=True) as running:
         await running.wait_voters(3)
         ended = asyncio.Event()
@@ -122,7 +122,7 @@
 
 
 async def main() -> None:
-    """Measure and print."""
+    """Run the benchmark and print its report as JSON."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--rate', type=float, default=120.0)
     parser.add_argument('--seconds', type=float, default=90.0)
--- a/benches/limits.py
+++ b/benches/limits.py
@@ -1,12 +1,12 @@
-"""Compare ways to keep a team's limit over all hosts.
+"""Compare strategies to enforce a team's rate limit across hosts.
 
     python -m benches.limits [--seeds N]
 
-Calls of one team come for 34 s to hosts of three regions, in time of their
-own (``tests.team_limit_fleet``). Each row is a pattern, each column a way:
-what was refused of the tokens asked for below the limit, the most that any
-window held over its bound, how often a host sent a message, and how long an
-admitted call waited in the mean.
+Hosts of three regions receive calls of one team for 34 s of simulated time
+(``tests.team_limit_fleet``). Each row is a pattern, a size, a limit and a
+strategy: the fraction refused of the tokens requested below the limit, the
+highest excess of a window over its bound, messages per second of a host, and
+the mean wait of an admitted call.
 """
 
 import argparse
@@ -27,7 +27,7 @@
 
 
 class FixedParts:
-    """Give each host an equal part of the limit, for good."""
+    """Gives each host a fixed, equal share of the limit."""
 
     def __init__(self, fleet, name):
         limit = fleet.limit
@@ -59,7 +59,7 @@
 
 
 class RegionalLeases(FixedParts):
-    """Lease a region's fixed part to its hosts by demand (``shares``)."""
+    """Leases a region's fixed share to its hosts by demand."""
 
     lenders = {}
 
@@ -71,7 +71,7 @@
         )
         self._name = name
         self._whole_per_s = fleet.limit.rate_per_s / team_limit_fleet.REGIONS
-        # What a level may hold follows the rate that is leased.
+        # The burst scales with the leased rate.
         self._depth_s = self._burst / self._rate_per_s
         self._asked = 0.0
         self._asked_ms = self.clock.mono_ms()
@@ -92,17 +92,17 @@
 
 
 class Reports:
-    """Hold what all hosts have reported, as of one moment."""
+    """Reported spending of all hosts."""
 
     def __init__(self):
         self.spent = []
 
 
 class MergedReports(FixedParts):
-    """Spend freely by what is reported, within a bound on what is unseen.
+    """Admits by reported spending, with a bound on unreported spending.
 
-    Every host reports every 700 ms, and hears of the others' 160 ms later.
-    Between two reports it spends at most its part of what is to spare.
+    Every host reports every 700 ms; reports arrive after 160 ms. Between two
+    reports, a host spends at most its share of the permitted overshoot.
     """
 
     reports = {}
@@ -166,7 +166,7 @@
 
 
 def play(way, hosts, rate_per_s, pattern, seed):
-    """Return the figures of one play."""
+    """Return the figures of one simulation."""
     made = team_limit_fleet.Fleet.__init__.__defaults__
     team_limit_fleet.Fleet.__init__.__defaults__ = (seed, WAYS[way])
     try:
@@ -186,7 +186,7 @@
 
 
 def main() -> None:
-    """Print a table of ways by pattern, size and limit."""
+    """Print a table of strategies by pattern, size and limit."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--seeds', type=int, default=2)
     found = parser.parse_args()
