--- a/benches/idle.py
+++ b/benches/idle.py
@@ -1,6 +1,8 @@
-"""Hold many idle connections open and ask beside them.
+"""Measure the cost of many idle connections to one entry host.
 
 python -m benches.idle [--count N]
+
+Also sends one chat while the connections are open.
 """
 
 import argparse
@@ -19,7 +21,7 @@
 
 
 async def main() -> None:
-    """Measure and print."""
+    """Run the benchmark and print its result as JSON."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--count', type=int, default=10_000)
     count = parser.parse_args().count
--- a/benches/overhead.py
+++ b/benches/overhead.py
@@ -1,10 +1,10 @@
-"""Measure what an entry host adds to a direct call, side by side.
+"""Measure the overhead of an entry host against direct calls.
 
     python -m benches.overhead [--count N] [--seconds S]
 
-The same stand-in is called directly and through one entry host, in turn
-in one run. Then the most requests a second through that one process, with
-the processor time each took and the memory used.
+Calls the same stand-in alternately directly and through one entry host, then
+measures the maximum throughput of that host, its CPU time per request and its
+memory.
 """
 
 import argparse
@@ -27,7 +27,7 @@
 
 
 async def call(client: web.HttpClient, url: str, echo: bool) -> float:
-    """Send one request and return its time in ms."""
+    """Send one request and return its duration in milliseconds."""
     sent = {headers.REQUEST: ids.new_random_id()}
     if echo:
         sent[headers.ECHOED_REQUEST_ID] = 'direct'
@@ -39,7 +39,7 @@
 
 
 def percentiles(times_ms: list[float]) -> dict[str, float]:
-    """Return percentiles in ms, recorded in microseconds."""
+    """Return percentiles in milliseconds, at microsecond resolution."""
     recorded = histogram.HdrHistogram(1, 60_000_000, 3)
     for time_ms in times_ms:
         recorded.record_value(max(1, int(time_ms * 1000)))
@@ -50,7 +50,7 @@
 
 
 async def latency(client, direct: str, through: str, count: int) -> dict:
-    """Call both in turn."""
+    """Return latency percentiles of alternating calls to both URLs."""
     times = {'direct': [], 'through': []}
     for _number in range(count):
         times['direct'].append(await call(client, direct, True))
@@ -59,7 +59,7 @@
 
 
 async def throughput(client, url: str, seconds: float, pid: int) -> dict:
-    """Keep some workers busy for a while."""
+    """Return the throughput and CPU cost of closed-loop workers."""
     end = time.perf_counter() + seconds
     cpu = processes.cpu_s(pid)
     times = []
@@ -81,7 +81,7 @@
 
 
 async def main() -> None:
-    """Measure and print."""
+    """Run the benchmark and print its result as JSON."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--count', type=int, default=2000)
     parser.add_argument('--seconds', type=float, default=5.0)
--- a/benches/policy.py
+++ b/benches/policy.py
@@ -1,11 +1,11 @@
-"""Compare the routing policy with its baselines in one run.
+"""Compare the routing policy with baseline policies.
 
     python -m benches.policy [--seconds S] [--rate R]
 
-Three regions with an entry host and three engines each, whose prices
-differ, with small prefix caches and load reports that lag. Conditions:
-steady; one engine of each region slow; one region's engines lost for the
-middle third of the run and back with cold caches.
+Runs three regions with an entry host and three engines each. The engines
+differ in price, have small prefix caches and report their load with a delay.
+Conditions: steady; one slow engine in each region; one region's engines down
+for the middle third of the run and restarted with cold caches.
 """
 
 import argparse
@@ -40,7 +40,7 @@
 
 
 def deployment(policy: str, cost_weight: float, tail_weight: float) -> dict:
-    """Return the settings of one variant."""
+    """Return the deployment of one variant."""
     made = fleet.deployment(
         regions=REGIONS,
         engines=3,
@@ -57,17 +57,17 @@
 
 
 async def steady(_running, _duration_s: float) -> None:
-    """Let everything run."""
+    """Inject no fault."""
 
 
 async def one_slow(running, _duration_s: float) -> None:
-    """Slow one engine of each region down from the start."""
+    """Slow down one engine of each region from the start."""
     for region in REGIONS:
         await running.faults(f'{region}-chat-2', slow_factor=SLOW_FACTOR)
 
 
 async def region_lost(running, duration_s: float) -> None:
-    """Lose a region's engines and bring them back with cold caches."""
+    """Kill a region's engines and restart them with cold caches."""
     await asyncio.sleep(duration_s / 3)
     running.kill('standin-south')
     await asyncio.sleep(duration_s / 3)
@@ -82,7 +82,7 @@
 
 
 async def measure(variant: str, condition: str, plan: load.Plan) -> dict:
-    """Run one variant under one condition."""
+    """Return the load report of one variant under one condition."""
     with tempfile.TemporaryDirectory() as name:
         made = deployment(*VARIANTS[variant])
         folder = pathlib.Path(name)
@@ -97,7 +97,7 @@
 
 
 async def main() -> None:
-    """Measure everything and print a line each."""
+    """Print a line of JSON for each condition and variant."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--seconds', type=float, default=12.0)
     parser.add_argument('--rate', type=float, default=60.0)
--- a/benches/retries.py
+++ b/benches/retries.py
@@ -1,11 +1,11 @@
-"""Count attempts under a failing service, with and without one owner.
+"""Count attempts at a failing service, with and without a retry owner.
 
     python -m benches.retries [--count N]
 
-Two regions; the services of one answer every request with an error. Half
-of the callers ask in the other region, so their requests are passed on.
-With `each`, a host that passed a request on retries a failure that the
-next host has already retried; with `nearest` it does not.
+Runs two regions; the services of one fail every request. Requests are sent to
+the other region, which forwards them. With `each`, a host that forwarded a
+request retries a failure that the next host has already retried; with
+`nearest` it does not.
 """
 
 import argparse
@@ -23,7 +23,7 @@
 
 
 async def measure(owner: str, count: int) -> dict:
-    """Return attempts for each request that callers sent."""
+    """Return the number of attempts per request."""
     made = fleet.deployment(
         entries=3,
         plains=3,
@@ -60,7 +60,7 @@
 
 
 async def main() -> None:
-    """Measure both and print a line each."""
+    """Print a line of JSON for each setting of the retry owner."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--count', type=int, default=100)
     arguments = parser.parse_args()
