--- a/benches/__init__.py
+++ b/benches/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements; each prints JSON and says what it ran."""
+"""Benchmarks of wrenspoke; each module runs with ``python -m``."""
--- a/benches/switched_off.py
+++ b/benches/switched_off.py
@@ -1,10 +1,10 @@
-"""Switch each mechanism off and show that its test fails.
+"""Disable each mechanism in turn and check that its test fails.
 
     python -m benches.switched_off [NAME ...]
 
-For each row the tree is copied to a temporary folder, one piece of text
-replaced, and the row's test run there. A row that `survives` has a test
-that proves nothing. Prints a line a row.
+A mutation test: for each row, copies the tree to a temporary folder, applies
+the row's text replacement and runs the row's test there. A row that `survives`
+has a test that does not detect the mutation. Prints one line per row.
 """
 
 import argparse
@@ -33,7 +33,7 @@
 
 
 def run(number: int, switch: switches.Switch) -> str:
-    """Run one row and return its line; a test that hangs has failed."""
+    """Run one row and return its line; a timeout counts as a failure."""
     try:
         return run_to_end(number, switch)
     except subprocess.TimeoutExpired:
@@ -41,7 +41,7 @@
 
 
 def run_to_end(number: int, switch: switches.Switch) -> str:
-    """Run one row's test in a copy of the tree."""
+    """Run one row's test in a mutated copy of the tree."""
     with tempfile.TemporaryDirectory() as name:
         folder = pathlib.Path(name) / 'tree'
         shutil.copytree(ROOT, folder, ignore=LEFT_OUT)
@@ -76,7 +76,7 @@
 
 
 def main() -> None:
-    """Run the rows that were named, or all."""
+    """Run the rows whose names contain an argument, or all rows."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('name', nargs='*')
     names = parser.parse_args().name
--- a/benches/switches.py
+++ b/benches/switches.py
@@ -1,4 +1,4 @@
-"""What a row of ``benches.switched_off`` says."""
+"""The type of the mutations that ``benches.switched_off`` runs."""
 
 import dataclasses
 
@@ -8,7 +8,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Switch:
-    """Say what to replace in which file, and which test must fail."""
+    """A text replacement in one file and the test that must detect it.
+
+    ``file`` is a path from the root, ``test`` the arguments of pytest.
+    """
 
     name: str
     file: str
--- a/benches/switches_backoffs.py
+++ b/benches/switches_backoffs.py
@@ -1,4 +1,4 @@
-"""Rows of ``benches.switched_off``: backoffs and leaves of endpoints."""
+"""Rows of ``benches.switched_off``: endpoint backoffs and send permits."""
 
 from benches import switches
 
--- a/benches/switches_limits.py
+++ b/benches/switches_limits.py
@@ -1,4 +1,4 @@
-"""Rows of ``benches.switched_off``: limits that endpoints name."""
+"""Rows of ``benches.switched_off``: limits advertised by endpoints."""
 
 from benches import switches
 
--- a/benches/switches_quarantine.py
+++ b/benches/switches_quarantine.py
@@ -1,4 +1,4 @@
-"""Rows of ``benches.switched_off``: requests that end endpoints, suspension."""
+"""Rows of ``benches.switched_off``: crash quarantine and suspension."""
 
 from benches import switches
 
--- a/benches/switches_teams.py
+++ b/benches/switches_teams.py
@@ -1,4 +1,4 @@
-"""Rows of ``benches.switched_off``: keys, limits, births, connections."""
+"""Rows of ``benches.switched_off``: keys, limits, founding, connections."""
 
 from benches import switches
 
