--- a/features/environment.py
+++ b/features/environment.py
@@ -1,4 +1,4 @@
-"""Start and stop the processes that scenarios need."""
+"""Behave hooks that set up and tear down each scenario."""
 
 import asyncio
 import pathlib
@@ -6,7 +6,7 @@
 
 
 def before_scenario(context, _scenario):
-    """Give each scenario a folder and an event loop."""
+    """Create a temporary folder and an event loop for the scenario."""
     context.loop = asyncio.new_event_loop()
     context.folder = tempfile.TemporaryDirectory()
     context.path = pathlib.Path(context.folder.name)
@@ -14,7 +14,7 @@
 
 
 def after_scenario(context, _scenario):
-    """End what the scenario started."""
+    """Stop the scenario's deployment and remove its folder."""
     if context.running is not None:
         context.loop.run_until_complete(
             context.running.__aexit__(None, None, None)
--- a/features/steps/promise_steps.py
+++ b/features/steps/promise_steps.py
@@ -1,4 +1,4 @@
-"""Steps about cuts, drains, stops and configurations."""
+"""Steps for partitions, drains, shutdown and configuration changes."""
 
 import asyncio
 
--- a/features/steps/request_steps.py
+++ b/features/steps/request_steps.py
@@ -1,4 +1,4 @@
-"""Steps about callers' requests."""
+"""Steps for callers' requests."""
 
 import behave
 
@@ -13,12 +13,12 @@
 
 
 def run(context, coroutine):
-    """Run a coroutine on the scenario's loop."""
+    """Run a coroutine on the scenario's event loop."""
     return context.loop.run_until_complete(coroutine)
 
 
 async def start(context, made, relays=False, token_ms=1):
-    """Start a whole deployment and wait until it serves."""
+    """Start a deployment and wait until it serves requests."""
     context.running = fleet.running(
         context.path, made, {'token_ms': token_ms}, relays=relays
     )
