--- a/benches/elections.py
+++ b/benches/elections.py
@@ -3,8 +3,8 @@
     python -m benches.elections [--seeds N]
 
 Groups of three run in simulated time (``tests.group``) with a round trip of
-up to 200 ms. Prints the milliseconds until a host holds a lease, after the leader
-fails and after all hosts lose power.
+up to 200 ms. Prints the milliseconds until a host holds a lease, after the
+leader fails and after all hosts lose power.
 """
 
 import argparse
