--- a/benches/elections.py
+++ b/benches/elections.py
@@ -1,10 +1,10 @@
-"""How long a group of control hosts is without a lease, simulated.
+"""Measure how long a simulated group of control hosts has no lease.
 
     python -m benches.elections [--seeds N]
 
-Groups of three run in time of their own (``tests.group``), a fifth of a
-second's round trip apart. Prints milliseconds until a host holds a lease,
-after the leader is lost and after all hosts lose power.
+Groups of three run in simulated time (``tests.group``) with a round trip of
+up to 200 ms. Prints the milliseconds until a host holds a lease, after the
+leader fails and after all hosts lose power.
 """
 
 import argparse
@@ -19,38 +19,42 @@
 SHARES = (0.5, 0.9, 0.99)
 SETTLE_MS = 3_000
 MS_PER_S = 1000
-# So that hosts are at another step of their beats with each seed.
+# Varies the phase of the heartbeats between seeds.
 STEP_MS = 7
 
-Mishap = collections.abc.Callable[[group.Group], collections.abc.Awaitable]
-MISHAPS: dict[str, Mishap] = {}
+FaultInjector = collections.abc.Callable[
+    [group.Group], collections.abc.Awaitable
+]
+FAULT_INJECTORS: dict[str, FaultInjector] = {}
 
 
-def mishap(name: str) -> collections.abc.Callable[[Mishap], Mishap]:
-    """Return a decorator that registers a mishap under a name."""
+def register_fault(
+    name: str,
+) -> collections.abc.Callable[[FaultInjector], FaultInjector]:
+    """Return a decorator that registers a fault under a name."""
 
-    def register(function: Mishap) -> Mishap:
-        MISHAPS[name] = function
+    def register(function: FaultInjector) -> FaultInjector:
+        FAULT_INJECTORS[name] = function
         return function
 
     return register
 
 
-@mishap('leader lost')
+@register_fault('leader lost')
 async def lose_leader(system: group.Group) -> None:
-    """End the host that leads."""
+    """Stop the leader."""
     leader = await system.wait_for_leader()
     await system.stop_host(leader.name)
 
 
-@mishap('power lost')
+@register_fault('power lost')
 async def lose_power(system: group.Group) -> None:
-    """Restart all hosts without what was not synced."""
+    """Restart all hosts, discarding writes that were not synced."""
     await system.restart_all()
 
 
-def measure(seed: int, happen: Mishap) -> float:
-    """Return for how long nobody held a lease, in milliseconds."""
+def measure(seed: int, happen: FaultInjector) -> float:
+    """Return the time without a lease after a fault, in milliseconds."""
     took = []
 
     async def play() -> None:
@@ -69,14 +73,14 @@
 
 
 def main() -> None:
-    """Print a line a mishap."""
+    """Print one line for each fault."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--seeds', type=int, default=400)
     seeds = parser.parse_args().seeds
     structlog.configure(
         wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL)
     )
-    for name, happen in MISHAPS.items():
+    for name, happen in FAULT_INJECTORS.items():
         took = sorted(measure(seed, happen) for seed in range(seeds))
         found = [round(took[int(len(took) * share)]) for share in SHARES]
         print(f'{name}: p50, p90, p99 {found} ms, longest {took[-1]:.0f} ms')
--- a/benches/fatal_requests.py
+++ b/benches/fatal_requests.py
@@ -1,16 +1,16 @@
-"""Compare after how many ends a request is refused, and on what evidence.
+"""Compare the policies that refuse requests which crash engines.
 
     python -m benches.fatal_requests [--seeds N]
 
-Calls come for 90 s to 12 engines in time of their own; a call of an engine
-that ends is sent to another one, once, and its caller asks again, once. Two
-requests that end each engine 100 ms after it began them come once a second
-from 20 s on, for 40 s. Each row is a way, for each trouble beside it: the
-engines that were ended by requests, calls without an answer, and calls that
-did nothing and were refused, in ten thousand.
+Simulates 90 s of calls to 12 engines. A call whose engine crashes is retried
+once at another engine, and its caller retries once after a failure. From 20 s
+to 60 s, each of two requests that crash an engine within 100 ms arrives about
+once a second. Each row is a policy, each column a fault: engines crashed by
+requests per run, then harmless calls without an answer and harmless calls
+refused, both per 10 000.
 
-The last table tells what it costs to let other hosts know: messages and KB
-when one engine ends under 16 calls, by messages as they are sent.
+The last table is the cost of reporting one crash with 16 running calls to
+other hosts: messages and KB.
 """
 
 import argparse
@@ -30,65 +30,74 @@
 CALLS_PER_S = 40
 LENGTH_MS = 90_000
 RUN_MS = (300, 4_000)
-BACK_MS = 3_000
+RESTART_MS = 3_000
 FATAL_AFTER_MS = 100
 FATAL_SPAN_MS = (20_000, 60_000)
 FATAL_INTERVAL_MS = 1_000
 TROUBLE_SPAN_MS = (20_000, 60_000)
-# Until all hosts know of an end.
-SPREAD_MS = 150
-ASK_AGAIN_MS = 300
-# Of all calls, those that say the same as others.
+# Time until all hosts have received a crash report.
+PROPAGATION_MS = 150
+CALLER_RETRY_MS = 300
+# Fraction of calls whose content is shared with others.
 COMMON_SHARE = 0.1
 COMMON_CONTENTS = 4
-# Of answers, while they are lost on the way.
+# Fraction of responses lost during the fault.
 LOST_SHARE = 0.3
 TEN_THOUSAND = 10_000
 TROUBLES = ('none', 'fatal', 'flapping', 'crashes', 'lost', 'fatal+flapping')
 
 
 @dataclasses.dataclass(frozen=True)
-class Way:
-    """Say when a request is refused; at no number of ends without one."""
+class RefusalPolicy:
+    """Conditions for refusing a request that crashed engines.
+
+    ``ends`` is the number of crashes; with None nothing is refused.
+    """
 
     ends: int | None
-    by_looks: bool = True
-    cleared: bool = True
-    repeated: bool = True
+    confirmed_only: bool = True
+    cleared_by_success: bool = True
+    retried_after_crash: bool = True
 
     def __str__(self) -> str:
         if self.ends is None:
             return 'never refused'
-        evidence = 'ends' if self.by_looks else 'broken connections'
-        cleared = '' if self.cleared else ', good ends ignored'
-        repeated = '' if self.repeated else ', not sent on after an end'
-        return f'{self.ends} {evidence}{cleared}{repeated}'
+        evidence = 'ends' if self.confirmed_only else 'broken connections'
+        cleared_by_success = (
+            '' if self.cleared_by_success else ', good ends ignored'
+        )
+        retried_after_crash = (
+            '' if self.retried_after_crash else ', not sent on after an end'
+        )
+        return (
+            f'{self.ends} {evidence}{cleared_by_success}{retried_after_crash}'
+        )
 
 
 WAYS = (
-    Way(None),
-    Way(2),
-    Way(3),
-    Way(4),
-    Way(3, by_looks=False),
-    Way(3, cleared=False),
-    Way(3, repeated=False),
+    RefusalPolicy(None),
+    RefusalPolicy(2),
+    RefusalPolicy(3),
+    RefusalPolicy(4),
+    RefusalPolicy(3, confirmed_only=False),
+    RefusalPolicy(3, cleared_by_success=False),
+    RefusalPolicy(3, retried_after_crash=False),
 )
 
 
-class Time:
-    """Be a clock that the bench moves."""
+class ManualClock:
+    """Monotonic clock that the simulation advances."""
 
     now_ms = 0
 
     def mono_ms(self) -> int:
-        """Return the time in the bench."""
+        """Return the simulated time, in milliseconds."""
         return self.now_ms
 
 
 @dataclasses.dataclass
 class Call:
-    """Hold one call and how often it was sent and asked."""
+    """A call with its number of sends and of submissions by its caller."""
 
     digest: str
     fatal: bool
@@ -96,14 +105,14 @@
     asked: int = 0
 
 
-class Played:
-    """Play one seed of one way beside one trouble."""
+class Simulation:
+    """Simulates one policy under one fault with one seed."""
 
-    def __init__(self, way: Way, trouble: str, seed: int):
+    def __init__(self, way: RefusalPolicy, trouble: str, seed: int):
         self._way = way
         self._trouble = trouble
         self._random = random.Random(seed)
-        self._time = Time()
+        self._time = ManualClock()
         self._book = crash_history.CrashHistory(self._time)
         self._events: list[tuple] = []
         self._number = itertools.count()
@@ -112,13 +121,13 @@
             engine: {} for engine in self._up
         }
         self._refused: set[str] = set()
-        self._good: dict[str, int] = {}
+        self._last_success_ms: dict[str, int] = {}
         self.counts: collections.Counter[str] = collections.Counter()
 
     def play(self) -> collections.Counter[str]:
-        """Return what was counted."""
-        self._plan_calls()
-        self._plan_trouble()
+        """Run all events and return the counts of calls and crashes."""
+        self._schedule_calls()
+        self._schedule_faults()
         while self._events:
             at_ms, _number, function, arguments = heapq.heappop(self._events)
             self._time.now_ms = at_ms
@@ -129,35 +138,35 @@
         event = (int(at_ms), next(self._number), function, arguments)
         heapq.heappush(self._events, event)
 
-    def _plan_calls(self) -> None:
+    def _schedule_calls(self) -> None:
         at_ms = 0.0
         while at_ms < LENGTH_MS:
             at_ms += self._random.expovariate(CALLS_PER_S / 1_000)
             content = f'own-{next(self._number)}'
             if self._random.random() < COMMON_SHARE:
                 content = f'common-{self._random.randrange(COMMON_CONTENTS)}'
-            self._at(at_ms, self._ask, Call(content, fatal=False))
+            self._at(at_ms, self._submit_call, Call(content, fatal=False))
         if 'fatal' not in self._trouble:
             return
         for content in ('fatal-1', 'fatal-2'):
             at_ms, end_ms = FATAL_SPAN_MS
             while at_ms < end_ms:
                 at_ms += self._random.expovariate(1 / FATAL_INTERVAL_MS)
-                self._at(at_ms, self._ask, Call(content, fatal=True))
+                self._at(at_ms, self._submit_call, Call(content, fatal=True))
 
-    def _plan_trouble(self) -> None:
+    def _schedule_faults(self) -> None:
         began_ms, ended_ms = TROUBLE_SPAN_MS
         if 'flapping' in self._trouble:
             for engine in range(ENGINES // 3):
                 for at_ms in range(began_ms, ended_ms, 5_000):
                     late_ms = self._random.randrange(1_000)
-                    self._at(at_ms + late_ms, self._end, engine)
+                    self._at(at_ms + late_ms, self._crash_engine, engine)
         if 'crashes' in self._trouble:
             for at_ms in range(began_ms, ended_ms, 10_000):
                 for engine in self._random.sample(range(ENGINES), 6):
-                    self._at(at_ms, self._end, engine)
+                    self._at(at_ms, self._crash_engine, engine)
 
-    def _ask(self, call: Call) -> None:
+    def _submit_call(self, call: Call) -> None:
         call.asked += 1
         call.sent = 0
         if not call.fatal and call.asked == 1:
@@ -180,7 +189,7 @@
         run = next(self._number)
         self._running[engine][run] = call
         if call.fatal:
-            self._at(now_ms + FATAL_AFTER_MS, self._end, engine, run)
+            self._at(now_ms + FATAL_AFTER_MS, self._crash_engine, engine, run)
             return
         took_ms = self._random.randint(*RUN_MS)
         self._at(now_ms + took_ms, self._answer, engine, run)
@@ -189,8 +198,8 @@
         if call.fatal:
             return
         if call.asked == 1:
-            at_ms = self._time.now_ms + ASK_AGAIN_MS
-            self._at(at_ms, self._ask, call)
+            at_ms = self._time.now_ms + CALLER_RETRY_MS
+            self._at(at_ms, self._submit_call, call)
             return
         self.counts['unanswered'] += 1
 
@@ -202,48 +211,62 @@
         lost = 'lost' in self._trouble
         if lost and began_ms <= self._time.now_ms < ended_ms:
             if self._random.random() < LOST_SHARE:
-                if not self._way.by_looks:
-                    self._note(call, engine)
+                if not self._way.confirmed_only:
+                    self._schedule_crash_report(call, engine)
                 self._send(call)
                 return
-        if self._way.cleared:
-            self._good[call.digest] = self._time.now_ms
+        if self._way.cleared_by_success:
+            self._last_success_ms[call.digest] = self._time.now_ms
             self._at(
-                self._time.now_ms + SPREAD_MS, self._book.clear, call.digest
+                self._time.now_ms + PROPAGATION_MS,
+                self._book.clear,
+                call.digest,
             )
 
-    def _end(self, engine: int, run: int | None = None) -> None:
+    def _crash_engine(self, engine: int, run: int | None = None) -> None:
         running = self._running[engine]
         if run is not None and run not in running:
             return
         if run is not None:
             self.counts['ended'] += 1
-        self._up[engine] = self._time.now_ms + BACK_MS
+        self._up[engine] = self._time.now_ms + RESTART_MS
         broken = list(running.values())
         running.clear()
         for call in broken:
-            self._note(call, engine)
+            self._schedule_crash_report(call, engine)
         for call in broken:
-            if self._way.repeated:
+            if self._way.retried_after_crash:
                 self._send(call)
             else:
                 self._fail(call)
 
-    def _note(self, call: Call, engine: int) -> None:
+    def _schedule_crash_report(self, call: Call, engine: int) -> None:
         at_ms = self._time.now_ms
-        self._at(at_ms + SPREAD_MS, self._learn, call.digest, engine, at_ms)
+        self._at(
+            at_ms + PROPAGATION_MS,
+            self._apply_crash_report,
+            call.digest,
+            engine,
+            at_ms,
+        )
 
-    def _learn(self, digest: str, engine: int, ended_ms: int) -> None:
-        good_ms = self._good.get(digest, -crash_history.RETENTION_MS)
+    def _apply_crash_report(
+        self, digest: str, engine: int, ended_ms: int
+    ) -> None:
+        good_ms = self._last_success_ms.get(
+            digest, -crash_history.RETENTION_MS
+        )
         if good_ms > ended_ms - recent_successes.RETENTION_MS:
             return
-        count = self._book.record_crash(digest, f'{engine}-{ended_ms}', ended_ms)
+        count = self._book.record_crash(
+            digest, f'{engine}-{ended_ms}', ended_ms
+        )
         if self._way.ends is not None and count >= self._way.ends:
             self._refused.add(digest)
 
 
 def compare(seeds: int) -> None:
-    """Print what each way costs beside each trouble."""
+    """Print a row for each policy with a column for each fault."""
     print('| way | ' + ' | '.join(TROUBLES) + ' |')
     print('| --- |' + ' --- |' * len(TROUBLES))
     for way in WAYS:
@@ -251,7 +274,7 @@
         for trouble in TROUBLES:
             counts: collections.Counter[str] = collections.Counter()
             for seed in range(seeds):
-                counts += Played(way, trouble, seed).play()
+                counts += Simulation(way, trouble, seed).play()
             share = TEN_THOUSAND / counts['calls']
             cells.append(
                 f'{counts["ended"] / seeds:.1f}, '
@@ -267,9 +290,10 @@
 
 
 def count_messages() -> None:
-    """Print what one end costs, told to all or to control hosts."""
+    """Print the cost of reporting a crash to all or to control hosts."""
     ends = [
-        quarantining.EndpointCrash('0' * 32, 'engine-12345', 5) for _ in range(CALLS)
+        quarantining.EndpointCrash('0' * 32, 'engine-12345', 5)
+        for _ in range(CALLS)
     ]
     print('| hosts | told to all: messages, KB | to control hosts |')
     print('| --- | --- | --- |')
@@ -288,7 +312,7 @@
 
 
 def main() -> None:
-    """Parse arguments and compare."""
+    """Parse the arguments and print both tables."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--seeds', type=int, default=10)
     compare(parser.parse_args().seeds)
