--- a/wrenspoke/coordination/agreement/voter.py
+++ b/wrenspoke/coordination/agreement/voter.py
@@ -254,8 +254,8 @@
             if elapsed_ms < current_timeout_ms:
                 continue
             current_timeout_ms = self._random_election_timeout_ms()
-            # Kept apart from leader contact, which makes this host refuse
-            # votes: two candidates would keep refusing each other.
+            # Separate from the time of leader contact: recent contact makes
+            # a host refuse votes, so two candidates would refuse each other.
             self._election_attempt_ms = self.clock.mono_ms()
             if not self._rollback_check.passed or not self._may_lead:
                 continue
--- a/wrenspoke/coordination/limiting/advertised_limits.py
+++ b/wrenspoke/coordination/limiting/advertised_limits.py
@@ -1,8 +1,8 @@
 """Track the request rates that endpoints advertise in responses.
 
 Hosts gossip each change. A new or lower limit is applied at once. A limit is
-raised or removed by the host that owns its bucket alone, as only that one can
-tell which response is the newest.
+raised or removed only by the host that owns its bucket, as no other host
+knows which response is the newest.
 """
 
 import collections.abc
--- a/wrenspoke/coordination/limiting/allocator.py
+++ b/wrenspoke/coordination/limiting/allocator.py
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(slots=True)
 class ShareLease:
-    """A holder's share of one team's limit, and the share that it wants."""
+    """A holder's share of one team's limit, and the share that it requests."""
 
     share: float
     wanted: float
--- a/wrenspoke/coordination/limiting/endpoint_gate.py
+++ b/wrenspoke/coordination/limiting/endpoint_gate.py
@@ -1,4 +1,4 @@
-"""The one check before any request to an endpoint.
+"""Check every request to an endpoint before it is sent.
 
 It combines what endpoints advertise in their responses: a rate limit, a
 backoff, and that they are leaving. Both caller interfaces, polls and warm-up
--- a/wrenspoke/coordination/limiting/leaving_endpoints.py
+++ b/wrenspoke/coordination/limiting/leaving_endpoints.py
@@ -2,8 +2,8 @@
 
 A mark lasts for the whole life of an endpoint, even if an older report
 contradicts it. Endpoints with configured names restart under the same name,
-and their lives can't be told apart: for those the mark expires some time
-after the last response that announced it.
+so that one life can't be distinguished from the next: for those the mark
+expires some time after the last response that announced it.
 """
 
 import collections.abc
--- a/wrenspoke/coordination/membership/registrar.py
+++ b/wrenspoke/coordination/membership/registrar.py
@@ -27,13 +27,13 @@
 
 # A host is removed after two or three missed renewals.
 HOST_LEASE_MS = 2_500
-# The control host that a host renews at reports its loss. Without a renewal
-# for this long the host is lost too: had only that control host failed, the
-# host would have moved, or its renewals would be relayed.
+# Lease of a host that renews at another control host, which normally reports
+# the loss of the host. If only that control host fails, the host renews at
+# another one, or its renewals are relayed, before this lease expires.
 RELAYED_LEASE_MS = 5_000
 # Has to be a fraction of the shortest lease.
 EXPIRY_INTERVAL_MS = 1_000
-# Half of the default call timeout of links.
+# Upper bound of a long poll. Has to be well below the call timeout of links.
 MAX_WAIT_MS = 2_000
 # Batches changes that arrive together, as after a mass restart.
 BATCH_DELAY_MS = 40
@@ -251,7 +251,7 @@
     # Expiry.
 
     async def _expiry_loop(self) -> None:
-        """Remove hosts whose lease expired, and mark silent endpoints."""
+        """Remove hosts whose lease expired, and mark stale endpoints."""
         while True:
             if self.roster.expire():
                 self._control_sync.request_sync()
--- a/wrenspoke/coordination/quarantine/guard.py
+++ b/wrenspoke/coordination/quarantine/guard.py
@@ -37,7 +37,7 @@
 # Lower bound of the retry delay sent to callers.
 MIN_HOLD_RETRY_MS = 1_000
 MS_PER_S = 1_000
-# The same limit as for committed decisions.
+# Bound on the tracked holds, for provisional and committed ones each.
 MAX_HOLDS = quarantine.MAX_QUARANTINED
 
 IsDraining = collections.abc.Callable[[ids.EndpointId], bool]
@@ -89,7 +89,8 @@
             self._replica.current.quarantine, digest
         )
         if decided is not None:
-            # Only another committed decision releases it, not the time.
+            # The request stays held past the expected end, until another
+            # committed decision releases it.
             left_ms = self._decided_hold_end_ms(decided) - now_ms
             return max(left_ms, MIN_HOLD_RETRY_MS)
         left_ms = self._provisional_until_ms.get(digest, 0) - now_ms
--- a/wrenspoke/coordination/serving/attempts.py
+++ b/wrenspoke/coordination/serving/attempts.py
@@ -78,7 +78,7 @@
         if context.tracker is not None and context.tracker.last_id is not None:
             last_event = context.tracker.last_id
         self._record_send(context, destination)
-        # Counts as run until a response or error proves otherwise.
+        # Counts as run until a response or an error shows the opposite.
         context.send_count += 1
         context.count_runs(1)
         try:
@@ -225,7 +225,8 @@
     ) -> None:
         context.cause = cause
         if destination.host is None or not destination.answered:
-            # A host whose response breaks off has lost its endpoint.
+            # After a remote host has started its response, a failure is one
+            # of the endpoint behind it and doesn't count against the host.
             self._outlier_detector.record_failure(
                 destination.address, cause, destination.sent_ms, certain
             )
@@ -281,7 +282,7 @@
         if answer.verdict is sending.Verdict.MISDIRECTED:
             context.mark_not_run()
             context.cause = 'not here any more'
-            # This instance of the endpoint is gone for good.
+            # This instance of the endpoint no longer exists.
             self._discovery.withdraw(
                 destination.endpoint,
                 destination.chosen.registered.registration.born_ms,
--- a/wrenspoke/coordination/serving/local_server.py
+++ b/wrenspoke/coordination/serving/local_server.py
@@ -52,7 +52,7 @@
 
     @property
     def outcome(self) -> outcomes.Outcome:
-        """Return the outcome that the status stands for."""
+        """Return the outcome that the status indicates."""
         if self.status >= SERVER_ERROR:
             return outcomes.Outcome.FAILED
         return outcomes.Outcome.WHOLE
--- a/wrenspoke/coordination/serving/passthrough.py
+++ b/wrenspoke/coordination/serving/passthrough.py
@@ -232,7 +232,7 @@
         )
 
     async def _permit(self, call: dialects.Call) -> access.RoutePermit:
-        """Authorize a call, waiting for this host's first lease if need be.
+        """Authorize a call, waiting for this host's first lease if needed.
 
         There is no wait for a lease that was lost, as the host may be
         partitioned for long.
@@ -284,7 +284,7 @@
 
     @property
     def _has_current_configuration(self) -> bool:
-        """Return whether this host's configuration may be served from."""
+        """Return whether this host may serve from its configuration."""
         return self._replica.serving and self._discovery.recently_ran
 
     async def _wait_for_current_configuration(
@@ -392,7 +392,8 @@
             if destination is None:
                 context.cause = context.cause or 'no_endpoint'
                 return False
-            # Before the retry budget, which is spent only by actual sends.
+            # The permit comes first, as a call that is denied one is not
+            # sent and must not spend from the retry budget.
             if not await self._attempts.acquire_permit(context, destination):
                 if context.permit_rejections >= PERMIT_REJECTIONS_LIMIT:
                     return False
@@ -486,7 +487,7 @@
 def _digest_of(
     call: dialects.Call, permit: access.RoutePermit
 ) -> ids.RequestDigest:
-    """Return the digest of a request, by team and not by its current key."""
+    """Return the digest of a request, the same for all keys of a team."""
     if permit.team is not None:
         caller = permit.team.team
     else:
--- a/wrenspoke/coordination/serving/placement.py
+++ b/wrenspoke/coordination/serving/placement.py
@@ -378,7 +378,7 @@
         return self._gate.limits.rate_per_s(life) is not None
 
     def _blocked_ms(self, endpoint: ids.EndpointId) -> int:
-        """Return how long an endpoint accepts no requests, in ms."""
+        """Return the remaining backoff of an endpoint, in ms."""
         if self._gate.is_idle:
             return 0
         return self._gate.remaining_ms(_life_of(endpoint))
@@ -444,5 +444,5 @@
 
 
 def _life_of(endpoint: ids.EndpointId) -> limiting.EndpointInstance:
-    """Return the only incarnation that a configured endpoint has."""
+    """Return the instance of a configured endpoint, which has only one."""
     return limiting.EndpointInstance(endpoint)
--- a/wrenspoke/coordination/serving/sent_call_broadcast.py
+++ b/wrenspoke/coordination/serving/sent_call_broadcast.py
@@ -2,7 +2,7 @@
 
 A region's hosts share its engines, whose load reports are some hundred ms
 old. Broadcasts of sent calls keep the hosts' backlog estimates current, and
-tell which prefixes engines have cached.
+indicate which prefixes engines have cached.
 
 Each host sends its calls to a collecting host, chosen by engine, without
 delay. Collecting hosts broadcast them to all others several times a second.
--- a/wrenspoke/coordination/serving/team_rate_limits.py
+++ b/wrenspoke/coordination/serving/team_rate_limits.py
@@ -1,9 +1,10 @@
 """Rate limits of teams, enforced by leased shares.
 
 A limit is split over regions by weight and over data centres by their
-number of entry hosts. Within a data centre one host, the lender of the
-team, leases parts of the rate to hosts by demand. No message leaves the
-data centre, and its leases never exceed its share in total.
+number of entry hosts. Within a data centre one live host, chosen for each
+team by rendezvous hashing (``lender`` in the code), leases parts of the rate
+to hosts by demand. No message leaves the data centre, and its leases never
+exceed its share in total.
 """
 
 import dataclasses
--- a/wrenspoke/entry_node.py
+++ b/wrenspoke/entry_node.py
@@ -52,7 +52,8 @@
 
 logger = structlog.get_logger(__name__)
 
-# Well below the window of the retry budgets, which hosts share.
+# Has to be well below the window of the retry budgets, which depend on the
+# host counts updated here.
 HOUSEKEEPING_INTERVAL_MS = 1_000
 
 
--- a/wrenspoke/protocol/passthrough_api.py
+++ b/wrenspoke/protocol/passthrough_api.py
@@ -67,11 +67,11 @@
     """Routing decision of the host that forwards a request.
 
     ``index`` is that of the host's configuration, ``attempts_left`` the
-    number of endpoints that may still run the request. A request takes one
-    hop, or two by way of a third region. The receiver rejects the call if its
-    expected time to first byte exceeds ``limit_ms``, as the first host can
-    serve it faster. With ``region`` the receiver forwards it to that region,
-    which the first host can't reach.
+    number of endpoints that may still run the request. A request is
+    forwarded once, or twice through a third region. The receiver rejects it
+    if its expected time to first byte exceeds ``limit_ms``, as the first host
+    can serve it faster. With ``region`` the receiver forwards it to that
+    region, which the first host can't reach.
     """
 
     host: ids.HostId
--- a/wrenspoke/state/registers.py
+++ b/wrenspoke/state/registers.py
@@ -6,11 +6,10 @@
 value under that ballot.
 
 A host loses its promises when it restarts. Two rules keep this safe. It
-votes only on keys issued after ``trusted_since_ms``, which recovery from a
-majority of the hosts moves back. And each start has a higher epoch: every
-reply carries the epochs known to its sender, so that a quorum never counts
-a vote given before a restart (crash vectors, after Michael et al., DISC
-2017).
+votes only on keys issued after ``trusted_since_ms``; recovery from a majority
+of the hosts sets this time back. And each start has a higher epoch: every
+reply carries the epochs known to its sender, so that a quorum never counts a
+vote given before a restart (crash vectors, after Michael et al., DISC 2017).
 """
 
 import enum
@@ -162,8 +161,9 @@
     ) -> LedgerSnapshot:
         """Record a restart of ``host`` and return a chunk of the registers.
 
-        A key that changes after its chunk was read changes through votes
-        that carry the new epoch.
+        A register may change after its chunk was returned. The votes on that
+        change carry the new epoch, so that votes which ``host`` gave before
+        its restart don't count together with them.
         """
         known = self.epochs.get(host, 0)
         if epoch > known:
--- a/wrenspoke/state/storage.py
+++ b/wrenspoke/state/storage.py
@@ -232,7 +232,8 @@
         keep = place + skipped
         size_bytes = self._end_offsets[keep - 1] if keep else 0
         if size_bytes == self._end_offsets[keep]:
-            # What is kept stands in one record with what is dropped.
+            # The entry before ``index`` and the first dropped one share a
+            # record, so the file can't be truncated between them.
             self._rewrite_log(self._entries[:place])
             return
         self._disk.truncate(LOG, size_bytes)
--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -29,7 +29,8 @@
 logger = structlog.get_logger(__name__)
 
 SEND_HIGH_WATER_MARK = 64
-# High enough that libzmq keeps reading a link while this host is behind.
+# High enough that libzmq keeps reading a link whose messages are not yet
+# handled.
 # libzmq (4.3.5) aborts the process when a link is reset while reading from it
 # is paused and a heartbeat is due or buffered.
 RECEIVE_HIGH_WATER_MARK = 20_000
