--- a/wrenspoke/protocol/passthrough_api.py
+++ b/wrenspoke/protocol/passthrough_api.py
@@ -305,6 +305,6 @@
 def _without_hop(
     raw: typing.Iterable[tuple[bytes, bytes]],
 ) -> list[tuple[bytes, bytes]]:
-    """Drop the hop, which only entry hosts may set."""
+    """Return the headers without the hop, which only entry hosts set."""
     hop = HOP_HEADER.lower().encode()
     return [item for item in raw if item[0].lower() != hop]
--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -336,7 +336,7 @@
         return None
 
     def _age_ms(self, envelope: Envelope) -> int:
-        """Return the delay of a message over its epoch's fastest message."""
+        """Return how much longer a message took than its epoch's fastest."""
         key = (envelope.sender, envelope.epoch)
         offset_ms = self._clock.mono_ms() - envelope.sent_ms
         quickest_ms = self._min_offsets_ms.get(key)
