--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -29,7 +29,8 @@
 logger = structlog.get_logger(__name__)
 
 SEND_HIGH_WATER_MARK = 64
-# High enough that libzmq keeps reading a link while this host is behind.
+# High enough that libzmq keeps reading a link whose messages are not yet
+# handled.
 # libzmq (4.3.5) aborts the process when a link is reset while reading from it
 # is paused and a heartbeat is due or buffered.
 RECEIVE_HIGH_WATER_MARK = 20_000
@@ -335,7 +336,7 @@
         return None
 
     def _age_ms(self, envelope: Envelope) -> int:
-        """Return the delay of a message over its epoch's fastest message."""
+        """Return how much longer a message took than its epoch's fastest."""
         key = (envelope.sender, envelope.epoch)
         offset_ms = self._clock.mono_ms() - envelope.sent_ms
         quickest_ms = self._min_offsets_ms.get(key)
