--- a/wrenspoke/state/registers.py
+++ b/wrenspoke/state/registers.py
@@ -193,7 +193,7 @@
             self.merge_epochs(snapshot.epochs)
             for issued_ms, key, theirs in snapshot.registers:
                 self._merge(key, issued_ms, theirs)
-        since_ms = max(snapshot.trusted_since_ms for memory in snapshots)
+        since_ms = max(snapshot.trusted_since_ms for snapshot in snapshots)
         self.trusted_since_ms = min(self.trusted_since_ms, since_ms)
 
     def merge_epochs(self, epochs: typing.Mapping[str, int]) -> None:
