--- a/deploy/days.py
+++ b/deploy/days.py
@@ -17,7 +17,7 @@
 FIRST_S, SECOND_S = 6.0, 19.0
 CHANGE = '{ at = 8.0, kind = "config_change", how = "route" }'
 # Kind, its fields, and whether it is planned work.
-TROUBLES = [
+FAULT_SCENARIOS = [
     ('burst', 'x = 2.0, for_s = 4.0', False),
     ('shift', 'share = 0.5, for_s = 6.0', False),
     ('retry_abuse', 'share = 0.3, x = 3.0, for_s = 4.0', False),
@@ -101,7 +101,7 @@
 ]  # fmt: skip
 
 
-def day_of(site: str, kind: str, fields: str, planned: bool) -> str:
+def build_day(site: str, kind: str, fields: str, planned: bool) -> str:
     """Return a day with one trouble, twice, beside one change."""
     found = re.search(r'(?ms)^\[\[day\]\]\n(.*?)(?=^\[\[day\]\]|\Z)', site)
     text = found.group(1)
@@ -118,13 +118,13 @@
     return '[[day]]\n' + text.replace('traffic =', head + 'traffic =', 1)
 
 
-def play(bench: str, path: str, row: tuple[str, str, bool]) -> str:
+def run_day(bench: str, path: str, row: tuple[str, str, bool]) -> str:
     """Play one day and return its line."""
     kind, fields, planned = row
     site = pathlib.Path(path).read_text()
     with tempfile.TemporaryDirectory(dir=pathlib.Path.cwd().parent) as folder:
         day = pathlib.Path(folder) / 'day.toml'
-        day.write_text(day_of(site, kind, fields, planned))
+        day.write_text(build_day(site, kind, fields, planned))
         ended = subprocess.run(
             [bench, 'run', path, str(day), '--why', f'{kind} {fields}, twice'],
             capture_output=True,
@@ -149,11 +149,13 @@
     parser.add_argument('--jobs', type=int, default=3)
     found = parser.parse_args()
     rows = [
-        row for row in TROUBLES if not found.kinds or row[0] in found.kinds
+        row
+        for row in FAULT_SCENARIOS
+        if not found.kinds or row[0] in found.kinds
     ]
     with concurrent.futures.ThreadPoolExecutor(found.jobs) as pool:
         played = [
-            pool.submit(play, found.bench, found.site, row) for row in rows
+            pool.submit(run_day, found.bench, found.site, row) for row in rows
         ]
         for one in concurrent.futures.as_completed(played):
             print(one.result(), flush=True)
--- a/wrenspoke/coordination/membership/engine_loads.py
+++ b/wrenspoke/coordination/membership/engine_loads.py
@@ -227,7 +227,7 @@
         try:
             poll_permit = self._gate.acquire_poll(life)
             async with clocks.timeout_ms(REPORT_TIMEOUT_MS):
-                async with self._client.pass_on(
+                async with self._client.send_verbatim(
                     'GET', said.address, self._reader.path, [], None
                 ) as response:
                     poll_permit.on_response(
@@ -240,7 +240,7 @@
                             self._dialect,
                         )
                     )
-                    body = await web.read_whole(response, REPORT_LIMIT_BYTES)
+                    body = await web.read_body(response, REPORT_LIMIT_BYTES)
             load = self._reader.read(said.endpoint, body)
         except (
             TimeoutError,
--- a/wrenspoke/coordination/serving/dispatch.py
+++ b/wrenspoke/coordination/serving/dispatch.py
@@ -276,8 +276,8 @@
                     endpoint.url + send.path,
                     self._headers(send),
                     send.body,
-                    fresh=once,
-                    may_leave=lambda: self._may_send(send, send_permit),
+                    new_connection=once,
+                    may_send=lambda: self._may_send(send, send_permit),
                 ) as response,
             ):
                 self._record_advertised(send, endpoint, send_permit, response)
--- a/wrenspoke/coordination/serving/forwarding.py
+++ b/wrenspoke/coordination/serving/forwarding.py
@@ -169,13 +169,13 @@
             forward_state.transcript.continuation_body()
             if forward_state.head.stream
             else forward_state.body,
-            fresh=forward_state.head.once,
+            new_connection=forward_state.head.once,
         ) as response:
             kind = response.headers.get('Content-Type', '')
             if response.status == 200 and kind.startswith(EVENT_STREAM):
                 await self._relay_stream(forward_state, response)
                 return
-            body = await web.read_whole(
+            body = await web.read_body(
                 response, self._settings.answer_limit_bytes
             )
             await self._relay_response(forward_state, response, body)
--- a/wrenspoke/coordination/serving/sending.py
+++ b/wrenspoke/coordination/serving/sending.py
@@ -203,9 +203,7 @@
         :raises SendAbortedError: no longer allowed; nothing was sent
         :raises MaybeSentError: it may have been run
         """
-        may_leave = functools.partial(
-            self._may_send, call, permit, destination
-        )
+        may_send = functools.partial(self._may_send, call, permit, destination)
         fields = self._request_fields(
             call, permit, destination, left_ms, last_event
         )
@@ -223,13 +221,13 @@
         try:
             async with (
                 tracked as run,
-                client.pass_on(
+                client.send_verbatim(
                     call.method,
                     destination.address,
                     call.target,
                     fields,
                     body,
-                    may_leave,
+                    may_send,
                 ) as response,
             ):
                 self._record_advertised(call, destination, response)
@@ -243,7 +241,7 @@
                     self._count_traffic(call, destination, answer)
             if run is not None and verdict is Verdict.ANSWERED:
                 self._guard.mark_succeeded(run)
-        except transport_errors.HeldBackError as error:
+        except transport_errors.SendAbortedError as error:
             raise errors.SendAbortedError(str(error)) from error
         except transport_errors.NotSentError as error:
             raise errors.NotSentError(str(error)) from error
--- a/wrenspoke/coordination/serving/warmup_probe.py
+++ b/wrenspoke/coordination/serving/warmup_probe.py
@@ -122,7 +122,7 @@
                 send_permit = await self._gate.acquire(
                     life, endpoint_limits.LAST_RANK
                 )
-                async with self._client.pass_on(
+                async with self._client.send_verbatim(
                     'GET',
                     said.address,
                     service.health_path,
@@ -131,7 +131,7 @@
                     send_permit.is_valid,
                 ) as response:
                     self._note_advertised(life, send_permit, response)
-                    await web.read_whole(response, BODY_LIMIT_BYTES)
+                    await web.read_body(response, BODY_LIMIT_BYTES)
         except (
             TimeoutError,
             errors.EndpointBusyError,
--- a/wrenspoke/operator.py
+++ b/wrenspoke/operator.py
@@ -91,9 +91,9 @@
     ) -> operator_api.OperatorResponse:
         async with clocks.timeout_ms(self._timeout_ms / 4):
             async with self._client.send(
-                method, url, self._headers, data, fresh=True
+                method, url, self._headers, data, new_connection=True
             ) as found:
-                raw = await web.read_whole(found, ANSWER_LIMIT_BYTES)
+                raw = await web.read_body(found, ANSWER_LIMIT_BYTES)
         body = msgspec.json.decode(raw) if raw else {}
         return operator_api.OperatorResponse(found.status, body)
 
--- a/wrenspoke/protocol/peers.py
+++ b/wrenspoke/protocol/peers.py
@@ -56,8 +56,8 @@
         identity: links.Identity,
         peers: collections.abc.Iterable[links.Peer],
         clock: clocks.Clock,
-        silence: links.Silence = links.Silence(),
-        noted: links.Noted | None = None,
+        silence: links.HeartbeatOptions = links.HeartbeatOptions(),
+        noted: links.SendListener | None = None,
     ):
         self._handlers: dict[type, MessageHandler] = {}
         self._decoder = msgspec.msgpack.Decoder(Message)
@@ -100,7 +100,9 @@
 
         It may be lost.
         """
-        return await self.links.tell(host, self._encoder.encode(message))
+        return await self.links.send_oneway(
+            host, self._encoder.encode(message)
+        )
 
     def _decode(self, body: bytes) -> Message:
         try:
--- a/wrenspoke/standin/platform.py
+++ b/wrenspoke/standin/host_list.py
@@ -6,7 +6,7 @@
 import msgspec
 
 
-class Platform:
+class HostListService:
     """Tell which addresses are leaving, some time after it is so."""
 
     def __init__(self, lag_ms: int = 500):
@@ -20,15 +20,15 @@
         application.router.add_get('/hosts', self._hosts)
         return application
 
-    def leave(self, address: str) -> None:
+    def add_leaving(self, address: str) -> None:
         """Say that a host is leaving; the list shows it later."""
-        self._later(self._leaving.add, address)
+        self._apply_after_lag(self._leaving.add, address)
 
-    def stay(self, address: str) -> None:
+    def remove_leaving(self, address: str) -> None:
         """Say that a host lives, as a wrong list would."""
-        self._later(self._leaving.discard, address)
+        self._apply_after_lag(self._leaving.discard, address)
 
-    def _later(self, function, address: str) -> None:
+    def _apply_after_lag(self, function, address: str) -> None:
         loop = asyncio.get_running_loop()
         loop.call_later(self._lag_ms / 1000, function, address)
 
--- a/wrenspoke/standin/main.py
+++ b/wrenspoke/standin/main.py
@@ -10,8 +10,8 @@
 from wrenspoke import runtime
 from wrenspoke import settings
 from wrenspoke.standin import engine
-from wrenspoke.standin import lives
-from wrenspoke.standin import plain
+from wrenspoke.standin import plain_service
+from wrenspoke.standin import restartable
 from wrenspoke.state import configuration
 
 logger = structlog.get_logger(__name__)
@@ -20,16 +20,16 @@
 def build(
     deployment: settings.Deployment,
     endpoint: settings.EndpointSettings,
-    model: engine.EngineModel,
-) -> engine.Engine | plain.Plain:
+    profile: engine.EngineProfile,
+) -> engine.Engine | plain_service.PlainService:
     """Return the stand-in that fits an endpoint's service."""
     for service in deployment.services:
         if service.service != endpoint.service:
             continue
         if service.kind is configuration.ServiceKind.PLAIN:
-            return plain.Plain(endpoint.endpoint)
+            return plain_service.PlainService(endpoint.endpoint)
     own = msgspec.structs.replace(
-        model, slots=endpoint.slots, fenced=endpoint.fenced
+        profile, slots=endpoint.slots, fenced=endpoint.fenced
     )
     return engine.Engine(endpoint.endpoint, own, list(endpoint.models))
 
@@ -37,16 +37,18 @@
 async def start(
     deployment: settings.Deployment,
     names: list[str],
-    model: engine.EngineModel,
-) -> dict[str, lives.Server]:
+    profile: engine.EngineProfile,
+) -> dict[str, restartable.RestartableServer]:
     """Start stand-ins; without names, for all endpoints."""
     servers = {}
     for endpoint in deployment.endpoints:
         if names and endpoint.endpoint not in names:
             continue
         address = urllib.parse.urlsplit(endpoint.url)
-        standin = build(deployment, endpoint, model)
-        server = lives.Server(standin, address.hostname, address.port)
+        standin = build(deployment, endpoint, profile)
+        server = restartable.RestartableServer(
+            standin, address.hostname, address.port
+        )
         await server.start()
         servers[endpoint.endpoint] = server
     return servers
@@ -55,8 +57,8 @@
 async def serve(arguments: argparse.Namespace) -> None:
     """Run until told to stop."""
     deployment = settings.read(arguments.settings)
-    model = msgspec.json.decode(arguments.model, type=engine.EngineModel)
-    servers = await start(deployment, arguments.endpoint, model)
+    profile = msgspec.json.decode(arguments.model, type=engine.EngineProfile)
+    servers = await start(deployment, arguments.endpoint, profile)
     logger.info('standins_started', count=len(servers))
     await runtime.wait_for_stop()
     for server in servers.values():
--- a/wrenspoke/standin/plain.py
+++ b/wrenspoke/standin/plain_service.py
@@ -12,7 +12,7 @@
 from wrenspoke.transport import web as transport_web
 
 
-class Plain:
+class PlainService:
     """Answer any method on any path, and tell what was run."""
 
     def __init__(self, name: str):
@@ -53,7 +53,7 @@
             }
         )
         if self.faults.truncate:
-            return await engine.truncated(request, answer, echo)
+            return await engine.send_truncated(request, answer, echo)
         return web.Response(
             body=answer,
             status=self.faults.status or 200,
--- a/wrenspoke/standin/lives.py
+++ b/wrenspoke/standin/restartable.py
@@ -4,15 +4,18 @@
 
 from wrenspoke import runtime
 from wrenspoke.standin import engine
-from wrenspoke.standin import plain
+from wrenspoke.standin import plain_service
 from wrenspoke.transport import web
 
 
-class Server:
+class RestartableServer:
     """Serve a stand-in at one IP number and port, life after life."""
 
     def __init__(
-        self, standin: engine.Engine | plain.Plain, ip: str, port: int
+        self,
+        standin: engine.Engine | plain_service.PlainService,
+        ip: str,
+        port: int,
     ):
         self._standin = standin
         self._ip = ip
@@ -20,21 +23,21 @@
         self._server: web.HttpServer | None = None
         self._tasks = runtime.Tasks()
         if isinstance(standin, engine.Engine):
-            standin.end = self.end
+            standin.on_crash = self.crash
 
     async def start(self) -> None:
         """Listen; the port must be free."""
         self._server = web.HttpServer(self._standin.application())
         await self._server.start(self._ip, self._port)
 
-    def end(self, back_after_ms: int) -> None:
+    def crash(self, back_after_ms: int) -> None:
         """Break all connections off, and listen again after a while."""
         if self._server is None:
             return
         ended, self._server = self._server, None
-        self._tasks.start(self._come_back(ended, back_after_ms))
+        self._tasks.start(self._restart(ended, back_after_ms))
 
-    async def _come_back(
+    async def _restart(
         self, ended: web.HttpServer, back_after_ms: int
     ) -> None:
         await ended.abort()
--- a/wrenspoke/transport/connecting.py
+++ b/wrenspoke/transport/connector.py
@@ -26,7 +26,7 @@
 USER_TIMEOUT_MS = 3_000
 
 
-class WaryConnector(aiohttp.TCPConnector):
+class CancellationSafeConnector(aiohttp.TCPConnector):
     """Let nothing cancel a socket as it becomes a connection.
 
     Where that happens, uvloop (0.22.1) closes the socket's number and
@@ -44,10 +44,10 @@
         self, *arguments: typing.Any, **named: typing.Any
     ) -> connectors.Connection:
         found = await super().connect(*arguments, **named)
-        may_leave = _MAY_LEAVE.get()
-        if may_leave is not None and not may_leave():
+        may_send = _MAY_SEND.get()
+        if may_send is not None and not may_send():
             found.release()
-            raise errors.HeldBackError('it may not leave any more')
+            raise errors.SendAbortedError('it may not leave any more')
         return found
 
     async def _wrap_create_connection(
@@ -57,7 +57,7 @@
         **named: typing.Any,
     ) -> tuple[asyncio.Transport, client_proto.ResponseHandler]:
         opened: list[socket.socket] = []
-        noted = _OPENED.set(opened)
+        noted = _OPENED_SOCKETS.set(opened)
         making = asyncio.ensure_future(
             super()._wrap_create_connection(
                 *arguments,
@@ -65,7 +65,7 @@
                 **named,
             )
         )
-        _OPENED.reset(noted)
+        _OPENED_SOCKETS.reset(noted)
         try:
             async with asyncio.timeout(timeout.sock_connect):
                 return await asyncio.shield(making)
@@ -77,25 +77,25 @@
 
 
 # Asked as a request is given its connection; a body asks once more.
-_MAY_LEAVE: contextvars.ContextVar[
+_MAY_SEND: contextvars.ContextVar[
     collections.abc.Callable[[], bool] | None
 ] = contextvars.ContextVar('may_leave', default=None)
 # The sockets that the connecting task has opened.
-_OPENED: contextvars.ContextVar[list[socket.socket]] = contextvars.ContextVar(
-    'opened'
+_OPENED_SOCKETS: contextvars.ContextVar[list[socket.socket]] = (
+    contextvars.ContextVar('opened')
 )
 
 
 @contextlib.contextmanager
-def asking(
-    may_leave: collections.abc.Callable[[], bool] | None,
+def guard_sends(
+    may_send: collections.abc.Callable[[], bool] | None,
 ) -> collections.abc.Iterator[None]:
     """Have what is sent within the block leave only if it still may."""
-    asked = _MAY_LEAVE.set(may_leave)
+    asked = _MAY_SEND.set(may_send)
     try:
         yield
     finally:
-        _MAY_LEAVE.reset(asked)
+        _MAY_SEND.reset(asked)
 
 
 def _is_connected(opened: socket.socket) -> bool:
@@ -114,17 +114,17 @@
     transport.abort()
 
 
-def probing_socket(address: tuple) -> socket.socket:
+def create_keepalive_socket(address: tuple) -> socket.socket:
     """Return a socket that notices a peer that is no longer there."""
     family, kind, protocol, _name, _address = address
     made = socket.socket(family, kind, protocol)
     made.setblocking(False)
-    probe(made)
-    _OPENED.get([]).append(made)
+    enable_keepalive(made)
+    _OPENED_SOCKETS.get([]).append(made)
     return made
 
 
-def probe(opened: socket.socket) -> None:
+def enable_keepalive(opened: socket.socket) -> None:
     """Let the system find out when the other end is gone."""
     tcp = socket.IPPROTO_TCP
     opened.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
--- a/wrenspoke/transport/links.py
+++ b/wrenspoke/transport/links.py
@@ -27,29 +27,29 @@
 
 logger = structlog.get_logger(__name__)
 
-HIGH_WATER_MARK = 64
+SEND_HIGH_WATER_MARK = 64
 # So many that libzmq goes on reading a link while a host is behind. Where one
 # ends that is not read, libzmq (4.3.5) ends the process as a heartbeat is due
 # there, or is found among what had been read. Some hundred bytes each; what
 # comes late has expired and costs next to nothing.
-RECEIVED_HIGH_WATER_MARK = 20_000
-NO_ANSWER = 0
+RECEIVE_HIGH_WATER_MARK = 20_000
+ONEWAY_NUMBER = 0
 CONNECT_POLL_S = 0.005
-TELL_EXPIRY_MS = 2000
+ONEWAY_TTL_MS = 2000
 HEARTBEAT_IVL_MS = 2000
 HEARTBEAT_TIMEOUT_MS = 6000
 # Hosts that start together find each other within a fraction of their own
 # start of 0.3 s; one that stays away costs ten packets a second.
 RECONNECT_MS = 30
-LONGEST_RECONNECT_MS = 100
-MESSAGE_LIMIT_BYTES = 16 * 1024 * 1024
+MAX_RECONNECT_MS = 100
+MAX_MESSAGE_BYTES = 16 * 1024 * 1024
 # Tables of routes shrink to a tenth; shorter messages are not worth it.
-COMPRESSED_FROM_BYTES = 2_048
+MIN_COMPRESS_BYTES = 2_048
 COMPRESSION_LEVEL = 1
 # A message whose end hardly shrinks was packed before it came here.
-DENSE = 0.9
+MAX_COMPRESSION_RATIO = 0.9
 PLAIN, COMPRESSED = b'\0', b'\1'
-KEPT_EPOCHS = 4_096
+MAX_TRACKED_EPOCHS = 4_096
 
 
 class Envelope(msgspec.Struct, array_like=True):
@@ -84,13 +84,13 @@
     secret_key: str | None = None
 
     @property
-    def keyed(self) -> bool:
+    def has_keys(self) -> bool:
         """Tell whether links show and ask for keys."""
         return self.secret_key is not None
 
 
 @dataclasses.dataclass(frozen=True)
-class Silence:
+class HeartbeatOptions:
     """Say how soon a link that has fallen silent is given up."""
 
     heartbeat_ms: int = HEARTBEAT_IVL_MS
@@ -98,7 +98,7 @@
 
 
 # Told of each message that was sent: to whom, what, and the bytes it took.
-Noted = collections.abc.Callable[[ids.HostId, bytes, int], None]
+SendListener = collections.abc.Callable[[ids.HostId, bytes, int], None]
 Handler = collections.abc.Callable[
     [ids.HostId, bytes], collections.abc.Awaitable[bytes | None]
 ]
@@ -113,10 +113,10 @@
         peers: collections.abc.Iterable[Peer],
         clock: clocks.Clock,
         handler: Handler,
-        silence: Silence = Silence(),
-        noted: Noted | None = None,
+        heartbeat_options: HeartbeatOptions = HeartbeatOptions(),
+        on_sent: SendListener | None = None,
     ):
-        self._noted = noted or _note_nothing
+        self._on_sent = on_sent or _ignore_sent
         self._identity = identity
         self._peers = {peer.host: peer for peer in peers}
         self._hosts_by_key = {
@@ -124,8 +124,8 @@
         }
         self._clock = clock
         self._handler = handler
-        self._silence = silence
-        self._offsets_ms: dict[tuple[str, str], int] = {}
+        self._heartbeat_options = heartbeat_options
+        self._min_offsets_ms: dict[tuple[str, str], int] = {}
         self._epoch = ids.new_unique()
         self._context = zmq.asyncio.Context()
         self._authenticator = None
@@ -141,17 +141,17 @@
     async def start(self, ip: str, port: int) -> None:
         """Listen for the calls of known hosts, of all without keys."""
         router = self._context.socket(zmq.ROUTER)
-        _set_options(router, self._silence)
+        _set_options(router, self._heartbeat_options)
         router.setsockopt(zmq.ROUTER_MANDATORY, 1)
-        if self._identity.keyed:
-            self._ask_for_keys()
+        if self._identity.has_keys:
+            self._start_authenticator()
             router.curve_server = True
-            self._show_key(router)
+            self._set_curve_keys(router)
         router.bind(f'tcp://{ip}:{port}')
         self._router = router
-        self._tasks.start(self._serve())
+        self._tasks.start(self._serve_requests())
 
-    def _ask_for_keys(self) -> None:
+    def _start_authenticator(self) -> None:
         from zmq.auth import asyncio as auth
 
         self._authenticator = auth.AsyncioAuthenticator(self._context)
@@ -160,7 +160,7 @@
             domain='*', credentials_provider=self
         )
 
-    def _show_key(self, opened: zmq.asyncio.Socket) -> None:
+    def _set_curve_keys(self, opened: zmq.asyncio.Socket) -> None:
         opened.curve_secretkey = self._identity.secret_key.encode()
         opened.curve_publickey = self._identity.public_key.encode()
 
@@ -179,16 +179,16 @@
         :raises NotSentError: the host is unknown or not connected
         :raises MaybeSentError: no answer came within ``timeout_ms``
         """
-        dealer = self._dealer(host)
+        dealer = self._get_or_connect(host)
         self._number += 1
         number = self._number
-        frame = self._wrap(number, body, timeout_ms)
+        frame = self._encode_envelope(number, body, timeout_ms)
         future = asyncio.get_running_loop().create_future()
         self._pending[number] = future
         try:
             async with clocks.timeout_ms(timeout_ms):
                 await _send_when_connected(dealer, frame)
-                self._note_sent(host, body, frame)
+                self._on_message_sent(host, body, frame)
                 return await future
         except TimeoutError as error:
             raise errors.MaybeSentError(f'no answer from {host}') from error
@@ -197,53 +197,57 @@
         finally:
             self._pending.pop(number, None)
 
-    async def tell(self, host: ids.HostId, body: bytes) -> int:
+    async def send_oneway(self, host: ids.HostId, body: bytes) -> int:
         """Send ``body`` without an answer; return the bytes sent.
 
         It is dropped, as 0 bytes, if nobody listens.
         """
         try:
-            dealer = self._dealer(host)
-            frame = self._wrap(NO_ANSWER, body, TELL_EXPIRY_MS)
+            dealer = self._get_or_connect(host)
+            frame = self._encode_envelope(ONEWAY_NUMBER, body, ONEWAY_TTL_MS)
             await dealer.send(frame, zmq.NOBLOCK)
         except (zmq.ZMQError, errors.NotSentError):
             logger.debug('tell_dropped', peer=host)
             return 0
-        self._note_sent(host, body, frame)
+        self._on_message_sent(host, body, frame)
         return len(frame)
 
-    def _note_sent(self, host: ids.HostId, body: bytes, frame: bytes) -> None:
+    def _on_message_sent(
+        self, host: ids.HostId, body: bytes, frame: bytes
+    ) -> None:
         self.sent_bytes += len(frame)
-        self._noted(host, body, len(frame))
+        self._on_sent(host, body, len(frame))
 
-    def _dealer(self, host: ids.HostId) -> zmq.asyncio.Socket:
+    def _get_or_connect(self, host: ids.HostId) -> zmq.asyncio.Socket:
         dealer = self._dealers.get(host)
         if dealer is not None:
             return dealer
-        peer = self._peer(host)
+        peer = self._find_peer(host)
         dealer = self._context.socket(zmq.DEALER)
-        _set_options(dealer, self._silence)
+        _set_options(dealer, self._heartbeat_options)
         dealer.setsockopt(zmq.IMMEDIATE, 1)
-        if self._identity.keyed:
+        if self._identity.has_keys:
             dealer.curve_serverkey = peer.public_key.encode()
-            self._show_key(dealer)
+            self._set_curve_keys(dealer)
         dealer.connect(f'tcp://{peer.ip}:{peer.port}')
         self._dealers[host] = dealer
-        self._receivers[host] = self._tasks.start(self._receive(host, dealer))
+        self._receivers[host] = self._tasks.start(
+            self._receive_replies(host, dealer)
+        )
         return dealer
 
-    def _peer(self, host: ids.HostId) -> Peer:
+    def _find_peer(self, host: ids.HostId) -> Peer:
         """Return where a host listens; a name without a key tells it."""
         peer = self._peers.get(host)
         if peer is not None:
             return peer
         ip, _, port = host.rpartition(':')
         digits = port.isascii() and port.isdigit()
-        if self._identity.keyed or not ip or not digits:
+        if self._identity.has_keys or not ip or not digits:
             raise errors.NotSentError(f'unknown host {host}')
         return Peer(host, ip, int(port))
 
-    def forget(self, host: ids.HostId) -> None:
+    def disconnect(self, host: ids.HostId) -> None:
         """Close the link to a host that is gone."""
         dealer = self._dealers.pop(host, None)
         if dealer is None:
@@ -251,7 +255,9 @@
         dealer.close(linger=0)
         self._receivers.pop(host).cancel()
 
-    def _wrap(self, number: int, body: bytes, timeout_ms: float) -> bytes:
+    def _encode_envelope(
+        self, number: int, body: bytes, timeout_ms: float
+    ) -> bytes:
         return msgspec.msgpack.encode(
             Envelope(
                 self._identity.cluster,
@@ -260,25 +266,25 @@
                 number,
                 self._clock.mono_ms(),
                 int(timeout_ms) + 1,
-                _packed(body),
+                _compress(body),
             )
         )
 
-    async def _receive(
+    async def _receive_replies(
         self, host: ids.HostId, dealer: zmq.asyncio.Socket
     ) -> None:
         while True:
             frame = await dealer.recv()
             self.received_bytes += len(frame)
-            envelope = self._open(frame, host)
+            envelope = self._decode_envelope(frame, host)
             if envelope is None:
                 continue
             future = self._pending.get(envelope.number)
             if future is None or future.done():
                 continue
-            future.set_result(_unpacked(envelope.body))
+            future.set_result(_decompress(envelope.body))
 
-    async def _serve(self) -> None:
+    async def _serve_requests(self) -> None:
         while True:
             frames = await self._router.recv_multipart(copy=False)
             if len(frames) != 2:
@@ -286,37 +292,41 @@
                 continue
             payload = frames[1].bytes
             self.received_bytes += len(payload)
-            envelope = self._open(payload, self._shown_by(frames[1]))
+            envelope = self._decode_envelope(
+                payload, self._authenticated_host(frames[1])
+            )
             if envelope is None:
                 continue
             self._tasks.start(
-                self._answer(frames[0].bytes, envelope), fatal=False
+                self._handle_request(frames[0].bytes, envelope), fatal=False
             )
 
-    def _shown_by(self, frame: zmq.Frame) -> ids.HostId | None:
+    def _authenticated_host(self, frame: zmq.Frame) -> ids.HostId | None:
         """Return whose key a message came with."""
-        if not self._identity.keyed:
+        if not self._identity.has_keys:
             return None
         return self._hosts_by_key.get(frame.get('User-Id'))
 
-    def _open(self, frame: bytes, host: ids.HostId | None) -> Envelope | None:
+    def _decode_envelope(
+        self, frame: bytes, host: ids.HostId | None
+    ) -> Envelope | None:
         try:
             envelope = msgspec.msgpack.decode(frame, type=Envelope)
         except msgspec.DecodeError:
             logger.warning('message_refused', reason='malformed', peer=host)
             return None
-        reason = self._refusal(envelope, host)
+        reason = self._rejection_reason(envelope, host)
         if reason is None:
             return envelope
         logger.warning('message_refused', reason=reason, peer=envelope.sender)
         return None
 
-    def _refusal(
+    def _rejection_reason(
         self, envelope: Envelope, host: ids.HostId | None
     ) -> str | None:
         if envelope.cluster != self._identity.cluster:
             return 'other_cluster'
-        if self._identity.keyed and envelope.sender != host:
+        if self._identity.has_keys and envelope.sender != host:
             return 'key_of_another_host'
         if self._age_ms(envelope) > envelope.good_for_ms:
             return 'expired'
@@ -326,22 +336,27 @@
         """Return how much longer it took than the quickest before it."""
         key = (envelope.sender, envelope.epoch)
         offset_ms = self._clock.mono_ms() - envelope.sent_ms
-        quickest_ms = self._offsets_ms.get(key)
-        if quickest_ms is None and len(self._offsets_ms) >= KEPT_EPOCHS:
-            del self._offsets_ms[next(iter(self._offsets_ms))]
+        quickest_ms = self._min_offsets_ms.get(key)
+        if (
+            quickest_ms is None
+            and len(self._min_offsets_ms) >= MAX_TRACKED_EPOCHS
+        ):
+            del self._min_offsets_ms[next(iter(self._min_offsets_ms))]
         if quickest_ms is None or offset_ms < quickest_ms:
-            self._offsets_ms[key] = quickest_ms = offset_ms
+            self._min_offsets_ms[key] = quickest_ms = offset_ms
         return offset_ms - quickest_ms
 
-    async def _answer(self, route: bytes, envelope: Envelope) -> None:
+    async def _handle_request(self, route: bytes, envelope: Envelope) -> None:
         sender = ids.HostId(envelope.sender)
-        answer = await self._handler(sender, _unpacked(envelope.body))
-        if answer is None or envelope.number == NO_ANSWER:
+        answer = await self._handler(sender, _decompress(envelope.body))
+        if answer is None or envelope.number == ONEWAY_NUMBER:
             return
-        frame = self._wrap(envelope.number, answer, envelope.good_for_ms)
+        frame = self._encode_envelope(
+            envelope.number, answer, envelope.good_for_ms
+        )
         try:
             await self._router.send_multipart([route, frame], zmq.NOBLOCK)
-            self._note_sent(sender, answer, frame)
+            self._on_message_sent(sender, answer, frame)
         except zmq.ZMQError:
             logger.info('answer_dropped', peer=sender)
 
@@ -357,7 +372,7 @@
         self._context.destroy(linger=0)
 
 
-def _note_nothing(_host: ids.HostId, _body: bytes, _size: int) -> None:
+def _ignore_sent(_host: ids.HostId, _body: bytes, _size: int) -> None:
     return
 
 
@@ -377,31 +392,36 @@
             await asyncio.sleep(CONNECT_POLL_S)
 
 
-def _packed(body: bytes) -> bytes:
-    if len(body) < COMPRESSED_FROM_BYTES:
+def _compress(body: bytes) -> bytes:
+    if len(body) < MIN_COMPRESS_BYTES:
         return PLAIN + body
-    sample = body[-COMPRESSED_FROM_BYTES:]
-    if len(zlib.compress(sample, COMPRESSION_LEVEL)) > len(sample) * DENSE:
+    sample = body[-MIN_COMPRESS_BYTES:]
+    if (
+        len(zlib.compress(sample, COMPRESSION_LEVEL))
+        > len(sample) * MAX_COMPRESSION_RATIO
+    ):
         return PLAIN + body
     return COMPRESSED + zlib.compress(body, COMPRESSION_LEVEL)
 
 
-def _unpacked(body: bytes) -> bytes:
+def _decompress(body: bytes) -> bytes:
     if body.startswith(COMPRESSED):
         return zlib.decompress(body[1:])
     return body[1:]
 
 
-def _set_options(opened: zmq.asyncio.Socket, silence: Silence) -> None:
+def _set_options(
+    opened: zmq.asyncio.Socket, heartbeat_options: HeartbeatOptions
+) -> None:
     opened.setsockopt(zmq.LINGER, 0)
-    opened.setsockopt(zmq.SNDHWM, HIGH_WATER_MARK)
-    opened.setsockopt(zmq.RCVHWM, RECEIVED_HIGH_WATER_MARK)
-    opened.setsockopt(zmq.HEARTBEAT_IVL, silence.heartbeat_ms)
-    opened.setsockopt(zmq.HEARTBEAT_TIMEOUT, silence.timeout_ms)
-    opened.setsockopt(zmq.MAXMSGSIZE, MESSAGE_LIMIT_BYTES)
-    opened.setsockopt(zmq.CONNECT_TIMEOUT, silence.timeout_ms)
+    opened.setsockopt(zmq.SNDHWM, SEND_HIGH_WATER_MARK)
+    opened.setsockopt(zmq.RCVHWM, RECEIVE_HIGH_WATER_MARK)
+    opened.setsockopt(zmq.HEARTBEAT_IVL, heartbeat_options.heartbeat_ms)
+    opened.setsockopt(zmq.HEARTBEAT_TIMEOUT, heartbeat_options.timeout_ms)
+    opened.setsockopt(zmq.MAXMSGSIZE, MAX_MESSAGE_BYTES)
+    opened.setsockopt(zmq.CONNECT_TIMEOUT, heartbeat_options.timeout_ms)
     opened.setsockopt(zmq.RECONNECT_IVL, RECONNECT_MS)
-    opened.setsockopt(zmq.RECONNECT_IVL_MAX, LONGEST_RECONNECT_MS)
+    opened.setsockopt(zmq.RECONNECT_IVL_MAX, MAX_RECONNECT_MS)
 
 
 def new_keys() -> tuple[str, str]:
